--- a/src/main.cpp
+++ b/src/main.cpp
@@ -120,6 +120,8 @@
         settings = elmbay::read_operator_file(operator_path, problems);
         if (!told_no_problem(operator_path, problems)) return 2;
     }
+    // A log whose reader has gone must not end the process; writes to sockets never raise the signal.
+    std::signal(SIGPIPE, SIG_IGN);
     try {
         boost::asio::io_context io(1);
         // Before all else: without a handler SIGHUP ends the process. One that comes too early for us waits
