--- /dev/null
+++ b/src/policy/final_responder.hpp
@@ -0,0 +1,36 @@
+#pragma once
+
+#include "policy/admission.hpp"
+#include "policy/event_context.hpp"
+#include "policy/request_table.hpp"
+
+namespace hollybeam {
+
+/// Gives the module's final answers: a refusal where that is true, else a failure. The only place of both.
+///
+/// Owned by Balancer::Impl. At most one final answer for each request, as Request::ended tells.
+class FinalResponder {
+public:
+    /// What a request may wait for room, as a share of its aim: what cannot go out by then had better be
+    /// tried anew. It is told to come back no sooner either.
+    static constexpr double kHold = 1.0 / 16;
+
+    FinalResponder(const Settings& settings, EventContext& context, const Admission& admission,
+                   RequestTable& requests)
+        : settings_(&settings), context_(&context), admission_(&admission), requests_(&requests) {}
+
+    /// The only final answer. No effect on a request that has one, or whose answer has begun.
+    void finish(Request& r);
+    /// Cancels all attempts that are out, where the driver permits it.
+    void cancel_all(const Request& r);
+
+private:
+    Millis retry_in(const Request& r) const;
+
+    const Settings* settings_;
+    EventContext* context_;
+    const Admission* admission_;
+    RequestTable* requests_;
+};
+
+}  // namespace hollybeam
--- /dev/null
+++ b/src/policy/send_gate.hpp
@@ -0,0 +1,39 @@
+#pragma once
+
+#include "policy/aperture.hpp"
+#include "policy/cold_start.hpp"
+#include "policy/pace.hpp"
+#include "policy/request.hpp"
+#include "policy/sessions.hpp"
+
+namespace hollybeam {
+
+/// The gate that each attempt passes: whether the four rules let a request go to a server now.
+///
+/// Owned by Balancer::Impl. Dispatcher asks it for each server that it considers, and sends to no other.
+class SendGate {
+public:
+    SendGate(const Settings& settings, const ColdStart& cold, const Aperture& aperture, const Pace& pace,
+             const Sessions& sessions)
+        : settings_(&settings), cold_(&cold), aperture_(&aperture), pace_(&pace), sessions_(&sessions) {}
+
+    bool is_cold(const Server& s, Millis now) const { return cold_->is_cold(s, now); }
+
+    /// Whether the request may go there. Brings a cold server's tokens up to date.
+    bool may_send(const Request& r, Server& s, Millis now) const {
+        if (r.session && !sessions_->has_place_at(s)) return false;
+        return r.may_go_to(s, *settings_, now) &&               // rules 1 to 3
+               (!is_cold(s, now) || cold_tokens(s, now) >= 1);  // rule 4
+    }
+
+private:
+    double cold_tokens(Server& s, Millis now) const;
+
+    const Settings* settings_;
+    const ColdStart* cold_;
+    const Aperture* aperture_;
+    const Pace* pace_;
+    const Sessions* sessions_;
+};
+
+}  // namespace hollybeam
--- /dev/null
+++ b/src/policy/server_pool.cpp
@@ -0,0 +1,11 @@
+#include "policy/server_pool.hpp"
+
+namespace hollybeam {
+
+void ServerPool::draw_pool(Millis now) {
+    aperture_->draw(now, load());
+    ejection_->compare_with(aperture_->pool());
+    admission_->pool_is(aperture_->warm());
+}
+
+}  // namespace hollybeam
--- /dev/null
+++ b/src/policy/server_pool.hpp
@@ -0,0 +1,39 @@
+#pragma once
+
+#include "policy/admission.hpp"
+#include "policy/aperture.hpp"
+#include "policy/ejection.hpp"
+#include "policy/sessions.hpp"
+
+namespace hollybeam {
+
+/// Draws the pool and keeps those in step that depend on it: outlier ejection compares a server with the
+/// others of the pool, admission counts its warm servers. Counts what is out at warm servers.
+///
+/// Owned by Balancer::Impl; the classes that it draws with are too. Holds one counter.
+class ServerPool {
+public:
+    ServerPool(Aperture& aperture, OutlierEjection& ejection, Admission& admission, const Sessions& sessions)
+        : aperture_(&aperture), ejection_(&ejection), admission_(&admission), sessions_(&sessions) {}
+
+    /// The list, the siblings or a server's standing has changed, or the pool is stale().
+    void draw_pool(Millis now);
+    bool stale(Millis now) const { return aperture_->stale(now, load()); }
+
+    /// Attempts out at servers that were warm when they were sent.
+    int outstanding() const { return outstanding_; }
+    void attempt_sent(bool cold) { outstanding_ += !cold; }
+    void attempt_ended(bool cold) { outstanding_ -= !cold; }
+
+private:
+    // What the pool must be wide enough for.
+    int load() const { return std::max(outstanding_, static_cast<int>(sessions_->held() / Sessions::kEach)); }
+
+    Aperture* aperture_;
+    OutlierEjection* ejection_;
+    Admission* admission_;
+    const Sessions* sessions_;
+    int outstanding_ = 0;
+};
+
+}  // namespace hollybeam
--- /dev/null
+++ b/src/policy/server_table.hpp
@@ -0,0 +1,47 @@
+#pragma once
+
+#include <map>
+
+#include "base/random.hpp"
+#include "policy/aperture.hpp"
+#include "policy/memory.hpp"
+#include "policy/pace.hpp"
+#include "policy/server.hpp"
+
+namespace hollybeam {
+
+/// The servers that the endpoint list names, and those that it no longer names but where something of ours is
+/// still out.
+///
+/// Owned by Balancer::Impl; owns the Server records. Aperture points at them, so the table tells it before
+/// one goes. Bound: the list's length (the driver's limit) and what is outstanding at servers that left it.
+class ServerTable {
+public:
+    ServerTable(Random& random, Pace& pace, Memory& memory, Aperture& aperture)
+        : random_(&random), pace_(&pace), memory_(&memory), aperture_(&aperture) {}
+
+    /// Takes in a list of any kind but failed. The pool has to be drawn anew next.
+    void apply(const ServerList& list, Millis now);
+    /// Forgets a server that is not on the list, once nothing of ours is there. `server` may be gone then.
+    void drop_if_gone(Server& server);
+
+    /// nullptr: unknown, or forgotten.
+    Server* find(ServerId id);
+    const std::map<ServerId, Server>& servers() const { return servers_; }
+    bool empty() const { return servers_.empty(); }
+    std::size_t size() const { return servers_.size(); }
+
+private:
+    static bool is_gone(const Server& s) { return !s.listed && s.outstanding == 0 && s.sessions == 0; }
+    void learn(const ServerInfo& info, Millis now);
+
+    Random* random_;
+    Pace* pace_;
+    Memory* memory_;
+    Aperture* aperture_;
+    std::map<ServerId, Server> servers_;
+    std::size_t listed_ = 0;        // of the list at hand
+    std::size_t recalled_out_ = 0;  // out by an earlier life's word
+};
+
+}  // namespace hollybeam
--- /dev/null
+++ b/src/policy/timer_table.hpp
@@ -0,0 +1,42 @@
+#pragma once
+
+#include <cstdint>
+#include <optional>
+#include <unordered_map>
+
+#include "policy/event_context.hpp"
+
+namespace hollybeam {
+
+/// The timers that have been set and have not fired, and what each is for.
+///
+/// Owned by Balancer::Impl. Bound: two timers for each request (deadline, end of its wait) and one for each
+/// failed call for the list; each leaves when it fires. Tokens count up from 1 and are never used twice.
+class TimerTable {
+public:
+    /// What a timer is for.
+    struct Timer {
+        std::optional<RequestId> request;  ///< none: another call for the endpoint list
+    };
+
+    explicit TimerTable(EventContext& context) : context_(&context) {}
+
+    /// Asks the driver for a timer at that time.
+    void set_timer(Millis at, std::optional<RequestId> request) {
+        timers_[next_token_] = Timer{request};
+        context_->act(SetTimer{at, next_token_++});
+    }
+    /// Takes out the timer that has fired; none if the token is unknown or has fired before.
+    std::optional<Timer> take(TimerToken token) {
+        const auto timer = timers_.extract(token);
+        return timer ? std::optional(timer.mapped()) : std::nullopt;
+    }
+    std::size_t size() const { return timers_.size(); }
+
+private:
+    EventContext* context_;
+    std::unordered_map<TimerToken, Timer> timers_;  // never iterated
+    TimerToken next_token_ = 1;
+};
+
+}  // namespace hollybeam
