--- a/src/policy/balancer.cpp
+++ b/src/policy/balancer.cpp
@@ -11,6 +11,8 @@
 
 #include <algorithm>
 #include <cmath>
+#include <optional>
+#include <utility>
 
 #include "base/knowledge.hpp"
 #include "base/random.hpp"
@@ -41,8 +43,9 @@
 
 namespace {
 
-bool proves_never_ran(Outcome o) {
-    return o == Outcome::saturated || o == Outcome::refused_connection || o == Outcome::superseded;
+bool proves_never_ran(Outcome outcome) {
+    return outcome == Outcome::saturated || outcome == Outcome::refused_connection ||
+           outcome == Outcome::superseded;
 }
 
 Settings checked(Settings settings) {
@@ -55,7 +58,7 @@
 /// Owns every part and hands events on. Parts know each other by reference, in the order of their
 /// construction: none knows one below it.
 struct Balancer::Impl {
-    Impl(Settings s, std::uint64_t seed) : settings(checked(std::move(s))), random(seed) {}
+    Impl(Settings given, std::uint64_t seed) : settings(checked(std::move(given))), random(seed) {}
 
     Settings settings;
     Random random;
@@ -91,35 +94,36 @@
     // ---- Membership -------------------------------------------------------------------------------------
 
     void on(const Started&) {
-        if (settings.list_on_request) context.act(Subscribe{true});
+        if (settings.list_on_request) context.emit(Subscribe{true});
     }
 
-    void on(const Remembered& e) {
+    void on(const Remembered& event) {
         if (!servers.empty()) return;  // too late: what we see ourselves is better
-        const Knowledge k = sound(e.knowledge);
-        memory.keep(k, e.age, context.now());
+        const Knowledge knowledge = sound(event.knowledge);
+        memory.keep(knowledge, event.age, context.now());
         if (!memory.believed()) return;
-        admission.recall(k, memory.taken_at(), context.now());
-        aperture.recall(k.carried, memory.taken_at());
-        retry_budget.at_most(k.retries_left);
+        admission.recall(knowledge, memory.taken_at(), context.now());
+        aperture.recall(knowledge.carried, memory.taken_at());
+        retry_budget.at_most(knowledge.retries_left);
     }
 
     // What was out, learned or saved up stays; only what it is a part of is another number.
-    void on(const SiblingsKnown& e) {
-        if (e.count == 0) return;
-        aperture.set_siblings(e.count);
-        admission.set_siblings(e.count);
+    void on(const SiblingsKnown& event) {
+        if (event.count == 0) return;
+        aperture.set_siblings(event.count);
+        admission.set_siblings(event.count);
         pool.draw_pool(context.now());
     }
 
     Knowledge known(Millis at) const {
-        Knowledge k;
-        for (const auto& [id, s] : servers.servers())
-            if (s.listed) k.servers.push_back(Memory::of(s, at));
-        admission.know(k, at);
-        k.carried = aperture.carried_rate(at);
-        k.retries_left = retry_budget.left();
-        return sound(std::move(k));
+        Knowledge knowledge;
+        for (const auto& [id, server] : servers.servers()) {
+            if (server.listed) knowledge.servers.push_back(Memory::of(server, at));
+        }
+        admission.know(knowledge, at);
+        knowledge.carried = aperture.carried_rate(at);
+        knowledge.retries_left = retry_budget.left();
+        return sound(std::move(knowledge));
     }
 
     void on(const ServerList& list) {
@@ -131,101 +135,128 @@
         if (list.kind != ListKind::saved) subscription_backoff.reset();
         servers.apply(list, context.now());
         pool.draw_pool(context.now());
-        dispatcher.release_held();
+        dispatcher.release_waiting();
     }
 
     // ---- A request --------------------------------------------------------------------------------------
 
-    void on(const RequestArrived& e) {
-        Request* added = requests.add(e.id);
+    void on(const RequestArrived& event) {
+        Request* added = requests.add(event.id);
         if (!added) return;
-        Request& r = *added;
-        r.repeat = e.repeat;
-        r.kind.aim = std::max(1.0, e.time_left);  // an unknown class is handled with most care, as once
-        if (e.class_index < settings.classes.size()) r.kind = settings.classes[e.class_index];
-        r.kind.aim += r.kind.aim_stretch * std::max(0.0, e.effort);
-        r.deadline = context.now() + (std::isfinite(e.time_left) ? std::max(0.0, e.time_left) : 0.0);
-        // Not the aim: that makes clients repeat what a server is still working on, while a late answer keeps
-        // them quiet. But the aim where a late answer is worth nothing, a failure is never repeated, and our
-        // count of what is out, lost for work that goes on, is a small part of any queue anyway.
-        const bool cut = r.kind.late_worth == 0 && r.kind.effect == Effect::once && aperture.narrow();
-        r.cutoff = cut ? std::min(r.deadline, context.now() + r.kind.aim) : r.deadline;
+        Request& request = *added;
+        request.repeat = event.repeat;
+        request.kind = class_of(event);
+        set_limits(request, event.time_left);
         retry_budget.arrived();
-        r.part = fairness.arrived(e.tenant, context.now());
-        r.hold_until = std::min(r.deadline, context.now() + r.kind.aim * FinalResponder::kHold);
-        r.session = e.session && sessions.has_place();
-        if (r.session) sessions.taken();
-        if (e.no_place || r.session != e.session) return responder.finish(r);
-        timers.set_timer(r.deadline, r.id);
-        dispatcher.place(r);
-    }
-
-    void on(const FirstByte& e) {
-        Request* r = requests.find(e.id);
-        if (r && e.attempt < r->attempts.size()) r->streaming = true;
-    }
-
-    void on(AttemptEnded e) {
-        Request* found = requests.find(e.id);
-        if (!found || e.attempt >= found->attempts.size()) return;
-        Request& r = *found;
-        Attempt& a = r.attempts[e.attempt];
-        if (!a.out) return;
+        request.part = fairness.arrived(event.tenant, context.now());
+        request.session = event.session && sessions.has_place();
+        if (request.session) sessions.taken();
+        if (event.no_place || request.session != event.session) return responder.finish(request);
+        timers.set_timer(request.deadline, request.id);
+        dispatcher.place(request);
+    }
+
+    // An unknown class is handled with most care: at most one run, and its time left as its aim.
+    RequestClass class_of(const RequestArrived& event) const {
+        RequestClass kind;
+        kind.aim = std::max(1.0, event.time_left);
+        if (event.class_index < settings.classes.size()) kind = settings.classes[event.class_index];
+        kind.aim += kind.aim_stretch * std::max(0.0, event.effort);
+        return kind;
+    }
+
+    void set_limits(Request& request, Millis time_left) const {
+        const Millis now = context.now();
+        request.deadline = now + (std::isfinite(time_left) ? std::max(0.0, time_left) : 0.0);
+        request.cutoff = cutoff_of(request);
+        request.hold_until = std::min(request.deadline, now + request.kind.aim * FinalResponder::kWaitShare);
+    }
+
+    // Not the aim: that makes clients repeat what a server is still working on, while a late answer keeps
+    // them quiet. But the aim where a late answer is worth nothing, a failure is never repeated, and our
+    // count of what is out, lost for work that goes on, is a small part of any queue anyway.
+    Millis cutoff_of(const Request& request) const {
+        const RequestClass& kind = request.kind;
+        const bool at_aim = kind.late_worth == 0 && kind.effect == Effect::once && aperture.narrow();
+        return at_aim ? std::min(request.deadline, context.now() + kind.aim) : request.deadline;
+    }
+
+    void on(const FirstByte& event) {
+        Request* request = requests.find(event.id);
+        if (request && event.attempt < request->attempts.size()) request->streaming = true;
+    }
+
+    void on(const AttemptEnded& event) {
+        Request* request = requests.find(event.id);
+        if (!request || event.attempt >= request->attempts.size()) return;
+        Attempt& attempt = request->attempts[event.attempt];
+        if (!attempt.out) return;
+        settle(*request, attempt, event);
+        if (event.request_ended) request->ended = true;
+        if (request->ended) requests.mark_ended(request->id);
+        retry_or_finish(*request);
+        dispatcher.release_waiting();
+    }
+
+    // Records the end of an attempt with its request, its server and, of an upgrade, with Sessions.
+    void settle(Request& request, Attempt& attempt, AttemptEnded event) {
         // Our own timer and the attempt's end fall on the same moment. Whichever comes first, a server that
         // let the client's time run out has failed: else one that answers nothing is never found out.
-        if (a.timed_out && e.outcome == Outcome::recalled) e.outcome = Outcome::overdue;
-        a.out = false;
-        pool.attempt_ended(a.cold);
-        a.may_have_run = !proves_never_ran(e.outcome);
+        if (attempt.timed_out && event.outcome == Outcome::recalled) event.outcome = Outcome::overdue;
+        attempt.out = false;
+        attempt.may_have_run = !proves_never_ran(event.outcome);
+        pool.attempt_ended(attempt.cold);
         // A client that has gone leaves no session behind, though its upgrade went well.
-        const bool held_now = r.session && !r.ended && e.request_ended && e.outcome == Outcome::completed;
-        if (held_now) sessions.holds(r.id, a.server);
-        if (Server* s = servers.find(a.server)) {
-            s->sessions -= r.session && !held_now;
-            accounting.book(*s, r, a, e);
-            servers.drop_if_gone(*s);
-        }
-        if (e.request_ended) r.ended = true;
-        if (r.ended) requests.done(r.id);
-        // Without a retry budget each request asks a crowded pool as often as the limits allow.
-        if (context.now() >= r.cutoff || (!r.any_out() && !retry_budget.may_retry()))
-            responder.finish(r);
-        else if (!r.ended && !r.any_out())
-            dispatcher.place(r);
-        dispatcher.release_held();
+        const bool session_begins =
+            request.session && !request.ended && event.request_ended && event.outcome == Outcome::completed;
+        if (session_begins) sessions.holds(request.id, attempt.server);
+        Server* server = servers.find(attempt.server);
+        if (!server) return;
+        if (request.session && !session_begins) --server->sessions;
+        accounting.record(*server, request, attempt, event);
+        servers.drop_if_gone(*server);
+    }
+
+    // Without a retry budget each request asks a crowded pool as often as the limits allow.
+    void retry_or_finish(Request& request) {
+        const bool idle = !request.any_out();
+        if (context.now() >= request.cutoff || (idle && !retry_budget.may_retry()))
+            responder.finish(request);
+        else if (!request.ended && idle)
+            dispatcher.place(request);
     }
 
-    void on(const ClientGone& e) {
-        Request* r = requests.find(e.id);
-        if (!r) return;
-        responder.cancel_all(*r);
-        r->ended = true;
-        requests.done(e.id);
+    void on(const ClientGone& event) {
+        Request* request = requests.find(event.id);
+        if (!request) return;
+        responder.cancel_all(*request);
+        request->ended = true;
+        requests.mark_ended(event.id);
     }
 
     // One that its server broke counts against it, or a server that takes every upgrade and keeps none would
     // look like the least loaded. However else it ends, and after how long, says nothing.
-    void on(const SessionEnded& e) {
-        const auto server = sessions.ended(e.id);
-        Server* s = server ? servers.find(*server) : nullptr;
-        if (!s) return;
-        --s->sessions;
-        if (e.broken) accounting.judge(*s, Outcome::severed, false, false);
-        servers.drop_if_gone(*s);
+    void on(const SessionEnded& event) {
+        const std::optional<ServerId> holder = sessions.ended(event.id);
+        Server* server = holder ? servers.find(*holder) : nullptr;
+        if (!server) return;
+        --server->sessions;
+        if (event.broken) accounting.judge(*server, Outcome::severed, false, false);
+        servers.drop_if_gone(*server);
     }
 
     // ---- Timers -----------------------------------------------------------------------------------------
 
-    void on(const TimerFired& e) {
-        const std::optional<TimerTable::Timer> timer = timers.take(e.token);
+    void on(const TimerFired& event) {
+        const std::optional<TimerTable::Timer> timer = timers.take(event.token);
         if (!timer) return;
-        if (!timer->request) return context.act(Subscribe{true});
-        Request* r = requests.find(*timer->request);
-        if (!r || r->ended) return;
-        if (context.now() >= r->deadline)
-            responder.finish(*r);
-        else if (!r->any_out())
-            dispatcher.place(*r);
+        if (!timer->request) return context.emit(Subscribe{true});
+        Request* request = requests.find(*timer->request);
+        if (!request || request->ended) return;
+        if (context.now() >= request->deadline)
+            responder.finish(*request);
+        else if (!request->any_out())
+            dispatcher.place(*request);
     }
 };
 
@@ -238,8 +269,8 @@
 void Balancer::handle(Millis now, const Event& event, std::vector<Action>& actions) {
     impl_->context.begin(now, actions);
     std::visit([this](const auto& e) { impl_->on(e); }, event);
-    impl_->requests.forget_done(impl_->sessions);
-    impl_->queue.purge_held(impl_->requests);
+    impl_->requests.forget_ended(impl_->sessions);
+    impl_->queue.purge_ended(impl_->requests);
 }
 
 Knowledge Balancer::knowledge(Millis now) const { return impl_->known(std::max(impl_->context.now(), now)); }
--- a/src/policy/dispatcher.hpp
+++ b/src/policy/dispatcher.hpp
@@ -41,13 +41,16 @@
     explicit Dispatcher(const Parts& parts) : parts_(parts) {}
 
     /// Sends a request that has no attempt out: to a server whose trial is due, else to one of the pool.
-    void place(Request& r);
+    void place(Request& request);
     /// Places those that wait, if there is room.
-    void release_held();
+    void release_waiting();
 
 private:
-    Server* due_trial(const Request& r);
-    void dispatch(Request& r, Server& s);
+    // The server that the request goes to now; nullptr: none may have it.
+    Server* choose_server(const Request& request);
+    Server* due_trial(const Request& request);
+    void dispatch(Request& request, Server& server);
+    void wait_or_finish(Request& request);
 
     Parts parts_;
 };
--- a/src/policy/event_context.hpp
+++ b/src/policy/event_context.hpp
@@ -24,7 +24,7 @@
     /// The time of the event at hand in ms.
     Millis now() const { return now_; }
     /// Appends an action. Only between begin() and the end of the event.
-    void act(Action action) { actions_->push_back(std::move(action)); }
+    void emit(Action action) { actions_->push_back(std::move(action)); }
 
 private:
     Millis now_ = 0;
--- a/src/policy/final_responder.cpp
+++ b/src/policy/final_responder.cpp
@@ -4,28 +4,31 @@
 
 namespace hollybeam {
 
-void FinalResponder::finish(Request& r) {
-    if (r.ended || r.streaming) return;
-    for (Attempt& a : r.attempts) a.timed_out = a.out && context_->now() >= r.deadline;
-    cancel_all(r);
-    // Harmless when it comes back.
-    if (const Millis back = retry_in(r); r.may_refuse(context_->now() + back))
-        context_->act(Refuse{r.id, back});
+void FinalResponder::finish(Request& request) {
+    if (request.ended || request.streaming) return;
+    const Millis now = context_->now();
+    for (Attempt& attempt : request.attempts) attempt.timed_out = attempt.out && now >= request.deadline;
+    cancel_all(request);
+    const Millis wait = retry_in(request);
+    if (request.may_refuse(now + wait))  // harmless when it comes back
+        context_->emit(Refuse{request.id, wait});
     else
-        context_->act(GiveUp{r.id});
-    r.ended = true;
-    requests_->done(r.id);
+        context_->emit(GiveUp{request.id});
+    request.ended = true;
+    requests_->mark_ended(request.id);
 }
 
 // When to come back: what is out now has half its time left in the mean, and then leaves its place. No
-// sooner than what we would have held the request for.
-Millis FinalResponder::retry_in(const Request& r) const {
-    return r.kind.aim * std::max(kHold, std::min(1.0, admission_->crowd()) / 2);
+// sooner than what the request might have waited here.
+Millis FinalResponder::retry_in(const Request& request) const {
+    return request.kind.aim * std::max(kWaitShare, std::min(1.0, admission_->crowd()) / 2);
 }
 
-void FinalResponder::cancel_all(const Request& r) {
-    for (std::uint32_t i = 0; settings_->may_cancel && i < r.attempts.size(); ++i)
-        if (r.attempts[i].out) context_->act(Cancel{r.id, i});
+void FinalResponder::cancel_all(const Request& request) {
+    if (!settings_->may_cancel) return;
+    for (std::uint32_t index = 0; index < request.attempts.size(); ++index) {
+        if (request.attempts[index].out) context_->emit(Cancel{request.id, index});
+    }
 }
 
 }  // namespace hollybeam
--- a/src/policy/final_responder.hpp
+++ b/src/policy/final_responder.hpp
@@ -13,19 +13,19 @@
 public:
     /// What a request may wait for room, as a share of its aim: what cannot go out by then had better be
     /// tried anew. It is told to come back no sooner either.
-    static constexpr double kHold = 1.0 / 16;
+    static constexpr double kWaitShare = 1.0 / 16;
 
     FinalResponder(const Settings& settings, EventContext& context, const Admission& admission,
                    RequestTable& requests)
         : settings_(&settings), context_(&context), admission_(&admission), requests_(&requests) {}
 
     /// The only final answer. No effect on a request that has one, or whose answer has begun.
-    void finish(Request& r);
+    void finish(Request& request);
     /// Cancels all attempts that are out, where the driver permits it.
-    void cancel_all(const Request& r);
+    void cancel_all(const Request& request);
 
 private:
-    Millis retry_in(const Request& r) const;
+    Millis retry_in(const Request& request) const;
 
     const Settings* settings_;
     EventContext* context_;
--- a/src/policy/outcome_accounting.cpp
+++ b/src/policy/outcome_accounting.cpp
@@ -4,33 +4,44 @@
 
 namespace hollybeam {
 
-void OutcomeAccounting::book(Server& s, const Request& r, const Attempt& a, const AttemptEnded& e) {
-    --s.outstanding;
+void OutcomeAccounting::record(Server& server, const Request& request, const Attempt& attempt,
+                               const AttemptEnded& event) {
+    --server.outstanding;
     const Millis now = parts_.context.now();
-    const bool is_cold_now = parts_.cold.is_cold(s, now), turned_away = e.outcome == Outcome::saturated;
+    const bool cold = parts_.cold.is_cold(server, now);
+    const bool completed = event.outcome == Outcome::completed;
     // How long an upgrade takes says nothing of how long work does.
-    const bool work = !r.session;
-    if (work && (turned_away || e.outcome == Outcome::completed || e.outcome == Outcome::overdue)) {
-        const double ratio = turned_away
-                                 ? Admission::kMostRatio
-                                 : std::min(Admission::kMostRatio, std::max(0.0, e.duration) / r.kind.aim);
-        parts_.pace.answered(s, ratio, is_cold_now, now);
-        if (!is_cold_now) parts_.admission.answered(ratio, parts_.pool.outstanding(), now);
+    if (!request.session) {
+        if (event.outcome == Outcome::saturated)
+            record_latency(server, Admission::kMostRatio, cold);
+        else if (completed || event.outcome == Outcome::overdue)
+            record_latency(server, std::max(0.0, event.duration) / request.kind.aim, cold);
+        if (completed && !attempt.cold) parts_.aperture.completed(server.info.kind, now);
     }
-    if (work && e.outcome == Outcome::completed && !a.cold) parts_.aperture.completed(s.info.kind, now);
-    const bool late = e.duration > r.kind.aim && !is_cold_now;
-    judge(s, e.outcome, a.trial, late);
+    const bool late = event.duration > request.kind.aim && !cold;
+    judge(server, event.outcome, attempt.trial, late);
 }
 
-void OutcomeAccounting::judge(Server& s, Outcome outcome, bool trial, bool late) {
+void OutcomeAccounting::record_latency(Server& server, double ratio, bool cold) {
+    const Millis now = parts_.context.now();
+    const double bounded = std::min(Admission::kMostRatio, ratio);
+    parts_.pace.answered(server, bounded, cold, now);
+    if (!cold) parts_.admission.answered(bounded, parts_.pool.outstanding(), now);
+}
+
+void OutcomeAccounting::judge(Server& server, Outcome outcome, bool trial, bool late) {
     using Verdict = OutlierEjection::Verdict;
     const Millis now = parts_.context.now();
-    const Verdict verdict = parts_.ejection.judge(
-        s, {outcome, trial, late, parts_.aperture.listed(), parts_.aperture.out().size()}, now);
+    const OutlierEjection::Case ended{.outcome = outcome,
+                                      .trial = trial,
+                                      .late = late,
+                                      .listed = parts_.aperture.listed(),
+                                      .out = parts_.aperture.out().size()};
+    const Verdict verdict = parts_.ejection.judge(server, ended, now);
     if (verdict == Verdict::none) return;
-    if (verdict == Verdict::removed) parts_.context.act(Log{"removed from the pool", s.info.id});
-    if (verdict == Verdict::restored) parts_.context.act(Log{"restored after a trial", s.info.id});
-    parts_.aperture.set_out(&s, verdict != Verdict::restored);
+    if (verdict == Verdict::removed) parts_.context.emit(Log{"removed from the pool", server.info.id});
+    if (verdict == Verdict::restored) parts_.context.emit(Log{"restored after a trial", server.info.id});
+    parts_.aperture.set_out(&server, verdict != Verdict::restored);
     parts_.pool.draw_pool(now);
 }
 
--- a/src/policy/outcome_accounting.hpp
+++ b/src/policy/outcome_accounting.hpp
@@ -10,12 +10,13 @@
 
 namespace hollybeam {
 
-/// Books how attempts ended with all that learn from it: latency, admission, carried rate, outlier ejection.
+/// Records how attempts ended with all that learn from it: latency, admission, carried rate, outlier
+/// ejection.
 ///
-/// Owned by Balancer::Impl, as all that it books with. Holds nothing itself.
+/// Owned by Balancer::Impl, as all that it records with. Holds nothing itself.
 class OutcomeAccounting {
 public:
-    /// What it books with; all of it outlives the accounting.
+    /// What it records with; all of it outlives the accounting.
     struct Parts {
         EventContext& context;
         const ColdStart& cold;
@@ -28,12 +29,15 @@
     explicit OutcomeAccounting(const Parts& parts) : parts_(parts) {}
 
     /// An attempt at that server has ended.
-    void book(Server& s, const Request& r, const Attempt& a, const AttemptEnded& e);
+    void record(Server& server, const Request& request, const Attempt& attempt, const AttemptEnded& event);
     /// What an outcome says of the server as an outlier. late: it came past its aim. Draws the pool anew
     /// where the server leaves it or comes back.
-    void judge(Server& s, Outcome outcome, bool trial, bool late);
+    void judge(Server& server, Outcome outcome, bool trial, bool late);
 
 private:
+    // What an answer's time, as a share of the request's aim, says of the server and of the load.
+    void record_latency(Server& server, double ratio, bool cold);
+
     Parts parts_;
 };
 
--- a/src/policy/request_table.cpp
+++ b/src/policy/request_table.cpp
@@ -5,21 +5,23 @@
 namespace hollybeam {
 
 Request* RequestTable::add(RequestId id) {
-    const auto [it, fresh] = requests_.try_emplace(id);
+    const auto [entry, fresh] = requests_.try_emplace(id);
     if (!fresh) return nullptr;
-    it->second.id = id;
-    it->second.order = next_order_++;
-    return &it->second;
+    entry->second.id = id;
+    entry->second.order = next_order_++;
+    return &entry->second;
 }
 
-void RequestTable::forget_done(Sessions& sessions) {
-    for (const RequestId id : done_) {
-        const auto it = requests_.find(id);
-        if (it == requests_.end() || !it->second.ended || it->second.any_out()) continue;
-        if (it->second.session) sessions.left();
-        requests_.erase(it);
+void RequestTable::forget_ended(Sessions& sessions) {
+    for (const RequestId id : ended_) {
+        const auto entry = requests_.find(id);
+        if (entry == requests_.end()) continue;
+        const Request& request = entry->second;
+        if (!request.ended || request.any_out()) continue;
+        if (request.session) sessions.left();
+        requests_.erase(entry);
     }
-    done_.clear();
+    ended_.clear();
 }
 
 }  // namespace hollybeam
--- a/src/policy/send_gate.cpp
+++ b/src/policy/send_gate.cpp
@@ -4,10 +4,10 @@
 
 namespace hollybeam {
 
-double SendGate::cold_tokens(Server& s, Millis now) const {
-    const ColdStart::Traffic traffic{aperture_->each(s.info.kind, now), aperture_->sight(),
+double SendGate::cold_tokens(Server& server, Millis now) const {
+    const ColdStart::Traffic traffic{aperture_->each(server.info.kind, now), aperture_->sight(),
                                      OutlierEjection::kBackoff, Admission::kFloor};
-    return cold_->tokens(s, traffic, pace_->of(s, now), now);
+    return cold_->tokens(server, traffic, pace_->of(server, now), now);
 }
 
 }  // namespace hollybeam
--- a/src/policy/send_gate.hpp
+++ b/src/policy/send_gate.hpp
@@ -17,17 +17,17 @@
              const Sessions& sessions)
         : settings_(&settings), cold_(&cold), aperture_(&aperture), pace_(&pace), sessions_(&sessions) {}
 
-    bool is_cold(const Server& s, Millis now) const { return cold_->is_cold(s, now); }
+    bool is_cold(const Server& server, Millis now) const { return cold_->is_cold(server, now); }
 
-    /// Whether the request may go there. Brings a cold server's tokens up to date.
-    bool may_send(const Request& r, Server& s, Millis now) const {
-        if (r.session && !sessions_->has_place_at(s)) return false;
-        return r.may_go_to(s, *settings_, now) &&               // rules 1 to 3
-               (!is_cold(s, now) || cold_tokens(s, now) >= 1);  // rule 4
+    /// Whether the request may go to that server. Brings a cold server's tokens up to date.
+    bool may_send(const Request& request, Server& server, Millis now) const {
+        if (request.session && !sessions_->has_place_at(server)) return false;
+        return request.may_go_to(server, *settings_, now) &&              // rules 1 to 3
+               (!is_cold(server, now) || cold_tokens(server, now) >= 1);  // rule 4
     }
 
 private:
-    double cold_tokens(Server& s, Millis now) const;
+    double cold_tokens(Server& server, Millis now) const;
 
     const Settings* settings_;
     const ColdStart* cold_;
--- a/src/policy/server_pool.hpp
+++ b/src/policy/server_pool.hpp
@@ -20,10 +20,10 @@
     void draw_pool(Millis now);
     bool stale(Millis now) const { return aperture_->stale(now, load()); }
 
-    /// Attempts out at servers that were warm when they were sent.
+    /// Attempts that are out at servers that were warm when they were sent.
     int outstanding() const { return outstanding_; }
-    void attempt_sent(bool cold) { outstanding_ += !cold; }
-    void attempt_ended(bool cold) { outstanding_ -= !cold; }
+    void attempt_sent(bool cold) { outstanding_ += cold ? 0 : 1; }
+    void attempt_ended(bool cold) { outstanding_ -= cold ? 0 : 1; }
 
 private:
     // What the pool must be wide enough for.
--- a/src/policy/server_table.hpp
+++ b/src/policy/server_table.hpp
@@ -32,7 +32,9 @@
     std::size_t size() const { return servers_.size(); }
 
 private:
-    static bool is_gone(const Server& s) { return !s.listed && s.outstanding == 0 && s.sessions == 0; }
+    static bool is_gone(const Server& server) {
+        return !server.listed && server.outstanding == 0 && server.sessions == 0;
+    }
     void learn(const ServerInfo& info, Millis now);
 
     Random* random_;
@@ -40,8 +42,8 @@
     Memory* memory_;
     Aperture* aperture_;
     std::map<ServerId, Server> servers_;
-    std::size_t listed_ = 0;        // of the list at hand
-    std::size_t recalled_out_ = 0;  // out by an earlier life's word
+    std::size_t listed_ = 0;        // servers of the list at hand
+    std::size_t recalled_out_ = 0;  // servers that the restored state had as ejected
 };
 
 }  // namespace hollybeam
--- a/src/policy/timer_table.hpp
+++ b/src/policy/timer_table.hpp
@@ -23,8 +23,9 @@
 
     /// Asks the driver for a timer at that time.
     void set_timer(Millis at, std::optional<RequestId> request) {
-        timers_[next_token_] = Timer{request};
-        context_->act(SetTimer{at, next_token_++});
+        const TimerToken token = next_token_++;
+        timers_[token] = Timer{request};
+        context_->emit(SetTimer{at, token});
     }
     /// Takes out the timer that has fired; none if the token is unknown or has fired before.
     std::optional<Timer> take(TimerToken token) {
--- a/src/policy/wait_queue.cpp
+++ b/src/policy/wait_queue.cpp
@@ -6,23 +6,25 @@
 
 std::vector<RequestId> WaitQueue::take(const RequestTable& requests) {
     std::vector<RequestId> waiting;
-    waiting.swap(held_);
+    waiting.swap(waiting_);
     std::erase_if(waiting, [&](RequestId id) {
-        const Request* r = requests.find(id);
-        return !r || r->ended || r->any_out();
+        const Request* request = requests.find(id);
+        return !request || request->ended || request->any_out();
     });
-    std::sort(waiting.begin(), waiting.end(), [&](RequestId a, RequestId b) {
-        const Request &l = requests.at(a), &r = requests.at(b);
-        return l.kind.worth != r.kind.worth ? l.kind.worth > r.kind.worth : l.order > r.order;
+    std::sort(waiting.begin(), waiting.end(), [&](RequestId left_id, RequestId right_id) {
+        const Request& left = requests.at(left_id);
+        const Request& right = requests.at(right_id);
+        if (left.kind.worth != right.kind.worth) return left.kind.worth > right.kind.worth;
+        return left.order > right.order;
     });
     return waiting;
 }
 
-void WaitQueue::purge_held(const RequestTable& requests) {
-    if (held_.size() <= 2 * requests.size() + kHeldSlack) return;
-    std::erase_if(held_, [&](RequestId id) {
-        const Request* r = requests.find(id);
-        return !r || r->ended;
+void WaitQueue::purge_ended(const RequestTable& requests) {
+    if (waiting_.size() <= 2 * requests.size() + kSlack) return;
+    std::erase_if(waiting_, [&](RequestId id) {
+        const Request* request = requests.find(id);
+        return !request || request->ended;
     });
 }
 
