--- /dev/null
+++ b/tests/policy/composition_test.cpp
@@ -0,0 +1,275 @@
+// The parts that Balancer composes, each alone against its header's contract.
+#include <gtest/gtest.h>
+
+#include <limits>
+#include <variant>
+#include <vector>
+
+#include "base/random.hpp"
+#include "policy/event_context.hpp"
+#include "policy/final_responder.hpp"
+#include "policy/request_table.hpp"
+#include "policy/server_table.hpp"
+#include "policy/sessions.hpp"
+#include "policy/subscription_backoff.hpp"
+#include "policy/timer_table.hpp"
+#include "policy/wait_queue.hpp"
+
+namespace hollybeam::test {
+namespace {
+
+constexpr Millis kNow = 5000;
+
+Settings settings_with_sessions(std::uint32_t most) {
+    Settings settings;
+    settings.most_sessions = most;
+    return settings;
+}
+
+Attempt attempt_out() {
+    Attempt attempt;
+    attempt.server = 1;
+    return attempt;
+}
+
+// ---- EventContext ---------------------------------------------------------------------------------------
+
+TEST(EventContextTest, TimeNeverGoesBackAndIgnoresWhatIsNotFinite) {
+    EventContext context;
+    std::vector<Action> actions;
+    context.begin(kNow, actions);
+    context.begin(kNow - 1, actions);
+    EXPECT_EQ(context.now(), kNow);
+    context.begin(std::numeric_limits<Millis>::infinity(), actions);
+    EXPECT_EQ(context.now(), kNow);
+    context.begin(std::numeric_limits<Millis>::quiet_NaN(), actions);
+    EXPECT_EQ(context.now(), kNow);
+}
+
+// ---- TimerTable -----------------------------------------------------------------------------------------
+
+TEST(TimerTableTest, EachTokenIsNewAndFiresOnce) {
+    EventContext context;
+    std::vector<Action> actions;
+    context.begin(kNow, actions);
+    TimerTable timers(context);
+    timers.set_timer(kNow + 10, RequestId{7});
+    timers.set_timer(kNow + 20, std::nullopt);
+    ASSERT_EQ(actions.size(), 2U);
+    const auto first = std::get<SetTimer>(actions[0]);
+    const auto second = std::get<SetTimer>(actions[1]);
+    EXPECT_EQ(first.at, kNow + 10);
+    EXPECT_EQ(first.token, 1U);
+    EXPECT_EQ(second.token, 2U);
+
+    const auto fired = timers.take(first.token);
+    ASSERT_TRUE(fired.has_value());
+    EXPECT_EQ(fired->request, std::optional(RequestId{7}));
+    EXPECT_FALSE(timers.take(first.token).has_value());
+    EXPECT_FALSE(timers.take(99).has_value());
+    const auto for_list = timers.take(second.token);
+    ASSERT_TRUE(for_list.has_value());
+    EXPECT_FALSE(for_list->request.has_value());
+    EXPECT_EQ(timers.size(), 0U);
+}
+
+// ---- SubscriptionBackoff --------------------------------------------------------------------------------
+
+TEST(SubscriptionBackoffTest, DoublesUpToItsBoundAndStartsAnewAfterAnAnswer) {
+    Random random(1);
+    SubscriptionBackoff backoff;
+    for (Millis mean = SubscriptionBackoff::kFirst; mean < SubscriptionBackoff::kMost; mean *= 2) {
+        const Millis wait = backoff.next(random);
+        EXPECT_GE(wait, mean / 2);
+        EXPECT_LT(wait, mean * 1.5);
+    }
+    for (int call = 0; call < 20; ++call) {
+        const Millis wait = backoff.next(random);
+        EXPECT_GE(wait, SubscriptionBackoff::kMost / 2);
+        EXPECT_LT(wait, SubscriptionBackoff::kMost * 1.5);
+    }
+    backoff.reset();
+    EXPECT_LT(backoff.next(random), SubscriptionBackoff::kFirst * 1.5);
+}
+
+// ---- RequestTable ---------------------------------------------------------------------------------------
+
+TEST(RequestTableTest, KnowsEachIdOnceAndInOrderOfArrival) {
+    RequestTable requests;
+    const Request* first = requests.add(9);
+    ASSERT_NE(first, nullptr);
+    EXPECT_EQ(requests.add(9), nullptr);
+    const Request* second = requests.add(4);
+    ASSERT_NE(second, nullptr);
+    EXPECT_EQ(first->id, 9U);
+    EXPECT_LT(first->order, second->order);
+    EXPECT_EQ(requests.find(5), nullptr);
+    EXPECT_EQ(requests.size(), 2U);
+}
+
+TEST(RequestTableTest, ForgetsWhatHasEndedOnceNothingIsOut) {
+    Sessions sessions(settings_with_sessions(1));
+    RequestTable requests;
+    Request& open = *requests.add(1);
+    Request& still_out = *requests.add(2);
+    Request& ended_session = *requests.add(3);
+    still_out.ended = true;
+    still_out.attempts.push_back(attempt_out());
+    sessions.taken();
+    ended_session.session = true;
+    ended_session.ended = true;
+    for (const RequestId id : {1, 2, 3, 3, 77}) requests.mark_ended(id);
+
+    requests.forget_ended(sessions);
+    EXPECT_EQ(requests.find(1), &open);
+    EXPECT_EQ(requests.find(2), &still_out);
+    EXPECT_EQ(requests.find(3), nullptr);
+    EXPECT_TRUE(sessions.has_place()) << "its place is free again, and freed once";
+
+    still_out.attempts.front().out = false;
+    requests.mark_ended(2);
+    requests.forget_ended(sessions);
+    EXPECT_EQ(requests.find(2), nullptr);
+    EXPECT_EQ(requests.size(), 1U);
+}
+
+// ---- WaitQueue ------------------------------------------------------------------------------------------
+
+TEST(WaitQueueTest, GivesWhatIsWorthMostFirstThenTheNewest) {
+    RequestTable requests;
+    WaitQueue queue;
+    for (RequestId id = 1; id <= 4; ++id) {
+        requests.add(id)->kind.worth = id == 2 ? 5 : 1;
+        queue.push(id);
+    }
+    EXPECT_EQ(queue.take(requests), (std::vector<RequestId>{2, 4, 3, 1}));
+    EXPECT_TRUE(queue.empty());
+}
+
+TEST(WaitQueueTest, LeavesOutWhatHasEndedOrIsOut) {
+    RequestTable requests;
+    WaitQueue queue;
+    for (RequestId id = 1; id <= 3; ++id) {
+        requests.add(id);
+        queue.push(id);
+    }
+    queue.push(99);  // unknown
+    requests.at(1).ended = true;
+    requests.at(2).attempts.push_back(attempt_out());
+    EXPECT_EQ(queue.take(requests), std::vector<RequestId>{3});
+}
+
+TEST(WaitQueueTest, ItsLengthIsBoundedByTheRequests) {
+    RequestTable requests;
+    WaitQueue queue;
+    requests.add(1);
+    queue.push(1);
+    for (RequestId id = 2; id < 1000; ++id) {
+        queue.push(id);  // ended and forgotten before it was released
+        queue.purge_ended(requests);
+        ASSERT_LE(queue.size(), 2 * requests.size() + WaitQueue::kSlack);
+    }
+    EXPECT_EQ(queue.take(requests), std::vector<RequestId>{1});
+}
+
+// ---- ServerTable ----------------------------------------------------------------------------------------
+
+class ServerTableTest : public testing::Test {
+protected:
+    static ServerList list_of(ListKind kind, std::vector<ServerId> ids) {
+        ServerList list;
+        list.kind = kind;
+        for (const ServerId id : ids) {
+            ServerInfo info;
+            info.id = id;
+            list.servers.push_back(info);
+        }
+        return list;
+    }
+
+    Settings settings_;
+    Random random_{1};
+    Pace pace_;
+    Memory memory_;
+    ColdStart cold_{settings_};
+    Aperture aperture_{1, cold_};
+    ServerTable servers_{random_, pace_, memory_, aperture_};
+};
+
+TEST_F(ServerTableTest, AWholeListReplacesAndAnIncrementalOneAdds) {
+    servers_.apply(list_of(ListKind::full, {1, 2}), kNow);
+    servers_.apply(list_of(ListKind::incremental, {3}), kNow);
+    EXPECT_EQ(servers_.size(), 3U);
+    servers_.apply(list_of(ListKind::full, {2}), kNow);
+    EXPECT_EQ(servers_.size(), 1U);
+    EXPECT_NE(servers_.find(2), nullptr);
+}
+
+TEST_F(ServerTableTest, AServerThatLeftTheListStaysUntilNothingIsOutstandingThere) {
+    servers_.apply(list_of(ListKind::full, {1}), kNow);
+    servers_.find(1)->outstanding = 1;
+    servers_.apply(list_of(ListKind::full, {}), kNow);
+    Server* server = servers_.find(1);
+    ASSERT_NE(server, nullptr);
+    EXPECT_FALSE(server->open());
+    servers_.drop_if_gone(*server);
+    ASSERT_EQ(servers_.find(1), server);
+    server->outstanding = 0;
+    servers_.drop_if_gone(*server);
+    EXPECT_TRUE(servers_.empty());
+}
+
+// ---- FinalResponder -------------------------------------------------------------------------------------
+
+class FinalResponderTest : public testing::Test {
+protected:
+    FinalResponderTest() { context_.begin(kNow, actions_); }
+
+    Request& add(Effect effect) {
+        Request& request = *requests_.add(next_id_++);
+        request.kind.effect = effect;
+        request.kind.aim = 400;
+        request.deadline = kNow + 1000;
+        return request;
+    }
+
+    Settings settings_;
+    EventContext context_;
+    std::vector<Action> actions_;
+    Admission admission_{settings_};
+    RequestTable requests_;
+    FinalResponder responder_{settings_, context_, admission_, requests_};
+    RequestId next_id_ = 1;
+};
+
+TEST_F(FinalResponderTest, GivesOneFinalAnswer) {
+    Request& request = add(Effect::repeatable);
+    responder_.finish(request);
+    responder_.finish(request);
+    ASSERT_EQ(actions_.size(), 1U);
+    const auto& refusal = std::get<Refuse>(actions_.front());
+    EXPECT_EQ(refusal.id, request.id);
+    EXPECT_GE(refusal.retry_in, 400 * FinalResponder::kWaitShare);
+    EXPECT_TRUE(request.ended);
+}
+
+TEST_F(FinalResponderTest, FailsWhatMayHaveTakenEffectAndCancelsWhatIsOut) {
+    Request& request = add(Effect::once);
+    request.attempts.push_back(attempt_out());
+    responder_.finish(request);
+    ASSERT_EQ(actions_.size(), 2U);
+    EXPECT_TRUE(std::holds_alternative<Cancel>(actions_[0]));
+    EXPECT_TRUE(std::holds_alternative<GiveUp>(actions_[1]));
+    EXPECT_FALSE(request.attempts.front().timed_out) << "its client's time was not up";
+}
+
+TEST_F(FinalResponderTest, LeavesAnAnswerAloneThatHasBegun) {
+    Request& request = add(Effect::repeatable);
+    request.streaming = true;
+    responder_.finish(request);
+    EXPECT_TRUE(actions_.empty());
+    EXPECT_FALSE(request.ended);
+}
+
+}  // namespace
+}  // namespace hollybeam::test
