--- a/bench/members.cpp
+++ b/bench/members.cpp
@@ -21,14 +21,14 @@
 std::string seconds(Millis span) { return fmt::format("{:.1f}", span / 1000); }
 
 // From now until each that runs holds it for one that is not there.
-std::string until_known(VirtualFleet& fleet, Number who) {
+std::string until_known(VirtualFleet& fleet, MemberId who) {
     const Millis from = fleet.now();
     std::vector<Millis> when;
-    fleet.changed = [&](Number, const Change& c) {
-        if (c.number == who && c.after >= State::failed) when.push_back(fleet.now() - from);
+    fleet.changed = [&](MemberId, const Change& c) {
+        if (c.number == who && c.after >= MemberState::failed) when.push_back(fleet.now() - from);
     };
     const bool all = fleet.until([&] { return when.size() + 1 >= fleet.count(); }, kMinute);
-    fleet.changed = [](Number, const Change&) {};
+    fleet.changed = [](MemberId, const Change&) {};
     std::sort(when.begin(), when.end());
     if (when.empty()) return "never";
     return fmt::format("{} / {}{}", seconds(when[when.size() / 2]), seconds(when[when.size() * 99 / 100]),
@@ -47,7 +47,7 @@
     const double bytes = static_cast<double>(fleet.delivered.bytes - before.bytes) / each;
     const double cpu =
         std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count() / (75.0 * count);
-    const auto back = [&](Number n) {
+    const auto back = [&](MemberId n) {
         fleet.start(n);
         fleet.run_for(20000);
     };
@@ -67,9 +67,9 @@
     const std::string left = until_known(fleet, 4 % count);
     back(4 % count);
     // Thirds apart for 20 s.
-    fleet.cut = [](Number a, Number b) { return (a % 3 == 0) != (b % 3 == 0); };
+    fleet.cut = [](MemberId a, MemberId b) { return (a % 3 == 0) != (b % 3 == 0); };
     const auto views = [&](View wanted) {
-        for (Number n = 0; n < count; ++n)
+        for (MemberId n = 0; n < count; ++n)
             if (fleet.view(n) != wanted) return false;
         return true;
     };
@@ -77,7 +77,7 @@
     const bool seen = fleet.until([&] { return views(View::part); }, kMinute);
     const Millis split = fleet.now() - from;
     fleet.run_for(std::max(0.0, 20000 - split));
-    fleet.cut = [](Number, Number) { return false; };
+    fleet.cut = [](MemberId, MemberId) { return false; };
     from = fleet.now();
     const bool healed = fleet.until([&] { return views(View::whole) && fleet.agree(); }, 2 * kMinute, 200);
     fmt::print("{:>8} {:>10.2f} {:>8.0f} {:>10.0f}  {:<12} {:<12} {:<12} {:<12} {:>6}{} {:>7}{}\n", count,
@@ -100,13 +100,13 @@
             fleet.run_for(kMinute);
             continue;
         }
-        const auto n = static_cast<Number>(random.below(kCount));
+        const auto n = static_cast<MemberId>(random.below(kCount));
         fleet.freeze(n);
         fleet.run_for(75 + 195 * random.unit());
         fleet.thaw(n);
         fleet.run_for(100);
     }
-    for (Number n = 0; n < kCount; ++n) suspicions += fleet[n].counts().suspicions;
+    for (MemberId n = 0; n < kCount; ++n) suspicions += fleet[n].counters().suspicions;
     fmt::print(
         "{} members, {:.0f}% loss{}: {:.1f} suspicions a member-hour, {} false failures in {} member-hours\n",
         kCount, 100 * loss, freezes ? ", freezes of 75 to 270 ms" : "",
--- a/include/hollybeam/balancer.hpp
+++ b/include/hollybeam/balancer.hpp
@@ -146,7 +146,7 @@
     TimerToken token = 0;
 };
 // How many sidecars share the servers now, this one included, in place of Settings::siblings; 0 says nothing.
-// Told by whoever knows them, bounded and doubted: see cluster/view.hpp.
+// Told by whoever knows them, bounded and doubted: see cluster/sibling_estimate.hpp.
 struct SiblingsKnown {
     std::uint32_t count = 0;
 };
--- a/src/cluster/driver.cpp
+++ b/src/cluster/driver.cpp
@@ -11,13 +11,13 @@
 
 namespace {
 
-Members::Setup setup_of(const Driver::Setup& s) {
-    Members::Setup setup;
+Membership::Setup setup_of(const Driver::Setup& s) {
+    Membership::Setup setup;
     setup.self = s.self;
     setup.count = static_cast<std::uint32_t>(s.peers.size());
     setup.siblings = s.siblings;
     setup.seed = s.seed;
-    setup.timing.period = s.period;
+    setup.timing.probe_period = s.period;
     return setup;
 }
 
@@ -60,9 +60,9 @@
 }
 
 void Driver::read() {
-    char bytes[Message::kMostBytes + 1];  // one more, so that a longer one is seen to be
+    char bytes[Message::kMaxBytes + 1];  // one more, so that a longer one is seen to be
     std::size_t n = 0;
-    for (; n < kMostInTurn; ++n) {
+    for (; n < kMaxPerTurn; ++n) {
         PeerAddress from;
         Error error;
         const std::size_t size = socket_.receive_from(asio::buffer(bytes), from, 0, error);
@@ -76,7 +76,7 @@
                        {bytes, size});
     }
     settle();
-    if (n < kMostInTurn) return receive();
+    if (n < kMaxPerTurn) return receive();
     pause_ = timers_.set(clock_.now() + kPause, [this] {
         pause_ = {};
         receive();
@@ -86,7 +86,7 @@
 // The error queue names, as the source of what is read, where the datagram was meant to go (ip(7),
 // IP_RECVERR).
 void Driver::read_refusals() {
-    for (std::size_t n = 0; n < kMostInTurn; ++n) {
+    for (std::size_t n = 0; n < kMaxPerTurn; ++n) {
         sockaddr_in whom{};
         char bytes[1], control[512];
         iovec data{bytes, sizeof bytes};
@@ -106,7 +106,7 @@
     const Millis now = clock_.now();
     for (const Datagram& d : members_.take_datagrams()) {
         Error error;
-        socket_.send_to(asio::buffer(d.bytes), peers_[d.place], 0, error);
+        socket_.send_to(asio::buffer(d.bytes), peers_[d.address_index], 0, error);
         if (error == asio::error::connection_refused) read_refusals();  // of an earlier one, told now
     }
     for (const Change& change : members_.take_changes()) handlers_.changed(change);
@@ -130,24 +130,24 @@
 nlohmann::json Driver::status() {
     const Millis now = clock_.now();
     const Headcount count = members_.headcount();
-    const Members::Counts& c = members_.counts();
+    const Membership::Counters& c = members_.counters();
     nlohmann::json list = nlohmann::json::array();
-    for (Number n = 0; n < members_.count(); ++n) {
-        const Members::Member& m = members_.member(n);
+    for (MemberId n = 0; n < members_.count(); ++n) {
+        const Membership::Member& m = members_.member(n);
         list.push_back({{"number", n},
-                        {"state", name_of(m.state)},
+                        {"state", to_string(m.state)},
                         {"since_s", (now - m.since) / 1000},
                         {"heard_s", m.heard < 0 ? nlohmann::json() : nlohmann::json((now - m.heard) / 1000)},
-                        {"by_way", m.by_way},
-                        {"view", name_of(m.view)},
-                        {"hears", m.hears},
-                        {"incarnation", m.incarnation.count},
-                        {"life", m.incarnation.life},
+                        {"by_way", m.indirect_only},
+                        {"view", to_string(m.view)},
+                        {"hears", m.present_count},
+                        {"incarnation", m.incarnation.counter},
+                        {"life", m.incarnation.nonce},
                         {"uptime_s", m.uptime}});
     }
     return {
         {"self", members_.self()},
-        {"view", name_of(members_.view(now))},
+        {"view", to_string(members_.view(now))},
         {"yielded", members_.yielded()},
         {"siblings", siblings_},
         {"digest", members_.digest()},
@@ -158,14 +158,14 @@
          {{"sent", c.sent},
           {"bytes_sent", c.bytes_sent},
           {"received", c.received},
-          {"strangers", c.strangers},
-          {"unreadable", c.unreadable},
-          {"stale", c.stale}}},
+          {"strangers", c.unknown_senders},
+          {"unreadable", c.malformed},
+          {"stale", c.outdated}}},
         {"suspicions", c.suspicions},
         {"refuted", c.refuted},
         {"failures", c.failures},
-        {"overslept", c.overslept},
-        {"pulls", c.pulls},
+        {"overslept", c.stalls},
+        {"pulls", c.table_requests},
         {"members", std::move(list)}};
 }
 
--- a/src/cluster/driver.hpp
+++ b/src/cluster/driver.hpp
@@ -1,4 +1,4 @@
-// The thin driver round Members: one UDP socket, one timer. It trusts no datagram: its source must be a
+// The thin driver round Membership: one UDP socket, one timer. It trusts no datagram: its source must be a
 // peer's address before it is read, and so many are read in a turn of the loop that a flood costs requests
 // nothing.
 #pragma once
@@ -10,21 +10,21 @@
 #include <optional>
 
 #include "base/timing.hpp"
-#include "cluster/members.hpp"
+#include "cluster/membership.hpp"
 #include "cluster/settings.hpp"
 
 namespace elmbay::cluster {
 
 class Driver {
 public:
-    static constexpr std::size_t kMostInTurn = 64;  // of datagrams: some tens of microseconds
+    static constexpr std::size_t kMaxPerTurn = 64;  // of datagrams: some tens of microseconds
     // Between two turns that were full: beyond 32,000 a second the kernel's buffer drops what comes.
     static constexpr Millis kPause = 2;
 
     struct Setup {
         PeerAddress listen;
         std::vector<PeerAddress> peers;  // by number, this one's own among them
-        Number self = 0;
+        MemberId self = 0;
         std::uint32_t siblings = 1;  // what the settings say
         std::uint64_t seed = 1;
         Millis period = 1000;
@@ -60,7 +60,7 @@
     std::vector<PeerAddress> peers_;
     std::map<PeerAddress, std::uint32_t> places_;
     udp::socket socket_;
-    Members members_;
+    Membership members_;
     TimerQueue::Key timer_{}, pause_{};
     std::uint32_t siblings_;
     std::shared_ptr<bool> here_ = std::make_shared<bool>(true);
--- a/src/cluster/message.cpp
+++ b/src/cluster/message.cpp
@@ -36,7 +36,7 @@
                                                  "view",    "heard",  "speaks", "updates"};
 constexpr std::size_t kUpdateFields = 5;
 constexpr XXH32_hash_t kSeed = 0x656c6d62;  // of this protocol: what is another's is not ours by chance
-constexpr std::uint64_t kMost32 = UINT32_MAX, kMost16 = Message::kMostNumber, kMost8 = UINT8_MAX;
+constexpr std::uint64_t kMost32 = UINT32_MAX, kMost16 = Message::kMaxShortField, kMost8 = UINT8_MAX;
 
 template <class T>
 bool take(const json& value, std::uint64_t most, T& into) {
@@ -48,46 +48,47 @@
 }
 
 bool take_update(const json* at, Update& u) {
-    return take(at[0], kMost16, u.number) && take(at[1], kMost32, u.incarnation.count) &&
-           take(at[2], UINT16_MAX, u.incarnation.life) &&
-           take(at[3], static_cast<std::uint64_t>(State::left), u.state) && take(at[4], kMost16, u.by);
+    return take(at[0], kMost16, u.number) && take(at[1], kMost32, u.incarnation.counter) &&
+           take(at[2], UINT16_MAX, u.incarnation.nonce) &&
+           take(at[3], static_cast<std::uint64_t>(MemberState::left), u.state) &&
+           take(at[4], kMost16, u.detail);
 }
 
 }  // namespace
 
-const char* name_of(State state) {
+const char* to_string(MemberState state) {
     constexpr const char* kStates[] = {"expected", "joining", "alive", "suspect", "failed", "gone", "left"};
     return kStates[static_cast<std::size_t>(state)];
 }
 
-const char* name_of(View view) {
+const char* to_string(View view) {
     constexpr const char* kViews[] = {"unknown", "whole", "part", "alone"};
     return kViews[static_cast<std::size_t>(view)];
 }
 
 std::string encode(const Message& m) {
-    const auto short_of = [](std::uint32_t number) { return std::min(number, Message::kMostNumber); };
+    const auto short_of = [](std::uint32_t number) { return std::min(number, Message::kMaxShortField); };
     json list = json::array();
-    for (std::size_t i = 0; i < m.updates.size() && i < Message::kMostUpdates; ++i) {
+    for (std::size_t i = 0; i < m.updates.size() && i < Message::kMaxUpdates; ++i) {
         const Update& u = m.updates[i];
         for (const std::uint32_t number :
-             {short_of(u.number), u.incarnation.count, std::uint32_t{u.incarnation.life},
-              static_cast<std::uint32_t>(u.state), short_of(u.by)})
+             {short_of(u.number), u.incarnation.counter, std::uint32_t{u.incarnation.nonce},
+              static_cast<std::uint32_t>(u.state), short_of(u.detail)})
             list.push_back(number);
     }
     const json all = {Message::kVersion,
                       static_cast<unsigned>(m.kind),
                       short_of(m.from),
-                      m.incarnation.life,
-                      m.incarnation.count,
+                      m.incarnation.nonce,
+                      m.incarnation.counter,
                       static_cast<unsigned>(m.state),
                       short_of(m.uptime),
                       m.seq,
                       short_of(m.subject),
                       m.digest,
                       static_cast<unsigned>(m.view),
-                      short_of(m.heard),
-                      std::min<std::uint32_t>(m.speaks, kMost8),
+                      short_of(m.present_count),
+                      std::min<std::uint32_t>(m.max_version, kMost8),
                       std::move(list)};
     std::string bytes;
     json::to_msgpack(all, bytes);
@@ -103,8 +104,7 @@
         if (why) *why = what;
         return std::nullopt;
     };
-    if (bytes.size() > Message::kMostBytes)
-        return wrong("longer than " + std::to_string(Message::kMostBytes));
+    if (bytes.size() > Message::kMaxBytes) return wrong("longer than " + std::to_string(Message::kMaxBytes));
     XXH32_canonical_t sum;
     if (bytes.size() <= sizeof sum.digest) return wrong("no message");
     const std::string_view body = bytes.substr(0, bytes.size() - sizeof sum.digest);
@@ -117,18 +117,18 @@
     // A later version adds fields behind these; one that changes them is another version, and not read.
     const auto bad = [&](Field f) { return wrong(std::string("field ") + kNames[f]); };
     if (!take(all[version], kMost32, written) || written != Message::kVersion) return bad(version);
-    if (!take(all[kind], static_cast<std::uint64_t>(Message::Kind::page), m.kind)) return bad(kind);
+    if (!take(all[kind], static_cast<std::uint64_t>(Message::Kind::table_page), m.kind)) return bad(kind);
     if (!take(all[from], kMost16, m.from)) return bad(from);
-    if (!take(all[life], UINT16_MAX, m.incarnation.life)) return bad(life);
-    if (!take(all[count], kMost32, m.incarnation.count) || m.incarnation.count == 0) return bad(count);
-    if (!take(all[state], static_cast<std::uint64_t>(State::left), m.state)) return bad(state);
+    if (!take(all[life], UINT16_MAX, m.incarnation.nonce)) return bad(life);
+    if (!take(all[count], kMost32, m.incarnation.counter) || m.incarnation.counter == 0) return bad(count);
+    if (!take(all[state], static_cast<std::uint64_t>(MemberState::left), m.state)) return bad(state);
     if (!take(all[uptime], kMost16, m.uptime)) return bad(uptime);
     if (!take(all[seq], kMost32, m.seq)) return bad(seq);
     if (!take(all[subject], kMost16, m.subject)) return bad(subject);
     if (!take(all[digest], kMost32, m.digest)) return bad(digest);
     if (!take(all[view], static_cast<std::uint64_t>(View::alone), m.view)) return bad(view);
-    if (!take(all[heard], kMost16, m.heard)) return bad(heard);
-    if (!take(all[speaks], kMost8, m.speaks)) return bad(speaks);
+    if (!take(all[heard], kMost16, m.present_count)) return bad(heard);
+    if (!take(all[speaks], kMost8, m.max_version)) return bad(speaks);
     const json& list = all[updates];
     if (!list.is_array() || list.size() % kUpdateFields != 0) return bad(updates);
     for (std::size_t i = 0; i < list.size(); i += kUpdateFields)
--- a/src/cluster/message.hpp
+++ b/src/cluster/message.hpp
@@ -13,10 +13,10 @@
 namespace elmbay::cluster {
 
 // A member's number is its place in the settings' count of sidecars, the same at all of them.
-using Number = std::uint32_t;
+using MemberId = std::uint32_t;
 
 // In the order in which they outrank one another within one incarnation.
-enum class State : std::uint8_t {
+enum class MemberState : std::uint8_t {
     expected,  // it should be there; nothing has been heard of it
     joining,   // it has started and has not heard of anybody yet
     alive,
@@ -25,22 +25,23 @@
     gone,     // its machine says that the process is not there
     left      // it ended in good order and said so
 };
-const char* name_of(State state);
+const char* to_string(MemberState state);
 
 // One life of a process under a number, and what it has said since: higher is later, whatever clocks say.
 struct Incarnation {
-    std::uint32_t count = 0;  // begins with the start's time, in tenths of a second since kEpoch; 0: nobody's
-    std::uint16_t life = 0;   // drawn at the start: tells two processes of one count apart
+    std::uint32_t counter =
+        0;                    // begins with the start's time, in tenths of a second since kEpoch; 0: nobody's
+    std::uint16_t nonce = 0;  // drawn at the start: tells two processes of one count apart
     auto operator<=>(const Incarnation&) const = default;
 };
 
 // What is said of one member.
 struct Update {
-    Number number = 0;
+    MemberId number = 0;
     Incarnation incarnation;
-    State state = State::expected;
+    MemberState state = MemberState::expected;
     // suspect: who says so; alive and joining: seconds since its start, as it said itself; else 0.
-    std::uint32_t by = 0;
+    std::uint32_t detail = 0;
     bool operator==(const Update&) const = default;
 };
 
@@ -51,38 +52,38 @@
     part,     // some are silent
     alone     // nobody, though others should be there
 };
-const char* name_of(View view);
+const char* to_string(View view);
 
 struct Message {
     static constexpr std::uint32_t kVersion = 1;
-    static constexpr std::size_t kMostBytes = 256;  // PROTOCOL, "Between sidecars"
+    static constexpr std::size_t kMaxBytes = 256;  // PROTOCOL, "Between sidecars"
     // Of members, and of seconds since a start, which stand at it from then on: 3 bytes each.
-    static constexpr std::uint32_t kMostNumber = 65535;
+    static constexpr std::uint32_t kMaxShortField = 65535;
     // So many fit whatever the numbers in them: 15 bytes each at most beside 44 of the rest.
-    static constexpr std::size_t kMostUpdates = 14;
+    static constexpr std::size_t kMaxUpdates = 14;
 
     enum class Kind : std::uint8_t {
-        ping,      // answer me
-        ack,       // the answer: same seq
-        ping_req,  // ping `subject` for me
-        vouch,     // it answered me: same seq
-        nack,      // it has not answered me yet: same seq. The asker learns that it is heard itself
-        gossip,    // updates alone
-        pull,      // tell me what you hold from member `subject` on
-        page       // that: the next page begins at `subject`, 0 if this is the last
+        ping,           // answer me
+        ack,            // the answer: same seq
+        ping_req,       // ping `subject` for me
+        indirect_ack,   // it answered me: same seq
+        nack,           // it has not answered me yet: same seq. The asker learns that it is heard itself
+        gossip,         // updates alone
+        table_request,  // tell me what you hold from member `subject` on
+        table_page      // that: the next page begins at `subject`, 0 if this is the last
     };
     Kind kind = Kind::gossip;
-    Number from = 0;
+    MemberId from = 0;
     Incarnation incarnation;  // the sender's own
-    State state = State::alive;
+    MemberState state = MemberState::alive;
     std::uint32_t uptime = 0;  // seconds
     std::uint32_t seq = 0;
-    Number subject = 0;
+    MemberId subject = 0;
     std::uint32_t digest = 0;  // of all that the sender holds
     View view = View::unknown;
-    std::uint32_t heard = 0;          // members that the sender counts as present
-    std::uint32_t speaks = kVersion;  // the highest version that the sender reads
-    std::vector<Update> updates;      // those beyond kMostUpdates are not written
+    std::uint32_t present_count = 0;       // members that the sender counts as present
+    std::uint32_t max_version = kVersion;  // the highest version that the sender reads
+    std::vector<Update> updates;           // those beyond kMaxUpdates are not written
     bool operator==(const Message&) const = default;
 };
 
--- a/src/cluster/view.hpp
+++ b/src/cluster/sibling_estimate.hpp
@@ -21,25 +21,25 @@
 
 // The number that the decision module divides by. It is doubted: it lies between who may be out there and
 // what the settings say, falls slowly and rises at once.
-class Siblings {
+class SiblingEstimate {
 public:
     // Nobody takes over more than this part of the whole beyond the shares of those who have ended, for these
     // may be back at any moment and act on the settings' number until they have heard of the others. So
     // whatever happens at once, all together act on 1.4 of the whole at most; the module keeps 1.43 free
     // where a rule depends on it (ColdStart::kFeed).
-    static constexpr double kSpare = 0.4;
-    static constexpr Millis kHalves = 5000;  // it falls no faster than by half in this time
+    static constexpr double kMaxTakeover = 0.4;
+    static constexpr Millis kHalfLife = 5000;  // it falls no faster than by half in this time
 
-    explicit Siblings(std::uint32_t told) : told_(told), value_(told) {}
+    explicit SiblingEstimate(std::uint32_t told) : configured_(told), value_(told) {}
 
     // The number now. Those who are silent count: they may be on the other side of a split.
     std::uint32_t update(Millis now, const Headcount& count, View view);
     std::uint32_t value() const;
     // Without the bound on its fall.
-    double aim(const Headcount& count, View view) const;
+    double target(const Headcount& count, View view) const;
 
 private:
-    double told_, value_;
+    double configured_, value_;
     Millis at_ = -1;
 };
 
--- a/src/rehearsal/members_companion.cpp
+++ b/src/rehearsal/members_companion.cpp
@@ -30,7 +30,8 @@
     send(out);
 }
 void MembersCompanion::send(std::vector<Outgoing>& out) {
-    for (cluster::Datagram& d : members_.take_datagrams()) out.push_back({d.place, std::move(d.bytes)});
+    for (cluster::Datagram& d : members_.take_datagrams())
+        out.push_back({d.address_index, std::move(d.bytes)});
     members_.take_changes();
 }
 
--- a/src/rehearsal/members_companion.hpp
+++ b/src/rehearsal/members_companion.hpp
@@ -1,7 +1,7 @@
-// The program's own membership (cluster/members.hpp) beside a decision module in virtual time.
+// The program's own membership (cluster/membership.hpp) beside a decision module in virtual time.
 #pragma once
 
-#include "cluster/members.hpp"
+#include "cluster/membership.hpp"
 #include "rehearsal/messages.hpp"
 
 namespace elmbay::rehearsal {
@@ -21,7 +21,7 @@
 
 private:
     void send(std::vector<Outgoing>& out);
-    cluster::Members members_;
+    cluster::Membership members_;
 };
 
 }  // namespace elmbay::rehearsal
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -252,8 +252,8 @@
     if (++told_ > kMostTold) return;
     const nlohmann::json line = {{"event", "member"},
                                  {"number", change.number},
-                                 {"before", name_of(change.before)},
-                                 {"after", name_of(change.after)},
+                                 {"before", to_string(change.before)},
+                                 {"after", to_string(change.after)},
                                  {"why", change.why},
                                  {"rest_untold", told_ == kMostTold}};
     std::cerr << line.dump() << std::endl;
--- a/tests/cluster/explore_test.cpp
+++ b/tests/cluster/explore_test.cpp
@@ -1,7 +1,7 @@
 // The state machine of three and four members, explored exhaustively to a stated depth: at each state every
 // datagram that is on its way may come next, be lost or come twice, time may pass to the next waking, and a
 // member may crash, start again (its clock behind) or stand still. Each kind of fault has a budget for a
-// path. States that go on alike but for chance (Members::fingerprint) are gone into once.
+// path. States that go on alike but for chance (Membership::fingerprint) are gone into once.
 //
 // Invariants, at each state: (1) a table adds up; (2) nobody holds itself for worse than alive; (3) nobody
 // holds an incarnation of another that this one has not had, nor of one life what another said; (4) whoever
@@ -14,12 +14,12 @@
 #include <set>
 #include <unordered_set>
 
-#include "cluster/members.hpp"
+#include "cluster/membership.hpp"
 
 namespace elmbay::cluster {
 namespace {
 
-constexpr Millis kUnix = Members::kEpoch + 5e10;
+constexpr Millis kUnix = Membership::kEpoch + 5e10;
 constexpr Millis kOneWay = 5;
 
 struct Budget {
@@ -27,39 +27,39 @@
 };
 
 struct World {
-    std::vector<std::optional<Members>> members;
+    std::vector<std::optional<Membership>> members;
     std::vector<bool> frozen;
-    std::vector<std::vector<std::pair<Number, std::string>>> unread;
-    std::map<std::pair<Number, Number>, std::vector<std::string>> links;  // from, to
-    std::map<Number, std::set<Incarnation>> said;                         // all that each has been
+    std::vector<std::vector<std::pair<MemberId, std::string>>> unread;
+    std::map<std::pair<MemberId, MemberId>, std::vector<std::string>> links;  // from, to
+    std::map<MemberId, std::set<Incarnation>> said;                           // all that each has been
     Millis now = 1000;
     Budget left;
     std::uint64_t next_seed = 1;
 
-    void start(Number n, Millis clock_off) {
+    void start(MemberId n, Millis clock_off) {
         const auto count = static_cast<std::uint32_t>(members.size());
-        members[n].emplace(Members::Setup{n, count, count, 77 * ++next_seed, {}}, now,
+        members[n].emplace(Membership::Setup{n, count, count, 77 * ++next_seed, {}}, now,
                            kUnix + now + clock_off);
         settle(n);
     }
-    void settle(Number n) {
+    void settle(MemberId n) {
         for (Datagram& d : members[n]->take_datagrams()) links[{n, d.to}].push_back(std::move(d.bytes));
         members[n]->take_changes();
         said[n].insert(members[n]->member(n).incarnation);
     }
-    void deliver(Number from, Number to, const std::string& bytes) {
+    void deliver(MemberId from, MemberId to, const std::string& bytes) {
         if (!members[to]) return;
         if (frozen[to]) return unread[to].emplace_back(from, bytes), void();
         members[to]->heard(now, from, bytes);
         settle(to);
     }
-    void thaw(Number n) {
+    void thaw(MemberId n) {
         frozen[n] = false;
         for (const auto& [from, bytes] : std::exchange(unread[n], {})) deliver(from, n, bytes);
     }
-    std::optional<Number> next_to_wake() const {
-        std::optional<Number> first;
-        for (Number n = 0; n < members.size(); ++n)
+    std::optional<MemberId> next_to_wake() const {
+        std::optional<MemberId> first;
+        for (MemberId n = 0; n < members.size(); ++n)
             if (members[n] && !frozen[n] && (!first || members[n]->next() < members[*first]->next()))
                 first = n;
         return first;
@@ -88,7 +88,7 @@
     }
     // All on its way comes, nothing more goes wrong: whether all come to hold what is.
     bool comes_right(Millis within) {
-        for (Number n = 0; n < members.size(); ++n)
+        for (MemberId n = 0; n < members.size(); ++n)
             if (frozen[n]) thaw(n);
         const Millis end = now + within;
         while (now < end) {
@@ -107,9 +107,10 @@
         return false;
     }
     bool right() const {
-        for (Number a = 0; a < members.size(); ++a)
-            for (Number b = 0; members[a] && b < members.size(); ++b) {
-                if ((members[a]->member(b).state <= State::suspect) != members[b].has_value()) return false;
+        for (MemberId a = 0; a < members.size(); ++a)
+            for (MemberId b = 0; members[a] && b < members.size(); ++b) {
+                if ((members[a]->member(b).state <= MemberState::suspect) != members[b].has_value())
+                    return false;
                 if (members[b] && members[a]->digest() != members[b]->digest()) return false;
             }
         return true;
@@ -117,23 +118,24 @@
 };
 
 std::string broken(const World& w) {
-    for (Number a = 0; a < w.members.size(); ++a) {
+    for (MemberId a = 0; a < w.members.size(); ++a) {
         if (!w.members[a]) continue;
-        const Members& m = *w.members[a];
+        const Membership& m = *w.members[a];
         const Headcount c = m.headcount();
         if (c.present + c.silent + c.ended != w.members.size()) return "a table does not add up";
-        if (m.member(a).state > State::alive) return "one holds itself for worse than alive";
-        for (Number b = 0; b < w.members.size(); ++b) {
-            const Members::Member& held = m.member(b);
+        if (m.member(a).state > MemberState::alive) return "one holds itself for worse than alive";
+        for (MemberId b = 0; b < w.members.size(); ++b) {
+            const Membership::Member& held = m.member(b);
             const auto said = w.said.find(b);
-            if (held.incarnation.count > 0 &&
+            if (held.incarnation.counter > 0 &&
                 (said == w.said.end() || !said->second.contains(held.incarnation)))
                 return "an incarnation is held that was never said";
-            if (held.state == State::failed && held.since < 1000 + Timing{}.suspect_least)
+            if (held.state == MemberState::failed && held.since < 1000 + Timing{}.min_suspicion)
                 return "failed before a suspicion could have lasted";
             if (!w.members[b] || a == b || m.digest() != w.members[b]->digest()) continue;
-            for (Number x = 0; x < w.members.size(); ++x)
-                if ((w.members[b]->member(x).state > State::suspect || m.member(x).state > State::suspect) &&
+            for (MemberId x = 0; x < w.members.size(); ++x)
+                if ((w.members[b]->member(x).state > MemberState::suspect ||
+                     m.member(x).state > MemberState::suspect) &&
                     w.members[b]->member(x).incarnation != m.member(x).incarnation)
                     return "equal digests of unequal tables";
         }
@@ -162,7 +164,7 @@
         World next = w;
         if (next.wake_next()) visit(next);
     }
-    for (Number n = 0; n < w.members.size(); ++n) {
+    for (MemberId n = 0; n < w.members.size(); ++n) {
         if (w.members[n] && !w.frozen[n] && w.left.crash > 0) {
             World next = w;
             next.members[n].reset();
@@ -219,7 +221,7 @@
     w.members.resize(count);
     w.frozen.resize(count);
     w.unread.resize(count);
-    for (Number n = 0; n < count; ++n) w.start(n, 0);
+    for (MemberId n = 0; n < count; ++n) w.start(n, 0);
     return w;
 }
 
@@ -248,9 +250,9 @@
     World silent = calm;
     silent.frozen[1] = true;
     silent.left.freeze = 0;
-    list.emplace_back("one is silent", run(silent, 3500, [](Number, Number) { return false; }));
+    list.emplace_back("one is silent", run(silent, 3500, [](MemberId, MemberId) { return false; }));
     list.emplace_back("a split has healed",
-                      run(calm, 9000, [](Number a, Number b) { return (a == 0) != (b == 0); }));
+                      run(calm, 9000, [](MemberId a, MemberId b) { return (a == 0) != (b == 0); }));
     return list;
 }
 
@@ -275,7 +277,7 @@
 #else
 constexpr int kThree = 6, kFour = 5;
 #endif
-INSTANTIATE_TEST_SUITE_P(Members, Explore, testing::Values(std::pair(3U, kThree), std::pair(4U, kFour)),
+INSTANTIATE_TEST_SUITE_P(Membership, Explore, testing::Values(std::pair(3U, kThree), std::pair(4U, kFour)),
                          [](const auto& info) { return "Of" + std::to_string(info.param.first); });
 
 }  // namespace
--- a/tests/cluster/fuzz.cpp
+++ b/tests/cluster/fuzz.cpp
@@ -1,13 +1,13 @@
 // Whatever bytes come from a peer's address: no crash, tables that add up, datagrams that keep their bound.
 #include <cstdlib>
 
-#include "cluster/members.hpp"
+#include "cluster/membership.hpp"
 
 using namespace elmbay::cluster;
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
     constexpr std::uint32_t kCount = 5;
-    Members members({0, kCount, kCount, 7, {}}, 1000, Members::kEpoch + 1e11);
+    Membership members({0, kCount, kCount, 7, {}}, 1000, Membership::kEpoch + 1e11);
     elmbay::cluster::Millis now = 1000;
     // A byte for the place and the time, one for the length, then so many bytes.
     while (size > 2) {
@@ -17,7 +17,8 @@
         if (members.next() <= now) members.wake(now);
         data += 2 + length, size -= 2 + length;
         for (const Datagram& d : members.take_datagrams())
-            if (d.bytes.size() > Message::kMostBytes || d.to >= kCount || d.place >= kCount) std::abort();
+            if (d.bytes.size() > Message::kMaxBytes || d.to >= kCount || d.address_index >= kCount)
+                std::abort();
         members.take_changes();
         const Headcount c = members.headcount();
         if (c.present + c.silent + c.ended != kCount || members.siblings(now) < 1) std::abort();
--- a/tests/cluster/message_test.cpp
+++ b/tests/cluster/message_test.cpp
@@ -31,16 +31,16 @@
     const auto number = [&] { return *rc::gen::inRange<std::uint32_t>(0, most); };
     Message m;
     m.kind = static_cast<Message::Kind>(*rc::gen::inRange(0, 8));
-    m.from = *rc::gen::inRange<std::uint32_t>(0, Message::kMostNumber + 1);
+    m.from = *rc::gen::inRange<std::uint32_t>(0, Message::kMaxShortField + 1);
     m.incarnation = {1 + number() / 2, *rc::gen::arbitrary<std::uint16_t>()};
-    m.state = static_cast<State>(*rc::gen::inRange(0, 7));
-    const auto small = [&] { return *rc::gen::inRange<std::uint32_t>(0, Message::kMostNumber + 1); };
-    m.uptime = small(), m.seq = number(), m.subject = small(), m.digest = number(), m.heard = small();
+    m.state = static_cast<MemberState>(*rc::gen::inRange(0, 7));
+    const auto small = [&] { return *rc::gen::inRange<std::uint32_t>(0, Message::kMaxShortField + 1); };
+    m.uptime = small(), m.seq = number(), m.subject = small(), m.digest = number(), m.present_count = small();
     m.view = static_cast<View>(*rc::gen::inRange(0, 4));
     for (int i = *rc::gen::inRange(0, 15); i > 0; --i)
         m.updates.push_back({small(),
                              {number(), *rc::gen::arbitrary<std::uint16_t>()},
-                             static_cast<State>(*rc::gen::inRange(0, 7)),
+                             static_cast<MemberState>(*rc::gen::inRange(0, 7)),
                              small()});
     return m;
 }
@@ -49,18 +49,19 @@
     EXPECT_TRUE(rc::check([] {
         const Message m = drawn(UINT32_MAX);
         const std::string bytes = encode(m);
-        RC_ASSERT(bytes.size() <= Message::kMostBytes);
+        RC_ASSERT(bytes.size() <= Message::kMaxBytes);
         const auto back = decode(bytes);
         RC_ASSERT(back.has_value());
         RC_ASSERT(*back == m);
     }));
     Message most;
-    most.from = most.uptime = most.seq = most.subject = most.digest = most.heard = most.speaks = UINT32_MAX;
+    most.from = most.uptime = most.seq = most.subject = most.digest = most.present_count = most.max_version =
+        UINT32_MAX;
     most.incarnation = {UINT32_MAX, UINT16_MAX};
-    most.updates.assign(20, {UINT32_MAX, {UINT32_MAX, UINT16_MAX}, State::left, UINT32_MAX});
+    most.updates.assign(20, {UINT32_MAX, {UINT32_MAX, UINT16_MAX}, MemberState::left, UINT32_MAX});
     const std::string bytes = encode(most);
-    EXPECT_LE(bytes.size(), Message::kMostBytes);
-    EXPECT_EQ(decode(bytes)->updates.size(), Message::kMostUpdates);
+    EXPECT_LE(bytes.size(), Message::kMaxBytes);
+    EXPECT_EQ(decode(bytes)->updates.size(), Message::kMaxUpdates);
 }
 
 // A later version's fields stand behind ours; what we know is read all the same.
--- a/tests/cluster/refutation_test.cpp
+++ b/tests/cluster/refutation_test.cpp
@@ -13,12 +13,12 @@
 constexpr Millis kSecond = 1000;
 constexpr Millis kMinute = 60 * kSecond;
 constexpr Millis kHour = 60 * kMinute;
-constexpr Millis kUnixAtStart = Members::kEpoch + 5e10;
+constexpr Millis kUnixAtStart = Membership::kEpoch + 5e10;
 
-std::uint64_t failures_at(VirtualFleet& fleet, Number at) { return fleet[at].counts().failures; }
+std::uint64_t failures_at(VirtualFleet& fleet, MemberId at) { return fleet[at].counters().failures; }
 
 // Everything that a member sends, read back.
-std::vector<Message> sent_by(Members& member) {
+std::vector<Message> sent_by(Membership& member) {
     std::vector<Message> messages;
     for (const Datagram& datagram : member.take_datagrams()) {
         messages.push_back(decode(datagram.bytes).value());
@@ -26,20 +26,22 @@
     return messages;
 }
 
-Message gossip_from(Number from, std::uint32_t count) {
+Message gossip_from(MemberId from, std::uint32_t count) {
     Message message;
     message.from = from;
     message.incarnation = {count, 77};
-    message.state = State::alive;
+    message.state = MemberState::alive;
     message.view = View::whole;
     return message;
 }
 
-const Update kSuspectNeverHeard{0, {0, 0}, State::suspect, 1};
+const Update kSuspectNeverHeard{0, {0, 0}, MemberState::suspect, 1};
 
 // Member 1 hears 2 and 3 but not 0, and nobody can ping 0 for it: only 0's own datagrams reach 2 and 3.
 // Member 1 suspects 0 without ever having learned its incarnation.
-bool only_zero_is_heard(Number from, Number to) { return (from == 0 && to == 1) || (to == 0 && from >= 2); }
+bool only_zero_is_heard(MemberId from, MemberId to) {
+    return (from == 0 && to == 1) || (to == 0 && from >= 2);
+}
 
 TEST(Refutation, AMemberNeverHeardDirectlyIsNotFailedWhileOthersHearIt) {
     VirtualFleet fleet(4);
@@ -47,12 +49,12 @@
     fleet.start_all();
     fleet.run_for(20 * kSecond);
     EXPECT_EQ(failures_at(fleet, 1), 0U);
-    EXPECT_LE(fleet.held(1, 0), State::suspect);
-    EXPECT_GT(fleet[1].member(0).incarnation.count, 0U) << "others have told it";
+    EXPECT_LE(fleet.held(1, 0), MemberState::suspect);
+    EXPECT_GT(fleet[1].member(0).incarnation.counter, 0U) << "others have told it";
     // The relays work again: member 0 can be probed by way of others from now on.
-    fleet.cut = [](Number from, Number to) { return from == 0 && to == 1; };
+    fleet.cut = [](MemberId from, MemberId to) { return from == 0 && to == 1; };
     fleet.run_for(kMinute);
-    EXPECT_LE(fleet.held(1, 0), State::suspect);
+    EXPECT_LE(fleet.held(1, 0), MemberState::suspect);
     EXPECT_TRUE(fleet.right());
 }
 
@@ -62,10 +64,10 @@
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
         VirtualFleet fleet(4, seed);
         fleet.net = {.loss = 0.3, .repeat = 0.2, .garble = 0, .least = 1.5, .most = 60};
-        fleet.cut = [](Number from, Number to) { return from == 0 && to == 1; };
+        fleet.cut = [](MemberId from, MemberId to) { return from == 0 && to == 1; };
         fleet.start_all();
         fleet.run_for(kMinute);
-        for (Number n = 0; n < fleet.count(); ++n) failures += failures_at(fleet, n);
+        for (MemberId n = 0; n < fleet.count(); ++n) failures += failures_at(fleet, n);
         EXPECT_TRUE(fleet.until([&] { return fleet.right(); }, kMinute)) << "seed " << seed;
     }
     std::printf("false failures in 300 fleets of four, a minute each: %llu\n",
@@ -74,13 +76,13 @@
 }
 
 TEST(Refutation, ASuspicionThatNamesNoIncarnationIsAnsweredByAHigherOne) {
-    Members member({0, 4, 4, 7, {}}, 0, kUnixAtStart);
+    Membership member({0, 4, 4, 7, {}}, 0, kUnixAtStart);
     const Incarnation before = member.member(0).incarnation;
-    Message claim = gossip_from(1, before.count);
+    Message claim = gossip_from(1, before.counter);
     claim.updates.push_back(kSuspectNeverHeard);
     member.heard(10, 1, encode(claim));
     EXPECT_GT(member.member(0).incarnation, before);
-    EXPECT_EQ(member.member(0).state, State::alive);
+    EXPECT_EQ(member.member(0).state, MemberState::alive);
     // The claim is repeated until its answer has arrived: that raises the incarnation no further.
     const Incarnation after = member.member(0).incarnation;
     for (int i = 0; i < 100; ++i) member.heard(11 + i, 1, encode(claim));
@@ -91,8 +93,8 @@
 }
 
 TEST(Refutation, WhoeverKnowsTheIncarnationTellsOneThatDoesNot) {
-    Members member({2, 4, 4, 7, {}}, 0, kUnixAtStart);
-    const std::uint32_t count = member.member(2).incarnation.count;
+    Membership member({2, 4, 4, 7, {}}, 0, kUnixAtStart);
+    const std::uint32_t count = member.member(2).incarnation.counter;
     member.heard(10, 0, encode(gossip_from(0, count + 5)));
     member.take_datagrams();
     Message claim = gossip_from(1, count);
@@ -103,29 +105,30 @@
     ASSERT_EQ(answers[0].updates.size(), 1U);
     EXPECT_EQ(answers[0].updates[0].number, 0U);
     EXPECT_EQ(answers[0].updates[0].incarnation, (Incarnation{count + 5, 77}));
-    EXPECT_EQ(answers[0].updates[0].state, State::alive);
-    EXPECT_EQ(member.member(0).state, State::alive) << "it does not take over the suspicion";
+    EXPECT_EQ(answers[0].updates[0].state, MemberState::alive);
+    EXPECT_EQ(member.member(0).state, MemberState::alive) << "it does not take over the suspicion";
     // One datagram for one at most, and far fewer for a flood.
     for (int i = 0; i < 1000; ++i) member.heard(20 + i * 0.01, 1, encode(claim));
     EXPECT_LE(sent_by(member).size(), 21U);
 }
 
 TEST(Refutation, ASuspicionThatNamesNoIncarnationConvincesNobodyWhoKnowsNoMore) {
-    Members member({2, 4, 4, 7, {}}, 0, kUnixAtStart);
-    Message claim = gossip_from(1, member.member(2).incarnation.count);
+    Membership member({2, 4, 4, 7, {}}, 0, kUnixAtStart);
+    Message claim = gossip_from(1, member.member(2).incarnation.counter);
     claim.updates.push_back(kSuspectNeverHeard);
-    for (const State state : {State::suspect, State::failed, State::gone, State::left}) {
+    for (const MemberState state :
+         {MemberState::suspect, MemberState::failed, MemberState::gone, MemberState::left}) {
         claim.updates.back().state = state;
         member.heard(20, 1, encode(claim));
-        EXPECT_EQ(member.member(0).state, State::expected);
+        EXPECT_EQ(member.member(0).state, MemberState::expected);
     }
 }
 
 // A fleet of three of which one member is the code and the others are played: 2 answers each ping, 1 is
 // silent after its first word.
 struct SuspectsOne {
-    Members member{{0, 3, 3, 7, {}}, 0, kUnixAtStart};
-    std::uint32_t count = member.member(0).incarnation.count;
+    Membership member{{0, 3, 3, 7, {}}, 0, kUnixAtStart};
+    std::uint32_t count = member.member(0).incarnation.counter;
     Millis now = 10;
 
     SuspectsOne() {
@@ -134,7 +137,7 @@
     }
     void hear(const Message& message) { member.heard(now, message.from, encode(message)); }
     // Until `end`, or until the state of member 1 is the one given.
-    void run(Millis end, State until) {
+    void run(Millis end, MemberState until) {
         while (member.member(1).state != until && member.next() <= end) {
             now = member.next();
             member.wake(now);
@@ -153,37 +156,37 @@
 // The last probe of a suspect is under way when the refutation comes: what the probe finds then is void.
 TEST(Refutation, ALastProbeThatARefutationOvertookFailsNobody) {
     SuspectsOne control;
-    control.run(kMinute, State::failed);
-    ASSERT_EQ(control.member.member(1).state, State::failed);
+    control.run(kMinute, MemberState::failed);
+    ASSERT_EQ(control.member.member(1).state, MemberState::failed);
     const Millis failed_at = control.now;
     SuspectsOne refuted;
-    refuted.run(failed_at - Timing{}.last_probe / 2, State::failed);
-    ASSERT_EQ(refuted.member.member(1).state, State::suspect);
-    refuted.now = failed_at - Timing{}.last_probe / 2;
+    refuted.run(failed_at - Timing{}.final_probe / 2, MemberState::failed);
+    ASSERT_EQ(refuted.member.member(1).state, MemberState::suspect);
+    refuted.now = failed_at - Timing{}.final_probe / 2;
     Message word = gossip_from(2, refuted.count);
-    word.updates.push_back({1, {refuted.count + 1, 77}, State::alive, 3});
+    word.updates.push_back({1, {refuted.count + 1, 77}, MemberState::alive, 3});
     refuted.hear(word);
-    ASSERT_EQ(refuted.member.member(1).state, State::alive);
-    refuted.run(failed_at + Timing{}.last_probe, State::failed);
-    EXPECT_NE(refuted.member.member(1).state, State::failed);
+    ASSERT_EQ(refuted.member.member(1).state, MemberState::alive);
+    refuted.run(failed_at + Timing{}.final_probe, MemberState::failed);
+    EXPECT_NE(refuted.member.member(1).state, MemberState::failed);
 }
 
 // ---- restarts with a stepped wall clock
 // ---------------------------------------------------------------------
 
-bool all_hold_newest(VirtualFleet& fleet, Number of) {
+bool all_hold_newest(VirtualFleet& fleet, MemberId of) {
     const Incarnation newest = fleet[of].member(of).incarnation;
-    for (Number n = 0; n < fleet.count(); ++n) {
-        if (fleet.held(n, of) > State::alive || fleet[n].member(of).incarnation != newest) return false;
+    for (MemberId n = 0; n < fleet.count(); ++n) {
+        if (fleet.held(n, of) > MemberState::alive || fleet[n].member(of).incarnation != newest) return false;
     }
     return true;
 }
 
 // Nobody holds an incarnation of it that would outrank its own word, or takes it for worse than alive.
-bool all_believe(VirtualFleet& fleet, Number of) {
+bool all_believe(VirtualFleet& fleet, MemberId of) {
     const Incarnation newest = fleet[of].member(of).incarnation;
-    for (Number n = 0; n < fleet.count(); ++n) {
-        if (fleet.held(n, of) > State::alive || fleet[n].member(of).incarnation > newest) return false;
+    for (MemberId n = 0; n < fleet.count(); ++n) {
+        if (fleet.held(n, of) > MemberState::alive || fleet[n].member(of).incarnation > newest) return false;
     }
     return true;
 }
@@ -208,11 +211,11 @@
                 EXPECT_TRUE(fleet.until([&] { return all_believe(fleet, 3); }, kBelievedWithin))
                     << "refuses " << refuses << ", down " << down << ", clock off " << clock_off;
                 // One answer to what its earlier life was held for; seldom a second, to a later word of it.
-                EXPECT_LE(fleet[3].counts().refuted, 3U);
+                EXPECT_LE(fleet[3].counters().refuted, 3U);
                 fleet.run_for(5 * kSecond);
                 EXPECT_TRUE(fleet.right() && fleet.agree());
             }
-            for (Number n = 0; n < fleet.count(); ++n) EXPECT_FALSE(fleet[n].yielded()) << n;
+            for (MemberId n = 0; n < fleet.count(); ++n) EXPECT_FALSE(fleet[n].yielded()) << n;
         }
     }
 }
@@ -247,15 +250,15 @@
     VirtualFleet fleet(4, 3);
     fleet.start_all();
     fleet.run_for(5 * kSecond);
-    const std::uint32_t start = fleet[0].member(0).incarnation.count;
+    const std::uint32_t start = fleet[0].member(0).incarnation.counter;
     constexpr std::uint32_t kTenthsPerDay = 864000;
     for (const std::uint32_t ahead : {1U, 36000U, kTenthsPerDay - 1, kTenthsPerDay, kTenthsPerDay + 100000,
                                       2 * kTenthsPerDay, 2 * kTenthsPerDay + 100000, UINT32_MAX - start}) {
-        for (const std::uint16_t life : {std::uint16_t{5}, fleet[0].member(0).incarnation.life}) {
-            Message claim = gossip_from(1, fleet[1].member(1).incarnation.count);
+        for (const std::uint16_t life : {std::uint16_t{5}, fleet[0].member(0).incarnation.nonce}) {
+            Message claim = gossip_from(1, fleet[1].member(1).incarnation.counter);
             claim.incarnation = fleet[1].member(1).incarnation;
-            claim.updates.push_back({0, {start + ahead, life}, State::suspect, 1});
-            for (Number n = 0; n < 4; ++n) {
+            claim.updates.push_back({0, {start + ahead, life}, MemberState::suspect, 1});
+            for (MemberId n = 0; n < 4; ++n) {
                 if (n != 1) fleet.inject(n, 1, encode(claim));
             }
             EXPECT_TRUE(fleet.until([&] { return all_hold_newest(fleet, 0); }, 5 * kSecond))
--- a/tests/cluster/virtual_fleet.hpp
+++ b/tests/cluster/virtual_fleet.hpp
@@ -1,5 +1,5 @@
-// Members in virtual time on a network that loses, delays, repeats and garbles what they send, with splits,
-// crashes, freezes and restarts: for tests and bench/members.cpp. The same seed gives the same run.
+// Membership in virtual time on a network that loses, delays, repeats and garbles what they send, with
+// splits, crashes, freezes and restarts: for tests and bench/members.cpp. The same seed gives the same run.
 #pragma once
 
 #include <functional>
@@ -7,14 +7,14 @@
 #include <queue>
 #include <set>
 
-#include "cluster/members.hpp"
+#include "cluster/membership.hpp"
 
 namespace elmbay::cluster {
 
 class VirtualFleet {
 public:
-    static constexpr Millis kUnix = 1796000000000;   // the fleet's clock at its time 0
-    static constexpr std::size_t kMostUnread = 256;  // of a frozen process, as in src/rehearsal
+    static constexpr Millis kUnix = 1796000000000;  // the fleet's clock at its time 0
+    static constexpr std::size_t kMaxUnread = 256;  // of a frozen process, as in src/rehearsal
 
     struct Net {
         double loss = 0, repeat = 0, garble = 0;
@@ -26,42 +26,42 @@
 
     Net net;
     // Whether nothing gets from one to the other now.
-    std::function<bool(Number from, Number to)> cut = [](Number, Number) { return false; };
+    std::function<bool(MemberId from, MemberId to)> cut = [](MemberId, MemberId) { return false; };
     // Looks after every step.
     std::function<void()> after_step;
     // Whom one finds at a place of its list of peers, if that is not right: a permutation that undoes itself.
-    std::function<Number(Number of, std::uint32_t place)> listed = [](Number, std::uint32_t place) {
+    std::function<MemberId(MemberId of, std::uint32_t place)> listed = [](MemberId, std::uint32_t place) {
         return place;
     };
     bool refuses = true;  // a machine says that its process is not there
 
     // as: the number that it takes itself for, where that is not its own.
-    void start(Number n, Millis clock_off = 0, std::optional<Number> as = {}) {
+    void start(MemberId n, Millis clock_off = 0, std::optional<MemberId> as = {}) {
         Node& node = nodes_[n];
         ++node.life;
         node.frozen = false;
         node.unread.clear();
         node.clock_off = clock_off;
-        node.members = std::make_unique<Members>(
-            Members::Setup{as.value_or(n), count(), count(), random_.next(), timing_}, now_,
+        node.members = std::make_unique<Membership>(
+            Membership::Setup{as.value_or(n), count(), count(), random_.next(), timing_}, now_,
             kUnix + now_ + clock_off);
         settle(n);
     }
     void start_all() {
-        for (Number n = 0; n < count(); ++n) start(n);
+        for (MemberId n = 0; n < count(); ++n) start(n);
     }
-    void kill(Number n) {
+    void kill(MemberId n) {
         nodes_[n].members.reset();
         ++nodes_[n].life;
         nodes_[n].unread.clear();
     }
-    void end(Number n) {
+    void end(MemberId n) {
         nodes_[n].members->leave(now_);
         settle(n);
         kill(n);
     }
-    void freeze(Number n) { nodes_[n].frozen = true; }
-    void thaw(Number n) {
+    void freeze(MemberId n) { nodes_[n].frozen = true; }
+    void thaw(MemberId n) {
         Node& node = nodes_[n];
         node.frozen = false;
         if (!node.members) return;
@@ -72,7 +72,7 @@
         settle(n);
     }
     // Into its socket, as if from there.
-    void inject(Number to, std::optional<std::uint32_t> place, const std::string& bytes) {
+    void inject(MemberId to, std::optional<std::uint32_t> place, const std::string& bytes) {
         if (nodes_[to].members) nodes_[to].members->heard(now_, place, bytes);
         settle(to);
     }
@@ -94,11 +94,11 @@
 
     Millis now() const { return now_; }
     std::uint32_t count() const { return static_cast<std::uint32_t>(nodes_.size()); }
-    bool runs(Number n) const { return nodes_[n].members != nullptr; }
-    bool frozen(Number n) const { return nodes_[n].frozen; }
-    Members& operator[](Number n) { return *nodes_[n].members; }
-    View view(Number n) { return nodes_[n].members->view(now_); }
-    State held(Number by, Number of) { return nodes_[by].members->member(of).state; }
+    bool runs(MemberId n) const { return nodes_[n].members != nullptr; }
+    bool frozen(MemberId n) const { return nodes_[n].frozen; }
+    Membership& operator[](MemberId n) { return *nodes_[n].members; }
+    View view(MemberId n) { return nodes_[n].members->view(now_); }
+    MemberState held(MemberId by, MemberId of) { return nodes_[by].members->member(of).state; }
     // Of all who run, whether they hold the same.
     bool agree() {
         std::set<std::uint32_t> digests;
@@ -108,9 +108,9 @@
     }
     // Who runs holds who runs for there, and nobody else.
     bool right() {
-        for (Number a = 0; a < count(); ++a)
-            for (Number b = 0; runs(a) && b < count(); ++b)
-                if ((held(a, b) <= State::suspect) != runs(b)) return false;
+        for (MemberId a = 0; a < count(); ++a)
+            for (MemberId b = 0; runs(a) && b < count(); ++b)
+                if ((held(a, b) <= MemberState::suspect) != runs(b)) return false;
         return true;
     }
     std::uint64_t false_failures = 0;  // changes to failed of one that ran and was not frozen
@@ -120,11 +120,11 @@
     std::vector<std::uint64_t> sent_by;
     // Over all datagrams that were sent, lost ones too: when, from whom, to where and each byte (FNV-1a).
     std::uint64_t traffic_hash = 0xcbf29ce484222325ULL;
-    std::function<void(Number at, const Change&)> changed = [](Number, const Change&) {};
+    std::function<void(MemberId at, const Change&)> changed = [](MemberId, const Change&) {};
 
 private:
     struct Node {
-        std::unique_ptr<Members> members;
+        std::unique_ptr<Membership> members;
         std::uint64_t life = 0;
         bool frozen = false;
         Millis clock_off = 0, waking = -1;
@@ -133,7 +133,7 @@
     struct Happening {
         Millis at = 0;
         std::uint64_t number = 0;
-        Number to = 0, from = 0;
+        MemberId to = 0, from = 0;
         bool wake = false;
         std::uint64_t life = 0;
         std::shared_ptr<const std::string> bytes;
@@ -145,25 +145,25 @@
         h.number = ++number_;
         queue_.push(std::move(h));
     }
-    void hash_traffic(Number from, const Datagram& datagram) {
+    void hash_traffic(MemberId from, const Datagram& datagram) {
         const auto add = [&](std::uint64_t value) {
             traffic_hash = (traffic_hash ^ value) * 0x100000001b3ULL;
         };
         add(static_cast<std::uint64_t>(now_ * 1000));
         add(from);
         add(datagram.to);
-        add(datagram.place);
+        add(datagram.address_index);
         for (const char byte : datagram.bytes) add(static_cast<unsigned char>(byte));
     }
     Millis delay() { return net.least + (net.most - net.least) * random_.unit(); }
     // What it has to send goes out, and it is woken when it wants to be.
-    void settle(Number n) {
+    void settle(MemberId n) {
         Node& node = nodes_[n];
         if (!node.members) return;
         for (Datagram& d : node.members->take_datagrams()) {
             ++sent_by[n];
             hash_traffic(n, d);
-            const Number to = listed(n, d.place);
+            const MemberId to = listed(n, d.address_index);
             if (cut(n, to) || random_.unit() < net.loss) continue;
             int copies = 1 + (random_.unit() < net.repeat);
             if (net.garble > 0 && random_.unit() < net.garble)
@@ -172,7 +172,7 @@
             for (; copies > 0; --copies) put({now_ + delay(), 0, to, n, false, 0, bytes});
         }
         for (const Change& c : node.members->take_changes()) {
-            false_failures += c.after == State::failed && runs(c.number) && !nodes_[c.number].frozen &&
+            false_failures += c.after == MemberState::failed && runs(c.number) && !nodes_[c.number].frozen &&
                               !cut(n, c.number) && !cut(c.number, n) &&
                               node.members->member(c.number).incarnation ==
                                   nodes_[c.number].members->member(c.number).incarnation;
@@ -207,8 +207,7 @@
                 if (refuses && !cut(h.to, h.from))
                     put({now_ + delay(), 0, h.from, h.to, false, 0, nullptr, true});
             } else if (node.frozen) {
-                if (node.unread.size() < kMostUnread)
-                    node.unread.emplace_back(listed(h.to, h.from), *h.bytes);
+                if (node.unread.size() < kMaxUnread) node.unread.emplace_back(listed(h.to, h.from), *h.bytes);
             } else {
                 ++delivered.datagrams, delivered.bytes += h.bytes->size();
                 node.members->heard(now_, listed(h.to, h.from), *h.bytes);
