--- a/src/cluster/driver.cpp
+++ b/src/cluster/driver.cpp
@@ -133,7 +133,7 @@
     const Membership::Counters& c = members_.counters();
     nlohmann::json list = nlohmann::json::array();
     for (MemberId n = 0; n < members_.count(); ++n) {
-        const Membership::Member& m = members_.member(n);
+        const Member& m = members_.member(n);
         list.push_back({{"number", n},
                         {"state", to_string(m.state)},
                         {"since_s", (now - m.since) / 1000},
--- /dev/null
+++ b/src/cluster/gossip_queue.cpp
@@ -0,0 +1,45 @@
+#include "cluster/gossip_queue.hpp"
+
+#include <algorithm>
+#include <cmath>
+
+namespace elmbay::cluster {
+
+GossipQueue::GossipQueue(std::uint32_t members) : transmissions_(members, kNoNews) {}
+
+void GossipQueue::add(MemberId id) {
+    if (transmissions_[id] == kNoNews) queue_.push_back(id);
+    transmissions_[id] = 0;
+}
+
+void GossipQueue::note_told_by_other(MemberId id) {
+    if (transmissions_[id] != kNoNews) ++transmissions_[id];
+}
+
+std::uint32_t GossipQueue::retransmit_limit() const {
+    const double digits = std::ceil(std::log10(static_cast<double>(transmissions_.size()) + 1));
+    return static_cast<std::uint32_t>(std::ceil(kRetransmitFactor * digits));
+}
+
+std::vector<MemberId> GossipQueue::take(const Selection& selection) {
+    if (queue_.size() > Message::kMaxUpdates) {
+        std::partial_sort(queue_.begin(), queue_.begin() + Message::kMaxUpdates, queue_.end(),
+                          [this](MemberId a, MemberId b) { return transmissions_[a] < transmissions_[b]; });
+    }
+    std::vector<MemberId> taken;
+    for (const MemberId id : queue_) {
+        if (taken.size() >= selection.room) break;
+        if (id == selection.receiver && selection.skip_receiver) continue;
+        if (selection.only && id != *selection.only) continue;
+        taken.push_back(id);
+        if (id != selection.receiver || selection.count_receiver) ++transmissions_[id];
+    }
+    std::erase_if(queue_, [this, limit = retransmit_limit()](MemberId id) {
+        if (transmissions_[id] < limit) return false;
+        transmissions_[id] = kNoNews;
+        return true;
+    });
+    return taken;
+}
+
+}  // namespace elmbay::cluster
--- /dev/null
+++ b/src/cluster/member_table.cpp
@@ -0,0 +1,67 @@
+#include "cluster/member_table.hpp"
+
+namespace elmbay::cluster {
+
+namespace {
+
+constexpr Millis kLongAgo = -1e9;
+
+// The finalizer of SplitMix64, cut to 32 bits.
+std::uint32_t mixed(std::uint64_t value) {
+    value = (value ^ (value >> 33)) * 0xff51afd7ed558ccdULL;
+    value = (value ^ (value >> 33)) * 0xc4ceb9fe1a85ec53ULL;
+    return static_cast<std::uint32_t>(value ^ (value >> 33));
+}
+
+}  // namespace
+
+bool is_worth_telling(const Member& before, const Incarnation& incarnation, MemberState after) {
+    const bool replaces_known = before.incarnation.counter > 0 && incarnation > before.incarnation;
+    return before.state >= MemberState::suspect || after >= MemberState::suspect || replaces_known;
+}
+
+MemberTable::MemberTable(MemberId self, std::uint32_t count, Millis now)
+    : self_(self), members_(count), rejoined_at_(count, kLongAgo), headcount_{count, count, 0, 0} {
+    for (MemberId id = 0; id < count; ++id) {
+        members_[id].address_index = id;
+        members_[id].since = now;
+    }
+}
+
+std::uint32_t MemberTable::hash_of(MemberId id) const {
+    const Member& member = members_[id];
+    // With which incarnation one is present changes nothing for anybody.
+    if (is_present(member.state)) return 0;
+    const std::uint64_t who = (std::uint64_t{id} << 32) | member.incarnation.counter;
+    return mixed(who * 31 + member.incarnation.nonce * 7919ULL + static_cast<std::uint64_t>(member.state));
+}
+
+std::uint32_t& MemberTable::counter_of(MemberState state) {
+    if (is_present(state)) return headcount_.present;
+    return has_ended(state) ? headcount_.ended : headcount_.silent;
+}
+
+void MemberTable::set(Millis now, MemberId id, const Incarnation& incarnation, MemberState state,
+                      const std::string& why) {
+    Member& member = members_[id];
+    const MemberState before = member.state;
+    digest_ ^= hash_of(id);
+    --counter_of(before);
+    member.incarnation = incarnation;
+    member.state = state;
+    ++counter_of(state);
+    digest_ ^= hash_of(id);
+    const bool was_out = before == MemberState::failed || before == MemberState::gone;
+    if (was_out && is_present(state)) rejoined_at_[id] = now;
+    if (state == before) return;
+    member.since = now;
+    if (state == MemberState::failed) ++failures_;
+    record({now, id, before, state, why});
+}
+
+void MemberTable::record(Change change) {
+    if (changes_.size() >= kMaxChanges) changes_.erase(changes_.begin());
+    changes_.push_back(std::move(change));
+}
+
+}  // namespace elmbay::cluster
--- a/src/cluster/message.cpp
+++ b/src/cluster/message.cpp
@@ -83,7 +83,7 @@
                       m.incarnation.counter,
                       static_cast<unsigned>(m.state),
                       short_of(m.uptime),
-                      m.seq,
+                      m.sequence,
                       short_of(m.subject),
                       m.digest,
                       static_cast<unsigned>(m.view),
@@ -123,7 +123,7 @@
     if (!take(all[count], kMost32, m.incarnation.counter) || m.incarnation.counter == 0) return bad(count);
     if (!take(all[state], static_cast<std::uint64_t>(MemberState::left), m.state)) return bad(state);
     if (!take(all[uptime], kMost16, m.uptime)) return bad(uptime);
-    if (!take(all[seq], kMost32, m.seq)) return bad(seq);
+    if (!take(all[seq], kMost32, m.sequence)) return bad(seq);
     if (!take(all[subject], kMost16, m.subject)) return bad(subject);
     if (!take(all[digest], kMost32, m.digest)) return bad(digest);
     if (!take(all[view], static_cast<std::uint64_t>(View::alone), m.view)) return bad(view);
--- a/src/cluster/message.hpp
+++ b/src/cluster/message.hpp
@@ -77,7 +77,7 @@
     Incarnation incarnation;  // the sender's own
     MemberState state = MemberState::alive;
     std::uint32_t uptime = 0;  // seconds
-    std::uint32_t seq = 0;
+    std::uint32_t sequence = 0;
     MemberId subject = 0;
     std::uint32_t digest = 0;  // of all that the sender holds
     View view = View::unknown;
--- a/tests/cluster/explore_test.cpp
+++ b/tests/cluster/explore_test.cpp
@@ -19,7 +19,7 @@
 namespace elmbay::cluster {
 namespace {
 
-constexpr Millis kUnix = Membership::kEpoch + 5e10;
+constexpr Millis kUnix = IncarnationClock::kEpoch + 5e10;
 constexpr Millis kOneWay = 5;
 
 struct Budget {
@@ -125,7 +125,7 @@
         if (c.present + c.silent + c.ended != w.members.size()) return "a table does not add up";
         if (m.member(a).state > MemberState::alive) return "one holds itself for worse than alive";
         for (MemberId b = 0; b < w.members.size(); ++b) {
-            const Membership::Member& held = m.member(b);
+            const Member& held = m.member(b);
             const auto said = w.said.find(b);
             if (held.incarnation.counter > 0 &&
                 (said == w.said.end() || !said->second.contains(held.incarnation)))
--- a/tests/cluster/fuzz.cpp
+++ b/tests/cluster/fuzz.cpp
@@ -7,7 +7,7 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
     constexpr std::uint32_t kCount = 5;
-    Membership members({0, kCount, kCount, 7, {}}, 1000, Membership::kEpoch + 1e11);
+    Membership members({0, kCount, kCount, 7, {}}, 1000, IncarnationClock::kEpoch + 1e11);
     elmbay::cluster::Millis now = 1000;
     // A byte for the place and the time, one for the length, then so many bytes.
     while (size > 2) {
--- a/tests/cluster/message_test.cpp
+++ b/tests/cluster/message_test.cpp
@@ -35,7 +35,8 @@
     m.incarnation = {1 + number() / 2, *rc::gen::arbitrary<std::uint16_t>()};
     m.state = static_cast<MemberState>(*rc::gen::inRange(0, 7));
     const auto small = [&] { return *rc::gen::inRange<std::uint32_t>(0, Message::kMaxShortField + 1); };
-    m.uptime = small(), m.seq = number(), m.subject = small(), m.digest = number(), m.present_count = small();
+    m.uptime = small(), m.sequence = number(), m.subject = small(), m.digest = number(),
+    m.present_count = small();
     m.view = static_cast<View>(*rc::gen::inRange(0, 4));
     for (int i = *rc::gen::inRange(0, 15); i > 0; --i)
         m.updates.push_back({small(),
@@ -55,8 +56,8 @@
         RC_ASSERT(*back == m);
     }));
     Message most;
-    most.from = most.uptime = most.seq = most.subject = most.digest = most.present_count = most.max_version =
-        UINT32_MAX;
+    most.from = most.uptime = most.sequence = most.subject = most.digest = most.present_count =
+        most.max_version = UINT32_MAX;
     most.incarnation = {UINT32_MAX, UINT16_MAX};
     most.updates.assign(20, {UINT32_MAX, {UINT32_MAX, UINT16_MAX}, MemberState::left, UINT32_MAX});
     const std::string bytes = encode(most);
@@ -67,7 +68,7 @@
 // A later version's fields stand behind ours; what we know is read all the same.
 TEST(Message, FieldsOfALaterVersionArePassedOver) {
     Message m;
-    m.kind = Message::Kind::ping, m.from = 3, m.incarnation = {7, 9}, m.seq = 5;
+    m.kind = Message::Kind::ping, m.from = 3, m.incarnation = {7, 9}, m.sequence = 5;
     nlohmann::json all = plain(encode(m));
     all.push_back("of a later version");
     all.push_back({1, 2, 3});
--- a/tests/cluster/refutation_test.cpp
+++ b/tests/cluster/refutation_test.cpp
@@ -13,7 +13,7 @@
 constexpr Millis kSecond = 1000;
 constexpr Millis kMinute = 60 * kSecond;
 constexpr Millis kHour = 60 * kMinute;
-constexpr Millis kUnixAtStart = Membership::kEpoch + 5e10;
+constexpr Millis kUnixAtStart = IncarnationClock::kEpoch + 5e10;
 
 std::uint64_t failures_at(VirtualFleet& fleet, MemberId at) { return fleet[at].counters().failures; }
 
@@ -146,7 +146,7 @@
                 if (datagram.to != 2 || sent.kind != Message::Kind::ping) continue;
                 Message answer = gossip_from(2, count);
                 answer.kind = Message::Kind::ack;
-                answer.seq = sent.seq;
+                answer.sequence = sent.sequence;
                 hear(answer);
             }
         }
