--- /dev/null
+++ b/tests/state/old_snapshot_test.cpp
@@ -0,0 +1,57 @@
+// A snapshot file that an earlier release wrote is still read, field by field.
+//
+// data/689f46a/ was written by the store of commit 689f46a: three saves of five servers in one generation,
+// the second of which had gone by the third save.
+#include <gtest/gtest.h>
+
+#include <filesystem>
+
+#include "state/store.hpp"
+
+namespace elmbay::state {
+namespace {
+
+TEST(OldSnapshot, OfCommit689f46aIsReadWhole) {
+    const std::filesystem::path written = std::filesystem::path(STATE_TEST_DATA) / "689f46a";
+    std::string folder = (std::filesystem::temp_directory_path() / "elmbay-old-XXXXXX").string();
+    ASSERT_NE(::mkdtemp(folder.data()), nullptr);
+    std::filesystem::copy(written, folder, std::filesystem::copy_options::recursive);
+    {
+        Store store(posix_files(), folder, "n-1");
+        ASSERT_FALSE(store.open());
+        const Store::Loaded loaded = store.load();
+        EXPECT_EQ(loaded.why, "");
+        ASSERT_TRUE(loaded.snapshot);
+        const Snapshot& snapshot = *loaded.snapshot;
+        EXPECT_EQ(snapshot.instance, "n-1");
+        EXPECT_EQ(snapshot.taken.wall_ms, 1700000000003);
+        EXPECT_EQ(snapshot.taken.since_boot_ms, 5003);
+        for (std::size_t i = 0; i < snapshot.taken.boot.size(); ++i) EXPECT_EQ(snapshot.taken.boot[i], i + 1);
+        EXPECT_EQ(snapshot.knowledge.room, 43.5);
+        EXPECT_EQ(snapshot.knowledge.learned, 83.25);
+        EXPECT_EQ(snapshot.knowledge.taught_by, 7);
+        EXPECT_EQ(snapshot.knowledge.carried, 0.125);
+        EXPECT_EQ(snapshot.knowledge.retries_left, 6.5);
+        EXPECT_EQ(snapshot.knowledge.crowd.value, 0.75);
+        EXPECT_EQ(snapshot.knowledge.crowd.weight, 3);
+        EXPECT_EQ(snapshot.knowledge.crowd.since, 250);
+        EXPECT_EQ(snapshot.uids, (std::vector<std::string>{"s-0", "s-2", "s-3", "s-4"}));
+        ASSERT_EQ(snapshot.knowledge.servers.size(), 4U);
+        for (std::size_t i = 0; i < 4; ++i) {
+            const hollybeam::ServerKnowledge& server = snapshot.knowledge.servers[i];
+            const auto number = static_cast<unsigned>(snapshot.uids[i][2] - '0');
+            EXPECT_EQ(server.server, i);
+            EXPECT_EQ(server.online_since, 1699999990000.0 + number);
+            EXPECT_EQ(server.outcomes, 0xF0F0U >> number);
+            EXPECT_EQ(server.seen, 16 + number);
+            EXPECT_EQ(server.tokens, 0.5);
+            EXPECT_EQ(server.out_ms, number == 4 ? std::optional<double>(2503) : std::nullopt);
+        }
+        ASSERT_FALSE(store.save(snapshot)) << "and the next generation goes beside it";
+        EXPECT_EQ(store.generation(), 2U);
+    }
+    std::filesystem::remove_all(folder);
+}
+
+}  // namespace
+}  // namespace elmbay::state
