--- a/src/state/files.cpp
+++ b/src/state/files.cpp
@@ -14,6 +14,17 @@
 
 std::error_code last() { return {errno, std::generic_category()}; }
 
+// A signal interrupts a call once; a call that gives EINTR so many times in a row is broken, and says so.
+constexpr int kMaxInterrupts = 1000;
+
+// The call's result, made again while a signal interrupts it.
+template <class Call>
+auto uninterrupted(Call call) {
+    auto result = call();
+    for (int i = 0; i < kMaxInterrupts && result < 0 && errno == EINTR; ++i) result = call();
+    return result;
+}
+
 class PosixFiles : public Files {
 public:
     void make_folder(const std::string& path, std::error_code& error) override {
@@ -31,8 +42,8 @@
         std::string bytes;
         char part[65536];
         while (!error && bytes.size() <= most) {
-            const ssize_t n = ::read(file, part, std::min(sizeof part, most + 1 - bytes.size()));
-            if (n < 0 && errno == EINTR) continue;
+            const std::size_t wanted = std::min(sizeof part, most + 1 - bytes.size());
+            const ssize_t n = uninterrupted([&] { return ::read(file, part, wanted); });
             if (n < 0) error = last();
             if (n <= 0) break;
             bytes.append(part, static_cast<std::size_t>(n));
@@ -44,17 +55,15 @@
         return open(path, O_WRONLY | O_CREAT | O_TRUNC, error);
     }
     std::size_t write(Handle file, std::string_view bytes, std::error_code& error) override {
-        ssize_t n = 0;
-        do n = ::write(file, bytes.data(), bytes.size());
-        while (n < 0 && errno == EINTR);
+        const ssize_t n = uninterrupted([&] { return ::write(file, bytes.data(), bytes.size()); });
         error = n < 0 ? last() : std::error_code();
         return n < 0 ? 0 : static_cast<std::size_t>(n);
     }
     void sync(Handle file, std::error_code& error) override {
-        error = ::fsync(file) == 0 ? std::error_code() : last();
+        error = uninterrupted([&] { return ::fsync(file); }) == 0 ? std::error_code() : last();
     }
     void close(Handle file) override {
-        if (file >= 0) ::close(file);
+        if (file >= 0) ::close(file);  // never made again: the number is free whatever it says
     }
     void rename(const std::string& from, const std::string& to, std::error_code& error) override {
         std::filesystem::rename(from, to, error);
@@ -69,7 +78,7 @@
     }
     Handle lock(const std::string& path, std::error_code& error) override {
         const Handle file = open(path, O_RDWR | O_CREAT, error);
-        if (error || ::flock(file, LOCK_EX | LOCK_NB) == 0) return file;
+        if (error || uninterrupted([&] { return ::flock(file, LOCK_EX | LOCK_NB); }) == 0) return file;
         error = last();
         close(file);
         return -1;
@@ -77,7 +86,8 @@
 
 private:
     static Handle open(const std::string& path, int flags, std::error_code& error) {
-        const Handle file = ::open(path.c_str(), flags | O_CLOEXEC | O_NOFOLLOW, 0600);
+        const Handle file =
+            uninterrupted([&] { return ::open(path.c_str(), flags | O_CLOEXEC | O_NOFOLLOW, 0600); });
         error = file < 0 ? last() : std::error_code();
         return file;
     }
--- a/src/state/keeper.cpp
+++ b/src/state/keeper.cpp
@@ -1,8 +1,13 @@
 #include "state/keeper.hpp"
 
+#include <pthread.h>
+
 #include <condition_variable>
+#include <csignal>
+#include <exception>
 #include <mutex>
 #include <optional>
+#include <system_error>
 #include <thread>
 #include <utility>
 
@@ -30,7 +35,13 @@
 Keeper::~Keeper() { stop(Span(0)); }
 
 Store::Loaded Keeper::start(Span within) {
-    std::thread(run, shared_).detach();
+    try {
+        std::thread(run, shared_).detach();
+    } catch (const std::system_error& error) {  // the machine or a limit has no thread left
+        const std::scoped_lock lock(shared_->mutex);
+        shared_->stopping = shared_->over = true;
+        return {{}, "no thread for the folder, " + error.code().message() + ": nothing is kept"};
+    }
     std::unique_lock lock(shared_->mutex);
     const bool there = shared_->changed.wait_for(lock, within, [&] { return shared_->loaded.has_value(); });
     if (there) return std::move(*shared_->loaded);
@@ -60,25 +71,59 @@
     return s;
 }
 
+namespace {
+
+// Signals are the event loop's. A write beyond RLIMIT_FSIZE sends one to the thread that writes, which would
+// end the process: with it blocked the write fails with EFBIG, an error like any other.
+void block_signals() {
+    sigset_t all;
+    ::sigfillset(&all);
+    ::pthread_sigmask(SIG_BLOCK, &all, nullptr);
+}
+
+std::string text_of(const std::error_code& error) { return error ? error.message() : ""; }
+
+// One save, the folder opened first where that has failed before. Empty: it ended well.
+std::string try_save(Store& store, const Snapshot& snapshot, bool refresh) {
+    try {
+        if (const std::error_code error = store.open()) return text_of(error);
+        return text_of(store.save(snapshot, refresh));
+    } catch (const std::exception& error) {  // of the machine's memory: no reason to end the program
+        return error.what();
+    }
+}
+
+Store::Loaded try_load(Store& store, std::string& failure) {
+    try {
+        const std::error_code opened = store.open();
+        failure = text_of(opened);
+        if (!opened) return store.load();
+        if (opened == std::errc::resource_unavailable_try_again)
+            return {{}, "another process keeps its state in this folder: nothing is kept until it ends"};
+        return {{}, "the folder can't be used: " + failure};
+    } catch (const std::exception& error) {
+        failure = error.what();
+        return {{}, "the folder can't be used: " + failure};
+    }
+}
+
+}  // namespace
+
 void Keeper::run(const std::shared_ptr<Shared>& shared) {
+    block_signals();
     // The thread's alone, and gone before it says that it is over: whoever has stopped us may take the files
     // away, and another process may have the folder.
     std::optional<Store> store(std::in_place, shared->files, shared->folder, shared->instance);
-    Store::Loaded loaded;
-    const std::error_code opened = store->open();
-    if (opened == std::errc::resource_unavailable_try_again)
-        loaded.why = "another process keeps its state in this folder: nothing is kept";
-    else if (opened)
-        loaded.why = "the folder can't be used: " + opened.message();
-    else
-        loaded = store->load();
+    std::string failure;
+    Store::Loaded loaded = try_load(*store, failure);
 
     std::unique_lock lock(shared->mutex);
     shared->loaded = std::move(loaded);
-    shared->status.usable = !opened;
+    shared->status.usable = !shared->stopping;
+    shared->status.last_error = std::move(failure);
     shared->changed.notify_all();
     Steady::time_point refreshed = Steady::now();
-    while (!opened) {
+    while (true) {
         shared->changed.wait(lock, [&] { return shared->next || shared->stopping; });
         if (!shared->next) break;
         const Snapshot snapshot = *std::exchange(shared->next, std::nullopt);
@@ -86,12 +131,12 @@
         shared->since = Steady::now();
         const bool refresh = shared->since - refreshed >= kRefresh || shared->stopping;
         lock.unlock();
-        const std::error_code error = store->save(snapshot, refresh);
+        std::string error = try_save(*store, snapshot, refresh);
         lock.lock();
         shared->busy = false;
-        ++(error ? shared->status.failures : shared->status.saves);
-        if (!error && refresh) refreshed = shared->since;
-        shared->status.last_error = error ? error.message() : "";
+        ++(error.empty() ? shared->status.saves : shared->status.failures);
+        if (error.empty() && refresh) refreshed = shared->since;
+        shared->status.last_error = std::move(error);
         shared->status.bytes = store->bytes_written();
     }
     shared->status.usable = false;
--- a/src/state/keeper.hpp
+++ b/src/state/keeper.hpp
@@ -26,7 +26,8 @@
     Keeper(const Keeper&) = delete;
     Keeper& operator=(const Keeper&) = delete;
 
-    // Opens and loads. An error, or nothing in time, is told in `why`, and nothing is ever kept then.
+    // Opens and loads. An error is told in `why`, and each save tries to open again. Nothing in time is told
+    // there too, and nothing is ever kept then.
     Store::Loaded start(Span within = kLoadWithin);
     void post(Snapshot snapshot);
     // Lets the last one be written and the folder go: true says that no file is touched any more, and another
@@ -34,13 +35,13 @@
     bool stop(Span within);
 
     struct Status {
-        bool usable = false;      // opened, and not stopped
+        bool usable = false;      // begun, and not stopped
         bool hangs = false;       // a save has taken kHungAfter
         std::uint64_t saves = 0;  // that ended well, those that had nothing to write with them
         std::uint64_t failures = 0;
         std::uint64_t replaced = 0;  // by a newer one, before they were begun
         std::uint64_t bytes = 0;     // written
-        std::string last_error{};    // of the last save; empty if it ended well
+        std::string last_error{};    // of the last save, before it of the start; empty if it ended well
     };
     Status status() const;
 
--- a/src/state/store.cpp
+++ b/src/state/store.cpp
@@ -45,6 +45,7 @@
 
 std::error_code Store::open() {
     std::error_code error;
+    if (lock_ >= 0) return error;
     files_.make_folder(folder_, error);
     if (!error) lock_ = files_.lock(path("lock"), error);
     return error;
@@ -89,7 +90,10 @@
             loaded.snapshot = std::move(e.reading.snapshot);
         if (loaded.snapshot && !e.reading.why.empty()) note(e.name, e.reading.why);
     }
-    if (error) note(folder_, error.message());
+    if (error)
+        note(folder_, error.message());
+    else
+        listed_ = true;
     return loaded;
 }
 
@@ -122,11 +126,13 @@
 std::error_code Store::begin_generation(const Snapshot& snapshot) {
     close_generation();
     std::error_code error, ignored;
-    // Newer than any that is or was there, also than those that can't be read.
-    if (newest_ == 0)
+    // Newer than any that is or was there, also than those that can't be read. A list that failed may have
+    // left out the newest.
+    if (!listed_)
         for (const std::string& name : files_.list(folder_, error))
             if (const auto there = generation_in(name)) newest_ = std::max(newest_, *there);
     if (error) return error;
+    listed_ = true;
     const std::uint64_t generation = newest_ + 1;
     const std::string name = name_of(generation), part = path(name + std::string(kPart));
     std::uint64_t next = 0;
@@ -135,18 +141,20 @@
     if (!error) error = write_all(file, bytes);
     if (!error) files_.sync(file, error);
     if (!error) files_.rename(part, path(name), error);
+    const bool renamed = !error;
+    // Until the folder is synced a crash may take the name away. Then nothing may be added to the file: the
+    // next save writes this generation again, over this name, so that none pile up meanwhile.
+    if (renamed) files_.sync_folder(folder_, error);
     if (error) {
         files_.close(file);
-        files_.remove(part, ignored);
+        if (!renamed) files_.remove(part, ignored);
         return error;
     }
     newest_ = generation;
-    // The file is whole whether or not its name lasts: without this the one before is found instead.
-    files_.sync_folder(folder_, error);
     file_ = file, generation_ = generation, next_record_ = next;
     whole_ = bytes.size(), changes_ = 0;
     saved_ = snapshot;
-    if (!error) prune(ignored);
+    prune(ignored);
     return error;
 }
 
--- a/src/state/store.hpp
+++ b/src/state/store.hpp
@@ -32,7 +32,7 @@
     Store& operator=(const Store&) = delete;
 
     // Makes the folder, takes its lock. An error: the store can't be used, and neither load nor save does
-    // anything. Another process has it: errc::resource_unavailable_try_again.
+    // anything; it may be tried again. Another process has it: errc::resource_unavailable_try_again.
     std::error_code open();
 
     struct Loaded {
@@ -71,6 +71,7 @@
     Files::Handle lock_ = -1, file_ = -1;
     std::uint64_t generation_ = 0, newest_ = 0, next_record_ = 0, written_ = 0;
     std::size_t whole_ = 0, changes_ = 0;  // bytes of this generation's first batch, and of the rest
+    bool listed_ = false;                  // newest_ is of the whole folder
     std::optional<Snapshot> saved_;        // what the file adds up to
 };
 
--- /dev/null
+++ b/tests/state/fault_spell_test.cpp
@@ -0,0 +1,210 @@
+// The store and the thread round it through spells of failure: calls that fail for a while and then work
+// again, with every error that a disk gives, and crashes after a call that has failed.
+#include <gtest/gtest.h>
+
+#include <algorithm>
+#include <thread>
+
+#include "faulty_files.hpp"
+#include "samples.hpp"
+#include "state/keeper.hpp"
+#include "state/store.hpp"
+
+namespace elmbay::state {
+namespace {
+
+using test::FaultyFiles;
+using test::round_of;
+using test::sample;
+using Fault = FaultyFiles::Fault;
+using Survives = FaultyFiles::Survives;
+
+constexpr const char* kFolder = "state";
+constexpr Keeper::Span kGenerous{20000};
+
+// What writes to a disk give by write(2), fsync(2), open(2) and rename(2) while it is in trouble.
+constexpr std::errc kReasons[] = {std::errc::io_error,
+                                  std::errc::no_space_on_device,
+                                  std::errc::file_too_large,
+                                  std::errc::read_only_file_system,
+                                  std::errc::too_many_files_open,
+                                  std::errc::too_many_files_open_in_system,
+                                  std::errc::not_enough_memory,
+                                  std::errc::permission_denied,
+                                  std::errc::no_such_file_or_directory};
+
+struct Progress {
+    int kept = 0;   // the last round of which a save said that it is kept
+    int tried = 0;  // the last one at all
+};
+
+// Two lives of one instance, six saves each; a life that can't open the folder tries again before each save.
+Progress two_lives(FaultyFiles& files) {
+    Progress progress;
+    for (int life = 0; life < 2; ++life) {
+        files.locked.clear();
+        Store store(files, kFolder, "n-1");
+        bool open = !store.open();
+        if (open) store.load();
+        for (int round = 0; round < 6; ++round) {
+            ++progress.tried;
+            if (!open) open = !store.open();
+            if (open && !store.save(sample(progress.tried))) progress.kept = progress.tried;
+        }
+    }
+    return progress;
+}
+
+int loaded_round(FaultyFiles& files) {
+    files.locked.clear();
+    Store store(files, kFolder, "n-1");
+    EXPECT_FALSE(store.open());
+    const Store::Loaded loaded = store.load();
+    return loaded.snapshot ? round_of(*loaded.snapshot) : 0;
+}
+
+void expect_kept(FaultyFiles& files, const Progress& progress, const std::string& where) {
+    const int round = loaded_round(files);
+    ASSERT_GE(round, progress.kept) << where;
+    ASSERT_LE(round, progress.tried) << where;
+}
+
+TEST(FaultSpell, WhateverFailsForAWhileTheLastKeptIsReadAndSavesWorkAgain) {
+    for (const std::errc reason : kReasons) {
+        for (const long lasts : {1, 2, 5, 12}) {
+            for (long at = 0;; ++at) {
+                FaultyFiles files;
+                files.at = at, files.lasts = lasts, files.reason = reason, files.reads_too = true;
+                const Progress progress = two_lives(files);
+                if (files.operations <= at) break;
+                const std::string where = std::make_error_code(reason).message() + " at " +
+                                          std::to_string(at) + " for " + std::to_string(lasts);
+                files.at = -1;
+                expect_kept(files, progress, where);
+                ASSERT_GT(progress.kept, 0) << where;
+                const Progress later = two_lives(files);
+                ASSERT_EQ(later.kept, 12) << where;
+                expect_kept(files, later, where);
+                ASSERT_LE(files.paths().size(), 2U + Store::kKept) << where << ": nothing piles up";
+            }
+        }
+    }
+}
+
+TEST(FaultSpell, ACrashAfterACallThatFailedLosesNothingThatWasKept) {
+    for (const Fault fault : {Fault::fails, Fault::full, Fault::shorter}) {
+        for (const Survives survives :
+             {Survives::nothing, Survives::names, Survives::names_and_half, Survives::all, Survives::some}) {
+            for (long at = 0;; ++at) {
+                long last = at;
+                for (long crash_at = at + 1; crash_at <= last + 1; ++crash_at) {
+                    FaultyFiles files;
+                    files.at = at, files.fault = fault, files.crash_at = crash_at;
+                    const Progress progress = two_lives(files);
+                    last = std::min(files.operations, at + 24);
+                    files.crash(survives, static_cast<std::uint64_t>(crash_at));
+                    expect_kept(files, progress,
+                                "fault " + std::to_string(static_cast<int>(fault)) + " at " +
+                                    std::to_string(at) + ", crash at " + std::to_string(crash_at) +
+                                    ", survives " + std::to_string(static_cast<int>(survives)));
+                    if (HasFatalFailure()) return;
+                }
+                if (last == at) break;
+            }
+        }
+    }
+}
+
+// Names that a folder whose sync fails keeps are not certain: what a save writes behind them is not kept
+// either.
+TEST(FaultSpell, AGenerationWhoseNameWasNotSyncedIsNotWrittenOn) {
+    FaultyFiles files;
+    Store store(files, kFolder, "n-1");
+    ASSERT_FALSE(store.open());
+    ASSERT_FALSE(store.save(sample(1)));
+    const long one_generation = files.operations - 1;  // its sync_folder is the last but prune's none
+    FaultyFiles fresh;
+    fresh.at = one_generation;
+    Store other(fresh, kFolder, "n-1");
+    ASSERT_FALSE(other.open());
+    ASSERT_EQ(other.save(sample(1)), std::errc::io_error) << "the folder's sync";
+    ASSERT_FALSE(other.save(sample(1))) << "nothing new, but nothing kept so far";
+    fresh.crash(Survives::nothing);
+    EXPECT_EQ(loaded_round(fresh), 1);
+}
+
+// A list that fails half way must not make a life begin below what is there.
+TEST(FaultSpell, AListCutShortDoesNotHideNewerGenerations) {
+    FaultyFiles files;
+    std::uint64_t next = 0;
+    files.put("state/elmbay-0000000000000005.state",
+              header_of(sample(5), 5) + batch_of(nullptr, sample(5), 5, next));
+    next = 0;
+    files.put("state/elmbay-0000000000000006.state",
+              header_of(sample(6), 6) + batch_of(nullptr, sample(6), 6, next));
+    files.reads_too = true;
+    files.at = 2;  // after the folder and the lock: the list of load()
+    Store store(files, kFolder, "n-1");
+    ASSERT_FALSE(store.open());
+    store.load();
+    ASSERT_FALSE(store.save(sample(7)));
+    EXPECT_EQ(store.generation(), 7U);
+    EXPECT_EQ(loaded_round(files), 7);
+}
+
+// A start on a disk that is in trouble keeps as soon as the disk lets it.
+TEST(FaultSpell, AFolderThatCannotBeOpenedAtTheStartIsTriedAgain) {
+    for (const long at : {0L, 1L}) {  // the folder, the lock
+        FaultyFiles files;
+        files.reads_too = true;
+        files.at = at, files.lasts = 1, files.reason = std::errc::no_space_on_device;
+        Keeper keeper(files, kFolder, "n-1");
+        const auto loaded = keeper.start(kGenerous);
+        EXPECT_FALSE(loaded.snapshot);
+        EXPECT_NE(loaded.why.find("can't be used"), std::string::npos) << loaded.why;
+        EXPECT_FALSE(keeper.status().last_error.empty()) << "the spell has begun";
+        keeper.post(sample(3));
+        EXPECT_TRUE(keeper.stop(kGenerous));
+        EXPECT_EQ(keeper.status().saves, 1U);
+        EXPECT_TRUE(keeper.status().last_error.empty()) << "and is over";
+        EXPECT_EQ(loaded_round(files), 3);
+    }
+}
+
+// The process before this one may still be ending when this one starts.
+TEST(FaultSpell, AFolderThatAnotherProcessLetsGoIsTakenOver) {
+    FaultyFiles files;
+    Keeper first(files, kFolder, "n-1"), second(files, kFolder, "n-1");
+    first.start(kGenerous);
+    EXPECT_NE(second.start(kGenerous).why.find("another process"), std::string::npos);
+    first.post(sample(1));
+    EXPECT_TRUE(first.stop(kGenerous));
+    files.locked.clear();
+    second.post(sample(2));
+    EXPECT_TRUE(second.stop(kGenerous));
+    EXPECT_EQ(second.status().saves, 1U);
+    EXPECT_EQ(loaded_round(files), 2);
+}
+
+// An allocation that fails in the writer's thread is a save that failed, not the end of the process.
+TEST(FaultSpell, AnExceptionInASaveIsAFailureLikeAnyOther) {
+    class ThrowingFiles : public FaultyFiles {
+    public:
+        bool throws = true;
+        Handle create(const std::string& path, std::error_code& error) override {
+            if (std::exchange(throws, false)) throw std::bad_alloc();
+            return FaultyFiles::create(path, error);
+        }
+    } files;
+    Keeper keeper(files, kFolder, "n-1");
+    keeper.start(kGenerous);
+    keeper.post(sample(1));
+    while (keeper.status().failures == 0) std::this_thread::yield();
+    keeper.post(sample(2));
+    EXPECT_TRUE(keeper.stop(kGenerous));
+    EXPECT_EQ(keeper.status().saves, 1U);
+    EXPECT_EQ(loaded_round(files), 2);
+}
+
+}  // namespace
+}  // namespace elmbay::state
--- /dev/null
+++ b/tests/state/system_calls_test.cpp
@@ -0,0 +1,154 @@
+// The store on the machine's own files, each system call failing in turn: what it says is kept is kept, a
+// call that a signal has interrupted is made again, and it keeps again once the calls work.
+#include "system_calls.hpp"
+
+#include <gtest/gtest.h>
+#include <sys/resource.h>
+#include <sys/wait.h>
+#include <unistd.h>
+
+#include <cerrno>
+#include <csignal>
+#include <cstring>
+#include <filesystem>
+
+#include "samples.hpp"
+#include "state/keeper.hpp"
+#include "state/store.hpp"
+
+namespace elmbay::state {
+namespace {
+
+using test::calls_gone_wrong;
+using test::no_plan;
+using test::plan_calls;
+using test::round_of;
+using test::sample;
+
+constexpr int kRounds = 8;
+
+class SystemCalls : public ::testing::Test {
+protected:
+    void SetUp() override { ASSERT_NE(::mkdtemp(folder.data()), nullptr); }
+    void TearDown() override {
+        no_plan();
+        std::filesystem::remove_all(folder);
+    }
+    // kRounds saves from `first` on, the folder opened again where that failed. How many were kept; `last`:
+    // the last.
+    int saves(int first, int& last) const {
+        int kept = 0;
+        Store store(posix_files(), folder + "/state", "n-1");
+        bool open = !store.open();
+        if (open) store.load();
+        for (int round = first; round < first + kRounds; ++round) {
+            if (!open) open = !store.open();
+            if (!open || store.save(sample(round))) continue;
+            ++kept;
+            last = round;
+        }
+        return kept;
+    }
+    int loaded_round() const {
+        Store store(posix_files(), folder + "/state", "n-1");
+        EXPECT_FALSE(store.open());
+        const Store::Loaded loaded = store.load();
+        return loaded.snapshot ? round_of(*loaded.snapshot) : 0;
+    }
+
+    std::string folder = (std::filesystem::temp_directory_path() / "elmbay-calls-XXXXXX").string();
+};
+
+TEST_F(SystemCalls, OneThatASignalInterruptsIsMadeAgain) {
+    int first = 1, last = 0;
+    for (const char* call : {"open", "read", "write", "fsync", "flock"}) {
+        for (long after = 0; after < 12; ++after) {
+            plan_calls({.call = call, .error = EINTR, .after = after, .times = 3});
+            EXPECT_EQ(saves(first, last), kRounds) << call << " after " << after;
+            if (calls_gone_wrong() == 0) break;
+            first += kRounds;
+        }
+        no_plan();
+        EXPECT_EQ(loaded_round(), last) << call;
+    }
+}
+
+TEST_F(SystemCalls, ShortReadsAndWritesAreGoneOnWith) {
+    int first = 1, last = 0;
+    for (const char* call : {"read", "write"}) {
+        plan_calls({.call = call, .error = 0, .after = 0, .times = 1000000});
+        EXPECT_EQ(saves(first, last), kRounds) << call;
+        EXPECT_EQ(loaded_round(), last) << call;
+        EXPECT_GT(calls_gone_wrong(), 1000) << call;
+        first += kRounds;
+    }
+}
+
+TEST_F(SystemCalls, WhateverFailsForAWhileTheLastKeptIsReadAndSavesWorkAgain) {
+    constexpr int kErrors[] = {EIO,    ENOSPC, EDQUOT, EROFS,  EFBIG, ENOMEM,
+                               EMFILE, ENFILE, EACCES, ENOLCK, ESTALE};
+    int first = 1, last = 0;
+    for (const char* call :
+         {"open", "read", "write", "fsync", "flock", "rename", "remove", "mkdir", "readdir"}) {
+        for (const int error : kErrors) {
+            for (const long after : {0, 1, 2, 3, 5, 8}) {
+                const std::string where =
+                    std::string(call) + ": " + std::strerror(error) + " after " + std::to_string(after);
+                plan_calls({.call = call, .error = error, .after = after, .times = 3});
+                const int kept = saves(first, last);
+                no_plan();
+                ASSERT_GE(kept, kRounds - 4) << where;
+                const int round = loaded_round();
+                ASSERT_GE(round, last) << where;
+                ASSERT_LT(round, first + kRounds) << where;
+                first += kRounds;
+            }
+        }
+        ASSERT_EQ(saves(first, last), kRounds) << "after " << call;
+        ASSERT_EQ(loaded_round(), last) << "after " << call;
+        first += kRounds;
+    }
+    std::error_code error;
+    EXPECT_LE(posix_files().list(folder + "/state", error).size(), 1U + Store::kKept) << "nothing piles up";
+}
+
+TEST_F(SystemCalls, WithoutAThreadTheSidecarGoesWithout) {
+    plan_calls({.call = "pthread_create", .error = EAGAIN});
+    Keeper keeper(posix_files(), folder + "/state", "n-1");
+    const auto loaded = keeper.start();
+    EXPECT_EQ(calls_gone_wrong(), 1);
+    EXPECT_FALSE(loaded.snapshot);
+    EXPECT_NE(loaded.why.find("nothing is kept"), std::string::npos) << loaded.why;
+    keeper.post(sample(1));
+    EXPECT_TRUE(keeper.stop(Keeper::Span(0)));
+    EXPECT_FALSE(std::filesystem::exists(folder + "/state"));
+}
+
+// A file that would grow beyond RLIMIT_FSIZE: EFBIG, with a signal whose default is the process's end.
+TEST_F(SystemCalls, ALimitOnTheSizeOfFilesIsAFailureLikeAnyOther) {
+    const pid_t child = ::fork();
+    ASSERT_GE(child, 0);
+    if (child == 0) {
+        Keeper keeper(posix_files(), folder + "/state", "n-1");
+        keeper.start();
+        rlimit limit{};
+        if (::getrlimit(RLIMIT_FSIZE, &limit) != 0) ::_exit(2);
+        const rlim_t soft = limit.rlim_cur;
+        limit.rlim_cur = 100;
+        if (::setrlimit(RLIMIT_FSIZE, &limit) != 0) ::_exit(2);
+        keeper.post(sample(1));
+        while (keeper.status().failures == 0) ::usleep(1000);
+        limit.rlim_cur = soft;
+        if (::setrlimit(RLIMIT_FSIZE, &limit) != 0) ::_exit(2);
+        keeper.post(sample(2));
+        ::_exit(keeper.stop(Keeper::Span(20000)) && keeper.status().saves == 1 ? 0 : 3);
+    }
+    int status = 0;
+    ASSERT_EQ(::waitpid(child, &status, 0), child);
+    ASSERT_TRUE(WIFEXITED(status)) << "ended by signal " << WTERMSIG(status);
+    EXPECT_EQ(WEXITSTATUS(status), 0);
+    EXPECT_EQ(loaded_round(), 2);
+}
+
+}  // namespace
+}  // namespace elmbay::state
