--- a/src/main.cpp
+++ b/src/main.cpp
@@ -17,6 +17,7 @@
 #include "operator/operator_file.hpp"
 #include "sidecar/sidecar.hpp"
 #include "state/command.hpp"
+#include "state/failure_spell.hpp"
 #include "state/keeper.hpp"
 #include "state/moment.hpp"
 #include "status/members_command.hpp"
@@ -57,7 +58,8 @@
 
     std::optional<elmbay::Sidecar::Remembered> load() {
         auto loaded = keeper_.start();
-        if (!loaded.why.empty()) std::cerr << "elmbay: state: " << loaded.why << std::endl;
+        failures_.begun(keeper_.status());
+        if (!loaded.why.empty()) say(loaded.why);
         if (!loaded.snapshot) return {};
         const double age = elmbay::state::age_of(loaded.snapshot->taken, elmbay::state::moment_now());
         return elmbay::Sidecar::Remembered{std::move(*loaded.snapshot), age};
@@ -66,15 +68,16 @@
         timer_.expires_after(every_);
         timer_.async_wait([this, &sidecar](boost::system::error_code error) {
             if (error) return;
+            tell();  // of the save before, while the next one has not begun
             post(sidecar);
-            tell();
             keep(sidecar);
         });
     }
     void last(const elmbay::Sidecar& sidecar) {
+        tell();
         post(sidecar);
-        if (!keeper_.stop(kLastWrite))
-            std::cerr << "elmbay: state: the last write was not waited for" << std::endl;
+        if (!keeper_.stop(kLastWrite)) say("the last write was not waited for");
+        tell();
     }
 
 private:
@@ -83,20 +86,18 @@
         snapshot.taken = elmbay::state::moment_now();
         keeper_.post(std::move(snapshot));
     }
-    // Once when writing begins to fail or hang, and once when it works again.
     void tell() {
-        const auto status = keeper_.status();
-        const std::string trouble = status.hangs ? "the disk hangs" : status.last_error;
-        if (trouble != trouble_)
-            std::cerr << "elmbay: state: "
-                      << (trouble.empty() ? "written again" : "can't be written: " + trouble) << std::endl;
-        trouble_ = trouble;
+        if (const auto line = failures_.observe(keeper_.status())) say(*line);
+    }
+    static void say(const std::string& line) {
+        std::cerr.clear();  // a log on a disk that was full would say nothing ever again
+        std::cerr << "elmbay: state: " << line << std::endl;
     }
 
     elmbay::state::Keeper keeper_;
     std::chrono::milliseconds every_;
     boost::asio::steady_timer timer_;
-    std::string trouble_;
+    elmbay::state::FailureSpell failures_;
 };
 
 // Tells every problem of the operator's file; whether it can be used.
@@ -122,6 +123,9 @@
     }
     // A log whose reader has gone must not end the process; writes to sockets never raise the signal.
     std::signal(SIGPIPE, SIG_IGN);
+    // Its default ends the process when the log, or any file, would grow beyond RLIMIT_FSIZE: EFBIG is
+    // enough.
+    std::signal(SIGXFSZ, SIG_IGN);
     try {
         boost::asio::io_context io(1);
         // Before all else: without a handler SIGHUP ends the process. One that comes too early for us waits
--- /dev/null
+++ b/tests/fleet/state_test.cpp
@@ -0,0 +1,118 @@
+// The program while the folder of its state fails: files that may not grow (RLIMIT_FSIZE, which cuts a write
+// short and then fails with EFBIG and a signal) stand for a disk that is full for a while.
+#include <sys/resource.h>
+
+#include <algorithm>
+#include <fstream>
+
+#include "scenarios.hpp"
+#include "state/store.hpp"
+
+namespace elmbay::fleet {
+namespace {
+
+using Answer = Ledger::Answer;
+
+constexpr std::size_t kServers = 8;  // so that a snapshot is larger than the log
+
+class StateFolder : public ::testing::Test {
+protected:
+    void SetUp() override {
+        ASSERT_NE(::mkdtemp(folder.data()), nullptr);
+        fleet.start();
+        fleet.kill(0);
+        life();
+        serve_some();
+        ASSERT_TRUE(fleet.until([&] { return newest() > 0; })) << log();
+    }
+    void TearDown() override { std::filesystem::remove_all(folder); }
+
+    void life() {
+        fleet.restart(0, "", "[state]\nfolder = \"" + folder + "\"\nevery = \"100ms\"\n");
+        ASSERT_TRUE(fleet.until([&] { return fleet.ready(0); })) << log();
+    }
+    // Thirty requests, all served.
+    void serve_some() {
+        std::vector<std::string> ids;
+        for (int i = 0; i < 10; ++i)
+            for (const char* grade : {"listen", "deposit", "annotate"}) ids.push_back(fleet.ask(0, grade));
+        ASSERT_TRUE(fleet.settle()) << fleet.story() << log();
+        for (const std::string& id : ids) ASSERT_EQ(fleet.answer(id), Answer::served) << fleet.story(id);
+    }
+    // The files of the running program end at so many bytes; none: as they like.
+    void limit_files(std::optional<rlim_t> bytes) {
+        rlimit limit{};
+        const pid_t pid = fleet.process(0).pid();
+        ASSERT_EQ(::prlimit(pid, RLIMIT_FSIZE, nullptr, &limit), 0);
+        limit.rlim_cur = bytes ? *bytes : limit.rlim_max;
+        ASSERT_EQ(::prlimit(pid, RLIMIT_FSIZE, &limit, nullptr), 0);
+    }
+    std::string log() {
+        std::ifstream file(fleet.process(0).log());
+        return {std::istreambuf_iterator<char>(file), {}};
+    }
+    std::size_t told(const std::string& what) {
+        const std::string text = log();
+        std::size_t count = 0;
+        for (std::size_t at = 0; (at = text.find(what, at)) != std::string::npos; ++at) ++count;
+        return count;
+    }
+    // When the newest whole state was taken; 0: there is none.
+    std::int64_t newest() const {
+        std::error_code error;
+        std::int64_t taken = 0;
+        for (const auto& entry : state::Store::examine(state::posix_files(), folder, error))
+            if (entry.reading.snapshot) taken = std::max(taken, entry.reading.snapshot->taken.wall_ms);
+        return taken;
+    }
+
+    std::string folder = (std::filesystem::temp_directory_path() / "elmbay-folder-XXXXXX").string();
+    Fleet fleet{few(1, kServers)};
+};
+
+TEST_F(StateFolder, ThatFailsForAWhileIsToldOnceRequestsAreServedAndItIsKeptAgain) {
+    limit_files(std::filesystem::file_size(fleet.process(0).log()) + 200);
+    for (int i = 0; i < 3; ++i) serve_some();
+    ASSERT_TRUE(fleet.until([&] { return told("can't be written") > 0; })) << log();
+    const std::int64_t kept = newest();
+    serve_some();
+    ASSERT_TRUE(fleet.quiet_for(1000)) << "ten more writes that fail";
+    EXPECT_EQ(told("can't be written"), 1U) << log();
+    EXPECT_EQ(newest(), kept) << "no part of a write counts";
+
+    limit_files({});
+    ASSERT_TRUE(fleet.until([&] { return told("written again") > 0; })) << log();
+    EXPECT_GT(newest(), kept);
+    serve_some();
+    EXPECT_EQ(told("can't be written"), 1U) << log();
+    EXPECT_EQ(told("written again"), 1U) << log();
+    ASSERT_TRUE(fleet.settle()) << fleet.story();
+}
+
+// The log may be on the same disk: a line that could not be written is lost, not the program and not later
+// lines.
+TEST_F(StateFolder, AndTheLogWithItEndsNothing) {
+    limit_files(0);
+    for (int i = 0; i < 3; ++i) serve_some();
+    ASSERT_TRUE(fleet.quiet_for(500)) << "five writes that fail";
+    EXPECT_TRUE(fleet.running(0));
+    limit_files({});
+    ASSERT_TRUE(fleet.until([&] { return told("written again") > 0; })) << log();
+    ASSERT_TRUE(fleet.settle()) << fleet.story();
+}
+
+TEST_F(StateFolder, AKillWhileItFailsLeavesTheLastWholeState) {
+    limit_files(std::filesystem::file_size(fleet.process(0).log()) + 200);
+    for (int i = 0; i < 3; ++i) serve_some();
+    ASSERT_TRUE(fleet.until([&] { return told("can't be written") > 0; })) << log();
+    const std::int64_t kept = newest();
+    fleet.kill(0);
+    EXPECT_EQ(newest(), kept);
+    life();
+    serve_some();
+    ASSERT_TRUE(fleet.until([&] { return newest() > kept; })) << log();
+    ASSERT_TRUE(fleet.settle()) << fleet.story();
+}
+
+}  // namespace
+}  // namespace elmbay::fleet
