--- a/bench/state_cost.cpp
+++ b/bench/state_cost.cpp
@@ -9,9 +9,9 @@
 #include <thread>
 
 #include "net_rig.hpp"
-#include "state/faulty_files.hpp"
-#include "state/keeper.hpp"
+#include "state/faulty_file_system.hpp"
 #include "state/moment.hpp"
+#include "state/snapshot_writer.hpp"
 
 namespace {
 
@@ -36,8 +36,8 @@
     Millis now = 1e9;
     balancer.handle(now, list, actions);
     std::mt19937_64 random(1);
-    state::test::FaultyFiles files;
-    state::Store store(files, "state", "n-1");
+    state::test::FaultyFileSystem files;
+    state::SnapshotStore store(files, "state", "n-1");
     store.open();
     std::vector<double> took;
     std::uint64_t generations = 0;
@@ -73,15 +73,15 @@
         static_cast<unsigned long long>(generations));
 }
 
-class SlowFiles : public state::test::FaultyFiles {
+class SlowFileSystem : public state::test::FaultyFileSystem {
 public:
     std::size_t write(Handle file, std::string_view bytes, std::error_code& error) override {
         slow();
-        return FaultyFiles::write(file, bytes, error);
+        return FaultyFileSystem::write(file, bytes, error);
     }
     void sync(Handle file, std::error_code& error) override {
         slow();
-        FaultyFiles::sync(file, error);
+        FaultyFileSystem::sync(file, error);
     }
 
 private:
@@ -92,9 +92,9 @@
 void beside_a_slow_disk() {
     test::NetRig rig;
     rig.start();
-    SlowFiles files;
-    state::Keeper keeper(files, "state", "n-1");
-    keeper.start();
+    SlowFileSystem files;
+    state::SnapshotWriter writer(files, "state", "n-1");
+    writer.start();
     const auto client = rig.client();
     test::FakeServer& server = rig.servers.front();
     std::size_t asked = 0;
@@ -121,20 +121,20 @@
             if (block % 2 && i % 25 == 0) {
                 auto snapshot = rig.sidecar->snapshot();
                 snapshot.taken = state::moment_now();
-                keeper.post(std::move(snapshot));
+                writer.post(std::move(snapshot));
             }
             into.push_back(ask());
         }
         for (const auto& peer : server.peers) peer->got.clear(), peer->answered = 0;
     }
-    const auto status = keeper.status();
+    const auto status = writer.status();
     std::printf("requests beside a writer on a slow disk (%llu saves, %llu replaced) against without:\n",
                 static_cast<unsigned long long>(status.saves),
                 static_cast<unsigned long long>(status.replaced));
     for (const double q : {0.5, 0.9, 0.99})
         std::printf("  p%-3.0f %.0f us against %.0f us: ratio %.2f\n", q * 100, share(with, q),
                     share(without, q), share(with, q) / share(without, q));
-    keeper.stop(std::chrono::seconds(5));
+    writer.stop(std::chrono::seconds(5));
 }
 
 }  // namespace
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -17,9 +17,9 @@
 #include "operator/operator_file.hpp"
 #include "sidecar/sidecar.hpp"
 #include "state/command.hpp"
-#include "state/failure_spell.hpp"
-#include "state/keeper.hpp"
 #include "state/moment.hpp"
+#include "state/snapshot_writer.hpp"
+#include "state/write_failure_log.hpp"
 #include "status/members_command.hpp"
 #include "status/status_socket.hpp"
 
@@ -52,13 +52,13 @@
     static constexpr std::chrono::milliseconds kLastWrite{500};
 
     Memory(boost::asio::io_context& io, const elmbay::StateSettings& settings, const std::string& instance)
-        : keeper_(elmbay::state::posix_files(), settings.folder, instance),
+        : writer_(elmbay::state::posix_file_system(), settings.folder, instance),
           every_(static_cast<std::int64_t>(settings.every)),
           timer_(io) {}
 
     std::optional<elmbay::Sidecar::Remembered> load() {
-        auto loaded = keeper_.start();
-        failures_.begun(keeper_.status());
+        auto loaded = writer_.start();
+        failures_.begun(writer_.status());
         if (!loaded.why.empty()) say(loaded.why);
         if (!loaded.snapshot) return {};
         const double age = elmbay::state::age_of(loaded.snapshot->taken, elmbay::state::moment_now());
@@ -76,7 +76,7 @@
     void last(const elmbay::Sidecar& sidecar) {
         tell();
         post(sidecar);
-        if (!keeper_.stop(kLastWrite)) say("the last write was not waited for");
+        if (!writer_.stop(kLastWrite)) say("the last write was not waited for");
         tell();
     }
 
@@ -84,20 +84,20 @@
     void post(const elmbay::Sidecar& sidecar) {
         auto snapshot = sidecar.snapshot();
         snapshot.taken = elmbay::state::moment_now();
-        keeper_.post(std::move(snapshot));
+        writer_.post(std::move(snapshot));
     }
     void tell() {
-        if (const auto line = failures_.observe(keeper_.status())) say(*line);
+        if (const auto line = failures_.observe(writer_.status())) say(*line);
     }
     static void say(const std::string& line) {
         std::cerr.clear();  // a log on a disk that was full would say nothing ever again
         std::cerr << "elmbay: state: " << line << std::endl;
     }
 
-    elmbay::state::Keeper keeper_;
+    elmbay::state::SnapshotWriter writer_;
     std::chrono::milliseconds every_;
     boost::asio::steady_timer timer_;
-    elmbay::state::FailureSpell failures_;
+    elmbay::state::WriteFailureLog failures_;
 };
 
 // Tells every problem of the operator's file; whether it can be used.
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -176,7 +176,7 @@
     state::Snapshot snapshot{config_.name, {}, engine_.knowledge(clock_.now()), {}};
     std::unordered_map<ServerId, const std::string*> names;
     for (const auto& [uid, known] : servers_)
-        if (uid.size() <= state::kMostName) names[known.id] = &uid;
+        if (uid.size() <= state::kMaxNameBytes) names[known.id] = &uid;
     std::vector<ServerKnowledge> named;
     for (ServerKnowledge& s : snapshot.knowledge.servers) {
         const auto name = names.find(s.server);
--- a/src/state/command.cpp
+++ b/src/state/command.cpp
@@ -7,7 +7,7 @@
 #include <ctime>
 #include <nlohmann/json.hpp>
 
-#include "state/store.hpp"
+#include "state/snapshot_store.hpp"
 
 namespace elmbay::state {
 
@@ -23,16 +23,16 @@
     return fmt::format("{:%Y-%m-%d %H:%M:%S} UTC", fmt::gmtime(static_cast<std::time_t>(seconds)));
 }
 
-using Entries = std::vector<Store::Entry>;
+using Entries = std::vector<SnapshotStore::GenerationFile>;
 
-Entries examine(const std::string& folder) {
+Entries list_generations(const std::string& folder) {
     std::error_code error;
-    Entries entries = Store::examine(posix_files(), folder, error);
+    Entries entries = SnapshotStore::list_generations(posix_file_system(), folder, error);
     if (error) throw std::runtime_error(folder + ": " + error.message());
     return entries;
 }
 
-std::string verdict(const Store::Entry& e) {
+std::string verdict(const SnapshotStore::GenerationFile& e) {
     if (e.error) return e.error.message();
     if (e.reading.trouble == Trouble::newer) return "newer: " + e.reading.why;
     if (e.reading.trouble == Trouble::broken) return "broken: " + e.reading.why;
@@ -40,9 +40,9 @@
 }
 
 int verify(const std::string& folder) {
-    const Entries entries = examine(folder);
+    const Entries entries = list_generations(folder);
     bool whole = false;
-    for (const Store::Entry& e : entries) {
+    for (const SnapshotStore::GenerationFile& e : entries) {
         whole = whole || e.reading.snapshot.has_value();
         fmt::print("{}  {} bytes  {}", e.name, e.size, verdict(e));
         if (e.reading.snapshot)
@@ -55,7 +55,7 @@
     return whole ? kOk : kFailed;
 }
 
-nlohmann::ordered_json json_of(const Store::Entry& e) {
+nlohmann::ordered_json json_of(const SnapshotStore::GenerationFile& e) {
     const Snapshot& s = *e.reading.snapshot;
     nlohmann::ordered_json j{{"file", e.name},
                              {"generation", e.reading.generation},
@@ -80,7 +80,7 @@
 }
 
 int show(const std::string& folder, bool as_json) {
-    for (const Store::Entry& e : examine(folder)) {
+    for (const SnapshotStore::GenerationFile& e : list_generations(folder)) {
         if (!e.reading.snapshot) continue;
         const nlohmann::ordered_json j = json_of(e);
         if (as_json) {
@@ -109,8 +109,8 @@
 }
 
 int prune(const std::string& folder) {
-    examine(folder);  // says so if there is no such folder, instead of making one
-    Store store(posix_files(), folder, "");
+    list_generations(folder);  // says so if there is no such folder, instead of making one
+    SnapshotStore store(posix_file_system(), folder, "");
     if (const std::error_code error = store.open()) {
         fmt::print(
             stderr, "elmbay: {}: {}\n", folder,
--- a/src/state/files.cpp
+++ b/src/state/file_system.cpp
@@ -1,4 +1,4 @@
-#include "state/files.hpp"
+#include "state/file_system.hpp"
 
 #include <fcntl.h>
 #include <sys/file.h>
@@ -25,9 +25,9 @@
     return result;
 }
 
-class PosixFiles : public Files {
+class PosixFileSystem : public FileSystem {
 public:
-    void make_folder(const std::string& path, std::error_code& error) override {
+    void create_directories(const std::string& path, std::error_code& error) override {
         std::filesystem::create_directories(path, error);
     }
     std::vector<std::string> list(const std::string& folder, std::error_code& error) override {
@@ -68,7 +68,7 @@
     void rename(const std::string& from, const std::string& to, std::error_code& error) override {
         std::filesystem::rename(from, to, error);
     }
-    void sync_folder(const std::string& path, std::error_code& error) override {
+    void sync_directory(const std::string& path, std::error_code& error) override {
         const Handle folder = open(path, O_RDONLY | O_DIRECTORY, error);
         if (!error) sync(folder, error);
         close(folder);
@@ -95,8 +95,8 @@
 
 }  // namespace
 
-Files& posix_files() {
-    static PosixFiles files;
+FileSystem& posix_file_system() {
+    static PosixFileSystem files;
     return files;
 }
 
--- a/src/state/snapshot.cpp
+++ b/src/state/snapshot.cpp
@@ -19,7 +19,7 @@
 
 constexpr std::string_view kMagic = "ELMBAYST";
 constexpr std::size_t kFixedHeader = 60, kChecksum = 8, kRecordHead = 16;
-constexpr std::size_t kMostRecords = 1000000;  // a file of the most bytes can't hold more
+constexpr std::size_t kMaxRecords = 1000000;  // a file of the most bytes can't hold more
 
 enum class Kind : std::uint8_t { server = 1, server_gone = 2, means = 3, batch_end = 4 };
 
@@ -86,8 +86,8 @@
             {"boot", json::binary({m.boot.begin(), m.boot.end()})}};
 }
 
-// ---- Reading. A record that passed its checksum was written by some elmbay: what is missing or of another
-// kind in it keeps its default, so that a field may be added or dropped without a new version.
+// ---- DecodeResult. A record that passed its checksum was written by some elmbay: what is missing or of
+// another kind in it keeps its default, so that a field may be added or dropped without a new version.
 
 double number(const json& body, const char* name, double otherwise) {
     const auto at = body.find(name);
@@ -114,7 +114,7 @@
     const auto at = body.find("uid");
     if (at == body.end() || !at->is_string()) return {};
     const auto& uid = at->get_ref<const std::string&>();
-    return uid.size() <= kMostName ? uid : std::string();
+    return uid.size() <= kMaxNameBytes ? uid : std::string();
 }
 Moment read_moment(const json& body) {
     Moment m{moment(body, "wall_ms"), moment(body, "since_boot_ms"), {}};
@@ -133,8 +133,7 @@
     void apply(Kind kind, const json& body) {
         const std::string uid = uid_of(body);
         if (kind == Kind::server_gone) servers.erase(uid);
-        if (kind == Kind::server && !uid.empty() &&
-            (servers.size() < kMostServers || servers.contains(uid))) {
+        if (kind == Kind::server && !uid.empty() && (servers.size() < kMaxServers || servers.contains(uid))) {
             hollybeam::ServerKnowledge s;
             s.online_since = number(body, "online_since", -1);
             s.outcomes = count(body, "outcomes"), s.seen = count(body, "seen");
@@ -162,17 +161,18 @@
     }
 };
 
-Reading broken(Reading r, std::string why) {
+DecodeResult broken(DecodeResult r, std::string why) {
     r.trouble = Trouble::broken;
     r.why = std::move(why);
     return r;
 }
 
 // Version 1. A later version gets a reader of its own beside it; this one stays.
-Reading read_version_1(std::string_view bytes, Reading r) {
+DecodeResult read_version_1(std::string_view bytes, DecodeResult r) {
     const auto name = get<std::uint32_t>(bytes, 56);
     const auto header = get<std::uint32_t>(bytes, 12);
-    if (name == 0 || name > kMostName || header != kFixedHeader + name + kChecksum || header > bytes.size())
+    if (name == 0 || name > kMaxNameBytes || header != kFixedHeader + name + kChecksum ||
+        header > bytes.size())
         return broken(std::move(r), "its header is not whole");
     const std::size_t sealed = kFixedHeader + name;
     r.generation = get<std::uint64_t>(bytes, 16);
@@ -185,13 +185,13 @@
     std::size_t at = header;
     r.used = at;
     std::string why;
-    while (at < bytes.size() && r.records + batch.size() < kMostRecords) {
+    while (at < bytes.size() && r.records + batch.size() < kMaxRecords) {
         if (bytes.size() - at < kRecordHead) {
             why = "a record's head is cut off";
             break;
         }
         const auto length = get<std::uint32_t>(bytes, at);
-        if (length > kMostBody || length > bytes.size() - at - kRecordHead) {
+        if (length > kMaxRecordBytes || length > bytes.size() - at - kRecordHead) {
             why = "a record is cut off";
             break;
         }
@@ -242,9 +242,9 @@
     return age >= 0 ? age : -1;
 }
 
-std::string header_of(const Snapshot& snapshot, std::uint64_t generation) {
+std::string encode_header(const Snapshot& snapshot, std::uint64_t generation) {
     std::string out(kMagic);
-    const std::string name = snapshot.instance.substr(0, kMostName);
+    const std::string name = snapshot.instance.substr(0, kMaxNameBytes);
     put<std::uint32_t>(out, kVersion);
     put<std::uint32_t>(out, static_cast<std::uint32_t>(kFixedHeader + name.size() + kChecksum));
     put<std::uint64_t>(out, generation);
@@ -257,8 +257,8 @@
     return out;
 }
 
-std::string batch_of(const Snapshot* before, const Snapshot& after, std::uint64_t generation,
-                     std::uint64_t& next) {
+std::string encode_batch(const Snapshot* before, const Snapshot& after, std::uint64_t generation,
+                         std::uint64_t& next) {
     std::string out;
     std::map<std::string_view, const hollybeam::ServerKnowledge*> had;
     if (before)
@@ -280,9 +280,9 @@
     return out;
 }
 
-Reading read_file(std::string_view bytes) {
-    Reading r;
-    if (bytes.size() > kMostFile) return broken(std::move(r), "it is larger than a state can be");
+DecodeResult decode_snapshot_file(std::string_view bytes) {
+    DecodeResult r;
+    if (bytes.size() > kMaxFileBytes) return broken(std::move(r), "it is larger than a state can be");
     if (bytes.size() < kFixedHeader || bytes.substr(0, kMagic.size()) != kMagic)
         return broken(std::move(r), "it is no state of an elmbay");
     r.version = get<std::uint32_t>(bytes, 8);
--- a/src/state/snapshot.hpp
+++ b/src/state/snapshot.hpp
@@ -36,25 +36,26 @@
 };
 
 constexpr std::uint32_t kVersion = 1;
-constexpr std::size_t kMostName = 255;
-constexpr std::size_t kMostServers = 4096;   // twice what a sidecar lists
-constexpr std::size_t kMostFile = 8U << 20;  // far above what so many servers take: 4096 of 400 bytes, thrice
+constexpr std::size_t kMaxNameBytes = 255;
+constexpr std::size_t kMaxServers = 4096;  // twice what a sidecar lists
+constexpr std::size_t kMaxFileBytes =
+    8U << 20;  // far above what so many servers take: 4096 of 400 bytes, thrice
 // Of a record; also what bounds how deep a hostile one can be nested.
-constexpr std::size_t kMostBody = 4U << 10;
+constexpr std::size_t kMaxRecordBytes = 4U << 10;
 
 // The parts of a file, to be written one after another.
-std::string header_of(const Snapshot& snapshot, std::uint64_t generation);
+std::string encode_header(const Snapshot& snapshot, std::uint64_t generation);
 // A batch that makes `before` into `after`; none: the whole of it. Records are numbered through the file from
 // 0; `next` is the first free number and is moved on.
-std::string batch_of(const Snapshot* before, const Snapshot& after, std::uint64_t generation,
-                     std::uint64_t& next);
+std::string encode_batch(const Snapshot* before, const Snapshot& after, std::uint64_t generation,
+                         std::uint64_t& next);
 
 enum class Trouble {
     none,
     newer,   // a version that this program does not know: to be left alone
     broken,  // not a whole header, or no whole first batch
 };
-struct Reading {
+struct DecodeResult {
     Trouble trouble = Trouble::none;
     std::string why;  // in words, if there is any, or if a tail was dropped
     std::uint32_t version = 0;
@@ -65,6 +66,6 @@
     std::optional<Snapshot> snapshot{};
 };
 // Never throws for what the bytes say.
-Reading read_file(std::string_view bytes);
+DecodeResult decode_snapshot_file(std::string_view bytes);
 
 }  // namespace elmbay::state
--- a/src/state/store.cpp
+++ b/src/state/snapshot_store.cpp
@@ -1,4 +1,4 @@
-#include "state/store.hpp"
+#include "state/snapshot_store.hpp"
 
 #include <fmt/format.h>
 
@@ -35,49 +35,52 @@
 
 }  // namespace
 
-Store::Store(Files& files, std::string folder, std::string instance)
+SnapshotStore::SnapshotStore(FileSystem& files, std::string folder, std::string instance)
     : files_(files), folder_(std::move(folder)), instance_(std::move(instance)) {}
 
-Store::~Store() {
+SnapshotStore::~SnapshotStore() {
     close_generation();
     files_.close(lock_);
 }
 
-std::error_code Store::open() {
+std::error_code SnapshotStore::open() {
     std::error_code error;
     if (lock_ >= 0) return error;
-    files_.make_folder(folder_, error);
+    files_.create_directories(folder_, error);
     if (!error) lock_ = files_.lock(path("lock"), error);
     return error;
 }
 
-std::vector<Store::Entry> Store::examine(Files& files, const std::string& folder, std::error_code& error) {
-    std::vector<Entry> entries;
+std::vector<SnapshotStore::GenerationFile> SnapshotStore::list_generations(FileSystem& files,
+                                                                           const std::string& folder,
+                                                                           std::error_code& error) {
+    std::vector<GenerationFile> entries;
     for (const std::string& name : files.list(folder, error)) {
         const auto generation = generation_in(name);
         if (!generation) continue;
-        Entry e{name};
-        const std::string bytes = files.read(folder + "/" + name, kMostFile, e.error);
+        GenerationFile e{name};
+        const std::string bytes = files.read(folder + "/" + name, kMaxFileBytes, e.error);
         e.size = bytes.size();
-        if (!e.error) e.reading = read_file(bytes);
+        if (!e.error) e.reading = decode_snapshot_file(bytes);
         if (!e.error && e.reading.trouble == Trouble::none && e.reading.generation != *generation) {
             e.reading.trouble = Trouble::broken;
             e.reading.why = "it was written under another name";
         }
         entries.push_back(std::move(e));
     }
-    std::sort(entries.begin(), entries.end(), [](const Entry& a, const Entry& b) { return a.name > b.name; });
+    std::sort(entries.begin(), entries.end(),
+              [](const GenerationFile& a, const GenerationFile& b) { return a.name > b.name; });
     return entries;
 }
 
-Store::Loaded Store::load() {
-    Loaded loaded;
+SnapshotStore::LoadResult SnapshotStore::load() {
+    LoadResult loaded;
     if (lock_ < 0) return {{}, "the store is not open"};
     std::error_code error;
     const auto note = [&](const std::string& name, const std::string& what) {
         loaded.why += (loaded.why.empty() ? "" : "; ") + name + ": " + what;
     };
-    for (Entry& e : examine(files_, folder_, error)) {
+    for (GenerationFile& e : list_generations(files_, folder_, error)) {
         newest_ = std::max(newest_, *generation_in(e.name));
         if (loaded.snapshot) continue;
         if (e.error)
@@ -97,20 +100,20 @@
     return loaded;
 }
 
-std::error_code Store::save(const Snapshot& snapshot, bool refresh) {
+std::error_code SnapshotStore::save(const Snapshot& snapshot, bool refresh) {
     if (lock_ < 0) return std::make_error_code(std::errc::bad_file_descriptor);
-    if (snapshot.uids.size() > kMostServers || snapshot.instance.empty() ||
-        snapshot.instance.size() > kMostName)
+    if (snapshot.uids.size() > kMaxServers || snapshot.instance.empty() ||
+        snapshot.instance.size() > kMaxNameBytes)
         return std::make_error_code(std::errc::invalid_argument);
-    if (file_ < 0 || changes_ > std::max(kLeastChanges, whole_ * kChangesPerWhole))
+    if (file_ < 0 || changes_ > std::max(kMinChangesBytes, whole_ * kMaxChangesRatio))
         return begin_generation(snapshot);
     std::uint64_t records = 0;
-    batch_of(&*saved_, snapshot, generation_, records);
+    encode_batch(&*saved_, snapshot, generation_, records);
     if (records == 1 && !refresh) return {};  // its end, with the time, and nothing else
     return append(snapshot);
 }
 
-std::error_code Store::write_all(Files::Handle file, std::string_view bytes) {
+std::error_code SnapshotStore::write_all(FileSystem::Handle file, std::string_view bytes) {
     std::error_code error;
     while (!bytes.empty()) {
         const std::size_t n = files_.write(file, bytes, error);
@@ -123,7 +126,7 @@
     return error;
 }
 
-std::error_code Store::begin_generation(const Snapshot& snapshot) {
+std::error_code SnapshotStore::begin_generation(const Snapshot& snapshot) {
     close_generation();
     std::error_code error, ignored;
     // Newer than any that is or was there, also than those that can't be read. A list that failed may have
@@ -136,15 +139,16 @@
     const std::uint64_t generation = newest_ + 1;
     const std::string name = name_of(generation), part = path(name + std::string(kPart));
     std::uint64_t next = 0;
-    const std::string bytes = header_of(snapshot, generation) + batch_of(nullptr, snapshot, generation, next);
-    const Files::Handle file = files_.create(part, error);
+    const std::string bytes =
+        encode_header(snapshot, generation) + encode_batch(nullptr, snapshot, generation, next);
+    const FileSystem::Handle file = files_.create(part, error);
     if (!error) error = write_all(file, bytes);
     if (!error) files_.sync(file, error);
     if (!error) files_.rename(part, path(name), error);
     const bool renamed = !error;
     // Until the folder is synced a crash may take the name away. Then nothing may be added to the file: the
     // next save writes this generation again, over this name, so that none pile up meanwhile.
-    if (renamed) files_.sync_folder(folder_, error);
+    if (renamed) files_.sync_directory(folder_, error);
     if (error) {
         files_.close(file);
         if (!renamed) files_.remove(part, ignored);
@@ -158,8 +162,8 @@
     return error;
 }
 
-std::error_code Store::append(const Snapshot& snapshot) {
-    const std::string bytes = batch_of(&*saved_, snapshot, generation_, next_record_);
+std::error_code SnapshotStore::append(const Snapshot& snapshot) {
+    const std::string bytes = encode_batch(&*saved_, snapshot, generation_, next_record_);
     std::error_code error = write_all(file_, bytes);
     if (!error) files_.sync(file_, error);
     if (error) {  // how much of it is there nobody knows
@@ -171,13 +175,13 @@
     return error;
 }
 
-void Store::close_generation() {
+void SnapshotStore::close_generation() {
     files_.close(file_);
     file_ = -1;
     saved_.reset();
 }
 
-std::vector<std::string> Store::prune(std::error_code& error) {
+std::vector<std::string> SnapshotStore::prune(std::error_code& error) {
     std::vector<std::string> gone;
     if (lock_ < 0) {
         error = std::make_error_code(std::errc::bad_file_descriptor);
@@ -193,9 +197,9 @@
     };
     int whole = 0;
     std::error_code unread;
-    for (const Entry& e : examine(files_, folder_, unread)) {
+    for (const GenerationFile& e : list_generations(files_, folder_, unread)) {
         if (e.error || e.reading.trouble == Trouble::newer) continue;  // not ours to judge
-        if (e.reading.trouble == Trouble::broken || ++whole > kKept) drop(e.name);
+        if (e.reading.trouble == Trouble::broken || ++whole > kKeptGenerations) drop(e.name);
     }
     for (const std::string& name : files_.list(folder_, unread))
         if (is_part(name)) drop(name);
--- a/src/state/keeper.cpp
+++ b/src/state/snapshot_writer.cpp
@@ -1,4 +1,4 @@
-#include "state/keeper.hpp"
+#include "state/snapshot_writer.hpp"
 
 #include <pthread.h>
 
@@ -15,13 +15,13 @@
 
 using Steady = std::chrono::steady_clock;
 
-struct Keeper::Shared {
-    Files& files;
+struct SnapshotWriter::Shared {
+    FileSystem& files;
     const std::string folder, instance;
     std::mutex mutex;
     std::condition_variable changed;
     // Under the mutex:
-    std::optional<Store::Loaded> loaded;
+    std::optional<SnapshotStore::LoadResult> loaded;
     std::optional<Snapshot> next;
     bool stopping = false, busy = false;
     bool over = false;           // the thread has let go of the folder, and touches no file any more
@@ -29,12 +29,12 @@
     Status status{};
 };
 
-Keeper::Keeper(Files& files, std::string folder, std::string instance)
+SnapshotWriter::SnapshotWriter(FileSystem& files, std::string folder, std::string instance)
     : shared_(new Shared{files, std::move(folder), std::move(instance), {}, {}, {}, {}}) {}
 
-Keeper::~Keeper() { stop(Span(0)); }
+SnapshotWriter::~SnapshotWriter() { stop(std::chrono::milliseconds(0)); }
 
-Store::Loaded Keeper::start(Span within) {
+SnapshotStore::LoadResult SnapshotWriter::start(std::chrono::milliseconds within) {
     try {
         std::thread(run, shared_).detach();
     } catch (const std::system_error& error) {  // the machine or a limit has no thread left
@@ -49,7 +49,7 @@
     return {{}, "the disk has not answered in " + std::to_string(within.count()) + " ms: nothing is kept"};
 }
 
-void Keeper::post(Snapshot snapshot) {
+void SnapshotWriter::post(Snapshot snapshot) {
     const std::scoped_lock lock(shared_->mutex);
     if (!shared_->status.usable || shared_->stopping) return;
     shared_->status.replaced += shared_->next.has_value();
@@ -57,17 +57,17 @@
     shared_->changed.notify_all();
 }
 
-bool Keeper::stop(Span within) {
+bool SnapshotWriter::stop(std::chrono::milliseconds within) {
     std::unique_lock lock(shared_->mutex);
     shared_->stopping = true;
     shared_->changed.notify_all();
     return shared_->changed.wait_for(lock, within, [&] { return shared_->over; });
 }
 
-Keeper::Status Keeper::status() const {
+SnapshotWriter::Status SnapshotWriter::status() const {
     const std::scoped_lock lock(shared_->mutex);
     Status s = shared_->status;
-    s.hangs = shared_->busy && Steady::now() - shared_->since >= kHungAfter;
+    s.hangs = shared_->busy && Steady::now() - shared_->since >= kHangThreshold;
     return s;
 }
 
@@ -84,7 +84,7 @@
 std::string text_of(const std::error_code& error) { return error ? error.message() : ""; }
 
 // One save, the folder opened first where that has failed before. Empty: it ended well.
-std::string try_save(Store& store, const Snapshot& snapshot, bool refresh) {
+std::string try_save(SnapshotStore& store, const Snapshot& snapshot, bool refresh) {
     try {
         if (const std::error_code error = store.open()) return text_of(error);
         return text_of(store.save(snapshot, refresh));
@@ -93,7 +93,7 @@
     }
 }
 
-Store::Loaded try_load(Store& store, std::string& failure) {
+SnapshotStore::LoadResult try_load(SnapshotStore& store, std::string& failure) {
     try {
         const std::error_code opened = store.open();
         failure = text_of(opened);
@@ -109,13 +109,13 @@
 
 }  // namespace
 
-void Keeper::run(const std::shared_ptr<Shared>& shared) {
+void SnapshotWriter::run(const std::shared_ptr<Shared>& shared) {
     block_signals();
     // The thread's alone, and gone before it says that it is over: whoever has stopped us may take the files
     // away, and another process may have the folder.
-    std::optional<Store> store(std::in_place, shared->files, shared->folder, shared->instance);
+    std::optional<SnapshotStore> store(std::in_place, shared->files, shared->folder, shared->instance);
     std::string failure;
-    Store::Loaded loaded = try_load(*store, failure);
+    SnapshotStore::LoadResult loaded = try_load(*store, failure);
 
     std::unique_lock lock(shared->mutex);
     shared->loaded = std::move(loaded);
@@ -129,7 +129,7 @@
         const Snapshot snapshot = *std::exchange(shared->next, std::nullopt);
         shared->busy = true;
         shared->since = Steady::now();
-        const bool refresh = shared->since - refreshed >= kRefresh || shared->stopping;
+        const bool refresh = shared->since - refreshed >= kRefreshInterval || shared->stopping;
         lock.unlock();
         std::string error = try_save(*store, snapshot, refresh);
         lock.lock();
--- a/tests/fleet/state_test.cpp
+++ b/tests/fleet/state_test.cpp
@@ -6,7 +6,7 @@
 #include <fstream>
 
 #include "scenarios.hpp"
-#include "state/store.hpp"
+#include "state/snapshot_store.hpp"
 
 namespace elmbay::fleet {
 namespace {
@@ -61,7 +61,8 @@
     std::int64_t newest() const {
         std::error_code error;
         std::int64_t taken = 0;
-        for (const auto& entry : state::Store::examine(state::posix_files(), folder, error))
+        for (const auto& entry :
+             state::SnapshotStore::list_generations(state::posix_file_system(), folder, error))
             if (entry.reading.snapshot) taken = std::max(taken, entry.reading.snapshot->taken.wall_ms);
         return taken;
     }
--- a/tests/state/fault_spell_test.cpp
+++ b/tests/state/fault_spell_test.cpp
@@ -5,22 +5,22 @@
 #include <algorithm>
 #include <thread>
 
-#include "faulty_files.hpp"
+#include "faulty_file_system.hpp"
 #include "samples.hpp"
-#include "state/keeper.hpp"
-#include "state/store.hpp"
+#include "state/snapshot_store.hpp"
+#include "state/snapshot_writer.hpp"
 
 namespace elmbay::state {
 namespace {
 
-using test::FaultyFiles;
+using test::FaultyFileSystem;
 using test::round_of;
 using test::sample;
-using Fault = FaultyFiles::Fault;
-using Survives = FaultyFiles::Survives;
+using Fault = FaultyFileSystem::Fault;
+using Survives = FaultyFileSystem::Survives;
 
 constexpr const char* kFolder = "state";
-constexpr Keeper::Span kGenerous{20000};
+constexpr std::chrono::milliseconds kGenerous{20000};
 
 // What writes to a disk give by write(2), fsync(2), open(2) and rename(2) while it is in trouble.
 constexpr std::errc kReasons[] = {std::errc::io_error,
@@ -39,11 +39,11 @@
 };
 
 // Two lives of one instance, six saves each; a life that can't open the folder tries again before each save.
-Progress two_lives(FaultyFiles& files) {
+Progress two_lives(FaultyFileSystem& files) {
     Progress progress;
     for (int life = 0; life < 2; ++life) {
         files.locked.clear();
-        Store store(files, kFolder, "n-1");
+        SnapshotStore store(files, kFolder, "n-1");
         bool open = !store.open();
         if (open) store.load();
         for (int round = 0; round < 6; ++round) {
@@ -55,15 +55,15 @@
     return progress;
 }
 
-int loaded_round(FaultyFiles& files) {
+int loaded_round(FaultyFileSystem& files) {
     files.locked.clear();
-    Store store(files, kFolder, "n-1");
+    SnapshotStore store(files, kFolder, "n-1");
     EXPECT_FALSE(store.open());
-    const Store::Loaded loaded = store.load();
+    const SnapshotStore::LoadResult loaded = store.load();
     return loaded.snapshot ? round_of(*loaded.snapshot) : 0;
 }
 
-void expect_kept(FaultyFiles& files, const Progress& progress, const std::string& where) {
+void expect_kept(FaultyFileSystem& files, const Progress& progress, const std::string& where) {
     const int round = loaded_round(files);
     ASSERT_GE(round, progress.kept) << where;
     ASSERT_LE(round, progress.tried) << where;
@@ -73,7 +73,7 @@
     for (const std::errc reason : kReasons) {
         for (const long lasts : {1, 2, 5, 12}) {
             for (long at = 0;; ++at) {
-                FaultyFiles files;
+                FaultyFileSystem files;
                 files.at = at, files.lasts = lasts, files.reason = reason, files.reads_too = true;
                 const Progress progress = two_lives(files);
                 if (files.operations <= at) break;
@@ -85,7 +85,8 @@
                 const Progress later = two_lives(files);
                 ASSERT_EQ(later.kept, 12) << where;
                 expect_kept(files, later, where);
-                ASSERT_LE(files.paths().size(), 2U + Store::kKept) << where << ": nothing piles up";
+                ASSERT_LE(files.paths().size(), 2U + SnapshotStore::kKeptGenerations)
+                    << where << ": nothing piles up";
             }
         }
     }
@@ -98,7 +99,7 @@
             for (long at = 0;; ++at) {
                 long last = at;
                 for (long crash_at = at + 1; crash_at <= last + 1; ++crash_at) {
-                    FaultyFiles files;
+                    FaultyFileSystem files;
                     files.at = at, files.fault = fault, files.crash_at = crash_at;
                     const Progress progress = two_lives(files);
                     last = std::min(files.operations, at + 24);
@@ -118,14 +119,14 @@
 // Names that a folder whose sync fails keeps are not certain: what a save writes behind them is not kept
 // either.
 TEST(FaultSpell, AGenerationWhoseNameWasNotSyncedIsNotWrittenOn) {
-    FaultyFiles files;
-    Store store(files, kFolder, "n-1");
+    FaultyFileSystem files;
+    SnapshotStore store(files, kFolder, "n-1");
     ASSERT_FALSE(store.open());
     ASSERT_FALSE(store.save(sample(1)));
-    const long one_generation = files.operations - 1;  // its sync_folder is the last but prune's none
-    FaultyFiles fresh;
+    const long one_generation = files.operations - 1;  // its sync_directory is the last but prune's none
+    FaultyFileSystem fresh;
     fresh.at = one_generation;
-    Store other(fresh, kFolder, "n-1");
+    SnapshotStore other(fresh, kFolder, "n-1");
     ASSERT_FALSE(other.open());
     ASSERT_EQ(other.save(sample(1)), std::errc::io_error) << "the folder's sync";
     ASSERT_FALSE(other.save(sample(1))) << "nothing new, but nothing kept so far";
@@ -135,16 +136,16 @@
 
 // A list that fails half way must not make a life begin below what is there.
 TEST(FaultSpell, AListCutShortDoesNotHideNewerGenerations) {
-    FaultyFiles files;
+    FaultyFileSystem files;
     std::uint64_t next = 0;
     files.put("state/elmbay-0000000000000005.state",
-              header_of(sample(5), 5) + batch_of(nullptr, sample(5), 5, next));
+              encode_header(sample(5), 5) + encode_batch(nullptr, sample(5), 5, next));
     next = 0;
     files.put("state/elmbay-0000000000000006.state",
-              header_of(sample(6), 6) + batch_of(nullptr, sample(6), 6, next));
+              encode_header(sample(6), 6) + encode_batch(nullptr, sample(6), 6, next));
     files.reads_too = true;
     files.at = 2;  // after the folder and the lock: the list of load()
-    Store store(files, kFolder, "n-1");
+    SnapshotStore store(files, kFolder, "n-1");
     ASSERT_FALSE(store.open());
     store.load();
     ASSERT_FALSE(store.save(sample(7)));
@@ -155,26 +156,26 @@
 // A start on a disk that is in trouble keeps as soon as the disk lets it.
 TEST(FaultSpell, AFolderThatCannotBeOpenedAtTheStartIsTriedAgain) {
     for (const long at : {0L, 1L}) {  // the folder, the lock
-        FaultyFiles files;
+        FaultyFileSystem files;
         files.reads_too = true;
         files.at = at, files.lasts = 1, files.reason = std::errc::no_space_on_device;
-        Keeper keeper(files, kFolder, "n-1");
-        const auto loaded = keeper.start(kGenerous);
+        SnapshotWriter writer(files, kFolder, "n-1");
+        const auto loaded = writer.start(kGenerous);
         EXPECT_FALSE(loaded.snapshot);
         EXPECT_NE(loaded.why.find("can't be used"), std::string::npos) << loaded.why;
-        EXPECT_FALSE(keeper.status().last_error.empty()) << "the spell has begun";
-        keeper.post(sample(3));
-        EXPECT_TRUE(keeper.stop(kGenerous));
-        EXPECT_EQ(keeper.status().saves, 1U);
-        EXPECT_TRUE(keeper.status().last_error.empty()) << "and is over";
+        EXPECT_FALSE(writer.status().last_error.empty()) << "the spell has begun";
+        writer.post(sample(3));
+        EXPECT_TRUE(writer.stop(kGenerous));
+        EXPECT_EQ(writer.status().saves, 1U);
+        EXPECT_TRUE(writer.status().last_error.empty()) << "and is over";
         EXPECT_EQ(loaded_round(files), 3);
     }
 }
 
 // The process before this one may still be ending when this one starts.
 TEST(FaultSpell, AFolderThatAnotherProcessLetsGoIsTakenOver) {
-    FaultyFiles files;
-    Keeper first(files, kFolder, "n-1"), second(files, kFolder, "n-1");
+    FaultyFileSystem files;
+    SnapshotWriter first(files, kFolder, "n-1"), second(files, kFolder, "n-1");
     first.start(kGenerous);
     EXPECT_NE(second.start(kGenerous).why.find("another process"), std::string::npos);
     first.post(sample(1));
@@ -188,21 +189,21 @@
 
 // An allocation that fails in the writer's thread is a save that failed, not the end of the process.
 TEST(FaultSpell, AnExceptionInASaveIsAFailureLikeAnyOther) {
-    class ThrowingFiles : public FaultyFiles {
+    class ThrowingFileSystem : public FaultyFileSystem {
     public:
         bool throws = true;
         Handle create(const std::string& path, std::error_code& error) override {
             if (std::exchange(throws, false)) throw std::bad_alloc();
-            return FaultyFiles::create(path, error);
+            return FaultyFileSystem::create(path, error);
         }
     } files;
-    Keeper keeper(files, kFolder, "n-1");
-    keeper.start(kGenerous);
-    keeper.post(sample(1));
-    while (keeper.status().failures == 0) std::this_thread::yield();
-    keeper.post(sample(2));
-    EXPECT_TRUE(keeper.stop(kGenerous));
-    EXPECT_EQ(keeper.status().saves, 1U);
+    SnapshotWriter writer(files, kFolder, "n-1");
+    writer.start(kGenerous);
+    writer.post(sample(1));
+    while (writer.status().failures == 0) std::this_thread::yield();
+    writer.post(sample(2));
+    EXPECT_TRUE(writer.stop(kGenerous));
+    EXPECT_EQ(writer.status().saves, 1U);
     EXPECT_EQ(loaded_round(files), 2);
 }
 
--- a/tests/state/faulty_files.hpp
+++ b/tests/state/faulty_file_system.hpp
@@ -9,11 +9,11 @@
 #include <set>
 #include <vector>
 
-#include "state/files.hpp"
+#include "state/file_system.hpp"
 
 namespace elmbay::state::test {
 
-class FaultyFiles : public Files {
+class FaultyFileSystem : public FileSystem {
 public:
     enum class Fault {
         fails,    // EIO, or what `reason` says; nothing of it happens
@@ -69,7 +69,7 @@
         return all;
     }
 
-    void make_folder(const std::string&, std::error_code& error) override { read_goes_wrong(error); }
+    void create_directories(const std::string&, std::error_code& error) override { read_goes_wrong(error); }
     // A list that fails has named some of the files already.
     std::vector<std::string> list(const std::string& folder, std::error_code& error) override {
         const bool wrong = read_goes_wrong(error);
@@ -116,7 +116,7 @@
         change({NameChange::Kind::rename, to, from, names_.at(from)});
     }
     // As with files: the changes of names that a failed sync was for are not made up for by the next.
-    void sync_folder(const std::string&, std::error_code& error) override {
+    void sync_directory(const std::string&, std::error_code& error) override {
         if (!goes_wrong(error))
             for (const NameChange& done : unsynced_) apply(done, durable_names_);
         unsynced_.clear();
--- a/tests/state/fuzz.cpp
+++ b/tests/state/fuzz.cpp
@@ -18,7 +18,7 @@
         std::uint64_t next = 0;
         const Snapshot one = test::sample(1, 2), two = test::sample(2, 3);
         const std::string bytes =
-            header_of(one, 7) + batch_of(nullptr, one, 7, next) + batch_of(&one, two, 7, next);
+            encode_header(one, 7) + encode_batch(nullptr, one, 7, next) + encode_batch(&one, two, 7, next);
         size = std::min(bytes.size(), most);
         std::memcpy(data, bytes.data(), size);
     }
@@ -26,18 +26,19 @@
 }
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
-    const Reading r = read_file({reinterpret_cast<const char*>(data), size});
+    const DecodeResult r = decode_snapshot_file({reinterpret_cast<const char*>(data), size});
     const bool whole = r.trouble == Trouble::none;
     if (whole != r.snapshot.has_value() || r.used > size) std::abort();
     if (!whole) return 0;
     const Snapshot& s = *r.snapshot;
-    if (s.uids.size() != s.knowledge.servers.size() || s.uids.size() > kMostServers) std::abort();
-    if (s.instance.empty() || s.instance.size() > kMostName) std::abort();
+    if (s.uids.size() != s.knowledge.servers.size() || s.uids.size() > kMaxServers) std::abort();
+    if (s.instance.empty() || s.instance.size() > kMaxNameBytes) std::abort();
     // What was read can be written, and says the same then.
     std::uint64_t next = 0, again = 0;
-    const std::string bytes = header_of(s, 7) + batch_of(nullptr, s, 7, next);
-    const Reading back = read_file(bytes);
-    if (!back.snapshot || batch_of(nullptr, *back.snapshot, 7, again) != bytes.substr(header_of(s, 7).size()))
+    const std::string bytes = encode_header(s, 7) + encode_batch(nullptr, s, 7, next);
+    const DecodeResult back = decode_snapshot_file(bytes);
+    if (!back.snapshot ||
+        encode_batch(nullptr, *back.snapshot, 7, again) != bytes.substr(encode_header(s, 7).size()))
         std::abort();
     return 0;
 }
--- a/tests/state/kill_test.cpp
+++ b/tests/state/kill_test.cpp
@@ -10,7 +10,7 @@
 #include <random>
 
 #include "samples.hpp"
-#include "state/store.hpp"
+#include "state/snapshot_store.hpp"
 
 namespace elmbay::state {
 namespace {
@@ -22,7 +22,7 @@
 
 // Saves one round after another and tells each that is kept; ends by being killed.
 [[noreturn]] void write_for_ever(const std::string& folder, int from, int told) {
-    Store store(posix_files(), folder, "n-1");
+    SnapshotStore store(posix_file_system(), folder, "n-1");
     if (store.open()) ::_exit(3);
     store.load();
     for (int round = from;; ++round) {
@@ -60,9 +60,9 @@
         while (::read(told[0], &round, sizeof round) == sizeof round) kept = round;
         ::close(told[0]);
 
-        Store store(posix_files(), folder, "n-1");
+        SnapshotStore store(posix_file_system(), folder, "n-1");
         ASSERT_FALSE(store.open()) << "a dead process holds no lock";
-        const Store::Loaded loaded = store.load();
+        const SnapshotStore::LoadResult loaded = store.load();
         if (kept == 0 && !loaded.snapshot) continue;
         ASSERT_TRUE(loaded.snapshot) << loaded.why;
         const int found = round_of(*loaded.snapshot);
@@ -73,7 +73,8 @@
         kept = found;
     }
     std::error_code error;
-    for (const Store::Entry& e : Store::examine(posix_files(), folder, error))
+    for (const SnapshotStore::GenerationFile& e :
+         SnapshotStore::list_generations(posix_file_system(), folder, error))
         generations = std::max(generations, static_cast<int>(e.reading.generation));
     std::printf(
         "%d kills: round %d, generation %d; %d torn tails or files passed over, %d states newer than told\n",
--- a/tests/state/old_snapshot_test.cpp
+++ b/tests/state/old_snapshot_test.cpp
@@ -6,7 +6,7 @@
 
 #include <filesystem>
 
-#include "state/store.hpp"
+#include "state/snapshot_store.hpp"
 
 namespace elmbay::state {
 namespace {
@@ -17,9 +17,9 @@
     ASSERT_NE(::mkdtemp(folder.data()), nullptr);
     std::filesystem::copy(written, folder, std::filesystem::copy_options::recursive);
     {
-        Store store(posix_files(), folder, "n-1");
+        SnapshotStore store(posix_file_system(), folder, "n-1");
         ASSERT_FALSE(store.open());
-        const Store::Loaded loaded = store.load();
+        const SnapshotStore::LoadResult loaded = store.load();
         EXPECT_EQ(loaded.why, "");
         ASSERT_TRUE(loaded.snapshot);
         const Snapshot& snapshot = *loaded.snapshot;
--- a/tests/state/samples.hpp
+++ b/tests/state/samples.hpp
@@ -30,7 +30,7 @@
     const int round = static_cast<int>(s.knowledge.room);
     const Snapshot whole = sample(round, static_cast<int>(s.uids.size()), s.instance);
     std::uint64_t next = 0, other = 0;
-    return batch_of(nullptr, s, 1, next) == batch_of(nullptr, whole, 1, other) ? round : -1;
+    return encode_batch(nullptr, s, 1, next) == encode_batch(nullptr, whole, 1, other) ? round : -1;
 }
 
 }  // namespace elmbay::state::test
--- a/tests/state/store_test.cpp
+++ b/tests/state/snapshot_store_test.cpp
@@ -1,21 +1,21 @@
 // The store on a disk that fails, loses and crashes at every single operation.
-#include "state/store.hpp"
+#include "state/snapshot_store.hpp"
 
 #include <gtest/gtest.h>
 
 #include <filesystem>
 
-#include "faulty_files.hpp"
+#include "faulty_file_system.hpp"
 #include "samples.hpp"
 
 namespace elmbay::state {
 namespace {
 
-using test::FaultyFiles;
+using test::FaultyFileSystem;
 using test::round_of;
 using test::sample;
-using Fault = FaultyFiles::Fault;
-using Survives = FaultyFiles::Survives;
+using Fault = FaultyFileSystem::Fault;
+using Survives = FaultyFileSystem::Survives;
 
 constexpr const char* kFolder = "state";
 constexpr int kRounds = 6, kFresh = 3;  // rounds; at this one a second process begins a generation
@@ -25,11 +25,11 @@
 struct Played {
     int kept = 0, tried = 0;
 };
-Played play(FaultyFiles& files) {
+Played play(FaultyFileSystem& files) {
     Played p;
     for (int life = 0; life < 2; ++life) {
         files.locked.clear();
-        Store store(files, kFolder, "n-1");
+        SnapshotStore store(files, kFolder, "n-1");
         EXPECT_FALSE(store.open());
         store.load();
         for (int round = life == 0 ? 1 : kFresh; round <= (life == 0 ? kFresh - 1 : kRounds); ++round) {
@@ -40,25 +40,25 @@
     return p;
 }
 
-int loaded_round(FaultyFiles& files) {
+int loaded_round(FaultyFileSystem& files) {
     files.locked.clear();
-    Store store(files, kFolder, "n-1");
+    SnapshotStore store(files, kFolder, "n-1");
     EXPECT_FALSE(store.open());
-    const Store::Loaded loaded = store.load();
+    const SnapshotStore::LoadResult loaded = store.load();
     return loaded.snapshot ? round_of(*loaded.snapshot) : 0;
 }
 
-TEST(Store, KeepsWhatWasSavedLast) {
-    FaultyFiles files;
+TEST(SnapshotStore, KeepsWhatWasSavedLast) {
+    FaultyFileSystem files;
     EXPECT_EQ(loaded_round(files), 0);
     EXPECT_EQ(play(files).kept, kRounds);
     EXPECT_EQ(loaded_round(files), kRounds);
 }
 
-TEST(Store, AfterAnyOperationThatFailsThereIsAWholeStateAndTheNextSaveWorks) {
+TEST(SnapshotStore, AfterAnyOperationThatFailsThereIsAWholeStateAndTheNextSaveWorks) {
     for (const Fault fault : {Fault::fails, Fault::full, Fault::shorter}) {
         for (long at = 0;; ++at) {
-            FaultyFiles files;
+            FaultyFileSystem files;
             files.at = at, files.fault = fault;
             const Played p = play(files);
             if (files.operations <= at) break;
@@ -66,7 +66,7 @@
             ASSERT_GE(round, p.kept) << "operation " << at;
             ASSERT_LE(round, p.tried) << "operation " << at;
             ASSERT_GE(p.kept, kRounds - 1) << "one fault costs one save, operation " << at;
-            Store store(files, kFolder, "n-1");
+            SnapshotStore store(files, kFolder, "n-1");
             files.locked.clear();
             ASSERT_FALSE(store.open());
             ASSERT_FALSE(store.save(sample(50)));
@@ -75,12 +75,12 @@
     }
 }
 
-TEST(Store, AfterACrashAtAnyOperationWhatWasKeptIsThereOrSomethingNewer) {
+TEST(SnapshotStore, AfterACrashAtAnyOperationWhatWasKeptIsThereOrSomethingNewer) {
     for (const Survives what :
          {Survives::nothing, Survives::names, Survives::names_and_half, Survives::all}) {
         long at = 0;
         for (;; ++at) {
-            FaultyFiles files;
+            FaultyFileSystem files;
             files.at = at, files.fault = Fault::crash;
             const Played p = play(files);
             if (files.operations <= at) break;
@@ -94,9 +94,9 @@
     }
 }
 
-TEST(Store, NothingNewIsNotWritten) {
-    FaultyFiles files;
-    Store store(files, kFolder, "n-1");
+TEST(SnapshotStore, NothingNewIsNotWritten) {
+    FaultyFileSystem files;
+    SnapshotStore store(files, kFolder, "n-1");
     ASSERT_FALSE(store.open());
     Snapshot s = sample(1);
     ASSERT_FALSE(store.save(s));
@@ -110,45 +110,45 @@
     EXPECT_EQ(store.load().snapshot->taken.wall_ms, s.taken.wall_ms);
 }
 
-TEST(Store, AGenerationDoesNotGrowForEverAndTwoAreKept) {
-    FaultyFiles files;
-    Store store(files, kFolder, "n-1");
+TEST(SnapshotStore, AGenerationDoesNotGrowForEverAndTwoAreKept) {
+    FaultyFileSystem files;
+    SnapshotStore store(files, kFolder, "n-1");
     ASSERT_FALSE(store.open());
     for (int round = 1; round <= 2000; ++round) ASSERT_FALSE(store.save(sample(round)));
     EXPECT_GT(store.generation(), 10U);
     EXPECT_EQ(files.paths().size(), 2U);
     for (const std::string& path : files.paths()) {
         std::error_code error;
-        EXPECT_LT(files.read(path, kMostFile, error).size(), 2 * Store::kLeastChanges);
+        EXPECT_LT(files.read(path, kMaxFileBytes, error).size(), 2 * SnapshotStore::kMinChangesBytes);
     }
 }
 
-TEST(Store, WhatIsDamagedOrNotOursIsPassedOver) {
-    FaultyFiles files;
+TEST(SnapshotStore, WhatIsDamagedOrNotOursIsPassedOver) {
+    FaultyFileSystem files;
     {
-        Store store(files, kFolder, "n-1");
+        SnapshotStore store(files, kFolder, "n-1");
         ASSERT_FALSE(store.open());
         ASSERT_FALSE(store.save(sample(4)));
     }
     std::uint64_t next = 0;
-    std::string newer = header_of(sample(9), 0x20);
+    std::string newer = encode_header(sample(9), 0x20);
     newer[8] = 9;
     const Snapshot other = sample(8, 6, "n-2");
     files.put("state/elmbay-0000000000000020.state", newer);
     files.put("state/elmbay-0000000000000010.state", std::string(5000, '\0'));
     files.put("state/elmbay-0000000000000011.state",
-              header_of(other, 0x11) + batch_of(nullptr, other, 0x11, next));
+              encode_header(other, 0x11) + encode_batch(nullptr, other, 0x11, next));
     files.put("state/elmbay-ffffffffffffffff.state", "x");
     files.put("state/notes.txt", "somebody's");
     files.put("state/elmbay-0000000000000030.state.part", "half");
     next = 0;
     files.put("state/elmbay-0000000000000012.state",
-              header_of(sample(7), 0x77) + batch_of(nullptr, sample(7), 0x77, next));
+              encode_header(sample(7), 0x77) + encode_batch(nullptr, sample(7), 0x77, next));
 
     files.locked.clear();
-    Store store(files, kFolder, "n-1");
+    SnapshotStore store(files, kFolder, "n-1");
     ASSERT_FALSE(store.open());
-    const Store::Loaded loaded = store.load();
+    const SnapshotStore::LoadResult loaded = store.load();
     ASSERT_TRUE(loaded.snapshot);
     EXPECT_EQ(round_of(*loaded.snapshot), 4);
     for (const char* reason : {"version 9", "no state of an elmbay", "instance 'n-2'", "another name"})
@@ -164,12 +164,12 @@
         EXPECT_FALSE(paths.contains(gone)) << gone;
 }
 
-TEST(Store, SenselessSnapshotsAreRefusedWhole) {
-    FaultyFiles files;
-    Store store(files, kFolder, "n-1");
+TEST(SnapshotStore, SenselessSnapshotsAreRefusedWhole) {
+    FaultyFileSystem files;
+    SnapshotStore store(files, kFolder, "n-1");
     EXPECT_TRUE(store.save(sample(1))) << "not open";
     ASSERT_FALSE(store.open());
-    EXPECT_TRUE(store.save(sample(1, static_cast<int>(kMostServers) + 1)));
+    EXPECT_TRUE(store.save(sample(1, static_cast<int>(kMaxServers) + 1)));
     EXPECT_TRUE(store.save(sample(1, 6, "")));
     EXPECT_TRUE(files.paths().empty());
 }
@@ -183,17 +183,17 @@
 
 TEST_F(OnDisk, TheMachinesOwnFilesKeepItToo) {
     {
-        Store store(posix_files(), folder + "/deep/er", "n-1");
+        SnapshotStore store(posix_file_system(), folder + "/deep/er", "n-1");
         ASSERT_FALSE(store.open());
         for (int round = 1; round <= 3; ++round) ASSERT_FALSE(store.save(sample(round)));
     }
-    Store store(posix_files(), folder + "/deep/er", "n-1");
+    SnapshotStore store(posix_file_system(), folder + "/deep/er", "n-1");
     ASSERT_FALSE(store.open());
     EXPECT_EQ(round_of(*store.load().snapshot), 3);
 }
 
 TEST_F(OnDisk, ASecondProcessOnTheFolderIsLockedOut) {
-    Store first(posix_files(), folder, "n-1"), second(posix_files(), folder, "n-1");
+    SnapshotStore first(posix_file_system(), folder, "n-1"), second(posix_file_system(), folder, "n-1");
     ASSERT_FALSE(first.open());
     EXPECT_EQ(second.open(), std::errc::resource_unavailable_try_again);
     EXPECT_TRUE(second.save(sample(1)));
@@ -202,13 +202,13 @@
 }
 
 TEST_F(OnDisk, AFolderThatVanishesIsAnErrorAndNoMore) {
-    Store store(posix_files(), folder + "/gone", "n-1");
+    SnapshotStore store(posix_file_system(), folder + "/gone", "n-1");
     ASSERT_FALSE(store.open());
     std::filesystem::remove_all(folder + "/gone");
     EXPECT_TRUE(store.save(sample(1)));
     EXPECT_FALSE(store.load().snapshot);
     std::error_code error;
-    Store in_the_way(posix_files(), "/dev/null/state", "n-1");
+    SnapshotStore in_the_way(posix_file_system(), "/dev/null/state", "n-1");
     EXPECT_TRUE(in_the_way.open());
 }
 
--- a/tests/state/snapshot_test.cpp
+++ b/tests/state/snapshot_test.cpp
@@ -17,18 +17,18 @@
 // Rounds 1 to 3 in one file: a whole batch and two of changes. ends[i]: where round i + 1 is complete.
 std::string three_rounds(std::vector<std::size_t>* ends = nullptr) {
     std::uint64_t next = 0;
-    std::string bytes = header_of(sample(1), 7) + batch_of(nullptr, sample(1), 7, next);
+    std::string bytes = encode_header(sample(1), 7) + encode_batch(nullptr, sample(1), 7, next);
     if (ends) ends->push_back(bytes.size());
     for (int round = 2; round <= 3; ++round) {
         const Snapshot before = sample(round - 1);
-        bytes += batch_of(&before, sample(round), 7, next);
+        bytes += encode_batch(&before, sample(round), 7, next);
         if (ends) ends->push_back(bytes.size());
     }
     return bytes;
 }
 
 TEST(StateFile, WhatGoesInComesOut) {
-    const Reading r = read_file(three_rounds());
+    const DecodeResult r = decode_snapshot_file(three_rounds());
     ASSERT_TRUE(r.snapshot);
     EXPECT_EQ(round_of(*r.snapshot), 3);
     EXPECT_EQ(r.snapshot->instance, "n-1");
@@ -41,21 +41,21 @@
 TEST(StateFile, ServersThatComeAndGoAreChanges) {
     std::uint64_t next = 0;
     const Snapshot six = sample(1, 6), four = sample(1, 4), eight = sample(1, 8);
-    std::string bytes = header_of(six, 1) + batch_of(nullptr, six, 1, next);
+    std::string bytes = encode_header(six, 1) + encode_batch(nullptr, six, 1, next);
     const std::size_t whole = bytes.size();
-    bytes += batch_of(&six, four, 1, next);
+    bytes += encode_batch(&six, four, 1, next);
     EXPECT_LT(bytes.size() - whole, whole / 2) << "two names and a time";
-    EXPECT_EQ(read_file(bytes).snapshot->uids.size(), 4U);
-    bytes += batch_of(&four, eight, 1, next);
-    EXPECT_EQ(read_file(bytes).snapshot->uids.size(), 8U);
-    EXPECT_EQ(round_of(*read_file(bytes).snapshot), 1);
+    EXPECT_EQ(decode_snapshot_file(bytes).snapshot->uids.size(), 4U);
+    bytes += encode_batch(&four, eight, 1, next);
+    EXPECT_EQ(decode_snapshot_file(bytes).snapshot->uids.size(), 8U);
+    EXPECT_EQ(round_of(*decode_snapshot_file(bytes).snapshot), 1);
 }
 
 TEST(StateFile, CutAtAnyByteItIsRefusedOrWholeAsOfTheBatchBefore) {
     std::vector<std::size_t> ends;
     const std::string bytes = three_rounds(&ends);
     for (std::size_t cut = 0; cut < bytes.size(); ++cut) {
-        const Reading r = read_file(std::string_view(bytes).substr(0, cut));
+        const DecodeResult r = decode_snapshot_file(std::string_view(bytes).substr(0, cut));
         const int whole = (cut >= ends[0]) + (cut >= ends[1]) + (cut >= ends[2]);
         if (whole == 0) {
             ASSERT_EQ(r.trouble, Trouble::broken) << cut;
@@ -74,7 +74,7 @@
     for (std::size_t bit = 0; bit < bytes.size() * 8; ++bit) {
         std::string flipped = bytes;
         flipped[bit / 8] = static_cast<char>(flipped[bit / 8] ^ 1 << bit % 8);
-        const Reading r = read_file(flipped);
+        const DecodeResult r = decode_snapshot_file(flipped);
         if (!r.snapshot) {
             ++refused;
             continue;
@@ -90,32 +90,32 @@
 TEST(StateFile, RecordsOfAnotherGenerationOrPlaceDoNotPass) {
     std::uint64_t next = 0, from_start = 0;
     const Snapshot one = sample(1), two = sample(2);
-    const std::string base = header_of(one, 7) + batch_of(nullptr, one, 7, next);
+    const std::string base = encode_header(one, 7) + encode_batch(nullptr, one, 7, next);
     std::uint64_t as_is = next;
-    EXPECT_EQ(round_of(*read_file(base + batch_of(&one, two, 7, as_is)).snapshot), 2);
+    EXPECT_EQ(round_of(*decode_snapshot_file(base + encode_batch(&one, two, 7, as_is)).snapshot), 2);
     as_is = next;
-    EXPECT_EQ(round_of(*read_file(base + batch_of(&one, two, 8, as_is)).snapshot), 1);
-    EXPECT_EQ(round_of(*read_file(base + batch_of(&one, two, 7, from_start)).snapshot), 1);
+    EXPECT_EQ(round_of(*decode_snapshot_file(base + encode_batch(&one, two, 8, as_is)).snapshot), 1);
+    EXPECT_EQ(round_of(*decode_snapshot_file(base + encode_batch(&one, two, 7, from_start)).snapshot), 1);
 }
 
 TEST(StateFile, ANewerVersionIsNewerAndNothingElse) {
     std::string bytes = three_rounds();
     bytes[8] = 2;
-    EXPECT_EQ(read_file(bytes).trouble, Trouble::newer);
+    EXPECT_EQ(decode_snapshot_file(bytes).trouble, Trouble::newer);
     bytes[8] = 0;
-    EXPECT_EQ(read_file(bytes).trouble, Trouble::broken);
-    EXPECT_EQ(read_file(std::string(4096, '\0')).trouble, Trouble::broken);
-    EXPECT_EQ(read_file("").trouble, Trouble::broken);
-    EXPECT_EQ(read_file(std::string(kMostFile + 1, 'E')).trouble, Trouble::broken);
+    EXPECT_EQ(decode_snapshot_file(bytes).trouble, Trouble::broken);
+    EXPECT_EQ(decode_snapshot_file(std::string(4096, '\0')).trouble, Trouble::broken);
+    EXPECT_EQ(decode_snapshot_file("").trouble, Trouble::broken);
+    EXPECT_EQ(decode_snapshot_file(std::string(kMaxFileBytes + 1, 'E')).trouble, Trouble::broken);
 }
 
 TEST(StateFile, RandomBytesBehindAGoodHeaderDoNoHarm) {
     std::mt19937_64 random(20261201);
-    const std::string header = header_of(sample(1), 7);
+    const std::string header = encode_header(sample(1), 7);
     for (int i = 0; i < 2000; ++i) {
         std::string bytes = header;
         for (std::size_t n = random() % 400; n > 0; --n) bytes += static_cast<char>(random());
-        EXPECT_FALSE(read_file(bytes).snapshot);
+        EXPECT_FALSE(decode_snapshot_file(bytes).snapshot);
     }
 }
 
--- a/tests/state/keeper_test.cpp
+++ b/tests/state/snapshot_writer_test.cpp
@@ -1,5 +1,5 @@
 // The thread round the store: nothing waits for a disk longer than it says.
-#include "state/keeper.hpp"
+#include "state/snapshot_writer.hpp"
 
 #include <gtest/gtest.h>
 
@@ -7,28 +7,28 @@
 #include <mutex>
 #include <thread>
 
-#include "faulty_files.hpp"
+#include "faulty_file_system.hpp"
 #include "samples.hpp"
 
 namespace elmbay::state {
 namespace {
 
-using test::FaultyFiles;
+using test::FaultyFileSystem;
 using test::round_of;
 using test::sample;
 
-constexpr Keeper::Span kGenerous{20000}, kBrief{20};
+constexpr std::chrono::milliseconds kGenerous{20000}, kBrief{20};
 
 // A disk whose syncs, or whose lock, do not come back until they are let go.
-class HangingFiles : public FaultyFiles {
+class HangingFileSystem : public FaultyFileSystem {
 public:
     void sync(Handle file, std::error_code& error) override {
         wait(syncs_hang);
-        FaultyFiles::sync(file, error);
+        FaultyFileSystem::sync(file, error);
     }
     Handle lock(const std::string& path, std::error_code& error) override {
         wait(lock_hangs);
-        return FaultyFiles::lock(path, error);
+        return FaultyFileSystem::lock(path, error);
     }
     void hang(bool& what, bool yes) {
         const std::scoped_lock guard(mutex_);
@@ -54,71 +54,71 @@
     int waiting_ = 0;
 };
 
-TEST(Keeper, WritesTheLastBeforeItStops) {
-    FaultyFiles files;
+TEST(SnapshotWriter, WritesTheLastBeforeItStops) {
+    FaultyFileSystem files;
     {
-        Keeper keeper(files, "state", "n-1");
-        EXPECT_FALSE(keeper.start(kGenerous).snapshot);
-        for (int round = 1; round <= 50; ++round) keeper.post(sample(round));
-        EXPECT_TRUE(keeper.stop(kGenerous));
-        const auto status = keeper.status();
+        SnapshotWriter writer(files, "state", "n-1");
+        EXPECT_FALSE(writer.start(kGenerous).snapshot);
+        for (int round = 1; round <= 50; ++round) writer.post(sample(round));
+        EXPECT_TRUE(writer.stop(kGenerous));
+        const auto status = writer.status();
         EXPECT_EQ(status.saves + status.replaced, 50U);
         EXPECT_GE(status.saves, 1U);
-        keeper.post(sample(99));
+        writer.post(sample(99));
     }
     files.locked.clear();
-    Keeper next(files, "state", "n-1");
+    SnapshotWriter next(files, "state", "n-1");
     const auto loaded = next.start(kGenerous);
     ASSERT_TRUE(loaded.snapshot) << loaded.why;
     EXPECT_EQ(round_of(*loaded.snapshot), 50);
     EXPECT_TRUE(next.stop(kGenerous));
 }
 
-TEST(Keeper, ADiskThatHangsHoldsUpNobody) {
-    HangingFiles files;
-    Keeper keeper(files, "state", "n-1");
-    keeper.start(kGenerous);
+TEST(SnapshotWriter, ADiskThatHangsHoldsUpNobody) {
+    HangingFileSystem files;
+    SnapshotWriter writer(files, "state", "n-1");
+    writer.start(kGenerous);
     files.hang(files.syncs_hang, true);
-    keeper.post(sample(1));
+    writer.post(sample(1));
     files.await_waiting();
-    for (int round = 2; round <= 1000; ++round) keeper.post(sample(round));  // comes back at once, each time
-    EXPECT_EQ(keeper.status().replaced, 998U) << "one waits, whatever comes";
-    EXPECT_FALSE(keeper.stop(kBrief));
+    for (int round = 2; round <= 1000; ++round) writer.post(sample(round));  // comes back at once, each time
+    EXPECT_EQ(writer.status().replaced, 998U) << "one waits, whatever comes";
+    EXPECT_FALSE(writer.stop(kBrief));
     files.hang(files.syncs_hang, false);
-    EXPECT_TRUE(keeper.stop(kGenerous));
-    EXPECT_EQ(keeper.status().saves, 2U) << "the one that hung, and the last";
+    EXPECT_TRUE(writer.stop(kGenerous));
+    EXPECT_EQ(writer.status().saves, 2U) << "the one that hung, and the last";
 }
 
-TEST(Keeper, AStartDoesNotWaitForADiskForEver) {
-    HangingFiles files;
+TEST(SnapshotWriter, AStartDoesNotWaitForADiskForEver) {
+    HangingFileSystem files;
     files.lock_hangs = true;
-    Keeper keeper(files, "state", "n-1");
-    const auto loaded = keeper.start(kBrief);
+    SnapshotWriter writer(files, "state", "n-1");
+    const auto loaded = writer.start(kBrief);
     EXPECT_FALSE(loaded.snapshot);
     EXPECT_NE(loaded.why.find("has not answered"), std::string::npos);
-    keeper.post(sample(1));
+    writer.post(sample(1));
     files.hang(files.lock_hangs, false);
-    EXPECT_TRUE(keeper.stop(kGenerous));
+    EXPECT_TRUE(writer.stop(kGenerous));
     EXPECT_TRUE(files.paths().empty());
 }
 
-TEST(Keeper, FailuresAreToldAndTheNextSaveIsTried) {
-    FaultyFiles files;
-    Keeper keeper(files, "state", "n-1");
-    keeper.start(kGenerous);
-    files.at = 0, files.fault = FaultyFiles::Fault::full;
-    keeper.post(sample(1));
-    while (keeper.status().failures == 0) std::this_thread::yield();
-    EXPECT_FALSE(keeper.status().last_error.empty());
-    keeper.post(sample(2));
-    EXPECT_TRUE(keeper.stop(kGenerous));
-    EXPECT_EQ(keeper.status().saves, 1U);
-    EXPECT_TRUE(keeper.status().last_error.empty());
+TEST(SnapshotWriter, FailuresAreToldAndTheNextSaveIsTried) {
+    FaultyFileSystem files;
+    SnapshotWriter writer(files, "state", "n-1");
+    writer.start(kGenerous);
+    files.at = 0, files.fault = FaultyFileSystem::Fault::full;
+    writer.post(sample(1));
+    while (writer.status().failures == 0) std::this_thread::yield();
+    EXPECT_FALSE(writer.status().last_error.empty());
+    writer.post(sample(2));
+    EXPECT_TRUE(writer.stop(kGenerous));
+    EXPECT_EQ(writer.status().saves, 1U);
+    EXPECT_TRUE(writer.status().last_error.empty());
 }
 
-TEST(Keeper, AFolderInUseIsToldAndNothingIsKept) {
-    FaultyFiles files;
-    Keeper first(files, "state", "n-1"), second(files, "state", "n-1");
+TEST(SnapshotWriter, AFolderInUseIsToldAndNothingIsKept) {
+    FaultyFileSystem files;
+    SnapshotWriter first(files, "state", "n-1"), second(files, "state", "n-1");
     first.start(kGenerous);
     EXPECT_NE(second.start(kGenerous).why.find("another process"), std::string::npos);
     second.post(sample(1));
--- a/tests/state/system_calls_test.cpp
+++ b/tests/state/system_calls_test.cpp
@@ -13,8 +13,8 @@
 #include <filesystem>
 
 #include "samples.hpp"
-#include "state/keeper.hpp"
-#include "state/store.hpp"
+#include "state/snapshot_store.hpp"
+#include "state/snapshot_writer.hpp"
 
 namespace elmbay::state {
 namespace {
@@ -38,7 +38,7 @@
     // the last.
     int saves(int first, int& last) const {
         int kept = 0;
-        Store store(posix_files(), folder + "/state", "n-1");
+        SnapshotStore store(posix_file_system(), folder + "/state", "n-1");
         bool open = !store.open();
         if (open) store.load();
         for (int round = first; round < first + kRounds; ++round) {
@@ -50,9 +50,9 @@
         return kept;
     }
     int loaded_round() const {
-        Store store(posix_files(), folder + "/state", "n-1");
+        SnapshotStore store(posix_file_system(), folder + "/state", "n-1");
         EXPECT_FALSE(store.open());
-        const Store::Loaded loaded = store.load();
+        const SnapshotStore::LoadResult loaded = store.load();
         return loaded.snapshot ? round_of(*loaded.snapshot) : 0;
     }
 
@@ -109,18 +109,19 @@
         first += kRounds;
     }
     std::error_code error;
-    EXPECT_LE(posix_files().list(folder + "/state", error).size(), 1U + Store::kKept) << "nothing piles up";
+    EXPECT_LE(posix_file_system().list(folder + "/state", error).size(), 1U + SnapshotStore::kKeptGenerations)
+        << "nothing piles up";
 }
 
 TEST_F(SystemCalls, WithoutAThreadTheSidecarGoesWithout) {
     plan_calls({.call = "pthread_create", .error = EAGAIN});
-    Keeper keeper(posix_files(), folder + "/state", "n-1");
-    const auto loaded = keeper.start();
+    SnapshotWriter writer(posix_file_system(), folder + "/state", "n-1");
+    const auto loaded = writer.start();
     EXPECT_EQ(calls_gone_wrong(), 1);
     EXPECT_FALSE(loaded.snapshot);
     EXPECT_NE(loaded.why.find("nothing is kept"), std::string::npos) << loaded.why;
-    keeper.post(sample(1));
-    EXPECT_TRUE(keeper.stop(Keeper::Span(0)));
+    writer.post(sample(1));
+    EXPECT_TRUE(writer.stop(std::chrono::milliseconds(0)));
     EXPECT_FALSE(std::filesystem::exists(folder + "/state"));
 }
 
@@ -129,19 +130,19 @@
     const pid_t child = ::fork();
     ASSERT_GE(child, 0);
     if (child == 0) {
-        Keeper keeper(posix_files(), folder + "/state", "n-1");
-        keeper.start();
+        SnapshotWriter writer(posix_file_system(), folder + "/state", "n-1");
+        writer.start();
         rlimit limit{};
         if (::getrlimit(RLIMIT_FSIZE, &limit) != 0) ::_exit(2);
         const rlim_t soft = limit.rlim_cur;
         limit.rlim_cur = 100;
         if (::setrlimit(RLIMIT_FSIZE, &limit) != 0) ::_exit(2);
-        keeper.post(sample(1));
-        while (keeper.status().failures == 0) ::usleep(1000);
+        writer.post(sample(1));
+        while (writer.status().failures == 0) ::usleep(1000);
         limit.rlim_cur = soft;
         if (::setrlimit(RLIMIT_FSIZE, &limit) != 0) ::_exit(2);
-        keeper.post(sample(2));
-        ::_exit(keeper.stop(Keeper::Span(20000)) && keeper.status().saves == 1 ? 0 : 3);
+        writer.post(sample(2));
+        ::_exit(writer.stop(std::chrono::milliseconds(20000)) && writer.status().saves == 1 ? 0 : 3);
     }
     int status = 0;
     ASSERT_EQ(::waitpid(child, &status, 0), child);
--- a/tests/state/failure_spell_test.cpp
+++ b/tests/state/write_failure_log_test.cpp
@@ -1,25 +1,25 @@
 // What is said of writes that fail: once when a spell begins, once when it is over.
-#include "state/failure_spell.hpp"
+#include "state/write_failure_log.hpp"
 
 #include <gtest/gtest.h>
 
 namespace elmbay::state {
 namespace {
 
-Keeper::Status sound() { return {}; }
-Keeper::Status failed(const std::string& error) {
-    Keeper::Status status;
+SnapshotWriter::Status sound() { return {}; }
+SnapshotWriter::Status failed(const std::string& error) {
+    SnapshotWriter::Status status;
     status.last_error = error;
     return status;
 }
-Keeper::Status hanging() {
-    Keeper::Status status;
+SnapshotWriter::Status hanging() {
+    SnapshotWriter::Status status;
     status.hangs = true;
     return status;
 }
 
-TEST(FailureSpell, IsSaidOnceWhateverItsReasons) {
-    FailureSpell spell;
+TEST(WriteFailureLog, IsSaidOnceWhateverItsReasons) {
+    WriteFailureLog spell;
     EXPECT_FALSE(spell.observe(sound()));
     EXPECT_EQ(spell.observe(failed("No space left on device")), "can't be written: No space left on device");
     EXPECT_FALSE(spell.observe(failed("No space left on device")));
@@ -32,8 +32,8 @@
     EXPECT_EQ(spell.observe(sound()), "written again");
 }
 
-TEST(FailureSpell, ThatBeginsWithTheStartIsToldByTheStartOnly) {
-    FailureSpell spell;
+TEST(WriteFailureLog, ThatBeginsWithTheStartIsToldByTheStartOnly) {
+    WriteFailureLog spell;
     spell.begun(failed("Read-only file system"));
     EXPECT_FALSE(spell.observe(failed("Read-only file system")));
     EXPECT_EQ(spell.observe(sound()), "written again");
