--- a/src/links/stream_link.cpp
+++ b/src/links/stream_link.cpp
@@ -4,6 +4,7 @@
 
 #include <deque>
 
+#include "base/stream_socket.hpp"
 #include "links/pipe.hpp"
 
 namespace elmbay::links {
@@ -54,7 +55,7 @@
         Way(Ground& ground, Link link, std::uint64_t nth, bool asks, tcp::socket s)
             : flow(ground.rules(), std::move(link), nth, asks), socket(std::move(s)) {}
         Flow flow;
-        tcp::socket socket;
+        TcpSocket socket;
         std::deque<Step> steps;
         std::size_t waiting = 0, written = 0;  // bytes in steps; of the first step, passed on already
         bool reading = false, writing = false, ended = false, passed_end = false;
@@ -176,7 +177,7 @@
                 });
                 return;
             }
-            tcp::socket& to = other(way).socket;
+            TcpSocket& to = other(way).socket;
             if (step.kind == Step::Kind::reset) return close(true);
             if (step.kind == Step::Kind::half_close) {
                 Error ignored;
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -7,6 +7,8 @@
 #include <limits>
 #include <optional>
 
+#include "base/stream_socket.hpp"
+
 namespace elmbay {
 
 namespace {
@@ -184,7 +186,7 @@
     }
 
     Discovery& owner_;
-    tcp::socket socket_;
+    TcpSocket socket_;
     boost::beast::flat_buffer buffer_{kMostAhead};
     http::request<http::empty_body> request_;
     std::optional<http::response_parser<http::buffer_body>> parser_;
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -2,14 +2,17 @@
 
 #include <netinet/in.h>
 #include <netinet/tcp.h>
-#include <sys/socket.h>
 
 #include <boost/asio/write.hpp>
 #include <boost/beast/core/flat_buffer.hpp>
 #include <chrono>
+#include <iostream>
 #include <thread>
 
 #include "base/plants.hpp"
+#include "base/socket_failures.hpp"
+#include "base/socket_state.hpp"
+#include "base/stream_socket.hpp"
 
 namespace elmbay {
 
@@ -21,6 +24,8 @@
 constexpr Millis kQuiet = 100;       // who has connected and is silent for so long is not about to ask
 constexpr Millis kSweep = 20;        // between two looks at idle connections while draining
 constexpr Millis kAcceptPause = 20;  // when no socket is to be had for a client
+// Connections that were given up before they were accepted, in a row: after so many others have their turn.
+constexpr int kMostFailedAccepts = 64;
 // A request must have come whole this long after its connection, or, on a kept one, after its first byte. The
 // usual client sends at once, and gives up sooner than this; who is owed an error is owed it within 3 s.
 constexpr Millis kStalled = 2500;
@@ -107,14 +112,13 @@
     // While a request is in work. Bytes count as much as an end: behind them one may stand, and they end the
     // request in any case, see on_readable().
     bool gone() {
-        char byte = 0;
-        const auto got = ::recv(socket_.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-        return got >= 0 || (errno != EAGAIN && errno != EWOULDBLOCK);
+        const SocketState state = state_of(socket_.native_handle());
+        return state != SocketState::quiet && state != SocketState::interrupted;
     }
 
     void answer(HttpResponse response) {
         id_ = 0;
-        write(std::move(response));
+        guarded([&] { write(std::move(response)); });
     }
 
     // The one way to end a connection whose client may have something to read yet, or be sending (RFC 9112,
@@ -204,10 +208,9 @@
     void on_readable() {
         if (state_ == State::ended) return discard();
         if (state_ == State::idle) return calming_ ? void() : read();
-        char byte = 0;
-        const auto got = ::recv(socket_.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-        if (got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) return await();
-        if (got <= 0) {
+        const SocketState state = state_of(socket_.native_handle());
+        if (state == SocketState::quiet || state == SocketState::interrupted) return await();
+        if (state != SocketState::readable) {
             // The client has closed, or ended its sending: it has gone away, as the protocol has it.
             if (state_ != State::writing) return close();
             last_ = true;  // the connection ends with the answer
@@ -236,9 +239,10 @@
         parser_.emplace();
         parser_->body_limit(kMostRequestBody);
         parser_->header_limit(kMostHeader);
-        http::async_read_header(
-            socket_, *buffer_, *parser_,
-            [self = shared_from_this()](Error error, std::size_t) { self->on_head(error); });
+        http::async_read_header(socket_, *buffer_, *parser_,
+                                [self = shared_from_this()](Error error, std::size_t) {
+                                    self->guarded([&] { self->on_head(error); });
+                                });
     }
 
     // Judged by its head: what can't be used is turned away before its body is taken, and what contradicts
@@ -269,8 +273,9 @@
             if (!long_ && length) return turn_away(kTooLarge, true);
             if (!long_) parser_->body_limit(kUsualBody);
         }
-        http::async_read(socket_, *buffer_, *parser_,
-                         [self = shared_from_this()](Error e, std::size_t) { self->on_body(e); });
+        http::async_read(socket_, *buffer_, *parser_, [self = shared_from_this()](Error e, std::size_t) {
+            self->guarded([&] { self->on_body(e); });
+        });
     }
 
     void on_body(Error error) {
@@ -329,6 +334,30 @@
         owner_.handlers_.arrived(id_, std::move(request), arrival);
     }
 
+    // An exception on a request's way (no memory, say) must not leave its client without an outcome: whoever
+    // would have given it later may not know of the request.
+    template <class Work>
+    void guarded(Work work) {
+        try {
+            work();
+        } catch (const std::exception& error) {
+            std::cerr << "elmbay: a request failed: " << error.what() << std::endl;
+            fail();
+        }
+    }
+    void fail() {
+        const auto self = shared_from_this();
+        try {
+            leave();
+            if (state_ == State::reading || state_ == State::working)
+                return turn_away({http::status::internal_server_error, "failed\n"}, true);
+        } catch (const std::exception& error) {
+            std::cerr << "elmbay: nor can it be answered: " << error.what() << std::endl;
+            return close();
+        }
+        if (state_ == State::writing && !response_) close();  // its answer has not begun
+    }
+
     void hand_over(HttpRequest request, Arrival arrival) {
         state_ = State::closed;
         owner_.remove(*this);
@@ -396,7 +425,7 @@
     }
 
     Listener& owner_;
-    tcp::socket socket_;
+    TcpSocket socket_;
     // Only while a request is being read: idle connections are many.
     std::optional<boost::beast::flat_buffer> buffer_;
     std::optional<http::request_parser<http::string_body>> parser_;
@@ -433,6 +462,9 @@
     bind(listen);
     acceptor_.listen(4096);
     acceptor_.non_blocking(true);
+    // Else Asio keeps ECONNABORTED and EPROTO to itself and waits for the next edge: whoever stands in the
+    // queue behind such a connection would wait for somebody else to come.
+    acceptor_.set_option(asio::socket_base::enable_connection_aborted(true));
     budget_.set_shedder(Side::clients, [this] { return shed(); });
     accept();
 }
@@ -470,18 +502,25 @@
     acceptor_.async_accept([this](Error error, tcp::socket socket) {
         accepting_ = false;
         if (!error) {
+            failed_accepts_ = 0;
             admit(std::move(socket));
             return accept();
         }
         budget_.give_back(Side::clients);
-        if (!acceptor_.is_open()) return;
-        // No descriptor (EMFILE) or a client that left already: neither ends the accepting.
-        if (error == asio::error::connection_aborted) return accept();
-        shed();
-        accept_later();
+        if (acceptor_.is_open()) accept_failed(error);
     });
 }
 
+// No error ends the accepting. A resting connection is closed only where that makes room: not for the
+// machine's shortage, and not for a client that has left already.
+void Listener::accept_failed(const boost::system::error_code& error) {
+    const SocketFailure failure = accept_failure(error);
+    if (failure == SocketFailure::connection && ++failed_accepts_ < kMostFailedAccepts) return accept();
+    failed_accepts_ = 0;
+    if (failure == SocketFailure::own_descriptors) shed();
+    accept_later();
+}
+
 void Listener::accept_later() {
     timers_.cancel(accept_timer_);
     accept_timer_ = timers_.set(clock_.now() + kAcceptPause, [this] {
@@ -564,24 +603,38 @@
     if (draining_) return;
     draining_ = true;
     done_ = std::move(done);
-    timers_.set(clock_.now() + kLinger, [this] {
-        accept_waiting();
-        Error ignored;
-        acceptor_.close(ignored);
-        closing_ = true;
-        end_idle();
-    });
+    timers_.set(clock_.now() + kLinger, [this, last = clock_.now() + kLastTaken] { stop_accepting(last); });
     timers_.set(clock_.now() + kLastTaken, [this] { stop_reading(); });
 }
 
-// What the kernel accepted is ours: it counts as taken once its request is there, so none is left behind.
-void Listener::accept_waiting() {
-    while (budget_.take(Side::clients)) {
+// What the kernel accepted is ours: it counts as taken once its request is there, so none is left behind. For
+// want of a descriptor or of the machine's memory it is tried again while a request may still be taken.
+void Listener::stop_accepting(Millis last) {
+    if (!accept_waiting() && clock_.now() + kAcceptPause < last) {
+        timers_.set(clock_.now() + kAcceptPause, [this, last] { stop_accepting(last); });
+        return;
+    }
+    Error ignored;
+    acceptor_.close(ignored);
+    closing_ = true;
+    end_idle();
+}
+
+// Whether none is left in the kernel's queue, or no place for more.
+bool Listener::accept_waiting() {
+    for (int failed = 0; failed < kMostFailedAccepts && budget_.take(Side::clients);) {
         Error error;
         tcp::socket socket = acceptor_.accept(error);
-        if (error) return budget_.give_back(Side::clients);
-        admit(std::move(socket));
+        if (!error) {
+            admit(std::move(socket));
+            continue;
+        }
+        budget_.give_back(Side::clients);
+        if (error == asio::error::would_block) return true;
+        if (accept_failure(error) != SocketFailure::connection) return false;
+        ++failed;
     }
+    return true;
 }
 
 void Listener::end_idle() {
--- a/src/net/listener.hpp
+++ b/src/net/listener.hpp
@@ -72,9 +72,11 @@
 
     void bind(const Endpoint& listen);
     void accept();
+    void accept_failed(const boost::system::error_code& error);
     void accept_later();
     void socket_free();
-    void accept_waiting();
+    void stop_accepting(Millis last);
+    bool accept_waiting();
     void admit(asio::ip::tcp::socket socket);
     bool shed();
     static bool close_one(std::shared_ptr<Connection> connection);
@@ -101,6 +103,7 @@
     std::unordered_map<RequestId, Connection*> in_work_;
     RequestId next_id_ = 1;
     bool accepting_ = false;
+    int failed_accepts_ = 0;          // in a row, of connections that were given up before
     bool starved_ = false;            // a client may wait in the kernel's queue, and no socket is to be had
     TimerQueue::Key accept_timer_{};  // the next try, when nothing tells of a free socket before
     bool draining_ = false, closing_ = false;  // told to end; no longer accepting
--- a/src/net/upstream.cpp
+++ b/src/net/upstream.cpp
@@ -1,6 +1,5 @@
 #include "net/upstream.hpp"
 
-#include <sys/socket.h>
 #include <unistd.h>
 
 #include <algorithm>
@@ -8,6 +7,9 @@
 #include <cmath>
 
 #include "base/plants.hpp"
+#include "base/socket_failures.hpp"
+#include "base/socket_state.hpp"
+#include "base/stream_socket.hpp"
 #include "http/intake.hpp"
 #include "net/answer.hpp"
 
@@ -26,6 +28,9 @@
 // An attempt waits this share of its time for a connection: so that one that found none leaves time for
 // another server, or to tell the client while that can still use it.
 constexpr double kConnectShare = 0.25;
+// Between two tries where a socket or a port was lacking: such a shortage lasts for moments, and an attempt's
+// share of time for its connection, some 50 ms at least, holds several.
+constexpr Millis kOpenAgain = 10;
 
 }  // namespace
 
@@ -43,6 +48,8 @@
     Endpoint endpoint;
     Millis online_since = 0;
     bool may_send = true;
+    bool unasked =
+        false;  // the last try to open a connection failed for want of a socket, port or route here
     std::size_t attempts = 0, connecting = 0;
     Millis heard = 0;                               // when it last answered anything
     std::deque<AttemptKey> waiting;                 // for a connection, the oldest first
@@ -59,17 +66,23 @@
         : server(server), endpoint(endpoint), owner_(owner), socket_(owner.io_) {}
 
     void connect() {
-        Error error;
-        socket_.open(endpoint.protocol(), error);
-        if (error) return fail_later();
         timer_ = owner_.timers_.set(owner_.clock_.now() + owner_.limits_.connect_timeout,
                                     [self = shared_from_this()] {
                                         self->timer_ = {};
                                         self->failed();
                                     });
-        socket_.async_connect(endpoint, [self = shared_from_this()](Error e) {
+        open();
+    }
+
+    // While the machine or this process lacks what a connection takes the server has not been asked: it is
+    // tried again, up to the time for the whole.
+    void open() {
+        socket_.async_connect(endpoint, [self = shared_from_this()](Error error) {
             if (self->closed_) return;
-            if (e) return self->failed();
+            const bool asked = !error || connect_failure(error) == SocketFailure::connection;
+            self->owner_.servers_.at(self->server).unasked = !asked;
+            if (!asked) return self->open_later();
+            if (error) return self->failed();
             self->owner_.timers_.cancel(self->timer_);
             Error ignored;
             self->socket_.set_option(tcp::no_delay(true), ignored);
@@ -80,12 +93,7 @@
     }
 
     // Whether a request may be written: nothing has come that no request asked for, nor the end.
-    bool usable() {
-        if (closed_) return false;
-        char byte = 0;
-        const auto got = ::recv(socket_.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-        return got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
-    }
+    bool usable() { return !closed_ && state_of(socket_.native_handle()) == SocketState::quiet; }
 
     void send(AttemptKey attempt, std::shared_ptr<const HttpRequest> message, Millis left) {
         key = attempt;
@@ -131,6 +139,7 @@
         if (closed_) return;
         closed_ = true;
         owner_.timers_.cancel(timer_);
+        owner_.timers_.cancel(again_);
         if (planted("leak")) (void)::dup(STDERR_FILENO);
         Error ignored;
         socket_.close(ignored);
@@ -143,8 +152,13 @@
     Millis idle_since = 0;
 
 private:
-    void fail_later() {
-        asio::post(owner_.io_, [self = shared_from_this()] { self->failed(); });
+    void open_later() {
+        Error ignored;
+        socket_.close(ignored);
+        again_ = owner_.timers_.set(owner_.clock_.now() + kOpenAgain, [self = shared_from_this()] {
+            self->again_ = {};
+            self->open();
+        });
     }
     void failed() {
         if (closed_) return;
@@ -238,11 +252,11 @@
     }
 
     Upstream& owner_;
-    tcp::socket socket_;
+    TcpSocket socket_;
     std::optional<AnswerReader> answer_;
     std::shared_ptr<const HttpRequest> message_;
     std::optional<http::request<http::span_body<const char>>> request_;
-    TimerQueue::Key timer_{};
+    TimerQueue::Key timer_{}, again_{};  // for the connection to be up; for the next try to open it
     bool busy_ = false, writing_ = false, closed_ = false;
     bool waiting_ = false;                             // to be readable
     bool read_ = false;                                // an answer, or that none will come
@@ -393,8 +407,9 @@
     Server& server = servers_.at(attempt.server);
     if (!attempt.connection) {
         std::erase(server.waiting, key);
-        const bool too_late = clock_.now() >= attempt.write_by;
-        return end(attempt, too_late ? Outcome::superseded : Outcome::refused_connection);
+        // That no connection came up is the server's failure only if it was asked for one.
+        const bool not_the_servers = clock_.now() >= attempt.write_by || server.unasked;
+        return end(attempt, not_the_servers ? Outcome::superseded : Outcome::refused_connection);
     }
     if (clock_.now() < attempt.until) {
         // Only its time to be written is over.
@@ -453,7 +468,7 @@
     if (server.waiting.size() > server.connecting) {
         const AttemptKey key = server.waiting.front();
         server.waiting.pop_front();
-        end(*attempts_.at(key), Outcome::refused_connection);
+        end(*attempts_.at(key), server.unasked ? Outcome::superseded : Outcome::refused_connection);
     }
 }
 
--- a/src/status/members_command.cpp
+++ b/src/status/members_command.cpp
@@ -7,6 +7,8 @@
 #include <boost/asio/read.hpp>
 #include <nlohmann/json.hpp>
 
+#include "base/stream_socket.hpp"
+
 namespace elmbay {
 
 namespace {
@@ -37,10 +39,14 @@
 
 nlohmann::json read_status(const std::string& path) {
     boost::asio::io_context io;
-    boost::asio::local::stream_protocol::socket socket(io);
-    socket.connect(path);
-    std::string text;
+    StreamSocket<boost::asio::local::stream_protocol> socket(io);
     boost::system::error_code error;
+    for (int i = 0; i < kMostInterruptions; ++i) {
+        socket.connect(path, error);
+        if (error != boost::asio::error::interrupted) break;
+    }
+    if (error) throw boost::system::system_error(error);
+    std::string text;
     boost::asio::read(socket, boost::asio::dynamic_buffer(text, kMostBytes), error);
     nlohmann::json status = nlohmann::json::parse(text, nullptr, false);
     if (!status.is_object()) throw std::runtime_error("told no status");
--- a/src/status/status_socket.cpp
+++ b/src/status/status_socket.cpp
@@ -4,16 +4,27 @@
 #include <unistd.h>
 
 #include <boost/asio/write.hpp>
+#include <chrono>
 #include <nlohmann/json.hpp>
 
+#include "base/socket_failures.hpp"
+#include "base/stream_socket.hpp"
+
 namespace elmbay {
 
 namespace asio = boost::asio;
 using local = asio::local::stream_protocol;
+using LocalSocket = StreamSocket<local>;
 using Error = boost::system::error_code;
 
+// Where no descriptor is to be had, whoever asks waits in the kernel's queue for this long.
+constexpr std::chrono::milliseconds kAcceptPause{100};
+// Connections that were given up before they were accepted, in a row: after so many the process's other work
+// has its turn.
+constexpr int kMostFailedAccepts = 16;
+
 StatusSocket::StatusSocket(asio::io_context& io, const std::string& path, Tell tell)
-    : acceptor_(io), path_(path), tell_(std::move(tell)) {
+    : acceptor_(io), accept_again_(io), path_(path), tell_(std::move(tell)) {
     local::socket probe(io);
     Error error;
     probe.connect(local::endpoint(path), error);
@@ -25,6 +36,7 @@
     acceptor_.bind(local::endpoint(path));
     ::chmod(path.c_str(), S_IRUSR | S_IWUSR);
     acceptor_.listen(kMostConnections);
+    acceptor_.set_option(asio::socket_base::enable_connection_aborted(true));  // else Asio waits for an edge
     accept();
 }
 
@@ -33,9 +45,11 @@
 void StatusSocket::accept() {
     acceptor_.async_accept([this](Error error, local::socket socket) {
         if (error == asio::error::operation_aborted) return;
-        if (!error && *open_ < kMostConnections) {
+        if (error) return accept_failed(error);
+        failed_accepts_ = 0;
+        if (*open_ < kMostConnections) {
             ++*open_;
-            const auto peer = std::make_shared<local::socket>(std::move(socket));
+            const auto peer = std::make_shared<LocalSocket>(std::move(socket));
             const auto text = std::make_shared<std::string>(tell_().dump() + "\n");
             asio::async_write(*peer, asio::buffer(*text),
                               [peer, text, open = open_](Error, std::size_t) { --*open; });
@@ -44,4 +58,14 @@
     });
 }
 
+void StatusSocket::accept_failed(const Error& error) {
+    if (accept_failure(error) == SocketFailure::connection && ++failed_accepts_ < kMostFailedAccepts)
+        return accept();
+    failed_accepts_ = 0;
+    accept_again_.expires_after(kAcceptPause);
+    accept_again_.async_wait([this](Error stopped) {
+        if (!stopped) accept();
+    });
+}
+
 }  // namespace elmbay
--- a/src/status/status_socket.hpp
+++ b/src/status/status_socket.hpp
@@ -4,6 +4,7 @@
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/local/stream_protocol.hpp>
+#include <boost/asio/steady_timer.hpp>
 #include <functional>
 #include <memory>
 #include <nlohmann/json_fwd.hpp>
@@ -25,8 +26,11 @@
 
 private:
     void accept();
+    void accept_failed(const boost::system::error_code& error);
 
     boost::asio::local::stream_protocol::acceptor acceptor_;
+    boost::asio::steady_timer accept_again_;
+    int failed_accepts_ = 0;  // in a row, of connections that were given up before
     const std::string path_;
     const Tell tell_;
     std::shared_ptr<std::size_t> open_ = std::make_shared<std::size_t>(0);
--- a/src/websocket/front.cpp
+++ b/src/websocket/front.cpp
@@ -102,7 +102,7 @@
     Front* owner_;  // none once its outcome is known
     SocketBudget& budget_;
     RequestId id_;
-    tcp::socket socket_;
+    TcpSocket socket_;
     std::unique_ptr<HttpResponse> answer_;
     std::optional<asio::steady_timer> limit_;
     std::array<char, 512> waste_{};
--- a/src/websocket/session.hpp
+++ b/src/websocket/session.hpp
@@ -19,13 +19,29 @@
 #include <string>
 #include <vector>
 
+#include "base/stream_socket.hpp"
 #include "http/message.hpp"
 #include "websocket/settings.hpp"
 
+namespace elmbay {
+
+// Beast asks for these by name for each kind of socket under a WebSocket stream.
+inline void teardown(boost::beast::role_type role, TcpSocket& socket, boost::system::error_code& error) {
+    boost::asio::ip::tcp::socket& plain = socket;
+    boost::beast::websocket::teardown(role, plain, error);
+}
+template <class Handler>
+void async_teardown(boost::beast::role_type role, TcpSocket& socket, Handler&& handler) {
+    boost::asio::ip::tcp::socket& plain = socket;
+    boost::beast::websocket::async_teardown(role, plain, std::forward<Handler>(handler));
+}
+
+}  // namespace elmbay
+
 namespace elmbay::websocket {
 
 namespace ws = boost::beast::websocket;
-using Stream = ws::stream<asio::ip::tcp::socket>;
+using Stream = ws::stream<TcpSocket>;
 
 class Session : public std::enable_shared_from_this<Session> {
 public:
--- /dev/null
+++ b/tests/syscall_faults/faults.hpp
@@ -0,0 +1,27 @@
+// Fault injection for system calls on loopback sockets, for tests only.
+//
+// faults.cpp defines the C library's socket calls and passes each on to the real one, or fails it as Linux
+// documents. It is built twice: as a library that a test loads into the program under test (LD_PRELOAD), and
+// into the test program whose own calls are to fail. The program itself never contains it.
+//
+// What fails is a specification of words, also in the environment as SYSCALL_FAULTS:
+//
+//     seed=7 send:SHORT=0.25 recv:EINTR=0.1 connect:ENETUNREACH=x20 recv@out:ETIMEDOUT=0.01
+//
+// A rule is CALL[@SIDE]:FAULT=HOW. HOW is a share of the calls, drawn by the seed, or xN: the first N calls.
+// SIDE is `in` for accepted connections and `out` for connections that this process opened; both if left out.
+// SHORT takes or gives a part only. An error that ends a connection (ETIMEDOUT, EHOSTUNREACH, ECONNRESET,
+// EPIPE) is told once, and the connection is over from then on. Before the process listens nothing fails.
+#pragma once
+
+#include <cstdint>
+#include <string>
+
+namespace elmbay::test::syscall_faults {
+
+// Replaces what fails in this process; empty: nothing does. Throws std::invalid_argument.
+void configure(const std::string& specification);
+// How many calls rule number `rule` of the specification has failed in this process.
+std::uint64_t failed(std::size_t rule);
+
+}  // namespace elmbay::test::syscall_faults
--- /dev/null
+++ b/tests/syscall_faults/fleet_faults_test.cpp
@@ -0,0 +1,219 @@
+// The program's processes while their system calls fail as Linux documents. Every request has its final
+// answer in time, none runs twice: the ledger says so, and its history is the message of a failure.
+#include <gtest/gtest.h>
+#include <unistd.h>
+
+#include <algorithm>
+#include <array>
+#include <filesystem>
+#include <fstream>
+#include <string>
+#include <vector>
+
+#include "fleet/fleet.hpp"
+
+namespace elmbay::fleet {
+namespace {
+
+using Answer = Ledger::Answer;
+const std::array<std::string, 3> kGrades{"listen", "deposit", "annotate"};
+
+// One specification of faults for the program's processes, and how often each of its rules struck.
+class Faults {
+public:
+    explicit Faults(const std::string& specification)
+        : specification_(specification),
+          counts_(std::filesystem::temp_directory_path() /
+                  ("syscall-faults-" + std::to_string(::getpid()) + "-" + std::to_string(next_++))) {}
+    ~Faults() {
+        std::error_code ignored;
+        std::filesystem::remove(counts_, ignored);
+    }
+    Faults(const Faults&) = delete;
+    Faults& operator=(const Faults&) = delete;
+
+    // Under AddressSanitizer the library stands before the sanitizer's own, and passes on to it.
+    std::string program() const {
+        return "exec env LD_PRELOAD='" ELMBAY_SYSCALL_FAULTS "' SYSCALL_FAULTS='" + specification_ +
+               "' SYSCALL_FAULTS_COUNTS='" + counts_.string() +
+               "' ASAN_OPTIONS=\"verify_asan_link_order=0:$ASAN_OPTIONS\" '" ELMBAY_PROGRAM "'";
+    }
+    std::uint64_t struck(std::size_t rule) const {
+        std::uint64_t count = 0;
+        std::ifstream file(counts_, std::ios::binary);
+        file.seekg(static_cast<std::streamoff>(rule * sizeof count));
+        file.read(reinterpret_cast<char*>(&count), sizeof count);
+        return count;
+    }
+
+private:
+    static inline int next_ = 0;
+    const std::string specification_;
+    const std::filesystem::path counts_;
+};
+
+Options options_for(const Faults& faults, std::size_t sidecars = 1, std::size_t servers = 4) {
+    Options options;
+    options.sidecars = sidecars, options.servers = servers;
+    options.program = faults.program();
+    // Far beyond what a busy machine needs: nothing here is about speed.
+    options.patience = 10000, options.aim = 5000;
+    return options;
+}
+
+// So many requests of each effect, `together` of them in work at a time.
+bool ask_of_each_effect(Fleet& fleet, std::size_t each, std::size_t together) {
+    for (std::size_t i = 0; i < each * kGrades.size(); ++i) {
+        fleet.ask(i % fleet.sidecars(), kGrades[i % kGrades.size()]);
+        if (!fleet.until([&] { return fleet.ledger().open() < together; })) return false;
+    }
+    return fleet.settle();
+}
+
+std::string answers(Fleet& fleet) {
+    Ledger& ledger = fleet.ledger();
+    return "served " + std::to_string(ledger.count(Answer::served)) + ", refused " +
+           std::to_string(ledger.count(Answer::refused)) + ", failed " +
+           std::to_string(ledger.count(Answer::failed)) + ", cut " +
+           std::to_string(ledger.count(Answer::cut)) + " of " + std::to_string(ledger.asked());
+}
+
+struct Case {
+    const char* name;
+    const char* specification;  // its first rule has to strike
+    bool all_served;            // nothing about it costs a request its answer
+};
+
+class EachFault : public testing::TestWithParam<Case> {};
+
+// What only interrupts, cuts short or lasts for a moment costs no request anything.
+TEST_P(EachFault, CostsNoRequestItsFinalAnswer) {
+    constexpr std::size_t kEach = 200, kTogether = 12;
+    const Faults faults(GetParam().specification);
+    Fleet fleet(options_for(faults));
+    fleet.start();
+    for (std::size_t i = 0; i < fleet.servers(); ++i) fleet.server(i).body = 20000;
+    ASSERT_TRUE(ask_of_each_effect(fleet, kEach, kTogether)) << answers(fleet) << "\n" << fleet.story();
+    EXPECT_GT(faults.struck(0), 0U);
+    EXPECT_EQ(fleet.ledger().count(Answer::cut), 0U);
+    if (GetParam().all_served) {
+        EXPECT_EQ(fleet.ledger().count(Answer::served), fleet.ledger().asked()) << answers(fleet);
+    }
+    std::cout << GetParam().name << ": " << answers(fleet) << ", faults " << faults.struck(0) << std::endl;
+}
+
+const Case kCases[] = {
+    {"ShortWrites", "seed=1 send:SHORT=0.25", true},
+    {"ShortReads", "seed=2 recv:SHORT=0.25", true},
+    {"InterruptedReads", "seed=3 recv:EINTR=0.25", true},
+    {"InterruptedWrites", "seed=4 send:EINTR=0.25", true},
+    {"InterruptedWaits", "seed=5 epoll_wait:EINTR=0.25 poll:EINTR=0.25", true},
+    {"InterruptedConnects", "seed=6 connect:EINTR=0.5", true},
+    {"AcceptConnectionAborted", "seed=7 accept:ECONNABORTED=0.25", true},
+    {"AcceptProtocolError", "seed=8 accept:EPROTO=0.25", true},
+    {"AcceptInterrupted", "seed=9 accept:EINTR=0.25", true},
+    {"AcceptNetworkDown", "seed=10 accept:ENETDOWN=0.25", true},
+    {"AcceptHostUnreachable", "seed=11 accept:EHOSTUNREACH=0.25", true},
+    // This one closes resting connections, and a request may cross the end of one: its client sends it again.
+    {"AcceptNoDescriptor", "seed=12 accept:EMFILE=0.25", false},
+    {"AcceptNoFileTable", "seed=13 accept:ENFILE=0.25", true},
+    {"AcceptNoBuffers", "seed=14 accept:ENOBUFS=0.25", true},
+    {"AcceptNoMemory", "seed=15 accept:ENOMEM=0.25", true},
+    {"SocketNoDescriptor", "seed=16 socket:EMFILE=x40", true},
+    {"SocketNoFileTable", "seed=17 socket:ENFILE=x40", true},
+    {"SocketNoBuffers", "seed=18 socket:ENOBUFS=x40", true},
+    {"SocketNoMemory", "seed=19 socket:ENOMEM=x40", true},
+    {"ConnectNoAddress", "seed=20 connect:EADDRNOTAVAIL=x40", true},
+    {"ConnectNetworkUnreachable", "seed=21 connect:ENETUNREACH=x40", true},
+    {"ConnectNoBuffers", "seed=22 connect:ENOBUFS=x40", true},
+    {"ConnectTryAgain", "seed=23 connect:EAGAIN=x40", true},
+    {"OptionsFail", "seed=24 setsockopt:ENOBUFS=0.25 getsockopt:ENOBUFS=0.25", true},
+    {"BrokenAsTimedOut", "seed=25 recv@out:ETIMEDOUT=0.02 send@out:ETIMEDOUT=0.02", false},
+    {"BrokenAsHostUnreachable", "seed=26 recv@out:EHOSTUNREACH=0.02 send@out:EHOSTUNREACH=0.02", false},
+    {"BrokenAsReset", "seed=27 recv@out:ECONNRESET=0.02 send@out:ECONNRESET=0.02", false},
+    {"BrokenAsPipe", "seed=28 send@out:EPIPE=0.05", false},
+};
+INSTANTIATE_TEST_SUITE_P(SystemCalls, EachFault, testing::ValuesIn(kCases),
+                         [](const auto& info) { return std::string(info.param.name); });
+
+// What it believes is longer than one write may take, and is told whole.
+TEST(FaultsOnTheStatusSocket, LeaveItWhole) {
+    const Faults faults("seed=31 send:SHORT=0.5 send:EINTR=0.2 accept:ENFILE=0.3 accept:ECONNABORTED=0.3");
+    Fleet fleet(options_for(faults, 1, 12));
+    fleet.start();
+    for (int i = 0; i < 20; ++i) {
+        const json status = fleet.status(0);
+        ASSERT_TRUE(status.is_object());
+        EXPECT_EQ(status["name"], "n-0");
+        EXPECT_EQ(status["servers"].size(), 12U);
+    }
+    EXPECT_GT(faults.struck(0), 20U);
+}
+
+// All of them, about one call in ten of each kind. Connections to servers break as well; a client's own does
+// not, as nobody could answer it there.
+const char* const kAllTogether =
+    "send:SHORT=0.05 send:EINTR=0.04 recv:SHORT=0.05 recv:EINTR=0.04 epoll_wait:EINTR=0.1 poll:EINTR=0.1 "
+    "accept:ECONNABORTED=0.02 accept:EPROTO=0.01 accept:ENETDOWN=0.01 accept:EHOSTUNREACH=0.01 "
+    "accept:EINTR=0.01 accept:ENFILE=0.01 accept:ENOBUFS=0.01 accept:ENOMEM=0.01 accept:EMFILE=0.01 "
+    "socket:EMFILE=0.025 socket:ENFILE=0.025 socket:ENOBUFS=0.025 socket:ENOMEM=0.025 "
+    "connect:EINTR=0.03 connect:EADDRNOTAVAIL=0.02 connect:ENETUNREACH=0.02 connect:ENOBUFS=0.01 "
+    "connect:ETIMEDOUT=0.01 connect:EHOSTUNREACH=0.01 setsockopt:ENOBUFS=0.1 getsockopt:ENOBUFS=0.1 "
+    "send@out:ETIMEDOUT=0.004 send@out:EHOSTUNREACH=0.003 send@out:EPIPE=0.003 "
+    "recv@out:ETIMEDOUT=0.004 recv@out:EHOSTUNREACH=0.003 recv@out:ECONNRESET=0.003";
+constexpr std::size_t kRules = 33;
+
+void expect_every_rule_struck(const Faults& faults) {
+    for (std::size_t rule = 0; rule < kRules; ++rule) EXPECT_GT(faults.struck(rule), 0U) << "rule " << rule;
+}
+
+// Nothing is open: whoever asks next comes on a new connection, and is sent on over one.
+void end_all_connections(Fleet& fleet) {
+    for (std::size_t i = 0; i < fleet.sidecars(); ++i) {
+        const std::string sidecar = "n-" + std::to_string(i);
+        fleet.link("c-" + std::to_string(i), sidecar).reset_all();
+        for (std::size_t j = 0; j < fleet.servers(); ++j)
+            fleet.link(sidecar, "s-" + std::to_string(j)).reset_all();
+    }
+}
+
+TEST(AllFaultsTogether, NoRequestIsLostAndNoneRunsTwice) {
+    constexpr std::size_t kRounds = 50, kEach = 200, kTogether = 32;
+    const Faults faults("seed=41 " + std::string(kAllTogether));
+    Fleet fleet(options_for(faults, 2, 6));
+    fleet.start();
+    for (std::size_t i = 0; i < fleet.servers(); ++i) fleet.server(i).body = 4000;
+    for (std::size_t round = 0; round < kRounds; ++round) {
+        ASSERT_TRUE(ask_of_each_effect(fleet, kEach, kTogether)) << answers(fleet) << "\n" << fleet.story();
+        end_all_connections(fleet);
+    }
+    EXPECT_EQ(fleet.ledger().count(Answer::cut), 0U);
+    expect_every_rule_struck(faults);
+    std::cout << answers(fleet) << std::endl;
+}
+
+// The same while ways between them are cut, in turn, and open again.
+TEST(AllFaultsTogether, NorWhileLinksAreCut) {
+    constexpr std::size_t kRounds = 8, kEach = 100, kTogether = 24;
+    const Faults faults("seed=42 " + std::string(kAllTogether));
+    Options options = options_for(faults, 3, 6);
+    options.patience = 3000, options.aim = 1500;  // what a cut way holds up ends in time
+    Fleet fleet(options);
+    fleet.start();
+    for (std::size_t round = 0; round < kRounds; ++round) {
+        links::Rule cut;
+        cut.name = "cut", cut.act = links::Act::cut;
+        cut.from = {"n-" + std::to_string(round % 3)};
+        cut.to = round % 4 == 3 ? std::vector<std::string>{"list"}
+                                : std::vector<std::string>{"s-" + std::to_string(round % 6)};
+        fleet.ground().put(cut);
+        const bool kept = ask_of_each_effect(fleet, kEach, kTogether);
+        fleet.ground().take_away("cut");
+        ASSERT_TRUE(kept) << answers(fleet) << "\n" << fleet.story();
+    }
+    EXPECT_EQ(fleet.ledger().count(Answer::cut), 0U);
+    std::cout << answers(fleet) << std::endl;
+}
+
+}  // namespace
+}  // namespace elmbay::fleet
--- /dev/null
+++ b/tests/syscall_faults/stream_socket_test.cpp
@@ -0,0 +1,195 @@
+// StreamSocket, the look at a connection and the sorting of errors, while this process's own calls fail.
+#include "base/stream_socket.hpp"
+
+#include <gtest/gtest.h>
+
+#include <boost/asio/read.hpp>
+#include <boost/asio/write.hpp>
+#include <chrono>
+#include <string>
+
+#include "base/socket_failures.hpp"
+#include "base/socket_state.hpp"
+#include "faults.hpp"
+
+namespace elmbay::test {
+namespace {
+
+namespace asio = boost::asio;
+using tcp = asio::ip::tcp;
+using Error = boost::system::error_code;
+
+struct StreamSockets : testing::Test {
+    asio::io_context io{1};
+    tcp::acceptor acceptor{io, {asio::ip::address_v4::loopback(), 0}};
+    TcpSocket opened{io};
+    tcp::socket accepted{io};
+
+    ~StreamSockets() override { syscall_faults::configure(""); }
+    void connect() {
+        opened.connect(acceptor.local_endpoint());
+        accepted = acceptor.accept();
+        opened.non_blocking(true);
+    }
+    template <class Happened>
+    bool until(Happened happened) {
+        const auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(10);
+        while (!happened() && std::chrono::steady_clock::now() < limit) {
+            io.restart();
+            io.run_one_for(std::chrono::milliseconds(100));
+        }
+        return happened();
+    }
+};
+
+// The socket's buffer has room all the time, so no edge of EPOLLOUT ever comes.
+TEST_F(StreamSockets, ShortWritesAreContinued) {
+    connect();
+    syscall_faults::configure("send@out:SHORT=1");
+    const std::string text(20000, 't');
+    bool written = false;
+    asio::async_write(opened, asio::buffer(text), [&](Error error, std::size_t n) {
+        EXPECT_FALSE(error);
+        EXPECT_EQ(n, text.size());
+        written = true;
+    });
+    ASSERT_TRUE(until([&] { return written; }));
+    std::string got(text.size(), '\0');
+    asio::read(accepted, asio::buffer(got));
+    EXPECT_EQ(got, text);
+    EXPECT_GT(syscall_faults::failed(0), 1U);
+}
+
+// A peer that reads nothing, then all: the socket is full meanwhile.
+TEST_F(StreamSockets, AWriteWaitsForRoomAndGoesOn) {
+    connect();
+    syscall_faults::configure("send@out:SHORT=0.5 send@out:EINTR=0.5 recv@in:SHORT=0.5");
+    const std::string text(16 << 20, 't');
+    bool written = false;
+    asio::async_write(opened, asio::buffer(text), [&](Error error, std::size_t) {
+        EXPECT_FALSE(error);
+        written = true;
+    });
+    io.restart();
+    while (io.run_one_for(std::chrono::milliseconds(50)) > 0) continue;
+    EXPECT_FALSE(written);
+    std::string got(text.size(), '\0');
+    bool read = false;
+    asio::async_read(accepted, asio::buffer(got), [&](Error, std::size_t) { read = true; });
+    ASSERT_TRUE(until([&] { return read && written; }));
+    EXPECT_TRUE(got == text);
+}
+
+TEST_F(StreamSockets, AWriteOnAClosedSocketEndsWithAnError) {
+    connect();
+    const std::string text(64 << 20, 't');
+    Error result;
+    bool over = false;
+    asio::async_write(opened, asio::buffer(text), [&](Error error, std::size_t) {
+        result = error;
+        over = true;
+    });
+    io.restart();
+    while (io.run_one_for(std::chrono::milliseconds(50)) > 0) continue;
+    EXPECT_FALSE(over);
+    opened.close();
+    ASSERT_TRUE(until([&] { return over; }));
+    EXPECT_EQ(result, asio::error::operation_aborted);
+}
+
+TEST_F(StreamSockets, AnInterruptedConnectIsWaitedFor) {
+    syscall_faults::configure("connect:EINTR=x3");
+    bool over = false;
+    opened.async_connect(acceptor.local_endpoint(), [&](Error error) {
+        EXPECT_FALSE(error) << error.message();
+        over = true;
+    });
+    ASSERT_TRUE(until([&] { return over; }));
+    EXPECT_GT(syscall_faults::failed(0), 0U);
+    accepted = acceptor.accept();
+    EXPECT_EQ(opened.remote_endpoint(), acceptor.local_endpoint());
+}
+
+TEST_F(StreamSockets, ARefusedConnectSaysSo) {
+    const auto nobody = acceptor.local_endpoint();
+    acceptor.close();
+    Error result;
+    bool over = false;
+    opened.async_connect(nobody, [&](Error error) {
+        result = error;
+        over = true;
+    });
+    ASSERT_TRUE(until([&] { return over; }));
+    EXPECT_EQ(result, asio::error::connection_refused);
+}
+
+TEST_F(StreamSockets, AnInterruptedReadOrWriteIsMadeAgain) {
+    connect();
+    syscall_faults::configure("recv@out:EINTR=x3 send@out:EINTR=x3");
+    Error error;
+    EXPECT_EQ(opened.write_some(asio::buffer("there", 5), error), 5U);
+    EXPECT_FALSE(error);
+    asio::write(accepted, asio::buffer("back", 4));
+    ASSERT_TRUE(until([&] { return opened.available() == 4; }));
+    char got[8];
+    EXPECT_EQ(opened.read_some(asio::buffer(got), error), 4U);
+    EXPECT_FALSE(error) << error.message();
+    EXPECT_EQ(syscall_faults::failed(0), 3U);
+    EXPECT_EQ(syscall_faults::failed(1), 3U);
+}
+
+// A bound for what no signal does: the socket counts as not ready, and the loop comes back to it.
+TEST_F(StreamSockets, EndlessInterruptionsLookLikeASocketThatIsNotReady) {
+    connect();
+    syscall_faults::configure("recv@out:EINTR=1 send@out:EINTR=1");
+    asio::write(accepted, asio::buffer("back", 4));
+    Error error;
+    char got[8];
+    EXPECT_EQ(opened.read_some(asio::buffer(got), error), 0U);
+    EXPECT_EQ(error, asio::error::would_block);
+    EXPECT_EQ(opened.write_some(asio::buffer("there", 5), error), 0U);
+    EXPECT_EQ(error, asio::error::would_block);
+    EXPECT_EQ(state_of(opened.native_handle()), SocketState::interrupted);
+}
+
+TEST_F(StreamSockets, TheLookTellsAnEndFromAnInterruption) {
+    connect();
+    const int socket = opened.native_handle();
+    syscall_faults::configure("recv@out:EINTR=x3");
+    EXPECT_EQ(state_of(socket), SocketState::quiet);
+    asio::write(accepted, asio::buffer("x", 1));
+    ASSERT_TRUE(until([&] { return opened.available() == 1; }));
+    syscall_faults::configure("recv@out:EINTR=x3");
+    EXPECT_EQ(state_of(socket), SocketState::readable);
+    char byte;
+    opened.read_some(asio::buffer(&byte, 1));
+    accepted.shutdown(tcp::socket::shutdown_send);
+    ASSERT_TRUE(until([&] { return state_of(socket) != SocketState::quiet; }));
+    syscall_faults::configure("recv@out:EINTR=x3");
+    EXPECT_EQ(state_of(socket), SocketState::ended);
+    EXPECT_EQ(syscall_faults::failed(0), 3U);
+    for (const char* error : {"ETIMEDOUT", "EHOSTUNREACH", "ECONNRESET"}) {
+        opened = TcpSocket(io);
+        connect();
+        syscall_faults::configure("recv@out:" + std::string(error) + "=x1");
+        EXPECT_EQ(state_of(opened.native_handle()), SocketState::broken) << error;
+    }
+}
+
+TEST(SocketFailures, AreSortedByWhoseTheyAre) {
+    const auto error = [](int number) { return Error(number, boost::system::system_category()); };
+    EXPECT_EQ(accept_failure(error(EMFILE)), SocketFailure::own_descriptors);
+    for (const int number : {ENFILE, ENOBUFS, ENOMEM})
+        EXPECT_EQ(accept_failure(error(number)), SocketFailure::machine) << number;
+    for (const int number : {ECONNABORTED, EPROTO, ENETDOWN, ENOPROTOOPT, EHOSTDOWN, ENONET, EHOSTUNREACH,
+                             EOPNOTSUPP, ENETUNREACH, EPERM, EINTR})
+        EXPECT_EQ(accept_failure(error(number)), SocketFailure::connection) << number;
+    EXPECT_EQ(connect_failure(error(EMFILE)), SocketFailure::own_descriptors);
+    for (const int number : {ENFILE, ENOBUFS, ENOMEM, EADDRNOTAVAIL, EAGAIN, ENETUNREACH, ENETDOWN})
+        EXPECT_EQ(connect_failure(error(number)), SocketFailure::machine) << number;
+    for (const int number : {ECONNREFUSED, ETIMEDOUT, EHOSTUNREACH, ECONNRESET})
+        EXPECT_EQ(connect_failure(error(number)), SocketFailure::connection) << number;
+}
+
+}  // namespace
+}  // namespace elmbay::test
--- a/tests/websocket/front_test.cpp
+++ b/tests/websocket/front_test.cpp
@@ -7,6 +7,7 @@
 #include <map>
 
 #include "net_rig.hpp"
+#include "syscall_faults/faults.hpp"
 #include "websocket/session.hpp"
 
 namespace elmbay::test {
@@ -190,6 +191,32 @@
     EXPECT_EQ(server.reason.reason, "enough");
 }
 
+// Messages that are longer than any one call takes, in both directions, with all ends' calls cut short and
+// interrupted: each comes once, whole and in order.
+TEST_F(Sessions, ShortAndInterruptedCallsLoseNoMessage) {
+    serve();
+    const auto client = open();
+    ASSERT_TRUE(rig.until([&] { return servers.front().ends.size() == 1 && servers.front().ends[0]->open; }));
+    End& server = *servers.front().ends[0];
+    syscall_faults::configure("seed=5 send:SHORT=0.3 send:EINTR=0.2 recv:SHORT=0.3 recv:EINTR=0.2");
+    const std::shared_ptr<void> off(nullptr, [](void*) { syscall_faults::configure(""); });
+    constexpr std::size_t kMessages = 50;
+    std::vector<std::string> there, back;
+    for (std::size_t i = 0; i < kMessages; ++i) {
+        there.push_back("there " + std::to_string(i) + std::string(i * 300, 't'));
+        back.push_back("back " + std::to_string(i) + std::string(i * 300, 'b'));
+        client->send(there.back());
+        server.send(back.back());
+    }
+    ASSERT_TRUE(rig.until([&] { return server.got.size() == kMessages && client->got.size() == kMessages; }));
+    EXPECT_EQ(server.got, there);
+    EXPECT_EQ(client->got, back);
+    EXPECT_GT(syscall_faults::failed(0), 0U);
+    client->stream.async_close({ws::close_code::normal, "enough"}, [](Error) {});
+    ASSERT_TRUE(rig.until([&] { return server.over() && rig.sidecar->sessions() == 0; }));
+    EXPECT_EQ(server.error, ws::error::closed);
+}
+
 TEST_F(Sessions, AgreeOnASubprotocolThatTheServerChose) {
     servers.emplace_back(rig.io).subprotocol = "transcript.v1";
     serve(0);
