--- a/src/base/fading.hpp
+++ b/src/base/fading.hpp
@@ -18,6 +18,24 @@
     void add(Millis now, Millis memory) { count = left(now, memory) + 1, at = now; }
 };
 
+// How many carried what a Tally of the same memory still counts: those that there are now, and those that
+// have gone, forgotten as slowly as the tally forgets their work.
+class Carriers {
+public:
+    void set(double present, Millis now, Millis memory) {
+        gone_ = std::max(0.0, count(now, memory) - present);
+        present_ = present;
+        at_ = now;
+    }
+    double count(Millis now, Millis memory) const {
+        return present_ + gone_ * std::exp((at_ - now) / memory);
+    }
+
+private:
+    double present_ = 0, gone_ = 0;  // as of at_
+    Millis at_ = 0;
+};
+
 // A mean in which samples count less the older they are, and about the last kMostSamples of them at most:
 // light traffic needs the first, heavy traffic the second.
 struct Recent : Tally {
--- a/src/policy/aperture.cpp
+++ b/src/policy/aperture.cpp
@@ -44,14 +44,33 @@
         s->in_pool = true;
         if (!cold_->is_cold(*s, now)) ++warm_, ++alike_[s->info.kind];
     }
-    for (const auto& [kind, warm] : alike_) each_[kind] = of_[kind].rate(now, kRateMemory) / warm;
+    count_carriers(now);
+    for (const auto& [kind, warm] : alike_)
+        each_[kind] = of_[kind].rate(now, kRateMemory) / carriers_of_[kind].count(now, kRateMemory);
+}
+
+// Divided by those that are left alone, what servers carried that have just gone would look like the work of
+// one, and cold ones would be sent a share of that.
+void Aperture::count_carriers(Millis now) {
+    if (recalled_ && listed_ > 0) {
+        recalled_ = false;
+        carriers_.set(std::min(width_, static_cast<double>(listed_)), now, kRateMemory);
+    }
+    carriers_.set(static_cast<double>(warm_), now, kRateMemory);
+    for (const auto& [kind, warm] : alike_) carriers_of_.try_emplace(kind);
+    for (auto& [kind, carriers] : carriers_of_) {
+        const auto warm = alike_.find(kind);
+        carriers.set(warm == alike_.end() ? 0 : warm->second, now, kRateMemory);
+    }
 }
 
 double Aperture::each(std::uint32_t kind, Millis now) const {
     const auto alike = alike_.find(kind), last = each_.find(kind);
-    const double all = static_cast<double>(warm_), mean = carried_rate(now) / std::max(1.0, all);
+    const double all = static_cast<double>(warm_);
+    const double mean = carried_rate(now) / std::max(1.0, carriers_.count(now, kRateMemory));
     if (alike == alike_.end()) return last == each_.end() ? mean * (all > 0 ? kUnlike : 1) : last->second;
-    return alike->second == all ? mean : of_.at(kind).rate(now, kRateMemory) / alike->second;
+    if (alike->second == all) return mean;
+    return of_.at(kind).rate(now, kRateMemory) / carriers_of_.at(kind).count(now, kRateMemory);
 }
 
 }  // namespace hollybeam
--- a/src/policy/aperture.hpp
+++ b/src/policy/aperture.hpp
@@ -38,7 +38,10 @@
     void set_out(Server* s, bool out);
 
     // An earlier life had it at so many a ms at that time.
-    void recall(double rate, Millis at) { carried_ = {rate * kRateMemory, at}; }
+    void recall(double rate, Millis at) {
+        carried_ = {rate * kRateMemory, at};
+        recalled_ = true;
+    }
     // A warm server of that kind has completed a request.
     void completed(std::uint32_t kind, Millis now) {
         for (Tally* t : {&carried_, &of_[kind]}) t->add(now, kRateMemory);
@@ -62,10 +65,15 @@
     }
 
 private:
+    void count_carriers(Millis now);
+
     double siblings_;
     const ColdStart* cold_;
     Tally carried_;
+    Carriers carriers_;                  // warm servers that did
+    bool recalled_ = false;              // by an earlier life: its servers are not among the carriers yet
     std::map<std::uint32_t, Tally> of_;  // carried, by kind: a deployment has a handful
+    std::map<std::uint32_t, Carriers> carriers_of_;
     std::map<std::uint32_t, double> alike_,
         each_;                     // warm ones of the pool, and what one carries, as of draw()
     std::vector<Server*> ranked_;  // by rank
--- /dev/null
+++ b/tests/policy/cold_budget_test.cpp
@@ -0,0 +1,236 @@
+// The budget of a server in slow start, over fleets of few and of many sidecars. What all of them together
+// send it within the span that the settings name must stay under what the settings allow then, and a little
+// for chance: N + 2 x root N + 2, under 30 requests N + 3 x root N + 3.
+#include <gtest/gtest.h>
+
+#include <cmath>
+#include <deque>
+#include <map>
+#include <memory>
+#include <queue>
+#include <string>
+#include <vector>
+
+#include "base/random.hpp"
+#include "hollybeam/balancer.hpp"
+
+namespace hollybeam::test {
+namespace {
+
+constexpr Millis kSpan = 1000;  // the settings' own
+constexpr Millis kWarmRun = 20000, kColdRun = 12000;
+constexpr std::uint64_t kSeeds = 4;
+constexpr double kPerSecond = 1000;
+constexpr double kBusy = 60;  // requests a second: so many that a cold server's part of them shows
+
+double with_chance(double n) {
+    const double roots = n < 30 ? 3 : 2;
+    return n + roots * std::sqrt(n) + roots;
+}
+
+struct Scenario {
+    std::uint32_t sidecars = 1;
+    ServerId servers = 10, restarted = 1;
+    double capacity = 60;    // requests a second of one warm server
+    double load = 0.6;       // of all of them together
+    bool remembers = false;  // the sidecars are new, too, and know what their earlier lives carried
+};
+
+// Servers work off one request after another; sidecars ask them as their modules decide. Virtual time.
+class SlowStart {
+public:
+    SlowStart(const Scenario& scenario, std::uint64_t seed) : scenario_(scenario), random_(seed) {
+        settings_.classes = {RequestClass{Effect::repeatable, DedupScope::all, 3000, 400}};
+        settings_.siblings = scenario.sidecars;
+        settings_.max_attempts = 4;
+        settings_.cold_from = 0.16;
+        settings_.warm_within = 20000;
+        settings_.fall_multiple = 2.5;
+        servers_.resize(scenario.servers + 1);
+        for (std::uint32_t i = 0; i < scenario.sidecars; ++i) sidecars_.push_back(new_life(seed * 1000 + i));
+    }
+
+    // The most that a cold server got, as a share of what it may get.
+    double worst() {
+        std::vector<ServerInfo> infos;
+        for (ServerId id = 1; id <= scenario_.servers; ++id) infos.push_back({id, 0, 0, 0, Phase::on, 0});
+        for (std::uint32_t i = 0; i < scenario_.sidecars; ++i) give(i, ServerList{ListKind::full, infos});
+        now_ = start_;
+        run_until(start_ + kWarmRun);
+        std::vector<Knowledge> known;
+        for (auto& sidecar : sidecars_) known.push_back(sidecar->knowledge(now_));
+        std::vector<ServerInfo> fresh;
+        for (ServerId id = 1; id <= scenario_.restarted; ++id) {
+            servers_[id] = {now_, now_, {}};
+            fresh.push_back({id, 0, 0, 0, Phase::on, now_});
+            infos[id - 1] = fresh.back();
+        }
+        if (scenario_.remembers) {
+            for (std::uint32_t i = 0; i < scenario_.sidecars; ++i) {
+                sidecars_[i] = new_life(77000 + i);
+                give(i, Remembered{known[i], 500});
+                give(i, ServerList{ListKind::full, infos});
+            }
+            calls_.clear();
+        } else {
+            for (std::uint32_t i = 0; i < scenario_.sidecars; ++i)
+                give(i, ServerList{ListKind::incremental, fresh});
+        }
+        run_until(now_ + kColdRun);
+        return worst_;
+    }
+    std::size_t sent_to_cold() const { return sent_to_cold_; }
+
+private:
+    struct ServerState {
+        Millis started = 0, busy_until = 0;
+        std::deque<Millis> got;
+    };
+    struct Due {
+        Millis at = 0;
+        std::uint64_t order = 0;
+        std::uint32_t sidecar = 0;
+        Event event;
+        bool operator<(const Due& other) const {
+            return at != other.at ? at > other.at : order > other.order;
+        }
+    };
+    struct Call {
+        std::uint32_t attempts = 0;
+        bool ended = false;
+    };
+
+    std::unique_ptr<Balancer> new_life(std::uint64_t seed) {
+        auto balancer = std::make_unique<Balancer>(settings_, seed);
+        std::vector<Action> ignored;
+        balancer->handle(now_, Started{}, ignored);
+        return balancer;
+    }
+
+    double capacity(const ServerState& server) const {
+        if (server.started == 0) return scenario_.capacity;
+        const double age = std::min(1.0, (now_ - server.started) / settings_.warm_within);
+        return scenario_.capacity * (settings_.cold_from + (1 - settings_.cold_from) * age);
+    }
+
+    void run_until(Millis until) {
+        const double rate = scenario_.load * scenario_.capacity * scenario_.servers / kPerSecond;
+        Millis next = now_ + interval(rate);
+        for (;;) {
+            if (!due_.empty() && due_.top().at <= std::min(next, until)) {
+                const Due due = due_.top();
+                due_.pop();
+                now_ = due.at;
+                deliver(due);
+            } else if (next <= until) {
+                now_ = next;
+                next += interval(rate);
+                const auto to = static_cast<std::uint32_t>(random_.below(scenario_.sidecars));
+                give(to, RequestArrived{++last_request_, 0, {}, 1000});
+            } else {
+                now_ = until;
+                return;
+            }
+        }
+    }
+    Millis interval(double rate) { return -std::log(1 - random_.unit()) / rate; }
+
+    void deliver(const Due& due) {
+        Event event = due.event;
+        if (auto* end = std::get_if<AttemptEnded>(&event)) {
+            const auto call = calls_.find(end->id);
+            if (call == calls_.end()) return;
+            call->second.ended |= end->outcome == Outcome::completed;
+            end->request_ended = call->second.ended;
+        }
+        give(due.sidecar, event);
+    }
+
+    void give(std::uint32_t sidecar, const Event& event) {
+        std::vector<Action> actions;
+        sidecars_[sidecar]->handle(now_, event, actions);
+        for (const Action& action : actions) {
+            if (const auto* send = std::get_if<Send>(&action)) serve(sidecar, *send);
+            if (const auto* timer = std::get_if<SetTimer>(&action))
+                due_.push({timer->at, ++order_, sidecar, TimerFired{timer->token}});
+            if (const auto* refuse = std::get_if<Refuse>(&action)) calls_[refuse->id].ended = true;
+            if (const auto* failed = std::get_if<GiveUp>(&action)) calls_[failed->id].ended = true;
+        }
+    }
+
+    void serve(std::uint32_t sidecar, const Send& send) {
+        ServerState& server = servers_.at(send.server);
+        const std::uint32_t number = calls_[send.id].attempts++;
+        if (server.started > 0) count(server);
+        server.busy_until = std::max(now_, server.busy_until) + kPerSecond / capacity(server);
+        const bool late = server.busy_until >= send.try_until;
+        const Millis at = late ? send.try_until : server.busy_until;
+        due_.push({at, ++order_, sidecar,
+                   AttemptEnded{send.id, number, late ? Outcome::overdue : Outcome::completed, at - now_}});
+    }
+
+    void count(ServerState& server) {
+        ++sent_to_cold_;
+        server.got.push_back(now_);
+        while (server.got.front() <= now_ - kSpan) server.got.pop_front();
+        const double allowed = settings_.fall_multiple * capacity(server) * kSpan / kPerSecond;
+        worst_ = std::max(worst_, static_cast<double>(server.got.size()) / with_chance(allowed));
+    }
+
+    Scenario scenario_;
+    Settings settings_;
+    Random random_;
+    Millis now_ = 1000000;
+    const Millis start_ = now_;
+    std::vector<std::unique_ptr<Balancer>> sidecars_;
+    std::vector<ServerState> servers_;
+    std::map<RequestId, Call> calls_;
+    std::priority_queue<Due> due_;
+    RequestId last_request_ = 0;
+    std::uint64_t order_ = 0;
+    double worst_ = 0;
+    std::size_t sent_to_cold_ = 0;
+};
+
+void expect_within_budget(const Scenario& scenario) {
+    std::size_t sent_to_cold = 0;
+    for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
+        SlowStart run(scenario, seed);
+        const double worst = run.worst();
+        EXPECT_LE(worst, 1) << scenario.sidecars << " sidecars, " << scenario.restarted << " of "
+                            << scenario.servers << " servers restarted, capacity " << scenario.capacity
+                            << "/s, load " << scenario.load << ", seed " << seed;
+        sent_to_cold += run.sent_to_cold();
+    }
+    if (scenario.capacity >= kBusy) {
+        EXPECT_GT(sent_to_cold, 0U) << "a server that gets nothing proves nothing";
+    }
+}
+
+// However few or many sidecars there are, and however many of the servers start together.
+class SlowStartBudget : public testing::TestWithParam<std::uint32_t> {};
+
+TEST_P(SlowStartBudget, IsKeptWhenOneServerRestarts) {
+    for (const double capacity : {4.0, 60.0, 300.0}) expect_within_budget({GetParam(), 10, 1, capacity});
+}
+TEST_P(SlowStartBudget, IsKeptWhenMostServersRestartTogether) {
+    for (const ServerId restarted : {5U, 9U, 10U})
+        for (const double capacity : {4.0, 60.0, 300.0})
+            expect_within_budget({GetParam(), 10, restarted, capacity});
+}
+TEST_P(SlowStartBudget, IsKeptWhenAThirdOfManyServersRestartTogether) {
+    expect_within_budget({GetParam(), 90, 30, 60});
+}
+TEST_P(SlowStartBudget, IsKeptUnderHighLoad) {
+    for (const ServerId restarted : {3U, 9U}) expect_within_budget({GetParam(), 10, restarted, 60, 0.95});
+}
+TEST_P(SlowStartBudget, IsKeptWhenTheSidecarsRestartWithTheServers) {
+    for (const ServerId restarted : {1U, 9U, 10U})
+        expect_within_budget({GetParam(), 10, restarted, 60, 0.6, true});
+}
+
+INSTANTIATE_TEST_SUITE_P(Fleet, SlowStartBudget, testing::Values(1U, 3U, 30U, 300U),
+                         [](const auto& info) { return std::to_string(info.param) + "Sidecars"; });
+
+}  // namespace
+}  // namespace hollybeam::test
