--- a/src/policy/request.cpp
+++ b/src/policy/request.cpp
@@ -24,7 +24,7 @@
 Millis Request::write_by() const {
     const Attempt* first = first_possible_run();
     if (!first || kind.effect == Effect::repeatable) return std::numeric_limits<Millis>::infinity();
-    return kind.effect == Effect::once ? 0 : first->sent_at + kind.dedup_window - kInTransit;
+    return kind.effect == Effect::once ? 0 : first->sent_at + kind.dedup_window - kHeldUp;
 }
 
 bool Request::in_scope(const Attempt& a, const ServerInfo& s) const {
--- a/src/policy/request.hpp
+++ b/src/policy/request.hpp
@@ -31,9 +31,10 @@
     Millis hold_until = 0;  // what waits for room is refused after this
     std::vector<Attempt> attempts;
 
-    // Until when another attempt may leave. A keyed repeat: until servers may forget the first one, less what
-    // it may take to get there: PROTOCOL gives each time limit on sockets as much.
-    static constexpr Millis kInTransit = 50;
+    // Until when another attempt may leave. A keyed repeat: until servers may forget the first one, less the
+    // time for which a process may be held up between its last look at the clock and the write (STANDING).
+    // For the way there PROTOCOL gives each time limit on sockets 50 ms more.
+    static constexpr Millis kHeldUp = 150;
     Millis write_by() const;
 
     bool any_out() const;
