--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -201,10 +201,17 @@
         waiting_ = true;
         socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](Error error) {
             self->waiting_ = false;
-            if (self->state_ != State::closed) error ? self->close() : self->on_readable();
+            if (self->state_ == State::closed) return;
+            if (error == asio::error::operation_aborted) return self->wait_cancelled();
+            error ? self->close() : self->on_readable();
         });
     }
 
+    // Taken along as stop_reading() cancelled the read, whose handler goes on from here.
+    void wait_cancelled() {
+        if (state_ != State::reading) await();
+    }
+
     void on_readable() {
         if (state_ == State::ended) return discard();
         if (state_ == State::idle) return calming_ ? void() : read();
@@ -323,7 +330,10 @@
         // The same id again may be somebody else's open request: two of it must not be out together.
         if (!owner_.remember(field(request, "X-Correlation-Id")))
             return turn_away({http::status::conflict, "X-Correlation-Id has been used\n"}, false);
-        const Arrival arrival{waited_in_kernel(socket_), owner_.in_work_.size() < owner_.budget_.places()};
+        // Past kLastTaken its answer could come after the process has been killed: the decisions reject it at
+        // once, like one for which there is no place.
+        const bool has_place = owner_.taking_ && owner_.in_work_.size() < owner_.budget_.places();
+        const Arrival arrival{waited_in_kernel(socket_), has_place};
         if (owner_.handlers_.takes_connection && owner_.handlers_.takes_connection(request))
             return hand_over(std::move(request), arrival);
         state_ = State::working;
@@ -648,6 +658,7 @@
 }
 
 void Listener::stop_reading() {
+    taking_ = false;
     for (const Connections& all : {Connections(fresh_), Connections(kept_)})
         for (const auto& connection : all) connection->stop_reading();
 }
--- a/src/net/listener.hpp
+++ b/src/net/listener.hpp
@@ -107,6 +107,7 @@
     bool starved_ = false;            // a client may wait in the kernel's queue, and no socket is to be had
     TimerQueue::Key accept_timer_{};  // the next try, when nothing tells of a free socket before
     bool draining_ = false, closing_ = false;  // told to end; no longer accepting
+    bool taking_ = true;                       // requests; not after kLastTaken
     std::function<void()> done_;
 };
 
--- a/src/net/upstream.cpp
+++ b/src/net/upstream.cpp
@@ -340,8 +340,10 @@
     if (!server.waiting.empty() && list_first()) return;
     while (!server.waiting.empty()) {
         Attempt& attempt = *attempts_.at(server.waiting.front());
-        if (!server.may_send || clock_.now() >= attempt.write_by || gate_.caller_gone(attempt.key.request)) {
+        const bool too_late = clock_.now() >= std::min(attempt.until, attempt.write_by);
+        if (!server.may_send || too_late || gate_.caller_gone(attempt.key.request)) {
             // Told leaving or gone while the attempt waited for its connection, or nobody wants it any more.
+            // The timer that ends it may come later: a process that was held up hears of connections first.
             server.waiting.pop_front();
             end(attempt, Outcome::superseded);
             continue;
