--- a/src/base/config.cpp
+++ b/src/base/config.cpp
@@ -88,20 +88,82 @@
     return t;
 }
 
-Listing listing(const Json& json, const std::string& path) {
-    if (!json.is_object()) fail(path.empty() ? "list" : path, "is not an object");
-    const std::string prefix = path.empty() ? "" : path + ".";
-    Listing list;
-    list.rev = whole(member(json, "rev", prefix), prefix + "rev");
-    const Json& all = member(json, "all", prefix);
-    if (!all.is_boolean()) fail(prefix + "all", "is not a truth value");
-    list.all = all.get<bool>();
-    const Json& targets = member(json, "targets", prefix);
-    if (!targets.is_array()) fail(prefix + "targets", "is not a list");
-    for (std::size_t i = 0; i < targets.size(); ++i)
-        list.targets.push_back(target(targets[i], prefix + "targets." + std::to_string(i)));
-    return list;
-}
+// Parses JSON that holds a listing and turns each of its targets into a Target as soon as it has been read,
+// so that thousands of them never stand in memory as JSON. What is nested in a target is passed over unread:
+// no field of one is.
+class ListingParser {
+public:
+    // path: the field that is the listing; empty if the whole text is one.
+    explicit ListingParser(const std::string& path)
+        : path_(path),
+          prefix_(path.empty() ? "" : path + "."),
+          depth_(path.empty() ? 0 : 1),
+          inside_(path.empty()) {}
+
+    // The JSON without the targets. Throws ConfigError, naming the text as `what`.
+    Json parse(std::string_view text, const std::string& what) {
+        const auto callback = [this](int depth, Event event, const Json& value) {
+            return keep(depth, event, value);
+        };
+        Json json = Json::parse(text, callback, false);
+        if (json.is_discarded()) throw ConfigError(what + " is not JSON");
+        return json;
+    }
+    // The listing of what parse() has read; json: what stands there without the targets.
+    Listing listing(const Json& json) {
+        if (!json.is_object()) fail(path_.empty() ? "list" : path_, "is not an object");
+        listing_.rev = whole(member(json, "rev", prefix_), prefix_ + "rev");
+        const Json& all = member(json, "all", prefix_);
+        if (!all.is_boolean()) fail(prefix_ + "all", "is not a truth value");
+        listing_.all = all.get<bool>();
+        if (!member(json, "targets", prefix_).is_array()) fail(prefix_ + "targets", "is not a list");
+        return std::move(listing_);
+    }
+
+private:
+    using Event = Json::parse_event_t;
+
+    // Whether the parser keeps what it has come to. depth: how many braces and brackets it stands in.
+    bool keep(int depth, Event event, const Json& value) {
+        const int in_listing = depth_ + 1, in_targets = depth_ + 2;
+        const bool nested = event == Event::object_start || event == Event::array_start;
+        if (event == Event::key && depth <= in_listing)
+            return enter(depth, value.get_ref<const std::string&>());
+        if (at_ == At::elsewhere) return true;
+        if (at_ == At::other_field) return !nested;
+        if (depth < in_targets) return true;     // the list of targets itself
+        if (depth > in_targets) return !nested;  // a field of a target
+        if (event == Event::object_start || event == Event::key) return true;
+        add(value);  // a whole target, or something that is none
+        return false;
+    }
+    // A key of the listing, or of the object that it is a field of. Whether its value is kept.
+    bool enter(int depth, const std::string& key) {
+        if (depth == depth_) inside_ = key == path_;
+        if (!inside_ || depth == depth_) {
+            at_ = At::elsewhere;
+            return true;
+        }
+        at_ = key == "targets" ? At::targets : At::other_field;
+        if (at_ == At::targets)
+            listing_.targets.clear(), count_ = 0;  // of a key that comes twice the last counts
+        return at_ == At::targets || key == "rev" || key == "all";
+    }
+    void add(const Json& value) {
+        if (listing_.targets.size() >= kMostTargets) {
+            ++listing_.passed_over;
+            return;
+        }
+        listing_.targets.push_back(target(value, prefix_ + "targets." + std::to_string(count_++)));
+    }
+
+    const std::string path_, prefix_;
+    const int depth_;  // braces round the listing
+    bool inside_;      // the listing, rather than a field beside it
+    enum class At { elsewhere, targets, other_field } at_ = At::elsewhere;
+    std::size_t count_ = 0;  // targets so far
+    Listing listing_;
+};
 
 // Settings in the form of the simulator's first message: path and value, lists of objects with their count.
 void flatten(const Json& value, const std::string& path,
@@ -150,18 +212,16 @@
     return result;
 }
 
-Json parse(const std::string& text, const std::string& what) {
-    Json json = Json::parse(text, nullptr, false);
-    if (json.is_discarded()) throw ConfigError(what + " is not JSON");
-    return json;
-}
-
 }  // namespace
 
-Listing parse_listing(const std::string& text) { return listing(parse(text, "the list"), ""); }
+Listing parse_listing(std::string_view text) {
+    ListingParser parser("");
+    return parser.listing(parser.parse(text, "the list"));
+}
 
 Config parse_config(const std::string& source) {
-    const Json json = parse(source, "the configuration");
+    ListingParser parser("known");
+    const Json json = parser.parse(source, "the configuration");
     if (!json.is_object()) throw ConfigError("the configuration is not an object");
     Config c;
     if (const auto at = json.find("name"); at != json.end()) c.name = text(*at, "name");
@@ -189,8 +249,7 @@
         for (std::size_t i = 0; i < at->size(); ++i)
             c.peers.push_back(peer((*at)[i], "peers." + std::to_string(i)));
     }
-    if (const auto at = json.find("known"); at != json.end() && !at->is_null())
-        c.known = listing(*at, "known");
+    if (const auto at = json.find("known"); at != json.end() && !at->is_null()) c.known = parser.listing(*at);
     return c;
 }
 
--- a/src/base/config.hpp
+++ b/src/base/config.hpp
@@ -7,6 +7,7 @@
 #include <nlohmann/json_fwd.hpp>
 #include <optional>
 #include <string>
+#include <string_view>
 #include <vector>
 
 #include "base/site.hpp"
@@ -37,7 +38,11 @@
     std::uint64_t rev = 0;
     bool all = false;
     std::vector<Target> targets;
+    std::size_t passed_over = 0;  // targets beyond kMostTargets
 };
+// Targets that are taken of one list: three times what a sidecar keeps listed (EndpointRegistry). An
+// incremental list names those that left as well; no honest one is as long as this.
+constexpr std::size_t kMostTargets = 12288;
 
 struct Config {
     std::string name;
@@ -55,7 +60,7 @@
 };
 
 // Both throw ConfigError.
-Listing parse_listing(const std::string& text);
+Listing parse_listing(std::string_view text);
 Config parse_config(const std::string& text);
 
 // Reads the environment (by way of get, which returns nullptr for what is not set) and the file it names.
--- a/src/base/knowledge.hpp
+++ b/src/base/knowledge.hpp
@@ -10,6 +10,6 @@
 // of them.
 Knowledge sound(Knowledge knowledge);
 
-constexpr std::size_t kMostRememberedServers = 4096;  // twice what a sidecar lists
+constexpr std::size_t kMostRememberedServers = 4096;  // as many as a sidecar lists
 
 }  // namespace hollybeam
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -6,6 +6,7 @@
 #include <iostream>
 #include <limits>
 #include <optional>
+#include <string_view>
 
 #include "base/stream_socket.hpp"
 
@@ -19,8 +20,12 @@
 
 // The parser reads ahead of itself this far at most: head, or a chunk's line.
 constexpr std::size_t kMostAhead = 64 * 1024;
-// Thousands of servers. Read as JSON it takes several times its size, of a memory of some ten MB.
-constexpr std::size_t kMostLine = 1024 * 1024;
+// Bytes of one list. As many servers as a sidecar keeps, 4,096, in 1 KiB each: a target takes 150 to 250
+// bytes, and up to 400 where the JSON is indented. While a list is read the text stands once in memory, and
+// beside it only what it says: each target's JSON goes as soon as it has been read.
+constexpr std::size_t kMostLine = 4096 * 1024;
+// Memory that a watch keeps for its next line: many incremental lists, and no whole one.
+constexpr std::size_t kMostKeptText = 64 * 1024;
 
 }  // namespace
 
@@ -130,7 +135,8 @@
         }
         // The whole list is there. It becomes the watch's start.
         const bool again = parser_->keep_alive();
-        if (!take(text_)) return false;
+        const std::string whole = std::exchange(text_, {});  // its memory goes once it has been read
+        if (!take(whole)) return false;
         owner_.whole_ = false;
         again ? ask() : end("ended");
         return false;
@@ -146,16 +152,17 @@
         std::size_t from = 0;
         for (std::size_t to; (to = text_.find('\n', from)) != std::string::npos; from = to + 1) {
             expect(kSilence);  // not for less than a line: one that drips without an end is silence too
-            std::string line = text_.substr(from, to - from);
-            if (!line.empty() && line.back() == '\r') line.pop_back();
+            std::string_view line = std::string_view(text_).substr(from, to - from);
+            if (!line.empty() && line.back() == '\r') line.remove_suffix(1);
             if (!line.empty() && !take(line)) return false;  // an empty one is a heartbeat
         }
         text_.erase(0, from);
+        if (text_.empty() && text_.capacity() > kMostKeptText) text_.shrink_to_fit();
         return true;
     }
 
     // Broken data must not touch the list that is held: it is dropped whole, and asked for again.
-    bool take(const std::string& text) {
+    bool take(std::string_view text) {
         Listing listing;
         try {
             listing = parse_listing(text);
--- a/src/net/upstream.cpp
+++ b/src/net/upstream.cpp
@@ -5,6 +5,8 @@
 #include <algorithm>
 #include <boost/beast/http/span_body.hpp>
 #include <cmath>
+#include <optional>
+#include <set>
 
 #include "base/plants.hpp"
 #include "base/socket_failures.hpp"
@@ -138,6 +140,7 @@
     void close() {
         if (closed_) return;
         closed_ = true;
+        owner_.leave_idle(*this);
         owner_.timers_.cancel(timer_);
         owner_.timers_.cancel(again_);
         if (planted("leak")) (void)::dup(STDERR_FILENO);
@@ -150,6 +153,7 @@
     const Endpoint endpoint;
     AttemptKey key;
     Millis idle_since = 0;
+    std::optional<std::list<Connection*>::iterator> idle_at;  // in Upstream::idle_; none while it is not idle
 
 private:
     void open_later() {
@@ -310,11 +314,7 @@
     return at == servers_.end() ? 0 : at->second.attempts + at->second.connecting;
 }
 
-std::size_t Upstream::idle_connections() const {
-    std::size_t count = 0;
-    for (const auto& [id, server] : servers_) count += server.idle.size();
-    return count;
-}
+std::size_t Upstream::idle_connections() const { return idle_.size(); }
 
 void Upstream::start(AttemptKey key, ServerId to, Millis until, Millis write_by,
                      std::shared_ptr<const HttpRequest> request) {
@@ -351,6 +351,7 @@
         if (server.idle.empty()) break;
         const auto connection = server.idle.back();
         server.idle.pop_back();
+        leave_idle(*connection);
         if (!connection->usable()) {
             connection->close();
             continue;
@@ -371,8 +372,8 @@
     }
 }
 
-// Whether what the list has said comes before any write. All servers are looked at again once the loop has
-// gone round, which reads it.
+// Whether what the list has said comes before any write. What waits is looked at again once the loop has gone
+// round, which reads it.
 bool Upstream::list_first() {
     if (!gate_.list_unread()) {
         list_waited_since_ = -1;
@@ -386,7 +387,10 @@
             list_look_posted_ = false;
             // Also where nobody waits any more: the next wait has a time of its own.
             if (!gate_.list_unread()) list_waited_since_ = -1;
-            for (auto& [id, server] : servers_) assign(server);
+            std::set<ServerId> waited_for;
+            for (const auto& [key, attempt] : attempts_)
+                if (!attempt->connection) waited_for.insert(attempt->server);
+            for (const ServerId id : waited_for) assign(servers_.at(id));
         });
     return true;
 }
@@ -479,33 +483,34 @@
     if (!server.may_send || connection->endpoint != server.endpoint) return connection->close();
     connection->idle_since = clock_.now();
     server.idle.push_back(connection);
+    connection->idle_at = idle_.insert(idle_.end(), connection.get());
     if (!server.waiting.empty()) assign(server);
 }
 
 void Upstream::retire_idle() {
     const Millis before = clock_.now() - limits_.idle_close * kIdleShare;
-    for (auto& [id, server] : servers_)
-        while (!server.idle.empty() && server.idle.front()->idle_since < before) {
-            const auto connection = server.idle.front();
-            server.idle.pop_front();
-            connection->close();
-        }
+    while (!idle_.empty() && idle_.front()->idle_since < before) close_oldest_idle();
     timers_.set(clock_.now() + std::min(kRetireEvery, limits_.idle_close / 20), [this] { retire_idle(); });
 }
 
 void Upstream::drop() { budget_.give_back(Side::servers); }
 
 bool Upstream::shed() {
-    Server* oldest = nullptr;
-    for (auto& [id, server] : servers_)
-        if (!server.idle.empty() &&
-            (!oldest || server.idle.front()->idle_since < oldest->idle.front()->idle_since))
-            oldest = &server;
-    if (!oldest) return false;
-    const auto connection = oldest->idle.front();
-    oldest->idle.pop_front();
-    connection->close();
+    if (idle_.empty()) return false;
+    close_oldest_idle();
     return true;
 }
 
+// The oldest of all is the oldest of its server.
+void Upstream::close_oldest_idle() {
+    Server& server = servers_.at(idle_.front()->server);
+    const auto connection = server.idle.front();
+    server.idle.pop_front();
+    connection->close();
+}
+
+void Upstream::leave_idle(Connection& connection) {
+    if (const auto at = std::exchange(connection.idle_at, std::nullopt)) idle_.erase(*at);
+}
+
 }  // namespace elmbay
--- a/src/net/upstream.hpp
+++ b/src/net/upstream.hpp
@@ -81,6 +81,8 @@
     void connection_failed(const std::shared_ptr<Connection>& connection);
     void make_idle(const std::shared_ptr<Connection>& connection);
     void retire_idle();
+    void close_oldest_idle();
+    void leave_idle(Connection& connection);
     void drop();
     bool shed();
 
@@ -96,6 +98,7 @@
     bool list_look_posted_ = false;
     std::array<char, 32 * 1024> scratch_{};  // what is being read, of one connection at a time
     std::map<ServerId, Server> servers_;
+    std::list<Connection*> idle_;  // of all servers, the most recently used last
     std::map<AttemptKey, std::unique_ptr<Attempt>> attempts_;
 };
 
--- a/src/policy/aperture.cpp
+++ b/src/policy/aperture.cpp
@@ -2,27 +2,35 @@
 
 namespace hollybeam {
 
-namespace {
+void Aperture::set_servers(const std::vector<Server*>& all) {
+    for (Server* s : all) s->in_pool = false;
+    pool_.clear();
+    out_.clear();
+    ranked_.clear();
+    listed_ = 0;
+    for (Server* s : all) add(s);
+}
 
-bool by_rank(const Server* a, const Server* b) { return a->rank < b->rank; }
+void Aperture::add(Server* s) {
+    if (!ranked_.insert(s).second) return;
+    listed_ += s->listed;
+    set_out(s, s->standing != Standing::live);
+}
 
-}  // namespace
+void Aperture::remove(Server* s) {
+    if (ranked_.erase(s) == 0) return;
+    listed_ -= s->listed;
+    set_out(s, false);
+    if (s->in_pool) empty_pool();
+}
 
-void Aperture::set_servers(std::vector<Server*> all) {
-    ranked_ = std::move(all);
-    std::sort(ranked_.begin(), ranked_.end(), by_rank);
+void Aperture::empty_pool() {
+    for (Server* s : pool_) s->in_pool = false;
     pool_.clear();
-    out_.clear();
-    listed_ = 0;
-    for (Server* s : ranked_) {
-        s->in_pool = false;
-        listed_ += s->listed;
-        if (s->open() && s->standing != Standing::live) out_.push_back(s);
-    }
 }
 
 void Aperture::set_out(Server* s, bool out) {
-    const auto at = std::lower_bound(out_.begin(), out_.end(), s, by_rank);
+    const auto at = std::lower_bound(out_.begin(), out_.end(), s, ByRank());
     const bool there = at != out_.end() && *at == s;
     if (out && !there && s->open()) out_.insert(at, s);
     if (!out && there) out_.erase(at);
@@ -32,8 +40,7 @@
     const double seen = kSeen * static_cast<double>(ranked_.size()) / siblings_;
     const double filled = carried_rate(now) * OutlierEjection::kBackoff / Window::kSize;
     width_ = std::max({kNarrow, seen, filled, 2.0 * outstanding});
-    for (Server* s : pool_) s->in_pool = false;
-    pool_.clear();
+    empty_pool();
     warm_ = 0;
     alike_.clear();
     until_ = now + kPoolAge;
--- a/src/policy/aperture.hpp
+++ b/src/policy/aperture.hpp
@@ -8,6 +8,7 @@
 
 #include <algorithm>
 #include <map>
+#include <set>
 #include <vector>
 
 #include "policy/cold_start.hpp"
@@ -30,10 +31,12 @@
         : siblings_(std::max(1U, siblings)), cold_(&cold) {}
 
     void set_siblings(std::uint32_t siblings) { siblings_ = std::max(1U, siblings); }
-    // The list has changed: all servers there are, in any order. Linear in the fleet; nothing else here is.
-    void set_servers(std::vector<Server*> all);
-    // One that is no longer listed is gone for good.
-    void remove(Server* s) { std::erase(ranked_, s); }
+    // A whole list: all servers there are, in any order. Linear in the fleet; nothing else here is.
+    void set_servers(const std::vector<Server*>& all);
+    // An incremental list: each server it names is removed before it changes and added after that, if there
+    // is still something to add. draw() comes next.
+    void add(Server* s);
+    void remove(Server* s);
     // A verdict has taken it out of the pool or put it back: draw() comes next.
     void set_out(Server* s, bool out);
 
@@ -75,8 +78,15 @@
     std::map<std::uint32_t, Tally> of_;  // carried, by kind: a deployment has a handful
     std::map<std::uint32_t, Carriers> carriers_of_;
     std::map<std::uint32_t, double> alike_,
-        each_;                     // warm ones of the pool, and what one carries, as of draw()
-    std::vector<Server*> ranked_;  // by rank
+        each_;  // warm ones of the pool, and what one carries, as of draw()
+    struct ByRank {
+        bool operator()(const Server* a, const Server* b) const {
+            return a->rank != b->rank ? a->rank < b->rank : a->info.id < b->info.id;
+        }
+    };
+    void empty_pool();
+
+    std::set<Server*, ByRank> ranked_;
     std::vector<Server*> pool_, out_;
     std::size_t warm_ = 0, listed_ = 0;
     double width_ = 0;  // how many warm ones there should be
--- a/src/policy/server_table.cpp
+++ b/src/policy/server_table.cpp
@@ -8,16 +8,31 @@
 namespace hollybeam {
 
 void ServerTable::apply(const ServerList& list, Millis now) {
-    if (list.kind != ListKind::incremental) {
-        for (auto& [id, server] : servers_) server.listed = false;
-    }
     listed_ = std::max(list.servers.size(), servers_.size());
-    for (const ServerInfo& info : list.servers) learn(info, now);
+    if (list.kind == ListKind::incremental)
+        change(list.servers, now);
+    else
+        replace(list.servers, now);
     if (list.kind == ListKind::full) memory_->forget_servers();
+}
+
+void ServerTable::replace(const std::vector<ServerInfo>& list, Millis now) {
+    for (auto& [id, server] : servers_) server.listed = false;
+    for (const ServerInfo& info : list) learn(info, now);
     std::erase_if(servers_, [](const auto& entry) { return is_gone(entry.second); });
     std::vector<Server*> all;
     for (auto& [id, server] : servers_) all.push_back(&server);
-    aperture_->set_servers(std::move(all));
+    aperture_->set_servers(all);
+}
+
+void ServerTable::change(const std::vector<ServerInfo>& list, Millis now) {
+    for (const ServerInfo& info : list) {
+        if (Server* known = find(info.id)) aperture_->remove(known);
+        aperture_->add(&learn(info, now));
+    }
+    for (const ServerInfo& info : list) {
+        if (Server* server = find(info.id)) drop_if_gone(*server);
+    }
 }
 
 void ServerTable::drop_if_gone(Server& server) {
@@ -26,7 +41,7 @@
     servers_.erase(server.info.id);
 }
 
-void ServerTable::learn(const ServerInfo& info, Millis now) {
+Server& ServerTable::learn(const ServerInfo& info, Millis now) {
     const auto [entry, fresh] = servers_.try_emplace(info.id);
     Server& server = entry->second;
     if (fresh) server.rank = random_->next();
@@ -37,10 +52,11 @@
     server.info = info;
     pace_->learn(server);
     server.listed = info.phase != Phase::off;
-    if (!fresh) return;
+    if (!fresh) return server;
     // Half of the list stays in the pool, whatever the restored state says of it.
     memory_->recall(server, 2 * (recalled_out_ + 1) <= listed_, now);
     recalled_out_ += server.standing == Standing::removed;
+    return server;
 }
 
 Server* ServerTable::find(ServerId id) {
--- a/src/policy/server_table.hpp
+++ b/src/policy/server_table.hpp
@@ -35,7 +35,11 @@
     static bool is_gone(const Server& server) {
         return !server.listed && server.outstanding == 0 && server.sessions == 0;
     }
-    void learn(const ServerInfo& info, Millis now);
+    /// A whole list: what it does not name has left. Linear in the fleet.
+    void replace(const std::vector<ServerInfo>& list, Millis now);
+    /// An incremental list. Costs what it names, whatever the fleet holds.
+    void change(const std::vector<ServerInfo>& list, Millis now);
+    Server& learn(const ServerInfo& info, Millis now);
 
     Random* random_;
     Pace* pace_;
--- /dev/null
+++ b/src/sidecar/endpoint_registry.cpp
@@ -0,0 +1,107 @@
+#include "sidecar/endpoint_registry.hpp"
+
+#include <algorithm>
+
+namespace elmbay {
+
+using hollybeam::ListKind;
+using hollybeam::Phase;
+using hollybeam::ServerId;
+
+ServerId EndpointRegistry::reserve(const std::string& uid) {
+    return reserved_.try_emplace(uid, next_id_++).first->second;
+}
+
+const EndpointRegistry::Entry* EndpointRegistry::find(ServerId id) const {
+    const auto at = by_id_.find(id);
+    return at == by_id_.end() ? nullptr : at->second;
+}
+
+EndpointRegistry::Update EndpointRegistry::apply(ListKind kind, const std::vector<Target>& targets) {
+    Update update;
+    if (kind != ListKind::incremental)
+        for (auto at = entries_.begin(); at != entries_.end(); ++at) set_listed(at, false);
+    update.changes.reserve(targets.size());
+    for (const Target& target : targets) take(target, update);
+    for (const auto& [uid, at] : withdrawn_) {
+        ++visited_;
+        update.withdrawn.push_back(at->second.info.id);
+    }
+    if (kind == ListKind::full) reserved_.clear();
+    return update;
+}
+
+void EndpointRegistry::take(const Target& target, Update& update) {
+    if (!entries_.contains(target.uid)) {
+        if (target.phase == Phase::off) return;  // never known, or forgotten
+        if (!has_place(target)) {
+            ++update.passed_over;
+            return;
+        }
+    }
+    const Position at = find_or_add(target.uid);
+    Entry& entry = at->second;
+    entry.info = {entry.info.id,
+                  name_number(zones_, target.zone),
+                  name_number(kinds_, target.kind),
+                  target.cell,
+                  target.phase,
+                  target.online_since,
+                  target.weight};
+    set_listed(at, false);  // under its earlier address
+    entry.endpoint = target.endpoint;
+    if (target.phase != Phase::off) displace(at, update);
+    update.changes.push_back({entry.info, entry.endpoint, entry.info.phase == Phase::on});
+    update.any_active = update.any_active || target.phase == Phase::on;
+}
+
+bool EndpointRegistry::has_place(const Target& target) const {
+    return listed() < kMostListed && entries_.size() < kMostEntries && target.uid.size() <= kMostUid;
+}
+
+EndpointRegistry::Position EndpointRegistry::find_or_add(const std::string& uid) {
+    const auto [at, added] = entries_.try_emplace(uid);
+    ++visited_;
+    if (!added) return at;
+    const auto reserved = reserved_.find(uid);
+    const ServerId id = reserved != reserved_.end() ? reserved->second : next_id_++;
+    at->second.info.id = id;
+    by_id_.emplace(id, &at->second);
+    withdrawn_.emplace(at->first, at);
+    return at;
+}
+
+void EndpointRegistry::set_listed(Position at, bool listed) {
+    ++visited_;
+    Entry& entry = at->second;
+    if (entry.listed == listed) return;
+    entry.listed = listed;
+    if (listed) {
+        withdrawn_.erase(at->first);
+        by_endpoint_.insert_or_assign(entry.endpoint, at);
+    } else {
+        withdrawn_.emplace(at->first, at);
+        by_endpoint_.erase(entry.endpoint);
+    }
+}
+
+void EndpointRegistry::displace(Position arrived, Update& update) {
+    const auto there = by_endpoint_.find(arrived->second.endpoint);
+    if (there == by_endpoint_.end()) return set_listed(arrived, true);
+    const Position other = there->second;
+    if (other->second.info.online_since > arrived->second.info.online_since) {
+        arrived->second.info.phase = Phase::off;
+        return;
+    }
+    set_listed(other, false);
+    other->second.info.phase = Phase::off;
+    update.changes.push_back({other->second.info, {}, false});
+    set_listed(arrived, true);
+}
+
+std::uint32_t EndpointRegistry::name_number(std::vector<std::string>& names, const std::string& name) {
+    const bool known = std::find(names.begin(), names.end(), name) != names.end();
+    return known || names.size() < kMostNames ? hollybeam::number_of(names, name) : 0;
+}
+
+}  // namespace elmbay
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -21,10 +21,8 @@
 
 // The answer has to be with the client when its patience ends, so it leaves this much earlier.
 constexpr Millis kAnswerMargin = 8;
-// Zones, or kinds of machine: a deployment has a handful of each.
-constexpr std::size_t kMostNames = 256;
-// A hundred times the fleet. A list that only ever adds must not fill the memory.
-constexpr std::size_t kMostServers = 2048;
+// A list with too many servers may be told again and again; the log has one line for all of this time.
+constexpr Millis kSayPassedOverEvery = 60000;
 // Messages beyond the usual size have this part of the memory. All else takes some MB: half as much again is
 // left for the allocator, which does not give back at once.
 constexpr std::size_t kLongShare = 4;
@@ -113,6 +111,7 @@
       budget_(budget_of(config_, websocket)),
       bytes_(config_.memory / kLongShare),
       engine_(config_.site.settings, config_.seed, *this),
+      servers_(config_.site.zones, config_.site.kinds),
       upstream_(
           io, budget_, bytes_, timers_, clock_, {config_.site.connect_timeout, config_.site.idle_close},
           [this](AttemptKey key, Outcome outcome, Millis duration, HttpResponse response) {
@@ -167,16 +166,15 @@
 void Sidecar::remember(Remembered remembered) {
     hollybeam::Knowledge& knowledge = remembered.snapshot.knowledge;
     for (std::size_t i = 0; i < knowledge.servers.size() && i < remembered.snapshot.uids.size(); ++i)
-        knowledge.servers[i].server =
-            remembered_.try_emplace(remembered.snapshot.uids[i], next_server_++).first->second;
+        knowledge.servers[i].server = servers_.reserve(remembered.snapshot.uids[i]);
     engine_.remember(clock_.now(), std::move(knowledge), remembered.age);
 }
 
 state::Snapshot Sidecar::snapshot() const {
     state::Snapshot snapshot{config_.name, {}, engine_.knowledge(clock_.now()), {}};
     std::unordered_map<ServerId, const std::string*> names;
-    for (const auto& [uid, known] : servers_)
-        if (uid.size() <= state::kMaxNameBytes) names[known.id] = &uid;
+    for (const auto& [uid, entry] : servers_.entries())
+        if (uid.size() <= state::kMaxNameBytes) names[entry.info.id] = &uid;
     std::vector<ServerKnowledge> named;
     for (ServerKnowledge& s : snapshot.knowledge.servers) {
         const auto name = names.find(s.server);
@@ -194,11 +192,11 @@
     std::unordered_map<ServerId, const ServerKnowledge*> learned;
     for (const ServerKnowledge& s : knowledge.servers) learned[s.server] = &s;
     nlohmann::json servers = nlohmann::json::array();
-    for (const auto& [uid, known] : servers_) {
-        const char* phase = !known.listed ? "left" : known.info.phase == Phase::fading ? "leaving" : "active";
-        nlohmann::json server = {{"uid", uid}, {"state", phase}, {"boot_ms", known.info.online_since}};
-        server["attempts"] = upstream_.attempts_at(known.id);
-        if (const auto at = learned.find(known.id); at != learned.end()) {
+    for (const auto& [uid, entry] : servers_.entries()) {
+        const char* phase = !entry.listed ? "left" : entry.info.phase == Phase::fading ? "leaving" : "active";
+        nlohmann::json server = {{"uid", uid}, {"state", phase}, {"boot_ms", entry.info.online_since}};
+        server["attempts"] = upstream_.attempts_at(entry.info.id);
+        if (const auto at = learned.find(entry.info.id); at != learned.end()) {
             server["removed"] = at->second->out_ms.has_value();
             server["outcomes"] = at->second->seen;
         }
@@ -297,82 +295,47 @@
     engine_.attempt_ended(clock_.now(), key, outcome, duration);
 }
 
-// One address, one process. The list may tell of a new server there before it tells that the old one has
-// gone: what went to the old one's name would reach the new one, cold and unasked. The one that started last
-// has the address.
-void Sidecar::displace(const Target& t, Known& arrived, ServerList& list) {
-    for (auto& [uid, other] : servers_) {
-        if (&other == &arrived || !other.listed || other.endpoint != t.endpoint) continue;
-        Known& gone = other.info.online_since > t.online_since ? arrived : other;
-        gone.listed = false;
-        gone.info.phase = Phase::off;
-        if (&gone == &arrived) return;
-        list.servers.push_back(gone.info);
-        tell_sockets(gone, {}, false);
-    }
-}
-
-void Sidecar::tell_sockets(const Known& known, Endpoint endpoint, bool may_send, Millis online_since) {
-    upstream_.set_server(known.id, endpoint, may_send, online_since);
-    if (websocket_) websocket_->set_server(known.id, may_send);
-}
-
-// The list's words for zones and kinds are kept for good: one that goes on making up new ones must not fill
-// the memory.
-std::uint32_t Sidecar::name_number(std::vector<std::string>& names, const std::string& name) {
-    const bool known = std::find(names.begin(), names.end(), name) != names.end();
-    return known || names.size() < kMostNames ? number_of(names, name) : 0;
+void Sidecar::set_server(const EndpointRegistry::Change& change) {
+    upstream_.set_server(change.info.id, change.endpoint, change.may_send, change.info.online_since);
+    if (websocket_) websocket_->set_server(change.info.id, change.may_send);
 }
 
 void Sidecar::listed(ListKind kind, const Listing& listing) {
+    const EndpointRegistry::Update update = servers_.apply(kind, listing.targets);
     ServerList list{kind, {}};
-    if (kind != ListKind::incremental)
-        for (auto& [uid, known] : servers_) known.listed = false;
-    for (const Target& t : listing.targets) {
-        if (!servers_.contains(t.uid)) {
-            if (t.phase == Phase::off) continue;  // never known, or already forgotten
-            if (servers_.size() >= kMostServers) continue;
-        }
-        Known& known = servers_[t.uid];
-        if (known.id == 0) {
-            const auto before = remembered_.find(t.uid);
-            known.id = before != remembered_.end() ? before->second : next_server_++;
-        }
-        known.info = {known.id,
-                      name_number(config_.site.zones, t.zone),
-                      name_number(config_.site.kinds, t.kind),
-                      t.cell,
-                      t.phase,
-                      t.online_since,
-                      t.weight};
-        known.listed = t.phase != Phase::off;
-        known.endpoint = t.endpoint;
-        if (known.listed) displace(t, known, list);
-        list.servers.push_back(known.info);
-        // The sockets hear of a drain before the module acts on it: nothing waiting may slip out.
-        tell_sockets(known, t.endpoint, known.info.phase == Phase::on, t.online_since);
-        if (t.phase == Phase::on) ready_ = true;
+    list.servers.reserve(update.changes.size());
+    // The sockets hear of a drain before the module acts on it: nothing waiting may slip out.
+    for (const EndpointRegistry::Change& change : update.changes) {
+        list.servers.push_back(change.info);
+        set_server(change);
     }
-    for (const auto& [uid, known] : servers_)
-        if (!known.listed) tell_sockets(known, {}, false);
-    if (kind == ListKind::full) remembered_.clear();  // the module forgets those it does not name, too
+    for (const ServerId id : update.withdrawn) set_server({{.id = id}, {}, false});
+    ready_ = ready_ || update.any_active;
+    say_passed_over(listing.passed_over + update.passed_over);
     engine_.listed(clock_.now(), std::move(list));
-    std::erase_if(servers_, [this](const auto& entry) {
-        if (entry.second.listed || upstream_.attempts_at(entry.second.id) > 0) return false;
-        upstream_.forget_server(entry.second.id);
-        if (websocket_) websocket_->forget_server(entry.second.id);
+    servers_.forget_withdrawn([this](ServerId id) {
+        if (upstream_.attempts_at(id) > 0) return false;
+        upstream_.forget_server(id);
+        if (websocket_) websocket_->forget_server(id);
         return true;
     });
 }
 
+void Sidecar::say_passed_over(std::size_t targets) {
+    const Millis now = clock_.now();
+    if (targets == 0 || (passed_over_said_ && now < *passed_over_said_ + kSayPassedOverEvery)) return;
+    passed_over_said_ = now;
+    std::cerr << "elmbay: discovery: the list has more servers than the " << EndpointRegistry::kMostListed
+              << " that are kept, or names too long; " << targets << " passed over" << std::endl;
+}
+
 // ---- What the engine wants done ---------------------------------------------------------------------------
 
 void Sidecar::start(AttemptKey key, ServerId server, Millis until, Millis write_by) {
     if (!websocket_ || !websocket_->has(key.request))
         return upstream_.start(key, server, until, write_by, messages_.at(key.request));
     Endpoint endpoint{};  // the module sends to what is listed only; any other could not be reached
-    for (const auto& [uid, known] : servers_)
-        if (known.id == server) endpoint = known.endpoint;
+    if (const EndpointRegistry::Entry* entry = servers_.find(server)) endpoint = entry->endpoint;
     websocket_->start(key, server, endpoint, until, write_by);
 }
 
--- a/src/sidecar/sidecar.hpp
+++ b/src/sidecar/sidecar.hpp
@@ -3,7 +3,6 @@
 #pragma once
 
 #include <boost/asio/io_context.hpp>
-#include <map>
 #include <memory>
 #include <nlohmann/json_fwd.hpp>
 #include <optional>
@@ -19,6 +18,7 @@
 #include "net/discovery.hpp"
 #include "net/listener.hpp"
 #include "net/upstream.hpp"
+#include "sidecar/endpoint_registry.hpp"
 #include "state/snapshot.hpp"
 #include "websocket/front.hpp"
 
@@ -56,24 +56,16 @@
     state::Snapshot snapshot() const;
 
 private:
-    struct Known {
-        ServerId id = 0;
-        bool listed = false;
-        Endpoint endpoint{};
-        hollybeam::ServerInfo info{};
-    };
-
     void arrived(RequestId id, HttpRequest request, Arrival arrival);
     void upgraded(RequestId id, asio::ip::tcp::socket client, HttpRequest request, Arrival arrival);
     Listener::Handlers listener_handlers(const websocket::Settings& settings);
-    void tell_sockets(const Known& known, Endpoint endpoint, bool may_send, Millis online_since = 0);
+    void set_server(const EndpointRegistry::Change& change);
+    void say_passed_over(std::size_t targets);
     void gone(RequestId id);
     void attempt_ended(AttemptKey key, Outcome outcome, Millis duration, HttpResponse response);
     void listed(hollybeam::ListKind kind, const Listing& listing);
 
     void remember(Remembered remembered);
-    void displace(const Target& t, Known& arrived, hollybeam::ServerList& list);
-    static std::uint32_t name_number(std::vector<std::string>& names, const std::string& name);
 
     // What the engine wants done.
     void start(AttemptKey key, ServerId server, Millis until, Millis write_by) override;
@@ -101,10 +93,9 @@
     ByteBudget bytes_;  // for messages beyond the usual size
     engine::Engine engine_;
     std::unordered_map<RequestId, std::shared_ptr<const HttpRequest>> messages_;  // while the engine has them
-    HttpResponse* ended_ = nullptr;         // the answer of the attempt whose end is being told
-    std::map<std::string, Known> servers_;  // by uid
-    ServerId next_server_ = 1;
-    std::map<std::string, ServerId> remembered_;  // by uid: those that no list has named yet
+    HttpResponse* ended_ = nullptr;  // the answer of the attempt whose end is being told
+    EndpointRegistry servers_;
+    std::optional<Millis> passed_over_said_;  // when a list had last more servers than there is place for
     bool ready_ = false;
     Upstream upstream_;
     std::unique_ptr<websocket::Front> websocket_;  // none where it is off
--- a/src/state/snapshot.hpp
+++ b/src/state/snapshot.hpp
@@ -37,7 +37,7 @@
 
 constexpr std::uint32_t kVersion = 1;
 constexpr std::size_t kMaxNameBytes = 255;
-constexpr std::size_t kMaxServers = 4096;  // twice what a sidecar lists
+constexpr std::size_t kMaxServers = 4096;  // as many as a sidecar lists
 constexpr std::size_t kMaxFileBytes =
     8U << 20;  // far above what so many servers take: 4096 of 400 bytes, thrice
 // Of a record; also what bounds how deep a hostile one can be nested.
--- /dev/null
+++ b/tests/policy/fleet_change_test.cpp
@@ -0,0 +1,99 @@
+// Incremental lists in large fleets: the pool is what a whole list would have made it, and nothing is made
+// that is as large as the fleet.
+#include <gtest/gtest.h>
+
+#include <cstdlib>
+#include <new>
+#include <random>
+
+#include "policy/aperture.hpp"
+
+namespace {
+
+std::size_t allocated_bytes = 0;
+
+}  // namespace
+
+// Counts what is allocated, in this program only.
+void* operator new(std::size_t size) {
+    allocated_bytes += size;
+    if (void* memory = std::malloc(size > 0 ? size : 1)) return memory;
+    throw std::bad_alloc();
+}
+void operator delete(void* memory) noexcept { std::free(memory); }
+void operator delete(void* memory, std::size_t) noexcept { std::free(memory); }
+
+namespace hollybeam::test {
+namespace {
+
+constexpr Millis kNow = 1e6;
+constexpr std::uint32_t kSidecars = 900;
+
+Settings settings() {
+    Settings s;
+    s.classes.emplace_back();
+    s.siblings = kSidecars;
+    s.warm_within = 10000;
+    return s;
+}
+
+TEST(FleetChange, AnIncrementalListMakesNothingAsLargeAsTheFleet) {
+    const auto bytes_of_a_change = [](ServerId fleet) {
+        Balancer balancer(settings(), 1);
+        std::vector<Action> actions;
+        ServerList whole;
+        for (ServerId id = 1; id <= fleet; ++id) whole.servers.push_back({id, 0, 0, 0, Phase::on, 0});
+        balancer.handle(kNow, whole, actions);
+        const ServerInfo leaving{fleet, 0, 0, 0, Phase::fading, 0};
+        const Event event = ServerList{ListKind::incremental, {leaving}};
+        balancer.handle(kNow + 1, event, actions);  // whatever is made once has been made
+        const std::size_t before = allocated_bytes;
+        balancer.handle(kNow + 2, event, actions);
+        return allocated_bytes - before;
+    };
+    EXPECT_LE(bytes_of_a_change(3200), bytes_of_a_change(200) + 1024);
+}
+
+TEST(FleetChange, TheApertureIsWhatAWholeListWouldHaveMadeIt) {
+    const Settings settings = test::settings();
+    const ColdStart cold(settings);
+    std::mt19937_64 random(7);
+    std::vector<Server> servers(300);
+    std::vector<Server*> there;
+    for (std::size_t i = 0; i < servers.size(); ++i) {
+        servers[i].info.id = static_cast<ServerId>(i + 1);
+        servers[i].rank = random();
+        there.push_back(&servers[i]);
+    }
+    Aperture changed(16, cold);
+    changed.set_servers(there);
+    changed.draw(kNow, 0);
+    for (int round = 0; round < 300; ++round) {
+        for (std::size_t n = random() % 4; n > 0; --n) {
+            Server& s = servers[random() % servers.size()];
+            changed.remove(&s);
+            std::erase(there, &s);
+            s.listed = random() % 4 != 0;
+            s.info.phase = random() % 3 == 0 ? Phase::fading : Phase::on;
+            s.standing = random() % 3 == 0 ? Standing::removed : Standing::live;
+            if (random() % 5 == 0) continue;  // gone for good
+            changed.add(&s);
+            there.push_back(&s);
+        }
+        changed.draw(kNow, 0);
+        const std::vector<Server*> pool = changed.pool();
+        for (const Server& s : servers)
+            ASSERT_EQ(s.in_pool, std::find(pool.begin(), pool.end(), &s) != pool.end());
+        Aperture whole(16, cold);
+        whole.set_servers(there);
+        whole.draw(kNow, 0);
+        ASSERT_EQ(pool, whole.pool()) << round;
+        ASSERT_EQ(changed.out(), whole.out()) << round;
+        ASSERT_EQ(changed.listed(), whole.listed()) << round;
+        ASSERT_EQ(changed.warm(), whole.warm()) << round;
+        ASSERT_EQ(changed.sight(), whole.sight()) << round;
+    }
+}
+
+}  // namespace
+}  // namespace hollybeam::test
--- /dev/null
+++ b/tests/sidecar/endpoint_registry_test.cpp
@@ -0,0 +1,164 @@
+// EndpointRegistry against its header's contract.
+#include "sidecar/endpoint_registry.hpp"
+
+#include <gtest/gtest.h>
+
+#include <boost/asio/ip/address_v4.hpp>
+
+namespace elmbay {
+namespace {
+
+using hollybeam::ListKind;
+using hollybeam::Phase;
+using hollybeam::ServerId;
+
+constexpr std::size_t kFleet = 3200;
+// Looking up, withdrawing and listing one server again, with one more that it displaces.
+constexpr std::uint64_t kMostVisitsOfAChange = 8;
+
+Endpoint address(std::size_t index) {
+    const auto host = static_cast<std::uint32_t>(0x7f010000U + index);
+    return {boost::asio::ip::address_v4(host), 8080};
+}
+
+Target target(std::size_t index, Phase phase = Phase::on, Millis online_since = 0) {
+    Target t;
+    t.uid = "s-" + std::to_string(index);
+    t.endpoint = address(index);
+    t.zone = "a";
+    t.kind = "m";
+    t.phase = phase;
+    t.online_since = online_since;
+    return t;
+}
+
+std::vector<Target> fleet(std::size_t count, std::size_t from = 0) {
+    std::vector<Target> targets;
+    for (std::size_t i = 0; i < count; ++i) targets.push_back(target(from + i));
+    return targets;
+}
+
+const auto nothing_out = [](ServerId) { return true; };
+const auto all_out = [](ServerId) { return false; };
+
+TEST(EndpointRegistry, AnIncrementalListCostsWhatItChanges) {
+    EndpointRegistry registry;
+    registry.apply(ListKind::full, fleet(kFleet));
+    registry.forget_withdrawn(nothing_out);
+    ASSERT_EQ(registry.listed(), kFleet);
+
+    Target successor = target(9000, Phase::on, 5);
+    successor.endpoint = address(7);
+    for (const Target& change :
+         {target(3199, Phase::fading), target(3199, Phase::off), target(9001), successor}) {
+        const std::uint64_t before = registry.visited();
+        registry.apply(ListKind::incremental, {change});
+        registry.forget_withdrawn(nothing_out);
+        EXPECT_LE(registry.visited() - before, kMostVisitsOfAChange) << change.uid;
+    }
+    EXPECT_EQ(registry.listed(), kFleet) << "one left, one came, one was replaced";
+}
+
+TEST(EndpointRegistry, AWholeListCostsItsLength) {
+    EndpointRegistry registry;
+    registry.apply(ListKind::full, fleet(kFleet));
+    const std::uint64_t before = registry.visited();
+    registry.apply(ListKind::full, fleet(kFleet));
+    EXPECT_LE(registry.visited() - before, kMostVisitsOfAChange * kFleet);
+}
+
+TEST(EndpointRegistry, OfTwoAtOneAddressTheOneThatStartedLastHasIt) {
+    EndpointRegistry registry;
+    registry.apply(ListKind::full, {target(1, Phase::on, 100)});
+    Target later = target(2, Phase::on, 200), earlier = target(3, Phase::on, 50);
+    later.endpoint = earlier.endpoint = address(1);
+
+    const auto displaced = registry.apply(ListKind::incremental, {later});
+    ASSERT_EQ(displaced.changes.size(), 2U);
+    EXPECT_EQ(displaced.changes[0].info.id, 1U);
+    EXPECT_EQ(displaced.changes[0].info.phase, Phase::off);
+    EXPECT_FALSE(displaced.changes[0].may_send);
+    EXPECT_EQ(displaced.changes[1].info.id, 2U);
+    EXPECT_TRUE(displaced.changes[1].may_send);
+    EXPECT_EQ(displaced.withdrawn, std::vector<ServerId>{1});
+
+    const auto refused = registry.apply(ListKind::incremental, {earlier});
+    ASSERT_EQ(refused.changes.size(), 1U);
+    EXPECT_EQ(refused.changes[0].info.phase, Phase::off);
+    EXPECT_FALSE(refused.changes[0].may_send);
+    EXPECT_TRUE(registry.find(2)->listed);
+}
+
+TEST(EndpointRegistry, AServerThatMovesLeavesItsAddress) {
+    EndpointRegistry registry;
+    registry.apply(ListKind::full, {target(1)});
+    Target moved = target(1);
+    moved.endpoint = address(2);
+    registry.apply(ListKind::incremental, {moved});
+    const auto update = registry.apply(ListKind::incremental, {[] {
+                                           Target other = target(3);
+                                           other.endpoint = address(1);
+                                           return other;
+                                       }()});
+    EXPECT_EQ(update.changes.size(), 1U) << "nobody is displaced";
+    EXPECT_EQ(registry.find(1)->endpoint, address(2));
+    EXPECT_EQ(registry.listed(), 2U);
+}
+
+TEST(EndpointRegistry, NumbersThatWereReservedAreKeptUntilTheFirstWholeList) {
+    EndpointRegistry registry;
+    const ServerId first = registry.reserve("s-1"), second = registry.reserve("s-2");
+    registry.apply(ListKind::saved, {target(1)});
+    EXPECT_TRUE(registry.find(first)->listed);
+    registry.apply(ListKind::full, {target(1)});
+    registry.apply(ListKind::incremental, {target(2)});
+    EXPECT_EQ(registry.find(second), nullptr);
+    EXPECT_EQ(registry.listed(), 2U);
+}
+
+TEST(EndpointRegistry, ANewServerTakesThePlaceOfOneThatLeftWithAttemptsOut) {
+    EndpointRegistry registry;
+    registry.apply(ListKind::full, fleet(EndpointRegistry::kMostListed));
+    registry.apply(ListKind::incremental, {target(0, Phase::off)});
+    registry.forget_withdrawn(all_out);
+    const auto update = registry.apply(ListKind::incremental, {target(9000)});
+    EXPECT_EQ(update.passed_over, 0U);
+    EXPECT_EQ(registry.listed(), EndpointRegistry::kMostListed);
+}
+
+TEST(EndpointRegistry, AWholeListMayReplaceEveryServerWhileAttemptsAreOut) {
+    EndpointRegistry registry;
+    constexpr std::size_t kMost = EndpointRegistry::kMostListed;
+    registry.apply(ListKind::full, fleet(kMost));
+    const auto update = registry.apply(ListKind::full, fleet(kMost, 10000));
+    EXPECT_EQ(update.passed_over, 0U);
+    EXPECT_EQ(update.withdrawn.size(), kMost);
+    registry.forget_withdrawn(all_out);
+    EXPECT_EQ(registry.listed(), kMost);
+    EXPECT_EQ(registry.entries().size(), 2 * kMost);
+    registry.forget_withdrawn(nothing_out);
+    EXPECT_EQ(registry.entries().size(), kMost);
+    EXPECT_EQ(registry.find(1), nullptr);
+}
+
+TEST(EndpointRegistry, WhatItHoldsIsBoundedAndWhatIsBeyondIsCounted) {
+    EndpointRegistry registry;
+    constexpr std::size_t kMost = EndpointRegistry::kMostListed;
+    EXPECT_EQ(registry.apply(ListKind::full, fleet(kMost + 5)).passed_over, 5U);
+    EXPECT_EQ(registry.listed(), kMost);
+    // Servers that never get anything back to them stay for ever: they must not add up either.
+    for (std::size_t round = 1; round < 6; ++round) {
+        registry.apply(ListKind::full, fleet(kMost, round * 10000));
+        registry.forget_withdrawn(all_out);
+    }
+    EXPECT_EQ(registry.entries().size(), EndpointRegistry::kMostEntries);
+
+    EndpointRegistry fresh;
+    Target long_name = target(1);
+    long_name.uid.assign(EndpointRegistry::kMostUid + 1, 'x');
+    EXPECT_EQ(fresh.apply(ListKind::full, {long_name, target(2)}).passed_over, 1U);
+    EXPECT_EQ(fresh.listed(), 1U);
+}
+
+}  // namespace
+}  // namespace elmbay
--- /dev/null
+++ b/tests/sidecar/fleet_size_test.cpp
@@ -0,0 +1,124 @@
+// A sidecar on loopback whose list has thousands of servers. A handful of them are there; the others are told
+// to be leaving, or lie at an address where nobody listens.
+#include <algorithm>
+
+#include "net_rig.hpp"
+
+namespace elmbay::test {
+namespace {
+
+constexpr std::size_t kFleet = 3200;  // the operators' largest
+
+// Servers that want nothing new: whoever is sent a request is the one that is not among them.
+Json leaving(std::size_t count, std::size_t from = 0) {
+    Json targets = Json::array();
+    for (std::size_t i = from; i < from + count; ++i) {
+        const std::string host = "127.1." + std::to_string(i / 250) + "." + std::to_string(i % 250 + 1);
+        targets.push_back(NetRig::target(100000 + i, host + ":9", "leaving"));
+    }
+    return targets;
+}
+
+void expect_served_by(NetRig& rig, FakeServer& server) {
+    const std::size_t before = server.requests();
+    const auto client = rig.client();
+    client->send(NetRig::request("safe"));
+    ASSERT_TRUE(rig.until([&] { return server.requests() > before || !client->got.empty(); }));
+    ASSERT_GT(server.requests(), before) << status_of(*client);
+    server.last().respond("200 OK", "it");
+    ASSERT_TRUE(rig.until([&] { return !client->got.empty(); }));
+    EXPECT_EQ(status_of(*client), "HTTP/1.1 200");
+}
+
+std::size_t count_of(const std::string& text, const std::string& part) {
+    std::size_t count = 0;
+    for (std::size_t at = 0; (at = text.find(part, at)) != std::string::npos; at += part.size()) ++count;
+    return count;
+}
+
+TEST(FleetSize, TheLastOf3200IsTheOnlyOneThatAnswers) {
+    NetRig rig(2);
+    Json targets = leaving(kFleet - 1);
+    targets.push_back(NetRig::target(1, rig.servers.back().address()));
+    rig.start();
+    rig.watch_begins();
+    rig.chunk(rig.line(targets, true));
+    // A whole list that does not name it: the first server is gone once this one is in force.
+    ASSERT_TRUE(rig.until([&] { return rig.sidecar->status()["servers"].size() == kFleet; }));
+    expect_served_by(rig, rig.servers.back());
+    EXPECT_EQ(rig.servers.front().requests(), 0U);
+}
+
+TEST(FleetSize, AListOf3200IsKnownAtTheStart) {
+    NetRig rig(1);
+    Json targets = leaving(kFleet - 1);
+    targets.push_back(NetRig::target(0, rig.servers.back().address()));
+    rig.config["known"]["targets"] = targets;
+    rig.start();
+    expect_served_by(rig, rig.servers.back());
+}
+
+TEST(FleetSize, AnIndentedListOf3200IsRead) {
+    NetRig rig(1);
+    rig.config.erase("known");  // so that the whole list is asked for
+    rig.start();
+    Json targets = leaving(kFleet - 1);
+    targets.push_back(NetRig::target(0, rig.servers.back().address()));
+    for (Json& target : targets) {
+        target["capacity_hint"] = 1.0;
+        target["uid"] = "s-0f9c2b7a-d4e8-4c1f-" + target["uid"].get<std::string>();
+    }
+    const std::string text = Json{{"rev", 2}, {"all", true}, {"targets", targets}}.dump(8);
+    ASSERT_GT(text.size(), 1024U * 1024U);
+    ASSERT_LT(text.size(), 1024U * 4096U);
+    // Written piece by piece, as the sidecar reads: no more than the kernel takes stands between them.
+    rig.discovery.last().send("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(text.size()) +
+                              "\r\n\r\n");
+    bool written = false;
+    asio::async_write(rig.discovery.last().socket, asio::buffer(text),
+                      [&](boost::system::error_code, std::size_t) { written = true; });
+    ASSERT_TRUE(rig.until([&] { return written; }));
+    ASSERT_TRUE(rig.until([&] { return rig.discovery.requests() == 2; })) << "what it asks for next";
+    ASSERT_NE(rig.discovery.last().got.find("stream=1"), std::string::npos) << "the list was not taken";
+    expect_served_by(rig, rig.servers.back());
+}
+
+TEST(FleetSize, AWholeListMayReplaceEveryServer) {
+    NetRig rig(2);
+    Json targets = leaving(kFleet - 1);
+    targets.push_back(NetRig::target(0, rig.servers.front().address()));
+    rig.config["known"]["targets"] = targets;
+    rig.start();
+    expect_served_by(rig, rig.servers.front());
+    Json others = leaving(kFleet - 1, kFleet);
+    others.push_back(NetRig::target(1, rig.servers.back().address()));
+    rig.watch_begins();
+    rig.chunk(rig.line(others, true));
+    // The line that follows has been handled once the status has this server: so has the one before.
+    rig.chunk(rig.line(Json::array({NetRig::target(2, "127.2.0.1:9", "leaving")}), false));
+    ASSERT_TRUE(rig.until([&] {
+        const Json servers = rig.sidecar->status()["servers"];
+        return std::any_of(servers.begin(), servers.end(), [](const Json& s) { return s["uid"] == "s-2"; });
+    }));
+    expect_served_by(rig, rig.servers.back());
+}
+
+TEST(FleetSize, WhatIsBeyondTheBoundIsSaidOnce) {
+    NetRig rig(2);
+    rig.start();
+    Json targets = Json::array({NetRig::target(1, rig.servers.back().address())});
+    for (const Json& target : leaving(EndpointRegistry::kMostListed + 9)) targets.push_back(target);
+    testing::internal::CaptureStderr();
+    rig.watch_begins();
+    rig.chunk(rig.line(targets, true));
+    rig.chunk(rig.line(targets, true));
+    rig.chunk(rig.line(Json::array({NetRig::target(1, rig.servers.back().address())}), true));
+    const bool settled = rig.until([&] { return rig.sidecar->status()["servers"].size() == 1; });
+    const std::string said = testing::internal::GetCapturedStderr();
+    ASSERT_TRUE(settled);
+    EXPECT_EQ(count_of(said, "10 passed over"), 1U) << said;
+    expect_served_by(rig, rig.servers.back());
+}
+
+}  // namespace
+}  // namespace elmbay::test
