--- a/src/policy/aperture.cpp
+++ b/src/policy/aperture.cpp
@@ -36,10 +36,14 @@
     if (!out && there) out_.erase(at);
 }
 
+double Aperture::wide_enough_to_be_seen(Millis now) const {
+    const double share = static_cast<double>(ranked_.size()) / siblings_;  // servers for each sidecar
+    return std::min(kSeen * share, std::max({kWide, carried_rate(now) * kRevisit, kLeastSeen * share}));
+}
+
 void Aperture::draw(Millis now, int outstanding) {
-    const double seen = kSeen * static_cast<double>(ranked_.size()) / siblings_;
     const double filled = carried_rate(now) * OutlierEjection::kBackoff / Window::kSize;
-    width_ = std::max({kNarrow, seen, filled, 2.0 * outstanding});
+    width_ = std::max({kNarrow, wide_enough_to_be_seen(now), filled, 2.0 * outstanding});
     empty_pool();
     warm_ = 0;
     alike_.clear();
--- a/src/policy/aperture.hpp
+++ b/src/policy/aperture.hpp
@@ -21,6 +21,13 @@
     // Never fewer warm servers than kNarrow, two to choose from when two are lost, and so many that each is
     // in the sight of kSeen sidecars.
     static constexpr double kNarrow = 4, kSeen = 16;
+    // But where there are many more servers than sidecars, no more for that than kWide, or than have an
+    // answer to give every kRevisit, or than leave each server in the sight of kLeastSeen. A light sidecar
+    // would come back to a server of a wider pool only after its connection has been closed as idle, and open
+    // one for nearly each request. With kLeastSeen the load of servers still differs by half at most, in the
+    // mean.
+    static constexpr double kWide = 48, kLeastSeen = 4;
+    static constexpr Millis kRevisit = 2000;
     static constexpr Millis kPoolAge = 1000;     // the pool is drawn anew after this at the latest
     static constexpr Millis kRateMemory = 5000;  // of what servers complete: short against a warm-up
 
@@ -85,6 +92,7 @@
         }
     };
     void empty_pool();
+    double wide_enough_to_be_seen(Millis now) const;
 
     std::set<Server*, ByRank> ranked_;
     std::vector<Server*> pool_, out_;
--- a/src/rehearsal/incident.cpp
+++ b/src/rehearsal/incident.cpp
@@ -18,7 +18,7 @@
 using schema::Unit;
 
 // Bounds of what one machine can play; a file beyond them is refused, not tried.
-constexpr double kMostServers = 2000, kMostSidecars = 20000, kMostRate = 1e6, kLongest = 3600000;
+constexpr double kMostServers = 4096, kMostSidecars = 20000, kMostRate = 1e6, kLongest = 3600000;
 constexpr std::size_t kMostFaults = 1000, kMostClasses = 32;
 
 const std::vector<Key<Overview>> kOverview{
--- a/tests/policy/fleet_change_test.cpp
+++ b/tests/policy/fleet_change_test.cpp
@@ -95,5 +95,34 @@
     }
 }
 
+// The pool of a sidecar among so many, after it has had so many answers at once.
+std::size_t pool_of(std::size_t fleet, std::uint32_t sidecars, int answers = 0) {
+    const Settings settings = test::settings();
+    const ColdStart cold(settings);
+    std::vector<Server> servers(fleet);
+    std::vector<Server*> all;
+    for (std::size_t i = 0; i < fleet; ++i) {
+        servers[i].info.id = static_cast<ServerId>(i + 1);
+        servers[i].rank = i;
+        all.push_back(&servers[i]);
+    }
+    Aperture aperture(sidecars, cold);
+    aperture.set_servers(all);
+    for (int i = 0; i < answers; ++i) aperture.completed(0, kNow);
+    aperture.draw(kNow, 0);
+    return aperture.pool().size();
+}
+
+// A wider pool costs a light sidecar a new connection for nearly each request.
+TEST(FleetChange, ALightSidecarOfALargeFleetKeepsToWhatItUses) {
+    EXPECT_EQ(pool_of(3200, 300), 48U) << "sixteen of 300 sidecars would see each server with 171";
+    EXPECT_EQ(pool_of(3200, 900), 48U) << "with 57";
+    EXPECT_EQ(pool_of(3200, 300, 300), 120U) << "60 a second come back to as many within 2 s";
+    EXPECT_EQ(pool_of(3200, 300, 3000), 300U) << "windows of a pool that wide are filled: more than 171";
+    EXPECT_EQ(pool_of(200, 10), 80U) << "four sidecars see each";
+    EXPECT_EQ(pool_of(48, 1), 48U) << "the whole fleet";
+    EXPECT_EQ(pool_of(240, 300), 13U) << "as ever";
+}
+
 }  // namespace
 }  // namespace hollybeam::test
--- a/tests/rehearsal/incident_test.cpp
+++ b/tests/rehearsal/incident_test.cpp
@@ -41,7 +41,7 @@
 TEST(Incident, BadUnitsRangesAndWordsAreTold) {
     EXPECT_TOLD("length = 10\n", "f.toml:1: length: is a duration");
     EXPECT_TOLD("length = \"10 parsecs\"\n", "is a duration such as");
-    EXPECT_TOLD("[fleet]\nservers = 0\n", "f.toml:2: fleet.servers: must be between 1 and 2000");
+    EXPECT_TOLD("[fleet]\nservers = 0\n", "f.toml:2: fleet.servers: must be between 1 and 4096");
     EXPECT_TOLD("[fleet]\nservers = 2.5\n", "is a whole number");
     EXPECT_TOLD("[fleet]\ncold_from = \"200%\"\n", "must be between");
     EXPECT_TOLD("[fleet]\ndrops_waiting = 1\n", "is true or false");
