--- a/src/policy/event_context.hpp
+++ b/src/policy/event_context.hpp
@@ -23,8 +23,11 @@
     }
     /// The time of the event at hand in ms.
     Millis now() const { return now_; }
-    /// Appends an action. Only between begin() and the end of the event.
-    void emit(Action action) { actions_->push_back(std::move(action)); }
+    /// Appends an action, built in place. Only between begin() and the end of the event.
+    template <class ActionType>
+    void emit(ActionType&& action) {
+        actions_->emplace_back(std::forward<ActionType>(action));
+    }
 
 private:
     Millis now_ = 0;
