--- a/src/cluster/driver.hpp
+++ b/src/cluster/driver.hpp
@@ -6,8 +6,9 @@
 #include <boost/asio/io_context.hpp>
 #include <functional>
 #include <map>
+#include <memory>
 #include <nlohmann/json_fwd.hpp>
-#include <optional>
+#include <vector>
 
 #include "base/timing.hpp"
 #include "cluster/membership.hpp"
@@ -15,55 +16,62 @@
 
 namespace elmbay::cluster {
 
+/// Takes part in the fleet's membership for this process. Not thread-safe: everything, handlers included,
+/// runs on the loop's thread. The loop, the timers and the clock must outlive it.
 class Driver {
 public:
-    static constexpr std::size_t kMaxPerTurn = 64;  // of datagrams: some tens of microseconds
-    // Between two turns that were full: beyond 32,000 a second the kernel's buffer drops what comes.
+    /// Datagrams that are read in one turn of the loop: some tens of microseconds.
+    static constexpr std::size_t kMaxPerTurn = 64;
+    /// Milliseconds between two turns that were full: beyond 32,000 a second the kernel's buffer drops what
+    /// comes.
     static constexpr Millis kPause = 2;
 
     struct Setup {
         PeerAddress listen;
-        std::vector<PeerAddress> peers;  // by number, this one's own among them
-        MemberId self = 0;
-        std::uint32_t siblings = 1;  // what the settings say
-        std::uint64_t seed = 1;
-        Millis period = 1000;
+        std::vector<PeerAddress> peers;  ///< by id, this one's own among them
+        MemberId self = 0;               ///< below the number of peers
+        std::uint32_t siblings = 1;      ///< as the settings say
+        std::uint64_t seed = 1;          ///< of all random choices
+        Millis period = 1000;            ///< between two probes
     };
+    /// Called from the loop, after what they tell of has happened.
     struct Handlers {
-        std::function<void(std::uint32_t)> siblings;  // another number than before
-        std::function<void(const Change&)> changed;
+        std::function<void(std::uint32_t)> siblings;  ///< another number than before
+        std::function<void(const Change&)> changed;   ///< one member is held for something else
     };
-    // Throws boost::system::system_error if it can't listen.
+    /// Listens at once.
+    /// @throws boost::system::system_error if it can't listen.
     Driver(asio::io_context& io, TimerQueue& timers, const Clock& clock, const Setup& setup,
            Handlers handlers);
     ~Driver();
     Driver(const Driver&) = delete;
     Driver& operator=(const Driver&) = delete;
 
-    // It says that it ends, once; nothing is waited for.
+    /// Says that this member ends, once; nothing is waited for.
     void leave();
-    // For the status socket: docs/operate/members.md has it field by field.
+    /// For the status socket: docs/operate/members.md has it field by field.
     nlohmann::json status();
 
 private:
     using udp = boost::asio::ip::udp;
 
-    void receive();
-    void read();
+    void wait_readable();
+    void read_datagrams();
     void read_refusals();
+    void send_datagrams();
     void settle();
 
-    asio::io_context& io_;
     TimerQueue& timers_;
     const Clock& clock_;
     const Handlers handlers_;
     std::vector<PeerAddress> peers_;
-    std::map<PeerAddress, std::uint32_t> places_;
+    std::map<PeerAddress, std::uint32_t> address_indexes_;
     udp::socket socket_;
-    Membership members_;
-    TimerQueue::Key timer_{}, pause_{};
+    Membership membership_;
+    TimerQueue::Key wake_timer_{};
+    TimerQueue::Key pause_timer_{};
     std::uint32_t siblings_;
-    std::shared_ptr<bool> here_ = std::make_shared<bool>(true);
+    std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // for what the loop still holds of it
 };
 
 }  // namespace elmbay::cluster
--- a/src/cluster/membership.cpp
+++ b/src/cluster/membership.cpp
@@ -32,8 +32,7 @@
       last_helper_(setup_.count),
       notified_at_(setup_.count, kLongAgo),
       refuted_unnamed_at_(kLongAgo) {
-    constexpr std::size_t kNonces = UINT16_MAX;
-    const auto nonce = static_cast<std::uint16_t>(1 + random_.below(kNonces));
+    const auto nonce = static_cast<std::uint16_t>(1 + random_.below(UINT16_MAX));
     Member& self = table_[setup_.self];
     self.incarnation = {clock_.first_counter(), nonce};
     self.state = setup_.count > 1 ? MemberState::joining : MemberState::alive;
@@ -74,7 +73,7 @@
     for (MemberId id = 0; id < table_.size(); ++id) {
         const Member& member = table_[id];
         add((std::uint64_t{member.incarnation.counter} << 16) | member.incarnation.nonce);
-        add(static_cast<std::uint64_t>(member.state) * 256 + suspicions_.accusers(id) * 8 +
+        add(static_cast<std::uint64_t>(member.state) * 256 + suspicions_.accusers(id) * 8ULL +
             (suspicions_.in_final_probe(id) ? 2 : 0));
         add(gossip_.transmissions(id));
         add_time(member.heard);
@@ -97,7 +96,7 @@
     add_time(next_probe_at_);
     add_time(heard_any_at_);
     add_time(due_);
-    add(health_.score() * 4 + (sync_.running() ? 2 : 0) + (yielded_ ? 1 : 0));
+    add(health_.score() * 4ULL + (sync_.running() ? 2 : 0) + (yielded_ ? 1 : 0));
     add(gossip_.size());
     return sum;
 }
--- a/src/cluster/message.cpp
+++ b/src/cluster/message.cpp
@@ -29,111 +29,166 @@
     heard,
     speaks,
     updates,
-    fields
+    field_count
 };
-constexpr std::array<const char*, fields> kNames{"version", "kind",   "from",   "life",    "count",
-                                                 "state",   "uptime", "seq",    "subject", "digest",
-                                                 "view",    "heard",  "speaks", "updates"};
-constexpr std::size_t kUpdateFields = 5;
+constexpr std::array<std::string_view, field_count> kFieldNames{
+    "version", "kind",    "from",   "life", "count", "state",  "uptime",
+    "seq",     "subject", "digest", "view", "heard", "speaks", "updates"};
+constexpr std::array<const char*, 7> kStateNames{"expected", "joining", "alive", "suspect",
+                                                 "failed",   "gone",    "left"};
+constexpr std::array<const char*, 4> kViewNames{"unknown", "whole", "part", "alone"};
+constexpr std::size_t kFieldsPerUpdate = 5;
 constexpr XXH32_hash_t kSeed = 0x656c6d62;  // of this protocol: what is another's is not ours by chance
-constexpr std::uint64_t kMost32 = UINT32_MAX, kMost16 = Message::kMaxShortField, kMost8 = UINT8_MAX;
+constexpr std::uint64_t kMax32 = UINT32_MAX;
+constexpr std::uint64_t kMax16 = UINT16_MAX;
+constexpr std::uint64_t kMax8 = UINT8_MAX;
+constexpr auto kMaxState = static_cast<std::uint64_t>(MemberState::left);
+constexpr auto kMaxKind = static_cast<std::uint64_t>(Message::Kind::table_page);
+constexpr auto kMaxView = static_cast<std::uint64_t>(View::alone);
 
 template <class T>
-bool take(const json& value, std::uint64_t most, T& into) {
+bool read_number(const json& value, std::uint64_t max, T& into) {
     if (!value.is_number_unsigned()) return false;
     const auto number = value.get<std::uint64_t>();
-    if (number > most) return false;
+    if (number > max) return false;
     into = static_cast<T>(number);
     return true;
 }
 
-bool take_update(const json* at, Update& u) {
-    return take(at[0], kMost16, u.number) && take(at[1], kMost32, u.incarnation.counter) &&
-           take(at[2], UINT16_MAX, u.incarnation.nonce) &&
-           take(at[3], static_cast<std::uint64_t>(MemberState::left), u.state) &&
-           take(at[4], kMost16, u.detail);
-}
+// Reads one field after another until one is wrong.
+class FieldReader {
+public:
+    explicit FieldReader(const json& fields) : fields_(fields) {}
 
-}  // namespace
+    template <class T>
+    void read(Field field, std::uint64_t max, T& into) {
+        if (!wrong_ && !read_number(fields_[field], max, into)) wrong_ = field;
+    }
+    void require(Field field, bool holds) {
+        if (!wrong_ && !holds) wrong_ = field;
+    }
+    std::optional<Field> wrong() const { return wrong_; }
 
-const char* to_string(MemberState state) {
-    constexpr const char* kStates[] = {"expected", "joining", "alive", "suspect", "failed", "gone", "left"};
-    return kStates[static_cast<std::size_t>(state)];
+private:
+    const json& fields_;
+    std::optional<Field> wrong_;
+};
+
+bool read_update(const json* fields, Update& update) {
+    return read_number(fields[0], kMax16, update.number) &&
+           read_number(fields[1], kMax32, update.incarnation.counter) &&
+           read_number(fields[2], kMax16, update.incarnation.nonce) &&
+           read_number(fields[3], kMaxState, update.state) && read_number(fields[4], kMax16, update.detail);
 }
 
-const char* to_string(View view) {
-    constexpr const char* kViews[] = {"unknown", "whole", "part", "alone"};
-    return kViews[static_cast<std::size_t>(view)];
+bool read_updates(const json& list, std::vector<Update>& into) {
+    if (!list.is_array() || list.size() % kFieldsPerUpdate != 0) return false;
+    for (std::size_t i = 0; i < list.size(); i += kFieldsPerUpdate) {
+        if (!read_update(&list[i], into.emplace_back())) return false;
+    }
+    return true;
 }
 
-std::string encode(const Message& m) {
-    const auto short_of = [](std::uint32_t number) { return std::min(number, Message::kMaxShortField); };
+// The array with at least as many fields as this version has, if the checksum holds.
+std::optional<json> unpack(std::string_view bytes, DecodeError& error) {
+    XXH32_canonical_t sum{};
+    if (bytes.size() > Message::kMaxBytes) {
+        error = {DecodeFault::too_long, {}};
+        return std::nullopt;
+    }
+    if (bytes.size() <= sizeof sum.digest) {
+        error = {DecodeFault::not_a_message, {}};
+        return std::nullopt;
+    }
+    const std::string_view body = bytes.substr(0, bytes.size() - sizeof sum.digest);
+    std::copy(bytes.begin() + static_cast<std::ptrdiff_t>(body.size()), bytes.end(), std::begin(sum.digest));
+    if (XXH32(body.data(), body.size(), kSeed) != XXH32_hashFromCanonical(&sum)) {
+        error = {DecodeFault::bad_checksum, {}};
+        return std::nullopt;
+    }
+    json fields = json::from_msgpack(body.begin(), body.end(), true, false);
+    if (!fields.is_array() || fields.size() < field_count) {
+        error = {DecodeFault::not_a_message, {}};
+        return std::nullopt;
+    }
+    return fields;
+}
+
+std::uint32_t short_field(std::uint32_t number) { return std::min(number, Message::kMaxShortField); }
+
+json packed_updates(const std::vector<Update>& updates) {
     json list = json::array();
-    for (std::size_t i = 0; i < m.updates.size() && i < Message::kMaxUpdates; ++i) {
-        const Update& u = m.updates[i];
-        for (const std::uint32_t number :
-             {short_of(u.number), u.incarnation.counter, std::uint32_t{u.incarnation.nonce},
-              static_cast<std::uint32_t>(u.state), short_of(u.detail)})
-            list.push_back(number);
+    for (std::size_t i = 0; i < updates.size() && i < Message::kMaxUpdates; ++i) {
+        const Update& update = updates[i];
+        list.push_back(short_field(update.number));
+        list.push_back(update.incarnation.counter);
+        list.push_back(update.incarnation.nonce);
+        list.push_back(static_cast<unsigned>(update.state));
+        list.push_back(short_field(update.detail));
     }
-    const json all = {Message::kVersion,
-                      static_cast<unsigned>(m.kind),
-                      short_of(m.from),
-                      m.incarnation.nonce,
-                      m.incarnation.counter,
-                      static_cast<unsigned>(m.state),
-                      short_of(m.uptime),
-                      m.sequence,
-                      short_of(m.subject),
-                      m.digest,
-                      static_cast<unsigned>(m.view),
-                      short_of(m.present_count),
-                      std::min<std::uint32_t>(m.max_version, kMost8),
-                      std::move(list)};
+    return list;
+}
+
+}  // namespace
+
+const char* to_string(MemberState state) { return kStateNames.at(static_cast<std::size_t>(state)); }
+
+const char* to_string(View view) { return kViewNames.at(static_cast<std::size_t>(view)); }
+
+std::string encode(const Message& message) {
+    const json fields = {Message::kVersion,
+                         static_cast<unsigned>(message.kind),
+                         short_field(message.from),
+                         message.incarnation.nonce,
+                         message.incarnation.counter,
+                         static_cast<unsigned>(message.state),
+                         short_field(message.uptime),
+                         message.sequence,
+                         short_field(message.subject),
+                         message.digest,
+                         static_cast<unsigned>(message.view),
+                         short_field(message.present_count),
+                         std::min<std::uint32_t>(message.max_version, kMax8),
+                         packed_updates(message.updates)};
     std::string bytes;
-    json::to_msgpack(all, bytes);
+    json::to_msgpack(fields, bytes);
     const XXH32_hash_t hash = XXH32(bytes.data(), bytes.size(), kSeed);
     XXH32_canonical_t sum;
     XXH32_canonicalFromHash(&sum, hash);
-    bytes.append(reinterpret_cast<const char*>(sum.digest), sizeof sum.digest);
+    bytes.append(std::begin(sum.digest), std::end(sum.digest));
     return bytes;
 }
 
-std::optional<Message> decode(std::string_view bytes, std::string* why) {
-    const auto wrong = [&](const std::string& what) {
-        if (why) *why = what;
-        return std::nullopt;
-    };
-    if (bytes.size() > Message::kMaxBytes) return wrong("longer than " + std::to_string(Message::kMaxBytes));
-    XXH32_canonical_t sum;
-    if (bytes.size() <= sizeof sum.digest) return wrong("no message");
-    const std::string_view body = bytes.substr(0, bytes.size() - sizeof sum.digest);
-    std::copy(bytes.begin() + static_cast<std::ptrdiff_t>(body.size()), bytes.end(), sum.digest);
-    if (XXH32(body.data(), body.size(), kSeed) != XXH32_hashFromCanonical(&sum)) return wrong("garbled");
-    const json all = json::from_msgpack(body.begin(), body.end(), true, false);
-    if (!all.is_array() || all.size() < fields) return wrong("no message");
-    Message m;
-    std::uint32_t written = 0;
+std::optional<Message> decode(std::string_view bytes, DecodeError* error) {
+    DecodeError unwanted;
+    DecodeError& told = error != nullptr ? *error : unwanted;
+    const std::optional<json> fields = unpack(bytes, told);
+    if (!fields) return std::nullopt;
+    Message message;
+    std::uint32_t written_version = 0;
+    FieldReader reader(*fields);
     // A later version adds fields behind these; one that changes them is another version, and not read.
-    const auto bad = [&](Field f) { return wrong(std::string("field ") + kNames[f]); };
-    if (!take(all[version], kMost32, written) || written != Message::kVersion) return bad(version);
-    if (!take(all[kind], static_cast<std::uint64_t>(Message::Kind::table_page), m.kind)) return bad(kind);
-    if (!take(all[from], kMost16, m.from)) return bad(from);
-    if (!take(all[life], UINT16_MAX, m.incarnation.nonce)) return bad(life);
-    if (!take(all[count], kMost32, m.incarnation.counter) || m.incarnation.counter == 0) return bad(count);
-    if (!take(all[state], static_cast<std::uint64_t>(MemberState::left), m.state)) return bad(state);
-    if (!take(all[uptime], kMost16, m.uptime)) return bad(uptime);
-    if (!take(all[seq], kMost32, m.sequence)) return bad(seq);
-    if (!take(all[subject], kMost16, m.subject)) return bad(subject);
-    if (!take(all[digest], kMost32, m.digest)) return bad(digest);
-    if (!take(all[view], static_cast<std::uint64_t>(View::alone), m.view)) return bad(view);
-    if (!take(all[heard], kMost16, m.present_count)) return bad(heard);
-    if (!take(all[speaks], kMost8, m.max_version)) return bad(speaks);
-    const json& list = all[updates];
-    if (!list.is_array() || list.size() % kUpdateFields != 0) return bad(updates);
-    for (std::size_t i = 0; i < list.size(); i += kUpdateFields)
-        if (!take_update(&list[i], m.updates.emplace_back())) return bad(updates);
-    return m;
+    reader.read(version, kMax32, written_version);
+    reader.require(version, written_version == Message::kVersion);
+    reader.read(kind, kMaxKind, message.kind);
+    reader.read(from, kMax16, message.from);
+    reader.read(life, kMax16, message.incarnation.nonce);
+    reader.read(count, kMax32, message.incarnation.counter);
+    reader.require(count, message.incarnation.counter > 0);
+    reader.read(state, kMaxState, message.state);
+    reader.read(uptime, kMax16, message.uptime);
+    reader.read(seq, kMax32, message.sequence);
+    reader.read(subject, kMax16, message.subject);
+    reader.read(digest, kMax32, message.digest);
+    reader.read(view, kMaxView, message.view);
+    reader.read(heard, kMax16, message.present_count);
+    reader.read(speaks, kMax8, message.max_version);
+    reader.require(updates, read_updates((*fields)[updates], message.updates));
+    if (reader.wrong()) {
+        told = {DecodeFault::bad_field, kFieldNames[*reader.wrong()]};
+        return std::nullopt;
+    }
+    return message;
 }
 
 }  // namespace elmbay::cluster
--- a/src/cluster/settings.hpp
+++ b/src/cluster/settings.hpp
@@ -9,16 +9,16 @@
 
 namespace elmbay::cluster {
 
+/// Where a member is reached.
 using PeerAddress = boost::asio::ip::udp::endpoint;
 
+/// The keys of [cluster].
 struct Settings {
-    bool on = false;
-    // Where this one listens, where it reaches each by their numbers, and its own; left out: as the platform
-    // says.
-    std::string listen;
-    std::vector<std::string> peers;
-    std::uint64_t number = 0;
-    Millis period = 1000;  // between two probes
+    bool on = false;                 ///< off: nothing listens, nothing is sent
+    std::string listen;              ///< address:port of this member; empty: as the platform says
+    std::vector<std::string> peers;  ///< address:port of each, by id; empty: as the platform says
+    std::uint64_t number = 0;        ///< this member's id; the platform's word where that has one
+    Millis period = 1000;            ///< between two probes
 };
 
 }  // namespace elmbay::cluster
--- a/src/cluster/sibling_estimate.hpp
+++ b/src/cluster/sibling_estimate.hpp
@@ -11,36 +11,42 @@
 
 using hollybeam::Millis;
 
-// Of the members, this one included.
+/// How many members there are, this one included.
 struct Headcount {
-    std::uint32_t all = 1;      // that there should be
-    std::uint32_t present = 1;  // heard of, or expected and not found silent
-    std::uint32_t silent = 0;   // failed: dead or cut off
-    std::uint32_t ended = 0;    // gone or left: nobody is there
+    std::uint32_t all = 1;      ///< that there should be
+    std::uint32_t present = 1;  ///< heard of, or expected and not found silent
+    std::uint32_t silent = 0;   ///< failed: dead or cut off
+    std::uint32_t ended = 0;    ///< gone or left: nobody is there
 };
 
-// The number that the decision module divides by. It is doubted: it lies between who may be out there and
-// what the settings say, falls slowly and rises at once.
+/// The number that the decision module divides by. It is doubted: it lies between who may be out there and
+/// what the settings say, falls slowly and rises at once. A value without a clock; not thread-safe.
 class SiblingEstimate {
 public:
-    // Nobody takes over more than this part of the whole beyond the shares of those who have ended, for these
-    // may be back at any moment and act on the settings' number until they have heard of the others. So
-    // whatever happens at once, all together act on 1.4 of the whole at most; the module keeps 1.43 free
-    // where a rule depends on it (ColdStart::kFeed).
+    /// Nobody takes over more than this part of the whole beyond the shares of those who have ended, for
+    /// these may be back at any moment and act on the settings' number until they have heard of the others.
+    /// So whatever happens at once, all together act on 1.4 of the whole at most; the module keeps 1.43 free
+    /// where a rule depends on it (ColdStart::kFeed).
     static constexpr double kMaxTakeover = 0.4;
-    static constexpr Millis kHalfLife = 5000;  // it falls no faster than by half in this time
+    /// Milliseconds. It falls no faster than by half in this time.
+    static constexpr Millis kHalfLife = 5000;
 
-    explicit SiblingEstimate(std::uint32_t told) : configured_(told), value_(told) {}
+    /// @param configured as the settings say; from 1.
+    explicit SiblingEstimate(std::uint32_t configured) : configured_(configured), value_(configured) {}
 
-    // The number now. Those who are silent count: they may be on the other side of a split.
+    /// Those who are silent count as there: they may be on the other side of a partition.
+    /// @param now monotonic milliseconds that never go back.
+    /// @return the number now; at least 1.
     std::uint32_t update(Millis now, const Headcount& count, View view);
+    /// @return the number as of the last update, rounded up.
     std::uint32_t value() const;
-    // Without the bound on its fall.
+    /// @return the number without the bound on its fall.
     double target(const Headcount& count, View view) const;
 
 private:
-    double configured_, value_;
-    Millis at_ = -1;
+    double configured_;
+    double value_;
+    Millis updated_at_ = -1;  // -1: never
 };
 
 }  // namespace elmbay::cluster
--- a/src/cluster/suspicion.cpp
+++ b/src/cluster/suspicion.cpp
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 #include <cmath>
+#include <span>
 
 namespace elmbay::cluster {
 
@@ -16,8 +17,8 @@
 bool SuspicionTimers::add_accuser(MemberId id, MemberId accuser) {
     Suspicion& suspicion = suspicions_[id];
     if (suspicion.accuser_count >= kMaxAccusers) return false;
-    const auto end = suspicion.accusers.begin() + suspicion.accuser_count;
-    if (std::find(suspicion.accusers.begin(), end, accuser) != end) return false;
+    const std::span known(suspicion.accusers.data(), suspicion.accuser_count);
+    if (std::find(known.begin(), known.end(), accuser) != known.end()) return false;
     suspicion.accusers[suspicion.accuser_count] = accuser;
     ++suspicion.accuser_count;
     return true;
--- a/src/status/members_command.cpp
+++ b/src/status/members_command.cpp
@@ -13,13 +13,13 @@
 
 namespace {
 
-constexpr std::size_t kMostBytes = 64 << 20;  // far above what thousands of members and servers take
+constexpr std::size_t kMaxStatusBytes = 64 << 20;  // far above what thousands of members and servers take
 
 std::string seconds(const nlohmann::json& value) {
     return value.is_number() ? fmt::format("{:.1f}s", value.get<double>()) : "never";
 }
 
-int members(const std::string& socket, bool as_json) {
+int print_members(const std::string& socket, bool as_json) {
     try {
         const nlohmann::json status = read_status(socket);
         const auto cluster = status.find("cluster");
@@ -37,44 +37,47 @@
 
 }  // namespace
 
-nlohmann::json read_status(const std::string& path) {
+nlohmann::json read_status(const std::string& socket) {
     boost::asio::io_context io;
-    StreamSocket<boost::asio::local::stream_protocol> socket(io);
+    StreamSocket<boost::asio::local::stream_protocol> connection(io);
     boost::system::error_code error;
     for (int i = 0; i < kMostInterruptions; ++i) {
-        socket.connect(path, error);
+        connection.connect(socket, error);
         if (error != boost::asio::error::interrupted) break;
     }
     if (error) throw boost::system::system_error(error);
     std::string text;
-    boost::asio::read(socket, boost::asio::dynamic_buffer(text, kMostBytes), error);
+    boost::asio::read(connection, boost::asio::dynamic_buffer(text, kMaxStatusBytes), error);
     nlohmann::json status = nlohmann::json::parse(text, nullptr, false);
-    if (!status.is_object()) throw std::runtime_error("told no status");
+    if (!status.is_object()) throw StatusError("told no status");
     return status;
 }
 
-std::string members_table(const nlohmann::json& c) {
-    const auto& count = c.at("count");
-    std::string t = fmt::format(
-        "member {}: view {}, {} there, {} silent, {} ended of {}; divides by {}{}\n\n",
-        c.at("self").get<unsigned>(), c.at("view").get<std::string>(), count.at("present").get<unsigned>(),
-        count.at("silent").get<unsigned>(), count.at("ended").get<unsigned>(),
-        count.at("all").get<unsigned>(), c.at("siblings").get<unsigned>(),
-        c.at("yielded").get<bool>() ? "; YIELDED to a younger process of its name" : "");
-    t += fmt::format("{:>7}  {:<9}{:>10}{:>10}  {:<8}{:>7}{:>12}{:>9}\n", "member", "state", "since", "heard",
-                     "view", "hears", "incarnation", "up");
-    for (const auto& m : c.at("members")) {
-        const bool self = m.at("number") == c.at("self");
-        const bool differs = !self && m.at("state") == "alive" && m.at("view") != c.at("view");
-        t += fmt::format("{:>7}  {:<9}{:>10}{:>10}  {:<8}{:>7}{:>12}{:>8}s{}{}\n",
-                         m.at("number").get<unsigned>(), m.at("state").get<std::string>(),
-                         seconds(m.at("since_s")), self ? "itself" : seconds(m.at("heard_s")),
-                         self ? c.at("view").get<std::string>() : m.at("view").get<std::string>(),
-                         m.at("hears").get<unsigned>(), m.at("incarnation").get<unsigned>(),
-                         m.at("uptime_s").get<unsigned>(),
-                         m.at("by_way").get<bool>() ? "  by way of others" : "", differs ? "  *" : "");
+std::string members_table(const nlohmann::json& cluster) {
+    const auto& count = cluster.at("count");
+    std::string table =
+        fmt::format("member {}: view {}, {} there, {} silent, {} ended of {}; divides by {}{}\n\n",
+                    cluster.at("self").get<unsigned>(), cluster.at("view").get<std::string>(),
+                    count.at("present").get<unsigned>(), count.at("silent").get<unsigned>(),
+                    count.at("ended").get<unsigned>(), count.at("all").get<unsigned>(),
+                    cluster.at("siblings").get<unsigned>(),
+                    cluster.at("yielded").get<bool>() ? "; YIELDED to a younger process of its name" : "");
+    table += fmt::format("{:>7}  {:<9}{:>10}{:>10}  {:<8}{:>7}{:>12}{:>9}\n", "member", "state", "since",
+                         "heard", "view", "hears", "incarnation", "up");
+    for (const auto& member : cluster.at("members")) {
+        const bool self = member.at("number") == cluster.at("self");
+        const bool differs =
+            !self && member.at("state") == "alive" && member.at("view") != cluster.at("view");
+        table +=
+            fmt::format("{:>7}  {:<9}{:>10}{:>10}  {:<8}{:>7}{:>12}{:>8}s{}{}\n",
+                        member.at("number").get<unsigned>(), member.at("state").get<std::string>(),
+                        seconds(member.at("since_s")), self ? "itself" : seconds(member.at("heard_s")),
+                        self ? cluster.at("view").get<std::string>() : member.at("view").get<std::string>(),
+                        member.at("hears").get<unsigned>(), member.at("incarnation").get<unsigned>(),
+                        member.at("uptime_s").get<unsigned>(),
+                        member.at("by_way").get<bool>() ? "  by way of others" : "", differs ? "  *" : "");
     }
-    return t + "\n* its view is another than ours\n";
+    return table + "\n* its view is another than ours\n";
 }
 
 void add_members_command(CLI::App& app, std::function<int()>& run) {
@@ -84,7 +87,7 @@
     command->add_option("socket", *socket, "its status socket ([status] socket)")->required();
     command->add_flag("--json", *as_json, "as JSON");
     command->callback(
-        [socket, as_json, &run] { run = [socket, as_json] { return members(*socket, *as_json); }; });
+        [socket, as_json, &run] { run = [socket, as_json] { return print_members(*socket, *as_json); }; });
 }
 
 }  // namespace elmbay
--- a/src/status/settings.hpp
+++ b/src/status/settings.hpp
@@ -7,13 +7,16 @@
 
 namespace elmbay {
 
+/// The keys of [status].
 struct StatusSettings {
-    std::string socket;  // path of a Unix socket; empty: nothing listens
+    std::string socket;  ///< path of a Unix socket; empty: nothing listens
 };
 
-// For tests of many processes only.
+/// The keys of [proof], for tests of many processes only.
 struct ProofSettings {
-    Millis clock_ahead = 0, clock_behind = 0;  // of this program's own clock against the machine's
+    Millis clock_ahead = 0;   ///< of this program's own clock against the machine's
+    Millis clock_behind = 0;  ///< the same, the other way
+    /// @return milliseconds to add to the machine's clock.
     Millis clock_off() const { return clock_ahead - clock_behind; }
 };
 
--- a/src/status/status_socket.cpp
+++ b/src/status/status_socket.cpp
@@ -23,8 +23,8 @@
 // has its turn.
 constexpr int kMostFailedAccepts = 16;
 
-StatusSocket::StatusSocket(asio::io_context& io, const std::string& path, Tell tell)
-    : acceptor_(io), accept_again_(io), path_(path), tell_(std::move(tell)) {
+StatusSocket::StatusSocket(asio::io_context& io, const std::string& path, StatusSource source)
+    : acceptor_(io), accept_again_(io), path_(path), source_(std::move(source)) {
     local::socket probe(io);
     Error error;
     probe.connect(local::endpoint(path), error);
@@ -35,7 +35,7 @@
     acceptor_.open();
     acceptor_.bind(local::endpoint(path));
     ::chmod(path.c_str(), S_IRUSR | S_IWUSR);
-    acceptor_.listen(kMostConnections);
+    acceptor_.listen(kMaxConnections);
     acceptor_.set_option(asio::socket_base::enable_connection_aborted(true));  // else Asio waits for an edge
     accept();
 }
@@ -47,12 +47,13 @@
         if (error == asio::error::operation_aborted) return;
         if (error) return accept_failed(error);
         failed_accepts_ = 0;
-        if (*open_ < kMostConnections) {
-            ++*open_;
+        if (*connections_ < kMaxConnections) {
+            ++*connections_;
             const auto peer = std::make_shared<LocalSocket>(std::move(socket));
-            const auto text = std::make_shared<std::string>(tell_().dump() + "\n");
-            asio::async_write(*peer, asio::buffer(*text),
-                              [peer, text, open = open_](Error, std::size_t) { --*open; });
+            const auto text = std::make_shared<std::string>(source_().dump() + "\n");
+            asio::async_write(
+                *peer, asio::buffer(*text),
+                [peer, text, connections = connections_](Error, std::size_t) { --*connections; });
         }
         accept();
     });
--- a/src/status/status_socket.hpp
+++ b/src/status/status_socket.hpp
@@ -12,15 +12,20 @@
 
 namespace elmbay {
 
+/// Listens as long as it lives. Not thread-safe: it runs on the loop's thread, and the loop must outlive it.
 class StatusSocket {
 public:
-    static constexpr std::size_t kMostConnections = 8;  // at once; who comes beyond that is closed at once
+    /// At once; who connects beyond that is closed at once.
+    static constexpr std::size_t kMaxConnections = 8;
 
-    using Tell = std::function<nlohmann::json()>;
-    // A socket file that a dead process left is replaced, one that is listened on is not. Mode 0600. Throws
-    // boost::system::system_error if it can't be had.
-    StatusSocket(boost::asio::io_context& io, const std::string& path, Tell tell);
-    ~StatusSocket();  // takes the file away
+    /// Called for each connection; returns what it is told.
+    using StatusSource = std::function<nlohmann::json()>;
+
+    /// A socket file that a dead process left is replaced, one that is listened on is not. Mode 0600.
+    /// @param path where to listen.
+    /// @throws boost::system::system_error if it can't.
+    StatusSocket(boost::asio::io_context& io, const std::string& path, StatusSource source);
+    ~StatusSocket();  ///< takes the file away
     StatusSocket(const StatusSocket&) = delete;
     StatusSocket& operator=(const StatusSocket&) = delete;
 
@@ -32,8 +37,8 @@
     boost::asio::steady_timer accept_again_;
     int failed_accepts_ = 0;  // in a row, of connections that were given up before
     const std::string path_;
-    const Tell tell_;
-    std::shared_ptr<std::size_t> open_ = std::make_shared<std::size_t>(0);
+    const StatusSource source_;
+    std::shared_ptr<std::size_t> connections_ = std::make_shared<std::size_t>(0);
 };
 
 }  // namespace elmbay
