--- a/bench/fleet_size.cpp
+++ b/bench/fleet_size.cpp
@@ -42,6 +42,7 @@
     double seconds = 30;
     double rate = 10;        // requests a second
     double changes = 0.005;  // of the fleet that the list tells of in a second
+    bool known = false;      // the configuration has the whole list, as the platform gives it
     std::chrono::milliseconds answer_after{20};
 };
 
@@ -180,14 +181,17 @@
     std::string told(bool all, const Json& targets) {
         return Json{{"rev", rev_}, {"all", all}, {"targets", targets}}.dump();
     }
+    std::string whole_list() {
+        Json targets = Json::array();
+        for (std::size_t i = 0; i < day_.servers; ++i) targets.push_back(target(i));
+        return told(true, targets);
+    }
     void list(const std::shared_ptr<Connection>& connection, const std::string& head) {
         if (head.find("stream=1") != std::string::npos) {
             watch_ = connection;
             return connection->send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         }
-        Json targets = Json::array();
-        for (std::size_t i = 0; i < day_.servers; ++i) targets.push_back(target(i));
-        const std::string body = told(true, targets);
+        const std::string body = whole_list();
         figures_.list_bytes += body.size();
         connection->send(fmt::format("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}", body.size(), body));
     }
@@ -213,10 +217,10 @@
     // ---- The client -----------------------------------------------------------------------------------
 
     std::shared_ptr<Connection> free_connection() {
-        if (!free_.empty()) {
+        while (!free_.empty()) {
             const auto connection = free_.front();
             free_.pop_front();
-            return connection;
+            if (connection->socket.is_open()) return connection;  // the sidecar closes what is idle for long
         }
         tcp::socket socket(io_);
         socket.connect(listen_);
@@ -247,17 +251,17 @@
         listen_ = tcp::acceptor(io_, loopback()).local_endpoint();
         const Json safe = {
             {"name", "safe"}, {"effect", "repeatable"}, {"on-time-ms", 400}, {"give-up-ms", 1000}};
-        const Json config = {
-            {"name", "sidecar"},
-            {"listen", "127.0.0.1:" + std::to_string(listen_.port())},
-            {"discovery", discovery_.front().address()},
-            {"seed", "1f"},
-            {"limits", {{"sockets", 4096}}},
-            {"settings",
-             {{"classes", Json::array({safe})},
-              {"limits", {{"max-attempts", 4}, {"may-cancel", true}, {"idle-close-ms", 15000}}},
-              {"membership-mode", "pushed"},
-              {"siblings", day_.sidecars}}}};
+        Json config = {{"name", "sidecar"},
+                       {"listen", "127.0.0.1:" + std::to_string(listen_.port())},
+                       {"discovery", discovery_.front().address()},
+                       {"seed", "1f"},
+                       {"limits", {{"sockets", 4096}}},
+                       {"settings",
+                        {{"classes", Json::array({safe})},
+                         {"limits", {{"max-attempts", 4}, {"may-cancel", true}, {"idle-close-ms", 15000}}},
+                         {"membership-mode", "pushed"},
+                         {"siblings", day_.sidecars}}}};
+        if (day_.known) config["known"] = Json::parse(whole_list());
         file_ = std::filesystem::temp_directory_path() / fmt::format("fleet_size.{}.json", ::getpid());
         std::ofstream(file_) << config.dump();
         process_ = ::fork();
@@ -363,6 +367,7 @@
     app.add_option("--rate", usual.rate, "requests a second")->capture_default_str();
     app.add_option("--changes", usual.changes, "of the fleet that the list tells of in a second")
         ->capture_default_str();
+    app.add_flag("--known", usual.known, "the configuration has the whole list");
     app.add_option("--servers", sizes, "sizes; the first is the usual one");
     app.add_option("--sidecars", fleets, "numbers that the sidecar is told; the first is the usual one");
     CLI11_PARSE(app, argc, argv);
