--- a/tests/standing_terms_test.cpp
+++ b/tests/standing_terms_test.cpp
@@ -174,6 +174,64 @@
     }
 }
 
+// More are asked at once than there is room for. The one that came last is the first to go out when another
+// has its answer, on the connection that comes free.
+struct HeldForRoom {
+    static constexpr std::size_t kClients = 60;
+    NetRig rig;
+    FakeServer& server = rig.servers.front();
+    std::vector<std::shared_ptr<Peer>> clients;
+    std::string held;  // the header of the last one's id
+    std::size_t sent = 0;
+
+    HeldForRoom() {
+        rig.config["settings"]["classes"][1]["on-time-ms"] = 60000.0;  // held for a sixteenth of it
+        rig.start();
+        for (std::size_t i = 0; i < kClients; ++i) {
+            clients.push_back(rig.client());
+            const std::string request = NetRig::request("unsafe");
+            const std::size_t at = request.find("X-Correlation-Id: ");
+            held = request.substr(at, request.find("\r\n", at) + 2 - at);
+            clients.back()->send(request);
+        }
+        EXPECT_TRUE(rig.until([&] { return rig.sidecar->requests() == kClients; }));
+        while (rig.io.poll() > 0) continue;
+        sent = server.requests();
+        EXPECT_GT(sent, 0U);
+        EXPECT_FALSE(reached()) << "it is held";
+    }
+    bool reached() const {
+        return std::any_of(server.peers.begin(), server.peers.end(),
+                           [&](const auto& peer) { return peer->got.find(held) != std::string::npos; });
+    }
+    bool written() const {
+        return server.requests() > sent ||
+               std::any_of(server.peers.begin(), server.peers.end(),
+                           [](const auto& peer) { return peer->socket.available() > 0; });
+    }
+};
+
+// Its client's end comes after each single step of the loop until it is written.
+TEST(ClientGone, WhileItWaitsForRoomNothingIsSent) {
+    for (const auto& [way, leave] : ways_to_leave()) {
+        bool written = false;
+        for (int steps = 0; !written; ++steps) {
+            SCOPED_TRACE(std::string(way) + " after " + std::to_string(steps) + " steps");
+            HeldForRoom held;
+            held.server.peers.front()->respond("200 OK", "answer");
+            for (int step = 0; step < steps; ++step) held.rig.io.poll_one();
+            written = held.written();
+            if (written) break;
+            leave(*held.clients.back());
+            ASSERT_TRUE(held.rig.until([&] { return held.server.requests() > held.sent; }))
+                << "another one goes out";
+            held.rig.settle();
+            EXPECT_FALSE(held.reached());
+            ASSERT_LT(steps, 100) << "it never goes out";
+        }
+    }
+}
+
 TEST(ClientGone, WithItsRequestJustSentNothingIsSentOn) {
     for (const auto& [way, leave] : ways_to_leave()) {
         SCOPED_TRACE(way);
