--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -21,6 +21,10 @@
 
 // The answer has to be with the client when its patience ends, so it leaves this much earlier.
 constexpr Millis kAnswerMargin = 8;
+// Each server that is listed can be kept over a restart, and no list is cut shorter than what there is place
+// for.
+static_assert(EndpointRegistry::kMostListed <= state::kMostServers);
+static_assert(EndpointRegistry::kMostEntries <= kMostTargets);
 // A list with too many servers may be told again and again; the log has one line for all of this time.
 constexpr Millis kSayPassedOverEvery = 60000;
 // Messages beyond the usual size have this part of the memory. All else takes some MB: half as much again is
