--- a/src/rehearsal/members_companion.hpp
+++ b/src/rehearsal/members_companion.hpp
@@ -1,4 +1,5 @@
-// The program's own membership (cluster/membership.hpp) beside a decision module in virtual time.
+// The program's own membership (cluster/membership.hpp) beside a decision module in virtual time: what
+// cluster::Driver is round it on real sockets.
 #pragma once
 
 #include "cluster/membership.hpp"
@@ -6,22 +7,27 @@
 
 namespace elmbay::rehearsal {
 
+/// One simulated sidecar's part in the membership protocol. Without I/O and clock; not thread-safe.
 class MembersCompanion : public Companion {
 public:
-    // unix: Unix ms of the rehearsal's time 0.
+    /// @param self      its number among the incident's sidecars.
+    /// @param seed      of its random choices.
+    /// @param now       milliseconds of the rehearsal.
+    /// @param unix_time Unix milliseconds at the rehearsal's time 0.
     MembersCompanion(const Incident& incident, std::uint32_t self, std::uint64_t seed, Millis now,
-                     Millis unix);
+                     Millis unix_time);
     void begin(Millis now, std::vector<Outgoing>& out) override;
     void heard(Millis now, std::uint32_t from, std::string_view bytes, std::vector<Outgoing>& out) override;
     void refused(Millis now, std::uint32_t whom, std::vector<Outgoing>& out) override;
     void leave(Millis now, std::vector<Outgoing>& out) override;
     void wake(Millis now, std::vector<Outgoing>& out) override;
-    Millis next() const override { return members_.next(); }
-    std::optional<std::uint32_t> siblings(Millis now) override { return members_.siblings(now); }
+    Millis next() const override { return membership_.next(); }
+    std::optional<std::uint32_t> siblings(Millis now) override { return membership_.siblings(now); }
 
 private:
     void send(std::vector<Outgoing>& out);
-    cluster::Membership members_;
+
+    cluster::Membership membership_;
 };
 
 }  // namespace elmbay::rehearsal
