--- a/include/hollybeam/balancer.hpp
+++ b/include/hollybeam/balancer.hpp
@@ -79,7 +79,7 @@
     std::uint32_t kind = 0;  // of machine, as opaque as the zone: servers of one kind are likely to be alike
     std::uint32_t cell = 0;
     Phase phase = Phase::on;
-    Millis online_since = 0;  // when it last started; 0: long ago
+    Millis online_since = 0;  // when it last started, see ServerList::wall_time; 0: long ago
     double weight = 1;        // its size against other servers' as the list tells it; finite, over 0
 };
 
@@ -102,6 +102,12 @@
 struct ServerList {
     ListKind kind = ListKind::full;
     std::vector<ServerInfo> servers{};
+    // What this machine's wall clock read as the list came, where online_since is on other machines' wall
+    // clocks: none of them is trusted alone. None: online_since is on the clock of `now`, and exact.
+    std::optional<Millis> wall_time{};
+    // How long before the list a change may have happened without being told: since the last word of whoever
+    // tells it, also that nothing has changed. Infinity: since before this life. Only used with wall_time.
+    Millis unheard_for = 0;
 };
 // What an earlier life of this sidecar had learned, before the first list. age: since it was taken, downtime
 // and all; less than 0: not known, and nothing of it is believed.
--- a/src/base/config.hpp
+++ b/src/base/config.hpp
@@ -4,6 +4,7 @@
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/ip/udp.hpp>
 #include <functional>
+#include <limits>
 #include <nlohmann/json_fwd.hpp>
 #include <optional>
 #include <string>
@@ -39,6 +40,7 @@
     bool all = false;
     std::vector<Target> targets;
     std::size_t passed_over = 0;  // targets beyond kMostTargets
+    Millis unheard_for = std::numeric_limits<Millis>::infinity();  // hollybeam::ServerList's
 };
 // Targets that are taken of one list: three times what a sidecar keeps listed (EndpointRegistry). An
 // incremental list names those that left as well; no honest one is as long as this.
--- a/src/base/timing.hpp
+++ b/src/base/timing.hpp
@@ -17,15 +17,26 @@
 namespace asio = boost::asio;
 using hollybeam::Millis;
 
-// Steady time, offset once to Unix milliseconds: it never goes back, and the list's boot_ms compare with it.
+// The machine's two clocks, apart.
+//
+// now() is monotonic: all deadlines, waits, windows and graces are spans of it. It is offset once, so that it
+// is near Unix time at the start and no time of 0 can be a recent one; after a step of the wall clock it no
+// longer is, and it must not be compared with what other machines tell.
+// wall() is Unix time as the machine has it at that moment. It may be stepped, forward or back, at any time;
+// docs/design/clocks.md lists what it is used for.
 class Clock {
 public:
     using Steady = std::chrono::steady_clock;
+    using WallTime = std::function<Millis()>;  // Unix milliseconds
 
-    // off: by which it differs from the machine's, for tests.
-    explicit Clock(Millis off = 0) : offset_(machine() + off) {}
+    // wall: another wall clock than the machine's, for tests that step it.
+    explicit Clock(WallTime wall = machine_wall_time)
+        : wall_(std::move(wall)), offset_(wall_() - millis(Steady::now().time_since_epoch())) {}
+    // off: by which the wall clock differs from the machine's, for tests.
+    explicit Clock(Millis off) : Clock([off] { return machine_wall_time() + off; }) {}
 
     Millis now() const { return offset_ + millis(Steady::now().time_since_epoch()); }
+    Millis wall() const { return wall_(); }
     Steady::time_point steady(Millis at) const {
         return Steady::time_point(std::chrono::duration_cast<Steady::duration>(
             std::chrono::duration<double, std::milli>(at - offset_)));
@@ -37,11 +48,9 @@
         return std::chrono::duration<double, std::milli>(span).count();
     }
 
-    static Millis machine() {
-        return millis(std::chrono::system_clock::now().time_since_epoch()) -
-               millis(Steady::now().time_since_epoch());
-    }
+    static Millis machine_wall_time() { return millis(std::chrono::system_clock::now().time_since_epoch()); }
 
+    WallTime wall_;
     Millis offset_;
 };
 
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -155,6 +155,7 @@
             std::string_view line = std::string_view(text_).substr(from, to - from);
             if (!line.empty() && line.back() == '\r') line.remove_suffix(1);
             if (!line.empty() && !take(line)) return false;  // an empty one is a heartbeat
+            owner_.last_word_ = owner_.clock_.now();
         }
         text_.erase(0, from);
         if (text_.empty() && text_.capacity() > kMostKeptText) text_.shrink_to_fit();
@@ -172,6 +173,8 @@
             end("sent what can't be read");
             return false;
         }
+        const Millis now = owner_.clock_.now();
+        listing.unheard_for = now - std::exchange(owner_.last_word_, now);
         owner_.rev_ = listing.rev;
         owner_.wait_ = owner_.waits_.first;
         owner_.listed_(std::move(listing));
--- a/src/net/discovery.hpp
+++ b/src/net/discovery.hpp
@@ -3,6 +3,7 @@
 
 #include <boost/asio/ip/tcp.hpp>
 #include <functional>
+#include <limits>
 #include <memory>
 #include <optional>
 #include <random>
@@ -85,6 +86,8 @@
     std::shared_ptr<Call> call_;
     TimerQueue::Key again_{};
     Millis wait_;
+    // Of the list or of a watch, also that nothing has changed; never: none in this life.
+    Millis last_word_ = -std::numeric_limits<Millis>::infinity();
     bool watching_ = false;
 };
 
--- a/src/net/upstream.cpp
+++ b/src/net/upstream.cpp
@@ -289,7 +289,9 @@
 void Upstream::set_server(ServerId id, const Endpoint& endpoint, bool may_send, Millis online_since) {
     Server& server = servers_[id];
     server.id = id;
-    const bool moved = server.endpoint != endpoint || server.online_since < online_since;
+    // Any other start is another process: a server's wall clock may be set back between its lives.
+    const bool another = online_since > 0 && server.online_since != online_since;
+    const bool moved = server.endpoint != endpoint || another;
     if (may_send) server.endpoint = endpoint, server.online_since = online_since;
     server.may_send = may_send;
     // A server that wants nothing new has no use for idle connections; an old address or an earlier process
--- a/src/net/upstream.hpp
+++ b/src/net/upstream.hpp
@@ -53,7 +53,7 @@
     Upstream& operator=(const Upstream&) = delete;
 
     // What the list says of a server. One that may not be sent to gets no further byte of a new attempt.
-    // online_since: when its process started; a later one has none of the earlier one's connections.
+    // online_since: when its process started; another one has none of the earlier one's connections.
     void set_server(ServerId id, const Endpoint& endpoint, bool may_send, Millis online_since = 0);
     void forget_server(ServerId id);  // only one without attempts
     std::size_t attempts_at(ServerId id) const;
--- a/src/policy/balancer.cpp
+++ b/src/policy/balancer.cpp
@@ -32,6 +32,7 @@
 #include "policy/request_table.hpp"
 #include "policy/retry_budget.hpp"
 #include "policy/send_gate.hpp"
+#include "policy/server_age.hpp"
 #include "policy/server_pool.hpp"
 #include "policy/server_table.hpp"
 #include "policy/sessions.hpp"
@@ -66,6 +67,7 @@
 
     // What decides.
     ColdStart cold{settings};
+    ServerAges ages;
     Aperture aperture{settings.siblings, cold};
     OutlierEjection ejection;
     Pace pace;
@@ -81,7 +83,7 @@
     WaitQueue queue;
     TimerTable timers{context};
     SubscriptionBackoff subscription_backoff;
-    ServerTable servers{random, pace, memory, aperture};
+    ServerTable servers{random, pace, memory, aperture, ages};
     ServerPool pool{aperture, ejection, admission, sessions};
 
     // What acts.
--- a/src/policy/cold_start.cpp
+++ b/src/policy/cold_start.cpp
@@ -5,7 +5,7 @@
 namespace hollybeam {
 
 double ColdStart::tokens(Server& s, const Traffic& t, double pace, Millis now) const {
-    const double age = std::max(0.0, now - s.info.online_since) / within_;
+    const double age = std::max(0.0, now - s.process.started_at) / within_;
     const double share = from_ + (1 - from_) * std::min(1.0, age);
     // While its answers come in time most of what would push it over; else just its share. Within that its
     // outstanding requests decide, as everywhere.
--- a/src/policy/cold_start.hpp
+++ b/src/policy/cold_start.hpp
@@ -28,7 +28,7 @@
         : from_(settings.cold_from), within_(settings.warm_within), fall_(settings.fall_multiple) {}
 
     bool is_cold(const Server& s, Millis now) const {
-        return within_ > 0 && s.info.online_since > 0 && now < s.info.online_since + within_;
+        return within_ > 0 && now < s.process.started_at + within_;
     }
     // Another process under the same name, or a new one. depth (0 to 1, by chance): an empty bucket, at a
     // different depth for each sidecar, as first tokens must not fall together.
--- a/src/policy/server.hpp
+++ b/src/policy/server.hpp
@@ -6,6 +6,7 @@
 
 #include "base/fading.hpp"
 #include "hollybeam/balancer.hpp"
+#include "policy/server_age.hpp"
 
 namespace hollybeam {
 
@@ -31,6 +32,7 @@
 
 struct Server {
     ServerInfo info;
+    ServerAges::Process process;  // ServerAges': which one it is, and when it started on our clock
     bool listed = true;
     int outstanding = 0;                 // attempts of this sidecar that are out there
     std::size_t sessions = 0;            // Sessions': its sessions there, and the upgrades out there
--- a/src/policy/server_table.cpp
+++ b/src/policy/server_table.cpp
@@ -9,6 +9,7 @@
 
 void ServerTable::apply(const ServerList& list, Millis now) {
     listed_ = std::max(list.servers.size(), servers_.size());
+    ages_->hear(list, now);
     if (list.kind == ListKind::incremental)
         change(list.servers, now);
     else
@@ -19,7 +20,11 @@
 void ServerTable::replace(const std::vector<ServerInfo>& list, Millis now) {
     for (auto& [id, server] : servers_) server.listed = false;
     for (const ServerInfo& info : list) learn(info, now);
-    std::erase_if(servers_, [](const auto& entry) { return is_gone(entry.second); });
+    std::erase_if(servers_, [this](const auto& entry) {
+        if (!is_gone(entry.second)) return false;
+        ages_->departed(entry.first);
+        return true;
+    });
     std::vector<Server*> all;
     for (auto& [id, server] : servers_) all.push_back(&server);
     aperture_->set_servers(all);
@@ -37,6 +42,7 @@
 
 void ServerTable::drop_if_gone(Server& server) {
     if (!is_gone(server)) return;
+    ages_->departed(server.info.id);
     aperture_->remove(&server);
     servers_.erase(server.info.id);
 }
@@ -45,10 +51,12 @@
     const auto [entry, fresh] = servers_.try_emplace(info.id);
     Server& server = entry->second;
     if (fresh) server.rank = random_->next();
-    if (fresh || info.online_since > server.info.online_since) {
+    const ServerAges::Process process = ages_->process_of(info.id);
+    if (fresh || process.number != server.process.number) {
         ColdStart::started(server, random_->unit(), now);
         OutlierEjection::forget(server);
     }
+    server.process = process;
     server.info = info;
     pace_->learn(server);
     server.listed = info.phase != Phase::off;
--- a/src/policy/server_table.hpp
+++ b/src/policy/server_table.hpp
@@ -7,6 +7,7 @@
 #include "policy/memory.hpp"
 #include "policy/pace.hpp"
 #include "policy/server.hpp"
+#include "policy/server_age.hpp"
 
 namespace hollybeam {
 
@@ -17,8 +18,8 @@
 /// one goes. Bound: the list's length (the driver's limit) and what is outstanding at servers that left it.
 class ServerTable {
 public:
-    ServerTable(Random& random, Pace& pace, Memory& memory, Aperture& aperture)
-        : random_(&random), pace_(&pace), memory_(&memory), aperture_(&aperture) {}
+    ServerTable(Random& random, Pace& pace, Memory& memory, Aperture& aperture, ServerAges& ages)
+        : random_(&random), pace_(&pace), memory_(&memory), aperture_(&aperture), ages_(&ages) {}
 
     /// Takes in a list of any kind but failed. The pool has to be drawn anew next.
     void apply(const ServerList& list, Millis now);
@@ -45,6 +46,7 @@
     Pace* pace_;
     Memory* memory_;
     Aperture* aperture_;
+    ServerAges* ages_;
     std::map<ServerId, Server> servers_;
     std::size_t listed_ = 0;        // servers of the list at hand
     std::size_t recalled_out_ = 0;  // servers that the restored state had as ejected
--- a/src/sidecar/endpoint_registry.cpp
+++ b/src/sidecar/endpoint_registry.cpp
@@ -8,9 +8,7 @@
 using hollybeam::Phase;
 using hollybeam::ServerId;
 
-ServerId EndpointRegistry::reserve(const std::string& uid) {
-    return reserved_.try_emplace(uid, next_id_++).first->second;
-}
+ServerId EndpointRegistry::reserve(const std::string& uid) { return numbers_.reserve(uid); }
 
 const EndpointRegistry::Entry* EndpointRegistry::find(ServerId id) const {
     const auto at = by_id_.find(id);
@@ -19,6 +17,7 @@
 
 EndpointRegistry::Update EndpointRegistry::apply(ListKind kind, const std::vector<Target>& targets) {
     Update update;
+    ++lists_;
     if (kind != ListKind::incremental)
         for (auto at = entries_.begin(); at != entries_.end(); ++at) set_listed(at, false);
     update.changes.reserve(targets.size());
@@ -27,7 +26,6 @@
         ++visited_;
         update.withdrawn.push_back(at->second.info.id);
     }
-    if (kind == ListKind::full) reserved_.clear();
     return update;
 }
 
@@ -41,6 +39,8 @@
     }
     const Position at = find_or_add(target.uid);
     Entry& entry = at->second;
+    const bool other_process = target.online_since > 0 && target.online_since != entry.info.online_since;
+    if (entry.first_told == 0 || other_process) entry.first_told = lists_;
     entry.info = {entry.info.id,
                   name_number(zones_, target.zone),
                   name_number(kinds_, target.kind),
@@ -63,8 +63,7 @@
     const auto [at, added] = entries_.try_emplace(uid);
     ++visited_;
     if (!added) return at;
-    const auto reserved = reserved_.find(uid);
-    const ServerId id = reserved != reserved_.end() ? reserved->second : next_id_++;
+    const ServerId id = numbers_.take(uid);
     at->second.info.id = id;
     by_id_.emplace(id, &at->second);
     withdrawn_.emplace(at->first, at);
@@ -85,11 +84,16 @@
     }
 }
 
+bool EndpointRegistry::started_later(const Entry& a, const Entry& b) {
+    if (a.first_told != b.first_told) return a.first_told > b.first_told;
+    return a.info.online_since > b.info.online_since;
+}
+
 void EndpointRegistry::displace(Position arrived, Update& update) {
     const auto there = by_endpoint_.find(arrived->second.endpoint);
     if (there == by_endpoint_.end()) return set_listed(arrived, true);
     const Position other = there->second;
-    if (other->second.info.online_since > arrived->second.info.online_since) {
+    if (started_later(other->second, arrived->second)) {
         arrived->second.info.phase = Phase::off;
         return;
     }
--- a/src/sidecar/endpoint_registry.hpp
+++ b/src/sidecar/endpoint_registry.hpp
@@ -14,6 +14,7 @@
 
 #include "base/config.hpp"
 #include "hollybeam/balancer.hpp"
+#include "sidecar/server_numbers.hpp"
 
 namespace elmbay {
 
@@ -32,7 +33,8 @@
     struct Entry {
         hollybeam::ServerInfo info{};  // info.id is the server's number
         Endpoint endpoint{};
-        bool listed = false;  // named by the list in force, and neither left nor displaced
+        bool listed = false;           // named by the list in force, and neither left nor displaced
+        std::uint64_t first_told = 0;  // the list, counted from 1, that first told of its process
     };
     // One step of a list: what a server is from now on.
     struct Change {
@@ -53,8 +55,7 @@
     EndpointRegistry(const EndpointRegistry&) = delete;
     EndpointRegistry& operator=(const EndpointRegistry&) = delete;
 
-    // Reserves a number for a server that no list has named yet and returns it. The first whole list ends all
-    // reservations.
+    // Reserves a number for a server that no list has named yet and returns it.
     hollybeam::ServerId reserve(const std::string& uid);
     // Takes over what a list says.
     Update apply(hollybeam::ListKind kind, const std::vector<Target>& targets);
@@ -77,8 +78,11 @@
     Position find_or_add(const std::string& uid);
     void set_listed(Position at, bool listed);
     // One address is one process. The list may tell of a new server there before it tells that the old one
-    // has left: of the two, the one that started last has the address.
+    // has left: what went to the old one's name would reach the new one, cold and unasked. Of the two, the
+    // one whose process was told last has the address. Their starts are on two wall clocks, and decide only
+    // between two that the same list told first.
     void displace(Position arrived, Update& update);
+    static bool started_later(const Entry& a, const Entry& b);
     void take(const Target& target, Update& update);
     static std::uint32_t name_number(std::vector<std::string>& names, const std::string& name);
 
@@ -86,9 +90,9 @@
     std::unordered_map<hollybeam::ServerId, const Entry*> by_id_;  // all entries
     std::map<Endpoint, Position> by_endpoint_;                     // listed entries
     std::map<std::string_view, Position> withdrawn_;               // by uid: entries that are not listed
-    std::map<std::string, hollybeam::ServerId> reserved_;          // by uid
     std::vector<std::string> zones_, kinds_;
-    hollybeam::ServerId next_id_ = 1;
+    ServerNumbers numbers_;
+    std::uint64_t lists_ = 0;  // taken over so far
     std::uint64_t visited_ = 0;
 };
 
@@ -103,6 +107,7 @@
         }
         at = withdrawn_.erase(at);
         by_id_.erase(entry->second.info.id);
+        numbers_.keep(entry->first, entry->second.info.id);
         entries_.erase(entry);
     }
 }
--- /dev/null
+++ b/src/sidecar/server_numbers.hpp
@@ -0,0 +1,54 @@
+// The numbers by which the decision module knows servers, and the names by which the list does.
+//
+// A number is of use as long as the module may remember something of it: a server that has left the list and
+// is named again has the number that it had. Numbers of such servers are kept up to a bound, the latest ones.
+#pragma once
+
+#include <cstddef>
+#include <deque>
+#include <string>
+#include <unordered_map>
+
+#include "hollybeam/balancer.hpp"
+
+namespace elmbay {
+
+class ServerNumbers {
+public:
+    // As many as the module remembers of those that have left (ServerAges::kMostDeparted).
+    static constexpr std::size_t kMostKept = 4096;
+    // Names beyond this are not kept; no name that a deployment uses is as long (state::kMostName).
+    static constexpr std::size_t kLongestKept = 255;
+
+    // The number of a server that the list names and that has none.
+    hollybeam::ServerId take(const std::string& uid) {
+        const auto at = kept_.find(uid);
+        if (at == kept_.end()) return next_++;
+        const hollybeam::ServerId number = at->second;
+        kept_.erase(at);
+        return number;
+    }
+    // The server has left the list.
+    void keep(const std::string& uid, hollybeam::ServerId number) {
+        if (uid.size() > kLongestKept || !kept_.emplace(uid, number).second) return;
+        order_.push_back(uid);
+        if (order_.size() <= kMostKept) return;
+        kept_.erase(order_.front());
+        order_.pop_front();
+    }
+    // The number that a server will have once a list names it.
+    hollybeam::ServerId reserve(const std::string& uid) {
+        const auto at = kept_.find(uid);
+        if (at != kept_.end()) return at->second;
+        const hollybeam::ServerId number = next_++;
+        keep(uid, number);
+        return number;
+    }
+
+private:
+    hollybeam::ServerId next_ = 1;
+    std::unordered_map<std::string, hollybeam::ServerId> kept_;
+    std::deque<std::string> order_;  // the oldest first; may name some that were taken meanwhile
+};
+
+}  // namespace elmbay
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -23,7 +23,7 @@
 constexpr Millis kAnswerMargin = 8;
 // Each server that is listed can be kept over a restart, and no list is cut shorter than what there is place
 // for.
-static_assert(EndpointRegistry::kMostListed <= state::kMostServers);
+static_assert(EndpointRegistry::kMostListed <= state::kMaxServers);
 static_assert(EndpointRegistry::kMostEntries <= kMostTargets);
 // A list with too many servers may be told again and again; the log has one line for all of this time.
 constexpr Millis kSayPassedOverEvery = 60000;
@@ -209,7 +209,7 @@
     nlohmann::json told = {{"name", config_.name},
                            {"version", ELMBAY_VERSION},
                            {"pid", ::getpid()},
-                           {"now_ms", clock_.now()},
+                           {"now_ms", clock_.wall()},
                            {"ready", ready_},
                            {"siblings", config_.site.settings.siblings},
                            {"requests",
@@ -306,7 +306,7 @@
 
 void Sidecar::listed(ListKind kind, const Listing& listing) {
     const EndpointRegistry::Update update = servers_.apply(kind, listing.targets);
-    ServerList list{kind, {}};
+    ServerList list{kind, {}, clock_.wall(), listing.unheard_for};
     list.servers.reserve(update.changes.size());
     // The sockets hear of a drain before the module acts on it: nothing waiting may slip out.
     for (const EndpointRegistry::Change& change : update.changes) {
--- a/src/state/snapshot.cpp
+++ b/src/state/snapshot.cpp
@@ -235,11 +235,15 @@
 
 double age_of(const Moment& then, const Moment& now) {
     // In doubles: the difference of two hostile integers must not overflow.
-    const bool same_boot = then.boot == now.boot && then.boot != std::array<std::uint8_t, 16>{};
+    constexpr std::array<std::uint8_t, 16> kNotTold{};
+    const bool same_boot = then.boot == now.boot && then.boot != kNotTold;
     const double age = same_boot
                            ? static_cast<double>(now.since_boot_ms) - static_cast<double>(then.since_boot_ms)
                            : static_cast<double>(now.wall_ms) - static_cast<double>(then.wall_ms);
-    return age >= 0 ? age : -1;
+    // The machine has been up for so long since the other boot: a wall clock that tells less was set back.
+    const bool other_boot = then.boot != now.boot && then.boot != kNotTold && now.boot != kNotTold;
+    const double least = other_boot ? static_cast<double>(now.since_boot_ms) : 0;
+    return age >= std::max(0.0, least) ? age : -1;
 }
 
 std::string encode_header(const Snapshot& snapshot, std::uint64_t generation) {
--- a/src/state/snapshot.hpp
+++ b/src/state/snapshot.hpp
@@ -25,7 +25,9 @@
     bool operator==(const Moment&) const = default;
 };
 // Milliseconds from then to now: by the time since boot where the boot is the same, else by the wall clock.
-// Less than 0: not known, as the wall clock was set back in between.
+// Less than 0: not known, as the wall clock was set back in between: it tells less than nothing, or less than
+// the machine has been up since another boot. A step that shows in neither counts in full: forward it makes
+// the state older, which is believed less, back younger by no more than the time that the machine was off.
 double age_of(const Moment& then, const Moment& now);
 
 struct Snapshot {
