--- a/tests/policy/parts_test.cpp
+++ b/tests/policy/parts_test.cpp
@@ -343,12 +343,12 @@
     for (int i = 0; i < 60; ++i) fleet.aperture.completed(0, kNow);
     const double each = fleet.aperture.each(0, kNow);
     EXPECT_DOUBLE_EQ(each, 60 / 6.0 / Aperture::kRateMemory);
-    for (std::size_t i = 0; i < 5; ++i) fleet.servers[i].info.online_since = kNow;
+    for (std::size_t i = 0; i < 5; ++i) fleet.servers[i].process.started_at = kNow;
     fleet.list();
     fleet.aperture.draw(kNow, 0);
     ASSERT_EQ(fleet.aperture.warm(), 1U);
     EXPECT_DOUBLE_EQ(fleet.aperture.each(0, kNow), each);
-    fleet.servers[5].info.online_since = kNow;
+    fleet.servers[5].process.started_at = kNow;
     fleet.list();
     fleet.aperture.draw(kNow, 0);
     ASSERT_EQ(fleet.aperture.warm(), 0U);
@@ -359,7 +359,7 @@
 TEST(AperturePart, WhatAnEarlierLifeCarriedIsNotTheWorkOfOneServer) {
     Fleet fleet(4, 6);
     fleet.aperture.recall(0.6, kNow);
-    for (Server& s : fleet.servers) s.info.online_since = kNow;
+    for (Server& s : fleet.servers) s.process.started_at = kNow;
     fleet.list();
     fleet.aperture.draw(kNow, 0);
     ASSERT_EQ(fleet.aperture.warm(), 0U);
