--- a/tests/cluster/membership_test.cpp
+++ b/tests/cluster/membership_test.cpp
@@ -103,7 +103,7 @@
 
 TEST(Membership, LossLatenessRepeatsAndGarbledBytesFailNobody) {
     Fleet fleet(20);
-    fleet.net.loss = 0.3, fleet.net.repeat = 0.2, fleet.net.garble = 0.02, fleet.net.most = 60;
+    fleet.net.loss = 0.3, fleet.net.repeat = 0.2, fleet.net.garble = 0.02, fleet.net.max_delay = 60;
     fleet.run_for(10 * kMinute);
     EXPECT_EQ(fleet.false_failures, 0U);
     fleet.net = {};
@@ -169,7 +169,7 @@
 // ten minutes behind its last life's.
 TEST(Membership, ALaterLifeWinsWhateverItsClockSays) {
     Fleet fleet(6);
-    fleet.net.most = 900;
+    fleet.net.max_delay = 900;
     for (int i = 0; i < 3; ++i) {
         fleet.kill(2);
         fleet.start(2);
@@ -207,7 +207,7 @@
 
 TEST(Membership, AWrongListOfPeersIsPutRightByWhoTheyAre) {
     VirtualFleet fleet(8);
-    fleet.listed = [](MemberId of, std::uint32_t place) {
+    fleet.member_at = [](MemberId of, std::uint32_t place) {
         return of == 3 && place < 2 ? 1 - place : place;  // 3 has 0 and 1 the wrong way round
     };
     fleet.start_all();
@@ -371,7 +371,7 @@
                     break;
                 case 6:
                     fleet.net.loss = *rc::gen::inRange(0, 5) / 10.0, fleet.net.repeat = 0.2;
-                    fleet.net.most = *rc::gen::inRange(14, 800);
+                    fleet.net.max_delay = *rc::gen::inRange(14, 800);
                     break;
                 default:
                     fleet.cut = [group](MemberId a, MemberId b) {
--- a/tests/cluster/refutation_test.cpp
+++ b/tests/cluster/refutation_test.cpp
@@ -72,7 +72,7 @@
     std::uint64_t failures = 0;
     for (std::uint64_t seed = 1; seed <= kLossyFleets; ++seed) {
         VirtualFleet fleet(4, seed);
-        fleet.net = {.loss = 0.3, .repeat = 0.2, .garble = 0, .least = 1.5, .most = 60};
+        fleet.net = {.loss = 0.3, .repeat = 0.2, .garble = 0, .min_delay = 1.5, .max_delay = 60};
         fleet.cut = [](MemberId from, MemberId to) { return from == 0 && to == 1; };
         fleet.start_all();
         fleet.run_for(kMinute);
@@ -240,7 +240,7 @@
         VirtualFleet fleet(8, seed);
         fleet.start_all();
         fleet.run_for(5 * kSecond);
-        fleet.net = {.loss = 0.2, .repeat = 0.2, .garble = 0, .least = 1.5, .most = 900};
+        fleet.net = {.loss = 0.2, .repeat = 0.2, .garble = 0, .min_delay = 1.5, .max_delay = 900};
         Random random(seed);
         for (int life = 0; life < 8; ++life) {
             fleet.kill(3);
--- a/tests/cluster/virtual_fleet.hpp
+++ b/tests/cluster/virtual_fleet.hpp
@@ -18,7 +18,7 @@
 
     struct Net {
         double loss = 0, repeat = 0, garble = 0;
-        Millis least = 1.5, most = 14;  // BRIEF: 1.5 to 14 ms
+        Millis min_delay = 1.5, max_delay = 14;  // as the platform has it
     };
 
     explicit VirtualFleet(std::uint32_t count, std::uint64_t seed = 1, Timing timing = {})
@@ -30,21 +30,21 @@
     // Looks after every step.
     std::function<void()> after_step;
     // Whom one finds at a place of its list of peers, if that is not right: a permutation that undoes itself.
-    std::function<MemberId(MemberId of, std::uint32_t place)> listed = [](MemberId, std::uint32_t place) {
+    std::function<MemberId(MemberId of, std::uint32_t place)> member_at = [](MemberId, std::uint32_t place) {
         return place;
     };
     bool refuses = true;  // a machine says that its process is not there
 
     // as: the number that it takes itself for, where that is not its own.
-    void start(MemberId n, Millis clock_off = 0, std::optional<MemberId> as = {}) {
+    void start(MemberId n, Millis clock_offset = 0, std::optional<MemberId> as = {}) {
         Node& node = nodes_[n];
-        ++node.life;
+        ++node.generation;
         node.frozen = false;
         node.unread.clear();
-        node.clock_off = clock_off;
+        node.clock_offset = clock_offset;
         node.members = std::make_unique<Membership>(
             Membership::Setup{as.value_or(n), count(), count(), random_.next(), timing_}, now_,
-            kUnix + now_ + clock_off);
+            kUnix + now_ + clock_offset);
         settle(n);
     }
     void start_all() {
@@ -52,7 +52,7 @@
     }
     void kill(MemberId n) {
         nodes_[n].members.reset();
-        ++nodes_[n].life;
+        ++nodes_[n].generation;
         nodes_[n].unread.clear();
     }
     void end(MemberId n) {
@@ -125,25 +125,27 @@
 private:
     struct Node {
         std::unique_ptr<Membership> members;
-        std::uint64_t life = 0;
+        std::uint64_t generation = 0;
         bool frozen = false;
-        Millis clock_off = 0, waking = -1;
+        Millis clock_offset = 0, waking = -1;
         std::vector<std::pair<std::uint32_t, std::string>> unread;
     };
-    struct Happening {
+    struct Event {
         Millis at = 0;
-        std::uint64_t number = 0;
+        std::uint64_t order = 0;  // of two at one time the first scheduled comes first
         MemberId to = 0, from = 0;
         bool wake = false;
-        std::uint64_t life = 0;
+        std::uint64_t generation = 0;
         std::shared_ptr<const std::string> bytes;
         bool refused = false;
-        bool operator>(const Happening& o) const { return at != o.at ? at > o.at : number > o.number; }
+        bool operator>(const Event& other) const {
+            return at != other.at ? at > other.at : order > other.order;
+        }
     };
 
-    void put(Happening h) {
-        h.number = ++number_;
-        queue_.push(std::move(h));
+    void schedule(Event event) {
+        event.order = ++last_order_;
+        queue_.push(std::move(event));
     }
     void hash_traffic(MemberId from, const Datagram& datagram) {
         const auto add = [&](std::uint64_t value) {
@@ -155,7 +157,7 @@
         add(datagram.address_index);
         for (const char byte : datagram.bytes) add(static_cast<unsigned char>(byte));
     }
-    Millis delay() { return net.least + (net.most - net.least) * random_.unit(); }
+    Millis delay() { return net.min_delay + (net.max_delay - net.min_delay) * random_.unit(); }
     // What it has to send goes out, and it is woken when it wants to be.
     void settle(MemberId n) {
         Node& node = nodes_[n];
@@ -163,13 +165,13 @@
         for (Datagram& d : node.members->take_datagrams()) {
             ++sent_by[n];
             hash_traffic(n, d);
-            const MemberId to = listed(n, d.address_index);
+            const MemberId to = member_at(n, d.address_index);
             if (cut(n, to) || random_.unit() < net.loss) continue;
             int copies = 1 + (random_.unit() < net.repeat);
             if (net.garble > 0 && random_.unit() < net.garble)
                 d.bytes[random_.below(d.bytes.size())] ^= static_cast<char>(1 + random_.below(255));
             const auto bytes = std::make_shared<const std::string>(std::move(d.bytes));
-            for (; copies > 0; --copies) put({now_ + delay(), 0, to, n, false, 0, bytes});
+            for (; copies > 0; --copies) schedule({now_ + delay(), 0, to, n, false, 0, bytes});
         }
         for (const Change& c : node.members->take_changes()) {
             false_failures += c.after == MemberState::failed && runs(c.number) && !nodes_[c.number].frozen &&
@@ -181,37 +183,39 @@
         const Millis next = node.members->next();
         if (next < 1e300 && (node.waking < 0 || next < node.waking)) {
             node.waking = std::max(next, now_);
-            put({node.waking, 0, n, n, true, node.life, nullptr});
+            schedule({node.waking, 0, n, n, true, node.generation, nullptr});
         }
     }
     void step() {
-        const Happening h = queue_.top();
+        const Event event = queue_.top();
         queue_.pop();
-        now_ = std::max(now_, h.at);
-        Node& node = nodes_[h.to];
-        if (h.wake) {
-            if (h.life == node.life && node.waking == h.at) {
+        now_ = std::max(now_, event.at);
+        Node& node = nodes_[event.to];
+        if (event.wake) {
+            if (event.generation == node.generation && node.waking == event.at) {
                 node.waking = -1;
                 if (node.members && !node.frozen) {
                     if (node.members->next() <= now_) node.members->wake(now_);
-                    settle(h.to);
+                    settle(event.to);
                 }
-            } else if (h.life != node.life && node.waking == h.at) {
+            } else if (event.generation != node.generation && node.waking == event.at) {
                 node.waking = -1;
-                settle(h.to);
+                settle(event.to);
             }
-        } else if (h.refused) {
-            if (node.members && !node.frozen) node.members->refused(now_, listed(h.to, h.from)), settle(h.to);
-        } else if (!cut(h.from, h.to)) {
+        } else if (event.refused) {
+            if (node.members && !node.frozen)
+                node.members->refused(now_, member_at(event.to, event.from)), settle(event.to);
+        } else if (!cut(event.from, event.to)) {
             if (!node.members) {
-                if (refuses && !cut(h.to, h.from))
-                    put({now_ + delay(), 0, h.from, h.to, false, 0, nullptr, true});
+                if (refuses && !cut(event.to, event.from))
+                    schedule({now_ + delay(), 0, event.from, event.to, false, 0, nullptr, true});
             } else if (node.frozen) {
-                if (node.unread.size() < kMaxUnread) node.unread.emplace_back(listed(h.to, h.from), *h.bytes);
+                if (node.unread.size() < kMaxUnread)
+                    node.unread.emplace_back(member_at(event.to, event.from), *event.bytes);
             } else {
-                ++delivered.datagrams, delivered.bytes += h.bytes->size();
-                node.members->heard(now_, listed(h.to, h.from), *h.bytes);
-                settle(h.to);
+                ++delivered.datagrams, delivered.bytes += event.bytes->size();
+                node.members->heard(now_, member_at(event.to, event.from), *event.bytes);
+                settle(event.to);
             }
         }
         if (after_step) after_step();
@@ -220,8 +224,8 @@
     const Timing timing_;
     Random random_;
     std::vector<Node> nodes_;
-    std::priority_queue<Happening, std::vector<Happening>, std::greater<>> queue_;
-    std::uint64_t number_ = 0;
+    std::priority_queue<Event, std::vector<Event>, std::greater<>> queue_;
+    std::uint64_t last_order_ = 0;
     Millis now_ = 0;
 };
 
