--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -332,7 +332,8 @@
             return turn_away({http::status::conflict, "X-Correlation-Id has been used\n"}, false);
         // Past kLastTaken its answer could come after the process has been killed: the decisions reject it at
         // once, like one for which there is no place.
-        const bool has_place = owner_.taking_ && owner_.in_work_.size() < owner_.budget_.places();
+        const bool has_place =
+            owner_.clock_.now() < owner_.taking_until_ && owner_.in_work_.size() < owner_.budget_.places();
         const Arrival arrival{waited_in_kernel(socket_), has_place};
         if (owner_.handlers_.takes_connection && owner_.handlers_.takes_connection(request))
             return hand_over(std::move(request), arrival);
@@ -612,9 +613,10 @@
 void Listener::drain(std::function<void()> done) {
     if (draining_) return;
     draining_ = true;
+    taking_until_ = clock_.now() + kLastTaken;
     done_ = std::move(done);
-    timers_.set(clock_.now() + kLinger, [this, last = clock_.now() + kLastTaken] { stop_accepting(last); });
-    timers_.set(clock_.now() + kLastTaken, [this] { stop_reading(); });
+    timers_.set(clock_.now() + kLinger, [this] { stop_accepting(taking_until_); });
+    timers_.set(taking_until_, [this] { stop_reading(); });
 }
 
 // What the kernel accepted is ours: it counts as taken once its request is there, so none is left behind. For
@@ -658,7 +660,6 @@
 }
 
 void Listener::stop_reading() {
-    taking_ = false;
     for (const Connections& all : {Connections(fresh_), Connections(kept_)})
         for (const auto& connection : all) connection->stop_reading();
 }
--- a/src/net/listener.hpp
+++ b/src/net/listener.hpp
@@ -4,6 +4,7 @@
 #include <array>
 #include <boost/asio/ip/tcp.hpp>
 #include <functional>
+#include <limits>
 #include <list>
 #include <memory>
 #include <optional>
@@ -106,8 +107,8 @@
     int failed_accepts_ = 0;          // in a row, of connections that were given up before
     bool starved_ = false;            // a client may wait in the kernel's queue, and no socket is to be had
     TimerQueue::Key accept_timer_{};  // the next try, when nothing tells of a free socket before
-    bool draining_ = false, closing_ = false;  // told to end; no longer accepting
-    bool taking_ = true;                       // requests; not after kLastTaken
+    bool draining_ = false, closing_ = false;                        // told to end; no longer accepting
+    Millis taking_until_ = std::numeric_limits<Millis>::infinity();  // requests; told to end, kLastTaken
     std::function<void()> done_;
 };
 
