--- a/src/net/upstream.cpp
+++ b/src/net/upstream.cpp
@@ -50,8 +50,8 @@
     Endpoint endpoint;
     Millis online_since = 0;
     bool may_send = true;
-    bool unasked =
-        false;  // the last try to open a connection failed for want of a socket, port or route here
+    // The last try to open a connection failed for want of a socket, port or route here.
+    bool unasked = false;
     std::size_t attempts = 0, connecting = 0;
     Millis heard = 0;                               // when it last answered anything
     std::deque<AttemptKey> waiting;                 // for a connection, the oldest first
--- a/tests/syscall_faults/fleet_faults_test.cpp
+++ b/tests/syscall_faults/fleet_faults_test.cpp
@@ -58,16 +58,22 @@
     options.program = faults.program();
     // Far beyond what a busy machine needs: nothing here is about speed.
     options.patience = 10000, options.aim = 5000;
+    options.settings = {{"limits", {{"connect-timeout-ms", 5000.0}}}};
     return options;
 }
 
-// So many requests of each effect, `together` of them in work at a time.
+// So many requests of each effect, `together` of them in work at a time. Whether no rule was broken: a
+// request that was sent on has its answer.
 bool ask_of_each_effect(Fleet& fleet, std::size_t each, std::size_t together) {
+    std::vector<std::string> ids;
     for (std::size_t i = 0; i < each * kGrades.size(); ++i) {
-        fleet.ask(i % fleet.sidecars(), kGrades[i % kGrades.size()]);
+        ids.push_back(fleet.ask(i % fleet.sidecars(), kGrades[i % kGrades.size()]));
         if (!fleet.until([&] { return fleet.ledger().open() < together; })) return false;
     }
-    return fleet.settle();
+    if (!fleet.settle()) return false;
+    for (const std::string& id : ids)
+        if (!fleet.answer(id)) std::cout << "closed with no answer:\n" << fleet.story(id) << std::endl;
+    return true;
 }
 
 std::string answers(Fleet& fleet) {
@@ -78,10 +84,17 @@
            std::to_string(ledger.count(Answer::cut)) + " of " + std::to_string(ledger.asked());
 }
 
+std::uint64_t without_answer(Fleet& fleet) {
+    Ledger& ledger = fleet.ledger();
+    return ledger.asked() - ledger.count(Answer::served) - ledger.count(Answer::refused) -
+           ledger.count(Answer::failed) - ledger.count(Answer::cut);
+}
+
 struct Case {
     const char* name;
     const char* specification;  // its first rule has to strike
     bool all_served;            // nothing about it costs a request its answer
+    bool may_shed = false;      // closes resting connections: a request may cross the end of one
 };
 
 class EachFault : public testing::TestWithParam<Case> {};
@@ -96,6 +109,7 @@
     ASSERT_TRUE(ask_of_each_effect(fleet, kEach, kTogether)) << answers(fleet) << "\n" << fleet.story();
     EXPECT_GT(faults.struck(0), 0U);
     EXPECT_EQ(fleet.ledger().count(Answer::cut), 0U);
+    EXPECT_LE(without_answer(fleet), GetParam().may_shed ? faults.struck(0) : 0U) << answers(fleet);
     if (GetParam().all_served) {
         EXPECT_EQ(fleet.ledger().count(Answer::served), fleet.ledger().asked()) << answers(fleet);
     }
@@ -114,8 +128,7 @@
     {"AcceptInterrupted", "seed=9 accept:EINTR=0.25", true},
     {"AcceptNetworkDown", "seed=10 accept:ENETDOWN=0.25", true},
     {"AcceptHostUnreachable", "seed=11 accept:EHOSTUNREACH=0.25", true},
-    // This one closes resting connections, and a request may cross the end of one: its client sends it again.
-    {"AcceptNoDescriptor", "seed=12 accept:EMFILE=0.25", false},
+    {"AcceptNoDescriptor", "seed=12 accept:EMFILE=0.25", false, true},
     {"AcceptNoFileTable", "seed=13 accept:ENFILE=0.25", true},
     {"AcceptNoBuffers", "seed=14 accept:ENOBUFS=0.25", true},
     {"AcceptNoMemory", "seed=15 accept:ENOMEM=0.25", true},
@@ -161,7 +174,7 @@
     "connect:ETIMEDOUT=0.01 connect:EHOSTUNREACH=0.01 setsockopt:ENOBUFS=0.1 getsockopt:ENOBUFS=0.1 "
     "send@out:ETIMEDOUT=0.004 send@out:EHOSTUNREACH=0.003 send@out:EPIPE=0.003 "
     "recv@out:ETIMEDOUT=0.004 recv@out:EHOSTUNREACH=0.003 recv@out:ECONNRESET=0.003";
-constexpr std::size_t kRules = 33;
+constexpr std::size_t kRules = 33, kRuleOfNoDescriptor = 14;
 
 void expect_every_rule_struck(const Faults& faults) {
     for (std::size_t rule = 0; rule < kRules; ++rule) EXPECT_GT(faults.struck(rule), 0U) << "rule " << rule;
@@ -187,8 +200,11 @@
         ASSERT_TRUE(ask_of_each_effect(fleet, kEach, kTogether)) << answers(fleet) << "\n" << fleet.story();
         end_all_connections(fleet);
     }
-    EXPECT_EQ(fleet.ledger().count(Answer::cut), 0U);
     expect_every_rule_struck(faults);
+    EXPECT_EQ(fleet.ledger().count(Answer::cut), 0U);
+    // A resting connection that is closed for want of a descriptor may be crossed by a request, which is
+    // never sent on: its client sends it again.
+    EXPECT_LE(without_answer(fleet), faults.struck(kRuleOfNoDescriptor)) << answers(fleet);
     std::cout << answers(fleet) << std::endl;
 }
 
