--- a/bench/policy_cost.cpp
+++ b/bench/policy_cost.cpp
@@ -9,7 +9,7 @@
 #include <deque>
 #include <new>
 
-#include "hollybeam/balancer.hpp"
+#include "elmbay/balancer.hpp"
 
 namespace {
 
@@ -27,7 +27,7 @@
 
 namespace {
 
-using namespace hollybeam;
+using namespace elmbay::balancer;
 
 constexpr Millis kAnswer = 40, kLeft = 1000;
 
--- a/bench/state_cost.cpp
+++ b/bench/state_cost.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 using namespace elmbay;
-using namespace hollybeam;
+using namespace elmbay::balancer;
 using Steady = std::chrono::steady_clock;
 
 double micros(Steady::duration d) { return std::chrono::duration<double, std::micro>(d).count(); }
--- a/include/hollybeam/balancer.hpp
+++ b/include/elmbay/balancer.hpp
@@ -1,4 +1,4 @@
-// hollybeam: the decisions of a sidecar balancer, without I/O and without a clock.
+// elmbay::balancer: the decisions of a sidecar balancer, without I/O and without a clock.
 //
 // One Balancer serves one sidecar. Feed it every event in order with the time at which it happened and carry
 // out the actions it appends, in their order, at that same time. Times are milliseconds on any clock that
@@ -14,9 +14,9 @@
 #include <variant>
 #include <vector>
 
-#include "hollybeam/knowledge.hpp"
+#include "elmbay/knowledge.hpp"
 
-namespace hollybeam {
+namespace elmbay::balancer {
 
 using Millis = double;
 using ServerId = std::uint32_t;
@@ -223,4 +223,4 @@
     std::unique_ptr<Impl> impl_;
 };
 
-}  // namespace hollybeam
+}  // namespace elmbay::balancer
--- a/include/hollybeam/knowledge.hpp
+++ b/include/elmbay/knowledge.hpp
@@ -10,7 +10,7 @@
 #include <optional>
 #include <vector>
 
-namespace hollybeam {
+namespace elmbay::balancer {
 
 // A mean that fades: value, the weight of the samples behind it and how long ago the last one came.
 struct FadingKnowledge {
@@ -38,4 +38,4 @@
     double retries_left = 10;              // 0 to 10
 };
 
-}  // namespace hollybeam
+}  // namespace elmbay::balancer
--- a/src/base/config.cpp
+++ b/src/base/config.cpp
@@ -16,7 +16,7 @@
 // A hundred times the fleet: a wrong file must not fill the memory.
 constexpr std::size_t kMostPeers = 30000;
 constexpr std::uint64_t kMostMemoryMb = 1U << 20U;  // a terabyte: what is said beyond that is no limit
-using hollybeam::Phase;
+using balancer::Phase;
 
 [[noreturn]] void fail(const std::string& field, const std::string& what) {
     throw ConfigError("field '" + field + "' " + what);
@@ -84,7 +84,7 @@
     if (const auto at = entry.find("boot_ms"); at != entry.end())
         t.online_since = number(*at, path + ".boot_ms");
     if (const auto at = entry.find("capacity_hint"); at != entry.end())
-        t.weight = hollybeam::sound_weight(number(*at, path + ".capacity_hint"));
+        t.weight = balancer::sound_weight(number(*at, path + ".capacity_hint"));
     return t;
 }
 
@@ -190,14 +190,14 @@
     }
 }
 
-hollybeam::Site site(const Json& settings) {
+balancer::Site site(const Json& settings) {
     std::vector<std::pair<std::string, std::string>> pairs;
     flatten(settings, "", pairs);
-    hollybeam::Fields fields("settings");
+    balancer::Fields fields("settings");
     for (const auto& [name, value] : pairs) fields.add(name, value);
     try {
-        return hollybeam::read_site(fields);
-    } catch (const hollybeam::FieldError& error) {
+        return balancer::read_site(fields);
+    } catch (const balancer::FieldError& error) {
         throw ConfigError(error.what());
     }
 }
--- a/src/base/config.hpp
+++ b/src/base/config.hpp
@@ -15,7 +15,7 @@
 
 namespace elmbay {
 
-using hollybeam::Millis;
+using balancer::Millis;
 using Endpoint = boost::asio::ip::tcp::endpoint;
 using PeerEndpoint = boost::asio::ip::udp::endpoint;
 
@@ -31,16 +31,16 @@
     std::string zone;
     std::string kind;
     std::uint32_t cell = 0;
-    hollybeam::Phase phase = hollybeam::Phase::on;
+    balancer::Phase phase = balancer::Phase::on;
     Millis online_since = 0;
-    double weight = 1;  // hollybeam::ServerInfo's
+    double weight = 1;  // balancer::ServerInfo's
 };
 struct Listing {
     std::uint64_t rev = 0;
     bool all = false;
     std::vector<Target> targets;
-    std::size_t passed_over = 0;  // targets beyond kMostTargets
-    Millis unheard_for = std::numeric_limits<Millis>::infinity();  // hollybeam::ServerList's
+    std::size_t passed_over = 0;                                   // targets beyond kMostTargets
+    Millis unheard_for = std::numeric_limits<Millis>::infinity();  // balancer::ServerList's
 };
 // Targets that are taken of one list: three times what a sidecar keeps listed (EndpointRegistry). An
 // incremental list names those that left as well; no honest one is as long as this.
@@ -53,7 +53,7 @@
     std::uint64_t seed = 0;
     std::size_t sockets = 1024;       // file descriptors that the process may hold
     std::size_t memory = 32U << 20U;  // bytes; where nothing is said, as little as the platform ever gives
-    hollybeam::Site site;
+    balancer::Site site;
     Listing known;
     // Messages between sidecars (PROTOCOL): where this one listens, and where it reaches each, by their
     // numbers.
--- a/src/base/fading.hpp
+++ b/src/base/fading.hpp
@@ -5,9 +5,9 @@
 #include <cmath>
 #include <cstddef>
 
-#include "hollybeam/balancer.hpp"
+#include "elmbay/balancer.hpp"
 
-namespace hollybeam {
+namespace elmbay::balancer {
 
 // A count that loses all but 1/e of itself in `memory` ms.
 struct Tally {
@@ -49,4 +49,4 @@
     }
 };
 
-}  // namespace hollybeam
+}  // namespace elmbay::balancer
--- a/src/base/knowledge.cpp
+++ b/src/base/knowledge.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace hollybeam {
+namespace elmbay::balancer {
 
 namespace {
 
@@ -41,4 +41,4 @@
     return k;
 }
 
-}  // namespace hollybeam
+}  // namespace elmbay::balancer
--- a/src/base/knowledge.hpp
+++ b/src/base/knowledge.hpp
@@ -1,9 +1,9 @@
 // Whether remembered figures make sense; what follows from them is decided under src/policy.
 #pragma once
 
-#include "hollybeam/knowledge.hpp"
+#include "elmbay/knowledge.hpp"
 
-namespace hollybeam {
+namespace elmbay::balancer {
 
 // Each field in the range that knowledge.hpp states; one that was not, or was not finite, is as if it had not
 // been known. At most kMostRememberedServers, the first
@@ -12,4 +12,4 @@
 
 constexpr std::size_t kMostRememberedServers = 4096;  // as many as a sidecar lists
 
-}  // namespace hollybeam
+}  // namespace elmbay::balancer
--- a/src/base/overloaded.hpp
+++ b/src/base/overloaded.hpp
@@ -1,7 +1,7 @@
 // One visitor of a variant out of several lambdas.
 #pragma once
 
-namespace hollybeam {
+namespace elmbay::balancer {
 
 template <class... Ts>
 struct Overloaded : Ts... {
@@ -10,4 +10,4 @@
 template <class... Ts>
 Overloaded(Ts...) -> Overloaded<Ts...>;
 
-}  // namespace hollybeam
+}  // namespace elmbay::balancer
--- a/src/base/random.hpp
+++ b/src/base/random.hpp
@@ -4,7 +4,7 @@
 #include <cstddef>
 #include <cstdint>
 
-namespace hollybeam {
+namespace elmbay::balancer {
 
 // SplitMix64: the same numbers with every standard library.
 class Random {
@@ -23,4 +23,4 @@
     std::uint64_t state_;
 };
 
-}  // namespace hollybeam
+}  // namespace elmbay::balancer
--- a/src/base/settings.cpp
+++ b/src/base/settings.cpp
@@ -3,12 +3,12 @@
 #include <cmath>
 #include <stdexcept>
 
-namespace hollybeam {
+namespace elmbay::balancer {
 
 namespace {
 
 void check(bool sound, const std::string& setting) {
-    if (!sound) throw std::invalid_argument("hollybeam: setting makes no sense: " + setting);
+    if (!sound) throw std::invalid_argument("elmbay: setting makes no sense: " + setting);
 }
 void check_time(Millis value, const std::string& name) { check(std::isfinite(value) && value >= 0, name); }
 
@@ -34,4 +34,4 @@
     check_time(s.fees.cross_zone, "fees.cross_zone");
 }
 
-}  // namespace hollybeam
+}  // namespace elmbay::balancer
--- a/src/base/settings.hpp
+++ b/src/base/settings.hpp
@@ -1,11 +1,11 @@
 // Whether settings make sense at all; what follows from them is decided in balance.cpp.
 #pragma once
 
-#include "hollybeam/balancer.hpp"
+#include "elmbay/balancer.hpp"
 
-namespace hollybeam {
+namespace elmbay::balancer {
 
 // Throws std::invalid_argument naming the first setting that makes no sense.
 void validate(const Settings& settings);
 
-}  // namespace hollybeam
+}  // namespace elmbay::balancer
--- a/src/base/site.cpp
+++ b/src/base/site.cpp
@@ -4,7 +4,7 @@
 #include <charconv>
 #include <cmath>
 
-namespace hollybeam {
+namespace elmbay::balancer {
 
 namespace {
 
@@ -126,4 +126,4 @@
     return site;
 }
 
-}  // namespace hollybeam
+}  // namespace elmbay::balancer
--- a/src/base/site.hpp
+++ b/src/base/site.hpp
@@ -1,5 +1,5 @@
 // What a sidecar is told at its start, for both drivers: named fields with typed access, and the one place
-// that maps the operators' settings onto hollybeam::Settings.
+// that maps the operators' settings onto elmbay::balancer::Settings.
 #pragma once
 
 #include <optional>
@@ -9,9 +9,9 @@
 #include <utility>
 #include <vector>
 
-#include "hollybeam/balancer.hpp"
+#include "elmbay/balancer.hpp"
 
-namespace hollybeam {
+namespace elmbay::balancer {
 
 // A field that is missing or can't be read; what() says where it stands and names it.
 struct FieldError : std::runtime_error {
@@ -72,4 +72,4 @@
 std::uint32_t number_of(std::vector<std::string>& names, std::string_view name);
 Site read_site(const Fields& settings);
 
-}  // namespace hollybeam
+}  // namespace elmbay::balancer
--- a/src/base/timing.hpp
+++ b/src/base/timing.hpp
@@ -10,12 +10,12 @@
 #include <memory>
 #include <utility>
 
-#include "hollybeam/balancer.hpp"
+#include "elmbay/balancer.hpp"
 
 namespace elmbay {
 
 namespace asio = boost::asio;
-using hollybeam::Millis;
+using balancer::Millis;
 
 // The machine's two clocks, apart.
 //
--- a/src/cluster/incarnation_clock.hpp
+++ b/src/cluster/incarnation_clock.hpp
@@ -5,11 +5,11 @@
 #include <algorithm>
 #include <cstdint>
 
-#include "hollybeam/balancer.hpp"
+#include "elmbay/balancer.hpp"
 
 namespace elmbay::cluster {
 
-using hollybeam::Millis;
+using balancer::Millis;
 
 /// Counts tenths of a second since 2024. The wall clock is read once, at the start; from then on the
 /// monotonic clock counts, so a step of the wall clock changes nothing while the process runs. A value; not
--- a/src/cluster/membership.hpp
+++ b/src/cluster/membership.hpp
@@ -35,7 +35,7 @@
 
 namespace elmbay::cluster {
 
-using hollybeam::Random;
+using balancer::Random;
 
 /// A datagram that is to be sent.
 struct Datagram {
--- a/src/cluster/probe_schedule.hpp
+++ b/src/cluster/probe_schedule.hpp
@@ -20,7 +20,7 @@
     /// @param wanted  whether a member is to be probed now; asked again when its turn comes.
     /// @return the next that is wanted; nothing if nobody is.
     template <class Wanted>
-    std::optional<MemberId> next(hollybeam::Random& random, std::uint32_t members, Wanted wanted) {
+    std::optional<MemberId> next(balancer::Random& random, std::uint32_t members, Wanted wanted) {
         // What is left of this round, and then one whole round.
         if (const auto id = next_left(wanted)) return id;
         for (MemberId id = 0; id < members; ++id) {
--- a/src/cluster/sibling_estimate.hpp
+++ b/src/cluster/sibling_estimate.hpp
@@ -5,11 +5,11 @@
 #include <cstdint>
 
 #include "cluster/message.hpp"
-#include "hollybeam/balancer.hpp"
+#include "elmbay/balancer.hpp"
 
 namespace elmbay::cluster {
 
-using hollybeam::Millis;
+using balancer::Millis;
 
 /// How many members there are, this one included.
 struct Headcount {
--- a/src/cluster/timing.hpp
+++ b/src/cluster/timing.hpp
@@ -1,11 +1,11 @@
 // The periods and timeouts of the membership protocol.
 #pragma once
 
-#include "hollybeam/balancer.hpp"
+#include "elmbay/balancer.hpp"
 
 namespace elmbay::cluster {
 
-using hollybeam::Millis;
+using balancer::Millis;
 
 /// Periods and timeouts, each with its reason. All are milliseconds above 0. The platform's messages take
 /// 1.5 to 14 ms one way, and its sidecars stand still for up to 270 ms.
--- a/src/cluster/token_bucket.hpp
+++ b/src/cluster/token_bucket.hpp
@@ -3,11 +3,11 @@
 
 #include <algorithm>
 
-#include "hollybeam/balancer.hpp"
+#include "elmbay/balancer.hpp"
 
 namespace elmbay::cluster {
 
-using hollybeam::Millis;
+using balancer::Millis;
 
 /// A budget of tokens that refills with time. A value without a clock; not thread-safe.
 class TokenBucket {
--- a/src/engine/engine.cpp
+++ b/src/engine/engine.cpp
@@ -8,7 +8,7 @@
 
 namespace elmbay::engine {
 
-using namespace hollybeam;
+using namespace elmbay::balancer;
 
 Engine::Engine(Settings settings, std::uint64_t seed, Port& port)
     : port_(port), balancer_(std::move(settings), seed) {}
--- a/src/engine/engine.hpp
+++ b/src/engine/engine.hpp
@@ -19,14 +19,14 @@
 #include <deque>
 #include <unordered_map>
 
-#include "hollybeam/balancer.hpp"
+#include "elmbay/balancer.hpp"
 
 namespace elmbay::engine {
 
-using hollybeam::Millis;
-using hollybeam::Outcome;
-using hollybeam::RequestId;
-using hollybeam::ServerId;
+using balancer::Millis;
+using balancer::Outcome;
+using balancer::RequestId;
+using balancer::ServerId;
 
 // One attempt: number of a request, counted from 0 in the order in which they start.
 struct AttemptKey {
@@ -60,32 +60,32 @@
     virtual void finish(RequestId id, const Final& outcome) = 0;
     // Nothing is left of the request here: what the front keeps for its attempts can go.
     virtual void forget(RequestId id) = 0;
-    virtual void set_timer(Millis at, hollybeam::TimerToken token) = 0;
+    virtual void set_timer(Millis at, balancer::TimerToken token) = 0;
     virtual void subscribe(bool active) = 0;
 };
 
 class Engine {
 public:
     // Throws std::invalid_argument for settings that make no sense.
-    Engine(hollybeam::Settings settings, std::uint64_t seed, Port& port);
+    Engine(balancer::Settings settings, std::uint64_t seed, Port& port);
     Engine(const Engine&) = delete;
     Engine& operator=(const Engine&) = delete;
 
     // The first call.
     void begin(Millis now);
     // What an earlier life had learned and how long ago; between begin() and the first listed().
-    void remember(Millis now, hollybeam::Knowledge knowledge, Millis age);
-    hollybeam::Knowledge knowledge(Millis now) const { return balancer_.knowledge(now); }
+    void remember(Millis now, balancer::Knowledge knowledge, Millis age);
+    balancer::Knowledge knowledge(Millis now) const { return balancer_.knowledge(now); }
     // A request has been taken. Its id must be new; one that is in the table already is left as it is.
-    void take(Millis now, const hollybeam::RequestArrived& request);
+    void take(Millis now, const balancer::RequestArrived& request);
     // Its caller no longer waits. Unknown or finished ones are nothing new.
     void client_gone(Millis now, RequestId id);
     void attempt_ended(Millis now, AttemptKey key, Outcome outcome, Millis duration);
-    // A session that was served has ended (hollybeam::SessionEnded); the second time says nothing.
+    // A session that was served has ended (balancer::SessionEnded); the second time says nothing.
     void session_ended(Millis now, RequestId id, bool broken);
-    void listed(Millis now, hollybeam::ServerList list);
-    void timer_fired(Millis now, hollybeam::TimerToken token);
-    // So many sidecars share the servers now (hollybeam::SiblingsKnown).
+    void listed(Millis now, balancer::ServerList list);
+    void timer_fired(Millis now, balancer::TimerToken token);
+    // So many sidecars share the servers now (balancer::SiblingsKnown).
     void siblings_known(Millis now, std::uint32_t count);
 
     // Requests in the table: those without an outcome, and those with attempts still out.
@@ -98,17 +98,17 @@
         Outcome last = Outcome::superseded;
     };
 
-    void give(Millis now, hollybeam::Event event);
-    void run(const hollybeam::Action& action);
+    void give(Millis now, balancer::Event event);
+    void run(const balancer::Action& action);
     void finish(RequestId id, const Final& outcome);
     void settle(RequestId id);
 
     Port& port_;
-    hollybeam::Balancer balancer_;
+    balancer::Balancer balancer_;
     std::unordered_map<RequestId, Request> requests_;
     struct Pending {
         Millis now;
-        hollybeam::Event event;
+        balancer::Event event;
     };
     std::deque<Pending> events_;  // in order; an action may bring about the next
     bool handling_ = false;
--- a/src/fleet/campaign.cpp
+++ b/src/fleet/campaign.cpp
@@ -131,7 +131,7 @@
 }  // namespace
 
 Schedule draw_schedule(std::uint64_t seed, std::size_t sidecars, std::size_t servers, std::size_t deeds) {
-    hollybeam::Random random(seed);
+    balancer::Random random(seed);
     Schedule schedule;
     // What happens alone hardly ever shows: half of the deeds are requests, with little time between.
     constexpr Kind kFaults[] = {Kind::cut,      Kind::cut,    Kind::split,   Kind::heal,   Kind::reset,
--- a/src/fleet/ledger.hpp
+++ b/src/fleet/ledger.hpp
@@ -12,12 +12,12 @@
 #include <string>
 #include <vector>
 
-#include "hollybeam/balancer.hpp"
+#include "elmbay/balancer.hpp"
 
 namespace elmbay::fleet {
 
-using hollybeam::Effect;
-using hollybeam::Millis;
+using balancer::Effect;
+using balancer::Millis;
 
 class Ledger {
 public:
--- a/src/fleet/request_reader.hpp
+++ b/src/fleet/request_reader.hpp
@@ -7,11 +7,11 @@
 #include <string>
 #include <string_view>
 
-#include "hollybeam/balancer.hpp"
+#include "elmbay/balancer.hpp"
 
 namespace elmbay::fleet {
 
-using hollybeam::Millis;
+using balancer::Millis;
 
 // Ids of the requests that pass on one connection, each told once its last byte has.
 class RequestReader {
--- a/src/http/intake.cpp
+++ b/src/http/intake.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-using hollybeam::Effect;
-using hollybeam::Site;
+using balancer::Effect;
+using balancer::Site;
 
 constexpr std::size_t kLongestId = 256;  // of an id or key; the protocol's have 16 and 32 characters
 // On a slow or shared core a short time must not go to the margin whole.
@@ -69,9 +69,9 @@
     return {};
 }
 
-hollybeam::RequestArrived describe(RequestId id, const RequestHead& head, const Site& site, Millis margin,
-                                   Millis waited) {
-    hollybeam::RequestArrived event;
+balancer::RequestArrived describe(RequestId id, const RequestHead& head, const Site& site, Millis margin,
+                                  Millis waited) {
+    balancer::RequestArrived event;
     event.id = id;
     event.class_index = static_cast<std::uint32_t>(class_of(head, site));
     // A client never waits longer than its class is worth waiting for; what it says is not trusted beyond
--- a/src/http/intake.hpp
+++ b/src/http/intake.hpp
@@ -9,8 +9,8 @@
 
 namespace elmbay {
 
-using hollybeam::Millis;
-using hollybeam::RequestId;
+using balancer::Millis;
+using balancer::RequestId;
 using RequestHead = http::request_header<>;
 
 // Why a request can't be used: answered here, never sent on.
@@ -22,14 +22,14 @@
 // Whether it can be passed on at all. What is unknown, missing, repeated or contradicts itself can't: whoever
 // sent it is not the application that the settings describe, and a guess at its meaning may run something
 // twice.
-std::optional<Problem> problem_of(const RequestHead& head, const hollybeam::Site& site);
+std::optional<Problem> problem_of(const RequestHead& head, const balancer::Site& site);
 // The part of it that holds for a request of any method: the headers that the protocol names.
-std::optional<Problem> header_problem_of(const RequestHead& head, const hollybeam::Site& site);
+std::optional<Problem> header_problem_of(const RequestHead& head, const balancer::Site& site);
 
 // What the module is told of a request that has no problem. margin: the answer leaves that much before the
 // client's time is up; waited: so much of that time is over already (both in ms).
-hollybeam::RequestArrived describe(RequestId id, const RequestHead& head, const hollybeam::Site& site,
-                                   Millis margin, Millis waited = 0);
+balancer::RequestArrived describe(RequestId id, const RequestHead& head, const balancer::Site& site,
+                                  Millis margin, Millis waited = 0);
 
 // The request for a server, built anew from what the protocol names: nothing else that a client writes gets
 // there.
--- a/src/links/rules.hpp
+++ b/src/links/rules.hpp
@@ -15,12 +15,12 @@
 #include <vector>
 
 #include "base/random.hpp"
-#include "hollybeam/balancer.hpp"
+#include "elmbay/balancer.hpp"
 
 namespace elmbay::links {
 
-using hollybeam::Millis;
-using hollybeam::Random;
+using balancer::Millis;
+using balancer::Random;
 
 constexpr Millis kNever = std::numeric_limits<Millis>::infinity();
 
--- a/src/net/upstream.hpp
+++ b/src/net/upstream.hpp
@@ -17,9 +17,9 @@
 
 namespace elmbay {
 
-using hollybeam::Outcome;
-using hollybeam::RequestId;
-using hollybeam::ServerId;
+using balancer::Outcome;
+using balancer::RequestId;
+using balancer::ServerId;
 
 using engine::AttemptKey;
 
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -2,7 +2,7 @@
 
 #include "policy/memory.hpp"
 
-namespace hollybeam {
+namespace elmbay::balancer {
 
 Admission::Admission(const Settings& settings) {
     set_siblings(settings.siblings);
@@ -70,4 +70,4 @@
     return true;
 }
 
-}  // namespace hollybeam
+}  // namespace elmbay::balancer
--- a/src/policy/admission.hpp
+++ b/src/policy/admission.hpp
@@ -17,9 +17,9 @@
 #include <cmath>
 
 #include "base/fading.hpp"
-#include "hollybeam/knowledge.hpp"
+#include "elmbay/knowledge.hpp"
 
-namespace hollybeam {
+namespace elmbay::balancer {
 
 class Admission {
 public:
@@ -101,4 +101,4 @@
     Millis at_ = 0;
 };
 
-}  // namespace hollybeam
+}  // namespace elmbay::balancer
--- a/src/policy/aperture.cpp
+++ b/src/policy/aperture.cpp
@@ -1,6 +1,6 @@
 #include "policy/aperture.hpp"
 
-namespace hollybeam {
+namespace elmbay::balancer {
 
 void Aperture::set_servers(const std::vector<Server*>& all) {
     for (Server* s : all) s->in_pool = false;
@@ -84,4 +84,4 @@
     return of_.at(kind).rate(now, kRateMemory) / carriers_of_.at(kind).count(now, kRateMemory);
 }
 
-}  // namespace hollybeam
+}  // namespace elmbay::balancer
--- a/src/policy/aperture.hpp
+++ b/src/policy/aperture.hpp
@@ -14,7 +14,7 @@
 #include "policy/cold_start.hpp"
 #include "policy/ejection.hpp"
 
-namespace hollybeam {
+namespace elmbay::balancer {
 
 class Aperture {
 public:
@@ -101,4 +101,4 @@
     Millis until_ = 0;  // when the pool has to be drawn anew
 };
 
-}  // namespace hollybeam
+}  // namespace elmbay::balancer
--- a/src/policy/balancer.cpp
+++ b/src/policy/balancer.cpp
@@ -1,5 +1,5 @@
 // The Balancer: composes the parts of the module and passes each event to those that it concerns. The
-// interface is include/hollybeam/balancer.hpp.
+// interface is include/elmbay/balancer.hpp.
 //
 // The path of a request: on(RequestArrived) takes it into the RequestTable and sets its timer; Dispatcher
 // finds a server: one whose trial is due (OutlierEjection), else one of the pool (ServerPool, Aperture) by
@@ -7,7 +7,7 @@
 // briefly (WaitQueue). on(AttemptEnded) has the outcome booked (OutcomeAccounting) and the request placed
 // again or answered. FinalResponder::finish() is the only final answer; SendGate::may_send() and
 // Request::may_refuse() are the only gates: no send and no refusal leaves the module without passing them.
-#include "hollybeam/balancer.hpp"
+#include "elmbay/balancer.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -40,7 +40,7 @@
 #include "policy/timer_table.hpp"
 #include "policy/wait_queue.hpp"
 
-namespace hollybeam {
+namespace elmbay::balancer {
 
 namespace {
 
@@ -282,4 +282,4 @@
             impl_->sessions.held()};
 }
 
-}  // namespace hollybeam
+}  // namespace elmbay::balancer
--- a/src/policy/cold_start.cpp
+++ b/src/policy/cold_start.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace hollybeam {
+namespace elmbay::balancer {
 
 double ColdStart::tokens(Server& s, const Traffic& t, double pace, Millis now) const {
     const double age = std::max(0.0, now - s.process.started_at) / within_;
@@ -19,4 +19,4 @@
     return s.tokens;
 }
 
-}  // namespace hollybeam
+}  // namespace elmbay::balancer
--- a/src/policy/cold_start.hpp
+++ b/src/policy/cold_start.hpp
@@ -10,7 +10,7 @@
 
 #include "policy/server.hpp"
 
-namespace hollybeam {
+namespace elmbay::balancer {
 
 class ColdStart {
 public:
@@ -43,4 +43,4 @@
     double fall_;
 };
 
-}  // namespace hollybeam
+}  // namespace elmbay::balancer
--- a/src/policy/dispatcher.cpp
+++ b/src/policy/dispatcher.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace hollybeam {
+namespace elmbay::balancer {
 
 void Dispatcher::place(Request& request) {
     const Millis now = parts_.context.now();
@@ -74,4 +74,4 @@
     for (const RequestId id : parts_.queue.take(parts_.requests)) place(parts_.requests.at(id));
 }
 
-}  // namespace hollybeam
+}  // namespace elmbay::balancer
--- a/src/policy/dispatcher.hpp
+++ b/src/policy/dispatcher.hpp
@@ -14,7 +14,7 @@
 #include "policy/timer_table.hpp"
 #include "policy/wait_queue.hpp"
 
-namespace hollybeam {
+namespace elmbay::balancer {
 
 /// Finds a server for a request and sends it there, else lets it wait, else has it answered.
 ///
@@ -55,4 +55,4 @@
     Parts parts_;
 };
 
-}  // namespace hollybeam
+}  // namespace elmbay::balancer
--- a/src/policy/ejection.cpp
+++ b/src/policy/ejection.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-namespace hollybeam {
+namespace elmbay::balancer {
 
 OutlierEjection::Verdict OutlierEjection::judge(Server& s, const Case& c, Millis now) {
     const bool success = c.outcome == Outcome::completed && !c.late;
@@ -69,4 +69,4 @@
     return (slow ? 4 : 2) * (c.out + 1) <= c.listed;
 }
 
-}  // namespace hollybeam
+}  // namespace elmbay::balancer
--- a/src/policy/ejection.hpp
+++ b/src/policy/ejection.hpp
@@ -10,7 +10,7 @@
 
 #include "policy/server.hpp"
 
-namespace hollybeam {
+namespace elmbay::balancer {
 
 class OutlierEjection {
 public:
@@ -53,4 +53,4 @@
     double good_ = 0, all_ = 0;  // outcomes in the windows of the pool
 };
 
-}  // namespace hollybeam
+}  // namespace elmbay::balancer
--- a/src/policy/event_context.hpp
+++ b/src/policy/event_context.hpp
@@ -5,9 +5,9 @@
 #include <utility>
 #include <vector>
 
-#include "hollybeam/balancer.hpp"
+#include "elmbay/balancer.hpp"
 
-namespace hollybeam {
+namespace elmbay::balancer {
 
 /// The event at hand: its time and the list that its actions are appended to.
 ///
@@ -34,4 +34,4 @@
     std::vector<Action>* actions_ = nullptr;
 };
 
-}  // namespace hollybeam
+}  // namespace elmbay::balancer
--- a/src/policy/fairness.hpp
+++ b/src/policy/fairness.hpp
@@ -8,7 +8,7 @@
 
 #include "base/fading.hpp"
 
-namespace hollybeam {
+namespace elmbay::balancer {
 
 class Fairness {
 public:
@@ -36,4 +36,4 @@
     double quotas_ = 0;
 };
 
-}  // namespace hollybeam
+}  // namespace elmbay::balancer
--- a/src/policy/final_responder.cpp
+++ b/src/policy/final_responder.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace hollybeam {
+namespace elmbay::balancer {
 
 void FinalResponder::finish(Request& request) {
     if (request.ended || request.streaming) return;
@@ -31,4 +31,4 @@
     }
 }
 
-}  // namespace hollybeam
+}  // namespace elmbay::balancer
--- a/src/policy/final_responder.hpp
+++ b/src/policy/final_responder.hpp
@@ -4,7 +4,7 @@
 #include "policy/event_context.hpp"
 #include "policy/request_table.hpp"
 
-namespace hollybeam {
+namespace elmbay::balancer {
 
 /// Gives the module's final answers: a refusal where that is true, else a failure. The only place of both.
 ///
@@ -33,4 +33,4 @@
     RequestTable* requests_;
 };
 
-}  // namespace hollybeam
+}  // namespace elmbay::balancer
--- a/src/policy/memory.cpp
+++ b/src/policy/memory.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-namespace hollybeam {
+namespace elmbay::balancer {
 
 void Memory::keep(const Knowledge& knowledge, Millis age, Millis now) {
     believed_ = age >= 0 && age <= kBelieved;
@@ -37,4 +37,4 @@
     return k;
 }
 
-}  // namespace hollybeam
+}  // namespace elmbay::balancer
--- a/src/policy/memory.hpp
+++ b/src/policy/memory.hpp
@@ -8,10 +8,10 @@
 
 #include <map>
 
-#include "hollybeam/knowledge.hpp"
+#include "elmbay/knowledge.hpp"
 #include "policy/server.hpp"
 
-namespace hollybeam {
+namespace elmbay::balancer {
 
 class Memory {
 public:
@@ -43,4 +43,4 @@
     bool believed_ = false;
 };
 
-}  // namespace hollybeam
+}  // namespace elmbay::balancer
--- a/src/policy/outcome_accounting.cpp
+++ b/src/policy/outcome_accounting.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace hollybeam {
+namespace elmbay::balancer {
 
 void OutcomeAccounting::record(Server& server, const Request& request, const Attempt& attempt,
                                const AttemptEnded& event) {
@@ -45,4 +45,4 @@
     parts_.pool.draw_pool(now);
 }
 
-}  // namespace hollybeam
+}  // namespace elmbay::balancer
--- a/src/policy/outcome_accounting.hpp
+++ b/src/policy/outcome_accounting.hpp
@@ -8,7 +8,7 @@
 #include "policy/request.hpp"
 #include "policy/server_pool.hpp"
 
-namespace hollybeam {
+namespace elmbay::balancer {
 
 /// Records how attempts ended with all that learn from it: latency, admission, carried rate, outlier
 /// ejection.
@@ -41,4 +41,4 @@
     Parts parts_;
 };
 
-}  // namespace hollybeam
+}  // namespace elmbay::balancer
--- a/src/policy/pace.hpp
+++ b/src/policy/pace.hpp
@@ -8,7 +8,7 @@
 
 #include "policy/server.hpp"
 
-namespace hollybeam {
+namespace elmbay::balancer {
 
 class Pace {
 public:
@@ -33,4 +33,4 @@
     std::map<std::uint32_t, Recent> kinds_;  // nodes stay where they are: servers point at them
 };
 
-}  // namespace hollybeam
+}  // namespace elmbay::balancer
--- a/src/policy/pick.cpp
+++ b/src/policy/pick.cpp
@@ -1,6 +1,6 @@
 #include "policy/pick.hpp"
 
-namespace hollybeam {
+namespace elmbay::balancer {
 
 // An index below count other than `without`, by chance: each as likely as its server is large.
 std::size_t Pick::draw(std::size_t count, std::size_t without) {
@@ -47,4 +47,4 @@
     return fresh_[other ? second : first];
 }
 
-}  // namespace hollybeam
+}  // namespace elmbay::balancer
--- a/src/policy/pick.hpp
+++ b/src/policy/pick.hpp
@@ -15,7 +15,7 @@
 #include "policy/pace.hpp"
 #include "policy/request.hpp"
 
-namespace hollybeam {
+namespace elmbay::balancer {
 
 class Pick {
 public:
@@ -54,4 +54,4 @@
     std::vector<Server*> fresh_, again_;  // kept for their memory
 };
 
-}  // namespace hollybeam
+}  // namespace elmbay::balancer
--- a/src/policy/request.cpp
+++ b/src/policy/request.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <limits>
 
-namespace hollybeam {
+namespace elmbay::balancer {
 
 bool Request::any_out() const {
     return std::any_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.out; });
@@ -50,4 +50,4 @@
     return kind.dedup_scope == DedupScope::all && at < write_by();
 }
 
-}  // namespace hollybeam
+}  // namespace elmbay::balancer
--- a/src/policy/request.hpp
+++ b/src/policy/request.hpp
@@ -7,7 +7,7 @@
 
 #include "policy/server.hpp"
 
-namespace hollybeam {
+namespace elmbay::balancer {
 
 struct Attempt {
     ServerId server = 0;
@@ -51,4 +51,4 @@
     bool in_scope(const Attempt& a, const ServerInfo& s) const;
 };
 
-}  // namespace hollybeam
+}  // namespace elmbay::balancer
--- a/src/policy/request_table.cpp
+++ b/src/policy/request_table.cpp
@@ -2,7 +2,7 @@
 
 #include "policy/sessions.hpp"
 
-namespace hollybeam {
+namespace elmbay::balancer {
 
 Request* RequestTable::add(RequestId id) {
     const auto [entry, fresh] = requests_.try_emplace(id);
@@ -24,4 +24,4 @@
     ended_.clear();
 }
 
-}  // namespace hollybeam
+}  // namespace elmbay::balancer
--- a/src/policy/request_table.hpp
+++ b/src/policy/request_table.hpp
@@ -5,7 +5,7 @@
 
 #include "policy/request.hpp"
 
-namespace hollybeam {
+namespace elmbay::balancer {
 
 class Sessions;
 
@@ -43,4 +43,4 @@
     std::uint64_t next_order_ = 0;
 };
 
-}  // namespace hollybeam
+}  // namespace elmbay::balancer
--- a/src/policy/retry_budget.hpp
+++ b/src/policy/retry_budget.hpp
@@ -4,7 +4,7 @@
 
 #include <algorithm>
 
-namespace hollybeam {
+namespace elmbay::balancer {
 
 class RetryBudget {
 public:
@@ -21,4 +21,4 @@
     double left_ = kBurst;
 };
 
-}  // namespace hollybeam
+}  // namespace elmbay::balancer
--- a/src/policy/send_gate.cpp
+++ b/src/policy/send_gate.cpp
@@ -2,7 +2,7 @@
 
 #include "policy/admission.hpp"
 
-namespace hollybeam {
+namespace elmbay::balancer {
 
 double SendGate::cold_tokens(Server& server, Millis now) const {
     const ColdStart::Traffic traffic{aperture_->each(server.info.kind, now), aperture_->sight(),
@@ -10,4 +10,4 @@
     return cold_->tokens(server, traffic, pace_->of(server, now), now);
 }
 
-}  // namespace hollybeam
+}  // namespace elmbay::balancer
--- a/src/policy/send_gate.hpp
+++ b/src/policy/send_gate.hpp
@@ -6,7 +6,7 @@
 #include "policy/request.hpp"
 #include "policy/sessions.hpp"
 
-namespace hollybeam {
+namespace elmbay::balancer {
 
 /// The gate that each attempt passes: whether the four rules let a request go to a server now.
 ///
@@ -36,4 +36,4 @@
     const Sessions* sessions_;
 };
 
-}  // namespace hollybeam
+}  // namespace elmbay::balancer
--- a/src/policy/server.hpp
+++ b/src/policy/server.hpp
@@ -5,10 +5,10 @@
 #include <cstdint>
 
 #include "base/fading.hpp"
-#include "hollybeam/balancer.hpp"
+#include "elmbay/balancer.hpp"
 #include "policy/server_age.hpp"
 
-namespace hollybeam {
+namespace elmbay::balancer {
 
 // The last kSize outcomes of a server.
 class Window {
@@ -50,4 +50,4 @@
     bool open() const { return listed && info.phase == Phase::on; }
 };
 
-}  // namespace hollybeam
+}  // namespace elmbay::balancer
--- a/src/policy/server_age.cpp
+++ b/src/policy/server_age.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <utility>
 
-namespace hollybeam {
+namespace elmbay::balancer {
 
 bool ServerAges::Record::knows(Millis start) const {
     return std::find(starts.begin(), starts.end(), start) != starts.end();
@@ -121,4 +121,4 @@
     departed_.pop_front();
 }
 
-}  // namespace hollybeam
+}  // namespace elmbay::balancer
--- a/src/policy/server_age.hpp
+++ b/src/policy/server_age.hpp
@@ -26,9 +26,9 @@
 #include <unordered_map>
 #include <vector>
 
-#include "hollybeam/balancer.hpp"
+#include "elmbay/balancer.hpp"
 
-namespace hollybeam {
+namespace elmbay::balancer {
 
 class ServerAges {
 public:
@@ -97,4 +97,4 @@
     std::size_t listed_ = 0;         // records that are listed
 };
 
-}  // namespace hollybeam
+}  // namespace elmbay::balancer
--- a/src/policy/server_pool.cpp
+++ b/src/policy/server_pool.cpp
@@ -1,6 +1,6 @@
 #include "policy/server_pool.hpp"
 
-namespace hollybeam {
+namespace elmbay::balancer {
 
 void ServerPool::draw_pool(Millis now) {
     aperture_->draw(now, load());
@@ -8,4 +8,4 @@
     admission_->pool_is(aperture_->warm());
 }
 
-}  // namespace hollybeam
+}  // namespace elmbay::balancer
--- a/src/policy/server_pool.hpp
+++ b/src/policy/server_pool.hpp
@@ -5,7 +5,7 @@
 #include "policy/ejection.hpp"
 #include "policy/sessions.hpp"
 
-namespace hollybeam {
+namespace elmbay::balancer {
 
 /// Draws the pool and keeps those in step that depend on it: outlier ejection compares a server with the
 /// others of the pool, admission counts its warm servers. Counts what is out at warm servers.
@@ -36,4 +36,4 @@
     int outstanding_ = 0;
 };
 
-}  // namespace hollybeam
+}  // namespace elmbay::balancer
--- a/src/policy/server_table.cpp
+++ b/src/policy/server_table.cpp
@@ -5,7 +5,7 @@
 #include "policy/cold_start.hpp"
 #include "policy/ejection.hpp"
 
-namespace hollybeam {
+namespace elmbay::balancer {
 
 void ServerTable::apply(const ServerList& list, Millis now) {
     listed_ = std::max(list.servers.size(), servers_.size());
@@ -72,4 +72,4 @@
     return entry == servers_.end() ? nullptr : &entry->second;
 }
 
-}  // namespace hollybeam
+}  // namespace elmbay::balancer
--- a/src/policy/server_table.hpp
+++ b/src/policy/server_table.hpp
@@ -9,7 +9,7 @@
 #include "policy/server.hpp"
 #include "policy/server_age.hpp"
 
-namespace hollybeam {
+namespace elmbay::balancer {
 
 /// The servers that the endpoint list names, and those that it no longer names but where something of ours is
 /// still out.
@@ -52,4 +52,4 @@
     std::size_t recalled_out_ = 0;  // servers that the restored state had as ejected
 };
 
-}  // namespace hollybeam
+}  // namespace elmbay::balancer
--- a/src/policy/sessions.hpp
+++ b/src/policy/sessions.hpp
@@ -10,7 +10,7 @@
 
 #include "policy/server.hpp"
 
-namespace hollybeam {
+namespace elmbay::balancer {
 
 class Sessions {
 public:
@@ -39,4 +39,4 @@
     std::unordered_map<RequestId, ServerId> held_;  // never iterated
 };
 
-}  // namespace hollybeam
+}  // namespace elmbay::balancer
--- a/src/policy/subscription_backoff.hpp
+++ b/src/policy/subscription_backoff.hpp
@@ -3,9 +3,9 @@
 #include <algorithm>
 
 #include "base/random.hpp"
-#include "hollybeam/balancer.hpp"
+#include "elmbay/balancer.hpp"
 
-namespace hollybeam {
+namespace elmbay::balancer {
 
 /// Exponential backoff with jitter between failed calls for the endpoint list.
 ///
@@ -29,4 +29,4 @@
     Millis mean_ = kFirst;
 };
 
-}  // namespace hollybeam
+}  // namespace elmbay::balancer
--- a/src/policy/timer_table.hpp
+++ b/src/policy/timer_table.hpp
@@ -6,7 +6,7 @@
 
 #include "policy/event_context.hpp"
 
-namespace hollybeam {
+namespace elmbay::balancer {
 
 /// The timers that have been set and have not fired, and what each is for.
 ///
@@ -40,4 +40,4 @@
     TimerToken next_token_ = 1;
 };
 
-}  // namespace hollybeam
+}  // namespace elmbay::balancer
--- a/src/policy/wait_queue.cpp
+++ b/src/policy/wait_queue.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace hollybeam {
+namespace elmbay::balancer {
 
 std::vector<RequestId> WaitQueue::take(const RequestTable& requests) {
     std::vector<RequestId> waiting;
@@ -28,4 +28,4 @@
     });
 }
 
-}  // namespace hollybeam
+}  // namespace elmbay::balancer
--- a/src/policy/wait_queue.hpp
+++ b/src/policy/wait_queue.hpp
@@ -5,7 +5,7 @@
 
 #include "policy/request_table.hpp"
 
-namespace hollybeam {
+namespace elmbay::balancer {
 
 /// The requests that wait for room or for a server, by id.
 ///
@@ -32,4 +32,4 @@
     std::vector<RequestId> waiting_;
 };
 
-}  // namespace hollybeam
+}  // namespace elmbay::balancer
--- a/src/rehearsal/balancers.cpp
+++ b/src/rehearsal/balancers.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-using namespace hollybeam;
+using namespace elmbay::balancer;
 
 class Module : public Decider {
 public:
--- a/src/rehearsal/balancers.hpp
+++ b/src/rehearsal/balancers.hpp
@@ -11,11 +11,11 @@
 #include <string>
 #include <vector>
 
-#include "hollybeam/balancer.hpp"
+#include "elmbay/balancer.hpp"
 
 namespace elmbay::rehearsal {
 
-using hollybeam::Millis;
+using balancer::Millis;
 
 class Archive;
 
@@ -24,11 +24,10 @@
     virtual ~Decider() = default;
     // Before the first event. Only the oracle looks.
     virtual void see(const Archive&) {}
-    // As hollybeam::Balancer::handle().
-    virtual void handle(Millis now, const hollybeam::Event& event,
-                        std::vector<hollybeam::Action>& actions) = 0;
-    // As hollybeam::Balancer::knowledge(); those that learn nothing know nothing.
-    virtual hollybeam::Knowledge knowledge(Millis) const { return {}; }
+    // As balancer::Balancer::handle().
+    virtual void handle(Millis now, const balancer::Event& event, std::vector<balancer::Action>& actions) = 0;
+    // As balancer::Balancer::knowledge(); those that learn nothing know nothing.
+    virtual balancer::Knowledge knowledge(Millis) const { return {}; }
 };
 
 struct BalancerName {
@@ -41,7 +40,7 @@
 // The oracle at each of its shares; make_balancer() knows them, balancer_names() does not list them.
 const std::vector<std::string>& oracle_names();
 // Throws std::invalid_argument for a name that is none of these.
-std::unique_ptr<Decider> make_balancer(const std::string& name, const hollybeam::Settings& settings,
+std::unique_ptr<Decider> make_balancer(const std::string& name, const balancer::Settings& settings,
                                        std::uint64_t seed);
 
 }  // namespace elmbay::rehearsal
--- a/src/rehearsal/chance.hpp
+++ b/src/rehearsal/chance.hpp
@@ -10,7 +10,7 @@
 
 namespace elmbay::rehearsal {
 
-using hollybeam::Random;
+using balancer::Random;
 
 // What a stream of draws is for. Two purposes never share numbers.
 enum class Purpose : std::uint64_t {
--- a/src/rehearsal/incident.cpp
+++ b/src/rehearsal/incident.cpp
@@ -209,20 +209,19 @@
 // What `set` of other-settings may name. Each gets a number in its unit.
 struct Setting {
     const char* name;
-    void (*apply)(hollybeam::Settings&, double);
+    void (*apply)(balancer::Settings&, double);
     double least, most;
 };
 constexpr Setting kSettings[] = {
-    {"siblings", [](hollybeam::Settings& s, double v) { s.siblings = static_cast<std::uint32_t>(v); }, 1,
-     1e6},
-    {"max_attempts", [](hollybeam::Settings& s, double v) { s.max_attempts = static_cast<std::uint32_t>(v); },
+    {"siblings", [](balancer::Settings& s, double v) { s.siblings = static_cast<std::uint32_t>(v); }, 1, 1e6},
+    {"max_attempts", [](balancer::Settings& s, double v) { s.max_attempts = static_cast<std::uint32_t>(v); },
      1, 10},
-    {"cold_from", [](hollybeam::Settings& s, double v) { s.cold_from = v; }, 0.01, 1},
-    {"warm_within", [](hollybeam::Settings& s, double v) { s.warm_within = v; }, 0, kLongest},
-    {"fall_multiple", [](hollybeam::Settings& s, double v) { s.fall_multiple = v; }, 1, 100}};
+    {"cold_from", [](balancer::Settings& s, double v) { s.cold_from = v; }, 0.01, 1},
+    {"warm_within", [](balancer::Settings& s, double v) { s.warm_within = v; }, 0, kLongest},
+    {"fall_multiple", [](balancer::Settings& s, double v) { s.fall_multiple = v; }, 1, 100}};
 
 // "NAME=VALUE" over settings; what is wrong with it, or nothing.
-std::optional<std::string> apply_setting(const std::string& text, hollybeam::Settings& settings) {
+std::optional<std::string> apply_setting(const std::string& text, balancer::Settings& settings) {
     const std::size_t equals = text.find('=');
     const std::string name = text.substr(0, equals);
     const Setting* setting = nullptr;
@@ -489,7 +488,7 @@
         if (f.kind == FaultKind::other_settings && f.set.empty())
             problems.push_back({f.line, "fault " + std::to_string(i + 1) + ".set", "is needed"});
         for (const std::string& text : f.set) {
-            hollybeam::Settings scratch;
+            balancer::Settings scratch;
             if (const auto wrong = apply_setting(text, scratch))
                 problems.push_back({f.line, "fault " + std::to_string(i + 1) + ".set", *wrong});
         }
@@ -506,9 +505,9 @@
 
 }  // namespace
 
-hollybeam::Effect ClassSpec::kind() const {
-    if (effect == "safe") return hollybeam::Effect::repeatable;
-    return effect == "keyed" ? hollybeam::Effect::by_key : hollybeam::Effect::once;
+balancer::Effect ClassSpec::kind() const {
+    if (effect == "safe") return balancer::Effect::repeatable;
+    return effect == "keyed" ? balancer::Effect::by_key : balancer::Effect::once;
 }
 
 bool Incident::starts_off(std::uint32_t server) const {
@@ -563,12 +562,12 @@
     return {late, lost};
 }
 
-hollybeam::Settings Incident::settings(std::uint32_t sidecar, const FaultSpec* changed) const {
-    hollybeam::Settings s;
+balancer::Settings Incident::settings(std::uint32_t sidecar, const FaultSpec* changed) const {
+    balancer::Settings s;
     for (const ClassSpec& c : classes) {
-        hollybeam::RequestClass rc;
+        balancer::RequestClass rc;
         rc.effect = c.kind();
-        rc.dedup_scope = hollybeam::DedupScope::all;
+        rc.dedup_scope = balancer::DedupScope::all;
         rc.dedup_window = c.window;
         rc.aim = c.aim;
         rc.worth = c.worth;
--- a/src/rehearsal/incident.hpp
+++ b/src/rehearsal/incident.hpp
@@ -9,13 +9,13 @@
 #include <string>
 #include <vector>
 
-#include "hollybeam/balancer.hpp"
+#include "elmbay/balancer.hpp"
 #include "links/rules.hpp"
 #include "schema/schema.hpp"
 
 namespace elmbay::rehearsal {
 
-using hollybeam::Millis;
+using balancer::Millis;
 
 struct Overview {
     std::string about;
@@ -109,7 +109,7 @@
     double worth = 3;
     Millis window = 3000;  // keyed: repeats are dropped for so long
 
-    hollybeam::Effect kind() const;
+    balancer::Effect kind() const;
 };
 
 // What the operators expect of the run; what is left out is not looked at. The four rules always are.
@@ -196,7 +196,7 @@
     // What messages between sidecars meet without any fault.
     std::vector<links::Rule> message_rules() const;
     // The settings that a decision module gets for this incident; changed: with a fault's `set` over them.
-    hollybeam::Settings settings(std::uint32_t sidecar, const FaultSpec* changed = nullptr) const;
+    balancer::Settings settings(std::uint32_t sidecar, const FaultSpec* changed = nullptr) const;
 };
 
 // A file that can't be used; what() has a line for each problem.
--- a/src/rehearsal/judge.hpp
+++ b/src/rehearsal/judge.hpp
@@ -60,7 +60,7 @@
     void sidecar_starved(std::uint32_t sidecar, bool starved);
 
     // ---- the registry: bytes on their way to a sidecar count as told
-    void told(Millis now, std::uint32_t sidecar, std::uint32_t server, hollybeam::Phase phase,
+    void told(Millis now, std::uint32_t sidecar, std::uint32_t server, balancer::Phase phase,
               Millis online_since);
 
     // ---- servers
@@ -112,7 +112,7 @@
         Millis since;
     };
     struct Told {
-        hollybeam::Phase phase = hollybeam::Phase::on;
+        balancer::Phase phase = balancer::Phase::on;
         Millis at = 0, online_since = 0;
     };
     struct Push {
--- a/src/rehearsal/real/real_run.cpp
+++ b/src/rehearsal/real/real_run.cpp
@@ -24,7 +24,7 @@
 
 namespace {
 
-using hollybeam::Phase;
+using balancer::Phase;
 using nlohmann::json;
 
 constexpr Millis kReadyWithin = 15000;  // of all sidecars
@@ -237,7 +237,7 @@
     void configure(std::uint32_t i) {
         Side& side = sides_[i];
         const FaultSpec* changed = side.changed ? &incident_.faults[*side.changed] : nullptr;
-        const hollybeam::Settings s = incident_.settings(i, changed);
+        const balancer::Settings s = incident_.settings(i, changed);
         json classes = json::array();
         for (const ClassSpec& c : incident_.classes)
             classes.push_back({{"name", c.name},
--- a/src/rehearsal/real/stand_in_discovery.cpp
+++ b/src/rehearsal/real/stand_in_discovery.cpp
@@ -9,8 +9,8 @@
 namespace elmbay::rehearsal {
 
 namespace http = boost::beast::http;
+using balancer::Phase;
 using boost::system::error_code;
-using hollybeam::Phase;
 
 nlohmann::json listing_of(const std::vector<Entry>& entries, std::uint64_t rev, bool all,
                           const Stage& stage) {
--- a/src/rehearsal/virtual_run.cpp
+++ b/src/rehearsal/virtual_run.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-using namespace hollybeam;
+using namespace elmbay::balancer;
 
 // The module's clock at time 0: servers that started "long ago" have 0, so no start may come out as 0.
 constexpr Millis kEpoch = 1e9;
--- a/src/sidecar/endpoint_registry.cpp
+++ b/src/sidecar/endpoint_registry.cpp
@@ -4,9 +4,9 @@
 
 namespace elmbay {
 
-using hollybeam::ListKind;
-using hollybeam::Phase;
-using hollybeam::ServerId;
+using balancer::ListKind;
+using balancer::Phase;
+using balancer::ServerId;
 
 ServerId EndpointRegistry::reserve(const std::string& uid) { return numbers_.reserve(uid); }
 
@@ -105,7 +105,7 @@
 
 std::uint32_t EndpointRegistry::name_number(std::vector<std::string>& names, const std::string& name) {
     const bool known = std::find(names.begin(), names.end(), name) != names.end();
-    return known || names.size() < kMostNames ? hollybeam::number_of(names, name) : 0;
+    return known || names.size() < kMostNames ? balancer::number_of(names, name) : 0;
 }
 
 }  // namespace elmbay
--- a/src/sidecar/endpoint_registry.hpp
+++ b/src/sidecar/endpoint_registry.hpp
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "base/config.hpp"
-#include "hollybeam/balancer.hpp"
+#include "elmbay/balancer.hpp"
 #include "sidecar/server_numbers.hpp"
 
 namespace elmbay {
@@ -31,22 +31,22 @@
     static constexpr std::size_t kMostNames = 256;
 
     struct Entry {
-        hollybeam::ServerInfo info{};  // info.id is the server's number
+        balancer::ServerInfo info{};  // info.id is the server's number
         Endpoint endpoint{};
         bool listed = false;           // named by the list in force, and neither left nor displaced
         std::uint64_t first_told = 0;  // the list, counted from 1, that first told of its process
     };
     // One step of a list: what a server is from now on.
     struct Change {
-        hollybeam::ServerInfo info{};
+        balancer::ServerInfo info{};
         Endpoint endpoint{};
         bool may_send = false;
     };
     struct Update {
-        std::vector<Change> changes;                 // in the order in which they count
-        std::vector<hollybeam::ServerId> withdrawn;  // all entries that are not listed, by uid
-        std::size_t passed_over = 0;                 // targets for which there was no place
-        bool any_active = false;                     // at least one target may be sent to
+        std::vector<Change> changes;                // in the order in which they count
+        std::vector<balancer::ServerId> withdrawn;  // all entries that are not listed, by uid
+        std::size_t passed_over = 0;                // targets for which there was no place
+        bool any_active = false;                    // at least one target may be sent to
     };
 
     // zones, kinds: the names that have numbers already.
@@ -56,15 +56,15 @@
     EndpointRegistry& operator=(const EndpointRegistry&) = delete;
 
     // Reserves a number for a server that no list has named yet and returns it.
-    hollybeam::ServerId reserve(const std::string& uid);
+    balancer::ServerId reserve(const std::string& uid);
     // Takes over what a list says.
-    Update apply(hollybeam::ListKind kind, const std::vector<Target>& targets);
+    Update apply(balancer::ListKind kind, const std::vector<Target>& targets);
     // Forgets the entries that are not listed and for which done(number) holds.
     template <class Done>
     void forget_withdrawn(Done done);
 
     // The entry with that number; nullptr if there is none.
-    const Entry* find(hollybeam::ServerId id) const;
+    const Entry* find(balancer::ServerId id) const;
     // By uid.
     const std::map<std::string, Entry>& entries() const { return entries_; }
     std::size_t listed() const { return entries_.size() - withdrawn_.size(); }
@@ -86,10 +86,10 @@
     void take(const Target& target, Update& update);
     static std::uint32_t name_number(std::vector<std::string>& names, const std::string& name);
 
-    std::map<std::string, Entry> entries_;                         // by uid
-    std::unordered_map<hollybeam::ServerId, const Entry*> by_id_;  // all entries
-    std::map<Endpoint, Position> by_endpoint_;                     // listed entries
-    std::map<std::string_view, Position> withdrawn_;               // by uid: entries that are not listed
+    std::map<std::string, Entry> entries_;                        // by uid
+    std::unordered_map<balancer::ServerId, const Entry*> by_id_;  // all entries
+    std::map<Endpoint, Position> by_endpoint_;                    // listed entries
+    std::map<std::string_view, Position> withdrawn_;              // by uid: entries that are not listed
     std::vector<std::string> zones_, kinds_;
     ServerNumbers numbers_;
     std::uint64_t lists_ = 0;  // taken over so far
--- a/src/sidecar/server_numbers.hpp
+++ b/src/sidecar/server_numbers.hpp
@@ -9,7 +9,7 @@
 #include <string>
 #include <unordered_map>
 
-#include "hollybeam/balancer.hpp"
+#include "elmbay/balancer.hpp"
 
 namespace elmbay {
 
@@ -21,15 +21,15 @@
     static constexpr std::size_t kLongestKept = 255;
 
     // The number of a server that the list names and that has none.
-    hollybeam::ServerId take(const std::string& uid) {
+    balancer::ServerId take(const std::string& uid) {
         const auto at = kept_.find(uid);
         if (at == kept_.end()) return next_++;
-        const hollybeam::ServerId number = at->second;
+        const balancer::ServerId number = at->second;
         kept_.erase(at);
         return number;
     }
     // The server has left the list.
-    void keep(const std::string& uid, hollybeam::ServerId number) {
+    void keep(const std::string& uid, balancer::ServerId number) {
         if (uid.size() > kLongestKept || !kept_.emplace(uid, number).second) return;
         order_.push_back(uid);
         if (order_.size() <= kMostKept) return;
@@ -37,17 +37,17 @@
         order_.pop_front();
     }
     // The number that a server will have once a list names it.
-    hollybeam::ServerId reserve(const std::string& uid) {
+    balancer::ServerId reserve(const std::string& uid) {
         const auto at = kept_.find(uid);
         if (at != kept_.end()) return at->second;
-        const hollybeam::ServerId number = next_++;
+        const balancer::ServerId number = next_++;
         keep(uid, number);
         return number;
     }
 
 private:
-    hollybeam::ServerId next_ = 1;
-    std::unordered_map<std::string, hollybeam::ServerId> kept_;
+    balancer::ServerId next_ = 1;
+    std::unordered_map<std::string, balancer::ServerId> kept_;
     std::deque<std::string> order_;  // the oldest first; may name some that were taken meanwhile
 };
 
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-using namespace hollybeam;
+using namespace elmbay::balancer;
 using Error = boost::system::error_code;
 
 // The answer has to be with the client when its patience ends, so it leaves this much earlier.
@@ -168,7 +168,7 @@
 
 // The module knows servers by numbers, and numbers don't last: each name gets one before a list names it.
 void Sidecar::remember(Remembered remembered) {
-    hollybeam::Knowledge& knowledge = remembered.snapshot.knowledge;
+    balancer::Knowledge& knowledge = remembered.snapshot.knowledge;
     for (std::size_t i = 0; i < knowledge.servers.size() && i < remembered.snapshot.uids.size(); ++i)
         knowledge.servers[i].server = servers_.reserve(remembered.snapshot.uids[i]);
     engine_.remember(clock_.now(), std::move(knowledge), remembered.age);
@@ -192,7 +192,7 @@
 }
 
 nlohmann::json Sidecar::status() {
-    const hollybeam::Knowledge knowledge = engine_.knowledge(clock_.now());
+    const balancer::Knowledge knowledge = engine_.knowledge(clock_.now());
     std::unordered_map<ServerId, const ServerKnowledge*> learned;
     for (const ServerKnowledge& s : knowledge.servers) learned[s.server] = &s;
     nlohmann::json servers = nlohmann::json::array();
--- a/src/sidecar/sidecar.hpp
+++ b/src/sidecar/sidecar.hpp
@@ -63,7 +63,7 @@
     void say_passed_over(std::size_t targets);
     void gone(RequestId id);
     void attempt_ended(AttemptKey key, Outcome outcome, Millis duration, HttpResponse response);
-    void listed(hollybeam::ListKind kind, const Listing& listing);
+    void listed(balancer::ListKind kind, const Listing& listing);
 
     void remember(Remembered remembered);
 
@@ -72,7 +72,7 @@
     void cancel(AttemptKey key) override;
     void finish(RequestId id, const engine::Final& outcome) override;
     void forget(RequestId id) override;
-    void set_timer(Millis at, hollybeam::TimerToken token) override;
+    void set_timer(Millis at, balancer::TimerToken token) override;
     void subscribe(bool active) override;
 
     // Requests that have had their outcome, by kind of it.
--- a/src/simulator/adapter.cpp
+++ b/src/simulator/adapter.cpp
@@ -5,5 +5,5 @@
 
 int main() {
     std::ios::sync_with_stdio(false);
-    return hollybeam::wire::Host(std::cin, std::cout, std::cerr).run();
+    return elmbay::balancer::wire::Host(std::cin, std::cout, std::cerr).run();
 }
--- a/src/simulator/wire.cpp
+++ b/src/simulator/wire.cpp
@@ -8,7 +8,7 @@
 
 #include "base/overloaded.hpp"
 
-namespace hollybeam::wire {
+namespace elmbay::balancer::wire {
 
 namespace {
 
@@ -135,7 +135,7 @@
             batch(mark);
         }
     } catch (const WireError& error) {
-        err_ << "hollybeam_adapter: " << error.what() << '\n';
+        err_ << "elmbay_simulator_adapter: " << error.what() << '\n';
         return 2;
     }
     return 0;
@@ -165,7 +165,7 @@
     if (std::find(known.begin(), known.end(), kind) == known.end()) {
         if (std::find(unknown_kinds_.begin(), unknown_kinds_.end(), kind) == unknown_kinds_.end()) {
             unknown_kinds_.emplace_back(kind);
-            err_ << "hollybeam_adapter: line " << line_ << ": unknown event " << kind << " skipped\n";
+            err_ << "elmbay_simulator_adapter: line " << line_ << ": unknown event " << kind << " skipped\n";
         }
         return;
     }
@@ -350,4 +350,4 @@
     reply_ += '\n';
 }
 
-}  // namespace hollybeam::wire
+}  // namespace elmbay::balancer::wire
--- a/src/simulator/wire.hpp
+++ b/src/simulator/wire.hpp
@@ -11,9 +11,9 @@
 #include <vector>
 
 #include "base/site.hpp"
-#include "hollybeam/balancer.hpp"
+#include "elmbay/balancer.hpp"
 
-namespace hollybeam::wire {
+namespace elmbay::balancer::wire {
 
 // A line that can't be read; what() names line number, message and field.
 using WireError = FieldError;
@@ -72,4 +72,4 @@
     std::vector<Action> actions_;
 };
 
-}  // namespace hollybeam::wire
+}  // namespace elmbay::balancer::wire
--- a/src/state/command.cpp
+++ b/src/state/command.cpp
@@ -60,7 +60,7 @@
 }
 
 // A character each, the oldest first.
-std::string outcomes_of(const hollybeam::ServerKnowledge& server) {
+std::string outcomes_of(const balancer::ServerKnowledge& server) {
     std::string outcomes;
     for (std::uint32_t bit = std::min(server.seen, kMaxOutcomes); bit-- > 0;)
         outcomes += (server.outcomes >> bit & 1U) != 0 ? '+' : '-';
@@ -69,7 +69,7 @@
 
 nlohmann::ordered_json json_of(const GenerationFile& file) {
     const Snapshot& snapshot = *file.content.snapshot;
-    const hollybeam::Knowledge& knowledge = snapshot.knowledge;
+    const balancer::Knowledge& knowledge = snapshot.knowledge;
     nlohmann::ordered_json out{{"file", file.name},
                                {"generation", file.content.generation},
                                {"instance", snapshot.instance},
@@ -83,7 +83,7 @@
                                {"retries_left", knowledge.retries_left}};
     out["servers"] = nlohmann::ordered_json::array();
     for (std::size_t i = 0; i < snapshot.uids.size(); ++i) {
-        const hollybeam::ServerKnowledge& known = knowledge.servers[i];
+        const balancer::ServerKnowledge& known = knowledge.servers[i];
         nlohmann::ordered_json server{{"uid", snapshot.uids[i]},
                                       {"online_since", known.online_since},
                                       {"outcomes", outcomes_of(known)}};
@@ -95,7 +95,7 @@
 
 void print_for_people(const GenerationFile& file) {
     const Snapshot& snapshot = *file.content.snapshot;
-    const hollybeam::Knowledge& knowledge = snapshot.knowledge;
+    const balancer::Knowledge& knowledge = snapshot.knowledge;
     fmt::print("{} (generation {}), of '{}', {}\n", file.name, file.content.generation, snapshot.instance,
                text_of(snapshot.taken));
     fmt::print(
@@ -104,7 +104,7 @@
         knowledge.room, knowledge.learned, knowledge.taught_by, knowledge.crowd.value,
         knowledge.carried * 1000, knowledge.retries_left);
     for (std::size_t i = 0; i < snapshot.uids.size(); ++i) {
-        const hollybeam::ServerKnowledge& server = knowledge.servers[i];
+        const balancer::ServerKnowledge& server = knowledge.servers[i];
         const std::string removed =
             server.out_ms ? fmt::format("removed, {:.1f}s left", *server.out_ms / 1000) : "";
         fmt::print("  {:<24} {:<20} {}\n", snapshot.uids[i], outcomes_of(server), removed);
--- a/src/state/snapshot.hpp
+++ b/src/state/snapshot.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "hollybeam/knowledge.hpp"
+#include "elmbay/knowledge.hpp"
 #include "state/timestamp.hpp"
 
 namespace elmbay::state {
@@ -18,10 +18,10 @@
 
 /// A plain value; nothing in it refers to a process or a connection.
 struct Snapshot {
-    std::string instance;            ///< whose it is; 1 to kMaxNameBytes bytes
-    Timestamp taken;                 ///< when
-    hollybeam::Knowledge knowledge;  ///< servers[i].server == i
-    std::vector<std::string> uids;   ///< uids[i] names servers[i]; each once, 1 to kMaxNameBytes bytes
+    std::string instance;           ///< whose it is; 1 to kMaxNameBytes bytes
+    Timestamp taken;                ///< when
+    balancer::Knowledge knowledge;  ///< servers[i].server == i
+    std::vector<std::string> uids;  ///< uids[i] names servers[i]; each once, 1 to kMaxNameBytes bytes
 };
 
 }  // namespace elmbay::state
--- a/src/state/snapshot_decoder.cpp
+++ b/src/state/snapshot_decoder.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-using hollybeam::ServerKnowledge;
+using balancer::ServerKnowledge;
 using layout::read_number;
 using layout::RecordKind;
 using nlohmann::json;
@@ -46,7 +46,7 @@
     return field != body.end() && field->is_number_integer() ? field->get<std::int64_t>() : 0;
 }
 
-hollybeam::FadingKnowledge mean_field(const json& body, const char* name) {
+balancer::FadingKnowledge mean_field(const json& body, const char* name) {
     const auto field = body.find(name);
     if (field == body.end() || !field->is_array() || field->size() != 3) return {};
     for (const json& figure : *field)
@@ -73,8 +73,8 @@
 }
 
 // Everything but the servers.
-hollybeam::Knowledge means_of(const json& body) {
-    hollybeam::Knowledge means;
+balancer::Knowledge means_of(const json& body) {
+    balancer::Knowledge means;
     means.crowd = mean_field(body, "crowd");
     means.room = number_field(body, "room", 0);
     means.learned = number_field(body, "learned", 0);
@@ -136,7 +136,7 @@
     }
 
     std::map<std::string, ServerKnowledge> servers_;
-    hollybeam::Knowledge means_;
+    balancer::Knowledge means_;
     Timestamp taken_;
 };
 
--- a/src/state/snapshot_encoder.cpp
+++ b/src/state/snapshot_encoder.cpp
@@ -9,12 +9,12 @@
 
 namespace {
 
-using hollybeam::ServerKnowledge;
+using balancer::ServerKnowledge;
 using layout::append_number;
 using layout::RecordKind;
 using nlohmann::json;
 
-json body_of(const hollybeam::FadingKnowledge& mean) {
+json body_of(const balancer::FadingKnowledge& mean) {
     return json::array({mean.value, mean.weight, mean.since});
 }
 
@@ -28,7 +28,7 @@
     return body;
 }
 
-json body_of(const hollybeam::Knowledge& knowledge) {
+json body_of(const balancer::Knowledge& knowledge) {
     return {{"crowd", body_of(knowledge.crowd)}, {"room", knowledge.room},
             {"learned", knowledge.learned},      {"taught_by", knowledge.taught_by},
             {"carried", knowledge.carried},      {"retries_left", knowledge.retries_left}};
--- a/src/state/timestamp.hpp
+++ b/src/state/timestamp.hpp
@@ -20,9 +20,10 @@
 Timestamp current_timestamp();
 
 /// Milliseconds from then to now: by the time since boot where the boot is the same, else by the wall clock.
-/// Less than 0: not known, as the wall clock was set back in between: it tells less than nothing, or less than
-/// the machine has been up since another boot. A step that shows in neither counts in full: forward it makes
-/// the state older, which is believed less; back, younger by no more than the time that the machine was off.
+/// Less than 0: not known, as the wall clock was set back in between: it tells less than nothing, or less
+/// than the machine has been up since another boot. A step that shows in neither counts in full: forward it
+/// makes the state older, which is believed less; back, younger by no more than the time that the machine was
+/// off.
 double age_of(const Timestamp& then, const Timestamp& now);
 
 }  // namespace elmbay::state
--- a/src/websocket/front.hpp
+++ b/src/websocket/front.hpp
@@ -21,10 +21,10 @@
 
 namespace elmbay::websocket {
 
+using balancer::Outcome;
+using balancer::RequestId;
+using balancer::ServerId;
 using engine::AttemptKey;
-using hollybeam::Outcome;
-using hollybeam::RequestId;
-using hollybeam::ServerId;
 
 class Front {
 public:
--- a/src/websocket/handshake.cpp
+++ b/src/websocket/handshake.cpp
@@ -57,7 +57,7 @@
                        [](const auto& f) { return http::token_list(f.value()).exists("websocket"); });
 }
 
-std::optional<Problem> upgrade_problem(const RequestHead& head, const hollybeam::Site& site,
+std::optional<Problem> upgrade_problem(const RequestHead& head, const balancer::Site& site,
                                        const std::vector<std::string>& origins) {
     const auto bad = [](const char* words) { return Problem{http::status::bad_request, words}; };
     if (head.method() != http::verb::get) return bad("an upgrade is a GET\n");
@@ -94,7 +94,7 @@
 }
 
 ServerAnswer read_answer(const http::response_header<>& head, const std::vector<std::string>& offered) {
-    using hollybeam::Outcome;
+    using balancer::Outcome;
     const auto status = head.result();
     if (status != http::status::switching_protocols)
         return {says_unprocessed(head) ? Outcome::saturated : Outcome::errored, {}};
--- a/src/websocket/handshake.hpp
+++ b/src/websocket/handshake.hpp
@@ -26,7 +26,7 @@
 // 426 where another version would do (4.4), 403 for an origin that the operator does not list, else 400.
 // origins: as a browser writes them ("https://archive.example"), compared without case; empty: any. A client
 // that names no origin is no browser, and not what such a list protects from: it may come.
-std::optional<Problem> upgrade_problem(const RequestHead& head, const hollybeam::Site& site,
+std::optional<Problem> upgrade_problem(const RequestHead& head, const balancer::Site& site,
                                        const std::vector<std::string>& origins);
 
 // The subprotocols that a client without problem offers, in its order of preference.
@@ -38,8 +38,8 @@
 
 // What a server has made of it (4.1, client requirements on the answer). Its accept is checked by Beast.
 struct ServerAnswer {
-    hollybeam::Outcome outcome = hollybeam::Outcome::errored;  // completed: the session stands
-    std::string subprotocol;                                   // chosen; empty: none
+    balancer::Outcome outcome = balancer::Outcome::errored;  // completed: the session stands
+    std::string subprotocol;                                 // chosen; empty: none
 };
 ServerAnswer read_answer(const http::response_header<>& head, const std::vector<std::string>& offered);
 
--- a/tests/cluster/probes_test.cpp
+++ b/tests/cluster/probes_test.cpp
@@ -88,7 +88,7 @@
 
 TEST(ProbeRound, ReachesEachMemberOnceInEachRoundAndSkipsWhoIsNotWanted) {
     ProbeRound round;
-    hollybeam::Random random(5);
+    balancer::Random random(5);
     const auto wanted = [](MemberId id) { return id != 2; };
     for (int repeat = 0; repeat < 5; ++repeat) {
         std::set<MemberId> reached;
--- a/tests/engine/engine_test.cpp
+++ b/tests/engine/engine_test.cpp
@@ -11,7 +11,7 @@
 namespace elmbay::engine {
 namespace {
 
-using namespace hollybeam;
+using namespace elmbay::balancer;
 
 // Notes what the engine wants; a test may hang something on a call.
 struct TestPort : Port {
--- a/tests/example.cpp
+++ b/tests/example.cpp
@@ -1,10 +1,10 @@
-// How a sidecar uses hollybeam: feed events with their time, carry out the actions. Here one request is
-// taken, sent, fails before it ran, is sent elsewhere and served.
+// How a sidecar uses elmbay::balancer: feed events with their time, carry out the actions. Here one request
+// is taken, sent, fails before it ran, is sent elsewhere and served.
 #include <iostream>
 
-#include "hollybeam/balancer.hpp"
+#include "elmbay/balancer.hpp"
 
-using namespace hollybeam;
+using namespace elmbay::balancer;
 
 int main() {
     Settings settings;
--- a/tests/policy/balancer_test.cpp
+++ b/tests/policy/balancer_test.cpp
@@ -5,7 +5,7 @@
 
 #include "rig.hpp"
 
-namespace hollybeam::test {
+namespace elmbay::balancer::test {
 namespace {
 
 // Answers the request, whatever server has it, until it fails at `bad` as asked for.
@@ -511,4 +511,4 @@
 }
 
 }  // namespace
-}  // namespace hollybeam::test
+}  // namespace elmbay::balancer::test
--- a/tests/policy/cold_budget_test.cpp
+++ b/tests/policy/cold_budget_test.cpp
@@ -12,9 +12,9 @@
 #include <vector>
 
 #include "base/random.hpp"
-#include "hollybeam/balancer.hpp"
+#include "elmbay/balancer.hpp"
 
-namespace hollybeam::test {
+namespace elmbay::balancer::test {
 namespace {
 
 constexpr Millis kSpan = 1000;  // the settings' own
@@ -233,4 +233,4 @@
                          [](const auto& info) { return std::to_string(info.param) + "Sidecars"; });
 
 }  // namespace
-}  // namespace hollybeam::test
+}  // namespace elmbay::balancer::test
--- a/tests/policy/composition_test.cpp
+++ b/tests/policy/composition_test.cpp
@@ -15,7 +15,7 @@
 #include "policy/timer_table.hpp"
 #include "policy/wait_queue.hpp"
 
-namespace hollybeam::test {
+namespace elmbay::balancer::test {
 namespace {
 
 constexpr Millis kNow = 5000;
@@ -273,4 +273,4 @@
 }
 
 }  // namespace
-}  // namespace hollybeam::test
+}  // namespace elmbay::balancer::test
--- a/tests/policy/fleet_change_test.cpp
+++ b/tests/policy/fleet_change_test.cpp
@@ -24,7 +24,7 @@
 [[gnu::noinline]] void operator delete(void* memory) noexcept { std::free(memory); }
 [[gnu::noinline]] void operator delete(void* memory, std::size_t) noexcept { std::free(memory); }
 
-namespace hollybeam::test {
+namespace elmbay::balancer::test {
 namespace {
 
 constexpr Millis kNow = 1e6;
@@ -126,4 +126,4 @@
 }
 
 }  // namespace
-}  // namespace hollybeam::test
+}  // namespace elmbay::balancer::test
--- a/tests/policy/memory_test.cpp
+++ b/tests/policy/memory_test.cpp
@@ -8,7 +8,7 @@
 #include "base/random.hpp"
 #include "rig.hpp"
 
-namespace hollybeam::test {
+namespace elmbay::balancer::test {
 namespace {
 
 constexpr double kNan = std::numeric_limits<double>::quiet_NaN();
@@ -270,4 +270,4 @@
 }
 
 }  // namespace
-}  // namespace hollybeam::test
+}  // namespace elmbay::balancer::test
--- a/tests/policy/parts_test.cpp
+++ b/tests/policy/parts_test.cpp
@@ -9,7 +9,7 @@
 #include "policy/request.hpp"
 #include "policy/retry_budget.hpp"
 
-namespace hollybeam::test {
+namespace elmbay::balancer::test {
 namespace {
 
 constexpr Millis kNow = 1e6;
@@ -619,4 +619,4 @@
 }
 
 }  // namespace
-}  // namespace hollybeam::test
+}  // namespace elmbay::balancer::test
--- a/tests/policy/property_test.cpp
+++ b/tests/policy/property_test.cpp
@@ -8,7 +8,7 @@
 #include "base/random.hpp"
 #include "rig.hpp"
 
-namespace hollybeam::test {
+namespace elmbay::balancer::test {
 namespace {
 
 // One event: what happens, and two numbers that say to whom and how.
@@ -116,4 +116,4 @@
 }
 
 }  // namespace
-}  // namespace hollybeam::test
+}  // namespace elmbay::balancer::test
--- a/tests/policy/quiet_test.cpp
+++ b/tests/policy/quiet_test.cpp
@@ -3,7 +3,7 @@
 #include "base/random.hpp"
 #include "rig.hpp"
 
-namespace hollybeam::test {
+namespace elmbay::balancer::test {
 namespace {
 
 constexpr Millis kHour = 3600000;
@@ -72,4 +72,4 @@
 }
 
 }  // namespace
-}  // namespace hollybeam::test
+}  // namespace elmbay::balancer::test
--- a/tests/policy/rig.hpp
+++ b/tests/policy/rig.hpp
@@ -9,9 +9,9 @@
 #include <set>
 #include <vector>
 
-#include "hollybeam/balancer.hpp"
+#include "elmbay/balancer.hpp"
 
-namespace hollybeam::test {
+namespace elmbay::balancer::test {
 
 inline RequestClass make_class(Effect effect, DedupScope scope = DedupScope::all, Millis window = 3000) {
     RequestClass c;
@@ -239,4 +239,4 @@
     }
 };
 
-}  // namespace hollybeam::test
+}  // namespace elmbay::balancer::test
--- a/tests/policy/rules_test.cpp
+++ b/tests/policy/rules_test.cpp
@@ -4,7 +4,7 @@
 
 #include "rig.hpp"
 
-namespace hollybeam::test {
+namespace elmbay::balancer::test {
 namespace {
 
 class Dice {
@@ -252,4 +252,4 @@
 }
 
 }  // namespace
-}  // namespace hollybeam::test
+}  // namespace elmbay::balancer::test
--- a/tests/policy/server_age_test.cpp
+++ b/tests/policy/server_age_test.cpp
@@ -8,7 +8,7 @@
 #include <limits>
 #include <vector>
 
-namespace hollybeam {
+namespace elmbay::balancer {
 namespace {
 
 constexpr Millis kSecond = 1000, kHour = 3600 * kSecond;
@@ -263,4 +263,4 @@
 }
 
 }  // namespace
-}  // namespace hollybeam
+}  // namespace elmbay::balancer
--- a/tests/policy/session_test.cpp
+++ b/tests/policy/session_test.cpp
@@ -3,7 +3,7 @@
 
 #include "rig.hpp"
 
-namespace hollybeam::test {
+namespace elmbay::balancer::test {
 namespace {
 
 constexpr std::uint32_t kListen = 0, kDeposit = 1, kAnnotate = 2;
@@ -196,4 +196,4 @@
 }
 
 }  // namespace
-}  // namespace hollybeam::test
+}  // namespace elmbay::balancer::test
--- a/tests/sidecar/endpoint_registry_test.cpp
+++ b/tests/sidecar/endpoint_registry_test.cpp
@@ -8,9 +8,9 @@
 namespace elmbay {
 namespace {
 
-using hollybeam::ListKind;
-using hollybeam::Phase;
-using hollybeam::ServerId;
+using balancer::ListKind;
+using balancer::Phase;
+using balancer::ServerId;
 
 constexpr std::size_t kFleet = 3200;
 // Looking up, withdrawing and listing one server again, with one more that it displaces.
--- a/tests/simulator/wire_test.cpp
+++ b/tests/simulator/wire_test.cpp
@@ -5,7 +5,7 @@
 
 #include <sstream>
 
-namespace hollybeam::wire {
+namespace elmbay::balancer::wire {
 namespace {
 
 const std::string start_line =
@@ -154,4 +154,4 @@
 }
 
 }  // namespace
-}  // namespace hollybeam::wire
+}  // namespace elmbay::balancer::wire
--- a/tests/state/old_snapshot_test.cpp
+++ b/tests/state/old_snapshot_test.cpp
@@ -39,7 +39,7 @@
         EXPECT_EQ(snapshot.uids, (std::vector<std::string>{"s-0", "s-2", "s-3", "s-4"}));
         ASSERT_EQ(snapshot.knowledge.servers.size(), 4U);
         for (std::size_t i = 0; i < 4; ++i) {
-            const hollybeam::ServerKnowledge& server = snapshot.knowledge.servers[i];
+            const balancer::ServerKnowledge& server = snapshot.knowledge.servers[i];
             const auto number = static_cast<unsigned>(snapshot.uids[i][2] - '0');
             EXPECT_EQ(server.server, i);
             EXPECT_EQ(server.online_since, 1699999990000.0 + number);
--- a/tests/state/samples.hpp
+++ b/tests/state/samples.hpp
@@ -14,7 +14,7 @@
     s.knowledge.room = s.knowledge.learned = round;
     s.knowledge.crowd = {0.25, 3, 10};
     for (int i = 0; i < servers; ++i) {
-        hollybeam::ServerKnowledge k;
+        balancer::ServerKnowledge k;
         k.server = static_cast<std::uint32_t>(i);
         k.online_since = round;
         k.outcomes = 0xF0F0, k.seen = 16;
--- a/tests/websocket/fuzz.cpp
+++ b/tests/websocket/fuzz.cpp
@@ -25,7 +25,7 @@
 }
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
-    static const hollybeam::Site site = test::site();
+    static const elmbay::balancer::Site site = test::site();
     const std::string_view text(reinterpret_cast<const char*>(data), size);
     if (const auto head = test::parsed_ask(text); head && asks_upgrade(*head)) {
         const auto offered = offered_by(*head);
@@ -42,7 +42,7 @@
     }
     if (const auto head = test::parsed_answer(text)) {
         const ServerAnswer got = read_answer(*head, {"a", "b"});
-        const bool stands = got.outcome == hollybeam::Outcome::completed;
+        const bool stands = got.outcome == elmbay::balancer::Outcome::completed;
         if (stands && head->result_int() != 101) std::abort();
         if (!got.subprotocol.empty() && (!stands || (got.subprotocol != "a" && got.subprotocol != "b")))
             std::abort();
--- a/tests/websocket/handshake_test.cpp
+++ b/tests/websocket/handshake_test.cpp
@@ -8,7 +8,7 @@
 namespace elmbay::websocket {
 namespace {
 
-using hollybeam::Outcome;
+using balancer::Outcome;
 using test::answer;
 using test::ask;
 using test::parsed_answer;
--- a/tests/websocket/heads.hpp
+++ b/tests/websocket/heads.hpp
@@ -8,12 +8,12 @@
 
 namespace elmbay::websocket::test {
 
-inline hollybeam::Site site() {
-    using hollybeam::Effect;
-    hollybeam::Site site;
+inline balancer::Site site() {
+    using balancer::Effect;
+    balancer::Site site;
     for (const auto& [name, effect] :
          {std::pair{"safe", Effect::repeatable}, {"unsafe", Effect::once}, {"keyed", Effect::by_key}}) {
-        hollybeam::RequestClass c;
+        balancer::RequestClass c;
         c.effect = effect;
         site.settings.classes.push_back(c);
         site.classes.emplace_back(name);
