--- a/src/policy/admission.cpp
+++ b/src/balancer/admission.cpp
@@ -1,6 +1,6 @@
-#include "policy/admission.hpp"
+#include "balancer/admission.hpp"
 
-#include "policy/memory.hpp"
+#include "balancer/memory.hpp"
 
 namespace elmbay::balancer {
 
--- a/src/policy/aperture.cpp
+++ b/src/balancer/aperture.cpp
@@ -1,4 +1,4 @@
-#include "policy/aperture.hpp"
+#include "balancer/aperture.hpp"
 
 namespace elmbay::balancer {
 
--- a/src/policy/aperture.hpp
+++ b/src/balancer/aperture.hpp
@@ -11,8 +11,8 @@
 #include <set>
 #include <vector>
 
-#include "policy/cold_start.hpp"
-#include "policy/ejection.hpp"
+#include "balancer/cold_start.hpp"
+#include "balancer/ejection.hpp"
 
 namespace elmbay::balancer {
 
--- a/src/policy/cold_start.cpp
+++ b/src/balancer/cold_start.cpp
@@ -1,4 +1,4 @@
-#include "policy/cold_start.hpp"
+#include "balancer/cold_start.hpp"
 
 #include <algorithm>
 
--- a/src/policy/cold_start.hpp
+++ b/src/balancer/cold_start.hpp
@@ -8,7 +8,7 @@
 // one at most, so that nothing is saved up for a burst.
 #pragma once
 
-#include "policy/server.hpp"
+#include "balancer/server.hpp"
 
 namespace elmbay::balancer {
 
--- a/src/policy/dispatcher.cpp
+++ b/src/balancer/dispatcher.cpp
@@ -1,4 +1,4 @@
-#include "policy/dispatcher.hpp"
+#include "balancer/dispatcher.hpp"
 
 #include <algorithm>
 
--- a/src/policy/dispatcher.hpp
+++ b/src/balancer/dispatcher.hpp
@@ -1,18 +1,18 @@
 #pragma once
 
+#include "balancer/admission.hpp"
+#include "balancer/aperture.hpp"
+#include "balancer/ejection.hpp"
+#include "balancer/event_context.hpp"
+#include "balancer/final_responder.hpp"
+#include "balancer/pick.hpp"
+#include "balancer/request_table.hpp"
+#include "balancer/retry_budget.hpp"
+#include "balancer/send_gate.hpp"
+#include "balancer/server_pool.hpp"
+#include "balancer/timer_table.hpp"
+#include "balancer/wait_queue.hpp"
 #include "base/random.hpp"
-#include "policy/admission.hpp"
-#include "policy/aperture.hpp"
-#include "policy/ejection.hpp"
-#include "policy/event_context.hpp"
-#include "policy/final_responder.hpp"
-#include "policy/pick.hpp"
-#include "policy/request_table.hpp"
-#include "policy/retry_budget.hpp"
-#include "policy/send_gate.hpp"
-#include "policy/server_pool.hpp"
-#include "policy/timer_table.hpp"
-#include "policy/wait_queue.hpp"
 
 namespace elmbay::balancer {
 
--- a/src/policy/ejection.cpp
+++ b/src/balancer/ejection.cpp
@@ -1,4 +1,4 @@
-#include "policy/ejection.hpp"
+#include "balancer/ejection.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/policy/ejection.hpp
+++ b/src/balancer/ejection.hpp
@@ -8,7 +8,7 @@
 
 #include <vector>
 
-#include "policy/server.hpp"
+#include "balancer/server.hpp"
 
 namespace elmbay::balancer {
 
--- a/src/policy/final_responder.cpp
+++ b/src/balancer/final_responder.cpp
@@ -1,4 +1,4 @@
-#include "policy/final_responder.hpp"
+#include "balancer/final_responder.hpp"
 
 #include <algorithm>
 
--- a/src/policy/final_responder.hpp
+++ b/src/balancer/final_responder.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
-#include "policy/admission.hpp"
-#include "policy/event_context.hpp"
-#include "policy/request_table.hpp"
+#include "balancer/admission.hpp"
+#include "balancer/event_context.hpp"
+#include "balancer/request_table.hpp"
 
 namespace elmbay::balancer {
 
--- a/src/policy/memory.cpp
+++ b/src/balancer/memory.cpp
@@ -1,4 +1,4 @@
-#include "policy/memory.hpp"
+#include "balancer/memory.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/policy/memory.hpp
+++ b/src/balancer/memory.hpp
@@ -8,8 +8,8 @@
 
 #include <map>
 
+#include "balancer/server.hpp"
 #include "elmbay/knowledge.hpp"
-#include "policy/server.hpp"
 
 namespace elmbay::balancer {
 
--- a/src/policy/outcome_accounting.cpp
+++ b/src/balancer/outcome_accounting.cpp
@@ -1,4 +1,4 @@
-#include "policy/outcome_accounting.hpp"
+#include "balancer/outcome_accounting.hpp"
 
 #include <algorithm>
 
--- a/src/policy/outcome_accounting.hpp
+++ b/src/balancer/outcome_accounting.hpp
@@ -1,12 +1,12 @@
 #pragma once
 
-#include "policy/admission.hpp"
-#include "policy/aperture.hpp"
-#include "policy/ejection.hpp"
-#include "policy/event_context.hpp"
-#include "policy/pace.hpp"
-#include "policy/request.hpp"
-#include "policy/server_pool.hpp"
+#include "balancer/admission.hpp"
+#include "balancer/aperture.hpp"
+#include "balancer/ejection.hpp"
+#include "balancer/event_context.hpp"
+#include "balancer/pace.hpp"
+#include "balancer/request.hpp"
+#include "balancer/server_pool.hpp"
 
 namespace elmbay::balancer {
 
--- a/src/policy/pace.hpp
+++ b/src/balancer/pace.hpp
@@ -6,7 +6,7 @@
 #include <cstdint>
 #include <map>
 
-#include "policy/server.hpp"
+#include "balancer/server.hpp"
 
 namespace elmbay::balancer {
 
--- a/src/policy/pick.cpp
+++ b/src/balancer/pick.cpp
@@ -1,4 +1,4 @@
-#include "policy/pick.hpp"
+#include "balancer/pick.hpp"
 
 namespace elmbay::balancer {
 
--- a/src/policy/pick.hpp
+++ b/src/balancer/pick.hpp
@@ -11,9 +11,9 @@
 #include <cmath>
 #include <vector>
 
+#include "balancer/pace.hpp"
+#include "balancer/request.hpp"
 #include "base/random.hpp"
-#include "policy/pace.hpp"
-#include "policy/request.hpp"
 
 namespace elmbay::balancer {
 
--- a/src/policy/request.cpp
+++ b/src/balancer/request.cpp
@@ -1,4 +1,4 @@
-#include "policy/request.hpp"
+#include "balancer/request.hpp"
 
 #include <algorithm>
 #include <limits>
--- a/src/policy/request.hpp
+++ b/src/balancer/request.hpp
@@ -5,7 +5,7 @@
 #include <cstdint>
 #include <vector>
 
-#include "policy/server.hpp"
+#include "balancer/server.hpp"
 
 namespace elmbay::balancer {
 
--- a/src/policy/request_table.cpp
+++ b/src/balancer/request_table.cpp
@@ -1,6 +1,6 @@
-#include "policy/request_table.hpp"
+#include "balancer/request_table.hpp"
 
-#include "policy/sessions.hpp"
+#include "balancer/sessions.hpp"
 
 namespace elmbay::balancer {
 
--- a/src/policy/request_table.hpp
+++ b/src/balancer/request_table.hpp
@@ -3,7 +3,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "policy/request.hpp"
+#include "balancer/request.hpp"
 
 namespace elmbay::balancer {
 
--- a/src/policy/send_gate.cpp
+++ b/src/balancer/send_gate.cpp
@@ -1,6 +1,6 @@
-#include "policy/send_gate.hpp"
+#include "balancer/send_gate.hpp"
 
-#include "policy/admission.hpp"
+#include "balancer/admission.hpp"
 
 namespace elmbay::balancer {
 
--- a/src/policy/send_gate.hpp
+++ b/src/balancer/send_gate.hpp
@@ -1,10 +1,10 @@
 #pragma once
 
-#include "policy/aperture.hpp"
-#include "policy/cold_start.hpp"
-#include "policy/pace.hpp"
-#include "policy/request.hpp"
-#include "policy/sessions.hpp"
+#include "balancer/aperture.hpp"
+#include "balancer/cold_start.hpp"
+#include "balancer/pace.hpp"
+#include "balancer/request.hpp"
+#include "balancer/sessions.hpp"
 
 namespace elmbay::balancer {
 
--- a/src/policy/server.hpp
+++ b/src/balancer/server.hpp
@@ -4,9 +4,9 @@
 #include <bit>
 #include <cstdint>
 
+#include "balancer/server_age.hpp"
 #include "base/fading.hpp"
 #include "elmbay/balancer.hpp"
-#include "policy/server_age.hpp"
 
 namespace elmbay::balancer {
 
--- a/src/policy/server_age.cpp
+++ b/src/balancer/server_age.cpp
@@ -1,4 +1,4 @@
-#include "policy/server_age.hpp"
+#include "balancer/server_age.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/policy/server_pool.cpp
+++ b/src/balancer/server_pool.cpp
@@ -1,4 +1,4 @@
-#include "policy/server_pool.hpp"
+#include "balancer/server_pool.hpp"
 
 namespace elmbay::balancer {
 
--- a/src/policy/server_pool.hpp
+++ b/src/balancer/server_pool.hpp
@@ -1,9 +1,9 @@
 #pragma once
 
-#include "policy/admission.hpp"
-#include "policy/aperture.hpp"
-#include "policy/ejection.hpp"
-#include "policy/sessions.hpp"
+#include "balancer/admission.hpp"
+#include "balancer/aperture.hpp"
+#include "balancer/ejection.hpp"
+#include "balancer/sessions.hpp"
 
 namespace elmbay::balancer {
 
--- a/src/policy/server_table.cpp
+++ b/src/balancer/server_table.cpp
@@ -1,9 +1,9 @@
-#include "policy/server_table.hpp"
+#include "balancer/server_table.hpp"
 
 #include <algorithm>
 
-#include "policy/cold_start.hpp"
-#include "policy/ejection.hpp"
+#include "balancer/cold_start.hpp"
+#include "balancer/ejection.hpp"
 
 namespace elmbay::balancer {
 
--- a/src/policy/server_table.hpp
+++ b/src/balancer/server_table.hpp
@@ -2,12 +2,12 @@
 
 #include <map>
 
+#include "balancer/aperture.hpp"
+#include "balancer/memory.hpp"
+#include "balancer/pace.hpp"
+#include "balancer/server.hpp"
+#include "balancer/server_age.hpp"
 #include "base/random.hpp"
-#include "policy/aperture.hpp"
-#include "policy/memory.hpp"
-#include "policy/pace.hpp"
-#include "policy/server.hpp"
-#include "policy/server_age.hpp"
 
 namespace elmbay::balancer {
 
--- a/src/policy/sessions.hpp
+++ b/src/balancer/sessions.hpp
@@ -8,7 +8,7 @@
 #include <optional>
 #include <unordered_map>
 
-#include "policy/server.hpp"
+#include "balancer/server.hpp"
 
 namespace elmbay::balancer {
 
--- a/src/policy/timer_table.hpp
+++ b/src/balancer/timer_table.hpp
@@ -4,7 +4,7 @@
 #include <optional>
 #include <unordered_map>
 
-#include "policy/event_context.hpp"
+#include "balancer/event_context.hpp"
 
 namespace elmbay::balancer {
 
--- a/src/policy/wait_queue.cpp
+++ b/src/balancer/wait_queue.cpp
@@ -1,4 +1,4 @@
-#include "policy/wait_queue.hpp"
+#include "balancer/wait_queue.hpp"
 
 #include <algorithm>
 
--- a/src/policy/wait_queue.hpp
+++ b/src/balancer/wait_queue.hpp
@@ -3,7 +3,7 @@
 #include <cstddef>
 #include <vector>
 
-#include "policy/request_table.hpp"
+#include "balancer/request_table.hpp"
 
 namespace elmbay::balancer {
 
--- a/src/base/knowledge.hpp
+++ b/src/base/knowledge.hpp
@@ -1,4 +1,4 @@
-// Whether remembered figures make sense; what follows from them is decided under src/policy.
+// Whether remembered figures make sense; what follows from them is decided under src/balancer.
 #pragma once
 
 #include "elmbay/knowledge.hpp"
--- a/tests/policy/composition_test.cpp
+++ b/tests/balancer/composition_test.cpp
@@ -5,15 +5,15 @@
 #include <variant>
 #include <vector>
 
+#include "balancer/event_context.hpp"
+#include "balancer/final_responder.hpp"
+#include "balancer/request_table.hpp"
+#include "balancer/server_table.hpp"
+#include "balancer/sessions.hpp"
+#include "balancer/subscription_backoff.hpp"
+#include "balancer/timer_table.hpp"
+#include "balancer/wait_queue.hpp"
 #include "base/random.hpp"
-#include "policy/event_context.hpp"
-#include "policy/final_responder.hpp"
-#include "policy/request_table.hpp"
-#include "policy/server_table.hpp"
-#include "policy/sessions.hpp"
-#include "policy/subscription_backoff.hpp"
-#include "policy/timer_table.hpp"
-#include "policy/wait_queue.hpp"
 
 namespace elmbay::balancer::test {
 namespace {
--- a/tests/policy/fleet_change_test.cpp
+++ b/tests/balancer/fleet_change_test.cpp
@@ -6,7 +6,7 @@
 #include <new>
 #include <random>
 
-#include "policy/aperture.hpp"
+#include "balancer/aperture.hpp"
 
 namespace {
 
--- a/tests/policy/parts_test.cpp
+++ b/tests/balancer/parts_test.cpp
@@ -2,12 +2,12 @@
 // it names is taken out of its class.
 #include <gtest/gtest.h>
 
-#include "policy/admission.hpp"
-#include "policy/aperture.hpp"
-#include "policy/fairness.hpp"
-#include "policy/pick.hpp"
-#include "policy/request.hpp"
-#include "policy/retry_budget.hpp"
+#include "balancer/admission.hpp"
+#include "balancer/aperture.hpp"
+#include "balancer/fairness.hpp"
+#include "balancer/pick.hpp"
+#include "balancer/request.hpp"
+#include "balancer/retry_budget.hpp"
 
 namespace elmbay::balancer::test {
 namespace {
--- a/tests/policy/server_age_test.cpp
+++ b/tests/balancer/server_age_test.cpp
@@ -1,5 +1,5 @@
 // When servers started, as ServerAges places it, with wall clocks that are wrong or stepped.
-#include "policy/server_age.hpp"
+#include "balancer/server_age.hpp"
 
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
