--- a/bench/balancer_cost.cpp
+++ b/bench/balancer_cost.cpp
@@ -35,7 +35,7 @@
     const auto servers = static_cast<ServerId>(state.range(0));
     const auto out = static_cast<std::size_t>(state.range(1));
     Settings settings;
-    settings.classes = {RequestClass{Effect::repeatable, DedupScope::all, 0, 400}};
+    settings.classes = {RequestClass{Idempotency::idempotent, DedupScope::all, 0, 400}};
     settings.warm_within = 15000;
     settings.siblings = 1000;  // else the pool is the fleet
     Balancer balancer(settings, 1);
@@ -61,7 +61,8 @@
     };
     give(Started{});
     ServerList list;
-    for (ServerId i = 1; i <= servers; ++i) list.servers.push_back({i, i % 3, 0, 0, Phase::on, 0});
+    for (ServerId i = 1; i <= servers; ++i)
+        list.servers.push_back({i, i % 3, 0, 0, EndpointState::active, 0});
     give(list);
     const auto turn = [&] {
         now += kAnswer / static_cast<double>(out);
@@ -74,7 +75,7 @@
         while (!open.empty() && now >= open.front().since + kAnswer) {
             const RequestId id = open.front().id;
             open.pop_front();
-            give(AttemptEnded{id, 0, Outcome::completed, kAnswer, true});
+            give(AttemptEnded{id, 0, Outcome::success, kAnswer, true});
         }
         give(RequestArrived{next++, 0, {}, kLeft});
     };
--- a/bench/state_cost.cpp
+++ b/bench/state_cost.cpp
@@ -32,7 +32,8 @@
     Balancer balancer(settings, 1);
     std::vector<Action> actions;
     ServerList list;
-    for (ServerId id = 1; id <= servers; ++id) list.servers.push_back({id, 0, 0, 0, Phase::on, 0});
+    for (ServerId id = 1; id <= servers; ++id)
+        list.servers.push_back({id, 0, 0, 0, EndpointState::active, 0});
     Millis now = 1e9;
     balancer.handle(now, list, actions);
     std::mt19937_64 random(1);
@@ -53,7 +54,8 @@
             actions.clear();
             const bool failed = fails();
             balancer.handle(
-                now, AttemptEnded{id, attempt, failed ? Outcome::errored : Outcome::completed, 20, !failed},
+                now,
+                AttemptEnded{id, attempt, failed ? Outcome::error_response : Outcome::success, 20, !failed},
                 actions);
         }
         if (id % 500 != 0) continue;
--- a/include/elmbay/balancer.hpp
+++ b/include/elmbay/balancer.hpp
@@ -27,13 +27,13 @@
 // ---- Settings -------------------------------------------------------------------------------------------
 
 // Whether an effect may happen twice: freely, within a group of servers that drops repeats, or never.
-enum class Effect { repeatable, by_key, once };
+enum class Idempotency { idempotent, idempotency_key, non_idempotent };
 
-// Which servers share the memory of keys already seen (for Effect::by_key).
+// Which servers share the memory of keys already seen (for Idempotency::idempotency_key).
 enum class DedupScope { all, zone, cell };
 
 struct RequestClass {
-    Effect effect = Effect::once;
+    Idempotency idempotency = Idempotency::non_idempotent;
     DedupScope dedup_scope = DedupScope::cell;
     Millis dedup_window = 0;  // repeats are dropped this long after the first attempt that may have run
     Millis aim = 1000;        // an answer within this earns full worth
@@ -71,36 +71,36 @@
 
 // ---- Events ---------------------------------------------------------------------------------------------
 
-enum class Phase { on, fading, off };
+enum class EndpointState { active, draining, removed };
 
 struct ServerInfo {
     ServerId id = 0;
     ZoneId zone = 0;
     std::uint32_t kind = 0;  // of machine, as opaque as the zone: servers of one kind are likely to be alike
     std::uint32_t cell = 0;
-    Phase phase = Phase::on;
+    EndpointState state = EndpointState::active;
     Millis online_since = 0;  // when it last started, see ServerList::wall_time; 0: long ago
     double weight = 1;        // its size against other servers' as the list tells it; finite, over 0
 };
 
 // incremental: changed entries only. full: the whole list. saved: the whole list as last held before this
 // start, possibly stale. failed: a call failed or the subscription broke; the list held stays in force.
-enum class ListKind { incremental, full, saved, failed };
+enum class ListKind { incremental, snapshot, cached, failed };
 
 enum class Outcome {
-    completed,
-    errored,             // the server said so; it may have run
-    saturated,           // turned away unseen; never ran
-    overdue,             // no answer in time; may have run or be running
-    refused_connection,  // no connection; never ran
-    severed,             // connection lost while out; may have run
-    recalled,            // withdrawn by us; may have run
-    superseded           // not issued at all; never ran
+    success,
+    error_response,    // the server said so; it may have run
+    rejected,          // turned away unseen; never ran
+    timed_out,         // no answer in time; may have run or be running
+    connect_failed,    // no connection; never ran
+    connection_reset,  // connection lost while out; may have run
+    cancelled,         // withdrawn by us; may have run
+    not_sent           // not issued at all; never ran
 };
 
 struct Started {};  // the first event of a life; a list of kind saved follows
 struct ServerList {
-    ListKind kind = ListKind::full;
+    ListKind kind = ListKind::snapshot;
     std::vector<ServerInfo> servers{};
     // What this machine's wall clock read as the list came, where online_since is on other machines' wall
     // clocks: none of them is trusted alone. None: online_since is on the clock of `now`, and exact.
@@ -135,7 +135,7 @@
 struct AttemptEnded {
     RequestId id = 0;
     std::uint32_t attempt = 0;  // attempts of one request count from 0 in the order of their Send
-    Outcome outcome = Outcome::completed;
+    Outcome outcome = Outcome::success;
     Millis duration = 0;
     bool request_ended = false;  // the client has its final answer, by this outcome or before
 };
--- a/src/balancer/aperture.cpp
+++ b/src/balancer/aperture.cpp
@@ -14,7 +14,7 @@
 void Aperture::add(Server* s) {
     if (!ranked_.insert(s).second) return;
     listed_ += s->listed;
-    set_out(s, s->standing != Standing::live);
+    set_out(s, s->standing != EjectionState::healthy);
 }
 
 void Aperture::remove(Server* s) {
@@ -50,7 +50,7 @@
     until_ = now + kPoolAge;
     for (Server* s : ranked_) {
         if (static_cast<double>(warm_) >= width_) break;
-        if (!s->open() || s->standing != Standing::live) continue;
+        if (!s->open() || s->standing != EjectionState::healthy) continue;
         pool_.push_back(s);
         s->in_pool = true;
         if (!cold_->is_cold(*s, now)) ++warm_, ++alike_[s->info.kind];
--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -45,8 +45,7 @@
 namespace {
 
 bool proves_never_ran(Outcome outcome) {
-    return outcome == Outcome::saturated || outcome == Outcome::refused_connection ||
-           outcome == Outcome::superseded;
+    return outcome == Outcome::rejected || outcome == Outcome::connect_failed || outcome == Outcome::not_sent;
 }
 
 Settings checked(Settings settings) {
@@ -134,7 +133,7 @@
             timers.set_timer(context.now() + subscription_backoff.next(random), std::nullopt);
             return;
         }
-        if (list.kind != ListKind::saved) subscription_backoff.reset();
+        if (list.kind != ListKind::cached) subscription_backoff.reset();
         servers.apply(list, context.now());
         pool.draw_pool(context.now());
         dispatcher.release_waiting();
@@ -179,7 +178,8 @@
     // count of what is out, lost for work that goes on, is a small part of any queue anyway.
     Millis cutoff_of(const Request& request) const {
         const RequestClass& kind = request.kind;
-        const bool at_aim = kind.late_worth == 0 && kind.effect == Effect::once && aperture.narrow();
+        const bool at_aim =
+            kind.late_worth == 0 && kind.idempotency == Idempotency::non_idempotent && aperture.narrow();
         return at_aim ? std::min(request.deadline, context.now() + kind.aim) : request.deadline;
     }
 
@@ -204,13 +204,13 @@
     void settle(Request& request, Attempt& attempt, AttemptEnded event) {
         // Our own timer and the attempt's end fall on the same moment. Whichever comes first, a server that
         // let the client's time run out has failed: else one that answers nothing is never found out.
-        if (attempt.timed_out && event.outcome == Outcome::recalled) event.outcome = Outcome::overdue;
+        if (attempt.timed_out && event.outcome == Outcome::cancelled) event.outcome = Outcome::timed_out;
         attempt.out = false;
         attempt.may_have_run = !proves_never_ran(event.outcome);
         pool.attempt_ended(attempt.cold);
         // A client that has gone leaves no session behind, though its upgrade went well.
         const bool session_begins =
-            request.session && !request.ended && event.request_ended && event.outcome == Outcome::completed;
+            request.session && !request.ended && event.request_ended && event.outcome == Outcome::success;
         if (session_begins) sessions.holds(request.id, attempt.server);
         Server* server = servers.find(attempt.server);
         if (!server) return;
@@ -243,7 +243,7 @@
         Server* server = holder ? servers.find(*holder) : nullptr;
         if (!server) return;
         --server->sessions;
-        if (event.broken) accounting.judge(*server, Outcome::severed, false, false);
+        if (event.broken) accounting.judge(*server, Outcome::connection_reset, false, false);
         servers.drop_if_gone(*server);
     }
 
--- a/src/balancer/dispatcher.cpp
+++ b/src/balancer/dispatcher.cpp
@@ -39,7 +39,7 @@
 
 void Dispatcher::dispatch(Request& request, Server& server) {
     const Millis now = parts_.context.now();
-    const bool trial = server.standing == Standing::removed;
+    const bool trial = server.standing == EjectionState::ejected;
     const bool cold = parts_.gate.is_cold(server, now);
     if (trial) OutlierEjection::trial_begins(server);
     if (cold) ColdStart::sent(server);
--- a/src/balancer/ejection.cpp
+++ b/src/balancer/ejection.cpp
@@ -6,31 +6,31 @@
 namespace elmbay::balancer {
 
 OutlierEjection::Verdict OutlierEjection::judge(Server& s, const Case& c, Millis now) {
-    const bool success = c.outcome == Outcome::completed && !c.late;
-    const bool says_something = c.outcome != Outcome::recalled && c.outcome != Outcome::superseded;
-    if (s.standing == Standing::trial && c.trial) {
+    const bool success = c.outcome == Outcome::success && !c.late;
+    const bool says_something = c.outcome != Outcome::cancelled && c.outcome != Outcome::not_sent;
+    if (s.standing == EjectionState::probing && c.trial) {
         if (!says_something) {
-            s.standing = Standing::removed;  // undecided: the next request is the trial
+            s.standing = EjectionState::ejected;  // undecided: the next request is the trial
             return Verdict::none;
         }
         if (!success) return remove(s, now);
-        s.standing = Standing::live;
+        s.standing = EjectionState::healthy;
         s.window.clear();
         return Verdict::restored;
     }
-    if (!says_something || s.standing != Standing::live) return Verdict::none;
+    if (!says_something || s.standing != EjectionState::healthy) return Verdict::none;
     // A connection that does not come up is another matter than the answers before it: the process, or the
     // way there, is no longer what gave them. What others do is no excuse for it either; the cap alone is.
-    const bool unreached = c.outcome == Outcome::refused_connection;
+    const bool unreached = c.outcome == Outcome::connect_failed;
     if (unreached && s.window.successes() > 0) forget_window(s);
     add(s, success);
-    const bool slow = c.late || c.outcome == Outcome::overdue;
+    const bool slow = c.late || c.outcome == Outcome::timed_out;
     return !success && below_threshold(s, unreached) && may_remove(c, slow) ? remove(s, now) : Verdict::none;
 }
 
 OutlierEjection::Verdict OutlierEjection::remove(Server& s, Millis now) {
-    const bool again = s.standing != Standing::live;
-    s.standing = Standing::removed;
+    const bool again = s.standing != EjectionState::healthy;
+    s.standing = EjectionState::ejected;
     s.backoff_until = now + kBackoff;
     return again ? Verdict::removed_again : Verdict::removed;
 }
--- a/src/balancer/ejection.hpp
+++ b/src/balancer/ejection.hpp
@@ -24,7 +24,7 @@
     enum class Verdict { none, removed, removed_again, restored };
 
     struct Case {
-        Outcome outcome = Outcome::completed;
+        Outcome outcome = Outcome::success;
         bool trial = false;      // the attempt was this server's trial
         bool late = false;       // it came past its aim: as good as timed out
         std::size_t listed = 0;  // servers on the list
@@ -34,11 +34,11 @@
     Verdict judge(Server& s, const Case& c, Millis now);
 
     // Another process under the same name: its record starts anew.
-    static void forget(Server& s) { s.standing = Standing::live, s.window.clear(); }
+    static void forget(Server& s) { s.standing = EjectionState::healthy, s.window.clear(); }
     bool trial_due(const Server& s, Millis now) const {
-        return s.standing == Standing::removed && now >= s.backoff_until;
+        return s.standing == EjectionState::ejected && now >= s.backoff_until;
     }
-    static void trial_begins(Server& s) { s.standing = Standing::trial; }
+    static void trial_begins(Server& s) { s.standing = EjectionState::probing; }
     // The pool is another one: those that a server is held against.
     void compare_with(const std::vector<Server*>& pool);
 
--- a/src/balancer/outcome_accounting.cpp
+++ b/src/balancer/outcome_accounting.cpp
@@ -9,12 +9,12 @@
     --server.outstanding;
     const Millis now = parts_.context.now();
     const bool cold = parts_.cold.is_cold(server, now);
-    const bool completed = event.outcome == Outcome::completed;
+    const bool completed = event.outcome == Outcome::success;
     // How long an upgrade takes says nothing of how long work does.
     if (!request.session) {
-        if (event.outcome == Outcome::saturated)
+        if (event.outcome == Outcome::rejected)
             record_latency(server, Admission::kMostRatio, cold);
-        else if (completed || event.outcome == Outcome::overdue)
+        else if (completed || event.outcome == Outcome::timed_out)
             record_latency(server, std::max(0.0, event.duration) / request.kind.aim, cold);
         if (completed && !attempt.cold) parts_.aperture.completed(server.info.kind, now);
     }
--- a/src/balancer/request.cpp
+++ b/src/balancer/request.cpp
@@ -23,8 +23,8 @@
 // The window runs from the first one's decision: no server can have seen it sooner.
 Millis Request::write_by() const {
     const Attempt* first = first_possible_run();
-    if (!first || kind.effect == Effect::repeatable) return std::numeric_limits<Millis>::infinity();
-    return kind.effect == Effect::once ? 0 : first->sent_at + kind.dedup_window - kHeldUp;
+    if (!first || kind.idempotency == Idempotency::idempotent) return std::numeric_limits<Millis>::infinity();
+    return kind.idempotency == Idempotency::non_idempotent ? 0 : first->sent_at + kind.dedup_window - kHeldUp;
 }
 
 bool Request::in_scope(const Attempt& a, const ServerInfo& s) const {
@@ -36,9 +36,10 @@
     if (ended || streaming || now >= deadline) return false;  // rule 1
     if (attempts.size() >= settings.max_attempts) return false;
     if (!s.open()) return false;  // rule 3
-    if (any_out() && (!settings.parallel_tries || kind.effect == Effect::once)) return false;
+    if (any_out() && (!settings.parallel_tries || kind.idempotency == Idempotency::non_idempotent))
+        return false;
     if (now >= write_by()) return false;  // rule 2
-    if (kind.effect == Effect::by_key)
+    if (kind.idempotency == Idempotency::idempotency_key)
         for (const Attempt& a : attempts)
             if (a.may_have_run && !in_scope(a, s.info)) return false;
     return true;
@@ -46,7 +47,7 @@
 
 bool Request::may_refuse(Millis at) const {
     if (ended || streaming) return false;
-    if (!first_possible_run() || kind.effect == Effect::repeatable) return true;
+    if (!first_possible_run() || kind.idempotency == Idempotency::idempotent) return true;
     return kind.dedup_scope == DedupScope::all && at < write_by();
 }
 
--- a/src/balancer/server.hpp
+++ b/src/balancer/server.hpp
@@ -34,11 +34,11 @@
     ServerInfo info;
     ServerAges::Process process;  // ServerAges': which one it is, and when it started on our clock
     bool listed = true;
-    int outstanding = 0;                 // attempts of this sidecar that are out there
-    std::size_t sessions = 0;            // Sessions': its sessions there, and the upgrades out there
-    std::uint64_t rank = 0;              // Aperture's: drawn once, so that sidecars differ
-    bool in_pool = false;                // Aperture's
-    Standing standing = Standing::live;  // OutlierEjection's, as the next two
+    int outstanding = 0;                         // attempts of this sidecar that are out there
+    std::size_t sessions = 0;                    // Sessions': its sessions there, and the upgrades out there
+    std::uint64_t rank = 0;                      // Aperture's: drawn once, so that sidecars differ
+    bool in_pool = false;                        // Aperture's
+    Standing standing = EjectionState::healthy;  // OutlierEjection's, as the next two
     Window window;
     Millis backoff_until = 0;
     double tokens = 0;  // ColdStart's: sends that a cold server may still take, as of tokens_at
@@ -47,7 +47,7 @@
     Recent pace;             // Pace's: of its own answers
 
     // Whether anything new may go to it, as far as the list says (rule 3).
-    bool open() const { return listed && info.phase == Phase::on; }
+    bool open() const { return listed && info.state == EndpointState::active; }
 };
 
 }  // namespace elmbay::balancer
--- a/src/balancer/server_age.cpp
+++ b/src/balancer/server_age.cpp
@@ -24,7 +24,7 @@
     }
     std::vector<Start> starts;
     for (const ServerInfo& info : list.servers) {
-        const bool here = info.phase != Phase::off;
+        const bool here = info.state != EndpointState::removed;
         const auto at = here ? records_.try_emplace(info.id).first : records_.find(info.id);
         if (at == records_.end()) continue;  // never known, and already gone
         listed_ += here;
--- a/src/base/config.cpp
+++ b/src/base/config.cpp
@@ -16,7 +16,7 @@
 // A hundred times the fleet: a wrong file must not fill the memory.
 constexpr std::size_t kMostPeers = 30000;
 constexpr std::uint64_t kMostMemoryMb = 1U << 20U;  // a terabyte: what is said beyond that is no limit
-using balancer::Phase;
+using balancer::EndpointState;
 
 [[noreturn]] void fail(const std::string& field, const std::string& what) {
     throw ConfigError("field '" + field + "' " + what);
@@ -66,15 +66,15 @@
     if (t.uid.empty()) fail(path + ".uid", "is empty");
     const std::string state = text(member(entry, "state", path + "."), path + ".state");
     if (state == "active")
-        t.phase = Phase::on;
+        t.state = EndpointState::active;
     else if (state == "leaving")
-        t.phase = Phase::fading;
+        t.state = EndpointState::draining;
     else if (state == "left")
-        t.phase = Phase::off;
+        t.state = EndpointState::removed;
     else
         fail(path + ".state", "is not a known word");
     // One that has left needs no address.
-    if (t.phase != Phase::off || entry.contains("endpoint"))
+    if (t.state != EndpointState::removed || entry.contains("endpoint"))
         t.endpoint =
             endpoint(text(member(entry, "endpoint", path + "."), path + ".endpoint"), path + ".endpoint");
     if (const auto at = entry.find("az"); at != entry.end()) t.zone = text(*at, path + ".az");
--- a/src/base/config.hpp
+++ b/src/base/config.hpp
@@ -31,7 +31,7 @@
     std::string zone;
     std::string kind;
     std::uint32_t cell = 0;
-    balancer::Phase phase = balancer::Phase::on;
+    balancer::EndpointState state = balancer::EndpointState::active;
     Millis online_since = 0;
     double weight = 1;  // balancer::ServerInfo's
 };
--- a/src/base/site.cpp
+++ b/src/base/site.cpp
@@ -14,8 +14,9 @@
     return error == std::errc() && end == text.data() + text.size();
 }
 
-const Names<Effect> effects{
-    {"repeatable", Effect::repeatable}, {"by_key", Effect::by_key}, {"once", Effect::once}};
+const Names<Idempotency> effects{{"repeatable", Idempotency::idempotent},
+                                 {"by_key", Idempotency::idempotency_key},
+                                 {"once", Idempotency::non_idempotent}};
 const Names<DedupScope> scopes{
     {"all", DedupScope::all}, {"zone", DedupScope::zone}, {"cell", DedupScope::cell}};
 std::vector<std::string> split(std::string_view list) {
@@ -94,7 +95,7 @@
     for (std::uint64_t i = 0, count = start.integer("classes.count"); i < count; ++i) {
         const std::string prefix = "classes." + std::to_string(i) + ".";
         RequestClass c;
-        c.effect = named(start, prefix + "effect", effects);
+        c.idempotency = named(start, prefix + "effect", effects);
         if (start.has(prefix + "dedup-scope")) c.dedup_scope = named(start, prefix + "dedup-scope", scopes);
         c.dedup_window = start.number_or(prefix + "dedup-window-ms", c.dedup_window);
         c.aim = start.number(prefix + "on-time-ms");
--- a/src/engine/engine.cpp
+++ b/src/engine/engine.cpp
@@ -37,7 +37,7 @@
     Request& r = at->second;
     --r.out;
     r.last = outcome;
-    if (outcome == Outcome::completed) finish(key.request, {Final::Kind::served});
+    if (outcome == Outcome::success) finish(key.request, {Final::Kind::served});
     give(now, AttemptEnded{key.request, key.number, outcome, duration, r.over});
     settle(key.request);
 }
@@ -88,7 +88,7 @@
                               const auto at = requests_.find(a.id);
                               const bool timed_out =
                                   at != requests_.end() &&
-                                  (at->second.out > 0 || at->second.last == Outcome::overdue);
+                                  (at->second.out > 0 || at->second.last == Outcome::timed_out);
                               finish(a.id, {Final::Kind::failed, 0, timed_out});
                               settle(a.id);
                           },
--- a/src/engine/engine.hpp
+++ b/src/engine/engine.hpp
@@ -95,7 +95,7 @@
     struct Request {
         std::uint32_t sent = 0, out = 0;  // attempts
         bool over = false;                // it has its final outcome, or its caller has gone
-        Outcome last = Outcome::superseded;
+        Outcome last = Outcome::not_sent;
     };
 
     void give(Millis now, balancer::Event event);
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -519,9 +519,9 @@
         const auto at = datagrams_->address_of(sidecar_name(p));
         peers.push_back(at.address().to_string() + ":" + std::to_string(at.port()));
     }
-    const auto kind = [this](const char* name, const char* effect) {
+    const auto kind = [this](const char* name, const char* idempotency) {
         return json{{"name", name},
-                    {"effect", effect},
+                    {"effect", idempotency},
                     {"dedup-scope", "all"},
                     {"dedup-window-ms", 3000.0},
                     {"on-time-ms", options_.aim},
@@ -729,9 +729,9 @@
     if (keyed) text += "Idempotency-Key: " + (a.key.empty() ? "k-" + id : a.key) + "\r\n";
     text += safe ? "\r\n" : "Content-Length: 4\r\n\r\nbody";
     ledger_.asked(now(), id,
-                  safe    ? Effect::repeatable
-                  : keyed ? Effect::by_key
-                          : Effect::once,
+                  safe    ? Idempotency::idempotent
+                  : keyed ? Idempotency::idempotency_key
+                          : Idempotency::non_idempotent,
                   sidecar_name(i), patience);
     outcomes_[id];
     const auto caller = std::make_shared<Caller>(*this, i, id, std::move(text), patience, a.leaves);
--- a/src/fleet/ledger.cpp
+++ b/src/fleet/ledger.cpp
@@ -27,10 +27,10 @@
 
 void Ledger::note(Millis now, const std::string& who, const std::string& text) { event(now, who, "", text); }
 
-void Ledger::asked(Millis now, const std::string& id, Effect effect, const std::string& sidecar,
+void Ledger::asked(Millis now, const std::string& id, Idempotency idempotency, const std::string& sidecar,
                    Millis patience) {
     Request& r = requests_[id];
-    r.effect = effect, r.sidecar = sidecar, r.asked = now, r.until = now + patience;
+    r.idempotency = idempotency, r.sidecar = sidecar, r.asked = now, r.until = now + patience;
     r.excused = frozen_.contains(sidecar);
     ++asked_, ++open_;
     event(now, sidecar, id, fmt::format("asked, for {:.0f} ms", patience));
@@ -54,7 +54,7 @@
     if (answer == Answer::served && r.done == 0)
         wrong(now, id, "one final outcome: served, and no server did it");
     // "Trying again is harmless" must be true.
-    if (answer == Answer::refused && r.effect == Effect::once && r.done > 0)
+    if (answer == Answer::refused && r.idempotency == Idempotency::non_idempotent && r.done > 0)
         wrong(now, id, "nothing twice: refused, though a server has done it");
 }
 
@@ -120,7 +120,7 @@
     event(now, server, id, "done");
     if (++r.done == 1) {
         r.first_done = now;
-    } else if (r.effect == Effect::once) {
+    } else if (r.idempotency == Idempotency::non_idempotent) {
         wrong(now, id, fmt::format("nothing twice: done {} times, and its class allows one", r.done));
     }
 }
--- a/src/fleet/ledger.hpp
+++ b/src/fleet/ledger.hpp
@@ -16,7 +16,7 @@
 
 namespace elmbay::fleet {
 
-using balancer::Effect;
+using balancer::Idempotency;
 using balancer::Millis;
 
 class Ledger {
@@ -32,7 +32,8 @@
     };
 
     // ---- callers
-    void asked(Millis now, const std::string& id, Effect effect, const std::string& sidecar, Millis patience);
+    void asked(Millis now, const std::string& id, Idempotency idempotency, const std::string& sidecar,
+               Millis patience);
     enum class Answer { served, refused, failed, cut };
     // genuine: a served one's body was made for this request.
     void answered(Millis now, const std::string& id, Answer answer, bool genuine);
@@ -81,7 +82,7 @@
 
 private:
     struct Request {
-        Effect effect = Effect::once;
+        Idempotency idempotency = Idempotency::non_idempotent;
         std::string sidecar;
         Millis asked = 0, until = 0, ended = -1;  // ended: its caller has its answer or has gone
         bool answered = false, excused = false;
--- a/src/http/intake.cpp
+++ b/src/http/intake.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-using balancer::Effect;
+using balancer::Idempotency;
 using balancer::Site;
 
 constexpr std::size_t kLongestId = 256;  // of an id or key; the protocol's have 16 and 32 characters
@@ -49,7 +49,7 @@
     if (!get && head.method() != http::verb::post)
         return Problem{http::status::method_not_allowed, "GET or POST\n"};
     if (const auto problem = header_problem_of(head, site)) return problem;
-    if (get != (site.settings.classes[class_of(head, site)].effect == Effect::repeatable))
+    if (get != (site.settings.classes[class_of(head, site)].idempotency == Idempotency::idempotent))
         return Problem{http::status::bad_request, "the method is not that of the class\n"};
     return {};
 }
@@ -64,7 +64,7 @@
     const std::size_t index = class_of(head, site);
     if (index == site.classes.size()) return bad("X-Service-Class is not a known class\n");
     if (!parse_time_left(field(head, kTimeLeft))) return bad("X-Time-Left is not a number and a unit\n");
-    if ((site.settings.classes[index].effect == Effect::by_key) == key.empty())
+    if ((site.settings.classes[index].idempotency == Idempotency::idempotency_key) == key.empty())
         return bad("Idempotency-Key goes with a keyed class\n");
     return {};
 }
--- a/src/net/upstream.cpp
+++ b/src/net/upstream.cpp
@@ -124,7 +124,7 @@
     // For a request whose time to be written is over. Closes; whether its last byte had gone out all the
     // same, the write's own result tells, which comes at once.
     void stop_writing() {
-        unwritten_ = Outcome::superseded;
+        unwritten_ = Outcome::not_sent;
         drop_unsent();
         break_off();
     }
@@ -229,7 +229,7 @@
         Attempt& attempt = *at->second;
         const auto state = answer_->state();
         // Broken before the last byte was written: it never ran. After that it may have.
-        Outcome outcome = written_ && !planted("resend") ? Outcome::severed : unwritten_;
+        Outcome outcome = written_ && !planted("resend") ? Outcome::connection_reset : unwritten_;
         bool reusable = false;
         HttpResponse response;
         if (state == AnswerReader::State::whole) {
@@ -237,12 +237,13 @@
             response = answer_->release();
             const auto status = response.result_int();
             if (says_unprocessed(response))
-                outcome = Outcome::saturated;
+                outcome = Outcome::rejected;
             else if (written_)  // a served one has a body, by the protocol
-                outcome = status == 200 && !response.body().empty() ? Outcome::completed : Outcome::errored;
+                outcome =
+                    status == 200 && !response.body().empty() ? Outcome::success : Outcome::error_response;
             owner_.servers_.at(server).heard = owner_.clock_.now();
         } else if (state == AnswerReader::State::spoilt && written_) {
-            outcome = Outcome::errored;  // it has run, and nobody can tell how it ended
+            outcome = Outcome::error_response;  // it has run, and nobody can tell how it ended
         }
         answer_.reset();
         attempt.connection.reset();
@@ -262,12 +263,12 @@
     std::optional<http::request<http::span_body<const char>>> request_;
     TimerQueue::Key timer_{}, again_{};  // for the connection to be up; for the next try to open it
     bool busy_ = false, writing_ = false, closed_ = false;
-    bool waiting_ = false;                             // to be readable
-    bool read_ = false;                                // an answer, or that none will come
-    bool ended_ = false;                               // nothing more comes
-    bool written_ = false;                             // the request's last byte has been
-    bool broken_ = false;                              // closed, and the write's result is awaited
-    Outcome unwritten_ = Outcome::refused_connection;  // of a request whose last byte did not go out
+    bool waiting_ = false;                         // to be readable
+    bool read_ = false;                            // an answer, or that none will come
+    bool ended_ = false;                           // nothing more comes
+    bool written_ = false;                         // the request's last byte has been
+    bool broken_ = false;                          // closed, and the write's result is awaited
+    Outcome unwritten_ = Outcome::connect_failed;  // of a request whose last byte did not go out
 };
 
 Upstream::Upstream(asio::io_context& io, SocketBudget& budget, ByteBudget& bytes, TimerQueue& timers,
@@ -347,7 +348,7 @@
             // Told leaving or gone while the attempt waited for its connection, or nobody wants it any more.
             // The timer that ends it may come later: a process that was held up hears of connections first.
             server.waiting.pop_front();
-            end(attempt, Outcome::superseded);
+            end(attempt, Outcome::not_sent);
             continue;
         }
         if (server.idle.empty()) break;
@@ -366,7 +367,7 @@
             // No socket to be had: those that no connection is on its way for end as never ran.
             Attempt& attempt = *attempts_.at(server.waiting.back());
             server.waiting.pop_back();
-            end(attempt, Outcome::superseded);
+            end(attempt, Outcome::not_sent);
             continue;
         }
         ++server.connecting;
@@ -417,7 +418,7 @@
         std::erase(server.waiting, key);
         // That no connection came up is the server's failure only if it was asked for one.
         const bool not_the_servers = clock_.now() >= attempt.write_by || server.unasked;
-        return end(attempt, not_the_servers ? Outcome::superseded : Outcome::refused_connection);
+        return end(attempt, not_the_servers ? Outcome::not_sent : Outcome::connect_failed);
     }
     if (clock_.now() < attempt.until) {
         // Only its time to be written is over.
@@ -433,7 +434,7 @@
         const auto idle = std::exchange(server.idle, {});
         for (const auto& connection : idle) connection->close();
     }
-    end(attempt, Outcome::overdue);
+    end(attempt, Outcome::timed_out);
 }
 
 void Upstream::cancel(AttemptKey key) {
@@ -444,7 +445,7 @@
         std::exchange(attempt.connection, nullptr)->abandon();
     else
         std::erase(servers_.at(attempt.server).waiting, key);
-    end(attempt, Outcome::recalled);
+    end(attempt, Outcome::cancelled);
 }
 
 void Upstream::end(Attempt& attempt, Outcome outcome, HttpResponse response) {
@@ -476,7 +477,7 @@
     if (server.waiting.size() > server.connecting) {
         const AttemptKey key = server.waiting.front();
         server.waiting.pop_front();
-        end(*attempts_.at(key), server.unasked ? Outcome::superseded : Outcome::refused_connection);
+        end(*attempts_.at(key), server.unasked ? Outcome::not_sent : Outcome::connect_failed);
     }
 }
 
--- a/src/rehearsal/archive.cpp
+++ b/src/rehearsal/archive.cpp
@@ -23,7 +23,7 @@
     Random random = stream(incident_.overview.seed, Purpose::fast_failure, id, server);
     const bool fails = random.unit() < incident_.fleet.error_rate + fails_[server];
     Millis work = callers_.attempt_work(request, server);
-    if (c.kind() == balancer::Effect::by_key && !fails && servers_[server].running()) {
+    if (c.kind() == balancer::Idempotency::idempotency_key && !fails && servers_[server].running()) {
         const auto [at, fresh] = keys_.try_emplace(request, now);
         if (!fresh && now < at->second + c.window)
             work = kDroppedRepeat;
--- a/src/rehearsal/balancers.cpp
+++ b/src/rehearsal/balancers.cpp
@@ -83,12 +83,12 @@
     void on(const SiblingsKnown&) {}
     void on(const FirstByte&) {}
     void on(const ServerList& list) {
-        if (list.kind == ListKind::full || list.kind == ListKind::saved)
-            for (auto& [id, s] : servers_) s.info.phase = Phase::off;
+        if (list.kind == ListKind::snapshot || list.kind == ListKind::cached)
+            for (auto& [id, s] : servers_) s.info.state = EndpointState::removed;
         for (const ServerInfo& info : list.servers) {
             Server& s = servers_[info.id];
             // The deaf one hears of servers that come, and of none that go.
-            if (flaws_.deaf && info.phase != Phase::on && s.info.id != 0) continue;
+            if (flaws_.deaf && info.state != EndpointState::active && s.info.id != 0) continue;
             if (info.online_since > s.info.online_since) s.failures = 0, s.out_until = 0;
             s.info = info;
         }
@@ -100,7 +100,7 @@
         if (e.class_index < settings_.classes.size()) r.kind = settings_.classes[e.class_index];
         timer(r.deadline, r.id);
         send(r);
-        if (flaws_.twice && r.kind.effect == Effect::repeatable) send(r);
+        if (flaws_.twice && r.kind.idempotency == Idempotency::idempotent) send(r);
     }
     void on(const AttemptEnded& e) {
         const auto at = requests_.find(e.id);
@@ -108,13 +108,13 @@
         Request& r = at->second;
         Try& t = r.tries[e.attempt];
         t.out = false;
-        t.may_have_run = e.outcome != Outcome::saturated && e.outcome != Outcome::refused_connection &&
-                         e.outcome != Outcome::superseded;
+        t.may_have_run = e.outcome != Outcome::rejected && e.outcome != Outcome::connect_failed &&
+                         e.outcome != Outcome::not_sent;
         Server& s = servers_[t.server];
         --s.outstanding;
-        if (e.outcome == Outcome::completed)
+        if (e.outcome == Outcome::success)
             s.failures = 0;
-        else if (e.outcome != Outcome::recalled && ++s.failures >= kFailuresToRemove && !flaws_.never_remove)
+        else if (e.outcome != Outcome::cancelled && ++s.failures >= kFailuresToRemove && !flaws_.never_remove)
             s.failures = 0, s.out_until = now_ + kRemovedFor;
         if (e.request_ended) {
             cancel(r);
@@ -139,8 +139,10 @@
     bool sends_again(Request& r) {
         const std::size_t most = flaws_.storm ? settings_.max_attempts : 2;
         if (r.tries.size() >= most || now_ >= r.deadline - kHeldUntil) return false;
-        if (r.may_have_run() && r.kind.effect == Effect::once && !flaws_.resend) return false;
-        if (r.may_have_run() && r.kind.effect == Effect::by_key && r.deadline - now_ > r.kind.dedup_window)
+        if (r.may_have_run() && r.kind.idempotency == Idempotency::non_idempotent && !flaws_.resend)
+            return false;
+        if (r.may_have_run() && r.kind.idempotency == Idempotency::idempotency_key &&
+            r.deadline - now_ > r.kind.dedup_window)
             return false;
         return send(r);
     }
@@ -164,7 +166,7 @@
         return true;
     }
     bool usable(const Server& s) const {
-        if (s.info.phase != Phase::on || now_ < s.out_until) return false;
+        if (s.info.state != EndpointState::active || now_ < s.out_until) return false;
         const bool cold = s.info.online_since > 0 && now_ < s.info.online_since + settings_.warm_within;
         return flaws_.flood || !cold;
     }
@@ -219,7 +221,7 @@
         actions_ = &actions;
         if (const auto* list = std::get_if<ServerList>(&event)) {
             if (list->kind != ListKind::incremental) phases_.clear();
-            for (const ServerInfo& s : list->servers) phases_[s.id] = s.phase;
+            for (const ServerInfo& s : list->servers) phases_[s.id] = s.state;
         } else if (const auto* e = std::get_if<RequestArrived>(&event)) {
             Open& r = open_[e->id];
             if (e->class_index < settings_.classes.size()) r.kind = settings_.classes[e->class_index];
@@ -249,13 +251,13 @@
         // By worth as the class says it: what is worth less leaves part of the servers to what is worth most.
         const double part = worth_first_ ? kLesser + (1 - kLesser) * r.kind.worth / top_worth_ : 1;
         Millis soonest = r.kind.aim * share_ * part;
-        for (const auto& [server, phase] : phases_) {
-            if (phase != Phase::on) continue;
+        for (const auto& [server, state] : phases_) {
+            if (state != EndpointState::active) continue;
             const Millis takes = estimate(server - 1, r.work);
             if (takes < soonest) soonest = takes, best = server;
         }
         if (best == 0) {
-            if (r.may_have_run && r.kind.effect != Effect::repeatable)
+            if (r.may_have_run && r.kind.idempotency != Idempotency::idempotent)
                 actions_->push_back(GiveUp{id});
             else
                 actions_->push_back(Refuse{id, 0});
@@ -280,15 +282,15 @@
         Open& r = at->second;
         r.out = false;
         r.may_have_run =
-            r.may_have_run || (e.outcome != Outcome::saturated && e.outcome != Outcome::refused_connection &&
-                               e.outcome != Outcome::superseded);
+            r.may_have_run || (e.outcome != Outcome::rejected && e.outcome != Outcome::connect_failed &&
+                               e.outcome != Outcome::not_sent);
         if (e.request_ended) {
             open_.erase(at);
         } else if (r.attempts < 2 && now_ < r.until &&
-                   (!r.may_have_run || r.kind.effect == Effect::repeatable)) {
+                   (!r.may_have_run || r.kind.idempotency == Idempotency::idempotent)) {
             place(e.id, r);
         } else {
-            const bool ran = r.may_have_run && r.kind.effect != Effect::repeatable;
+            const bool ran = r.may_have_run && r.kind.idempotency != Idempotency::idempotent;
             actions_->push_back(ran ? Action(GiveUp{e.id}) : Action(Refuse{e.id, 0}));
             open_.erase(at);
         }
@@ -302,7 +304,7 @@
     const Archive* archive_ = nullptr;
     Millis now_ = 0;
     std::vector<Action>* actions_ = nullptr;
-    std::map<ServerId, Phase> phases_;
+    std::map<ServerId, EndpointState> phases_;
     std::unordered_map<RequestId, Open> open_;
 };
 
--- a/src/rehearsal/callers.cpp
+++ b/src/rehearsal/callers.cpp
@@ -114,7 +114,7 @@
     const Ask& ask = asks_[request];
     const ClassSpec& c = incident_.classes[ask.class_index];
     if (answer == Answer::served || nth > incident_.callers.retries) return {};
-    if (c.kind() == balancer::Effect::once && answer != Answer::refused) return {};
+    if (c.kind() == balancer::Idempotency::non_idempotent && answer != Answer::refused) return {};
     Random random = stream(incident_.overview.seed, Purpose::backoff, last.id);
     const bool honours = random.unit() < incident_.callers.honour;
     const Millis wait = incident_.callers.backoff * (0.5 + random.unit());
--- a/src/rehearsal/incident.cpp
+++ b/src/rehearsal/incident.cpp
@@ -141,7 +141,7 @@
     {"share", Unit::share, &ClassSpec::share, "1", "of the requests, against the other classes", 0, 1000},
     {"effect",
      Unit::word,
-     &ClassSpec::effect,
+     &ClassSpec::idempotency,
      "\"safe\"",
      "safe to repeat, keyed (repeats are dropped), or unsafe to repeat",
      0,
@@ -505,9 +505,10 @@
 
 }  // namespace
 
-balancer::Effect ClassSpec::kind() const {
-    if (effect == "safe") return balancer::Effect::repeatable;
-    return effect == "keyed" ? balancer::Effect::by_key : balancer::Effect::once;
+balancer::Idempotency ClassSpec::kind() const {
+    if (idempotency == "safe") return balancer::Idempotency::idempotent;
+    return idempotency == "keyed" ? balancer::Idempotency::idempotency_key
+                                  : balancer::Idempotency::non_idempotent;
 }
 
 bool Incident::starts_off(std::uint32_t server) const {
@@ -566,7 +567,7 @@
     balancer::Settings s;
     for (const ClassSpec& c : classes) {
         balancer::RequestClass rc;
-        rc.effect = c.kind();
+        rc.idempotency = c.kind();
         rc.dedup_scope = balancer::DedupScope::all;
         rc.dedup_window = c.window;
         rc.aim = c.aim;
--- a/src/rehearsal/incident.hpp
+++ b/src/rehearsal/incident.hpp
@@ -100,7 +100,7 @@
 struct ClassSpec {
     std::string name;
     double share = 1;
-    std::string effect = "safe";  // safe, keyed, unsafe
+    std::string idempotency = "safe";  // safe, keyed, unsafe
     Millis work = 80;
     std::string law = "lognormal";  // fixed, exponential
     double cv = 0.5;
@@ -109,7 +109,7 @@
     double worth = 3;
     Millis window = 3000;  // keyed: repeats are dropped for so long
 
-    balancer::Effect kind() const;
+    balancer::Idempotency kind() const;
 };
 
 // What the operators expect of the run; what is left out is not looked at. The four rules always are.
--- a/src/rehearsal/judge.cpp
+++ b/src/rehearsal/judge.cpp
@@ -92,8 +92,8 @@
     const Attempt* ran = r.first_possible_run();
     if (answer == Answer::served && (!genuine || !ran))
         broken(Rule::one_outcome, now, id, "served with what no server made for it");
-    if (answer == Answer::refused && ran && c.kind() != balancer::Effect::repeatable &&
-        (c.kind() == balancer::Effect::once || now >= ran->sent + c.window + slack_))
+    if (answer == Answer::refused && ran && c.kind() != balancer::Idempotency::idempotent &&
+        (c.kind() == balancer::Idempotency::non_idempotent || now >= ran->sent + c.window + slack_))
         broken(Rule::nothing_twice, now, id, "refused ('try again') after it may have run");
     const bool out =
         std::any_of(r.attempts.begin(), r.attempts.end(), [](const Attempt& a) { return a.out; });
@@ -154,11 +154,12 @@
 // ---- the registry
 // -------------------------------------------------------------------------------------------
 
-void Judge::told(Millis now, std::uint32_t sidecar, std::uint32_t server, balancer::Phase phase,
+void Judge::told(Millis now, std::uint32_t sidecar, std::uint32_t server, balancer::EndpointState state,
                  Millis online_since) {
     Told& t = told_[{sidecar, server}];
-    if (t.phase == balancer::Phase::on || phase == balancer::Phase::on) t.at = now;  // the first word counts
-    t.phase = phase;
+    if (t.state == balancer::EndpointState::active || state == balancer::EndpointState::active)
+        t.at = now;  // the first word counts
+    t.state = state;
     t.online_since = std::max(t.online_since, online_since);
 }
 
@@ -168,11 +169,11 @@
 void Judge::check_twice(Millis now, TryId id, const Record& r, std::uint32_t server) {
     const ClassSpec& c = class_of(id);
     if (const Attempt* ran = r.first_possible_run()) {
-        if (c.kind() == balancer::Effect::once)
+        if (c.kind() == balancer::Idempotency::non_idempotent)
             broken(Rule::nothing_twice, now, id,
                    "unsafe, sent to s-" + std::to_string(server) + " after s-" + std::to_string(ran->server) +
                        " may have run it");
-        if (c.kind() == balancer::Effect::by_key && now >= ran->sent + c.window + slack_)
+        if (c.kind() == balancer::Idempotency::idempotency_key && now >= ran->sent + c.window + slack_)
             broken(Rule::nothing_twice, now, id, "keyed, sent again after servers forgot the key");
     }
     if (r.attempts.size() >= incident_.sidecars.max_attempts)
@@ -195,7 +196,7 @@
     for (std::uint32_t i = 0; i < r.attempts.size(); ++i)
         if (r.attempts[i].out) suspects_.push_back({id, i, now});
     if (const auto t = told_.find({sidecar, server});
-        t != told_.end() && t->second.phase != balancer::Phase::on &&
+        t != told_.end() && t->second.state != balancer::EndpointState::active &&
         now > t->second.at + incident_.rules.drain_grace + slack_)
         broken(Rule::drains_kept, now, id,
                "sent to s-" + std::to_string(server) + ", " +
--- a/src/rehearsal/judge.hpp
+++ b/src/rehearsal/judge.hpp
@@ -60,7 +60,7 @@
     void sidecar_starved(std::uint32_t sidecar, bool starved);
 
     // ---- the registry: bytes on their way to a sidecar count as told
-    void told(Millis now, std::uint32_t sidecar, std::uint32_t server, balancer::Phase phase,
+    void told(Millis now, std::uint32_t sidecar, std::uint32_t server, balancer::EndpointState state,
               Millis online_since);
 
     // ---- servers
@@ -112,7 +112,7 @@
         Millis since;
     };
     struct Told {
-        balancer::Phase phase = balancer::Phase::on;
+        balancer::EndpointState state = balancer::EndpointState::active;
         Millis at = 0, online_since = 0;
     };
     struct Push {
--- a/src/rehearsal/real/real_run.cpp
+++ b/src/rehearsal/real/real_run.cpp
@@ -24,7 +24,7 @@
 
 namespace {
 
-using balancer::Phase;
+using balancer::EndpointState;
 using nlohmann::json;
 
 constexpr Millis kReadyWithin = 15000;  // of all sidecars
@@ -222,7 +222,8 @@
         std::vector<Entry> entries;
         for (std::uint32_t s = 0; s < archive_.count(); ++s)
             entries.push_back({s, way_to_server(i, s), incident_.fleet.halls[incident_.hall_of(s)],
-                               archive_.there_at_start(s) ? Phase::on : Phase::off, 0});
+                               archive_.there_at_start(s) ? EndpointState::active : EndpointState::removed,
+                               0});
         side.discovery = std::make_unique<StandInDiscovery>(stage_, judge_, i, std::move(entries), address);
         const std::string command = options_.sidecar;
         side.process = std::make_unique<fleet::Process>("n-" + std::to_string(i), command, folder_.path());
@@ -241,9 +242,9 @@
         json classes = json::array();
         for (const ClassSpec& c : incident_.classes)
             classes.push_back({{"name", c.name},
-                               {"effect", c.effect == "safe"    ? "repeatable"
-                                          : c.effect == "keyed" ? "by_key"
-                                                                : "once"},
+                               {"effect", c.idempotency == "safe"    ? "repeatable"
+                                          : c.idempotency == "keyed" ? "by_key"
+                                                                     : "once"},
                                {"dedup-scope", "all"},
                                {"dedup-window-ms", c.window},
                                {"on-time-ms", c.aim},
@@ -323,7 +324,7 @@
                 stage_.at(n.at + spread_of(incident_, i), [this, &n, i] { sides_[i].discovery->change(n); });
         for (std::uint32_t i = 0; i < sides_.size(); ++i)
             for (std::uint32_t s = 0; s < archive_.count(); ++s)
-                if (!archive_.there_at_start(s)) judge_.told(stage_.now(), i, s, Phase::off, 0);
+                if (!archive_.there_at_start(s)) judge_.told(stage_.now(), i, s, EndpointState::removed, 0);
         look_processes();
         ask_next();
         Millis patience = 0;
--- a/src/rehearsal/real/stand_in_callers.cpp
+++ b/src/rehearsal/real/stand_in_callers.cpp
@@ -143,7 +143,7 @@
 
 std::string StandInCallers::message(const Try& t) const {
     const ClassSpec& c = incident_.classes[callers_.ask(request_of(t.id)).class_index];
-    const bool safe = c.kind() == balancer::Effect::repeatable;
+    const bool safe = c.kind() == balancer::Idempotency::idempotent;
     char id[24], left[32];
     std::snprintf(id, sizeof id, "%016llx", static_cast<unsigned long long>(t.id));
     std::snprintf(left, sizeof left, "%.0fm", t.time_left);
@@ -151,7 +151,7 @@
                        "X-Correlation-Id: " + id + "\r\nX-Service-Class: " + c.name +
                        "\r\nX-Time-Left: " + left + "\r\n";
     if (t.id % kMostTries > 0) text += "X-Repeat: 1\r\n";
-    if (c.kind() == balancer::Effect::by_key)
+    if (c.kind() == balancer::Idempotency::idempotency_key)
         text += "Idempotency-Key: k" + std::to_string(request_of(t.id)) + "\r\n";
     return text + (safe ? "\r\n" : "Content-Length: 4\r\n\r\nbody");
 }
--- a/src/rehearsal/real/stand_in_discovery.cpp
+++ b/src/rehearsal/real/stand_in_discovery.cpp
@@ -9,23 +9,23 @@
 namespace elmbay::rehearsal {
 
 namespace http = boost::beast::http;
-using balancer::Phase;
+using balancer::EndpointState;
 using boost::system::error_code;
 
 nlohmann::json listing_of(const std::vector<Entry>& entries, std::uint64_t rev, bool all,
                           const Stage& stage) {
     nlohmann::json targets = nlohmann::json::array();
     for (const Entry& e : entries) {
-        if (all && e.phase == Phase::off) continue;
+        if (all && e.state == EndpointState::removed) continue;
         targets.push_back(
             {{"uid", "s-" + std::to_string(e.server)},
              {"endpoint", e.endpoint.address().to_string() + ":" + std::to_string(e.endpoint.port())},
              {"az", e.hall},
              {"model", "rehearsed"},
              {"pod_group", 0},
-             {"state", e.phase == Phase::on       ? "active"
-                       : e.phase == Phase::fading ? "leaving"
-                                                  : "left"},
+             {"state", e.state == EndpointState::active     ? "active"
+                       : e.state == EndpointState::draining ? "leaving"
+                                                            : "left"},
              {"capacity_hint", 1.0},
              {"boot_ms", e.online_since > 0 ? std::floor(stage.unix_time(e.online_since)) : 0.0}});
     }
@@ -164,7 +164,7 @@
 }
 
 void StandInDiscovery::told(const Entry& e) {
-    judge_.told(stage_.now(), sidecar_, e.server, e.phase, e.online_since);
+    judge_.told(stage_.now(), sidecar_, e.server, e.state, e.online_since);
 }
 
 void StandInDiscovery::all_told() {
@@ -173,7 +173,7 @@
 
 void StandInDiscovery::change(const Notice& notice) {
     Entry& e = entries_[notice.server];
-    e.phase = notice.phase;
+    e.state = notice.state;
     e.online_since = std::max(e.online_since, notice.online_since);
     ++rev_;
     const std::string text = listing_of({e}, rev_, false, stage_).dump();
--- a/src/rehearsal/real/stand_in_discovery.hpp
+++ b/src/rehearsal/real/stand_in_discovery.hpp
@@ -18,7 +18,7 @@
     std::uint32_t server = 0;
     tcp::endpoint endpoint;
     std::string hall;
-    balancer::Phase phase = balancer::Phase::on;
+    balancer::EndpointState state = balancer::EndpointState::active;
     Millis online_since = 0;  // of the rehearsal; 0: long ago
 };
 nlohmann::json listing_of(const std::vector<Entry>& entries, std::uint64_t rev, bool all, const Stage& stage);
--- a/src/rehearsal/timeline.cpp
+++ b/src/rehearsal/timeline.cpp
@@ -158,9 +158,9 @@
                              uniform(random, incident.registry.notice_least, incident.registry.notice_most);
         last[s.who] = std::max(last[s.who], known);
         Notice notice{last[s.who], s.who};
-        notice.phase = ends                        ? balancer::Phase::off
-                       : s.change == Change::drain ? balancer::Phase::fading
-                                                   : balancer::Phase::on;
+        notice.state = ends                        ? balancer::EndpointState::removed
+                       : s.change == Change::drain ? balancer::EndpointState::draining
+                                                   : balancer::EndpointState::active;
         notice.online_since = s.change == Change::start ? s.at : 0;
         list.push_back(notice);
     }
--- a/src/rehearsal/timeline.hpp
+++ b/src/rehearsal/timeline.hpp
@@ -45,7 +45,7 @@
 struct Notice {
     Millis at = 0;
     std::uint32_t server = 0;
-    balancer::Phase phase = balancer::Phase::on;
+    balancer::EndpointState state = balancer::EndpointState::active;
     Millis online_since = 0;  // 0: since before the start
 };
 // In order of time. What is told of one server stays in the order in which it happened.
--- a/src/rehearsal/virtual_run.cpp
+++ b/src/rehearsal/virtual_run.cpp
@@ -81,7 +81,7 @@
     bool fresh = false;    // its connection has to come up first
     bool arrived = false;  // or it never will
     bool connected = false;
-    Outcome outcome = Outcome::completed;
+    Outcome outcome = Outcome::success;
 };
 
 struct Instance {
@@ -133,9 +133,10 @@
           sidecars_(incident),
           epochs_(archive_.count(), 0),
           poll_at_(archive_.count(), -1) {
-        for (std::uint32_t i = 0; i < archive_.count(); ++i) listed_.push_back(info_of(i, Phase::on, 0));
         for (std::uint32_t i = 0; i < archive_.count(); ++i)
-            if (!archive_.there_at_start(i)) listed_[i].phase = Phase::off;
+            listed_.push_back(info_of(i, EndpointState::active, 0));
+        for (std::uint32_t i = 0; i < archive_.count(); ++i)
+            if (!archive_.there_at_start(i)) listed_[i].state = EndpointState::removed;
         instances_.resize(incident.sidecars.count);
         links_.replace_all(incident.link_rules());
     }
@@ -196,9 +197,9 @@
             case What::reply:
                 return ended(h.a, std::nullopt);
             case What::expire:
-                return ended(h.a, Outcome::overdue);
+                return ended(h.a, Outcome::timed_out);
             case What::recall:
-                return report_end(h.a, Outcome::recalled);
+                return report_end(h.a, Outcome::cancelled);
             case What::idle:
                 return idle_over(h);
             case What::leave:
@@ -415,7 +416,7 @@
             return true;
         }
         // What the sidecar finds out by itself needs no link.
-        return a.outcome != Outcome::refused_connection && waits(forth.back(), h);
+        return a.outcome != Outcome::connect_failed && waits(forth.back(), h);
     }
 
     // ---- callers
@@ -515,9 +516,9 @@
     }
 
     // ---- sidecars
-    ServerInfo info_of(std::uint32_t server, Phase phase, Millis online_since) const {
+    ServerInfo info_of(std::uint32_t server, EndpointState state, Millis online_since) const {
         return {
-            server + 1, incident_.hall_of(server), 0, 0, phase, online_since > 0 ? online_since + kEpoch : 0};
+            server + 1, incident_.hall_of(server), 0, 0, state, online_since > 0 ? online_since + kEpoch : 0};
     }
     void keep(Instance& n) {
         n.kept = n.decider->knowledge(now_ + kEpoch);
@@ -552,10 +553,10 @@
         n.decider->see(archive_);
         give(who, Started{});
         if (n.kept_at >= 0) give(who, Remembered{n.kept, now_ - n.kept_at});
-        ServerList list{ListKind::saved, {}};
+        ServerList list{ListKind::cached, {}};
         for (const ServerInfo& info : listed_) {
-            if (info.phase != Phase::off) list.servers.push_back(info);
-            judge_.told(now_, who, info.id - 1, info.phase, std::max(0.0, info.online_since - kEpoch));
+            if (info.state != EndpointState::removed) list.servers.push_back(info);
+            judge_.told(now_, who, info.id - 1, info.state, std::max(0.0, info.online_since - kEpoch));
         }
         give(who, std::move(list));
         start_companion(who);
@@ -568,7 +569,7 @@
         judge_.sidecar_died(who);
         sidecars_.ended(now_, who, "killed");
         for (const std::uint64_t number : out_of(who, {})) {
-            end(attempts_.at(number), Outcome::severed);
+            end(attempts_.at(number), Outcome::connection_reset);
             drop_if_done(number);
         }
         close_idle(n);
@@ -601,7 +602,7 @@
             const std::uint64_t number = open->second.attempts[cancel->attempt];
             const auto at = attempts_.find(number);
             if (at == attempts_.end() || !at->second.out) return;
-            end(at->second, Outcome::recalled);
+            end(at->second, Outcome::cancelled);
             put(now_, What::recall, who, number);
         } else if (const auto* refuse = std::get_if<Refuse>(&action)) {
             answer(who, refuse->id, Answer::refused, refuse->retry_in);
@@ -668,7 +669,7 @@
     void never_up(Attempt& a, std::uint64_t number, Millis after) {
         judge_.reached(now_, a.id, a.judged, Judge::Reached::never);
         a.arrived = true;
-        a.outcome = Outcome::refused_connection;
+        a.outcome = Outcome::connect_failed;
         put(now_ + after, What::reply, a.sidecar, number);
     }
     void arrive(std::uint64_t number) {
@@ -692,7 +693,7 @@
         a.arrived = true;
         if (a.epoch != epochs_[a.server]) {  // the process that had this connection is gone
             if (server.reachable()) {
-                a.outcome = Outcome::severed;
+                a.outcome = Outcome::connection_reset;
                 put(now_ + a.latency, What::reply, a.sidecar, number);
             }
             return drop_if_done(number);
@@ -735,10 +736,10 @@
             if (d.fate == Fate::turned_away)
                 judge_.reached(now_, a.id, a.judged, Judge::Reached::turned_away);
             if (!a.out) continue;
-            a.outcome = d.fate == Fate::done          ? Outcome::completed
-                        : d.fate == Fate::failed      ? Outcome::errored
-                        : d.fate == Fate::turned_away ? Outcome::saturated
-                                                      : Outcome::severed;
+            a.outcome = d.fate == Fate::done          ? Outcome::success
+                        : d.fate == Fate::failed      ? Outcome::error_response
+                        : d.fate == Fate::turned_away ? Outcome::rejected
+                                                      : Outcome::connection_reset;
             put(now_ + a.latency, What::reply, a.sidecar, number);
         }
         const Millis next = archive_.server(server).next();
@@ -759,7 +760,7 @@
         a.out = false;
         judge_.over(now_, a.id, a.judged);
         const bool clean =
-            outcome == Outcome::completed || outcome == Outcome::errored || outcome == Outcome::saturated;
+            outcome == Outcome::success || outcome == Outcome::error_response || outcome == Outcome::rejected;
         const bool there = a.connected && a.epoch == epochs_[a.server];
         const Instance& n = instances_[a.sidecar];
         if (clean && there && n.life == a.life && !n.draining) {
@@ -793,10 +794,10 @@
         --at->second.out;
         if (just_restarted(n, now_)) {
             ++restarted_.attempts;
-            restarted_.failed += outcome != Outcome::completed && outcome != Outcome::recalled;
+            restarted_.failed += outcome != Outcome::success && outcome != Outcome::cancelled;
         }
         log("end %llu.%u s-%u %d", ull(a.id), a.number, a.server, static_cast<int>(outcome));
-        if (outcome == Outcome::completed && !at->second.over) answer(a.sidecar, a.id, Answer::served, 0);
+        if (outcome == Outcome::success && !at->second.over) answer(a.sidecar, a.id, Answer::served, 0);
         give(a.sidecar, AttemptEnded{a.id, a.number, outcome, now_ - a.sent, at->second.over});
         settle(a.sidecar, a.id);
     }
@@ -859,7 +860,7 @@
             for (const std::uint64_t number : out_of({}, s.who)) {
                 Attempt& a = attempts_.at(number);
                 if (!a.arrived) continue;
-                a.outcome = Outcome::severed;
+                a.outcome = Outcome::connection_reset;
                 put(now_ + a.latency, What::reply, a.sidecar, number);
             }
         }
@@ -868,7 +869,7 @@
     void told(const Happening& h) {
         const Notice& notice = notices_[h.a];
         if (h.b == 0) {
-            const ServerInfo info = info_of(notice.server, notice.phase, notice.online_since);
+            const ServerInfo info = info_of(notice.server, notice.state, notice.online_since);
             ServerInfo& known = listed_[notice.server];
             const Millis since = std::max(known.online_since, info.online_since);
             known = info;
@@ -879,14 +880,14 @@
         }
         if (!instances_[h.who].decider) return;
         const ServerInfo entry = note_told(h.who, notice);
-        log("told n-%u s-%u %d", h.who, notice.server, static_cast<int>(entry.phase));
+        log("told n-%u s-%u %d", h.who, notice.server, static_cast<int>(entry.state));
         give(h.who, ServerList{ListKind::incremental, {entry}});
     }
 
     ServerInfo note_told(std::uint32_t who, const Notice& notice) {
-        ServerInfo entry = info_of(notice.server, notice.phase, notice.online_since);
+        ServerInfo entry = info_of(notice.server, notice.state, notice.online_since);
         entry.online_since = std::max(entry.online_since, listed_[notice.server].online_since);
-        judge_.told(now_, who, notice.server, entry.phase, std::max(0.0, entry.online_since - kEpoch));
+        judge_.told(now_, who, notice.server, entry.state, std::max(0.0, entry.online_since - kEpoch));
         return entry;
     }
 
--- a/src/sidecar/endpoint_registry.cpp
+++ b/src/sidecar/endpoint_registry.cpp
@@ -4,8 +4,8 @@
 
 namespace elmbay {
 
+using balancer::EndpointState;
 using balancer::ListKind;
-using balancer::Phase;
 using balancer::ServerId;
 
 ServerId EndpointRegistry::reserve(const std::string& uid) { return numbers_.reserve(uid); }
@@ -31,7 +31,7 @@
 
 void EndpointRegistry::take(const Target& target, Update& update) {
     if (!entries_.contains(target.uid)) {
-        if (target.phase == Phase::off) return;  // never known, or forgotten
+        if (target.state == EndpointState::removed) return;  // never known, or forgotten
         if (!has_place(target)) {
             ++update.passed_over;
             return;
@@ -45,14 +45,14 @@
                   name_number(zones_, target.zone),
                   name_number(kinds_, target.kind),
                   target.cell,
-                  target.phase,
+                  target.state,
                   target.online_since,
                   target.weight};
     set_listed(at, false);  // under its earlier address
     entry.endpoint = target.endpoint;
-    if (target.phase != Phase::off) displace(at, update);
-    update.changes.push_back({entry.info, entry.endpoint, entry.info.phase == Phase::on});
-    update.any_active = update.any_active || target.phase == Phase::on;
+    if (target.state != EndpointState::removed) displace(at, update);
+    update.changes.push_back({entry.info, entry.endpoint, entry.info.state == EndpointState::active});
+    update.any_active = update.any_active || target.state == EndpointState::active;
 }
 
 bool EndpointRegistry::has_place(const Target& target) const {
@@ -94,11 +94,11 @@
     if (there == by_endpoint_.end()) return set_listed(arrived, true);
     const Position other = there->second;
     if (started_later(other->second, arrived->second)) {
-        arrived->second.info.phase = Phase::off;
+        arrived->second.info.state = EndpointState::removed;
         return;
     }
     set_listed(other, false);
-    other->second.info.phase = Phase::off;
+    other->second.info.state = EndpointState::removed;
     update.changes.push_back({other->second.info, {}, false});
     set_listed(arrived, true);
 }
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -137,13 +137,13 @@
       discovery_(io, config_.discovery, budget_, timers_, clock_, held_rev(config_.known), config_.seed,
                  config_.site.settings.list_on_request ? Discovery::Mode::asked : Discovery::Mode::pushed,
                  [this](const Listing& listing) {
-                     listed(listing.all ? ListKind::full : ListKind::incremental, listing);
+                     listed(listing.all ? ListKind::snapshot : ListKind::incremental, listing);
                  }),
       listener_(io, config_.listen, budget_, bytes_, timers_, clock_, longest_deadline(config_.site),
                 listener_handlers(websocket)) {
     engine_.begin(clock_.now());
     if (remembered) remember(std::move(*remembered));
-    listed(ListKind::saved, std::exchange(config_.known, {}));
+    listed(ListKind::cached, std::exchange(config_.known, {}));
     if (!config_.site.settings.list_on_request) discovery_.watch();
 }
 
@@ -197,8 +197,10 @@
     for (const ServerKnowledge& s : knowledge.servers) learned[s.server] = &s;
     nlohmann::json servers = nlohmann::json::array();
     for (const auto& [uid, entry] : servers_.entries()) {
-        const char* phase = !entry.listed ? "left" : entry.info.phase == Phase::fading ? "leaving" : "active";
-        nlohmann::json server = {{"uid", uid}, {"state", phase}, {"boot_ms", entry.info.online_since}};
+        const char* state = !entry.listed                                 ? "left"
+                            : entry.info.state == EndpointState::draining ? "leaving"
+                                                                          : "active";
+        nlohmann::json server = {{"uid", uid}, {"state", state}, {"boot_ms", entry.info.online_since}};
         server["attempts"] = upstream_.attempts_at(entry.info.id);
         if (const auto at = learned.find(entry.info.id); at != learned.end()) {
             server["removed"] = at->second->out_ms.has_value();
--- a/src/simulator/wire.cpp
+++ b/src/simulator/wire.cpp
@@ -12,19 +12,17 @@
 
 namespace {
 
-const Names<Phase> phases{{"on", Phase::on}, {"fading", Phase::fading}, {"off", Phase::off}};
+const Names<EndpointState> states{
+    {"on", EndpointState::active}, {"fading", EndpointState::draining}, {"off", EndpointState::removed}};
 const Names<ListKind> list_kinds{{"INCREMENTAL", ListKind::incremental},
-                                 {"FULL", ListKind::full},
-                                 {"SAVED", ListKind::saved},
+                                 {"FULL", ListKind::snapshot},
+                                 {"SAVED", ListKind::cached},
                                  {"FAILED", ListKind::failed}};
-const Names<Outcome> outcomes{{"completed", Outcome::completed},
-                              {"errored", Outcome::errored},
-                              {"saturated", Outcome::saturated},
-                              {"overdue", Outcome::overdue},
-                              {"refused_conn", Outcome::refused_connection},
-                              {"severed", Outcome::severed},
-                              {"recalled", Outcome::recalled},
-                              {"superseded", Outcome::superseded}};
+const Names<Outcome> outcomes{
+    {"completed", Outcome::success},           {"errored", Outcome::error_response},
+    {"saturated", Outcome::rejected},          {"overdue", Outcome::timed_out},
+    {"refused_conn", Outcome::connect_failed}, {"severed", Outcome::connection_reset},
+    {"recalled", Outcome::cancelled},          {"superseded", Outcome::not_sent}};
 
 void add_number(std::string& line, double value) {
     char buffer[40];
@@ -226,7 +224,7 @@
         if (entry.has("rack-zone")) e.zone = entry.text("rack-zone");
         if (entry.has("kind")) e.kind = entry.text("kind");
         e.cell = static_cast<std::uint32_t>(entry.integer_or("pod", 0));
-        e.phase = named(entry, "phase", phases);
+        e.state = named(entry, "phase", states);
         e.online_since = entry.number_or("online-since-ms", 0);
         e.weight = sound_weight(entry.number_or("units", 1));
         entries.push_back(std::move(e));
@@ -255,9 +253,9 @@
             for (auto& [id, server] : instance.servers) server.listed = false;
         for (const CatalogEntry& e : catalogs_[ref]) {
             const ServerId id = instance.server(e.server);
-            instance.servers[id].listed = e.phase != Phase::off;
+            instance.servers[id].listed = e.state != EndpointState::removed;
             list.servers.push_back({id, number_of(instance.site.zones, e.zone),
-                                    number_of(instance.site.kinds, e.kind), e.cell, e.phase, e.online_since,
+                                    number_of(instance.site.kinds, e.kind), e.cell, e.state, e.online_since,
                                     e.weight});
         }
     }
--- a/src/simulator/wire.hpp
+++ b/src/simulator/wire.hpp
@@ -36,7 +36,7 @@
     std::string zone;
     std::string kind;
     std::uint32_t cell = 0;
-    Phase phase = Phase::on;
+    EndpointState state = EndpointState::active;
     Millis online_since = 0;
     double weight = 1;
 };
--- a/src/websocket/front.cpp
+++ b/src/websocket/front.cpp
@@ -218,23 +218,22 @@
     attempt->client = upgrades_.at(key.request);
     attempts_[key] = attempt;
     if (!budget_.take(Side::sessions)) {
-        asio::post(io_, [this, attempt] { end(attempt, Outcome::refused_connection); });
+        asio::post(io_, [this, attempt] { end(attempt, Outcome::connect_failed); });
         return;
     }
     attempt->stream = std::make_shared<Stream>(io_);
     const Millis connect_until = std::min(until, attempt->started + connect_timeout_);
-    attempt->timer =
-        timers_.set(connect_until, [this, attempt] { end(attempt, Outcome::refused_connection); });
+    attempt->timer = timers_.set(connect_until, [this, attempt] { end(attempt, Outcome::connect_failed); });
     attempt->stream->next_layer().async_connect(
         endpoint, [this, attempt, stream = attempt->stream](Error error) { connected(attempt, error); });
 }
 
 void Front::connected(const std::shared_ptr<Attempt>& attempt, Error error) {
     if (attempt->over) return;
-    if (error) return end(attempt, Outcome::refused_connection);
-    if (clock_.now() >= attempt->write_by) return end(attempt, Outcome::superseded);
+    if (error) return end(attempt, Outcome::connect_failed);
+    if (clock_.now() >= attempt->write_by) return end(attempt, Outcome::not_sent);
     timers_.cancel(attempt->timer);
-    attempt->timer = timers_.set(attempt->until, [this, attempt] { end(attempt, Outcome::overdue); });
+    attempt->timer = timers_.set(attempt->until, [this, attempt] { end(attempt, Outcome::timed_out); });
     Stream& stream = *attempt->stream;
     Error ignored;
     stream.next_layer().set_option(tcp::no_delay(true), ignored);
@@ -258,9 +257,10 @@
                                 failed.category() == Error(http::error::bad_version).category();
             const ServerAnswer got = read_answer(attempt->answer, attempt->client->offered);
             if (!answered)
-                return end(attempt, spoilt && failed != http::error::end_of_stream ? Outcome::errored
-                                                                                   : Outcome::severed);
-            if (failed && got.outcome == Outcome::completed) return end(attempt, Outcome::errored);
+                return end(attempt, spoilt && failed != http::error::end_of_stream
+                                        ? Outcome::error_response
+                                        : Outcome::connection_reset);
+            if (failed && got.outcome == Outcome::success) return end(attempt, Outcome::error_response);
             attempt->client->subprotocol = got.subprotocol;
             end(attempt, got.outcome);
         });
@@ -271,7 +271,7 @@
     timers_.cancel(attempt->timer);
     attempts_.erase(attempt->key);
     Client& client = *attempt->client;
-    if (outcome == Outcome::completed) {
+    if (outcome == Outcome::success) {
         client.server = std::move(attempt->stream);
         client.at = attempt->server;
     }
@@ -290,7 +290,7 @@
     const auto attempt = at->second;
     Error ignored;
     if (attempt->stream) attempt->stream->next_layer().close(ignored);
-    asio::post(io_, [this, attempt] { end(attempt, Outcome::recalled); });
+    asio::post(io_, [this, attempt] { end(attempt, Outcome::cancelled); });
 }
 
 // ---- Drains -----------------------------------------------------------------------------------------------
@@ -301,7 +301,7 @@
     std::vector<std::shared_ptr<Attempt>> unwritten;
     for (const auto& [key, attempt] : attempts_)
         if (attempt->server == id && !attempt->written) unwritten.push_back(attempt);
-    for (const auto& attempt : unwritten) end(attempt, Outcome::superseded);
+    for (const auto& attempt : unwritten) end(attempt, Outcome::not_sent);
     std::vector<RequestId> there;
     for (const auto& [request, standing] : sessions_)
         if (standing.server == id) there.push_back(request);
--- a/src/websocket/handshake.cpp
+++ b/src/websocket/handshake.cpp
@@ -97,7 +97,7 @@
     using balancer::Outcome;
     const auto status = head.result();
     if (status != http::status::switching_protocols)
-        return {says_unprocessed(head) ? Outcome::saturated : Outcome::errored, {}};
+        return {says_unprocessed(head) ? Outcome::rejected : Outcome::error_response, {}};
     if (!has_token(head, http::field::upgrade, "websocket") ||
         !has_token(head, http::field::connection, "upgrade"))
         return {};
@@ -108,7 +108,7 @@
     if (head.count(kProtocol) > 1) return {};
     if (head.count(kProtocol) == 1 && std::find(offered.begin(), offered.end(), chosen) == offered.end())
         return {};
-    return {Outcome::completed, std::string(chosen)};
+    return {Outcome::success, std::string(chosen)};
 }
 
 }  // namespace elmbay::websocket
--- a/src/websocket/handshake.hpp
+++ b/src/websocket/handshake.hpp
@@ -38,8 +38,8 @@
 
 // What a server has made of it (4.1, client requirements on the answer). Its accept is checked by Beast.
 struct ServerAnswer {
-    balancer::Outcome outcome = balancer::Outcome::errored;  // completed: the session stands
-    std::string subprotocol;                                 // chosen; empty: none
+    balancer::Outcome outcome = balancer::Outcome::error_response;  // completed: the session stands
+    std::string subprotocol;                                        // chosen; empty: none
 };
 ServerAnswer read_answer(const http::response_header<>& head, const std::vector<std::string>& offered);
 
--- a/tests/balancer/cold_budget_test.cpp
+++ b/tests/balancer/cold_budget_test.cpp
@@ -40,7 +40,7 @@
 class SlowStart {
 public:
     SlowStart(const Scenario& scenario, std::uint64_t seed) : scenario_(scenario), random_(seed) {
-        settings_.classes = {RequestClass{Effect::repeatable, DedupScope::all, 3000, 400}};
+        settings_.classes = {RequestClass{Idempotency::idempotent, DedupScope::all, 3000, 400}};
         settings_.siblings = scenario.sidecars;
         settings_.max_attempts = 4;
         settings_.cold_from = 0.16;
@@ -53,8 +53,9 @@
     // The most that a cold server got, as a share of what it may get.
     double worst() {
         std::vector<ServerInfo> infos;
-        for (ServerId id = 1; id <= scenario_.servers; ++id) infos.push_back({id, 0, 0, 0, Phase::on, 0});
-        for (std::uint32_t i = 0; i < scenario_.sidecars; ++i) give(i, ServerList{ListKind::full, infos});
+        for (ServerId id = 1; id <= scenario_.servers; ++id)
+            infos.push_back({id, 0, 0, 0, EndpointState::active, 0});
+        for (std::uint32_t i = 0; i < scenario_.sidecars; ++i) give(i, ServerList{ListKind::snapshot, infos});
         now_ = start_;
         run_until(start_ + kWarmRun);
         std::vector<Knowledge> known;
@@ -62,14 +63,14 @@
         std::vector<ServerInfo> fresh;
         for (ServerId id = 1; id <= scenario_.restarted; ++id) {
             servers_[id] = {now_, now_, {}};
-            fresh.push_back({id, 0, 0, 0, Phase::on, now_});
+            fresh.push_back({id, 0, 0, 0, EndpointState::active, now_});
             infos[id - 1] = fresh.back();
         }
         if (scenario_.remembers) {
             for (std::uint32_t i = 0; i < scenario_.sidecars; ++i) {
                 sidecars_[i] = new_life(77000 + i);
                 give(i, Remembered{known[i], 500});
-                give(i, ServerList{ListKind::full, infos});
+                give(i, ServerList{ListKind::snapshot, infos});
             }
             calls_.clear();
         } else {
@@ -140,7 +141,7 @@
         if (auto* end = std::get_if<AttemptEnded>(&event)) {
             const auto call = calls_.find(end->id);
             if (call == calls_.end()) return;
-            call->second.ended |= end->outcome == Outcome::completed;
+            call->second.ended |= end->outcome == Outcome::success;
             end->request_ended = call->second.ended;
         }
         give(due.sidecar, event);
@@ -166,7 +167,7 @@
         const bool late = server.busy_until >= send.try_until;
         const Millis at = late ? send.try_until : server.busy_until;
         due_.push({at, ++order_, sidecar,
-                   AttemptEnded{send.id, number, late ? Outcome::overdue : Outcome::completed, at - now_}});
+                   AttemptEnded{send.id, number, late ? Outcome::timed_out : Outcome::success, at - now_}});
     }
 
     void count(ServerState& server) {
--- a/tests/balancer/composition_test.cpp
+++ b/tests/balancer/composition_test.cpp
@@ -198,18 +198,18 @@
 };
 
 TEST_F(ServerTableTest, AWholeListReplacesAndAnIncrementalOneAdds) {
-    servers_.apply(list_of(ListKind::full, {1, 2}), kNow);
+    servers_.apply(list_of(ListKind::snapshot, {1, 2}), kNow);
     servers_.apply(list_of(ListKind::incremental, {3}), kNow);
     EXPECT_EQ(servers_.size(), 3U);
-    servers_.apply(list_of(ListKind::full, {2}), kNow);
+    servers_.apply(list_of(ListKind::snapshot, {2}), kNow);
     EXPECT_EQ(servers_.size(), 1U);
     EXPECT_NE(servers_.find(2), nullptr);
 }
 
 TEST_F(ServerTableTest, AServerThatLeftTheListStaysUntilNothingIsOutstandingThere) {
-    servers_.apply(list_of(ListKind::full, {1}), kNow);
+    servers_.apply(list_of(ListKind::snapshot, {1}), kNow);
     servers_.find(1)->outstanding = 1;
-    servers_.apply(list_of(ListKind::full, {}), kNow);
+    servers_.apply(list_of(ListKind::snapshot, {}), kNow);
     Server* server = servers_.find(1);
     ASSERT_NE(server, nullptr);
     EXPECT_FALSE(server->open());
@@ -226,9 +226,9 @@
 protected:
     FinalResponderTest() { context_.begin(kNow, actions_); }
 
-    Request& add(Effect effect) {
+    Request& add(Idempotency idempotency) {
         Request& request = *requests_.add(next_id_++);
-        request.kind.effect = effect;
+        request.kind.idempotency = idempotency;
         request.kind.aim = 400;
         request.deadline = kNow + 1000;
         return request;
@@ -244,7 +244,7 @@
 };
 
 TEST_F(FinalResponderTest, GivesOneFinalAnswer) {
-    Request& request = add(Effect::repeatable);
+    Request& request = add(Idempotency::idempotent);
     responder_.finish(request);
     responder_.finish(request);
     ASSERT_EQ(actions_.size(), 1U);
@@ -255,7 +255,7 @@
 }
 
 TEST_F(FinalResponderTest, FailsWhatMayHaveTakenEffectAndCancelsWhatIsOut) {
-    Request& request = add(Effect::once);
+    Request& request = add(Idempotency::non_idempotent);
     request.attempts.push_back(attempt_out());
     responder_.finish(request);
     ASSERT_EQ(actions_.size(), 2U);
@@ -265,7 +265,7 @@
 }
 
 TEST_F(FinalResponderTest, LeavesAnAnswerAloneThatHasBegun) {
-    Request& request = add(Effect::repeatable);
+    Request& request = add(Idempotency::idempotent);
     request.streaming = true;
     responder_.finish(request);
     EXPECT_TRUE(actions_.empty());
--- a/tests/balancer/fleet_change_test.cpp
+++ b/tests/balancer/fleet_change_test.cpp
@@ -43,9 +43,10 @@
         Balancer balancer(settings(), 1);
         std::vector<Action> actions;
         ServerList whole;
-        for (ServerId id = 1; id <= fleet; ++id) whole.servers.push_back({id, 0, 0, 0, Phase::on, 0});
+        for (ServerId id = 1; id <= fleet; ++id)
+            whole.servers.push_back({id, 0, 0, 0, EndpointState::active, 0});
         balancer.handle(kNow, whole, actions);
-        const ServerInfo leaving{fleet, 0, 0, 0, Phase::fading, 0};
+        const ServerInfo leaving{fleet, 0, 0, 0, EndpointState::draining, 0};
         const Event event = ServerList{ListKind::incremental, {leaving}};
         balancer.handle(kNow + 1, event, actions);  // whatever is made once has been made
         const std::size_t before = allocated_bytes;
@@ -75,8 +76,8 @@
             changed.remove(&s);
             std::erase(there, &s);
             s.listed = random() % 4 != 0;
-            s.info.phase = random() % 3 == 0 ? Phase::fading : Phase::on;
-            s.standing = random() % 3 == 0 ? Standing::removed : Standing::live;
+            s.info.state = random() % 3 == 0 ? EndpointState::draining : EndpointState::active;
+            s.standing = random() % 3 == 0 ? EjectionState::ejected : EjectionState::healthy;
             if (random() % 5 == 0) continue;  // gone for good
             changed.add(&s);
             there.push_back(&s);
--- a/tests/balancer/memory_test.cpp
+++ b/tests/balancer/memory_test.cpp
@@ -17,17 +17,18 @@
 // Runs requests until one is removed; gives what is known then.
 Knowledge of_a_life_with_a_bad(ServerId bad, ServerId servers, Rig& rig) {
     rig.give(Started{});
-    rig.list(ListKind::full, make_servers(servers));
+    rig.list(ListKind::snapshot, make_servers(servers));
     for (int i = 0; i < 400 && rig.removals() == 0; ++i) {
         const RequestId id = rig.request();
-        while (rig.out(id)) rig.end(id, rig.where(id) == bad ? Outcome::errored : Outcome::completed, 20);
+        while (rig.out(id))
+            rig.end(id, rig.where(id) == bad ? Outcome::error_response : Outcome::success, 20);
     }
     EXPECT_EQ(rig.removals(), 1);
     return rig.balancer.knowledge(rig.now);
 }
 
 Rig next_life(const Knowledge& known, Millis age, const std::vector<ServerInfo>& servers,
-              ListKind kind = ListKind::full) {
+              ListKind kind = ListKind::snapshot) {
     Rig rig(make_settings(), 7);
     rig.give(Started{});
     rig.give(Remembered{known, age});
@@ -42,7 +43,7 @@
         const RequestId id = rig.request();
         if (!rig.out(id)) continue;
         who.insert(rig.where(id));
-        rig.end(id, Outcome::completed, took);
+        rig.end(id, Outcome::success, took);
     }
     return who;
 }
@@ -67,10 +68,10 @@
         for (int i = 0; i < 30; ++i) {
             const RequestId id = rig.request();
             others.insert(rig.where(id));
-            rig.end(id, Outcome::completed, 1);
+            rig.end(id, Outcome::success, 1);
         }
         EXPECT_FALSE(others.contains(2)) << "one request is its trial";
-        rig.end(trial, Outcome::completed);
+        rig.end(trial, Outcome::success);
         std::set<ServerId> again;
         for (const RequestId id : rig.burst(12)) again.insert(rig.where(id));
         EXPECT_TRUE(again.contains(2)) << "restored";
@@ -102,12 +103,12 @@
     Rig first(make_settings());
     const Knowledge known = of_a_life_with_a_bad(2, 6, first);
     Rig rig = next_life(known, 1000, {make_servers(6)[0], make_servers(6)[2], make_servers(6)[3]});
-    rig.list(ListKind::full, make_servers(6));
+    rig.list(ListKind::snapshot, make_servers(6));
     EXPECT_TRUE(used(rig, 60).contains(2))
         << "a server of that number came later: who knows whether it is the same";
     // A saved list may be old and short: what it does not name is waited for.
-    Rig saved = next_life(known, 1000, {make_servers(6)[0]}, ListKind::saved);
-    saved.list(ListKind::full, make_servers(6));
+    Rig saved = next_life(known, 1000, {make_servers(6)[0]}, ListKind::cached);
+    saved.list(ListKind::snapshot, make_servers(6));
     EXPECT_FALSE(used(saved, 100).contains(2));
 }
 
@@ -130,7 +131,8 @@
         for (int i = 0; i < 400 && rig.removals() == 0; ++i) {
             const RequestId id = rig.request();
             failed += rig.where(id) == 1;
-            while (rig.out(id)) rig.end(id, rig.where(id) == 1 ? Outcome::errored : Outcome::completed, 1);
+            while (rig.out(id))
+                rig.end(id, rig.where(id) == 1 ? Outcome::error_response : Outcome::success, 1);
         }
         return failed;
     };
@@ -148,7 +150,7 @@
         Rig rig(settings, seed);
         rig.give(Started{});
         rig.give(Remembered{k, 0});
-        rig.list(ListKind::full, {{1, 0, 0, 0, Phase::on, 99000}});
+        rig.list(ListKind::snapshot, {{1, 0, 0, 0, EndpointState::active, 99000}});
         int tries = 0;
         for (; tries < 1900 && !rig.out(rig.request(0, 100)); ++tries) {
             rig.pass(100);
@@ -167,7 +169,7 @@
     const auto sends_of_a_failing = [&](const Knowledge& k) {
         Rig rig = next_life(k, 0, make_servers(6));
         const RequestId id = rig.request();
-        while (rig.out(id)) rig.end(id, Outcome::errored);
+        while (rig.out(id)) rig.end(id, Outcome::error_response);
         return rig.sends(id);
     };
     EXPECT_EQ(sends_of_a_failing(known), 1U) << "a fifth of a retry is not one";
@@ -190,9 +192,9 @@
     Knowledge known;
     known.servers.push_back({1, 0, 0, 20, 9000.0, 1});
     Rig rig(make_settings(), 7);
-    rig.list(ListKind::full, make_servers(4));
+    rig.list(ListKind::snapshot, make_servers(4));
     rig.give(Remembered{known, 0});
-    rig.list(ListKind::full, make_servers(4));
+    rig.list(ListKind::snapshot, make_servers(4));
     EXPECT_TRUE(used(rig, 40).contains(1));
 }
 
@@ -244,18 +246,19 @@
     ::setenv("RC_PARAMS", "seed=20261201 max_success=300", 0);
     EXPECT_TRUE(rc::check([] {
         Random random(*rc::gen::arbitrary<std::uint64_t>());
-        Rig rig(make_settings({make_class(Effect::repeatable), make_class(Effect::once)}), random.next());
+        Rig rig(make_settings({make_class(Idempotency::idempotent), make_class(Idempotency::non_idempotent)}),
+                random.next());
         rig.give(Started{});
         rig.give(
             Remembered{any_knowledge(random), random.below(2) ? any_figure(random) : random.unit() * 20000});
-        rig.list(ListKind::full, make_servers(8));
+        rig.list(ListKind::snapshot, make_servers(8));
         std::set<ServerId> asked;
         const Millis until = rig.now + 10000 + 500;
         while (rig.now < until) {
             const RequestId id = rig.request(static_cast<std::uint32_t>(random.below(2)));
             if (rig.out(id)) {
                 asked.insert(rig.where(id));
-                rig.end(id, Outcome::completed, 5);
+                rig.end(id, Outcome::success, 5);
                 rig.requests.erase(id);
             } else {
                 rig.pass(5);
--- a/tests/balancer/parts_test.cpp
+++ b/tests/balancer/parts_test.cpp
@@ -18,7 +18,7 @@
     Settings s;
     for (const double worth : worths) {
         RequestClass c;
-        c.effect = Effect::repeatable;
+        c.idempotency = Idempotency::idempotent;
         c.aim = 400;
         c.worth = worth;
         s.classes.push_back(c);
@@ -41,9 +41,9 @@
 
 // ---- Request --------------------------------------------------------------------------------------------
 
-Request request_of(Effect effect, DedupScope scope = DedupScope::all) {
+Request request_of(Idempotency idempotency, DedupScope scope = DedupScope::all) {
     Request r;
-    r.kind.effect = effect;
+    r.kind.idempotency = idempotency;
     r.kind.dedup_scope = scope;
     r.kind.dedup_window = 500;
     r.deadline = kNow + 1000;
@@ -58,7 +58,7 @@
 TEST(RequestRules, NothingGoesOutAfterItsEndOrDeadline) {
     const Settings settings = settings_of(1);
     const Server s = server_of(1);
-    Request r = request_of(Effect::repeatable);
+    Request r = request_of(Idempotency::idempotent);
     EXPECT_TRUE(r.may_go_to(s, settings, kNow));
     EXPECT_FALSE(r.may_go_to(s, settings, kNow + 1000));
     r.streaming = true;
@@ -70,7 +70,7 @@
 TEST(RequestRules, AttemptsAreLimitedAndOneAtATime) {
     Settings settings = settings_of(1);
     const Server s = server_of(2);
-    Request r = request_of(Effect::repeatable);
+    Request r = request_of(Idempotency::idempotent);
     r.attempts.push_back(attempt_at(1, true, true));
     EXPECT_FALSE(r.may_go_to(s, settings, kNow));
     settings.parallel_tries = true;
@@ -81,7 +81,7 @@
 
 TEST(RequestRules, UnsafeIsSentAgainOnlyIfItNeverRan) {
     const Settings settings = settings_of(1);
-    Request r = request_of(Effect::once);
+    Request r = request_of(Idempotency::non_idempotent);
     r.attempts.push_back(attempt_at(1, false, false));
     EXPECT_TRUE(r.may_go_to(server_of(2), settings, kNow));
     EXPECT_TRUE(r.may_refuse(kNow));
@@ -95,7 +95,7 @@
     Server other = server_of(2);
     other.info.zone = 1, other.info.cell = 1;
     for (const DedupScope scope : {DedupScope::all, DedupScope::zone, DedupScope::cell}) {
-        Request r = request_of(Effect::by_key, scope);
+        Request r = request_of(Idempotency::idempotency_key, scope);
         r.attempts.push_back(attempt_at(1, false, true));
         EXPECT_EQ(r.may_go_to(other, settings, kNow), scope == DedupScope::all);
         EXPECT_TRUE(r.may_go_to(server_of(3), settings, kNow)) << "the same zone and cell";
@@ -107,11 +107,11 @@
 
 TEST(RequestRules, NothingGoesToAServerThatDrainsOrIsGone) {
     const Settings settings = settings_of(1);
-    Request r = request_of(Effect::repeatable);
+    Request r = request_of(Idempotency::idempotent);
     Server s = server_of(1);
-    s.info.phase = Phase::fading;
+    s.info.state = EndpointState::draining;
     EXPECT_FALSE(r.may_go_to(s, settings, kNow));
-    s.info.phase = Phase::on, s.listed = false;
+    s.info.state = EndpointState::active, s.listed = false;
     EXPECT_FALSE(r.may_go_to(s, settings, kNow));
 }
 
@@ -135,8 +135,8 @@
 
 TEST(EjectionPart, TwoFailuresOfAFewRemoveOneDoesNot) {
     Pool pool(8);
-    EXPECT_EQ(pool.judge(0, Outcome::errored), Verdict::none) << "9 of 10 is not below 0.9";
-    EXPECT_EQ(pool.judge(0, Outcome::errored), Verdict::removed);
+    EXPECT_EQ(pool.judge(0, Outcome::error_response), Verdict::none) << "9 of 10 is not below 0.9";
+    EXPECT_EQ(pool.judge(0, Outcome::error_response), Verdict::removed);
     EXPECT_FALSE(pool.ejection.trial_due(pool.servers[0], kNow + OutlierEjection::kBackoff - 1));
     EXPECT_TRUE(pool.ejection.trial_due(pool.servers[0], kNow + OutlierEjection::kBackoff));
 }
@@ -144,19 +144,19 @@
 TEST(EjectionPart, WhatSaysNothingIsNotCountedAndLateCountsAsFailure) {
     Pool pool(8);
     for (int i = 0; i < 10; ++i) {
-        EXPECT_EQ(pool.judge(0, Outcome::recalled), Verdict::none);
-        EXPECT_EQ(pool.judge(0, Outcome::superseded), Verdict::none);
+        EXPECT_EQ(pool.judge(0, Outcome::cancelled), Verdict::none);
+        EXPECT_EQ(pool.judge(0, Outcome::not_sent), Verdict::none);
     }
     EXPECT_EQ(pool.servers[0].window.filled(), 0U);
-    pool.judge(0, Outcome::completed, true);
-    EXPECT_EQ(pool.judge(0, Outcome::completed, true), Verdict::removed);
+    pool.judge(0, Outcome::success, true);
+    EXPECT_EQ(pool.judge(0, Outcome::success, true), Verdict::removed);
 }
 
 TEST(EjectionPart, OneIsHeldAgainstTheOthers) {
     Pool pool(8);
     for (int i = 0; i < 20; ++i)
         for (std::size_t s = 0; s < 8; ++s)
-            EXPECT_EQ(pool.judge(s, i % 3 == 0 ? Outcome::errored : Outcome::completed), Verdict::none)
+            EXPECT_EQ(pool.judge(s, i % 3 == 0 ? Outcome::error_response : Outcome::success), Verdict::none)
                 << "all fail alike: nobody goes";
 }
 
@@ -164,29 +164,29 @@
 TEST(EjectionPart, OneThatCantBeConnectedToGoesWhateverItAnsweredBeforeAndWhoeverElseFails) {
     Pool pool(8);
     for (int i = 0; i < 20; ++i)
-        for (std::size_t s = 0; s < 8; ++s) pool.judge(s, Outcome::completed);
+        for (std::size_t s = 0; s < 8; ++s) pool.judge(s, Outcome::success);
     for (std::size_t s = 0; s < 4; ++s)
-        EXPECT_EQ(pool.judge(s, Outcome::refused_connection, false, s), Verdict::none)
+        EXPECT_EQ(pool.judge(s, Outcome::connect_failed, false, s), Verdict::none)
             << "the first alone is chance";
     for (std::size_t s = 0; s < 4; ++s)
-        EXPECT_EQ(pool.judge(s, Outcome::refused_connection, false, s), Verdict::removed) << s;
-    EXPECT_EQ(pool.judge(4, Outcome::refused_connection, false, 4), Verdict::none);
-    EXPECT_EQ(pool.judge(4, Outcome::refused_connection, false, 4), Verdict::none) << "half stays";
-    pool.judge(5, Outcome::refused_connection, false, 0);
-    pool.judge(5, Outcome::completed);
-    EXPECT_EQ(pool.judge(5, Outcome::refused_connection, false, 0), Verdict::none) << "it came up in between";
+        EXPECT_EQ(pool.judge(s, Outcome::connect_failed, false, s), Verdict::removed) << s;
+    EXPECT_EQ(pool.judge(4, Outcome::connect_failed, false, 4), Verdict::none);
+    EXPECT_EQ(pool.judge(4, Outcome::connect_failed, false, 4), Verdict::none) << "half stays";
+    pool.judge(5, Outcome::connect_failed, false, 0);
+    pool.judge(5, Outcome::success);
+    EXPECT_EQ(pool.judge(5, Outcome::connect_failed, false, 0), Verdict::none) << "it came up in between";
 }
 
 TEST(EjectionPart, HalfStaysAndThreeQuartersIfItIsForSlowness) {
     Pool errors(8), slow(8);
     for (int i = 0; i < 4; ++i) {
-        errors.judge(0, Outcome::errored, false, 4);
-        slow.judge(0, Outcome::overdue, false, 2);
+        errors.judge(0, Outcome::error_response, false, 4);
+        slow.judge(0, Outcome::timed_out, false, 2);
     }
-    EXPECT_EQ(errors.servers[0].standing, Standing::live);
-    EXPECT_EQ(errors.judge(0, Outcome::errored, false, 3), Verdict::removed);
-    EXPECT_EQ(slow.servers[0].standing, Standing::live);
-    EXPECT_EQ(slow.judge(0, Outcome::overdue, false, 1), Verdict::removed);
+    EXPECT_EQ(errors.servers[0].standing, EjectionState::healthy);
+    EXPECT_EQ(errors.judge(0, Outcome::error_response, false, 3), Verdict::removed);
+    EXPECT_EQ(slow.servers[0].standing, EjectionState::healthy);
+    EXPECT_EQ(slow.judge(0, Outcome::timed_out, false, 1), Verdict::removed);
 }
 
 TEST(EjectionPart, ATrialDecides) {
@@ -196,11 +196,11 @@
         OutlierEjection::trial_begins(s);
         return pool.ejection.judge(s, {outcome, true, false, 8, 1}, kNow);
     };
-    s.standing = Standing::removed;
-    EXPECT_EQ(trial(Outcome::recalled), Verdict::none);
-    EXPECT_EQ(s.standing, Standing::removed) << "undecided: the next is the trial";
-    EXPECT_EQ(trial(Outcome::errored), Verdict::removed_again);
-    EXPECT_EQ(trial(Outcome::completed), Verdict::restored);
+    s.standing = EjectionState::ejected;
+    EXPECT_EQ(trial(Outcome::cancelled), Verdict::none);
+    EXPECT_EQ(s.standing, EjectionState::ejected) << "undecided: the next is the trial";
+    EXPECT_EQ(trial(Outcome::error_response), Verdict::removed_again);
+    EXPECT_EQ(trial(Outcome::success), Verdict::restored);
     EXPECT_EQ(s.window.filled(), 0U);
 }
 
@@ -277,13 +277,13 @@
     ASSERT_EQ(fleet.aperture.pool().size(), 4U);
     Server* first = fleet.aperture.pool().front();
     EXPECT_EQ(first->info.id, 40U) << "the lowest rank";
-    first->standing = Standing::removed;
+    first->standing = EjectionState::ejected;
     fleet.aperture.set_out(first, true);
     fleet.aperture.draw(kNow, 0);
     EXPECT_EQ(fleet.aperture.pool().size(), 4U);
     EXPECT_EQ(fleet.aperture.pool().back()->info.id, 36U);
     EXPECT_EQ(fleet.aperture.out(), std::vector<Server*>{first});
-    first->standing = Standing::live;
+    first->standing = EjectionState::healthy;
     fleet.aperture.set_out(first, false);
     EXPECT_TRUE(fleet.aperture.out().empty());
 }
@@ -369,7 +369,7 @@
 TEST(AperturePart, ColdOnesComeOnTopAndThoseThatDrainNot) {
     Fleet fleet(1000, 40);
     fleet.servers[39].process.started_at = kNow - 1;
-    fleet.servers[38].info.phase = Phase::fading;
+    fleet.servers[38].info.state = EndpointState::draining;
     fleet.list();
     fleet.aperture.draw(kNow, 0);
     EXPECT_EQ(fleet.aperture.pool().size(), 5U);
--- a/tests/balancer/property_test.cpp
+++ b/tests/balancer/property_test.cpp
@@ -17,10 +17,10 @@
 constexpr int kCases = 200, kLeastSteps = 1, kMostSteps = 30000;
 
 Settings all_kinds(std::uint32_t siblings, bool parallel) {
-    Settings s = make_settings({make_class(Effect::repeatable), make_class(Effect::once),
-                                make_class(Effect::by_key, DedupScope::all, 700),
-                                make_class(Effect::by_key, DedupScope::zone, 700),
-                                make_class(Effect::by_key, DedupScope::cell, 700)});
+    Settings s = make_settings({make_class(Idempotency::idempotent), make_class(Idempotency::non_idempotent),
+                                make_class(Idempotency::idempotency_key, DedupScope::all, 700),
+                                make_class(Idempotency::idempotency_key, DedupScope::zone, 700),
+                                make_class(Idempotency::idempotency_key, DedupScope::cell, 700)});
     s.siblings = siblings;
     s.parallel_tries = parallel;
     s.tenants = {{10}, {1}};
@@ -38,19 +38,20 @@
             if (r.sent[i].out) out.emplace_back(id, i);
     if (out.empty()) return;
     const auto [id, attempt] = out[which % out.size()];
-    static const Outcome outcomes[] = {Outcome::completed, Outcome::completed,          Outcome::completed,
-                                       Outcome::errored,   Outcome::saturated,          Outcome::overdue,
-                                       Outcome::severed,   Outcome::refused_connection, Outcome::superseded};
-    rig.end_attempt(id, attempt, rig.closed(rig.requests.at(id)) ? Outcome::recalled : outcomes[how % 9]);
+    static const Outcome outcomes[] = {Outcome::success,          Outcome::success,        Outcome::success,
+                                       Outcome::error_response,   Outcome::rejected,       Outcome::timed_out,
+                                       Outcome::connection_reset, Outcome::connect_failed, Outcome::not_sent};
+    rig.end_attempt(id, attempt, rig.closed(rig.requests.at(id)) ? Outcome::cancelled : outcomes[how % 9]);
 }
 
 void tell(Rig& rig, std::uint16_t which, std::uint16_t how) {
-    static const Phase phases[] = {Phase::on, Phase::on, Phase::fading, Phase::off};
+    static const EndpointState states[] = {EndpointState::active, EndpointState::active,
+                                           EndpointState::draining, EndpointState::removed};
     const ServerId id = 1 + which % 12;
     const Millis since = how % 3 ? 0 : rig.now - how;
     if (how % 16 == 15) return rig.list(ListKind::failed, {});
-    if (how % 16 == 14) return rig.list(ListKind::full, make_servers(1 + which % 12, since));
-    rig.list(ListKind::incremental, {{id, id % 3, id % 2, id % 2, phases[how % 4], since}});
+    if (how % 16 == 14) return rig.list(ListKind::snapshot, make_servers(1 + which % 12, since));
+    rig.list(ListKind::incremental, {{id, id % 3, id % 2, id % 2, states[how % 4], since}});
 }
 
 void leave(Rig& rig, std::uint16_t which) {
@@ -98,7 +99,7 @@
         Rig rig(all_kinds(siblings, parallel), seed);
         Random random(seed);
         rig.give(Started{});
-        rig.list(ListKind::saved, make_servers(8));
+        rig.list(ListKind::cached, make_servers(8));
         for (int i = 0; i < steps; ++i) {
             const std::uint64_t draw = random.next();
             play(rig, Step{draw, draw >> 8, draw >> 24});
--- a/tests/balancer/quiet_test.cpp
+++ b/tests/balancer/quiet_test.cpp
@@ -16,7 +16,7 @@
         const RequestId id = rig.request(class_index);
         for (int attempt = 0; attempt < 4 && rig.out(id); ++attempt) {
             const Outcome outcome = outcome_of(rig.where(id));
-            served += outcome == Outcome::completed;
+            served += outcome == Outcome::success;
             rig.end(id, outcome, 20);
         }
         rig.pass(20);
@@ -24,14 +24,15 @@
     return served;
 }
 
-Outcome healthy(ServerId) { return Outcome::completed; }
-Outcome half_broken(ServerId server) { return server % 2 == 0 ? Outcome::errored : Outcome::completed; }
+Outcome healthy(ServerId) { return Outcome::success; }
+Outcome half_broken(ServerId server) { return server % 2 == 0 ? Outcome::error_response : Outcome::success; }
 Outcome half_unreachable(ServerId server) {
-    return server % 2 == 0 ? Outcome::refused_connection : Outcome::completed;
+    return server % 2 == 0 ? Outcome::connect_failed : Outcome::success;
 }
 
 std::vector<RequestClass> every_class() {
-    return {make_class(Effect::repeatable), make_class(Effect::by_key), make_class(Effect::once)};
+    return {make_class(Idempotency::idempotent), make_class(Idempotency::idempotency_key),
+            make_class(Idempotency::non_idempotent)};
 }
 
 TEST(AfterAQuietTime, HalfOfTheServersFailAndTheRestServe) {
@@ -40,7 +41,7 @@
             Settings settings = make_settings(every_class());
             settings.siblings = siblings;
             Rig rig(settings);
-            rig.list(ListKind::full, make_servers(10));
+            rig.list(ListKind::snapshot, make_servers(10));
             for (const Millis quiet : {kHour / 60, kHour, 48 * kHour}) {
                 served_of(rig, 200, 0, healthy);
                 rig.pass(quiet);
@@ -54,7 +55,7 @@
 // The list was out of reach for hours and most servers have been replaced when it comes back.
 TEST(AfterALongOutageOfTheList, WhatItSaysThenIsKeptToAtOnce) {
     Rig rig(make_settings(every_class()));
-    rig.list(ListKind::full, make_servers(10));
+    rig.list(ListKind::snapshot, make_servers(10));
     served_of(rig, 200, 0, healthy);
     for (int i = 0; i < 200; ++i) {
         rig.list(ListKind::failed, {});
@@ -63,9 +64,9 @@
     served_of(rig, 50, 0, half_unreachable);
     std::vector<ServerInfo> now = make_servers(4);
     for (ServerInfo& s : now) s.id += 100;
-    now[0].phase = Phase::fading;
-    now.push_back({1, 1, 0, 1, Phase::on, 0});
-    rig.list(ListKind::full, now);
+    now[0].state = EndpointState::draining;
+    now.push_back({1, 1, 0, 1, EndpointState::active, 0});
+    rig.list(ListKind::snapshot, now);
     EXPECT_GT(served_of(rig, 100, 0, healthy), 95);
     for (std::uint32_t kind = 0; kind < 3; ++kind) served_of(rig, 100, kind, half_broken);
     rig.settle();
--- a/tests/balancer/rig.hpp
+++ b/tests/balancer/rig.hpp
@@ -13,16 +13,17 @@
 
 namespace elmbay::balancer::test {
 
-inline RequestClass make_class(Effect effect, DedupScope scope = DedupScope::all, Millis window = 3000) {
+inline RequestClass make_class(Idempotency idempotency, DedupScope scope = DedupScope::all,
+                               Millis window = 3000) {
     RequestClass c;
-    c.effect = effect;
+    c.idempotency = idempotency;
     c.dedup_scope = scope;
     c.dedup_window = window;
     c.aim = 400;
     return c;
 }
 
-inline Settings make_settings(std::vector<RequestClass> classes = {make_class(Effect::repeatable)}) {
+inline Settings make_settings(std::vector<RequestClass> classes = {make_class(Idempotency::idempotent)}) {
     Settings s;
     s.classes = std::move(classes);
     s.max_attempts = 4;
@@ -33,7 +34,8 @@
 
 inline std::vector<ServerInfo> make_servers(ServerId count, Millis online_since = 0) {
     std::vector<ServerInfo> servers;
-    for (ServerId i = 1; i <= count; ++i) servers.push_back({i, i % 3, 0, i % 2, Phase::on, online_since});
+    for (ServerId i = 1; i <= count; ++i)
+        servers.push_back({i, i % 3, 0, i % 2, EndpointState::active, online_since});
     return servers;
 }
 
@@ -76,7 +78,7 @@
 
     void list(ListKind kind, const std::vector<ServerInfo>& infos) {
         if (kind != ListKind::incremental && kind != ListKind::failed)
-            for (auto& [id, s] : servers) s.phase = Phase::off;
+            for (auto& [id, s] : servers) s.state = EndpointState::removed;
         for (const ServerInfo& s : infos) servers[s.id] = s;
         give(ServerList{kind, infos});
     }
@@ -84,7 +86,7 @@
     RequestId request(std::uint32_t class_index = 0, Millis time_left = 1000, bool repeat = false,
                       bool session = false) {
         const RequestId id = next_id++;
-        RequestClass kind = make_class(Effect::once);
+        RequestClass kind = make_class(Idempotency::non_idempotent);
         if (class_index < settings.classes.size()) kind = settings.classes[class_index];
         requests[id] = {kind, now + time_left, {}, 0, false, false, session};
         give(RequestArrived{id, class_index, {}, time_left, 0, repeat, false, session});
@@ -103,7 +105,7 @@
     void serve(const std::vector<RequestId>& ids, Millis after) {
         now += after;
         for (const RequestId id : ids)
-            if (out(id)) end(id, Outcome::completed, 0);
+            if (out(id)) end(id, Outcome::success, 0);
     }
 
     // Ends the last attempt of a request that is out.
@@ -119,9 +121,9 @@
         Open& r = requests.at(id);
         Sent& s = r.sent.at(attempt);
         s.out = false;
-        s.may_have_run = outcome != Outcome::saturated && outcome != Outcome::refused_connection &&
-                         outcome != Outcome::superseded;
-        if (outcome == Outcome::completed && !closed(r)) {
+        s.may_have_run = outcome != Outcome::rejected && outcome != Outcome::connect_failed &&
+                         outcome != Outcome::not_sent;
+        if (outcome == Outcome::success && !closed(r)) {
             ++r.answers;
             if (r.session) sessions.insert(id);
         }
@@ -149,7 +151,7 @@
                     }
             now = std::max(now, next);
             if (late.first) {
-                end_attempt(late.first, late.second, Outcome::overdue);
+                end_attempt(late.first, late.second, Outcome::timed_out);
             } else if (!timers.empty() && timers.begin()->first <= now && now <= until) {
                 const TimerToken token = timers.begin()->second;
                 timers.erase(timers.begin());
@@ -182,8 +184,9 @@
             for (const Sent& s : r.sent)
                 if (s.may_have_run && !first) first = &s;
             if (first) {
-                EXPECT_TRUE(r.kind.effect == Effect::repeatable ||
-                            (r.kind.effect == Effect::by_key && r.kind.dedup_scope == DedupScope::all))
+                EXPECT_TRUE(r.kind.idempotency == Idempotency::idempotent ||
+                            (r.kind.idempotency == Idempotency::idempotency_key &&
+                             r.kind.dedup_scope == DedupScope::all))
                     << "rule 2: refused after a possible run";
             }
             r.refused = true;
@@ -204,7 +207,8 @@
         Open& r = requests.at(send.id);
         EXPECT_FALSE(closed(r)) << "rule 1: sent after the final answer";
         EXPECT_LT(r.sent.size(), settings.max_attempts) << "too many attempts";
-        EXPECT_EQ(servers.at(send.server).phase, Phase::on) << "rule 3: sent to a draining or gone server";
+        EXPECT_EQ(servers.at(send.server).state, EndpointState::active)
+            << "rule 3: sent to a draining or gone server";
         const ServerInfo& to = servers.at(send.server);
         const Sent* first = nullptr;
         for (const Sent& s : r.sent) {
@@ -213,8 +217,9 @@
             }
             if (!s.may_have_run) continue;
             if (!first) first = &s;
-            EXPECT_NE(r.kind.effect, Effect::once) << "rule 2: sent again after a possible run";
-            if (r.kind.effect != Effect::by_key) continue;
+            EXPECT_NE(r.kind.idempotency, Idempotency::non_idempotent)
+                << "rule 2: sent again after a possible run";
+            if (r.kind.idempotency != Idempotency::idempotency_key) continue;
             const ServerInfo& before = servers.at(s.server);
             if (r.kind.dedup_scope == DedupScope::zone) {
                 EXPECT_EQ(to.zone, before.zone) << "rule 2: zone";
@@ -223,7 +228,7 @@
                 EXPECT_EQ(to.cell, before.cell) << "rule 2: cell";
             }
         }
-        if (first && r.kind.effect == Effect::by_key) {
+        if (first && r.kind.idempotency == Idempotency::idempotency_key) {
             EXPECT_LT(now, first->at + r.kind.dedup_window) << "rule 2: after the window";
         }
         r.sent.push_back({send.server, now, send.try_until > 0 ? send.try_until : r.deadline, true, true});
--- a/tests/balancer/rules_test.cpp
+++ b/tests/balancer/rules_test.cpp
@@ -20,10 +20,10 @@
 };
 
 Settings mixed(bool parallel) {
-    Settings s = make_settings({make_class(Effect::repeatable), make_class(Effect::once),
-                                make_class(Effect::by_key, DedupScope::all, 700),
-                                make_class(Effect::by_key, DedupScope::zone, 700),
-                                make_class(Effect::by_key, DedupScope::cell, 700)});
+    Settings s = make_settings({make_class(Idempotency::idempotent), make_class(Idempotency::non_idempotent),
+                                make_class(Idempotency::idempotency_key, DedupScope::all, 700),
+                                make_class(Idempotency::idempotency_key, DedupScope::zone, 700),
+                                make_class(Idempotency::idempotency_key, DedupScope::cell, 700)});
     s.parallel_tries = parallel;
     return s;
 }
@@ -35,30 +35,31 @@
             if (r.sent[i].out) out.emplace_back(id, i);
     if (out.empty()) return;
     const auto [id, attempt] = out[dice.below(static_cast<std::uint32_t>(out.size()))];
-    static const Outcome outcomes[] = {Outcome::completed, Outcome::completed,          Outcome::completed,
-                                       Outcome::errored,   Outcome::saturated,          Outcome::overdue,
-                                       Outcome::severed,   Outcome::refused_connection, Outcome::superseded};
+    static const Outcome outcomes[] = {Outcome::success,          Outcome::success,        Outcome::success,
+                                       Outcome::error_response,   Outcome::rejected,       Outcome::timed_out,
+                                       Outcome::connection_reset, Outcome::connect_failed, Outcome::not_sent};
     const bool closed = rig.closed(rig.requests.at(id));
-    rig.end_attempt(id, attempt, closed ? Outcome::recalled : outcomes[dice.below(9)]);
+    rig.end_attempt(id, attempt, closed ? Outcome::cancelled : outcomes[dice.below(9)]);
 }
 
 void change_list(Rig& rig, Dice& dice) {
     const ServerId id = 1 + dice.below(10);
-    const Phase phases[] = {Phase::on, Phase::on, Phase::fading, Phase::off};
+    const EndpointState states[] = {EndpointState::active, EndpointState::active, EndpointState::draining,
+                                    EndpointState::removed};
     const Millis since = dice.below(2) ? rig.now - dice.below(5000) : 0;
     if (dice.below(5)) {
-        rig.list(ListKind::incremental, {{id, id % 3, 0, id % 2, phases[dice.below(4)], since}});
+        rig.list(ListKind::incremental, {{id, id % 3, 0, id % 2, states[dice.below(4)], since}});
     } else {
         std::vector<ServerInfo> infos;
         for (ServerId s = 1; s <= 10; ++s)
-            if (dice.below(3)) infos.push_back({s, s % 3, 0, s % 2, Phase::on, 0});
-        rig.list(dice.below(4) ? ListKind::full : ListKind::failed, infos);
+            if (dice.below(3)) infos.push_back({s, s % 3, 0, s % 2, EndpointState::active, 0});
+        rig.list(dice.below(4) ? ListKind::snapshot : ListKind::failed, infos);
     }
 }
 
 void random_life(Rig& rig, Dice& dice, int steps) {
     rig.give(Started{});
-    rig.list(ListKind::saved, make_servers(6));
+    rig.list(ListKind::cached, make_servers(6));
     for (int i = 0; i < steps; ++i) {
         const std::uint32_t what = dice.below(100);
         if (what < 45) {
@@ -99,7 +100,7 @@
         Rig rig(mixed(false), 5);
         Dice dice(5);
         std::string trace;
-        rig.list(ListKind::full, make_servers(6));
+        rig.list(ListKind::snapshot, make_servers(6));
         for (int i = 0; i < 500; ++i) {
             const RequestId id = rig.request(dice.below(5));
             trace += rig.out(id) ? std::to_string(rig.where(id)) + "," : "-,";
@@ -117,7 +118,8 @@
     ServerId fresh = 100;
     for (int round = 0; round < 60; ++round) {
         random_life(rig, dice, 300);
-        rig.list(ListKind::full, {{fresh, 0, 0, 0, Phase::on, 0}, {fresh + 1, 1, 0, 1, Phase::on, 0}});
+        rig.list(ListKind::snapshot, {{fresh, 0, 0, 0, EndpointState::active, 0},
+                                      {fresh + 1, 1, 0, 1, EndpointState::active, 0}});
         fresh += 2;
         rig.pass(10000);
     }
@@ -131,13 +133,13 @@
 
 Rig three(RequestClass kind, std::uint64_t seed = 1) {
     Rig rig(make_settings({kind}), seed);
-    rig.list(ListKind::full, make_servers(3));
+    rig.list(ListKind::snapshot, make_servers(3));
     return rig;
 }
 
 TEST(Rule2, OnceIsNeverSentAgainNorRefusedAfterAPossibleRun) {
-    for (const Outcome outcome : {Outcome::errored, Outcome::overdue, Outcome::severed}) {
-        Rig rig = three(make_class(Effect::once));
+    for (const Outcome outcome : {Outcome::error_response, Outcome::timed_out, Outcome::connection_reset}) {
+        Rig rig = three(make_class(Idempotency::non_idempotent));
         const RequestId id = rig.request();
         rig.end(id, outcome);
         EXPECT_EQ(rig.sends(id), 1U);
@@ -147,16 +149,16 @@
 }
 
 TEST(Rule2, UnknownClassIsTreatedAsOnce) {
-    Rig rig = three(make_class(Effect::repeatable));
+    Rig rig = three(make_class(Idempotency::idempotent));
     const RequestId id = rig.request(9);
-    rig.end(id, Outcome::errored);
+    rig.end(id, Outcome::error_response);
     EXPECT_EQ(rig.sends(id), 1U);
     EXPECT_FALSE(rig.requests.at(id).refused);
 }
 
 TEST(Rule2, RepeatableIsSentAgainAfterAnything) {
-    for (const Outcome outcome : {Outcome::errored, Outcome::severed, Outcome::saturated}) {
-        Rig rig = three(make_class(Effect::repeatable));
+    for (const Outcome outcome : {Outcome::error_response, Outcome::connection_reset, Outcome::rejected}) {
+        Rig rig = three(make_class(Idempotency::idempotent));
         const RequestId id = rig.request();
         rig.end(id, outcome);
         EXPECT_EQ(rig.sends(id), 2U);
@@ -164,28 +166,28 @@
 }
 
 TEST(Rule2, ByKeyStaysInItsZoneAndWindow) {
-    Rig rig(make_settings({make_class(Effect::by_key, DedupScope::zone, 300)}));
-    rig.list(ListKind::full, make_servers(9));
+    Rig rig(make_settings({make_class(Idempotency::idempotency_key, DedupScope::zone, 300)}));
+    rig.list(ListKind::snapshot, make_servers(9));
     for (int i = 0; i < 30; ++i) {
         const RequestId id = rig.request();
         const ServerId first = rig.where(id);
-        rig.end(id, i % 2 ? Outcome::errored : Outcome::severed, i % 3 ? 10 : 400);
+        rig.end(id, i % 2 ? Outcome::error_response : Outcome::connection_reset, i % 3 ? 10 : 400);
         if (i % 3) {
             EXPECT_EQ(rig.where(id) % 3, first % 3);
         } else {
             EXPECT_EQ(rig.sends(id), 1U) << "the window has passed";
         }
-        while (rig.out(id)) rig.end(id, Outcome::completed, 1);
+        while (rig.out(id)) rig.end(id, Outcome::success, 1);
     }
 }
 
 TEST(Rule2, ByKeyZoneIsNotRefusedAfterAPossibleRunButByKeyAllIs) {
     for (const DedupScope scope : {DedupScope::zone, DedupScope::all}) {
-        Rig rig(make_settings({make_class(Effect::by_key, scope)}));
-        rig.list(ListKind::full, make_servers(1));
+        Rig rig(make_settings({make_class(Idempotency::idempotency_key, scope)}));
+        rig.list(ListKind::snapshot, make_servers(1));
         const RequestId id = rig.request(0, 300);
-        rig.end(id, Outcome::errored, 10);
-        while (rig.out(id)) rig.end(id, Outcome::errored, 10);
+        rig.end(id, Outcome::error_response, 10);
+        while (rig.out(id)) rig.end(id, Outcome::error_response, 10);
         rig.settle();
         EXPECT_EQ(rig.requests.at(id).refused, scope == DedupScope::all);
     }
@@ -193,9 +195,9 @@
 
 // The driver may be held up between the word and the write; it is told how long the write is worth it.
 TEST(Rule2, ARepeatIsToBeWrittenWhileTheFirstIsRemembered) {
-    for (const Effect effect : {Effect::by_key, Effect::repeatable}) {
-        Rig rig(make_settings({make_class(effect, DedupScope::all, 300)}));
-        rig.list(ListKind::full, make_servers(3));
+    for (const Idempotency idempotency : {Idempotency::idempotency_key, Idempotency::idempotent}) {
+        Rig rig(make_settings({make_class(idempotency, DedupScope::all, 300)}));
+        rig.list(ListKind::snapshot, make_servers(3));
         const Millis first = rig.now;
         const RequestId id = rig.request();
         const auto write_by = [&rig] {
@@ -204,16 +206,16 @@
             return 0.0;
         };
         EXPECT_TRUE(std::isinf(write_by())) << "nothing came before it";
-        rig.end(id, Outcome::errored, 100);
+        rig.end(id, Outcome::error_response, 100);
         ASSERT_EQ(rig.sends(id), 2U);
-        EXPECT_EQ(std::isinf(write_by()), effect == Effect::repeatable);
-        if (effect == Effect::by_key) {
+        EXPECT_EQ(std::isinf(write_by()), idempotency == Idempotency::idempotent);
+        if (idempotency == Idempotency::idempotency_key) {
             EXPECT_LE(write_by(), first + 300 - 150) << "held up for 0.15 s before the write, it is in time";
             EXPECT_GT(write_by(), first + 300 - 200);
         }
         // It was not written in time, and nothing else may be either: the answer does not wait.
-        if (effect != Effect::by_key) continue;
-        rig.end(id, Outcome::superseded, 190);
+        if (idempotency != Idempotency::idempotency_key) continue;
+        rig.end(id, Outcome::not_sent, 190);
         EXPECT_EQ(rig.requests.at(id).answers, 1);
         EXPECT_FALSE(rig.requests.at(id).refused) << "the client's next one could run as well";
     }
@@ -222,28 +224,28 @@
 // A refusal says that the next try is harmless: also when it comes.
 TEST(Rule2, ByKeyIsNotRefusedSoLateThatTheNextTryMissesTheWindow) {
     for (const Millis after : {20.0, 200.0}) {
-        Rig rig(make_settings({make_class(Effect::by_key, DedupScope::all, 400)}));
-        rig.list(ListKind::full, make_servers(1));
+        Rig rig(make_settings({make_class(Idempotency::idempotency_key, DedupScope::all, 400)}));
+        rig.list(ListKind::snapshot, make_servers(1));
         const RequestId id = rig.request(0, 1000);
-        rig.end(id, Outcome::errored, after - 3);
-        for (int i = 0; i < 3; ++i) rig.end(id, Outcome::saturated, 1);  // no attempt is left
+        rig.end(id, Outcome::error_response, after - 3);
+        for (int i = 0; i < 3; ++i) rig.end(id, Outcome::rejected, 1);  // no attempt is left
         EXPECT_EQ(rig.requests.at(id).answers, 1);
         EXPECT_EQ(rig.requests.at(id).refused, after == 20) << after;
     }
 }
 
 TEST(Rule3, NothingIsSentToADrainingServer) {
-    Rig rig = three(make_class(Effect::repeatable));
-    rig.list(ListKind::incremental, {{1, 0, 0, 0, Phase::fading, 0}});
+    Rig rig = three(make_class(Idempotency::idempotent));
+    rig.list(ListKind::incremental, {{1, 0, 0, 0, EndpointState::draining, 0}});
     for (int i = 0; i < 50; ++i) {
         const RequestId id = rig.request();
         EXPECT_NE(rig.where(id), 1U);
-        rig.end(id, Outcome::completed);
+        rig.end(id, Outcome::success);
     }
 }
 
 TEST(Rule1, AHeldRequestIsAnsweredInTime) {
-    Rig rig(make_settings({make_class(Effect::once)}));
+    Rig rig(make_settings({make_class(Idempotency::non_idempotent)}));
     const RequestId id = rig.request(0, 50);
     EXPECT_EQ(rig.requests.at(id).answers, 0);
     rig.settle();
--- a/tests/balancer/server_age_test.cpp
+++ b/tests/balancer/server_age_test.cpp
@@ -53,14 +53,14 @@
         for (const Millis its : kSteps) {
             Ages a;
             a.wall_off = ours;
-            a.hear(ListKind::saved, old_ones(1, 4), kEver);
+            a.hear(ListKind::cached, old_ones(1, 4), kEver);
             a.now += kHour;
             a.hear(ListKind::incremental, {started(5, a.now - 300, its)});
             EXPECT_EQ(a.age(5), 0) << ours << " " << its;
             a.wall_off = -ours;  // stepped while it warms up
             a.now += 4 * kSecond;
             a.hear(ListKind::incremental, {started(5, a.now - 4300, its)});
-            a.hear(ListKind::full, {old(1), started(5, a.now - 4300, its)});
+            a.hear(ListKind::snapshot, {old(1), started(5, a.now - 4300, its)});
             EXPECT_EQ(a.age(5), 4 * kSecond) << ours << " " << its;
             EXPECT_EQ(a.age(1), kEver);
         }
@@ -72,14 +72,14 @@
         a.wall_off = ours;
         auto servers = old_ones(1, 3);
         servers.push_back(started(4, kNow - 2 * kSecond));
-        a.hear(ListKind::saved, servers, kEver);
+        a.hear(ListKind::cached, servers, kEver);
         EXPECT_LE(a.age(4), 2 * kSecond) << ours;
         EXPECT_GE(a.age(4), 0) << ours;
         EXPECT_EQ(a.age(1), kEver) << ours;
         // Also where the others' starts are told.
         Ages b;
         b.wall_off = ours;
-        b.hear(ListKind::saved,
+        b.hear(ListKind::cached,
                {started(1, kNow - 60 * kSecond), started(2, kNow - kHour), started(3, kNow - 2 * kHour),
                 started(4, kNow - 2 * kSecond)},
                kEver);
@@ -95,7 +95,7 @@
     Ages a;
     std::vector<ServerInfo> servers;  // one start every half second, the last one now
     for (ServerId id = 1; id <= 40; ++id) servers.push_back(started(id, kNow - 500.0 * (40 - id)));
-    a.hear(ListKind::saved, servers, kEver);
+    a.hear(ListKind::cached, servers, kEver);
     for (ServerId id = 1; id <= 40; ++id) EXPECT_NEAR(a.age(id), 500.0 * (40 - id), 1) << id;
 }
 
@@ -105,12 +105,12 @@
     Ages a;
     std::vector<ServerInfo> servers;
     for (ServerId id = 1; id <= 40; ++id) servers.push_back(started(id, kNow - kHour + id));
-    a.hear(ListKind::saved, servers, kEver);
+    a.hear(ListKind::cached, servers, kEver);
     int cold = 0;
     for (ServerId id = 1; id <= 40; ++id) cold += a.age(id) < 20 * kSecond;
     EXPECT_EQ(cold, 10);
     Ages alone;
-    alone.hear(ListKind::saved, {started(1, kNow - kHour)}, kEver);
+    alone.hear(ListKind::cached, {started(1, kNow - kHour)}, kEver);
     EXPECT_NEAR(alone.age(1), kHour, 1) << "nobody else could serve";
 }
 
@@ -119,20 +119,20 @@
     a.wall_off = -kHour;
     std::vector<ServerInfo> servers;
     for (ServerId id = 1; id <= 40; ++id) servers.push_back(started(id, kNow - 60.0 * kSecond * (41 - id)));
-    a.hear(ListKind::saved, servers, kEver);
+    a.hear(ListKind::cached, servers, kEver);
     for (ServerId id = 1; id <= 38; ++id) EXPECT_GE(a.age(id), 60 * kSecond) << id;
     EXPECT_EQ(a.age(40), 0);
     // One alone may be wrong itself.
     Ages b;
-    b.hear(ListKind::saved, {old(1), started(2, kNow - 3 * kSecond), started(3, kNow - 2 * kHour, 4 * kHour)},
-           kEver);
+    b.hear(ListKind::cached,
+           {old(1), started(2, kNow - 3 * kSecond), started(3, kNow - 2 * kHour, 4 * kHour)}, kEver);
     EXPECT_NEAR(b.age(2), 3 * kSecond, 1);
     EXPECT_EQ(b.age(3), 0) << "its start is in our future";
 }
 
 TEST(ServerAges, AStartThatGoesBackIsAnotherProcess) {
     Ages a;
-    a.hear(ListKind::saved, {old(1), old(2), started(3, kNow - kHour)}, kEver);
+    a.hear(ListKind::cached, {old(1), old(2), started(3, kNow - kHour)}, kEver);
     const auto before = a.process(3);
     a.now += kHour;
     const ServerInfo again = started(3, a.now, -3 * kHour);
@@ -142,11 +142,11 @@
     // A list that lags behind names the earlier one: what runs there is as young as before.
     const auto now = a.process(3);
     a.now += 2 * kSecond;
-    a.hear(ListKind::full, {old(1), old(2), started(3, kNow - kHour)});
+    a.hear(ListKind::snapshot, {old(1), old(2), started(3, kNow - kHour)});
     EXPECT_EQ(a.process(3), now);
     EXPECT_EQ(a.age(3), 2 * kSecond);
     a.now += 2 * kSecond;
-    a.hear(ListKind::full, {old(1), old(2), again});
+    a.hear(ListKind::snapshot, {old(1), old(2), again});
     EXPECT_EQ(a.process(3), now);
     EXPECT_EQ(a.age(3), 4 * kSecond);
     // One that says nothing of its start says nothing new.
@@ -156,8 +156,8 @@
 
 TEST(ServerAges, OneThatLeavesTheListAndIsBackIsTheSameProcess) {
     Ages a;
-    a.hear(ListKind::saved, {old(1), old(2), started(3, kNow - kHour), started(4, kNow - kHour - 1)}, kEver);
-    a.hear(ListKind::full, {old(1), old(2)});
+    a.hear(ListKind::cached, {old(1), old(2), started(3, kNow - kHour), started(4, kNow - kHour - 1)}, kEver);
+    a.hear(ListKind::snapshot, {old(1), old(2)});
     a.ages.departed(3);
     a.now += kHour;
     a.hear(ListKind::incremental, {started(3, kNow - kHour)});
@@ -167,11 +167,11 @@
 
 TEST(ServerAges, ThoseThatHaveLeftAreRememberedUpToABound) {
     Ages a;
-    a.hear(ListKind::saved, old_ones(1, 4), kEver);
+    a.hear(ListKind::cached, old_ones(1, 4), kEver);
     const auto come_and_go = [&](ServerId id) {
         a.hear(ListKind::incremental, {started(id, a.now)});
         ServerInfo off = started(id, a.now);
-        off.phase = Phase::off;
+        off.state = EndpointState::removed;
         a.hear(ListKind::incremental, {off});
         a.ages.departed(id);
     };
@@ -185,7 +185,7 @@
     const Millis outage = 60 * kSecond;
     for (const Millis ours : {0.0, -kHour, kHour}) {
         Ages a;
-        a.hear(ListKind::full, old_ones(1, 40), kEver);
+        a.hear(ListKind::snapshot, old_ones(1, 40), kEver);
         a.now += kHour;
         a.wall_off = ours;
         std::vector<ServerInfo> few;
@@ -195,7 +195,7 @@
         std::vector<ServerInfo> many;
         for (ServerId id = 101; id <= 140; ++id) many.push_back(started(id, a.now - 1000.0 * (id - 100)));
         a.now += outage;
-        a.hear(ListKind::full, many, outage);
+        a.hear(ListKind::snapshot, many, outage);
         for (ServerId id = 101; id <= 110; ++id) EXPECT_LE(a.age(id), a.now - kNow) << id;
         for (ServerId id = 101; id <= 140; ++id) EXPECT_LE(a.age(id), outage) << id;
         EXPECT_EQ(a.age(101), 0) << "the youngest has no witness";
@@ -210,7 +210,7 @@
     ServerInfo one;
     one.id = 1;
     one.online_since = kNow - 3000;
-    ages.hear({ListKind::full, {one, old(2)}}, kNow);
+    ages.hear({ListKind::snapshot, {one, old(2)}}, kNow);
     EXPECT_EQ(ages.process_of(1).started_at, kNow - 3000);
     EXPECT_EQ(ages.process_of(2).started_at, ServerAges::kLongAgo);
 }
@@ -236,7 +236,7 @@
                 kNow - (is_young ? *rc::gen::inRange(0, 20000) : *rc::gen::inRange(30000, 20 * 3600 * 1000));
             servers.push_back(started(id, starts[id], id == wrong ? its : 0));
         }
-        a.hear(ListKind::saved, servers, kEver);
+        a.hear(ListKind::cached, servers, kEver);
         for (ServerId id = 1; id <= count; ++id) {
             RC_ASSERT(a.age(id) >= 0);
             // Nothing but its own clock tells when one in a first list started.
--- a/tests/balancer/session_test.cpp
+++ b/tests/balancer/session_test.cpp
@@ -9,8 +9,8 @@
 constexpr std::uint32_t kListen = 0, kDeposit = 1, kAnnotate = 2;
 
 Settings with_sessions(std::uint32_t most = 100000, std::uint32_t at_one = UINT32_MAX) {
-    Settings s =
-        make_settings({make_class(Effect::repeatable), make_class(Effect::once), make_class(Effect::by_key)});
+    Settings s = make_settings({make_class(Idempotency::idempotent), make_class(Idempotency::non_idempotent),
+                                make_class(Idempotency::idempotency_key)});
     s.most_sessions = most;
     s.most_sessions_at_server = at_one;
     return s;
@@ -19,14 +19,14 @@
 struct Sessions : Rig {
     explicit Sessions(Settings s = with_sessions(), ServerId servers = 12) : Rig(std::move(s)) {
         give(Started{});
-        list(ListKind::full, make_servers(servers));
+        list(ListKind::snapshot, make_servers(servers));
     }
     RequestId upgrade(std::uint32_t class_index = kListen) { return request(class_index, 1000, false, true); }
     // One that stands; the server that holds it.
     RequestId session() {
         const RequestId id = upgrade();
         if (!out(id)) throw std::runtime_error("no server for session " + std::to_string(id));
-        end(id, Outcome::completed, 5);
+        end(id, Outcome::success, 5);
         ++held[where(id)];
         return id;
     }
@@ -46,7 +46,7 @@
 // Upgrades take a few ms, work takes long: a crowd is still a crowd.
 TEST(Session, QuickUpgradesDoNotTeachThatWorkIsQuick) {
     Sessions rig;
-    for (int i = 0; i < 40; ++i) rig.end(rig.request(), Outcome::completed, 390);
+    for (int i = 0; i < 40; ++i) rig.end(rig.request(), Outcome::success, 390);
     const Millis room = rig.balancer.knowledge(rig.now).crowd.value;
     ASSERT_GT(room, 0.9);
     for (int i = 0; i < 200; ++i) rig.session();
@@ -72,7 +72,7 @@
     for (const RequestId id : burst) ++work[rig.where(id)];
     EXPECT_EQ(work[1], work[2]);
     for (const RequestId id : burst)
-        if (rig.where(id) == 2) rig.end(id, Outcome::completed, 1);  // server 1 is still at work
+        if (rig.where(id) == 2) rig.end(id, Outcome::success, 1);  // server 1 is still at work
     for (int i = 0; i < 50; ++i) EXPECT_EQ(rig.where(rig.session()), 1U);
 }
 
@@ -89,13 +89,13 @@
     const RequestId first = rig.session(), second = rig.session(), upgrading = rig.upgrade();
     const RequestId fourth = rig.upgrade();
     EXPECT_TRUE(rig.requests.at(fourth).refused) << "an upgrade under way has its place";
-    rig.end(upgrading, Outcome::completed);
+    rig.end(upgrading, Outcome::success);
     rig.end_session(first);
     rig.end_session(first);  // ended twice: one place
     const RequestId fifth = rig.upgrade();
     EXPECT_TRUE(rig.out(fifth));
     EXPECT_TRUE(rig.requests.at(rig.upgrade()).refused);
-    rig.end(fifth, Outcome::errored);
+    rig.end(fifth, Outcome::error_response);
     rig.pass(2000);
     EXPECT_TRUE(rig.out(rig.upgrade())) << "one that failed holds nothing";
     rig.end_session(second);
@@ -105,7 +105,7 @@
 TEST(Session, OneServerHoldsNoMoreThanItsPart) {
     Sessions rig(with_sessions(1000, 10), 4);
     for (int i = 0; i < 20; ++i)  // what came to nothing holds nothing
-        for (const RequestId id = rig.upgrade(kDeposit); rig.out(id);) rig.end(id, Outcome::superseded, 1);
+        for (const RequestId id = rig.upgrade(kDeposit); rig.out(id);) rig.end(id, Outcome::not_sent, 1);
     for (int i = 0; i < 40; ++i) rig.session();
     for (const auto& [server, n] : rig.held) EXPECT_EQ(n, 10) << server;
     const RequestId more = rig.upgrade();
@@ -125,7 +125,7 @@
     Sessions rig;
     const RequestId listen = rig.upgrade(kListen), deposit = rig.upgrade(kDeposit),
                     annotate = rig.upgrade(kAnnotate);
-    for (const RequestId id : {listen, deposit, annotate}) rig.end(id, Outcome::severed);
+    for (const RequestId id : {listen, deposit, annotate}) rig.end(id, Outcome::connection_reset);
     EXPECT_EQ(rig.sends(listen), 2U);
     EXPECT_EQ(rig.sends(deposit), 1U);
     EXPECT_TRUE(rig.closed(rig.requests.at(deposit)));
@@ -133,7 +133,7 @@
     EXPECT_EQ(rig.sends(annotate), 2U);
     // Turned away, it never ran: any class goes on.
     const RequestId other = rig.upgrade(kDeposit);
-    rig.end(other, Outcome::saturated);
+    rig.end(other, Outcome::rejected);
     EXPECT_EQ(rig.sends(other), 2U);
 }
 
@@ -142,7 +142,7 @@
     const RequestId id = rig.upgrade();
     rig.requests.at(id).gone = true;
     rig.give(ClientGone{id});
-    rig.end(id, Outcome::completed);  // the upgrade and the cancel have crossed
+    rig.end(id, Outcome::success);  // the upgrade and the cancel have crossed
     EXPECT_EQ(rig.balancer.held().sessions, 0U);
     EXPECT_EQ(rig.balancer.held().requests, 0U);
 }
@@ -150,20 +150,20 @@
 TEST(Session, ADrainingServerGetsNoNewOne) {
     Sessions rig(with_sessions(), 2);
     for (int i = 0; i < 20; ++i) rig.session();
-    rig.list(ListKind::incremental, {{1, 1, 0, 1, Phase::fading, 0}});
+    rig.list(ListKind::incremental, {{1, 1, 0, 1, EndpointState::draining, 0}});
     for (int i = 0; i < 100; ++i) EXPECT_EQ(rig.where(rig.session()), 2U);
 }
 
 // Servers that have started anew hold none: only what the cold-start rule allows goes there.
 TEST(Session, AColdServerThatHoldsNoneIsNotRunOver) {
     Sessions rig;
-    for (int i = 0; i < 600; ++i) rig.end(rig.request(), Outcome::completed, 5);
+    for (int i = 0; i < 600; ++i) rig.end(rig.request(), Outcome::success, 5);
     std::vector<RequestId> broken;
     for (int i = 0; i < 600; ++i)
         if (const RequestId id = rig.session(); rig.where(id) == 3) broken.push_back(id);
     for (const RequestId id : broken) rig.end_session(id, true);
     const Millis boot = rig.now;
-    rig.list(ListKind::incremental, {{3, 0, 0, 1, Phase::on, boot}});
+    rig.list(ListKind::incremental, {{3, 0, 0, 1, EndpointState::active, boot}});
     int there = 0;
     for (int i = 0; i < 200; ++i) there += rig.where(rig.session()) == 3;
     EXPECT_LE(there, 200 / 12) << "a fifth of a warm server's part, rising, in a second";
@@ -187,7 +187,7 @@
 TEST(Session, AServerIsForgottenWithItsLastSession) {
     Sessions rig(with_sessions(), 1);
     const RequestId one = rig.session(), two = rig.session();
-    rig.list(ListKind::full, {});
+    rig.list(ListKind::snapshot, {});
     EXPECT_EQ(rig.balancer.held().servers, 1U);
     rig.end_session(one);
     EXPECT_EQ(rig.balancer.held().servers, 1U);
--- a/tests/endings_test.cpp
+++ b/tests/endings_test.cpp
@@ -64,7 +64,7 @@
     PoolRig rig(10);
     rig.send(0);
     rig.run_until_ended();
-    EXPECT_EQ(rig.ended, std::vector<Outcome>{Outcome::superseded});
+    EXPECT_EQ(rig.ended, std::vector<Outcome>{Outcome::not_sent});
     rig.ended.clear();
     rig.send();  // whatever connection came up for the first one serves the next
     while (rig.server.requests() == 0) ASSERT_GT(rig.io.run_one_for(std::chrono::seconds(60)), 0U);
@@ -77,7 +77,7 @@
     rig.server.reads = false;
     rig.send(1000, 64 << 20);
     rig.run_until_ended();
-    EXPECT_EQ(rig.ended, std::vector<Outcome>{Outcome::superseded});
+    EXPECT_EQ(rig.ended, std::vector<Outcome>{Outcome::not_sent});
     ASSERT_EQ(rig.server.peers.size(), 1U);
     rig.server.last().read();
     while (!rig.server.last().closed) ASSERT_GT(rig.io.run_one_for(std::chrono::seconds(60)), 0U);
@@ -95,7 +95,7 @@
     EXPECT_TRUE(rig.ended.empty());
     rig.server.last().respond("200 OK", "answer");
     rig.run_until_ended();
-    EXPECT_EQ(rig.ended, std::vector<Outcome>{Outcome::completed});
+    EXPECT_EQ(rig.ended, std::vector<Outcome>{Outcome::success});
 }
 
 // ---- Answers that end with their connection, or break off -------------------------------------------------
@@ -167,7 +167,7 @@
         ASSERT_GT(rig.io.run_one_for(std::chrono::seconds(60)), 0U);
     rig.server.last().respond("200 OK", "too early");
     rig.run_until_ended();
-    EXPECT_EQ(rig.ended, std::vector<Outcome>{Outcome::refused_connection});
+    EXPECT_EQ(rig.ended, std::vector<Outcome>{Outcome::connect_failed});
 }
 
 // ---- Long messages ----------------------------------------------------------------------------------------
@@ -300,7 +300,7 @@
     rig.server.reads = false;
     rig.send(std::numeric_limits<Millis>::infinity(), 8 << 20, 300);
     rig.run_until_ended();
-    EXPECT_EQ(rig.ended, std::vector<Outcome>{Outcome::overdue});
+    EXPECT_EQ(rig.ended, std::vector<Outcome>{Outcome::timed_out});
     rig.server.last().read();
     while (!rig.server.last().closed) ASSERT_GT(rig.io.run_one_for(std::chrono::seconds(60)), 0U);
     EXPECT_EQ(rig.server.last().why, asio::error::connection_reset);
@@ -593,7 +593,7 @@
     rig.run_until_ended();
     rig.io.poll();
     ASSERT_EQ(rig.ended.size(), 1U);
-    EXPECT_TRUE(rig.ended.front() == Outcome::completed || rig.ended.front() == Outcome::overdue);
+    EXPECT_TRUE(rig.ended.front() == Outcome::success || rig.ended.front() == Outcome::timed_out);
     EXPECT_EQ(rig.upstream.attempts_at(1), 0U);
 }
 
@@ -608,7 +608,7 @@
     rig.upstream.cancel({1, 0});
     rig.run_until_ended();
     rig.io.poll();
-    EXPECT_EQ(rig.ended, std::vector<Outcome>{Outcome::recalled});
+    EXPECT_EQ(rig.ended, std::vector<Outcome>{Outcome::cancelled});
     EXPECT_EQ(rig.upstream.attempts_at(1), 0U);
 }
 
@@ -626,7 +626,7 @@
     rig.run_until_ended();
     rig.io.poll();
     ASSERT_EQ(rig.ended.size(), 1U);
-    EXPECT_TRUE(rig.ended.front() == Outcome::refused_connection || rig.ended.front() == Outcome::superseded)
+    EXPECT_TRUE(rig.ended.front() == Outcome::connect_failed || rig.ended.front() == Outcome::not_sent)
         << "its last byte never went out";
     EXPECT_EQ(rig.upstream.attempts_at(1), 0U);
 }
--- a/tests/engine/engine_test.cpp
+++ b/tests/engine/engine_test.cpp
@@ -48,9 +48,9 @@
 Settings settings() {
     Settings s;
     RequestClass safe, once;
-    safe.effect = Effect::repeatable;
+    safe.idempotency = Idempotency::idempotent;
     safe.aim = once.aim = 400;
-    once.effect = Effect::once;
+    once.idempotency = Idempotency::non_idempotent;
     s.classes = {safe, once};
     s.max_attempts = 4;
     return s;
@@ -63,8 +63,8 @@
 
     void SetUp() override {
         engine.begin(now);
-        ServerList list{ListKind::full, {}};
-        for (ServerId id = 1; id <= 4; ++id) list.servers.push_back({id, 0, 0, 0, Phase::on, 0});
+        ServerList list{ListKind::snapshot, {}};
+        for (ServerId id = 1; id <= 4; ++id) list.servers.push_back({id, 0, 0, 0, EndpointState::active, 0});
         engine.listed(now, list);
     }
     void take(RequestId id, std::uint32_t class_index = 0, Millis left = 1000) {
@@ -91,12 +91,12 @@
     take(1);
     ASSERT_EQ(port.started.size(), 1U);
     EXPECT_EQ(engine.requests(), 1U);
-    end(0, Outcome::completed);
+    end(0, Outcome::success);
     ASSERT_EQ(port.outcomes[1].size(), 1U);
     EXPECT_EQ(port.outcomes[1][0].kind, Final::Kind::served);
     EXPECT_EQ(engine.requests(), 0U);
     EXPECT_EQ(port.forgotten.count(1), 1U);
-    end(0, Outcome::completed);  // told twice
+    end(0, Outcome::success);  // told twice
     pass(5000);
     EXPECT_EQ(port.outcomes[1].size(), 1U);
 }
@@ -109,7 +109,7 @@
     TestPort own;
     Engine sessions(one, 1, own);
     sessions.begin(now);
-    sessions.listed(now, {ListKind::full, {{1, 0, 0, 0, Phase::on, 0}}});
+    sessions.listed(now, {ListKind::snapshot, {{1, 0, 0, 0, EndpointState::active, 0}}});
     const auto upgrade = [&](RequestId id) {
         RequestArrived e;
         e.id = id, e.time_left = 1000, e.session = true;
@@ -117,7 +117,7 @@
     };
     upgrade(1);
     ASSERT_EQ(own.started.size(), 1U);
-    sessions.attempt_ended(now, own.started[0].key, Outcome::completed, 5);
+    sessions.attempt_ended(now, own.started[0].key, Outcome::success, 5);
     EXPECT_EQ(own.outcomes[1].at(0).kind, Final::Kind::served);
     EXPECT_EQ(own.forgotten.count(1), 1U);
     EXPECT_EQ(sessions.requests(), 0U);
@@ -135,7 +135,7 @@
     take(1);
     take(1);
     EXPECT_EQ(port.started.size(), 1U);
-    end(0, Outcome::completed);
+    end(0, Outcome::success);
     EXPECT_EQ(port.outcomes[1].size(), 1U);
 }
 
@@ -144,7 +144,7 @@
     engine.client_gone(now, 1);
     EXPECT_EQ(port.cancelled.size(), 1U);
     EXPECT_EQ(port.forgotten.count(1), 0U);  // its attempt is still out
-    end(0, Outcome::completed);
+    end(0, Outcome::success);
     EXPECT_TRUE(port.outcomes[1].empty());
     EXPECT_EQ(port.forgotten.count(1), 1U);
     engine.client_gone(now, 1);
@@ -153,7 +153,7 @@
 
 TEST_F(EngineTest, TimeOutsAreToldApartFromOtherFailures) {
     take(1, 1);
-    end(0, Outcome::errored);
+    end(0, Outcome::error_response);
     ASSERT_EQ(port.outcomes[1].size(), 1U);
     EXPECT_EQ(port.outcomes[1][0].kind, Final::Kind::failed);
     EXPECT_FALSE(port.outcomes[1][0].timed_out);
@@ -162,12 +162,12 @@
     ASSERT_EQ(port.outcomes[2].size(), 1U);
     EXPECT_TRUE(port.outcomes[2][0].timed_out);
     EXPECT_EQ(engine.requests(), 1U);  // until its attempt has ended
-    end(1, Outcome::recalled);
+    end(1, Outcome::cancelled);
     EXPECT_EQ(engine.requests(), 0U);
 }
 
 TEST_F(EngineTest, WhatACancelBringsAboutComesAfterTheOtherActions) {
-    port.on_cancel = [this](AttemptKey key) { engine.attempt_ended(now, key, Outcome::recalled, 10); };
+    port.on_cancel = [this](AttemptKey key) { engine.attempt_ended(now, key, Outcome::cancelled, 10); };
     take(1, 1);
     pass(1000);  // cancels, then gives up: the outcome must be there, once
     ASSERT_EQ(port.outcomes[1].size(), 1U);
@@ -180,7 +180,7 @@
         if (id < 5) take(id + 1);
     };
     take(1);
-    for (std::size_t i = 0; i < 5; ++i) end(i, Outcome::completed);
+    for (std::size_t i = 0; i < 5; ++i) end(i, Outcome::success);
     for (RequestId id = 1; id <= 5; ++id) EXPECT_EQ(port.outcomes[id].size(), 1U) << id;
     EXPECT_EQ(engine.requests(), 0U);
 }
@@ -192,7 +192,7 @@
     port.on_cancel = {};
     take(2);
     ASSERT_EQ(port.started.size(), 2U);
-    end(1, Outcome::completed);
+    end(1, Outcome::success);
     EXPECT_EQ(port.outcomes[2].size(), 1U);
 }
 
@@ -231,10 +231,10 @@
         }
     }
     for (std::size_t i = 0; i < port.started.size(); ++i)
-        if (ended.insert(i).second) end(i, Outcome::severed);
+        if (ended.insert(i).second) end(i, Outcome::connection_reset);
     pass(10000);
     for (std::size_t i = 0; i < port.started.size(); ++i)
-        if (ended.insert(i).second) end(i, Outcome::severed);
+        if (ended.insert(i).second) end(i, Outcome::connection_reset);
     for (RequestId id = 1; id <= last; ++id) {
         EXPECT_EQ(port.outcomes[id].size(), gone.contains(id) ? 0U : 1U) << id;
         EXPECT_EQ(port.forgotten.count(id), 1U) << id;
--- a/tests/example.cpp
+++ b/tests/example.cpp
@@ -9,14 +9,14 @@
 int main() {
     Settings settings;
     RequestClass read;
-    read.effect = Effect::repeatable;
+    read.idempotency = Idempotency::idempotent;
     read.aim = 200;
     settings.classes = {read};
     Balancer balancer(settings, /*seed=*/42);
 
     std::vector<Action> actions;
     balancer.handle(1000, Started{}, actions);
-    balancer.handle(1000, ServerList{ListKind::full, {{/*id=*/1}, {/*id=*/2}}}, actions);
+    balancer.handle(1000, ServerList{ListKind::snapshot, {{/*id=*/1}, {/*id=*/2}}}, actions);
     balancer.handle(1010, RequestArrived{/*id=*/7, /*class_index=*/0, /*tenant=*/{}, /*time_left=*/500},
                     actions);
 
@@ -26,8 +26,8 @@
         if (const auto* send = std::get_if<Send>(&action)) {
             std::cout << "send request " << send->id << " to server " << send->server << '\n';
             AttemptEnded ended{send->id, attempt++};
-            ended.outcome = attempt == 1 ? Outcome::refused_connection : Outcome::completed;
-            ended.request_ended = ended.outcome == Outcome::completed;
+            ended.outcome = attempt == 1 ? Outcome::connect_failed : Outcome::success;
+            ended.request_ended = ended.outcome == Outcome::success;
             balancer.handle(1010 + 20 * attempt, ended, actions);
         } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
             std::cout << "timer at " << timer->at << '\n';  // hand TimerFired{timer->token} back then
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -519,7 +519,7 @@
     rig.send();
     rig.tell(false);
     rig.run_until_ended();
-    EXPECT_EQ(rig.ended, std::vector<Outcome>{Outcome::superseded});
+    EXPECT_EQ(rig.ended, std::vector<Outcome>{Outcome::not_sent});
     while (rig.server.peers.empty() || !rig.server.last().closed)
         ASSERT_GT(rig.io.run_one_for(std::chrono::seconds(60)), 0U);
     EXPECT_EQ(rig.server.last().got, "");
@@ -529,7 +529,7 @@
     PoolRig rig(0);
     rig.send();
     rig.run_until_ended();
-    EXPECT_EQ(rig.ended, std::vector<Outcome>{Outcome::superseded});
+    EXPECT_EQ(rig.ended, std::vector<Outcome>{Outcome::not_sent});
 }
 
 TEST(Discovery, BrokenDataLeavesTheOldListAndIsAskedForAgain) {
--- a/tests/rehearsal/incident_test.cpp
+++ b/tests/rehearsal/incident_test.cpp
@@ -24,7 +24,7 @@
 TEST(Incident, AnEmptyFileIsOneThatRuns) {
     const Incident incident = parse_incident("", "f.toml");
     EXPECT_EQ(incident.classes.size(), 3U);
-    EXPECT_EQ(incident.classes[1].kind(), balancer::Effect::once);
+    EXPECT_EQ(incident.classes[1].kind(), balancer::Idempotency::non_idempotent);
 }
 
 TEST(Incident, AllBundledOnesAreSound) {
@@ -108,9 +108,9 @@
         "f");
     const auto list = notices(incident, timeline(incident));
     ASSERT_EQ(list.size(), 2U);
-    EXPECT_EQ(list[0].phase, balancer::Phase::off);
+    EXPECT_EQ(list[0].state, balancer::EndpointState::removed);
     EXPECT_DOUBLE_EQ(list[0].at, 11100);
-    EXPECT_EQ(list[1].phase, balancer::Phase::on);
+    EXPECT_EQ(list[1].state, balancer::EndpointState::active);
     EXPECT_GE(list[1].at, list[0].at);
     EXPECT_DOUBLE_EQ(list[1].online_since, 4000);
 }
--- a/tests/rehearsal/judge_test.cpp
+++ b/tests/rehearsal/judge_test.cpp
@@ -159,14 +159,14 @@
     Court c;
     const TryId id = c.ask(0);
     const std::uint32_t sidecar = c.callers.ask(request_of(id)).sidecar;
-    c.judge.told(1000, sidecar, 1, balancer::Phase::fading, 0);
-    c.judge.told(1400, sidecar, 1, balancer::Phase::off, 0);  // the first word counts
+    c.judge.told(1000, sidecar, 1, balancer::EndpointState::draining, 0);
+    c.judge.told(1400, sidecar, 1, balancer::EndpointState::removed, 0);  // the first word counts
     c.judge.over(1500, id, c.send(id, 1499));
     EXPECT_TRUE(c.judge.kept());
     const TryId other = c.ask(0, 1500);
     c.judge.sent(1501, other, 1, sidecar);
     EXPECT_EQ(c.broken(Rule::drains_kept), 1U);
-    c.judge.told(1600, sidecar, 1, balancer::Phase::on, 1550);  // back
+    c.judge.told(1600, sidecar, 1, balancer::EndpointState::active, 1550);  // back
     c.judge.sent(3000, c.ask(0, 2999), 1, sidecar);
     EXPECT_EQ(c.broken(Rule::drains_kept), 1U);
 }
@@ -176,7 +176,8 @@
         Court c;
         const TryId id = c.ask(0);
         if (knew)
-            for (std::uint32_t s = 0; s < 4; ++s) c.judge.told(100, s, 1, balancer::Phase::on, 50);
+            for (std::uint32_t s = 0; s < 4; ++s)
+                c.judge.told(100, s, 1, balancer::EndpointState::active, 50);
         // It does 0.8 ms a ms: in a second 2.5 times that is 2,000 ms or 25 requests of 80 ms, and 3 x 5 + 3
         // more of them for chance: 3,440 ms.
         const ServerLoad load{100, 0.8, 50, true};
--- a/tests/rehearsal/virtual_test.cpp
+++ b/tests/rehearsal/virtual_test.cpp
@@ -116,7 +116,8 @@
     const Callers callers(incident);
     for (RequestNumber r = 0; r < 200; ++r) {
         const Try t = callers.first(r);
-        const bool unsafe = incident.classes[callers.ask(r).class_index].kind() == balancer::Effect::once;
+        const bool unsafe =
+            incident.classes[callers.ask(r).class_index].kind() == balancer::Idempotency::non_idempotent;
         EXPECT_EQ(callers.next(t.at + 10, t, Answer::failed, 0).has_value(), !unsafe);
         EXPECT_TRUE(callers.next(t.at + 10, t, Answer::refused, 0).has_value());
         EXPECT_FALSE(callers.next(t.at + 10, t, Answer::served, 0).has_value());
--- a/tests/sidecar/endpoint_registry_test.cpp
+++ b/tests/sidecar/endpoint_registry_test.cpp
@@ -8,8 +8,8 @@
 namespace elmbay {
 namespace {
 
+using balancer::EndpointState;
 using balancer::ListKind;
-using balancer::Phase;
 using balancer::ServerId;
 
 constexpr std::size_t kFleet = 3200;
@@ -21,13 +21,13 @@
     return {boost::asio::ip::address_v4(host), 8080};
 }
 
-Target target(std::size_t index, Phase phase = Phase::on, Millis online_since = 0) {
+Target target(std::size_t index, EndpointState state = EndpointState::active, Millis online_since = 0) {
     Target t;
     t.uid = "s-" + std::to_string(index);
     t.endpoint = address(index);
     t.zone = "a";
     t.kind = "m";
-    t.phase = phase;
+    t.state = state;
     t.online_since = online_since;
     return t;
 }
@@ -43,14 +43,14 @@
 
 TEST(EndpointRegistry, AnIncrementalListCostsWhatItChanges) {
     EndpointRegistry registry;
-    registry.apply(ListKind::full, fleet(kFleet));
+    registry.apply(ListKind::snapshot, fleet(kFleet));
     registry.forget_withdrawn(nothing_out);
     ASSERT_EQ(registry.listed(), kFleet);
 
-    Target successor = target(9000, Phase::on, 5);
+    Target successor = target(9000, EndpointState::active, 5);
     successor.endpoint = address(7);
-    for (const Target& change :
-         {target(3199, Phase::fading), target(3199, Phase::off), target(9001), successor}) {
+    for (const Target& change : {target(3199, EndpointState::draining), target(3199, EndpointState::removed),
+                                 target(9001), successor}) {
         const std::uint64_t before = registry.visited();
         registry.apply(ListKind::incremental, {change});
         registry.forget_withdrawn(nothing_out);
@@ -61,22 +61,22 @@
 
 TEST(EndpointRegistry, AWholeListCostsItsLength) {
     EndpointRegistry registry;
-    registry.apply(ListKind::full, fleet(kFleet));
+    registry.apply(ListKind::snapshot, fleet(kFleet));
     const std::uint64_t before = registry.visited();
-    registry.apply(ListKind::full, fleet(kFleet));
+    registry.apply(ListKind::snapshot, fleet(kFleet));
     EXPECT_LE(registry.visited() - before, kMostVisitsOfAChange * kFleet);
 }
 
 TEST(EndpointRegistry, OfTwoAtOneAddressTheOneWhoseProcessWasToldLastHasIt) {
     EndpointRegistry registry;
-    registry.apply(ListKind::full, {target(1, Phase::on, 100)});
-    Target second = target(2, Phase::on, 200), third = target(3, Phase::on, 50);
+    registry.apply(ListKind::snapshot, {target(1, EndpointState::active, 100)});
+    Target second = target(2, EndpointState::active, 200), third = target(3, EndpointState::active, 50);
     second.endpoint = third.endpoint = address(1);
 
     const auto displaced = registry.apply(ListKind::incremental, {second});
     ASSERT_EQ(displaced.changes.size(), 2U);
     EXPECT_EQ(displaced.changes[0].info.id, 1U);
-    EXPECT_EQ(displaced.changes[0].info.phase, Phase::off);
+    EXPECT_EQ(displaced.changes[0].info.state, EndpointState::removed);
     EXPECT_FALSE(displaced.changes[0].may_send);
     EXPECT_EQ(displaced.changes[1].info.id, 2U);
     EXPECT_TRUE(displaced.changes[1].may_send);
@@ -93,17 +93,17 @@
     // Another word about a process that was told before does not make it the last one.
     const auto refused = registry.apply(ListKind::incremental, {second});
     ASSERT_EQ(refused.changes.size(), 1U);
-    EXPECT_EQ(refused.changes[0].info.phase, Phase::off);
+    EXPECT_EQ(refused.changes[0].info.state, EndpointState::removed);
     EXPECT_FALSE(refused.changes[0].may_send);
     EXPECT_TRUE(registry.find(3)->listed);
 }
 
 TEST(EndpointRegistry, OfTwoAtOneAddressInOneListTheOneThatStartedLastHasIt) {
-    Target earlier = target(1, Phase::on, 100), later = target(2, Phase::on, 200);
+    Target earlier = target(1, EndpointState::active, 100), later = target(2, EndpointState::active, 200);
     later.endpoint = earlier.endpoint = address(1);
     for (const auto& list : {std::vector<Target>{earlier, later}, std::vector<Target>{later, earlier}}) {
         EndpointRegistry registry;
-        registry.apply(ListKind::full, list);
+        registry.apply(ListKind::snapshot, list);
         EXPECT_EQ(registry.listed(), 1U);
         EXPECT_TRUE(registry.entries().at(later.uid).listed);
     }
@@ -111,7 +111,7 @@
 
 TEST(EndpointRegistry, AServerThatMovesLeavesItsAddress) {
     EndpointRegistry registry;
-    registry.apply(ListKind::full, {target(1)});
+    registry.apply(ListKind::snapshot, {target(1)});
     Target moved = target(1);
     moved.endpoint = address(2);
     registry.apply(ListKind::incremental, {moved});
@@ -128,9 +128,9 @@
 TEST(EndpointRegistry, NumbersThatWereReservedAreThoseOfTheServersThatAreNamedLater) {
     EndpointRegistry registry;
     const ServerId first = registry.reserve("s-1"), second = registry.reserve("s-2");
-    registry.apply(ListKind::saved, {target(1)});
+    registry.apply(ListKind::cached, {target(1)});
     EXPECT_TRUE(registry.find(first)->listed);
-    registry.apply(ListKind::full, {target(1)});
+    registry.apply(ListKind::snapshot, {target(1)});
     registry.apply(ListKind::incremental, {target(2)});
     ASSERT_NE(registry.find(second), nullptr);
     EXPECT_TRUE(registry.find(second)->listed);
@@ -139,9 +139,9 @@
 
 TEST(EndpointRegistry, AServerThatLeftAndIsNamedAgainHasItsNumber) {
     EndpointRegistry registry;
-    registry.apply(ListKind::full, {target(1), target(2)});
+    registry.apply(ListKind::snapshot, {target(1), target(2)});
     const ServerId before = registry.entries().at(target(1).uid).info.id;
-    registry.apply(ListKind::incremental, {target(1, Phase::off)});
+    registry.apply(ListKind::incremental, {target(1, EndpointState::removed)});
     registry.forget_withdrawn([](ServerId) { return true; });
     EXPECT_EQ(registry.find(before), nullptr);
     registry.apply(ListKind::incremental, {target(1)});
@@ -151,8 +151,8 @@
 
 TEST(EndpointRegistry, ANewServerTakesThePlaceOfOneThatLeftWithAttemptsOut) {
     EndpointRegistry registry;
-    registry.apply(ListKind::full, fleet(EndpointRegistry::kMostListed));
-    registry.apply(ListKind::incremental, {target(0, Phase::off)});
+    registry.apply(ListKind::snapshot, fleet(EndpointRegistry::kMostListed));
+    registry.apply(ListKind::incremental, {target(0, EndpointState::removed)});
     registry.forget_withdrawn(all_out);
     const auto update = registry.apply(ListKind::incremental, {target(9000)});
     EXPECT_EQ(update.passed_over, 0U);
@@ -162,8 +162,8 @@
 TEST(EndpointRegistry, AWholeListMayReplaceEveryServerWhileAttemptsAreOut) {
     EndpointRegistry registry;
     constexpr std::size_t kMost = EndpointRegistry::kMostListed;
-    registry.apply(ListKind::full, fleet(kMost));
-    const auto update = registry.apply(ListKind::full, fleet(kMost, 10000));
+    registry.apply(ListKind::snapshot, fleet(kMost));
+    const auto update = registry.apply(ListKind::snapshot, fleet(kMost, 10000));
     EXPECT_EQ(update.passed_over, 0U);
     EXPECT_EQ(update.withdrawn.size(), kMost);
     registry.forget_withdrawn(all_out);
@@ -177,11 +177,11 @@
 TEST(EndpointRegistry, WhatItHoldsIsBoundedAndWhatIsBeyondIsCounted) {
     EndpointRegistry registry;
     constexpr std::size_t kMost = EndpointRegistry::kMostListed;
-    EXPECT_EQ(registry.apply(ListKind::full, fleet(kMost + 5)).passed_over, 5U);
+    EXPECT_EQ(registry.apply(ListKind::snapshot, fleet(kMost + 5)).passed_over, 5U);
     EXPECT_EQ(registry.listed(), kMost);
     // Servers that never get anything back to them stay for ever: they must not add up either.
     for (std::size_t round = 1; round < 6; ++round) {
-        registry.apply(ListKind::full, fleet(kMost, round * 10000));
+        registry.apply(ListKind::snapshot, fleet(kMost, round * 10000));
         registry.forget_withdrawn(all_out);
     }
     EXPECT_EQ(registry.entries().size(), EndpointRegistry::kMostEntries);
@@ -189,7 +189,7 @@
     EndpointRegistry fresh;
     Target long_name = target(1);
     long_name.uid.assign(EndpointRegistry::kMostUid + 1, 'x');
-    EXPECT_EQ(fresh.apply(ListKind::full, {long_name, target(2)}).passed_over, 1U);
+    EXPECT_EQ(fresh.apply(ListKind::snapshot, {long_name, target(2)}).passed_over, 1U);
     EXPECT_EQ(fresh.listed(), 1U);
 }
 
--- a/tests/sidecar/listing_test.cpp
+++ b/tests/sidecar/listing_test.cpp
@@ -31,7 +31,7 @@
     ASSERT_EQ(list.targets.size(), 1U);
     const Target& t = list.targets[0];
     EXPECT_EQ(t.uid, "s-2") << "of a key that comes twice the last counts";
-    EXPECT_EQ(t.phase, balancer::Phase::fading);
+    EXPECT_EQ(t.state, balancer::EndpointState::draining);
     EXPECT_EQ(t.zone, "a");
     EXPECT_EQ(t.kind, "m");
     EXPECT_EQ(t.cell, 3U);
--- a/tests/simulator/wire_test.cpp
+++ b/tests/simulator/wire_test.cpp
@@ -135,7 +135,7 @@
 TEST(Codec, SettingsArriveWhole) {
     const Site site = read_site(Message(std::string_view(start_line).substr(0, start_line.size() - 1), 1));
     EXPECT_EQ(site.settings.classes.size(), 2U);
-    EXPECT_EQ(site.settings.classes[1].effect, Effect::once);
+    EXPECT_EQ(site.settings.classes[1].idempotency, Idempotency::non_idempotent);
     EXPECT_EQ(site.settings.classes[0].aim, 400);
     EXPECT_EQ(site.settings.my_zone, ZoneId{1});
     EXPECT_EQ(site.settings.cold_from, 0.16);
--- a/tests/standing_terms_test.cpp
+++ b/tests/standing_terms_test.cpp
@@ -79,7 +79,7 @@
     rig.run_until_ended();
     rig.io.poll();
     ASSERT_EQ(rig.ended.size(), 1U);
-    EXPECT_TRUE(rig.ended.front() == Outcome::superseded || rig.ended.front() == Outcome::refused_connection)
+    EXPECT_TRUE(rig.ended.front() == Outcome::not_sent || rig.ended.front() == Outcome::connect_failed)
         << "it never ran";
     EXPECT_EQ(rig.server.requests(), 0U);
 }
@@ -282,7 +282,7 @@
     pool.list_unread = false;
     pool.caller_gone = true;
     while (pool.ended.empty()) ASSERT_GT(pool.io.run_one_for(kLimit), 0U);
-    EXPECT_EQ(pool.ended, std::vector<Outcome>{Outcome::superseded});
+    EXPECT_EQ(pool.ended, std::vector<Outcome>{Outcome::not_sent});
     pool.io.poll();
     EXPECT_EQ(pool.server.requests(), 0U);
 }
--- a/tests/websocket/fuzz.cpp
+++ b/tests/websocket/fuzz.cpp
@@ -42,7 +42,7 @@
     }
     if (const auto head = test::parsed_answer(text)) {
         const ServerAnswer got = read_answer(*head, {"a", "b"});
-        const bool stands = got.outcome == elmbay::balancer::Outcome::completed;
+        const bool stands = got.outcome == elmbay::balancer::Outcome::success;
         if (stands && head->result_int() != 101) std::abort();
         if (!got.subprotocol.empty() && (!stands || (got.subprotocol != "a" && got.subprotocol != "b")))
             std::abort();
--- a/tests/websocket/heads.hpp
+++ b/tests/websocket/heads.hpp
@@ -9,12 +9,13 @@
 namespace elmbay::websocket::test {
 
 inline balancer::Site site() {
-    using balancer::Effect;
+    using balancer::Idempotency;
     balancer::Site site;
-    for (const auto& [name, effect] :
-         {std::pair{"safe", Effect::repeatable}, {"unsafe", Effect::once}, {"keyed", Effect::by_key}}) {
+    for (const auto& [name, idempotency] : {std::pair{"safe", Idempotency::idempotent},
+                                            {"unsafe", Idempotency::non_idempotent},
+                                            {"keyed", Idempotency::idempotency_key}}) {
         balancer::RequestClass c;
-        c.effect = effect;
+        c.idempotency = idempotency;
         site.settings.classes.push_back(c);
         site.classes.emplace_back(name);
         site.give_up.push_back(1000);
