--- a/bench/balancer_cost.cpp
+++ b/bench/balancer_cost.cpp
@@ -53,10 +53,10 @@
         actions.clear();
         balancer.handle(now, event, actions);
         for (const Action& a : actions) {
-            if (const auto* send = std::get_if<Send>(&a)) open.push_back({send->id, now});
+            if (const auto* send = std::get_if<StartAttempt>(&a)) open.push_back({send->id, now});
             if (const auto* t = std::get_if<SetTimer>(&a))
                 (t->at - now < kLeft / 2 ? holds : deadlines).push_back(*t);
-            refused += std::holds_alternative<Refuse>(a);
+            refused += std::holds_alternative<Reject>(a);
         }
     };
     give(Started{});
--- a/bench/state_cost.cpp
+++ b/bench/state_cost.cpp
@@ -49,7 +49,7 @@
         const auto fails = [&] { return random() % 100 == 0; };
         for (std::uint32_t attempt = 0; attempt < 3; ++attempt) {
             bool sent = false;
-            for (const Action& a : actions) sent = sent || std::holds_alternative<Send>(a);
+            for (const Action& a : actions) sent = sent || std::holds_alternative<StartAttempt>(a);
             if (!sent) break;
             actions.clear();
             const bool failed = fails();
--- a/include/elmbay/balancer.hpp
+++ b/include/elmbay/balancer.hpp
@@ -139,7 +139,7 @@
     Millis duration = 0;
     bool request_ended = false;  // the client has its final answer, by this outcome or before
 };
-struct ClientGone {
+struct ClientDisconnected {
     RequestId id = 0;
 };
 // A session is over; of one that is not held it has no effect. broken: by its server, or on the way there,
@@ -157,12 +157,12 @@
     std::uint32_t count = 0;
 };
 using Event = std::variant<Started, Remembered, ServerList, RequestArrived, FirstByte, AttemptEnded,
-                           ClientGone, SessionEnded, TimerFired, SiblingsKnown>;
+                           ClientDisconnected, SessionEnded, TimerFired, SiblingsKnown>;
 
 // ---- Actions --------------------------------------------------------------------------------------------
 // A caller must be able to carry out all of them.
 
-struct Send {
+struct StartAttempt {
     RequestId id = 0;
     ServerId server = 0;
     Millis try_until = 0;  // the caller ends the attempt as overdue at this time
@@ -174,11 +174,11 @@
     RequestId id = 0;
     std::uint32_t attempt = 0;
 };
-struct Refuse {  // final: trying again is harmless
+struct Reject {  // final: trying again is harmless
     RequestId id = 0;
     Millis retry_in = 0;  // 0: no advice
 };
-struct GiveUp {  // final: failed, promises nothing
+struct Fail {  // final: failed, promises nothing
     RequestId id = 0;
 };
 struct SetTimer {
@@ -192,7 +192,7 @@
     std::string text{};
     std::optional<ServerId> server{};  // whom it is about
 };
-using Action = std::variant<Send, Cancel, Refuse, GiveUp, SetTimer, Subscribe, Log>;
+using Action = std::variant<StartAttempt, Cancel, Reject, Fail, SetTimer, Subscribe, Log>;
 
 // ---- The balancer ---------------------------------------------------------------------------------------
 
--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -228,7 +228,7 @@
             dispatcher.place(request);
     }
 
-    void on(const ClientGone& event) {
+    void on(const ClientDisconnected& event) {
         Request* request = requests.find(event.id);
         if (!request) return;
         responder.cancel_all(*request);
--- a/src/balancer/dispatcher.cpp
+++ b/src/balancer/dispatcher.cpp
@@ -54,7 +54,7 @@
                                 .sent_at = now,
                                 .trial = trial,
                                 .cold = cold});
-    parts_.context.emit(Send{request.id, server.info.id, request.cutoff, write_by});
+    parts_.context.emit(StartAttempt{request.id, server.info.id, request.cutoff, write_by});
 }
 
 // Nobody may have it now. If one may later, it waits: at hold_until its timer brings it back here.
--- a/src/balancer/final_responder.cpp
+++ b/src/balancer/final_responder.cpp
@@ -11,9 +11,9 @@
     cancel_all(request);
     const Millis wait = retry_in(request);
     if (request.may_refuse(now + wait))  // harmless when it comes back
-        context_->emit(Refuse{request.id, wait});
+        context_->emit(Reject{request.id, wait});
     else
-        context_->emit(GiveUp{request.id});
+        context_->emit(Fail{request.id});
     request.ended = true;
     requests_->mark_ended(request.id);
 }
--- a/src/engine/engine.cpp
+++ b/src/engine/engine.cpp
@@ -27,7 +27,7 @@
     const auto at = requests_.find(id);
     if (at == requests_.end() || at->second.over) return;
     at->second.over = true;
-    give(now, ClientGone{id});
+    give(now, ClientDisconnected{id});
     settle(id);
 }
 
@@ -67,7 +67,7 @@
 }
 
 void Engine::run(const Action& action) {
-    std::visit(Overloaded{[this](const Send& a) {
+    std::visit(Overloaded{[this](const StartAttempt& a) {
                               const auto at = requests_.find(a.id);
                               if (at == requests_.end()) return;
                               ++at->second.out;
@@ -80,11 +80,11 @@
                           [this](const Cancel& a) {
                               port_.cancel({a.id, a.attempt});
                           },
-                          [this](const Refuse& a) {
+                          [this](const Reject& a) {
                               finish(a.id, {Final::Kind::refused, a.retry_in});
                               settle(a.id);
                           },
-                          [this](const GiveUp& a) {
+                          [this](const Fail& a) {
                               const auto at = requests_.find(a.id);
                               const bool timed_out =
                                   at != requests_.end() &&
--- a/src/rehearsal/balancers.cpp
+++ b/src/rehearsal/balancers.cpp
@@ -123,7 +123,7 @@
             give_up(r);
         }
     }
-    void on(const ClientGone& e) {
+    void on(const ClientDisconnected& e) {
         if (const auto at = requests_.find(e.id); at != requests_.end()) {
             cancel(at->second);
             requests_.erase(at);
@@ -162,7 +162,8 @@
                 if (candidate->info.online_since > s->info.online_since) s = candidate;
         r.tries.push_back({s->info.id});
         ++s->outstanding;
-        act(Send{r.id, s->info.id, flaws_.storm ? std::min(r.deadline, now_ + kStormPatience) : r.deadline});
+        act(StartAttempt{r.id, s->info.id,
+                         flaws_.storm ? std::min(r.deadline, now_ + kStormPatience) : r.deadline});
         return true;
     }
     bool usable(const Server& s) const {
@@ -177,9 +178,9 @@
     void finish(Request& r) {
         cancel(r);
         if (!r.may_have_run())
-            act(Refuse{r.id, 0});
+            act(Reject{r.id, 0});
         else
-            act(GiveUp{r.id});
+            act(Fail{r.id});
         requests_.erase(r.id);
     }
     void cancel(const Request& r) {
@@ -230,7 +231,7 @@
             place(e->id, r);
         } else if (const auto* end = std::get_if<AttemptEnded>(&event)) {
             on_end(*end);
-        } else if (const auto* gone = std::get_if<ClientGone>(&event)) {
+        } else if (const auto* gone = std::get_if<ClientDisconnected>(&event)) {
             const auto at = open_.find(gone->id);
             if (at == open_.end()) return;
             if (at->second.out) actions_->push_back(Cancel{gone->id, at->second.attempts - 1});
@@ -258,15 +259,15 @@
         }
         if (best == 0) {
             if (r.may_have_run && r.kind.idempotency != Idempotency::idempotent)
-                actions_->push_back(GiveUp{id});
+                actions_->push_back(Fail{id});
             else
-                actions_->push_back(Refuse{id, 0});
+                actions_->push_back(Reject{id, 0});
             open_.erase(id);
             return;
         }
         r.out = true;
         ++r.attempts;
-        actions_->push_back(Send{id, best, r.until});
+        actions_->push_back(StartAttempt{id, best, r.until});
     }
     // Cores shared evenly by all that are in work, the waiting room ahead of it.
     Millis estimate(std::uint32_t server, Millis work) const {
@@ -291,7 +292,7 @@
             place(e.id, r);
         } else {
             const bool ran = r.may_have_run && r.kind.idempotency != Idempotency::idempotent;
-            actions_->push_back(ran ? Action(GiveUp{e.id}) : Action(Refuse{e.id, 0}));
+            actions_->push_back(ran ? Action(Fail{e.id}) : Action(Reject{e.id, 0}));
             open_.erase(at);
         }
     }
--- a/src/rehearsal/virtual_run.cpp
+++ b/src/rehearsal/virtual_run.cpp
@@ -511,7 +511,7 @@
         const auto at = instances_[who].requests.find(id);
         if (at == instances_[who].requests.end() || at->second.over) return;
         at->second.over = true;
-        give(who, ClientGone{id});
+        give(who, ClientDisconnected{id});
         settle(who, id);
     }
 
@@ -593,7 +593,7 @@
         for (const Action& action : actions) act(who, action);
     }
     void act(std::uint32_t who, const Action& action) {
-        if (const auto* send_to = std::get_if<Send>(&action)) {
+        if (const auto* send_to = std::get_if<StartAttempt>(&action)) {
             send(who, *send_to);
         } else if (const auto* cancel = std::get_if<Cancel>(&action)) {
             const auto open = instances_[who].requests.find(cancel->id);
@@ -604,10 +604,10 @@
             if (at == attempts_.end() || !at->second.out) return;
             end(at->second, Outcome::cancelled);
             put(now_, What::recall, who, number);
-        } else if (const auto* refuse = std::get_if<Refuse>(&action)) {
+        } else if (const auto* refuse = std::get_if<Reject>(&action)) {
             answer(who, refuse->id, Answer::refused, refuse->retry_in);
             settle(who, refuse->id);
-        } else if (const auto* up = std::get_if<GiveUp>(&action)) {
+        } else if (const auto* up = std::get_if<Fail>(&action)) {
             answer(who, up->id, Answer::failed, 0);
             settle(who, up->id);
         } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
@@ -637,7 +637,7 @@
     // ---- attempts
     // An attempt stays in the table until its sidecar is done with it and its bytes have come, whichever is
     // later.
-    void send(std::uint32_t who, const Send& s) {
+    void send(std::uint32_t who, const StartAttempt& s) {
         Instance& n = instances_[who];
         const auto open = n.requests.find(s.id);
         const std::uint32_t server = s.server - 1;
--- a/src/simulator/wire.cpp
+++ b/src/simulator/wire.cpp
@@ -199,7 +199,7 @@
         const auto hop = gone ? 0 : static_cast<std::uint32_t>(message.integer("hop"));
         if (request == instance.request_ids.end()) return;  // the instance has ended it meanwhile
         const RequestId id = request->second;
-        give(instance, gone ? Event(ClientGone{id}) : Event(FirstByte{id, hop}));
+        give(instance, gone ? Event(ClientDisconnected{id}) : Event(FirstByte{id, hop}));
         if (gone) instance.end_request(id);
     } else if (kind == "VERDICT") {
         attempt_ended(instance, message);
@@ -309,7 +309,7 @@
         (reply_ += field) += '=';
         add_number(reply_, value);
     };
-    std::visit(Overloaded{[&](const Send& a) {
+    std::visit(Overloaded{[&](const StartAttempt& a) {
                               request("DISPATCH", a.id);
                               server(a.server);
                               time(" try-until-ms", a.try_until);
@@ -320,12 +320,12 @@
                               request("ABANDON", a.id);
                               reply_ += " hop=" + std::to_string(a.attempt);
                           },
-                          [&](const Refuse& a) {
+                          [&](const Reject& a) {
                               request("DECLINE", a.id);
                               if (a.retry_in > 0) time(" retry-in-ms", a.retry_in);
                               instance.end_request(a.id);
                           },
-                          [&](const GiveUp& a) {
+                          [&](const Fail& a) {
                               request("GIVE_UP", a.id);
                               instance.end_request(a.id);
                           },
--- a/tests/balancer/balancer_test.cpp
+++ b/tests/balancer/balancer_test.cpp
@@ -69,7 +69,7 @@
     for (int i = 0; i < 100; ++i) {
         const RequestId id = rig.request();
         rig.requests.at(id).gone = true;
-        rig.give(ClientGone{id});
+        rig.give(ClientDisconnected{id});
         rig.end(id, Outcome::cancelled, 20);
     }
     EXPECT_EQ(rig.removals(), 0);
@@ -368,7 +368,8 @@
                  nan = std::numeric_limits<double>::quiet_NaN();
     Rig rig = fleet(3);
     std::vector<Action> actions;
-    for (const double bad : {inf, -inf, nan, -5.0, 0.0}) rig.balancer.handle(bad, ClientGone{77}, actions);
+    for (const double bad : {inf, -inf, nan, -5.0, 0.0})
+        rig.balancer.handle(bad, ClientDisconnected{77}, actions);
     EXPECT_TRUE(actions.empty());
     const RequestId id = rig.request();
     ASSERT_TRUE(rig.out(id));
@@ -379,9 +380,9 @@
         rig.balancer.handle(rig.now, RequestArrived{static_cast<RequestId>(900), 0, {}, bad}, actions);
         ASSERT_FALSE(actions.empty());
         for (const Action& a : actions) {
-            EXPECT_FALSE(std::holds_alternative<Send>(a)) << "no time left";
+            EXPECT_FALSE(std::holds_alternative<StartAttempt>(a)) << "no time left";
         }
-        rig.balancer.handle(rig.now, ClientGone{900}, actions);
+        rig.balancer.handle(rig.now, ClientDisconnected{900}, actions);
     }
     EXPECT_EQ(rig.balancer.held().requests, 0U);
 }
--- a/tests/balancer/cold_budget_test.cpp
+++ b/tests/balancer/cold_budget_test.cpp
@@ -151,15 +151,15 @@
         std::vector<Action> actions;
         sidecars_[sidecar]->handle(now_, event, actions);
         for (const Action& action : actions) {
-            if (const auto* send = std::get_if<Send>(&action)) serve(sidecar, *send);
+            if (const auto* send = std::get_if<StartAttempt>(&action)) serve(sidecar, *send);
             if (const auto* timer = std::get_if<SetTimer>(&action))
                 due_.push({timer->at, ++order_, sidecar, TimerFired{timer->token}});
-            if (const auto* refuse = std::get_if<Refuse>(&action)) calls_[refuse->id].ended = true;
-            if (const auto* failed = std::get_if<GiveUp>(&action)) calls_[failed->id].ended = true;
+            if (const auto* refuse = std::get_if<Reject>(&action)) calls_[refuse->id].ended = true;
+            if (const auto* failed = std::get_if<Fail>(&action)) calls_[failed->id].ended = true;
         }
     }
 
-    void serve(std::uint32_t sidecar, const Send& send) {
+    void serve(std::uint32_t sidecar, const StartAttempt& send) {
         ServerState& server = servers_.at(send.server);
         const std::uint32_t number = calls_[send.id].attempts++;
         if (server.started > 0) count(server);
--- a/tests/balancer/composition_test.cpp
+++ b/tests/balancer/composition_test.cpp
@@ -248,7 +248,7 @@
     responder_.finish(request);
     responder_.finish(request);
     ASSERT_EQ(actions_.size(), 1U);
-    const auto& refusal = std::get<Refuse>(actions_.front());
+    const auto& refusal = std::get<Reject>(actions_.front());
     EXPECT_EQ(refusal.id, request.id);
     EXPECT_GE(refusal.retry_in, 400 * FinalResponder::kWaitShare);
     EXPECT_TRUE(request.ended);
@@ -260,7 +260,7 @@
     responder_.finish(request);
     ASSERT_EQ(actions_.size(), 2U);
     EXPECT_TRUE(std::holds_alternative<Cancel>(actions_[0]));
-    EXPECT_TRUE(std::holds_alternative<GiveUp>(actions_[1]));
+    EXPECT_TRUE(std::holds_alternative<Fail>(actions_[1]));
     EXPECT_FALSE(request.attempts.front().timed_out) << "its client's time was not up";
 }
 
--- a/tests/balancer/property_test.cpp
+++ b/tests/balancer/property_test.cpp
@@ -60,7 +60,7 @@
     std::advance(at, which % rig.requests.size());
     if (rig.closed(at->second)) return;
     at->second.gone = true;
-    rig.give(ClientGone{at->first});
+    rig.give(ClientDisconnected{at->first});
 }
 
 void end_session(Rig& rig, std::uint16_t which, std::uint16_t how) {
--- a/tests/balancer/rig.hpp
+++ b/tests/balancer/rig.hpp
@@ -177,8 +177,8 @@
     }
 
     void watch(const Action& action) {
-        if (const auto* send = std::get_if<Send>(&action)) on_send(*send);
-        if (const auto* refuse = std::get_if<Refuse>(&action)) {
+        if (const auto* send = std::get_if<StartAttempt>(&action)) on_send(*send);
+        if (const auto* refuse = std::get_if<Reject>(&action)) {
             Open& r = requests.at(refuse->id);
             const Sent* first = nullptr;
             for (const Sent& s : r.sent)
@@ -192,7 +192,7 @@
             r.refused = true;
             answer(r);
         }
-        if (const auto* failed = std::get_if<GiveUp>(&action)) answer(requests.at(failed->id));
+        if (const auto* failed = std::get_if<Fail>(&action)) answer(requests.at(failed->id));
         if (const auto* timer = std::get_if<SetTimer>(&action)) timers.emplace(timer->at, timer->token);
         if (const auto* log = std::get_if<Log>(&action)) logs.push_back(log->text);
     }
@@ -203,7 +203,7 @@
         ++r.answers;
     }
 
-    void on_send(const Send& send) {
+    void on_send(const StartAttempt& send) {
         Open& r = requests.at(send.id);
         EXPECT_FALSE(closed(r)) << "rule 1: sent after the final answer";
         EXPECT_LT(r.sent.size(), settings.max_attempts) << "too many attempts";
--- a/tests/balancer/rules_test.cpp
+++ b/tests/balancer/rules_test.cpp
@@ -73,7 +73,7 @@
             std::advance(at, dice.below(static_cast<std::uint32_t>(rig.requests.size())));
             if (!rig.closed(at->second)) {
                 at->second.gone = true;
-                rig.give(ClientGone{at->first});
+                rig.give(ClientDisconnected{at->first});
             }
         } else {
             rig.pass(dice.below(what == 99 ? 4000 : 60));
@@ -202,7 +202,7 @@
         const RequestId id = rig.request();
         const auto write_by = [&rig] {
             for (const Action& a : rig.last)
-                if (const auto* send = std::get_if<Send>(&a)) return send->write_by;
+                if (const auto* send = std::get_if<StartAttempt>(&a)) return send->write_by;
             return 0.0;
         };
         EXPECT_TRUE(std::isinf(write_by())) << "nothing came before it";
--- a/tests/balancer/session_test.cpp
+++ b/tests/balancer/session_test.cpp
@@ -141,7 +141,7 @@
     Sessions rig;
     const RequestId id = rig.upgrade();
     rig.requests.at(id).gone = true;
-    rig.give(ClientGone{id});
+    rig.give(ClientDisconnected{id});
     rig.end(id, Outcome::success);  // the upgrade and the cancel have crossed
     EXPECT_EQ(rig.balancer.held().sessions, 0U);
     EXPECT_EQ(rig.balancer.held().requests, 0U);
--- a/tests/example.cpp
+++ b/tests/example.cpp
@@ -23,7 +23,7 @@
     std::uint32_t attempt = 0;
     for (std::size_t i = 0; i < actions.size(); ++i) {
         const Action action = actions[i];  // handle() may move the vector's storage
-        if (const auto* send = std::get_if<Send>(&action)) {
+        if (const auto* send = std::get_if<StartAttempt>(&action)) {
             std::cout << "send request " << send->id << " to server " << send->server << '\n';
             AttemptEnded ended{send->id, attempt++};
             ended.outcome = attempt == 1 ? Outcome::connect_failed : Outcome::success;
--- a/tests/standing_terms_test.cpp
+++ b/tests/standing_terms_test.cpp
@@ -149,7 +149,7 @@
 
 // Its first attempt was turned away and nobody may have the next: it waits in the module. The list that names
 // a server again and the client's end are both there as the loop goes on, the list first.
-TEST(ClientGone, WhileItsRetryWaitsForAServerNothingMoreIsSent) {
+TEST(ClientDisconnected, WhileItsRetryWaitsForAServerNothingMoreIsSent) {
     for (const auto& [way, leave] : ways_to_leave()) {
         SCOPED_TRACE(way);
         NetRig rig;
@@ -212,7 +212,7 @@
 };
 
 // Its client's end comes after each single step of the loop until it is written.
-TEST(ClientGone, WhileItWaitsForRoomNothingIsSent) {
+TEST(ClientDisconnected, WhileItWaitsForRoomNothingIsSent) {
     for (const auto& [way, leave] : ways_to_leave()) {
         bool written = false;
         for (int steps = 0; !written; ++steps) {
@@ -232,7 +232,7 @@
     }
 }
 
-TEST(ClientGone, WithItsRequestJustSentNothingIsSentOn) {
+TEST(ClientDisconnected, WithItsRequestJustSentNothingIsSentOn) {
     for (const auto& [way, leave] : ways_to_leave()) {
         SCOPED_TRACE(way);
         NetRig rig;
@@ -273,7 +273,7 @@
     }
 };
 
-TEST(ClientGone, WhileTheListIsReadFirstNothingIsSent) {
+TEST(ClientDisconnected, WhileTheListIsReadFirstNothingIsSent) {
     GatedPool pool;
     pool.list_unread = true;
     pool.send();
