--- a/src/balancer/admission.hpp
+++ b/src/balancer/admission.hpp
@@ -39,9 +39,9 @@
     // Answers take this share of their aim: where a late one, by exp(-1 / share), is first a hundredth and
     // more. A nearer server or a quicker growing room is worth less than that.
     static constexpr double kCrowded = 0.25;
-    static constexpr double kMostRatio = 1.5;  // of time to aim: what a turned-away one counts
-    static constexpr double kUsedOver = 20;    // answers; twice that weight to each
-    static constexpr Millis kMemory = 5000;    // as long as what servers complete (Aperture)
+    static constexpr double kMaxRatio = 1.5;  // of time to aim: what a turned-away one counts
+    static constexpr double kUsedOver = 20;   // answers; twice that weight to each
+    static constexpr Millis kMemory = 5000;   // as long as what servers complete (Aperture)
     // The part of the room that is there for every class, however little its worth, and all that repeats get:
     // a repeat's aim has been running since its first try.
     static constexpr double kCommonRoom = 0.6;
--- a/src/balancer/outcome_accounting.cpp
+++ b/src/balancer/outcome_accounting.cpp
@@ -13,7 +13,7 @@
     // How long an upgrade takes says nothing of how long work does.
     if (!request.session) {
         if (event.outcome == Outcome::rejected)
-            record_latency(server, Admission::kMostRatio, cold);
+            record_latency(server, Admission::kMaxRatio, cold);
         else if (completed || event.outcome == Outcome::timed_out)
             record_latency(server, std::max(0.0, event.duration) / request.kind.aim, cold);
         if (completed && !attempt.cold) parts_.aperture.completed(server.info.kind, now);
@@ -24,7 +24,7 @@
 
 void OutcomeAccounting::record_latency(Server& server, double ratio, bool cold) {
     const Millis now = parts_.context.now();
-    const double bounded = std::min(Admission::kMostRatio, ratio);
+    const double bounded = std::min(Admission::kMaxRatio, ratio);
     parts_.pace.answered(server, bounded, cold, now);
     if (!cold) parts_.admission.answered(bounded, parts_.pool.outstanding(), now);
 }
--- a/src/balancer/server_age.cpp
+++ b/src/balancer/server_age.cpp
@@ -115,7 +115,7 @@
     if (at == records_.end()) return;
     listed_ -= std::exchange(at->second.listed, false);
     departed_.push_back(id);
-    if (departed_.size() <= kMostDeparted) return;
+    if (departed_.size() <= kMaxDeparted) return;
     const auto oldest = records_.find(departed_.front());
     if (oldest != records_.end() && !oldest->second.listed) records_.erase(oldest);
     departed_.pop_front();
--- a/src/balancer/server_age.hpp
+++ b/src/balancer/server_age.hpp
@@ -43,7 +43,7 @@
     static constexpr std::size_t kProcesses = 4;
     // Servers remembered that have left the list, the latest ones: one that is named again with the same
     // start is the same process and has not become cold. As many as the longest list that there can be.
-    static constexpr std::size_t kMostDeparted = 4096;
+    static constexpr std::size_t kMaxDeparted = 4096;
     static constexpr Millis kLongAgo = -std::numeric_limits<Millis>::infinity();
 
     // One process of a server.
--- a/src/base/config.cpp
+++ b/src/base/config.cpp
@@ -14,8 +14,8 @@
 
 using Json = nlohmann::json;
 // A hundred times the fleet: a wrong file must not fill the memory.
-constexpr std::size_t kMostPeers = 30000;
-constexpr std::uint64_t kMostMemoryMb = 1U << 20U;  // a terabyte: what is said beyond that is no limit
+constexpr std::size_t kMaxPeers = 30000;
+constexpr std::uint64_t kMaxMemoryMb = 1U << 20U;  // a terabyte: what is said beyond that is no limit
 using balancer::EndpointState;
 
 [[noreturn]] void fail(const std::string& field, const std::string& what) {
@@ -150,7 +150,7 @@
         return at_ == At::targets || key == "rev" || key == "all";
     }
     void add(const Json& value) {
-        if (listing_.targets.size() >= kMostTargets) {
+        if (listing_.targets.size() >= kMaxTargets) {
             ++listing_.passed_over;
             return;
         }
@@ -233,7 +233,7 @@
         if (const auto at = limits->find("sockets"); at != limits->end())
             c.sockets = static_cast<std::size_t>(whole(*at, "limits.sockets"));
         if (const auto at = limits->find("memory_mb"); at != limits->end())
-            c.memory = static_cast<std::size_t>(std::min(whole(*at, "limits.memory_mb"), kMostMemoryMb))
+            c.memory = static_cast<std::size_t>(std::min(whole(*at, "limits.memory_mb"), kMaxMemoryMb))
                        << 20U;
     }
     const Json& settings = member(json, "settings", "");
@@ -245,7 +245,7 @@
     };
     if (const auto at = json.find("peer_listen"); at != json.end()) c.peer_listen = peer(*at, "peer_listen");
     if (const auto at = json.find("peers"); at != json.end()) {
-        if (!at->is_array() || at->size() > kMostPeers) fail("peers", "is not a list of so many addresses");
+        if (!at->is_array() || at->size() > kMaxPeers) fail("peers", "is not a list of so many addresses");
         for (std::size_t i = 0; i < at->size(); ++i)
             c.peers.push_back(peer((*at)[i], "peers." + std::to_string(i)));
     }
--- a/src/base/config.hpp
+++ b/src/base/config.hpp
@@ -39,12 +39,12 @@
     std::uint64_t rev = 0;
     bool all = false;
     std::vector<Target> targets;
-    std::size_t passed_over = 0;                                   // targets beyond kMostTargets
+    std::size_t passed_over = 0;                                   // targets beyond kMaxTargets
     Millis unheard_for = std::numeric_limits<Millis>::infinity();  // balancer::ServerList's
 };
 // Targets that are taken of one list: three times what a sidecar keeps listed (EndpointRegistry). An
 // incremental list names those that left as well; no honest one is as long as this.
-constexpr std::size_t kMostTargets = 12288;
+constexpr std::size_t kMaxTargets = 12288;
 
 struct Config {
     std::string name;
--- a/src/base/fading.hpp
+++ b/src/base/fading.hpp
@@ -36,15 +36,15 @@
     Millis at_ = 0;
 };
 
-// A mean in which samples count less the older they are, and about the last kMostSamples of them at most:
+// A mean in which samples count less the older they are, and about the last kMaxSamples of them at most:
 // light traffic needs the first, heavy traffic the second.
 struct Recent : Tally {
-    static constexpr double kMostSamples = 10;
+    static constexpr double kMaxSamples = 10;
 
     double value = 0;
     void add(double sample, Millis now, Millis memory) {
         Tally::add(now, memory);
-        count = std::min(count, kMostSamples);
+        count = std::min(count, kMaxSamples);
         value += (sample - value) / count;
     }
 };
--- a/src/base/knowledge.cpp
+++ b/src/base/knowledge.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-constexpr double kDay = 24 * 3600 * 1000.0, kMostMean = 100, kMostSamples = 10, kMostPlaces = 100000;
-constexpr double kMostCarried = 10000, kMostRetries = 10, kLongestOut = 10000;
-constexpr std::uint32_t kMostOutcomes = 20;
+constexpr double kDay = 24 * 3600 * 1000.0, kMaxMean = 100, kMaxSamples = 10, kMaxPlaces = 100000;
+constexpr double kMaxCarried = 10000, kMaxRetries = 10, kLongestOut = 10000;
+constexpr std::uint32_t kMaxOutcomes = 20;
 
 // Not a number compares false: it is out of every range.
 bool within(double figure, double least, double most) { return figure >= least && figure <= most; }
@@ -18,26 +18,26 @@
 }
 
 void mend(FadingKnowledge& k) {
-    if (!within(k.value, 0, kMostMean) || !within(k.weight, 0, kMostSamples) || !within(k.since, 0, kDay))
+    if (!within(k.value, 0, kMaxMean) || !within(k.weight, 0, kMaxSamples) || !within(k.since, 0, kDay))
         k = {0, 0, kDay};
 }
 
 }  // namespace
 
 Knowledge sound(Knowledge k) {
-    if (k.servers.size() > kMostRememberedServers) k.servers.resize(kMostRememberedServers);
+    if (k.servers.size() > kMaxRememberedServers) k.servers.resize(kMaxRememberedServers);
     for (ServerKnowledge& s : k.servers) {
         if (!within(s.online_since, 0, 1e15)) s.online_since = -1;  // of no process that there can be
-        if (s.seen > kMostOutcomes) s.seen = s.outcomes = 0;
+        if (s.seen > kMaxOutcomes) s.seen = s.outcomes = 0;
         if (s.out_ms && !within(*s.out_ms, 0, kLongestOut)) s.out_ms.reset();
         mend(s.tokens, -1, 1, 1);
     }
     mend(k.crowd);
-    mend(k.room, 0, kMostPlaces, 0);
-    mend(k.learned, 0, kMostPlaces, 0);
-    mend(k.taught_by, 0, kMostPlaces, 0);
-    mend(k.carried, 0, kMostCarried, 0);
-    mend(k.retries_left, 0, kMostRetries, 0);
+    mend(k.room, 0, kMaxPlaces, 0);
+    mend(k.learned, 0, kMaxPlaces, 0);
+    mend(k.taught_by, 0, kMaxPlaces, 0);
+    mend(k.carried, 0, kMaxCarried, 0);
+    mend(k.retries_left, 0, kMaxRetries, 0);
     return k;
 }
 
--- a/src/base/socket_state.hpp
+++ b/src/base/socket_state.hpp
@@ -19,7 +19,7 @@
 
 inline SocketState state_of(int socket) {
     char byte = 0;
-    for (int i = 0; i < kMostInterruptions; ++i) {
+    for (int i = 0; i < kMaxInterruptions; ++i) {
         const ssize_t got = ::recv(socket, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
         if (got > 0) return SocketState::readable;
         if (got == 0) return SocketState::ended;
--- a/src/base/stream_socket.hpp
+++ b/src/base/stream_socket.hpp
@@ -25,12 +25,12 @@
 
 // A call that is interrupted is made again so often; signals don't come in such rows. After that the socket
 // counts as not ready, and the loop comes back to it.
-constexpr int kMostInterruptions = 64;
+constexpr int kMaxInterruptions = 64;
 
-// The call's result; EAGAIN once it has been interrupted kMostInterruptions times.
+// The call's result; EAGAIN once it has been interrupted kMaxInterruptions times.
 template <class Call>
 auto uninterrupted(Call call) {
-    for (int i = 0; i < kMostInterruptions; ++i)
+    for (int i = 0; i < kMaxInterruptions; ++i)
         if (const auto result = call(); result >= 0 || errno != EINTR) return result;
     errno = EAGAIN;
     return decltype(call())(-1);
@@ -49,7 +49,7 @@
     // On a non-blocking socket: would_block where nothing has come, or where signals let nothing through.
     template <class Buffers>
     std::size_t read_some(const Buffers& buffers, Error& error) {
-        for (int i = 0; i < kMostInterruptions; ++i) {
+        for (int i = 0; i < kMaxInterruptions; ++i) {
             const std::size_t got = Base::read_some(buffers, error);
             if (error != boost::asio::error::interrupted) return got;
         }
@@ -68,7 +68,7 @@
     // Never blocks, whatever the socket's mode is.
     template <class Buffers>
     std::size_t write_some(const Buffers& buffers, Error& error) {
-        std::array<iovec, kMostParts> parts{};
+        std::array<iovec, kMaxParts> parts{};
         msghdr message{};
         message.msg_iov = parts.data();
         std::size_t size = 0;
@@ -114,7 +114,7 @@
     }
 
 private:
-    static constexpr std::size_t kMostParts = 64;  // as many as Asio sends at a time
+    static constexpr std::size_t kMaxParts = 64;  // as many as Asio sends at a time
 
     static Error last_error() { return {errno, boost::system::system_category()}; }
 
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -24,7 +24,7 @@
 
 namespace {
 
-constexpr std::uint64_t kMostMessage = 4 << 20;
+constexpr std::uint64_t kMaxMessage = 4 << 20;
 constexpr Millis kReadyLook = 20, kProcessLook = 10, kDutyRound = 20;
 constexpr Millis kLateAnswer = 500;     // "up to half a second after its time it only earns nothing"
 constexpr std::size_t kLogShown = 600;  // of a sidecar's log, when it does not come up
@@ -45,7 +45,7 @@
     }
     void read() {
         parser_.emplace();
-        parser_->body_limit(kMostMessage);
+        parser_->body_limit(kMaxMessage);
         http::async_read(socket_, buffer_, *parser_, [self = shared_from_this()](Error error, std::size_t) {
             if (!self->server_) return;
             if (error) return self->drop();
@@ -72,7 +72,7 @@
 private:
     Server* server_;
     tcp::socket socket_;
-    boost::beast::flat_buffer buffer_{kMostMessage};
+    boost::beast::flat_buffer buffer_{kMaxMessage};
     std::optional<http::request_parser<http::string_body>> parser_;
 };
 
@@ -305,7 +305,7 @@
     void write() {
         const auto self = shared_from_this();
         asio::async_write(socket_, asio::buffer(message_), [self](Error, std::size_t) {});
-        parser_.body_limit(kMostMessage);
+        parser_.body_limit(kMaxMessage);
         http::async_read(socket_, buffer_, parser_, [self](Error failed, std::size_t bytes) {
             if (self->fleet_) self->read(failed, bytes);
         });
@@ -338,7 +338,7 @@
     const std::string id_, message_;
     const Millis patience_, leaves_;
     tcp::socket socket_;
-    boost::beast::flat_buffer buffer_{kMostMessage};
+    boost::beast::flat_buffer buffer_{kMaxMessage};
     http::response_parser<http::string_body> parser_;
     links::Ground::Key limit_{}, leaving_{};
 };
@@ -453,7 +453,7 @@
         while (!pending.empty()) {
             if (!parser) {
                 parser = std::make_unique<http::response_parser<http::string_body>>();
-                parser->body_limit(kMostMessage);
+                parser->body_limit(kMaxMessage);
                 parser->eager(true);
             }
             Error error;
--- a/src/fleet/ledger.cpp
+++ b/src/fleet/ledger.cpp
@@ -17,7 +17,7 @@
 
 void Ledger::event(Millis now, const std::string& who, const std::string& id, std::string text) {
     events_.push_back({now, who, id, std::move(text)});
-    if (events_.size() > kMostEvents) events_.pop_front();
+    if (events_.size() > kMaxEvents) events_.pop_front();
 }
 
 void Ledger::wrong(Millis now, const std::string& id, const std::string& what) {
@@ -89,7 +89,7 @@
         return wrong(now, id, "a request that no caller sent went to " + attempt.server);
     Request& r = at->second;
     if (r.orphaned) return;
-    if (++r.attempts > kMostAttempts) wrong(now, id, fmt::format("nothing twice: attempt {}", r.attempts));
+    if (++r.attempts > kMaxAttempts) wrong(now, id, fmt::format("nothing twice: attempt {}", r.attempts));
     if (r.ended >= 0 && first_byte > r.ended + kSlack)
         wrong(
             now, id,
--- a/src/fleet/ledger.hpp
+++ b/src/fleet/ledger.hpp
@@ -22,8 +22,8 @@
 class Ledger {
 public:
     static constexpr Millis kSlack = 50, kDrainGrace = 500;
-    static constexpr std::uint32_t kMostAttempts = 4;
-    static constexpr std::size_t kMostEvents = 20000;  // of the history; the oldest go
+    static constexpr std::uint32_t kMaxAttempts = 4;
+    static constexpr std::size_t kMaxEvents = 20000;  // of the history; the oldest go
 
     struct Violation {
         Millis at = 0;
--- a/src/fleet/request_reader.hpp
+++ b/src/fleet/request_reader.hpp
@@ -16,7 +16,7 @@
 // Ids of the requests that pass on one connection, each told once its last byte has.
 class RequestReader {
 public:
-    static constexpr std::uint64_t kMostBody = 4 << 20;
+    static constexpr std::uint64_t kMaxBody = 4 << 20;
 
     // whole(id, when its first byte came); what can't be read is no request any more.
     template <class Whole>
@@ -25,7 +25,7 @@
         while (!pending_.empty()) {
             if (!parser_) {
                 parser_.emplace();
-                parser_->body_limit(kMostBody);
+                parser_->body_limit(kMaxBody);
                 parser_->eager(true);
                 first_byte_ = now;
             }
--- a/src/http/intake.cpp
+++ b/src/http/intake.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::size_t kLongestId = 256;  // of an id or key; the protocol's have 16 and 32 characters
 // On a slow or shared core a short time must not go to the margin whole.
-constexpr double kMostMarginShare = 0.1;
+constexpr double kMaxMarginShare = 0.1;
 
 constexpr const char* kId = "X-Correlation-Id";
 constexpr const char* kClass = "X-Service-Class";
@@ -78,7 +78,7 @@
     // that.
     const Millis left =
         std::min(parse_time_left(field(head, kTimeLeft)).value_or(0), site.give_up.at(event.class_index));
-    event.time_left = std::max(1.0, left - std::min(margin, left * kMostMarginShare) - waited);
+    event.time_left = std::max(1.0, left - std::min(margin, left * kMaxMarginShare) - waited);
     if (const auto account = field(head, "X-Account"); !account.empty()) {
         const auto tenant = std::find(site.tenants.begin(), site.tenants.end(), account);
         if (tenant != site.tenants.end())
--- a/src/http/message.hpp
+++ b/src/http/message.hpp
@@ -16,9 +16,9 @@
 // answers of 223 KB were seen) and no figure. What is beyond the usual is held only with a grant of
 // ByteBudget.
 constexpr std::size_t kUsualBody = 64 * 1024;
-constexpr std::size_t kMostRequestBody = 256 * 1024;
-constexpr std::size_t kMostAnswerBody = 512 * 1024;
-constexpr std::size_t kMostHeader = 16 * 1024;  // many times what the protocol's headers need
+constexpr std::size_t kMaxRequestBody = 256 * 1024;
+constexpr std::size_t kMaxAnswerBody = 512 * 1024;
+constexpr std::size_t kMaxHeader = 16 * 1024;  // many times what the protocol's headers need
 
 // Whether a server says that it turned a request away unseen: it never ran (PROTOCOL, Sidecars to servers).
 bool says_unprocessed(const http::response_header<>& head);
--- a/src/links/boundaries.cpp
+++ b/src/links/boundaries.cpp
@@ -26,7 +26,7 @@
 public:
     ReaderOf() {
         parser_.body_limit(std::numeric_limits<std::uint64_t>::max());
-        parser_.header_limit(Boundaries::kMostPending);
+        parser_.header_limit(Boundaries::kMaxPending);
         parser_.eager(false);
     }
     std::size_t put(std::string_view bytes, boost::system::error_code& error) override {
@@ -81,7 +81,7 @@
     }
     pending_.erase(0, used);
     taken_ += used;
-    if (pending_.size() > kMostPending) lost_ = true;
+    if (pending_.size() > kMaxPending) lost_ = true;
     if (lost_) pending_.clear();
     return met;
 }
--- a/src/links/boundaries.hpp
+++ b/src/links/boundaries.hpp
@@ -23,7 +23,7 @@
 class Boundaries {
 public:
     // What is kept of an unfinished head or chunk line; more than that is no HTTP of ours.
-    static constexpr std::size_t kMostPending = 64 * 1024;
+    static constexpr std::size_t kMaxPending = 64 * 1024;
 
     // requests: the direction that asks. An answer to a HEAD request is not told from others.
     explicit Boundaries(bool requests);
--- a/src/links/datagram_net.cpp
+++ b/src/links/datagram_net.cpp
@@ -151,7 +151,7 @@
     for (;;) {
         const auto due = std::find_if(state.held.begin(), state.held.end(),
                                       [&](const auto& h) { return h->after <= state.passed; });
-        const bool too_many = state.held.size() > kMostHeldBack;
+        const bool too_many = state.held.size() > kMaxHeldBack;
         if (due == state.held.end() && !too_many) return;
         const auto held = due == state.held.end() ? state.held.front() : *due;
         std::erase(state.held, held);
--- a/src/links/datagram_net.hpp
+++ b/src/links/datagram_net.hpp
@@ -17,8 +17,8 @@
 
 class DatagramNet {
 public:
-    static constexpr std::size_t kMostSize = 2048;  // PROTOCOL has 256; a longer one must be seen to be told
-    static constexpr std::size_t kMostHeldBack = 64;  // of one link, by reorder; the oldest goes then
+    static constexpr std::size_t kMaxSize = 2048;    // PROTOCOL has 256; a longer one must be seen to be told
+    static constexpr std::size_t kMaxHeldBack = 64;  // of one link, by reorder; the oldest goes then
 
     // everybody: the address that reaches all but the sender; port 0 takes any.
     DatagramNet(Ground& ground, udp::endpoint everybody);
--- a/src/links/script.cpp
+++ b/src/links/script.cpp
@@ -197,7 +197,7 @@
         script.seed = top.seed, script.everybody = top.everybody;
         if (!top.everybody.empty()) check_address(top.everybody, "everybody", 0, problems);
         std::set<std::pair<std::string, std::string>> ends;
-        schema::read_sections(table, "link", Script::kMostLinks, kLink, problems,
+        schema::read_sections(table, "link", Script::kMaxLinks, kLink, problems,
                               [&](LinkSpec spec, std::size_t number, std::uint32_t line) {
                                   const std::string where = "link " + std::to_string(number);
                                   check_address(spec.listen, where + ".listen", line, problems);
@@ -207,7 +207,7 @@
                                   script.links.push_back(std::move(spec));
                               });
         std::set<std::string> names;
-        schema::read_sections(table, "member", Script::kMostLinks, kMember, problems,
+        schema::read_sections(table, "member", Script::kMaxLinks, kMember, problems,
                               [&](MemberSpec spec, std::size_t number, std::uint32_t line) {
                                   const std::string where = "member " + std::to_string(number);
                                   check_address(spec.listen, where + ".listen", line, problems);
@@ -217,7 +217,7 @@
                                   script.members.push_back(std::move(spec));
                               });
         std::set<std::string> rules;
-        schema::read_sections(table, "rule", Script::kMostRules, rule_keys(), problems,
+        schema::read_sections(table, "rule", Script::kMaxRules, rule_keys(), problems,
                               [&](const RuleSpec& spec, std::size_t number, std::uint32_t line) {
                                   script.rules.push_back(rule_of(spec, number, line, problems));
                                   if (!rules.insert(script.rules.back().name).second)
--- a/src/links/script.hpp
+++ b/src/links/script.hpp
@@ -42,7 +42,7 @@
     std::string name, listen, target;
 };
 struct Script {
-    static constexpr std::size_t kMostRules = 1000, kMostLinks = 20000;  // what one machine plays
+    static constexpr std::size_t kMaxRules = 1000, kMaxLinks = 20000;  // what one machine plays
     std::uint64_t seed = 1;
     std::string everybody;  // address that reaches all members; none: none
     std::vector<LinkSpec> links;
--- a/src/links/stream_link.cpp
+++ b/src/links/stream_link.cpp
@@ -88,7 +88,7 @@
     }
 
     void read(Way& way) {
-        if (way.reading || way.ended || way.kept() >= kMostWaiting) return;
+        if (way.reading || way.ended || way.kept() >= kMaxWaiting) return;
         way.reading = true;
         way.socket.async_wait(tcp::socket::wait_read, [self = shared_from_this(), &way](Error error) {
             way.reading = false;
--- a/src/links/stream_link.hpp
+++ b/src/links/stream_link.hpp
@@ -26,7 +26,7 @@
 class StreamLink {
 public:
     // Bytes of one direction that wait here; beyond them nothing more is read from the sender.
-    static constexpr std::size_t kMostWaiting = 256 * 1024;
+    static constexpr std::size_t kMaxWaiting = 256 * 1024;
     // A read of so much is followed by splice(2), where no rule and no tap looks at the bytes.
     static constexpr std::size_t kBulk = 16 * 1024;
     static constexpr Millis kProbe = 10;  // between two looks at a target that refused
--- a/src/net/answer.cpp
+++ b/src/net/answer.cpp
@@ -7,12 +7,12 @@
 namespace {
 
 // 1xx answers ahead of one: a server has a few to say; more is no answer.
-constexpr std::size_t kMostInterim = 8;
+constexpr std::size_t kMaxInterim = 8;
 // What may come for one request beside its body: head, 1xx ahead, chunks' sizes. An endless head, chunk line
 // or trailer ends here.
-constexpr std::size_t kMostBeside = kMostHeader + kUsualBody + kMostHeader;
+constexpr std::size_t kMaxBeside = kMaxHeader + kUsualBody + kMaxHeader;
 // All that came and the body taken from it are held at the same time.
-constexpr std::size_t kLongCost = 2 * kMostAnswerBody;
+constexpr std::size_t kLongCost = 2 * kMaxAnswerBody;
 // Fewer bytes behind an answer don't show whether they repeat it or are the rest of a body cut short.
 constexpr std::size_t kLeastRepeat = 12;
 
@@ -28,7 +28,7 @@
     raw_.append(bytes);
     state_ = parse();
     const std::size_t body = parser_ ? parser_->get().body().size() : 0;
-    if (state_ == State::more && raw_.size() - body > kMostBeside) state_ = State::spoilt;
+    if (state_ == State::more && raw_.size() - body > kMaxBeside) state_ = State::spoilt;
     return state_;
 }
 
@@ -45,8 +45,8 @@
     for (;;) {
         if (!parser_) {
             parser_.emplace();
-            parser_->header_limit(kMostHeader);
-            parser_->body_limit(kMostAnswerBody);
+            parser_->header_limit(kMaxHeader);
+            parser_->body_limit(kMaxAnswerBody);
         }
         while (parsed_ < raw_.size() && !parser_->is_done()) {
             const bool had_head = parser_->is_header_done();
@@ -62,7 +62,7 @@
         if (!parser_->is_done()) return State::more;
         const unsigned status = parser_->get().result_int();
         if (status >= 200) return repeats_itself() ? State::whole : State::spoilt;
-        if (status == 101 || ++interim_ > kMostInterim) return State::spoilt;
+        if (status == 101 || ++interim_ > kMaxInterim) return State::spoilt;
         start_ = parsed_;
         parser_.reset();
         if (parsed_ == raw_.size()) return State::more;
@@ -76,7 +76,7 @@
     if (length && *length <= kUsualBody) return true;
     long_.reset();
     long_ = budget_.take(kLongCost);
-    if (length) return long_ && *length <= kMostAnswerBody;
+    if (length) return long_ && *length <= kMaxAnswerBody;
     if (!long_) parser_->body_limit(kUsualBody);
     return true;
 }
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -19,13 +19,13 @@
 using Error = boost::system::error_code;
 
 // The parser reads ahead of itself this far at most: head, or a chunk's line.
-constexpr std::size_t kMostAhead = 64 * 1024;
+constexpr std::size_t kMaxAhead = 64 * 1024;
 // Bytes of one list. As many servers as a sidecar keeps, 4,096, in 1 KiB each: a target takes 150 to 250
 // bytes, and up to 400 where the JSON is indented. While a list is read the text stands once in memory, and
 // beside it only what it says: each target's JSON goes as soon as it has been read.
-constexpr std::size_t kMostLine = 4096 * 1024;
+constexpr std::size_t kMaxLine = 4096 * 1024;
 // Memory that a watch keeps for its next line: many incremental lists, and no whole one.
-constexpr std::size_t kMostKeptText = 64 * 1024;
+constexpr std::size_t kMaxKeptText = 64 * 1024;
 
 }  // namespace
 
@@ -144,7 +144,7 @@
 
     // Takes all whole lines of a watch; what is left waits for its rest. False if the call is over.
     bool lines() {
-        if (text_.size() > kMostLine) {
+        if (text_.size() > kMaxLine) {
             end("sent a line too long");
             return false;
         }
@@ -158,7 +158,7 @@
             owner_.last_word_ = owner_.clock_.now();
         }
         text_.erase(0, from);
-        if (text_.empty() && text_.capacity() > kMostKeptText) text_.shrink_to_fit();
+        if (text_.empty() && text_.capacity() > kMaxKeptText) text_.shrink_to_fit();
         return true;
     }
 
@@ -197,7 +197,7 @@
 
     Discovery& owner_;
     TcpSocket socket_;
-    boost::beast::flat_buffer buffer_{kMostAhead};
+    boost::beast::flat_buffer buffer_{kMaxAhead};
     http::request<http::empty_body> request_;
     std::optional<http::response_parser<http::buffer_body>> parser_;
     std::array<char, 8192> piece_{};
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -25,7 +25,7 @@
 constexpr Millis kSweep = 20;        // between two looks at idle connections while draining
 constexpr Millis kAcceptPause = 20;  // when no socket is to be had for a client
 // Connections that were given up before they were accepted, in a row: after so many others have their turn.
-constexpr int kMostFailedAccepts = 64;
+constexpr int kMaxFailedAccepts = 64;
 // A request must have come whole this long after its connection, or, on a kept one, after its first byte. The
 // usual client sends at once, and gives up sooner than this; who is owed an error is owed it within 3 s.
 constexpr Millis kStalled = 2500;
@@ -38,7 +38,7 @@
 // After the last answer, or between requests: time for the client to read what it was sent and close, and
 // what it may be sending meanwhile. Whoever sends no more than a request may have can read its answer.
 constexpr Millis kLastRead = 1000;
-constexpr std::size_t kMostWaste = kMostRequestBody + 2 * kMostHeader;
+constexpr std::size_t kMaxWaste = kMaxRequestBody + 2 * kMaxHeader;
 constexpr Millis kLateAnswer =
     500;  // an answer that comes later than so much after its time is as good as lost
 // With no socket left for a new client those go that never asked: if nothing has come for this long, if not a
@@ -46,8 +46,8 @@
 constexpr Millis kNeverAsked = 50, kHalfAsked = 500;
 constexpr Millis kUnused = 2000;  // a connection that was asked on, and not for so long, goes as readily
 // The parser reads ahead of itself this far at most: a chunk's line or a trailer without end stops here.
-constexpr std::size_t kMostAhead = 2 * kMostHeader;
-constexpr std::size_t kMostIds = 16384;  // the busiest sidecar's of that time, twice over
+constexpr std::size_t kMaxAhead = 2 * kMaxHeader;
+constexpr std::size_t kMaxIds = 16384;  // the busiest sidecar's of that time, twice over
 
 HttpResponse plain(http::status status, const char* words) {
     HttpResponse response(status, 11);
@@ -99,7 +99,7 @@
     // Whether it may go when sockets are wanted.
     bool expendable(Millis now) const {
         // What is read no more is not waited for: its answer has gone out, or can't be told from a flood.
-        if (state_ == State::ended) return wasted_ >= kMostWaste || !has_unread();
+        if (state_ == State::ended) return wasted_ >= kMaxWaste || !has_unread();
         if (state_ == State::reading) return !asked_ && now - since_ > kHalfAsked && !has_unread();
         return state_ == State::idle && (asked_ || now - since_ > kNeverAsked) && !has_unread();
     }
@@ -242,10 +242,10 @@
         state_ = State::reading;
         late_ = false;
         if (answered_) limit(kStalled);  // else its time runs from when it came
-        buffer_.emplace(kMostAhead);
+        buffer_.emplace(kMaxAhead);
         parser_.emplace();
-        parser_->body_limit(kMostRequestBody);
-        parser_->header_limit(kMostHeader);
+        parser_->body_limit(kMaxRequestBody);
+        parser_->header_limit(kMaxHeader);
         http::async_read_header(socket_, *buffer_, *parser_,
                                 [self = shared_from_this()](Error error, std::size_t) {
                                     self->guarded([&] { self->on_head(error); });
@@ -276,7 +276,7 @@
         if (parser_->is_done()) return take();
         if (problem_) return turn_away(*problem_, true);
         if (const auto length = parser_->content_length(); !length || *length > kUsualBody) {
-            long_ = owner_.bytes_.take(kMostRequestBody);
+            long_ = owner_.bytes_.take(kMaxRequestBody);
             if (!long_ && length) return turn_away(kTooLarge, true);
             if (!long_) parser_->body_limit(kUsualBody);
         }
@@ -387,7 +387,7 @@
         buffer_.reset();
         long_.reset();
         if (response.body().size() > kUsualBody) {
-            long_ = owner_.bytes_.take(kMostAnswerBody);
+            long_ = owner_.bytes_.take(kMaxAnswerBody);
             if (!long_) response = plain(http::status::bad_gateway, "no memory for so long an answer\n");
         }
         if (owner_.draining_) last_ = true;
@@ -425,7 +425,7 @@
     }
 
     void discard() {
-        while (wasted_ < kMostWaste) {
+        while (wasted_ < kMaxWaste) {
             Error error;
             const std::size_t got = socket_.read_some(asio::buffer(owner_.waste_), error);
             if (error == asio::error::would_block || error == asio::error::try_again) return await();
@@ -526,7 +526,7 @@
 // machine's shortage, and not for a client that has left already.
 void Listener::accept_failed(const boost::system::error_code& error) {
     const SocketFailure failure = accept_failure(error);
-    if (failure == SocketFailure::connection && ++failed_accepts_ < kMostFailedAccepts) return accept();
+    if (failure == SocketFailure::connection && ++failed_accepts_ < kMaxFailedAccepts) return accept();
     failed_accepts_ = 0;
     if (failure == SocketFailure::own_descriptors) shed();
     accept_later();
@@ -600,7 +600,7 @@
 
 bool Listener::remember(std::string_view id) {
     const Millis now = clock_.now();
-    if (now >= ids_until_ || ids_.size() >= kMostIds) {
+    if (now >= ids_until_ || ids_.size() >= kMaxIds) {
         earlier_ids_.swap(ids_);
         ids_.clear();
         // Taken once within twice this time: a repeat of one just finished may still run at a server.
@@ -634,7 +634,7 @@
 
 // Whether none is left in the kernel's queue, or no place for more.
 bool Listener::accept_waiting() {
-    for (int failed = 0; failed < kMostFailedAccepts && budget_.take(Side::clients);) {
+    for (int failed = 0; failed < kMaxFailedAccepts && budget_.take(Side::clients);) {
         Error error;
         tcp::socket socket = acceptor_.accept(error);
         if (!error) {
--- a/src/net/upstream.cpp
+++ b/src/net/upstream.cpp
@@ -384,7 +384,7 @@
     }
     const Millis now = clock_.now();
     if (list_waited_since_ < 0) list_waited_since_ = now;
-    if (now >= list_waited_since_ + kMostListWait) return false;
+    if (now >= list_waited_since_ + kMaxListWait) return false;
     if (!std::exchange(list_look_posted_, true))
         asio::post(io_, [this] {
             list_look_posted_ = false;
--- a/src/net/upstream.hpp
+++ b/src/net/upstream.hpp
@@ -44,7 +44,7 @@
     };
     // With the list unread nothing is written, for this long at most: reading it takes the loop one round,
     // and a discovery that sends what nobody reads must not stop everything.
-    static constexpr Millis kMostListWait = 50;
+    static constexpr Millis kMaxListWait = 50;
 
     Upstream(asio::io_context& io, SocketBudget& budget, ByteBudget& bytes, TimerQueue& timers,
              const Clock& clock, Limits limits, Ended ended, Gate gate);
--- a/src/operator/operator_file.cpp
+++ b/src/operator/operator_file.cpp
@@ -12,7 +12,7 @@
 using schema::Unit;
 
 // Far above any such file; a wrong path must not fill the memory.
-constexpr std::streamsize kMostBytes = 1 << 20;
+constexpr std::streamsize kMaxBytes = 1 << 20;
 
 const std::vector<std::string> kTables{"state", "websocket", "status", "cluster", "proof"};
 
@@ -46,30 +46,30 @@
     {"clock_behind", Unit::duration, &ProofSettings::clock_behind, "\"0s\"", "or behind it", 0, 86400000}};
 
 using Websocket = websocket::Settings;
-constexpr double kMostSessions = 100000, kMostTime = 3600000;
+constexpr double kMaxSessions = 100000, kMaxTime = 3600000;
 
 const std::vector<Key<Websocket>> kWebsocket{
     {"on", Unit::flag, &Websocket::on, "false",
      "whether clients may upgrade; if not, `Upgrade` is passed over"},
     {"origins", Unit::words, &Websocket::origins, "[]", "that browsers may come from; none listed: any"},
     {"most", Unit::count, &Websocket::most, "500",
-     "sessions of this sidecar; each takes two sockets, of half of all at most", 0, kMostSessions},
+     "sessions of this sidecar; each takes two sockets, of half of all at most", 0, kMaxSessions},
     {"most_at_server", Unit::count, &Websocket::most_at_server, "250", "of them at one server", 1,
-     kMostSessions},
+     kMaxSessions},
     {"most_of_client", Unit::count, &Websocket::most_of_client, "500", "of them from one client address", 1,
-     kMostSessions},
+     kMaxSessions},
     {"most_message", Unit::size, &Websocket::most_message, "\"1MiB\"",
      "a longer message ends its session (1009)", 125, 1 << 30},
     {"waiting", Unit::size, &Websocket::waiting, "\"4KiB\"",
      "read from one side and not taken by the other; until it is, nothing more is read", 512, 1 << 24},
     {"handshake", Unit::duration, &Websocket::handshake, "\"3s\"",
-     "for a client to take its answer, and for either side to answer a close", 10, kMostTime},
+     "for a client to take its answer, and for either side to answer a close", 10, kMaxTime},
     {"idle", Unit::duration, &Websocket::idle, "\"60s\"", "without a byte; a ping goes out at half of it",
-     100, kMostTime},
+     100, kMaxTime},
     {"drain", Unit::duration, &Websocket::drain, "\"10s\"",
-     "over which sessions of a draining server are told (1012)", 0, kMostTime},
+     "over which sessions of a draining server are told (1012)", 0, kMaxTime},
     {"ending", Unit::duration, &Websocket::ending, "\"1s\"",
-     "over which all are told (1001) once the sidecar is to end", 0, kMostTime}};
+     "over which all are told (1001) once the sidecar is to end", 0, kMaxTime}};
 
 }  // namespace
 
@@ -102,13 +102,13 @@
 
 OperatorFile read_operator_file(const std::string& path, schema::Problems& problems) {
     std::ifstream in(path, std::ios::binary);
-    std::string text(static_cast<std::size_t>(kMostBytes) + 1, '\0');
-    in.read(text.data(), kMostBytes + 1);
+    std::string text(static_cast<std::size_t>(kMaxBytes) + 1, '\0');
+    in.read(text.data(), kMaxBytes + 1);
     if (in.bad() || (in.gcount() == 0 && !in.eof())) {
         problems.push_back({0, "", "can't be read"});
         return {};
     }
-    if (in.gcount() > kMostBytes) {
+    if (in.gcount() > kMaxBytes) {
         problems.push_back({0, "", "is larger than 1 MiB"});
         return {};
     }
--- a/src/rehearsal/callers.cpp
+++ b/src/rehearsal/callers.cpp
@@ -110,7 +110,7 @@
 
 std::optional<Try> Callers::next(Millis now, const Try& last, Answer answer, Millis retry_after) const {
     const RequestNumber request = request_of(last.id);
-    const std::uint64_t nth = last.id % kMostTries + 1;
+    const std::uint64_t nth = last.id % kMaxTries + 1;
     const Ask& ask = asks_[request];
     const ClassSpec& c = incident_.classes[ask.class_index];
     if (answer == Answer::served || nth > incident_.callers.retries) return {};
--- a/src/rehearsal/callers.hpp
+++ b/src/rehearsal/callers.hpp
@@ -14,9 +14,9 @@
 // A request is what a person wants; a try is one message to the sidecar. Tries of a request count from 0.
 using RequestNumber = std::uint64_t;
 using TryId = std::uint64_t;
-constexpr std::uint64_t kMostTries = 16;
-constexpr TryId try_id(RequestNumber request, std::uint64_t nth) { return request * kMostTries + nth; }
-constexpr RequestNumber request_of(TryId id) { return id / kMostTries; }
+constexpr std::uint64_t kMaxTries = 16;
+constexpr TryId try_id(RequestNumber request, std::uint64_t nth) { return request * kMaxTries + nth; }
+constexpr RequestNumber request_of(TryId id) { return id / kMaxTries; }
 
 struct Ask {
     Millis at = 0;
--- a/src/rehearsal/incident.cpp
+++ b/src/rehearsal/incident.cpp
@@ -18,8 +18,8 @@
 using schema::Unit;
 
 // Bounds of what one machine can play; a file beyond them is refused, not tried.
-constexpr double kMostServers = 4096, kMostSidecars = 20000, kMostRate = 1e6, kLongest = 3600000;
-constexpr std::size_t kMostFaults = 1000, kMostClasses = 32;
+constexpr double kMaxServers = 4096, kMaxSidecars = 20000, kMaxRate = 1e6, kLongest = 3600000;
+constexpr std::size_t kMaxFaults = 1000, kMaxClasses = 32;
 
 const std::vector<Key<Overview>> kOverview{
     {"about", Unit::word, &Overview::about, "\"\"", "what is rehearsed, in a sentence"},
@@ -29,7 +29,7 @@
 
 const std::vector<Key<FleetSpec>> kFleet{
     {"servers", Unit::count, &FleetSpec::servers, "12", "archive servers, named s-0, s-1 ...", 1,
-     kMostServers},
+     kMaxServers},
     {"halls", Unit::words, &FleetSpec::halls, "hall-a to hall-c", "servers and sidecars take turns in them"},
     {"cores", Unit::count, &FleetSpec::cores, "4", "of each server", 1, 1024},
     {"speed_spread", Unit::share, &FleetSpec::speed_spread, "10%", "machines differ by this either way", 0,
@@ -75,7 +75,7 @@
 
 const std::vector<Key<CallersSpec>> kCallers{
     {"rate", Unit::number, &CallersSpec::rate, "300", "requests a second, through all sidecars together",
-     0.001, kMostRate},
+     0.001, kMaxRate},
     {"shape",
      Unit::word,
      &CallersSpec::shape,
@@ -102,7 +102,7 @@
 
 const std::vector<Key<SidecarsSpec>> kSidecars{
     {"count", Unit::count, &SidecarsSpec::count, "4", "each beside one copy of the application", 1,
-     kMostSidecars},
+     kMaxSidecars},
     {"sockets", Unit::count, &SidecarsSpec::sockets, "1024", "descriptors that one may hold", 64, 1000000},
     {"max_attempts", Unit::count, &SidecarsSpec::max_attempts, "4", "for one request, the first included", 1,
      10},
@@ -120,9 +120,9 @@
     {"beat", Unit::duration, &MessagesSpec::beat, "\"0s\"",
      "virtual: how often each sidecar tells others that it is there; 0: never", 0, 600000},
     {"beat_size", Unit::count, &MessagesSpec::beat_size, "64", "bytes of a beat", 1,
-     MessagesSpec::kMostMessage},
+     MessagesSpec::kMaxMessage},
     {"beat_to", Unit::count, &MessagesSpec::beat_to, "3", "others that a beat goes to; 0: all", 0,
-     kMostSidecars}};
+     kMaxSidecars}};
 
 const std::vector<Key<RulesSpec>> kRules{
     {"drain_grace", Unit::duration, &RulesSpec::drain_grace, "\"500ms\"",
@@ -604,9 +604,9 @@
         schema::read_section(table, "rules", kRules, incident.rules, problems);
         schema::read_section(table, "expect", kExpect, incident.expect, problems);
         schema::read_sections(
-            table, "class", kMostClasses, kClass, problems,
+            table, "class", kMaxClasses, kClass, problems,
             [&](ClassSpec c, std::size_t, std::uint32_t) { incident.classes.push_back(std::move(c)); });
-        schema::read_sections(table, "fault", kMostFaults, kFault, problems,
+        schema::read_sections(table, "fault", kMaxFaults, kFault, problems,
                               [&](FaultSpec f, std::size_t, std::uint32_t line) {
                                   f.line = line;
                                   incident.faults.push_back(std::move(f));
--- a/src/rehearsal/incident.hpp
+++ b/src/rehearsal/incident.hpp
@@ -78,13 +78,13 @@
 struct MessagesSpec {
     Millis delay_least = 1.5, delay_most = 14;  // one way, uniform between
     double loss = 0.01;
-    double price = 0.01;  // points of goodput for bytes delivered / (kMostMessage x first tries)
+    double price = 0.01;  // points of goodput for bytes delivered / (kMaxMessage x first tries)
     // Beats, in virtual time only: plain messages, so that a file can ask who would hear whom. On sockets
     // sidecars send what they have to say.
     Millis beat = 0;  // 0: none
     std::uint64_t beat_size = 64;
-    std::uint64_t beat_to = 3;                          // others, drawn for each beat; 0: all
-    static constexpr std::uint64_t kMostMessage = 256;  // bytes; PROTOCOL
+    std::uint64_t beat_to = 3;                         // others, drawn for each beat; 0: all
+    static constexpr std::uint64_t kMaxMessage = 256;  // bytes; PROTOCOL
 };
 
 struct RulesSpec {
--- a/src/rehearsal/judge.cpp
+++ b/src/rehearsal/judge.cpp
@@ -51,7 +51,7 @@
     char text[64];
     std::snprintf(text, sizeof text, "%.3fs request %llu try %llu: ", now / 1000,
                   static_cast<unsigned long long>(request_of(id)),
-                  static_cast<unsigned long long>(id % kMostTries));
+                  static_cast<unsigned long long>(id % kMaxTries));
     f.examples.push_back(text + what);
 }
 
--- a/src/rehearsal/page.cpp
+++ b/src/rehearsal/page.cpp
@@ -14,7 +14,7 @@
 constexpr double kWidth = 960, kLeft = 64, kRight = 16, kTop = 22, kBottom = 24;
 constexpr double kPlotHeight = 170, kBandHeight = 18;
 // Beyond so many servers a row each is no longer to be read; the hardest worked are shown.
-constexpr std::size_t kMostRows = 40;
+constexpr std::size_t kMaxRows = 40;
 constexpr const char* kFaultColours[] = {"#d9480f", "#5f3dc4", "#0b7285", "#a61e4d", "#2b8a3e", "#846358"};
 
 std::string escaped(const std::string& text) {
@@ -141,9 +141,9 @@
         for (const ServerSecond& s : r.service.servers[i]) total += s.work, most = std::max(most, s.work);
         totals.push_back({total, i});
     }
-    if (totals.size() > kMostRows) {
+    if (totals.size() > kMaxRows) {
         std::sort(totals.rbegin(), totals.rend());
-        totals.resize(kMostRows);
+        totals.resize(kMaxRows);
         std::sort(totals.begin(), totals.end(), [](auto& a, auto& b) { return a.second < b.second; });
     }
     const double height = 14.0 * static_cast<double>(totals.size());
@@ -176,7 +176,7 @@
     rows.erase(std::unique(rows.begin(), rows.end()), rows.end());
     const std::size_t all = rows.size();
     if (all == 0) return "";
-    if (rows.size() > kMostRows) rows.resize(kMostRows);
+    if (rows.size() > kMaxRows) rows.resize(kMaxRows);
     const double height = 14.0 * static_cast<double>(rows.size());
     std::string t =
         frame(axis, height,
--- a/src/rehearsal/real/stand_in_callers.cpp
+++ b/src/rehearsal/real/stand_in_callers.cpp
@@ -60,7 +60,7 @@
         asio::async_write(socket_, asio::buffer(text_),
                           [self = shared_from_this()](error_code, std::size_t) {});
         parser_ = std::make_unique<http::response_parser<http::string_body>>();
-        parser_->body_limit(kMostAnswer);
+        parser_->body_limit(kMaxAnswer);
         http::async_read(socket_, buffer_, *parser_,
                          [self = shared_from_this()](error_code error, std::size_t bytes) {
                              if (self->callers_ && self->active_) self->read(error, bytes);
@@ -120,7 +120,7 @@
 
     StandInCallers* callers_;
     tcp::socket socket_;
-    boost::beast::flat_buffer buffer_{kMostAnswer + 16384};
+    boost::beast::flat_buffer buffer_{kMaxAnswer + 16384};
     std::unique_ptr<http::response_parser<http::string_body>> parser_;
     Try try_;
     std::string text_;
@@ -150,7 +150,7 @@
     std::string text = std::string(safe ? "GET" : "POST") + " /api HTTP/1.1\r\nHost: app.svc\r\n" +
                        "X-Correlation-Id: " + id + "\r\nX-Service-Class: " + c.name +
                        "\r\nX-Time-Left: " + left + "\r\n";
-    if (t.id % kMostTries > 0) text += "X-Repeat: 1\r\n";
+    if (t.id % kMaxTries > 0) text += "X-Repeat: 1\r\n";
     if (c.kind() == balancer::Idempotency::idempotency_key)
         text += "Idempotency-Key: k" + std::to_string(request_of(t.id)) + "\r\n";
     return text + (safe ? "\r\n" : "Content-Length: 4\r\n\r\nbody");
--- a/src/rehearsal/real/stand_in_callers.hpp
+++ b/src/rehearsal/real/stand_in_callers.hpp
@@ -15,7 +15,7 @@
 class StandInCallers {
 public:
     // An answer that is longer is none that a server made.
-    static constexpr std::uint64_t kMostAnswer = 64 * 1024;
+    static constexpr std::uint64_t kMaxAnswer = 64 * 1024;
     // A caller looks at its clock this much late, as the rules on sockets do.
     static constexpr Millis kSlack = 50;
 
--- a/src/rehearsal/real/stand_in_discovery.cpp
+++ b/src/rehearsal/real/stand_in_discovery.cpp
@@ -82,8 +82,8 @@
     }
     // Writes in turn. A sidecar that reads nothing is cut off, not buffered for.
     void send(std::string text) {
-        constexpr std::size_t kMostWaiting = 1024;  // lines; a day has a few hundred
-        if (waiting_.size() >= kMostWaiting) return gone();
+        constexpr std::size_t kMaxWaiting = 1024;  // lines; a day has a few hundred
+        if (waiting_.size() >= kMaxWaiting) return gone();
         waiting_.push_back(std::move(text));
         if (waiting_.size() == 1) write();
     }
@@ -104,7 +104,7 @@
 
     StandInDiscovery* discovery_;
     tcp::socket socket_;
-    boost::beast::flat_buffer buffer_{kMostRequest};
+    boost::beast::flat_buffer buffer_{kMaxRequest};
     http::request<http::empty_body> request_;
     std::deque<std::string> waiting_;
     bool watching_ = false;
--- a/src/rehearsal/real/stand_in_discovery.hpp
+++ b/src/rehearsal/real/stand_in_discovery.hpp
@@ -29,7 +29,7 @@
     static constexpr Millis kToldAfter = 4000;
     // While nothing changes an empty line comes so often; an old address closes its watches after kOldCloses.
     static constexpr Millis kQuietLine = 2000, kOldCloses = 1500;
-    static constexpr std::size_t kMostRequest = 16 * 1024;
+    static constexpr std::size_t kMaxRequest = 16 * 1024;
 
     StandInDiscovery(Stage& stage, Judge& judge, std::uint32_t sidecar, std::vector<Entry> entries,
                      const asio::ip::address& address);
--- a/src/rehearsal/real/stand_in_server.cpp
+++ b/src/rehearsal/real/stand_in_server.cpp
@@ -73,8 +73,8 @@
 private:
     void fresh_parser() {
         parser_ = std::make_unique<http::request_parser<http::string_body>>();
-        parser_->body_limit(kMostBody);
-        parser_->header_limit(kMostHead);
+        parser_->body_limit(kMaxBody);
+        parser_->header_limit(kMaxHead);
         parser_->eager(true);
     }
     // Feeds what has come to the parser; false: it can't be read.
@@ -111,7 +111,7 @@
 
     StandInServer* server_;
     tcp::socket socket_;
-    boost::beast::flat_buffer buffer_{kMostBody + kMostHead};
+    boost::beast::flat_buffer buffer_{kMaxBody + kMaxHead};
     std::unique_ptr<http::request_parser<http::string_body>> parser_;
     bool busy_ = false, silent_ = false;
 };
--- a/src/rehearsal/real/stand_in_server.hpp
+++ b/src/rehearsal/real/stand_in_server.hpp
@@ -17,8 +17,8 @@
 class StandInServer {
 public:
     // A request has this many bytes at most, head and body (PROTOCOL: bodies hold at most 64 KiB).
-    static constexpr std::uint64_t kMostBody = 64 * 1024;
-    static constexpr std::uint32_t kMostHead = 16 * 1024;
+    static constexpr std::uint64_t kMaxBody = 64 * 1024;
+    static constexpr std::uint32_t kMaxHead = 16 * 1024;
 
     // Listens at once if the archive says that it is there at the start. Throws boost::system::system_error
     // if the address can't be had.
--- a/src/rehearsal/sidecar_log.cpp
+++ b/src/rehearsal/sidecar_log.cpp
@@ -17,8 +17,8 @@
         for (const auto& group : rule.groups)
             ends += (ends.empty() ? "" : " | ") + fmt::format("{}", fmt::join(group, " "));
     }
-    constexpr std::size_t kMostShown = 120;  // a split of hundreds would fill a page
-    if (ends.size() > kMostShown) ends.replace(kMostShown, std::string::npos, "...");
+    constexpr std::size_t kMaxShown = 120;  // a split of hundreds would fill a page
+    if (ends.size() > kMaxShown) ends.replace(kMaxShown, std::string::npos, "...");
     return std::string(links::name_of(rule.act)) + " " + ends;
 }
 
@@ -27,7 +27,7 @@
 SidecarLog::SidecarLog(const Incident& incident) : incident_(incident) {
     const auto seconds = static_cast<std::size_t>(incident.overview.length / 1000) + 1;
     messages_.seconds.resize(seconds);
-    if (incident.sidecars.count <= kMostInMatrix)
+    if (incident.sidecars.count <= kMaxInMatrix)
         messages_.heard.assign(incident.sidecars.count,
                                std::vector<std::uint64_t>(incident.sidecars.count, 0));
 }
@@ -62,7 +62,7 @@
 }
 void SidecarLog::sent(Millis now, std::size_t bytes) {
     ++messages_.sent;
-    messages_.too_long += bytes > MessagesSpec::kMostMessage;
+    messages_.too_long += bytes > MessagesSpec::kMaxMessage;
     if (MessageSecond* s = second(now)) ++s->sent;
 }
 void SidecarLog::delivered(Millis now, std::uint32_t from, std::uint32_t to, std::size_t bytes) {
@@ -85,7 +85,7 @@
                           rule.lasts > 0 ? rule.at + rule.lasts : incident_.overview.length});
     if (first_tries > 0)
         r.price = incident_.messages.price * static_cast<double>(r.bytes) /
-                  (static_cast<double>(MessagesSpec::kMostMessage) * static_cast<double>(first_tries));
+                  (static_cast<double>(MessagesSpec::kMaxMessage) * static_cast<double>(first_tries));
     if (r.delivered == 0) r.heard.clear();
     return r;
 }
--- a/src/rehearsal/sidecar_log.hpp
+++ b/src/rehearsal/sidecar_log.hpp
@@ -29,14 +29,14 @@
     std::vector<MessageSecond> seconds;
     std::uint64_t sent = 0, delivered = 0, bytes = 0, too_long = 0;
     double price = 0;  // points of goodput
-    // Who heard whom: messages delivered, by sender and then by receiver. Empty beyond kMostInMatrix
+    // Who heard whom: messages delivered, by sender and then by receiver. Empty beyond kMaxInMatrix
     // sidecars.
     std::vector<std::vector<std::uint64_t>> heard;
 };
 
 class SidecarLog {
 public:
-    static constexpr std::size_t kMostInMatrix = 64;  // beyond it a page can't show it
+    static constexpr std::size_t kMaxInMatrix = 64;  // beyond it a page can't show it
 
     explicit SidecarLog(const Incident& incident);
 
--- a/src/rehearsal/sweep.cpp
+++ b/src/rehearsal/sweep.cpp
@@ -210,8 +210,8 @@
 }
 
 Sweep run_sweep(const std::string& text, const std::string& name, const SweepOptions& options) {
-    if (options.seeds == 0 || options.seeds > SweepOptions::kMostSeeds)
-        throw std::invalid_argument("seeds: 1 to " + std::to_string(SweepOptions::kMostSeeds));
+    if (options.seeds == 0 || options.seeds > SweepOptions::kMaxSeeds)
+        throw std::invalid_argument("seeds: 1 to " + std::to_string(SweepOptions::kMaxSeeds));
     Sweep sweep{name, options.balancer, options.key, options.first_seed, options.seeds, {}};
     std::vector<std::string> texts;
     if (options.key.empty()) {
--- a/src/rehearsal/sweep.hpp
+++ b/src/rehearsal/sweep.hpp
@@ -13,7 +13,7 @@
 namespace elmbay::rehearsal {
 
 struct SweepOptions {
-    static constexpr std::uint64_t kMostSeeds = 10000;
+    static constexpr std::uint64_t kMaxSeeds = 10000;
 
     std::string balancer = "elmbay";
     std::uint64_t first_seed = 1, seeds = 20;
--- a/src/rehearsal/virtual_run.cpp
+++ b/src/rehearsal/virtual_run.cpp
@@ -23,7 +23,7 @@
 constexpr Millis kEpoch = 1e9;
 // As the real sidecar: its answer leaves this much before the caller's time is over, or a tenth of it.
 constexpr Millis kAnswerMargin = 8;
-constexpr double kMostMarginShare = 0.1;
+constexpr double kMaxMarginShare = 0.1;
 constexpr Millis kClientLatency = 0.1;
 // After the last arrival all that is open must end within the longest patience; this is added for what is
 // sent back and forth.
@@ -54,7 +54,7 @@
 
 // Of a socket's receive buffer that nobody reads: so many datagrams stay, what comes after is gone.
 // net.core.rmem_default over what the kernel counts for a datagram of 256 bytes.
-constexpr std::size_t kMostUnread = 256;
+constexpr std::size_t kMaxUnread = 256;
 constexpr Millis kDutyRound = 20;        // as the real driver's
 constexpr Millis kUnix = 1796000000000;  // Unix ms of time 0: some day
 
@@ -262,7 +262,7 @@
         Instance& n = instances_[h.who];
         // Written to its machine is told, read or not.
         if (h.what == What::told) note_told(h.who, notices_[h.a]);
-        if (h.what == What::message && ++n.unread > kMostUnread) return forget_message(h.a);
+        if (h.what == What::message && ++n.unread > kMaxUnread) return forget_message(h.a);
         n.waiting.push_back(h);
     }
     void freeze(std::uint32_t who) {
@@ -455,8 +455,8 @@
         event.id = t.id;
         event.class_index = a.class_index;
         event.time_left = std::max(
-            1.0, t.time_left - (now_ - t.at) - std::min(kAnswerMargin, t.time_left * kMostMarginShare));
-        event.repeat = t.id % kMostTries > 0;
+            1.0, t.time_left - (now_ - t.at) - std::min(kAnswerMargin, t.time_left * kMaxMarginShare));
+        event.repeat = t.id % kMaxTries > 0;
         give(a.sidecar, event);
     }
     void answer(std::uint32_t who, TryId id, Answer what, Millis retry_after) {
--- a/src/sidecar/endpoint_registry.cpp
+++ b/src/sidecar/endpoint_registry.cpp
@@ -56,7 +56,7 @@
 }
 
 bool EndpointRegistry::has_place(const Target& target) const {
-    return listed() < kMostListed && entries_.size() < kMostEntries && target.uid.size() <= kMostUid;
+    return listed() < kMaxListed && entries_.size() < kMaxEntries && target.uid.size() <= kMaxUid;
 }
 
 EndpointRegistry::Position EndpointRegistry::find_or_add(const std::string& uid) {
@@ -105,7 +105,7 @@
 
 std::uint32_t EndpointRegistry::name_number(std::vector<std::string>& names, const std::string& name) {
     const bool known = std::find(names.begin(), names.end(), name) != names.end();
-    return known || names.size() < kMostNames ? balancer::number_of(names, name) : 0;
+    return known || names.size() < kMaxNames ? balancer::number_of(names, name) : 0;
 }
 
 }  // namespace elmbay
--- a/src/sidecar/endpoint_registry.hpp
+++ b/src/sidecar/endpoint_registry.hpp
@@ -22,13 +22,13 @@
 public:
     // Servers that may be listed at once. The operators' largest fleet has 3,200; a rolling replacement names
     // new servers before the old ones have left, and a quarter on top is enough for that.
-    static constexpr std::size_t kMostListed = 4096;
+    static constexpr std::size_t kMaxListed = 4096;
     // All entries: a whole list may replace every server, and those that left stay while attempts are out.
-    static constexpr std::size_t kMostEntries = 3 * kMostListed;
+    static constexpr std::size_t kMaxEntries = 3 * kMaxListed;
     // Bytes of one uid. The longest name of a host in the DNS has 253.
-    static constexpr std::size_t kMostUid = 1024;
+    static constexpr std::size_t kMaxUid = 1024;
     // Different zones or models. A deployment has a handful of each, and they are kept for good.
-    static constexpr std::size_t kMostNames = 256;
+    static constexpr std::size_t kMaxNames = 256;
 
     struct Entry {
         balancer::ServerInfo info{};  // info.id is the server's number
--- a/src/sidecar/server_numbers.hpp
+++ b/src/sidecar/server_numbers.hpp
@@ -15,9 +15,9 @@
 
 class ServerNumbers {
 public:
-    // As many as the module remembers of those that have left (ServerAges::kMostDeparted).
-    static constexpr std::size_t kMostKept = 4096;
-    // Names beyond this are not kept; no name that a deployment uses is as long (state::kMostName).
+    // As many as the module remembers of those that have left (ServerAges::kMaxDeparted).
+    static constexpr std::size_t kMaxKept = 4096;
+    // Names beyond this are not kept; no name that a deployment uses is as long (state::kMaxName).
     static constexpr std::size_t kLongestKept = 255;
 
     // The number of a server that the list names and that has none.
@@ -32,7 +32,7 @@
     void keep(const std::string& uid, balancer::ServerId number) {
         if (uid.size() > kLongestKept || !kept_.emplace(uid, number).second) return;
         order_.push_back(uid);
-        if (order_.size() <= kMostKept) return;
+        if (order_.size() <= kMaxKept) return;
         kept_.erase(order_.front());
         order_.pop_front();
     }
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -23,8 +23,8 @@
 constexpr Millis kAnswerMargin = 8;
 // Each server that is listed can be kept over a restart, and no list is cut shorter than what there is place
 // for.
-static_assert(EndpointRegistry::kMostListed <= state::kMaxServers);
-static_assert(EndpointRegistry::kMostEntries <= kMostTargets);
+static_assert(EndpointRegistry::kMaxListed <= state::kMaxServers);
+static_assert(EndpointRegistry::kMaxEntries <= kMaxTargets);
 // A list with too many servers may be told again and again; the log has one line for all of this time.
 constexpr Millis kSayPassedOverEvery = 60000;
 // Messages beyond the usual size have this part of the memory. All else takes some MB: half as much again is
@@ -250,16 +250,16 @@
 
 // One line an event, some a second: a split of hundreds must not fill the log.
 void Sidecar::tell(const cluster::Change& change) {
-    constexpr std::size_t kMostTold = 20;
+    constexpr std::size_t kMaxTold = 20;
     constexpr Millis kSecond = 1000;
     if (change.at - told_since_ >= kSecond) told_since_ = change.at, told_ = 0;
-    if (++told_ > kMostTold) return;
+    if (++told_ > kMaxTold) return;
     const nlohmann::json line = {{"event", "member"},
                                  {"number", change.number},
                                  {"before", to_string(change.before)},
                                  {"after", to_string(change.after)},
                                  {"why", change.why},
-                                 {"rest_untold", told_ == kMostTold}};
+                                 {"rest_untold", told_ == kMaxTold}};
     std::cerr << line.dump() << std::endl;
 }
 
@@ -331,7 +331,7 @@
     const Millis now = clock_.now();
     if (targets == 0 || (passed_over_said_ && now < *passed_over_said_ + kSayPassedOverEvery)) return;
     passed_over_said_ = now;
-    std::cerr << "elmbay: discovery: the list has more servers than the " << EndpointRegistry::kMostListed
+    std::cerr << "elmbay: discovery: the list has more servers than the " << EndpointRegistry::kMaxListed
               << " that are kept, or names too long; " << targets << " passed over" << std::endl;
 }
 
--- a/src/status/members_command.cpp
+++ b/src/status/members_command.cpp
@@ -41,7 +41,7 @@
     boost::asio::io_context io;
     StreamSocket<boost::asio::local::stream_protocol> connection(io);
     boost::system::error_code error;
-    for (int i = 0; i < kMostInterruptions; ++i) {
+    for (int i = 0; i < kMaxInterruptions; ++i) {
         connection.connect(socket, error);
         if (error != boost::asio::error::interrupted) break;
     }
--- a/src/status/status_socket.cpp
+++ b/src/status/status_socket.cpp
@@ -21,7 +21,7 @@
 constexpr std::chrono::milliseconds kAcceptPause{100};
 // Connections that were given up before they were accepted, in a row: after so many the process's other work
 // has its turn.
-constexpr int kMostFailedAccepts = 16;
+constexpr int kMaxFailedAccepts = 16;
 
 StatusSocket::StatusSocket(asio::io_context& io, const std::string& path, StatusSource source)
     : acceptor_(io), accept_again_(io), path_(path), source_(std::move(source)) {
@@ -60,7 +60,7 @@
 }
 
 void StatusSocket::accept_failed(const Error& error) {
-    if (accept_failure(error) == SocketFailure::connection && ++failed_accepts_ < kMostFailedAccepts)
+    if (accept_failure(error) == SocketFailure::connection && ++failed_accepts_ < kMaxFailedAccepts)
         return accept();
     failed_accepts_ = 0;
     accept_again_.expires_after(kAcceptPause);
--- a/src/websocket/handshake.cpp
+++ b/src/websocket/handshake.cpp
@@ -41,7 +41,7 @@
         if (!is_list(f->value()) || list.begin() == list.end()) return {};
         for (const auto token : list) {
             const std::string text(token);
-            if (all.size() == kMostSubprotocols || text.size() > kMostSubprotocolName) return {};
+            if (all.size() == kMaxSubprotocols || text.size() > kMaxSubprotocolName) return {};
             if (std::find(all.begin(), all.end(), text) != all.end()) return {};
             all.push_back(text);
         }
--- a/src/websocket/handshake.hpp
+++ b/src/websocket/handshake.hpp
@@ -15,8 +15,8 @@
 
 namespace elmbay::websocket {
 
-constexpr std::size_t kMostSubprotocols = 16;      // offered by one client; an application has a few
-constexpr std::size_t kMostSubprotocolName = 128;  // bytes of each
+constexpr std::size_t kMaxSubprotocols = 16;      // offered by one client; an application has a few
+constexpr std::size_t kMaxSubprotocolName = 128;  // bytes of each
 
 // Whether a request asks for an upgrade to WebSocket, well or badly: `Upgrade` names it. Anything else is a
 // request like all others.
--- a/tests/balancer/property_test.cpp
+++ b/tests/balancer/property_test.cpp
@@ -14,7 +14,7 @@
 // One event: what happens, and two numbers that say to whom and how.
 using Step = std::tuple<std::uint8_t, std::uint16_t, std::uint16_t>;
 
-constexpr int kCases = 200, kLeastSteps = 1, kMostSteps = 30000;
+constexpr int kCases = 200, kLeastSteps = 1, kMaxSteps = 30000;
 
 Settings all_kinds(std::uint32_t siblings, bool parallel) {
     Settings s = make_settings({make_class(Idempotency::idempotent), make_class(Idempotency::non_idempotent),
@@ -92,7 +92,7 @@
     ::setenv("RC_PARAMS", fixed.c_str(), 0);
     std::size_t events = 0;
     const bool kept = rc::check([&] {
-        const auto steps = *rc::gen::inRange(kLeastSteps, kMostSteps);  // shrinks to the shortest that fails
+        const auto steps = *rc::gen::inRange(kLeastSteps, kMaxSteps);  // shrinks to the shortest that fails
         const auto siblings = *rc::gen::element(1U, 4U, 64U, 1000U);
         const auto parallel = *rc::gen::arbitrary<bool>();
         const auto seed = *rc::gen::arbitrary<std::uint64_t>();
--- a/tests/balancer/server_age_test.cpp
+++ b/tests/balancer/server_age_test.cpp
@@ -175,7 +175,7 @@
         a.hear(ListKind::incremental, {off});
         a.ages.departed(id);
     };
-    for (ServerId id = 10; id <= 10 + ServerAges::kMostDeparted; ++id) come_and_go(id);
+    for (ServerId id = 10; id <= 10 + ServerAges::kMaxDeparted; ++id) come_and_go(id);
     EXPECT_EQ(a.process(10), 0U) << "the oldest is forgotten";
     EXPECT_EQ(a.process(11), 2U);
     EXPECT_EQ(a.process(1), 1U);
--- a/tests/sidecar/endpoint_registry_test.cpp
+++ b/tests/sidecar/endpoint_registry_test.cpp
@@ -14,7 +14,7 @@
 
 constexpr std::size_t kFleet = 3200;
 // Looking up, withdrawing and listing one server again, with one more that it displaces.
-constexpr std::uint64_t kMostVisitsOfAChange = 8;
+constexpr std::uint64_t kMaxVisitsOfAChange = 8;
 
 Endpoint address(std::size_t index) {
     const auto host = static_cast<std::uint32_t>(0x7f010000U + index);
@@ -54,7 +54,7 @@
         const std::uint64_t before = registry.visited();
         registry.apply(ListKind::incremental, {change});
         registry.forget_withdrawn(nothing_out);
-        EXPECT_LE(registry.visited() - before, kMostVisitsOfAChange) << change.uid;
+        EXPECT_LE(registry.visited() - before, kMaxVisitsOfAChange) << change.uid;
     }
     EXPECT_EQ(registry.listed(), kFleet) << "one left, one came, one was replaced";
 }
@@ -64,7 +64,7 @@
     registry.apply(ListKind::snapshot, fleet(kFleet));
     const std::uint64_t before = registry.visited();
     registry.apply(ListKind::snapshot, fleet(kFleet));
-    EXPECT_LE(registry.visited() - before, kMostVisitsOfAChange * kFleet);
+    EXPECT_LE(registry.visited() - before, kMaxVisitsOfAChange * kFleet);
 }
 
 TEST(EndpointRegistry, OfTwoAtOneAddressTheOneWhoseProcessWasToldLastHasIt) {
@@ -151,17 +151,17 @@
 
 TEST(EndpointRegistry, ANewServerTakesThePlaceOfOneThatLeftWithAttemptsOut) {
     EndpointRegistry registry;
-    registry.apply(ListKind::snapshot, fleet(EndpointRegistry::kMostListed));
+    registry.apply(ListKind::snapshot, fleet(EndpointRegistry::kMaxListed));
     registry.apply(ListKind::incremental, {target(0, EndpointState::removed)});
     registry.forget_withdrawn(all_out);
     const auto update = registry.apply(ListKind::incremental, {target(9000)});
     EXPECT_EQ(update.passed_over, 0U);
-    EXPECT_EQ(registry.listed(), EndpointRegistry::kMostListed);
+    EXPECT_EQ(registry.listed(), EndpointRegistry::kMaxListed);
 }
 
 TEST(EndpointRegistry, AWholeListMayReplaceEveryServerWhileAttemptsAreOut) {
     EndpointRegistry registry;
-    constexpr std::size_t kMost = EndpointRegistry::kMostListed;
+    constexpr std::size_t kMost = EndpointRegistry::kMaxListed;
     registry.apply(ListKind::snapshot, fleet(kMost));
     const auto update = registry.apply(ListKind::snapshot, fleet(kMost, 10000));
     EXPECT_EQ(update.passed_over, 0U);
@@ -176,7 +176,7 @@
 
 TEST(EndpointRegistry, WhatItHoldsIsBoundedAndWhatIsBeyondIsCounted) {
     EndpointRegistry registry;
-    constexpr std::size_t kMost = EndpointRegistry::kMostListed;
+    constexpr std::size_t kMost = EndpointRegistry::kMaxListed;
     EXPECT_EQ(registry.apply(ListKind::snapshot, fleet(kMost + 5)).passed_over, 5U);
     EXPECT_EQ(registry.listed(), kMost);
     // Servers that never get anything back to them stay for ever: they must not add up either.
@@ -184,11 +184,11 @@
         registry.apply(ListKind::snapshot, fleet(kMost, round * 10000));
         registry.forget_withdrawn(all_out);
     }
-    EXPECT_EQ(registry.entries().size(), EndpointRegistry::kMostEntries);
+    EXPECT_EQ(registry.entries().size(), EndpointRegistry::kMaxEntries);
 
     EndpointRegistry fresh;
     Target long_name = target(1);
-    long_name.uid.assign(EndpointRegistry::kMostUid + 1, 'x');
+    long_name.uid.assign(EndpointRegistry::kMaxUid + 1, 'x');
     EXPECT_EQ(fresh.apply(ListKind::snapshot, {long_name, target(2)}).passed_over, 1U);
     EXPECT_EQ(fresh.listed(), 1U);
 }
--- a/tests/sidecar/fleet_size_test.cpp
+++ b/tests/sidecar/fleet_size_test.cpp
@@ -107,7 +107,7 @@
     NetRig rig(2);
     rig.start();
     Json targets = Json::array({NetRig::target(1, rig.servers.back().address())});
-    for (const Json& target : leaving(EndpointRegistry::kMostListed + 9)) targets.push_back(target);
+    for (const Json& target : leaving(EndpointRegistry::kMaxListed + 9)) targets.push_back(target);
     testing::internal::CaptureStderr();
     rig.watch_begins();
     rig.chunk(rig.line(targets, true));
--- a/tests/sidecar/listing_test.cpp
+++ b/tests/sidecar/listing_test.cpp
@@ -86,9 +86,9 @@
 
 TEST(Listing, WhatIsBeyondTheMostTargetsIsCounted) {
     std::string text = R"({"rev":1,"all":true,"targets":[)" + kTarget;
-    for (std::size_t i = 1; i < kMostTargets + 3; ++i) text += "," + kTarget;
+    for (std::size_t i = 1; i < kMaxTargets + 3; ++i) text += "," + kTarget;
     const Listing list = parse_listing(text + "]}");
-    EXPECT_EQ(list.targets.size(), kMostTargets);
+    EXPECT_EQ(list.targets.size(), kMaxTargets);
     EXPECT_EQ(list.passed_over, 3U);
 }
 
--- a/tests/syscall_faults/faults.cpp
+++ b/tests/syscall_faults/faults.cpp
@@ -28,8 +28,8 @@
 
 namespace {
 
-constexpr std::size_t kMostDescriptors = 65536, kMostRules = 64;
-constexpr std::size_t kCountsSize = kMostRules * sizeof(std::uint64_t);
+constexpr std::size_t kMaxDescriptors = 65536, kMaxRules = 64;
+constexpr std::size_t kCountsSize = kMaxRules * sizeof(std::uint64_t);
 constexpr int kShort = -1;  // in place of an errno
 
 enum class Side : std::uint8_t { none, in, out, any };
@@ -47,21 +47,21 @@
     std::atomic<bool> broken{false};
 };
 
-std::array<Descriptor, kMostDescriptors>& descriptors() {
-    static std::array<Descriptor, kMostDescriptors> all;
+std::array<Descriptor, kMaxDescriptors>& descriptors() {
+    static std::array<Descriptor, kMaxDescriptors> all;
     return all;
 }
 std::vector<Rule>& rules() {
     static std::vector<Rule> all;
     return all;
 }
-std::array<std::uint64_t, kMostRules> own_counts{};
+std::array<std::uint64_t, kMaxRules> own_counts{};
 std::uint64_t* counts = own_counts.data();
 std::atomic<std::uint64_t> state{0};
 std::atomic<bool> serving{false};
 
 Descriptor* descriptor(int fd) {
-    return fd >= 0 && static_cast<std::size_t>(fd) < kMostDescriptors ? &descriptors()[fd] : nullptr;
+    return fd >= 0 && static_cast<std::size_t>(fd) < kMaxDescriptors ? &descriptors()[fd] : nullptr;
 }
 Side side_of(int fd) {
     const Descriptor* d = descriptor(fd);
@@ -235,7 +235,7 @@
         else
             read.push_back(rule_of(word));
     }
-    if (read.size() > kMostRules) throw std::invalid_argument("too many rules");
+    if (read.size() > kMaxRules) throw std::invalid_argument("too many rules");
     rules() = std::move(read);
     own_counts = {};
     state = seed;
--- a/tests/websocket/fuzz.cpp
+++ b/tests/websocket/fuzz.cpp
@@ -29,7 +29,7 @@
     const std::string_view text(reinterpret_cast<const char*>(data), size);
     if (const auto head = test::parsed_ask(text); head && asks_upgrade(*head)) {
         const auto offered = offered_by(*head);
-        if (offered.size() > kMostSubprotocols) std::abort();
+        if (offered.size() > kMaxSubprotocols) std::abort();
         if (!upgrade_problem(*head, site, {})) {
             http::fields into;
             ask_server(into, *head, 250);
--- a/tools/rehearsal/main.cpp
+++ b/tools/rehearsal/main.cpp
@@ -331,7 +331,7 @@
     for (CLI::App* command : {sweep_command, storm_command, compare_command}) {
         seeds = command->add_option("--seeds", o.sweep.seeds, "how many")
                     ->capture_default_str()
-                    ->check(CLI::Range(std::uint64_t{1}, SweepOptions::kMostSeeds));
+                    ->check(CLI::Range(std::uint64_t{1}, SweepOptions::kMaxSeeds));
         command->add_option("--first-seed", o.sweep.first_seed, "the first of them")->capture_default_str();
     }
 
