--- a/src/balancer/admission.cpp
+++ b/src/balancer/admission.cpp
@@ -55,7 +55,7 @@
 // one, a new sidecar's is better.
 void Admission::recall(const Knowledge& k, Millis taken_at, Millis now) {
     learned_ = k.learned, taught_by_ = k.taught_by, at_ = taken_at;
-    const Recent crowd = Memory::recalled(k.crowd, taken_at);
+    const DecayingAverage crowd = Memory::recalled(k.crowd, taken_at);
     if (k.room > 0 && crowd.left(now, kMemory) >= 1) crowd_ = crowd, room_ = used_ = k.room;
 }
 
--- a/src/balancer/admission.hpp
+++ b/src/balancer/admission.hpp
@@ -16,7 +16,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "base/fading.hpp"
+#include "base/decaying.hpp"
 #include "elmbay/knowledge.hpp"
 
 namespace elmbay::balancer {
@@ -89,13 +89,13 @@
     double top_worth_ = 1e-9;  // of any class
     double floor_ = 0;         // of the room: one attempt for each warm server, or our part of kFloor
     double least_ceiling_ = kOpen;
-    Recent crowd_;
-    Tally answers_;        // of late
-    double load_ = 0;      // attempts out in the mean of those answers
-    double carriers_ = 0;  // warm servers in the same mean: who carried them
-    double used_ = 0;      // the most attempts out of late: a lull must not close the room
-    double warm_ = 0;      // servers of the pool
-    double learned_ = 0;   // the most that could be out, as of at_, and how many servers taught it
+    DecayingAverage crowd_;
+    DecayingCounter answers_;  // of late
+    double load_ = 0;          // attempts out in the mean of those answers
+    double carriers_ = 0;      // warm servers in the same mean: who carried them
+    double used_ = 0;          // the most attempts out of late: a lull must not close the room
+    double warm_ = 0;          // servers of the pool
+    double learned_ = 0;       // the most that could be out, as of at_, and how many servers taught it
     double taught_by_ = 0;
     double room_ = 0;  // at at_; 0: none has been given yet
     Millis at_ = 0;
--- a/src/balancer/aperture.cpp
+++ b/src/balancer/aperture.cpp
@@ -14,7 +14,7 @@
 void Aperture::add(Server* s) {
     if (!ranked_.insert(s).second) return;
     listed_ += s->listed;
-    set_out(s, s->standing != EjectionState::healthy);
+    set_out(s, s->ejection_state != EjectionState::healthy);
 }
 
 void Aperture::remove(Server* s) {
@@ -42,7 +42,7 @@
 }
 
 void Aperture::draw(Millis now, int outstanding) {
-    const double filled = carried_rate(now) * OutlierEjection::kBackoff / Window::kSize;
+    const double filled = carried_rate(now) * OutlierEjection::kBackoff / OutcomeWindow::kSize;
     width_ = std::max({kNarrow, wide_enough_to_be_seen(now), filled, 2.0 * outstanding});
     empty_pool();
     warm_ = 0;
@@ -50,7 +50,7 @@
     until_ = now + kPoolAge;
     for (Server* s : ranked_) {
         if (static_cast<double>(warm_) >= width_) break;
-        if (!s->open() || s->standing != EjectionState::healthy) continue;
+        if (!s->open() || s->ejection_state != EjectionState::healthy) continue;
         pool_.push_back(s);
         s->in_pool = true;
         if (!cold_->is_cold(*s, now)) ++warm_, ++alike_[s->info.kind];
--- a/src/balancer/aperture.hpp
+++ b/src/balancer/aperture.hpp
@@ -54,7 +54,7 @@
     }
     // A warm server of that kind has completed a request.
     void completed(std::uint32_t kind, Millis now) {
-        for (Tally* t : {&carried_, &of_[kind]}) t->add(now, kRateMemory);
+        for (DecayingCounter* t : {&carried_, &of_[kind]}) t->add(now, kRateMemory);
     }
     double carried_rate(Millis now) const { return carried_.rate(now, kRateMemory); }
     // What one warm server of this kind carries of that, or carried when the pool last had one.
@@ -79,10 +79,10 @@
 
     double siblings_;
     const ColdStart* cold_;
-    Tally carried_;
-    Carriers carriers_;                  // warm servers that did
-    bool recalled_ = false;              // by an earlier life: its servers are not among the carriers yet
-    std::map<std::uint32_t, Tally> of_;  // carried, by kind: a deployment has a handful
+    DecayingCounter carried_;
+    Carriers carriers_;      // warm servers that did
+    bool recalled_ = false;  // by an earlier life: its servers are not among the carriers yet
+    std::map<std::uint32_t, DecayingCounter> of_;  // carried, by kind: a deployment has a handful
     std::map<std::uint32_t, Carriers> carriers_of_;
     std::map<std::uint32_t, double> alike_,
         each_;  // warm ones of the pool, and what one carries, as of draw()
--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -22,9 +22,9 @@
 #include "balancer/event_context.hpp"
 #include "balancer/fairness.hpp"
 #include "balancer/final_responder.hpp"
+#include "balancer/latency_estimate.hpp"
 #include "balancer/memory.hpp"
 #include "balancer/outcome_accounting.hpp"
-#include "balancer/pace.hpp"
 #include "balancer/pick.hpp"
 #include "balancer/request_table.hpp"
 #include "balancer/retry_budget.hpp"
@@ -69,7 +69,7 @@
     ServerAges ages;
     Aperture aperture{settings.siblings, cold};
     OutlierEjection ejection;
-    Pace pace;
+    LatencyEstimate pace;
     Admission admission{settings};
     Fairness fairness{settings.tenants};
     RetryBudget retry_budget;
--- a/src/balancer/dispatcher.cpp
+++ b/src/balancer/dispatcher.cpp
@@ -24,7 +24,7 @@
     const auto may_have_it = [&](Server& server) {
         return (admitted || gate.is_cold(server, now)) && gate.may_send(request, server, now);
     };
-    const Pick::Crowd crowd{admission.crowd(), admission.crowded(), admission.our_part()};
+    const Pick::LoadLevel crowd{admission.crowd(), admission.crowded(), admission.our_part()};
     return parts_.pick.one_of(parts_.aperture.pool(), request, crowd, now, may_have_it);
 }
 
@@ -39,7 +39,7 @@
 
 void Dispatcher::dispatch(Request& request, Server& server) {
     const Millis now = parts_.context.now();
-    const bool trial = server.standing == EjectionState::ejected;
+    const bool trial = server.ejection_state == EjectionState::ejected;
     const bool cold = parts_.gate.is_cold(server, now);
     if (trial) OutlierEjection::trial_begins(server);
     if (cold) ColdStart::sent(server);
--- a/src/balancer/ejection.cpp
+++ b/src/balancer/ejection.cpp
@@ -8,17 +8,17 @@
 OutlierEjection::Verdict OutlierEjection::judge(Server& s, const Case& c, Millis now) {
     const bool success = c.outcome == Outcome::success && !c.late;
     const bool says_something = c.outcome != Outcome::cancelled && c.outcome != Outcome::not_sent;
-    if (s.standing == EjectionState::probing && c.trial) {
+    if (s.ejection_state == EjectionState::probing && c.trial) {
         if (!says_something) {
-            s.standing = EjectionState::ejected;  // undecided: the next request is the trial
+            s.ejection_state = EjectionState::ejected;  // undecided: the next request is the trial
             return Verdict::none;
         }
         if (!success) return remove(s, now);
-        s.standing = EjectionState::healthy;
+        s.ejection_state = EjectionState::healthy;
         s.window.clear();
         return Verdict::restored;
     }
-    if (!says_something || s.standing != EjectionState::healthy) return Verdict::none;
+    if (!says_something || s.ejection_state != EjectionState::healthy) return Verdict::none;
     // A connection that does not come up is another matter than the answers before it: the process, or the
     // way there, is no longer what gave them. What others do is no excuse for it either; the cap alone is.
     const bool unreached = c.outcome == Outcome::connect_failed;
@@ -29,8 +29,8 @@
 }
 
 OutlierEjection::Verdict OutlierEjection::remove(Server& s, Millis now) {
-    const bool again = s.standing != EjectionState::healthy;
-    s.standing = EjectionState::ejected;
+    const bool again = s.ejection_state != EjectionState::healthy;
+    s.ejection_state = EjectionState::ejected;
     s.backoff_until = now + kBackoff;
     return again ? Verdict::removed_again : Verdict::removed;
 }
@@ -57,9 +57,9 @@
     const double good = good_ - (s.in_pool ? s.window.successes() : 0);
     const double all = all_ - (s.in_pool ? s.window.filled() : 0);
     const double level = all > 0 && !alone ? good / all : 1;
-    const double noise = std::sqrt(level * (1 - level) / static_cast<double>(Window::kSize));
+    const double noise = std::sqrt(level * (1 - level) / static_cast<double>(OutcomeWindow::kSize));
     const double filled = s.window.filled();
-    const double benefit = std::min(kBenefit, Window::kSize - filled);
+    const double benefit = std::min(kBenefit, OutcomeWindow::kSize - filled);
     return (s.window.successes() + benefit) / (filled + benefit) < kThreshold * level - kDeviations * noise;
 }
 
--- a/src/balancer/ejection.hpp
+++ b/src/balancer/ejection.hpp
@@ -34,11 +34,11 @@
     Verdict judge(Server& s, const Case& c, Millis now);
 
     // Another process under the same name: its record starts anew.
-    static void forget(Server& s) { s.standing = EjectionState::healthy, s.window.clear(); }
+    static void forget(Server& s) { s.ejection_state = EjectionState::healthy, s.window.clear(); }
     bool trial_due(const Server& s, Millis now) const {
-        return s.standing == EjectionState::ejected && now >= s.backoff_until;
+        return s.ejection_state == EjectionState::ejected && now >= s.backoff_until;
     }
-    static void trial_begins(Server& s) { s.standing = EjectionState::probing; }
+    static void trial_begins(Server& s) { s.ejection_state = EjectionState::probing; }
     // The pool is another one: those that a server is held against.
     void compare_with(const std::vector<Server*>& pool);
 
--- a/src/balancer/fairness.hpp
+++ b/src/balancer/fairness.hpp
@@ -6,7 +6,7 @@
 #include <optional>
 #include <vector>
 
-#include "base/fading.hpp"
+#include "base/decaying.hpp"
 
 namespace elmbay::balancer {
 
@@ -23,7 +23,7 @@
     double arrived(std::optional<std::uint32_t> tenant, Millis now) {
         if (!tenant || *tenant >= usage_.size() || quotas_ == 0) return 1;
         const double fair = tenants_[*tenant].quota / quotas_;
-        Tally& mine = usage_[*tenant];
+        DecayingCounter& mine = usage_[*tenant];
         all_.add(now, kMemory);
         mine.add(now, kMemory);
         return std::min(1.0, fair * (all_.count + kPrior) / (mine.count + fair * kPrior));
@@ -31,8 +31,8 @@
 
 private:
     std::vector<Tenant> tenants_;
-    std::vector<Tally> usage_;  // by tenant
-    Tally all_;
+    std::vector<DecayingCounter> usage_;  // by tenant
+    DecayingCounter all_;
     double quotas_ = 0;
 };
 
--- a/src/balancer/pace.hpp
+++ b/src/balancer/latency_estimate.hpp
@@ -10,7 +10,7 @@
 
 namespace elmbay::balancer {
 
-class Pace {
+class LatencyEstimate {
 public:
     static constexpr Millis kServerMemory = 10000, kKindMemory = 60000;
     static constexpr double kKindWeight =
@@ -30,7 +30,7 @@
     }
 
 private:
-    std::map<std::uint32_t, Recent> kinds_;  // nodes stay where they are: servers point at them
+    std::map<std::uint32_t, DecayingAverage> kinds_;  // nodes stay where they are: servers point at them
 };
 
 }  // namespace elmbay::balancer
--- a/src/balancer/memory.cpp
+++ b/src/balancer/memory.cpp
@@ -22,7 +22,7 @@
     if (k.online_since != s.info.online_since) return;  // another process
     if (k.out_ms) {
         if (!may_remove) return;
-        s.standing = EjectionState::ejected;
+        s.ejection_state = EjectionState::ejected;
         s.backoff_until = now + std::max(0.0, *k.out_ms - age);
         return;
     }
@@ -32,8 +32,9 @@
 
 ServerKnowledge Memory::of(const Server& s, Millis now) {
     ServerKnowledge k{s.info.id, s.info.online_since, s.window.bits(), s.window.filled(), {}, s.tokens};
-    if (s.standing == EjectionState::ejected) k.out_ms = std::max(0.0, s.backoff_until - now);
-    if (s.standing == EjectionState::probing) k.out_ms = 0;  // undecided: the next life tries it at once
+    if (s.ejection_state == EjectionState::ejected) k.out_ms = std::max(0.0, s.backoff_until - now);
+    if (s.ejection_state == EjectionState::probing)
+        k.out_ms = 0;  // undecided: the next life tries it at once
     return k;
 }
 
--- a/src/balancer/memory.hpp
+++ b/src/balancer/memory.hpp
@@ -30,10 +30,10 @@
 
     // As of now.
     static ServerKnowledge of(const Server& s, Millis now);
-    static FadingKnowledge of(const Recent& mean, Millis now) {
+    static FadingKnowledge of(const DecayingAverage& mean, Millis now) {
         return {mean.value, mean.count, now - mean.at};
     }
-    static Recent recalled(const FadingKnowledge& known, Millis taken_at) {
+    static DecayingAverage recalled(const FadingKnowledge& known, Millis taken_at) {
         return {{known.weight, taken_at - known.since}, known.value};
     }
 
--- a/src/balancer/outcome_accounting.hpp
+++ b/src/balancer/outcome_accounting.hpp
@@ -4,7 +4,7 @@
 #include "balancer/aperture.hpp"
 #include "balancer/ejection.hpp"
 #include "balancer/event_context.hpp"
-#include "balancer/pace.hpp"
+#include "balancer/latency_estimate.hpp"
 #include "balancer/request.hpp"
 #include "balancer/server_pool.hpp"
 
@@ -20,7 +20,7 @@
     struct Parts {
         EventContext& context;
         const ColdStart& cold;
-        Pace& pace;
+        LatencyEstimate& pace;
         Admission& admission;
         Aperture& aperture;
         OutlierEjection& ejection;
--- a/src/balancer/pick.cpp
+++ b/src/balancer/pick.cpp
@@ -20,7 +20,7 @@
 
 // The first is of our zone, if any is: it wins ties, and with one request more where our part of the fee
 // exceeds the chance of a late answer.
-Server* Pick::better_of_two(bool session, const Crowd& crowd, Millis now) {
+Server* Pick::better_of_two(bool session, const LoadLevel& crowd, Millis now) {
     const auto in_my_zone = [this](const Server* s) { return s->info.zone == *zone_; };
     // In place: the order within each half is that of the pool.
     std::size_t near = 0;
--- a/src/balancer/pick.hpp
+++ b/src/balancer/pick.hpp
@@ -11,7 +11,7 @@
 #include <cmath>
 #include <vector>
 
-#include "balancer/pace.hpp"
+#include "balancer/latency_estimate.hpp"
 #include "balancer/request.hpp"
 #include "base/random.hpp"
 
@@ -19,13 +19,13 @@
 
 class Pick {
 public:
-    Pick(const Settings& settings, Random& random, const Pace& pace)
+    Pick(const Settings& settings, Random& random, const LatencyEstimate& pace)
         : zone_(settings.fees.cross_zone > 0 ? settings.my_zone : std::nullopt),
           fee_(settings.fees.cross_zone),
           random_(&random),
           pace_(&pace) {}
 
-    struct Crowd {
+    struct LoadLevel {
         double value = 0;  // answers' time against their aim
         bool crowded = false;
         double our_part = 1;  // of what all sidecars do at one server
@@ -33,7 +33,7 @@
     // One of the pool for which may(Server&) holds; before those that this request has tried come the others.
     // None: nullptr. Linear in the pool; takes no memory once it has seen the largest pool.
     template <class May>
-    Server* one_of(const std::vector<Server*>& pool, const Request& r, const Crowd& crowd, Millis now,
+    Server* one_of(const std::vector<Server*>& pool, const Request& r, const LoadLevel& crowd, Millis now,
                    May may) {
         fresh_.clear();
         again_.clear();
@@ -45,12 +45,12 @@
 
 private:
     std::size_t draw(std::size_t count, std::size_t without);
-    Server* better_of_two(bool session, const Crowd& crowd, Millis now);
+    Server* better_of_two(bool session, const LoadLevel& crowd, Millis now);
 
     std::optional<ZoneId> zone_;  // none where zones don't matter
     double fee_;
     Random* random_;
-    const Pace* pace_;
+    const LatencyEstimate* pace_;
     std::vector<Server*> fresh_, again_;  // kept for their memory
 };
 
--- a/src/balancer/send_gate.hpp
+++ b/src/balancer/send_gate.hpp
@@ -2,7 +2,7 @@
 
 #include "balancer/aperture.hpp"
 #include "balancer/cold_start.hpp"
-#include "balancer/pace.hpp"
+#include "balancer/latency_estimate.hpp"
 #include "balancer/request.hpp"
 #include "balancer/sessions.hpp"
 
@@ -13,8 +13,8 @@
 /// Owned by Balancer::Impl. Dispatcher asks it for each server that it considers, and sends to no other.
 class SendGate {
 public:
-    SendGate(const Settings& settings, const ColdStart& cold, const Aperture& aperture, const Pace& pace,
-             const Sessions& sessions)
+    SendGate(const Settings& settings, const ColdStart& cold, const Aperture& aperture,
+             const LatencyEstimate& pace, const Sessions& sessions)
         : settings_(&settings), cold_(&cold), aperture_(&aperture), pace_(&pace), sessions_(&sessions) {}
 
     bool is_cold(const Server& server, Millis now) const { return cold_->is_cold(server, now); }
@@ -32,7 +32,7 @@
     const Settings* settings_;
     const ColdStart* cold_;
     const Aperture* aperture_;
-    const Pace* pace_;
+    const LatencyEstimate* pace_;
     const Sessions* sessions_;
 };
 
--- a/src/balancer/server.hpp
+++ b/src/balancer/server.hpp
@@ -5,13 +5,13 @@
 #include <cstdint>
 
 #include "balancer/server_age.hpp"
-#include "base/fading.hpp"
+#include "base/decaying.hpp"
 #include "elmbay/balancer.hpp"
 
 namespace elmbay::balancer {
 
 // The last kSize outcomes of a server.
-class Window {
+class OutcomeWindow {
 public:
     static constexpr std::uint32_t kSize = 20;  // DESIGN: the mechanism's own figure
 
@@ -28,23 +28,23 @@
     std::uint32_t bits_ = 0, filled_ = 0;
 };
 
-enum class Standing { live, removed, trial };
+enum class EjectionState { healthy, ejected, probing };
 
 struct Server {
     ServerInfo info;
     ServerAges::Process process;  // ServerAges': which one it is, and when it started on our clock
     bool listed = true;
-    int outstanding = 0;                         // attempts of this sidecar that are out there
-    std::size_t sessions = 0;                    // Sessions': its sessions there, and the upgrades out there
-    std::uint64_t rank = 0;                      // Aperture's: drawn once, so that sidecars differ
-    bool in_pool = false;                        // Aperture's
-    Standing standing = EjectionState::healthy;  // OutlierEjection's, as the next two
-    Window window;
+    int outstanding = 0;       // attempts of this sidecar that are out there
+    std::size_t sessions = 0;  // Sessions': its sessions there, and the upgrades out there
+    std::uint64_t rank = 0;    // Aperture's: drawn once, so that sidecars differ
+    bool in_pool = false;      // Aperture's
+    EjectionState ejection_state = EjectionState::healthy;  // OutlierEjection's, as the next two
+    OutcomeWindow window;
     Millis backoff_until = 0;
     double tokens = 0;  // ColdStart's: sends that a cold server may still take, as of tokens_at
     Millis tokens_at = 0;
-    Recent* kind = nullptr;  // Pace's: of all warm servers of its kind
-    Recent pace;             // Pace's: of its own answers
+    DecayingAverage* kind = nullptr;  // LatencyEstimate's: of all warm servers of its kind
+    DecayingAverage pace;             // LatencyEstimate's: of its own answers
 
     // Whether anything new may go to it, as far as the list says (rule 3).
     bool open() const { return listed && info.state == EndpointState::active; }
--- a/src/balancer/server_pool.hpp
+++ b/src/balancer/server_pool.hpp
@@ -16,7 +16,7 @@
     ServerPool(Aperture& aperture, OutlierEjection& ejection, Admission& admission, const Sessions& sessions)
         : aperture_(&aperture), ejection_(&ejection), admission_(&admission), sessions_(&sessions) {}
 
-    /// The list, the siblings or a server's standing has changed, or the pool is stale().
+    /// The list, the siblings or a server's ejection_state has changed, or the pool is stale().
     void draw_pool(Millis now);
     bool stale(Millis now) const { return aperture_->stale(now, load()); }
 
--- a/src/balancer/server_table.cpp
+++ b/src/balancer/server_table.cpp
@@ -63,7 +63,7 @@
     if (!fresh) return server;
     // Half of the list stays in the pool, whatever the restored state says of it.
     memory_->recall(server, 2 * (recalled_out_ + 1) <= listed_, now);
-    recalled_out_ += server.standing == EjectionState::ejected;
+    recalled_out_ += server.ejection_state == EjectionState::ejected;
     return server;
 }
 
--- a/src/balancer/server_table.hpp
+++ b/src/balancer/server_table.hpp
@@ -3,8 +3,8 @@
 #include <map>
 
 #include "balancer/aperture.hpp"
+#include "balancer/latency_estimate.hpp"
 #include "balancer/memory.hpp"
-#include "balancer/pace.hpp"
 #include "balancer/server.hpp"
 #include "balancer/server_age.hpp"
 #include "base/random.hpp"
@@ -18,7 +18,7 @@
 /// one goes. Bound: the list's length (the driver's limit) and what is outstanding at servers that left it.
 class ServerTable {
 public:
-    ServerTable(Random& random, Pace& pace, Memory& memory, Aperture& aperture, ServerAges& ages)
+    ServerTable(Random& random, LatencyEstimate& pace, Memory& memory, Aperture& aperture, ServerAges& ages)
         : random_(&random), pace_(&pace), memory_(&memory), aperture_(&aperture), ages_(&ages) {}
 
     /// Takes in a list of any kind but failed. The pool has to be drawn anew next.
@@ -43,7 +43,7 @@
     Server& learn(const ServerInfo& info, Millis now);
 
     Random* random_;
-    Pace* pace_;
+    LatencyEstimate* pace_;
     Memory* memory_;
     Aperture* aperture_;
     ServerAges* ages_;
--- a/src/base/fading.hpp
+++ b/src/base/decaying.hpp
@@ -10,7 +10,7 @@
 namespace elmbay::balancer {
 
 // A count that loses all but 1/e of itself in `memory` ms.
-struct Tally {
+struct DecayingCounter {
     double count = 0;
     Millis at = 0;
     double left(Millis now, Millis memory) const { return count * std::exp((at - now) / memory); }
@@ -18,8 +18,8 @@
     void add(Millis now, Millis memory) { count = left(now, memory) + 1, at = now; }
 };
 
-// How many carried what a Tally of the same memory still counts: those that there are now, and those that
-// have gone, forgotten as slowly as the tally forgets their work.
+// How many carried what a DecayingCounter of the same memory still counts: those that there are now, and
+// those that have gone, forgotten as slowly as the tally forgets their work.
 class Carriers {
 public:
     void set(double present, Millis now, Millis memory) {
@@ -38,12 +38,12 @@
 
 // A mean in which samples count less the older they are, and about the last kMaxSamples of them at most:
 // light traffic needs the first, heavy traffic the second.
-struct Recent : Tally {
+struct DecayingAverage : DecayingCounter {
     static constexpr double kMaxSamples = 10;
 
     double value = 0;
     void add(double sample, Millis now, Millis memory) {
-        Tally::add(now, memory);
+        DecayingCounter::add(now, memory);
         count = std::min(count, kMaxSamples);
         value += (sample - value) / count;
     }
--- a/src/base/overloaded.hpp
+++ b/src/base/visitor.hpp
@@ -4,10 +4,10 @@
 namespace elmbay::balancer {
 
 template <class... Ts>
-struct Overloaded : Ts... {
+struct Visitor : Ts... {
     using Ts::operator()...;
 };
 template <class... Ts>
-Overloaded(Ts...) -> Overloaded<Ts...>;
+Visitor(Ts...) -> Visitor<Ts...>;
 
 }  // namespace elmbay::balancer
--- a/src/engine/engine.cpp
+++ b/src/engine/engine.cpp
@@ -3,8 +3,8 @@
 #include <memory>
 #include <vector>
 
-#include "base/overloaded.hpp"
-#include "base/plants.hpp"
+#include "base/failpoints.hpp"
+#include "base/visitor.hpp"
 
 namespace elmbay::engine {
 
@@ -67,33 +67,33 @@
 }
 
 void Engine::run(const Action& action) {
-    std::visit(Overloaded{[this](const StartAttempt& a) {
-                              const auto at = requests_.find(a.id);
-                              if (at == requests_.end()) return;
-                              ++at->second.out;
-                              port_.start({a.id, at->second.sent++}, a.server, a.try_until, a.write_by);
-                              if (planted("twice")) {
-                                  ++at->second.out;
-                                  port_.start({a.id, at->second.sent++}, a.server, a.try_until, a.write_by);
-                              }
-                          },
-                          [this](const Cancel& a) {
-                              port_.cancel({a.id, a.attempt});
-                          },
-                          [this](const Reject& a) {
-                              finish(a.id, {Final::Kind::refused, a.retry_in});
-                              settle(a.id);
-                          },
-                          [this](const Fail& a) {
-                              const auto at = requests_.find(a.id);
-                              const bool timed_out =
-                                  at != requests_.end() &&
-                                  (at->second.out > 0 || at->second.last == Outcome::timed_out);
-                              finish(a.id, {Final::Kind::failed, 0, timed_out});
-                              settle(a.id);
-                          },
-                          [this](const SetTimer& a) { port_.set_timer(a.at, a.token); },
-                          [this](const Subscribe& a) { port_.subscribe(a.active); }, [](const Log&) {}},
+    std::visit(Visitor{[this](const StartAttempt& a) {
+                           const auto at = requests_.find(a.id);
+                           if (at == requests_.end()) return;
+                           ++at->second.out;
+                           port_.start({a.id, at->second.sent++}, a.server, a.try_until, a.write_by);
+                           if (failpoint_enabled("twice")) {
+                               ++at->second.out;
+                               port_.start({a.id, at->second.sent++}, a.server, a.try_until, a.write_by);
+                           }
+                       },
+                       [this](const Cancel& a) {
+                           port_.cancel({a.id, a.attempt});
+                       },
+                       [this](const Reject& a) {
+                           finish(a.id, {Final::Kind::refused, a.retry_in});
+                           settle(a.id);
+                       },
+                       [this](const Fail& a) {
+                           const auto at = requests_.find(a.id);
+                           const bool timed_out =
+                               at != requests_.end() &&
+                               (at->second.out > 0 || at->second.last == Outcome::timed_out);
+                           finish(a.id, {Final::Kind::failed, 0, timed_out});
+                           settle(a.id);
+                       },
+                       [this](const SetTimer& a) { port_.set_timer(a.at, a.token); },
+                       [this](const Subscribe& a) { port_.subscribe(a.active); }, [](const Log&) {}},
                action);
 }
 
@@ -102,7 +102,7 @@
     const auto at = requests_.find(id);
     if (at == requests_.end() || at->second.over) return;
     at->second.over = true;
-    if (planted("lose") && id % 5 == 0) return;
+    if (failpoint_enabled("lose") && id % 5 == 0) return;
     port_.finish(id, outcome);
 }
 
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -9,7 +9,7 @@
 #include <iostream>
 #include <thread>
 
-#include "base/plants.hpp"
+#include "base/failpoints.hpp"
 #include "base/socket_failures.hpp"
 #include "base/socket_state.hpp"
 #include "base/stream_socket.hpp"
@@ -498,7 +498,7 @@
 
 bool Listener::gone(RequestId id) const {
     const auto at = in_work_.find(id);
-    return !planted("thaw") && (at == in_work_.end() || at->second->gone());
+    return !failpoint_enabled("thaw") && (at == in_work_.end() || at->second->gone());
 }
 
 void Listener::accept() {
--- a/src/net/upstream.cpp
+++ b/src/net/upstream.cpp
@@ -8,7 +8,7 @@
 #include <optional>
 #include <set>
 
-#include "base/plants.hpp"
+#include "base/failpoints.hpp"
 #include "base/socket_failures.hpp"
 #include "base/socket_state.hpp"
 #include "base/stream_socket.hpp"
@@ -143,7 +143,7 @@
         owner_.leave_idle(*this);
         owner_.timers_.cancel(timer_);
         owner_.timers_.cancel(again_);
-        if (planted("leak")) (void)::dup(STDERR_FILENO);
+        if (failpoint_enabled("leak")) (void)::dup(STDERR_FILENO);
         Error ignored;
         socket_.close(ignored);
         owner_.drop();
@@ -229,7 +229,7 @@
         Attempt& attempt = *at->second;
         const auto state = answer_->state();
         // Broken before the last byte was written: it never ran. After that it may have.
-        Outcome outcome = written_ && !planted("resend") ? Outcome::connection_reset : unwritten_;
+        Outcome outcome = written_ && !failpoint_enabled("resend") ? Outcome::connection_reset : unwritten_;
         bool reusable = false;
         HttpResponse response;
         if (state == AnswerReader::State::whole) {
--- a/src/simulator/wire.cpp
+++ b/src/simulator/wire.cpp
@@ -6,7 +6,7 @@
 #include <istream>
 #include <ostream>
 
-#include "base/overloaded.hpp"
+#include "base/visitor.hpp"
 
 namespace elmbay::balancer::wire {
 
@@ -309,41 +309,41 @@
         (reply_ += field) += '=';
         add_number(reply_, value);
     };
-    std::visit(Overloaded{[&](const StartAttempt& a) {
-                              request("DISPATCH", a.id);
-                              server(a.server);
-                              time(" try-until-ms", a.try_until);
-                              ++instance.requests.at(a.id).out;
-                              ++instance.servers.at(a.server).out;
-                          },
-                          [&](const Cancel& a) {
-                              request("ABANDON", a.id);
-                              reply_ += " hop=" + std::to_string(a.attempt);
-                          },
-                          [&](const Reject& a) {
-                              request("DECLINE", a.id);
-                              if (a.retry_in > 0) time(" retry-in-ms", a.retry_in);
-                              instance.end_request(a.id);
-                          },
-                          [&](const Fail& a) {
-                              request("GIVE_UP", a.id);
-                              instance.end_request(a.id);
-                          },
-                          [&](const SetTimer& a) {
-                              head("AFTER");
-                              time(" at-ms", a.at);
-                              reply_ += " nonce=" + std::to_string(a.token);
-                          },
-                          [&](const Subscribe& a) {
-                              head("SUBSCRIBE");
-                              reply_ += a.active ? " active=1" : " active=0";
-                          },
-                          [&](const Log& a) {
-                              head("PRINT");
-                              reply_ += " words=";
-                              if (a.server) reply_ += instance.servers.at(*a.server).name + " ";
-                              for (const char c : a.text) reply_ += c == '\n' || c == '\r' ? ' ' : c;
-                          }},
+    std::visit(Visitor{[&](const StartAttempt& a) {
+                           request("DISPATCH", a.id);
+                           server(a.server);
+                           time(" try-until-ms", a.try_until);
+                           ++instance.requests.at(a.id).out;
+                           ++instance.servers.at(a.server).out;
+                       },
+                       [&](const Cancel& a) {
+                           request("ABANDON", a.id);
+                           reply_ += " hop=" + std::to_string(a.attempt);
+                       },
+                       [&](const Reject& a) {
+                           request("DECLINE", a.id);
+                           if (a.retry_in > 0) time(" retry-in-ms", a.retry_in);
+                           instance.end_request(a.id);
+                       },
+                       [&](const Fail& a) {
+                           request("GIVE_UP", a.id);
+                           instance.end_request(a.id);
+                       },
+                       [&](const SetTimer& a) {
+                           head("AFTER");
+                           time(" at-ms", a.at);
+                           reply_ += " nonce=" + std::to_string(a.token);
+                       },
+                       [&](const Subscribe& a) {
+                           head("SUBSCRIBE");
+                           reply_ += a.active ? " active=1" : " active=0";
+                       },
+                       [&](const Log& a) {
+                           head("PRINT");
+                           reply_ += " words=";
+                           if (a.server) reply_ += instance.servers.at(*a.server).name + " ";
+                           for (const char c : a.text) reply_ += c == '\n' || c == '\r' ? ' ' : c;
+                       }},
                action);
     reply_ += '\n';
 }
--- a/tests/balancer/composition_test.cpp
+++ b/tests/balancer/composition_test.cpp
@@ -189,7 +189,7 @@
 
     Settings settings_;
     Random random_{1};
-    Pace pace_;
+    LatencyEstimate pace_;
     Memory memory_;
     ColdStart cold_{settings_};
     Aperture aperture_{1, cold_};
--- a/tests/balancer/fleet_change_test.cpp
+++ b/tests/balancer/fleet_change_test.cpp
@@ -77,7 +77,7 @@
             std::erase(there, &s);
             s.listed = random() % 4 != 0;
             s.info.state = random() % 3 == 0 ? EndpointState::draining : EndpointState::active;
-            s.standing = random() % 3 == 0 ? EjectionState::ejected : EjectionState::healthy;
+            s.ejection_state = random() % 3 == 0 ? EjectionState::ejected : EjectionState::healthy;
             if (random() % 5 == 0) continue;  // gone for good
             changed.add(&s);
             there.push_back(&s);
--- a/tests/balancer/parts_test.cpp
+++ b/tests/balancer/parts_test.cpp
@@ -183,9 +183,9 @@
         errors.judge(0, Outcome::error_response, false, 4);
         slow.judge(0, Outcome::timed_out, false, 2);
     }
-    EXPECT_EQ(errors.servers[0].standing, EjectionState::healthy);
+    EXPECT_EQ(errors.servers[0].ejection_state, EjectionState::healthy);
     EXPECT_EQ(errors.judge(0, Outcome::error_response, false, 3), Verdict::removed);
-    EXPECT_EQ(slow.servers[0].standing, EjectionState::healthy);
+    EXPECT_EQ(slow.servers[0].ejection_state, EjectionState::healthy);
     EXPECT_EQ(slow.judge(0, Outcome::timed_out, false, 1), Verdict::removed);
 }
 
@@ -196,9 +196,9 @@
         OutlierEjection::trial_begins(s);
         return pool.ejection.judge(s, {outcome, true, false, 8, 1}, kNow);
     };
-    s.standing = EjectionState::ejected;
+    s.ejection_state = EjectionState::ejected;
     EXPECT_EQ(trial(Outcome::cancelled), Verdict::none);
-    EXPECT_EQ(s.standing, EjectionState::ejected) << "undecided: the next is the trial";
+    EXPECT_EQ(s.ejection_state, EjectionState::ejected) << "undecided: the next is the trial";
     EXPECT_EQ(trial(Outcome::error_response), Verdict::removed_again);
     EXPECT_EQ(trial(Outcome::success), Verdict::restored);
     EXPECT_EQ(s.window.filled(), 0U);
@@ -277,13 +277,13 @@
     ASSERT_EQ(fleet.aperture.pool().size(), 4U);
     Server* first = fleet.aperture.pool().front();
     EXPECT_EQ(first->info.id, 40U) << "the lowest rank";
-    first->standing = EjectionState::ejected;
+    first->ejection_state = EjectionState::ejected;
     fleet.aperture.set_out(first, true);
     fleet.aperture.draw(kNow, 0);
     EXPECT_EQ(fleet.aperture.pool().size(), 4U);
     EXPECT_EQ(fleet.aperture.pool().back()->info.id, 36U);
     EXPECT_EQ(fleet.aperture.out(), std::vector<Server*>{first});
-    first->standing = EjectionState::healthy;
+    first->ejection_state = EjectionState::healthy;
     fleet.aperture.set_out(first, false);
     EXPECT_TRUE(fleet.aperture.out().empty());
 }
@@ -531,7 +531,7 @@
 }
 
 TEST(PacePart, OwnAnswersCountMoreTheMoreThereAre) {
-    Pace pace;
+    LatencyEstimate pace;
     Server own = server_of(1), none = server_of(2);
     pace.learn(own), pace.learn(none);
     for (int i = 0; i < 200; ++i) {
@@ -548,7 +548,7 @@
 struct Choice {
     Settings settings = settings_of(1);
     Random random{1};
-    Pace pace;
+    LatencyEstimate pace;
     std::vector<Server> servers;
     std::vector<Server*> pool;
     explicit Choice(ServerId count, double fee = 0) {
@@ -558,7 +558,7 @@
         for (Server& s : servers)
             s.info.zone = (s.info.id - 1) % 2, s.info.kind = s.info.id, pace.learn(s), pool.push_back(&s);
     }
-    std::map<ServerId, int> of(int times, const Request& r = {}, Pick::Crowd crowd = {0.1, false, 1}) {
+    std::map<ServerId, int> of(int times, const Request& r = {}, Pick::LoadLevel crowd = {0.1, false, 1}) {
         Pick pick(settings, random, pace);
         std::map<ServerId, int> count;
         for (int i = 0; i < times; ++i)
