--- a/include/elmbay/balancer.hpp
+++ b/include/elmbay/balancer.hpp
@@ -36,10 +36,10 @@
     Idempotency idempotency = Idempotency::non_idempotent;
     DedupScope dedup_scope = DedupScope::cell;
     Millis dedup_window = 0;  // repeats are dropped this long after the first attempt that may have run
-    Millis aim = 1000;        // an answer within this earns full worth
-    double aim_stretch = 0;   // the aim grows by this multiple of the request's own effort
-    double worth = 1;         // of one request, against other classes
-    double late_worth = 0;    // the part of it that an answer past its aim still earns, 0 to 1
+    Millis latency_objective = 1000;  // an answer within this earns full worth
+    double objective_stretch = 0;     // the objective grows by this multiple of the request's own effort
+    double priority_weight = 1;       // of one request, against other classes
+    double late_weight = 0;           // the part of it that an answer past its objective still earns, 0 to 1
 };
 
 struct Tenant {
@@ -47,7 +47,7 @@
 };
 
 // Prices in shares of the whole result, as operators state them; 0 leaves a matter out of account.
-struct Fees {
+struct Costs {
     double cross_zone = 0;  // for each attempt that leaves the zone
 };
 
@@ -66,7 +66,7 @@
     // at one server.
     std::uint32_t most_sessions = 0, most_sessions_at_server = UINT32_MAX;
     double fall_multiple = 2;  // sent more than this multiple of what it can do, a cold server falls over
-    Fees fees;
+    Costs costs;
 };
 
 // ---- Events ---------------------------------------------------------------------------------------------
--- a/include/elmbay/knowledge.hpp
+++ b/include/elmbay/knowledge.hpp
@@ -30,7 +30,7 @@
 
 struct Knowledge {
     std::vector<ServerKnowledge> servers;  // each once
-    FadingKnowledge crowd;                 // warm servers' answers' time over their aim
+    FadingKnowledge crowd;                 // warm servers' answers' time over their objective
     double room = 0;                       // attempts that might be out, 0 to 100,000; 0: not known
     double learned = 0;                    // the most that could be out, the same range
     double taught_by = 0;                  // warm servers that taught it, 0 to 100,000
--- a/src/balancer/admission.cpp
+++ b/src/balancer/admission.cpp
@@ -6,7 +6,8 @@
 
 Admission::Admission(const Settings& settings) {
     set_siblings(settings.siblings);
-    for (const RequestClass& c : settings.classes) top_worth_ = std::max(top_worth_, c.worth);
+    for (const RequestClass& c : settings.classes)
+        max_priority_weight_ = std::max(max_priority_weight_, c.priority_weight);
 }
 
 // Where slow service alone takes that long, refusing more does not help and idles the servers: one attempt
--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -157,12 +157,12 @@
         dispatcher.place(request);
     }
 
-    // An unknown class is handled with most care: at most one run, and its time left as its aim.
+    // An unknown class is handled with most care: at most one run, and its time left as its objective.
     RequestClass class_of(const RequestArrived& event) const {
         RequestClass kind;
-        kind.aim = std::max(1.0, event.time_left);
+        kind.latency_objective = std::max(1.0, event.time_left);
         if (event.class_index < settings.classes.size()) kind = settings.classes[event.class_index];
-        kind.aim += kind.aim_stretch * std::max(0.0, event.effort);
+        kind.latency_objective += kind.objective_stretch * std::max(0.0, event.effort);
         return kind;
     }
 
@@ -170,17 +170,18 @@
         const Millis now = context.now();
         request.deadline = now + (std::isfinite(time_left) ? std::max(0.0, time_left) : 0.0);
         request.cutoff = cutoff_of(request);
-        request.hold_until = std::min(request.deadline, now + request.kind.aim * FinalResponder::kWaitShare);
+        request.hold_until =
+            std::min(request.deadline, now + request.kind.latency_objective * FinalResponder::kWaitShare);
     }
 
-    // Not the aim: that makes clients repeat what a server is still working on, while a late answer keeps
-    // them quiet. But the aim where a late answer is worth nothing, a failure is never repeated, and our
-    // count of what is out, lost for work that goes on, is a small part of any queue anyway.
+    // Not the objective: that makes clients repeat what a server is still working on, while a late answer
+    // keeps them quiet. But the objective where a late answer is worth nothing, a failure is never repeated,
+    // and our count of what is out, lost for work that goes on, is a small part of any queue anyway.
     Millis cutoff_of(const Request& request) const {
         const RequestClass& kind = request.kind;
         const bool at_aim =
-            kind.late_worth == 0 && kind.idempotency == Idempotency::non_idempotent && aperture.narrow();
-        return at_aim ? std::min(request.deadline, context.now() + kind.aim) : request.deadline;
+            kind.late_weight == 0 && kind.idempotency == Idempotency::non_idempotent && aperture.narrow();
+        return at_aim ? std::min(request.deadline, context.now() + kind.latency_objective) : request.deadline;
     }
 
     void on(const FirstByte& event) {
--- a/src/balancer/cold_start.hpp
+++ b/src/balancer/cold_start.hpp
@@ -15,7 +15,7 @@
 class ColdStart {
 public:
     static constexpr double kFeed = 0.7;   // of the multiple that fells it; the rest is for unlike machines
-    static constexpr double kSlow = 0.55;  // answers that take so much of their aim: just its share
+    static constexpr double kSlow = 0.55;  // answers that take so much of their objective: just its share
 
     // What the sidecar is and does at the moment.
     struct Traffic {
@@ -33,7 +33,7 @@
     // Another process under the same name, or a new one. depth (0 to 1, by chance): an empty bucket, at a
     // different depth for each sidecar, as first tokens must not fall together.
     static void started(Server& s, double depth, Millis now) { s.tokens = -depth, s.tokens_at = now; }
-    // Sends that it may take now. pace: what its answers take of their aim.
+    // Sends that it may take now. pace: what its answers take of their objective.
     double tokens(Server& s, const Traffic& t, double pace, Millis now) const;
     static void sent(Server& s) { s.tokens -= 1; }
 
--- a/src/balancer/ejection.hpp
+++ b/src/balancer/ejection.hpp
@@ -26,7 +26,7 @@
     struct Case {
         Outcome outcome = Outcome::success;
         bool trial = false;      // the attempt was this server's trial
-        bool late = false;       // it came past its aim: as good as timed out
+        bool late = false;       // it came past its objective: as good as timed out
         std::size_t listed = 0;  // servers on the list
         std::size_t out = 0;     // of them, those not in the pool by a verdict
     };
--- a/src/balancer/final_responder.cpp
+++ b/src/balancer/final_responder.cpp
@@ -21,7 +21,7 @@
 // When to come back: what is out now has half its time left in the mean, and then leaves its place. No
 // sooner than what the request might have waited here.
 Millis FinalResponder::retry_in(const Request& request) const {
-    return request.kind.aim * std::max(kWaitShare, std::min(1.0, admission_->crowd()) / 2);
+    return request.kind.latency_objective * std::max(kWaitShare, std::min(1.0, admission_->crowd()) / 2);
 }
 
 void FinalResponder::cancel_all(const Request& request) {
--- a/src/balancer/final_responder.hpp
+++ b/src/balancer/final_responder.hpp
@@ -11,8 +11,8 @@
 /// Owned by Balancer::Impl. At most one final answer for each request, as Request::ended tells.
 class FinalResponder {
 public:
-    /// What a request may wait for room, as a share of its aim: what cannot go out by then had better be
-    /// tried anew. It is told to come back no sooner either.
+    /// What a request may wait for room, as a share of its objective: what cannot go out by then had better
+    /// be tried anew. It is told to come back no sooner either.
     static constexpr double kWaitShare = 1.0 / 16;
 
     FinalResponder(const Settings& settings, EventContext& context, const Admission& admission,
--- a/src/balancer/latency_estimate.hpp
+++ b/src/balancer/latency_estimate.hpp
@@ -1,4 +1,4 @@
-// Which of two equals is quicker: what answers take of their aim, by server and by kind of machine.
+// Which of two equals is quicker: what answers take of their objective, by server and by kind of machine.
 //
 // A server's own answers of late; while they are few, those of all warm servers of its kind stand in.
 #pragma once
@@ -18,12 +18,13 @@
 
     // A server that the list tells of, for the first time or as another kind.
     void learn(Server& s) { s.kind = &kinds_[s.info.kind]; }
-    // ratio: an answer's time over its aim. A cold server is slow by nature and says nothing of its kind.
+    // ratio: an answer's time over its objective. A cold server is slow by nature and says nothing of its
+    // kind.
     void answered(Server& s, double ratio, bool cold, Millis now) const {
         s.pace.add(ratio, now, kServerMemory);
         if (!cold) s.kind->add(ratio, now, kKindMemory);
     }
-    // 0: at once; 1: answers take all of their aim.
+    // 0: at once; 1: answers take all of their objective.
     double of(const Server& s, Millis now) const {
         const double own = s.pace.left(now, kServerMemory), kind = s.kind->value;
         return (own * s.pace.value + kKindWeight * kind) / (own + kKindWeight);
--- a/src/balancer/outcome_accounting.cpp
+++ b/src/balancer/outcome_accounting.cpp
@@ -15,10 +15,10 @@
         if (event.outcome == Outcome::rejected)
             record_latency(server, Admission::kMaxRatio, cold);
         else if (completed || event.outcome == Outcome::timed_out)
-            record_latency(server, std::max(0.0, event.duration) / request.kind.aim, cold);
+            record_latency(server, std::max(0.0, event.duration) / request.kind.latency_objective, cold);
         if (completed && !attempt.cold) parts_.aperture.completed(server.info.kind, now);
     }
-    const bool late = event.duration > request.kind.aim && !cold;
+    const bool late = event.duration > request.kind.latency_objective && !cold;
     judge(server, event.outcome, attempt.trial, late);
 }
 
--- a/src/balancer/outcome_accounting.hpp
+++ b/src/balancer/outcome_accounting.hpp
@@ -30,12 +30,12 @@
 
     /// An attempt at that server has ended.
     void record(Server& server, const Request& request, const Attempt& attempt, const AttemptEnded& event);
-    /// What an outcome says of the server as an outlier. late: it came past its aim. Draws the pool anew
-    /// where the server leaves it or comes back.
+    /// What an outcome says of the server as an outlier. late: it came past its objective. Draws the pool
+    /// anew where the server leaves it or comes back.
     void judge(Server& server, Outcome outcome, bool trial, bool late);
 
 private:
-    // What an answer's time, as a share of the request's aim, says of the server and of the load.
+    // What an answer's time, as a share of the request's objective, says of the server and of the load.
     void record_latency(Server& server, double ratio, bool cold);
 
     Parts parts_;
--- a/src/balancer/pick.cpp
+++ b/src/balancer/pick.cpp
@@ -38,7 +38,7 @@
     const std::size_t second = draw(fresh_.size(), first);
     const Server &a = *fresh_[first], &b = *fresh_[second];
     const bool nearer = near > 0 && second >= near;
-    const int grace = nearer && crowd.our_part * fee_ > std::exp(-1 / crowd.value);
+    const int grace = nearer && crowd.our_part * cross_zone_cost_ > std::exp(-1 / crowd.value);
     const auto load = [&](const Server& s, int more) {
         return ((session ? static_cast<int>(s.sessions) : s.outstanding) + more) / s.info.weight;
     };
--- a/src/balancer/pick.hpp
+++ b/src/balancer/pick.hpp
@@ -20,13 +20,13 @@
 class Pick {
 public:
     Pick(const Settings& settings, Random& random, const LatencyEstimate& pace)
-        : zone_(settings.fees.cross_zone > 0 ? settings.my_zone : std::nullopt),
-          fee_(settings.fees.cross_zone),
+        : zone_(settings.costs.cross_zone > 0 ? settings.my_zone : std::nullopt),
+          cross_zone_cost_(settings.costs.cross_zone),
           random_(&random),
           pace_(&pace) {}
 
     struct LoadLevel {
-        double value = 0;  // answers' time against their aim
+        double value = 0;  // answers' time against their objective
         bool crowded = false;
         double our_part = 1;  // of what all sidecars do at one server
     };
@@ -48,7 +48,7 @@
     Server* better_of_two(bool session, const LoadLevel& crowd, Millis now);
 
     std::optional<ZoneId> zone_;  // none where zones don't matter
-    double fee_;
+    double cross_zone_cost_;
     Random* random_;
     const LatencyEstimate* pace_;
     std::vector<Server*> fresh_, again_;  // kept for their memory
--- a/src/balancer/request.hpp
+++ b/src/balancer/request.hpp
@@ -20,7 +20,7 @@
 
 struct Request {
     RequestId id = 0;
-    RequestClass kind;        // its aim stretched by its effort
+    RequestClass kind;        // its objective stretched by its effort
     Millis deadline = 0;      // the client's
     Millis cutoff = 0;        // when we give up: at the deadline or before
     double part = 1;          // of the room, for its tenant (Fairness)
--- a/src/balancer/wait_queue.cpp
+++ b/src/balancer/wait_queue.cpp
@@ -14,7 +14,8 @@
     std::sort(waiting.begin(), waiting.end(), [&](RequestId left_id, RequestId right_id) {
         const Request& left = requests.at(left_id);
         const Request& right = requests.at(right_id);
-        if (left.kind.worth != right.kind.worth) return left.kind.worth > right.kind.worth;
+        if (left.kind.priority_weight != right.kind.priority_weight)
+            return left.kind.priority_weight > right.kind.priority_weight;
         return left.order > right.order;
     });
     return waiting;
--- a/src/base/settings.cpp
+++ b/src/base/settings.cpp
@@ -19,11 +19,11 @@
     for (std::size_t i = 0; i < s.classes.size(); ++i) {
         const std::string prefix = "classes[" + std::to_string(i) + "].";
         const RequestClass& c = s.classes[i];
-        check(std::isfinite(c.aim) && c.aim > 0, prefix + "aim");
+        check(std::isfinite(c.latency_objective) && c.latency_objective > 0, prefix + "aim");
         check_time(c.dedup_window, prefix + "dedup_window");
-        check_time(c.aim_stretch, prefix + "aim_stretch");
-        check_time(c.worth, prefix + "worth");
-        check(c.late_worth >= 0 && c.late_worth <= 1, prefix + "late_worth");
+        check_time(c.objective_stretch, prefix + "aim_stretch");
+        check_time(c.priority_weight, prefix + "worth");
+        check(c.late_weight >= 0 && c.late_weight <= 1, prefix + "late_worth");
     }
     for (std::size_t i = 0; i < s.tenants.size(); ++i)
         check_time(s.tenants[i].quota, "tenants[" + std::to_string(i) + "].quota");
@@ -31,7 +31,7 @@
     check_time(s.warm_within, "warm_within");
     check(std::isfinite(s.fall_multiple) && s.fall_multiple >= 1, "fall_multiple");
     check(s.cold_from >= 0 && s.cold_from <= 1, "cold_from");
-    check_time(s.fees.cross_zone, "fees.cross_zone");
+    check_time(s.costs.cross_zone, "fees.cross_zone");
 }
 
 }  // namespace elmbay::balancer
--- a/src/base/site.cpp
+++ b/src/base/site.cpp
@@ -98,12 +98,12 @@
         c.idempotency = named(start, prefix + "effect", effects);
         if (start.has(prefix + "dedup-scope")) c.dedup_scope = named(start, prefix + "dedup-scope", scopes);
         c.dedup_window = start.number_or(prefix + "dedup-window-ms", c.dedup_window);
-        c.aim = start.number(prefix + "on-time-ms");
-        c.aim_stretch = start.number_or(prefix + "aim-stretch", c.aim_stretch);
-        c.late_worth = start.number_or(prefix + "late-value", c.late_worth);
-        c.worth = start.number_or(prefix + "credit", c.worth);
+        c.latency_objective = start.number(prefix + "on-time-ms");
+        c.objective_stretch = start.number_or(prefix + "aim-stretch", c.objective_stretch);
+        c.late_weight = start.number_or(prefix + "late-value", c.late_weight);
+        c.priority_weight = start.number_or(prefix + "credit", c.priority_weight);
         s.classes.push_back(c);
-        site.give_up.push_back(start.number_or(prefix + "give-up-ms", c.aim));
+        site.give_up.push_back(start.number_or(prefix + "give-up-ms", c.latency_objective));
         site.classes.emplace_back(start.text(prefix + "name"));
     }
     for (std::uint64_t i = 0, count = start.integer_or("tenants.count", 0); i < count; ++i) {
@@ -121,7 +121,7 @@
     s.cold_from = start.number_or("rules.cold-from", s.cold_from);
     s.fall_multiple = start.number_or("rules.fall-multiple", s.fall_multiple);
     s.warm_within = start.number_or("rules.warm-within-ms", s.warm_within);
-    s.fees.cross_zone = start.number_or("fees.cross-zone", s.fees.cross_zone);
+    s.costs.cross_zone = start.number_or("fees.cross-zone", s.costs.cross_zone);
     site.connect_timeout = start.number_or("limits.connect-timeout-ms", site.connect_timeout);
     site.idle_close = start.number_or("limits.idle-close-ms", site.idle_close);
     return site;
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -524,7 +524,7 @@
                     {"effect", idempotency},
                     {"dedup-scope", "all"},
                     {"dedup-window-ms", 3000.0},
-                    {"on-time-ms", options_.aim},
+                    {"on-time-ms", options_.latency_objective},
                     {"give-up-ms", options_.patience},
                     {"credit", 3.0},
                     {"late-value", 0.0}};
--- a/src/fleet/fleet.hpp
+++ b/src/fleet/fleet.hpp
@@ -39,7 +39,7 @@
     std::string program;                    // the command that starts a sidecar
     std::uint64_t seed = 1;                 // of the rules' chance, and of the sidecars
     Millis patience = 3000;  // of a caller, unless it says otherwise; give-up of every class as well
-    Millis aim = 1500;
+    Millis latency_objective = 1500;
     std::size_t sockets = 256;
     bool cluster = false;            // whether they know each other
     bool status = true;              // each process tells what it believes on a Unix socket
--- a/src/rehearsal/balancers.cpp
+++ b/src/rehearsal/balancers.cpp
@@ -207,14 +207,15 @@
 // Knows, of each server that is up and that its list names as open: requests in work and waiting, what it can
 // do at this moment (speed, warmth), whether it stands still now; and what a request of each class costs in
 // the mean. Not what this request will cost, nor what is to come: arrivals, freezes, deaths. A request goes
-// where it will be done first, if that is within a share of its aim as things stand (with -worth: the less,
-// the less its class is worth), and is refused at once otherwise. The report's bound is the best of those
-// that oracle_names() lists.
+// where it will be done first, if that is within a share of its objective as things stand (with -worth: the
+// less, the less its class is worth), and is refused at once otherwise. The report's bound is the best of
+// those that oracle_names() lists.
 class Oracle : public Decider {
 public:
     Oracle(const Settings& settings, double share, bool worth_first)
         : settings_(settings), share_(share), worth_first_(worth_first) {
-        for (const RequestClass& c : settings.classes) top_worth_ = std::max(top_worth_, c.worth);
+        for (const RequestClass& c : settings.classes)
+            max_priority_weight_ = std::max(max_priority_weight_, c.priority_weight);
     }
     void see(const Archive& archive) override { archive_ = &archive; }
     void handle(Millis now, const Event& event, std::vector<Action>& actions) override {
@@ -250,8 +251,9 @@
     void place(RequestId id, Open& r) {
         ServerId best = 0;
         // By worth as the class says it: what is worth less leaves part of the servers to what is worth most.
-        const double part = worth_first_ ? kLesser + (1 - kLesser) * r.kind.worth / top_worth_ : 1;
-        Millis soonest = r.kind.aim * share_ * part;
+        const double part =
+            worth_first_ ? kLesser + (1 - kLesser) * r.kind.priority_weight / max_priority_weight_ : 1;
+        Millis soonest = r.kind.latency_objective * share_ * part;
         for (const auto& [server, state] : phases_) {
             if (state != EndpointState::active) continue;
             const Millis takes = estimate(server - 1, r.work);
@@ -301,7 +303,7 @@
     const Settings settings_;
     const double share_;
     const bool worth_first_;
-    double top_worth_ = 1e-9;
+    double max_priority_weight_ = 1e-9;
     const Archive* archive_ = nullptr;
     Millis now_ = 0;
     std::vector<Action>* actions_ = nullptr;
--- a/src/rehearsal/incident.cpp
+++ b/src/rehearsal/incident.cpp
@@ -159,9 +159,10 @@
     {"cv", Unit::number, &ClassSpec::cv, "0.5", "lognormal: its coefficient of variation", 0, 10},
     {"attempt_noise", Unit::share, &ClassSpec::attempt_noise, "20%", "attempts of one request differ by this",
      0, 2},
-    {"aim", Unit::duration, &ClassSpec::aim, "\"400ms\"", "an answer after it is worth nothing", 1, 600000},
+    {"aim", Unit::duration, &ClassSpec::latency_objective, "\"400ms\"", "an answer after it is worth nothing",
+     1, 600000},
     {"give_up", Unit::duration, &ClassSpec::give_up, "\"1.5s\"", "all tries of a caller together", 1, 600000},
-    {"worth", Unit::number, &ClassSpec::worth, "3", "of a unit of its work", 0, 1e6},
+    {"worth", Unit::number, &ClassSpec::priority_weight, "3", "of a unit of its work", 0, 1e6},
     {"window", Unit::duration, &ClassSpec::window, "\"3s\"", "keyed: servers drop repeats for so long", 0,
      600000}};
 
@@ -448,14 +449,15 @@
         // Midlands Voices' own, so that the shortest file is of use.
         ClassSpec listen{"listen", 0.52, "safe", 95}, deposit{"deposit", 0.34, "unsafe", 60},
             annotate{"annotate", 0.14, "keyed", 110};
-        deposit.aim = 300, deposit.give_up = 1200, deposit.worth = 5;
-        annotate.aim = 500;
+        deposit.latency_objective = 300, deposit.give_up = 1200, deposit.priority_weight = 5;
+        annotate.latency_objective = 500;
         incident.classes = {listen, deposit, annotate};
     }
     std::set<std::string> names;
     for (const ClassSpec& c : incident.classes) {
         if (!names.insert(c.name).second) problems.push_back({0, "class." + c.name, "is there twice"});
-        if (c.give_up < c.aim) problems.push_back({0, "class." + c.name + ".give_up", "is before its aim"});
+        if (c.give_up < c.latency_objective)
+            problems.push_back({0, "class." + c.name + ".give_up", "is before its aim"});
     }
     double shares = 0;
     for (const ClassSpec& c : incident.classes) shares += c.share;
@@ -570,8 +572,8 @@
         rc.idempotency = c.kind();
         rc.dedup_scope = balancer::DedupScope::all;
         rc.dedup_window = c.window;
-        rc.aim = c.aim;
-        rc.worth = c.worth;
+        rc.latency_objective = c.latency_objective;
+        rc.priority_weight = c.priority_weight;
         s.classes.push_back(rc);
     }
     s.my_zone = sidecar % static_cast<std::uint32_t>(fleet.halls.size());
@@ -581,7 +583,7 @@
     s.cold_from = rules.told_cold_from > 0 ? rules.told_cold_from : fleet.cold_from;
     s.warm_within = rules.told_warm_within > 0 ? rules.told_warm_within : fleet.warm_within;
     s.fall_multiple = rules.fall_multiple;
-    s.fees.cross_zone = 0.02;
+    s.costs.cross_zone = 0.02;
     if (changed)
         for (const std::string& text : changed->set) apply_setting(text, s);
     return s;
--- a/src/rehearsal/incident.hpp
+++ b/src/rehearsal/incident.hpp
@@ -105,8 +105,8 @@
     std::string law = "lognormal";  // fixed, exponential
     double cv = 0.5;
     double attempt_noise = 0.2;
-    Millis aim = 400, give_up = 1500;
-    double worth = 3;
+    Millis latency_objective = 400, give_up = 1500;
+    double priority_weight = 3;
     Millis window = 3000;  // keyed: repeats are dropped for so long
 
     balancer::Idempotency kind() const;
@@ -114,7 +114,7 @@
 
 // What the operators expect of the run; what is left out is not looked at. The four rules always are.
 struct ExpectSpec {
-    double goodput = 0;       // worth answered within its aim over worth asked for, at least
+    double goodput = 0;       // worth answered within its objective over worth asked for, at least
     double worst_class = 0;   // the same of the worst class
     double worst_second = 0;  // and of the worst second in which enough was asked
     double attempts = 1e9;    // attempts a try, at most
--- a/src/rehearsal/judge.cpp
+++ b/src/rehearsal/judge.cpp
@@ -98,7 +98,7 @@
     const bool out =
         std::any_of(r.attempts.begin(), r.attempts.end(), [](const Attempt& a) { return a.out; });
     if (answer != Answer::served && !out && !r.may_be_late &&
-        now - r.last_over > c.aim * kPromptShare + slack_)
+        now - r.last_over > c.latency_objective * kPromptShare + slack_)
         ++held_back_;
 }
 
--- a/src/rehearsal/judge.hpp
+++ b/src/rehearsal/judge.hpp
@@ -32,8 +32,8 @@
 class Judge {
 public:
     static constexpr std::size_t kExamples = 5;  // kept of each rule; beyond that only the count
-    // A refusal or failure later than this share of the aim after the last attempt ended (or the request
-    // came) was sat on: the module may hold a request for a sixteenth of its aim.
+    // A refusal or failure later than this share of the objective after the last attempt ended (or the
+    // request came) was sat on: the module may hold a request for a sixteenth of its objective.
     static constexpr double kPromptShare = 0.25;
 
     Judge(const Incident& incident, const Callers& callers, Millis slack);
--- a/src/rehearsal/real/real_run.cpp
+++ b/src/rehearsal/real/real_run.cpp
@@ -247,9 +247,9 @@
                                                                      : "once"},
                                {"dedup-scope", "all"},
                                {"dedup-window-ms", c.window},
-                               {"on-time-ms", c.aim},
+                               {"on-time-ms", c.latency_objective},
                                {"give-up-ms", c.give_up},
-                               {"credit", c.worth},
+                               {"credit", c.priority_weight},
                                {"late-value", 0.0}});
         std::string halls;
         for (const std::string& hall : incident_.fleet.halls) halls += (halls.empty() ? "" : ",") + hall;
@@ -284,7 +284,7 @@
                {{"cold-from", s.cold_from},
                 {"fall-multiple", s.fall_multiple},
                 {"warm-within-ms", s.warm_within}}},
-              {"fees", {{"cross-zone", s.fees.cross_zone}}}}}};
+              {"fees", {{"cross-zone", s.costs.cross_zone}}}}}};
         side.process->write_config(config);
         if (incident_.sidecars.cluster) side.process->write_operator_file("[cluster]\non = true\n");
     }
--- a/src/rehearsal/service.cpp
+++ b/src/rehearsal/service.cpp
@@ -40,18 +40,20 @@
     ClassReport& c = classes_[ask.class_index];
     const auto index = std::min(static_cast<std::size_t>(ask.at / 1000), seconds_.size() - 1);
     SecondReport& second = seconds_[index];
-    const double worth = incident_.classes[ask.class_index].worth * callers_.work(request);
+    const double priority_weight =
+        incident_.classes[ask.class_index].priority_weight * callers_.work(request);
     ++c.asked, ++second.asked;
-    c.worth_asked += worth, second.worth_asked += worth;
+    c.worth_asked += priority_weight, second.worth_asked += priority_weight;
     Worth& tenth = tenths_[std::min(static_cast<std::size_t>(ask.at / kTenth), tenths_.size() - 1)];
-    tenth.asked += worth;
+    tenth.asked += priority_weight;
     if (answer == Answer::served) {
         const Millis took = now - ask.at;
         by_class_[ask.class_index].add(took);
         by_second_[index].add(took);
-        const bool in_aim = took <= incident_.classes[ask.class_index].aim;
+        const bool in_aim = took <= incident_.classes[ask.class_index].latency_objective;
         c.in_aim += in_aim, c.late += !in_aim, second.in_aim += in_aim;
-        if (in_aim) c.worth_got += worth, second.worth_got += worth, tenth.got += worth;
+        if (in_aim)
+            c.worth_got += priority_weight, second.worth_got += priority_weight, tenth.got += priority_weight;
     } else if (answer == Answer::refused) {
         ++c.refused;
     } else {
--- a/src/rehearsal/virtual_run.cpp
+++ b/src/rehearsal/virtual_run.cpp
@@ -531,9 +531,10 @@
         const Ask& ask = callers_.ask(request);
         if (!just_restarted(instances_[ask.sidecar], ask.at)) return;
         const ClassSpec& c = incident_.classes[ask.class_index];
-        const double worth = c.worth * callers_.work(request);
-        restarted_.worth_asked += worth;
-        if (what == Answer::served && now_ + kClientLatency - ask.at <= c.aim) restarted_.worth_got += worth;
+        const double priority_weight = c.priority_weight * callers_.work(request);
+        restarted_.worth_asked += priority_weight;
+        if (what == Answer::served && now_ + kClientLatency - ask.at <= c.latency_objective)
+            restarted_.worth_got += priority_weight;
     }
     void begin_life(std::uint32_t who) {
         Instance& n = instances_[who];
--- a/tests/balancer/balancer_test.cpp
+++ b/tests/balancer/balancer_test.cpp
@@ -118,7 +118,7 @@
     run(rig, 200, 0, Outcome::success);
     for (int i = 0; i < 100; ++i) {
         const RequestId id = rig.request();
-        if (rig.out(id)) rig.end(id, Outcome::success, 600);  // past the aim of 400
+        if (rig.out(id)) rig.end(id, Outcome::success, 600);  // past the objective of 400
     }
     EXPECT_EQ(rig.removals(), 0);
 }
@@ -275,7 +275,7 @@
         }
         return count;
     };
-    const int in_a_jam = sent(200, 700);  // far past the aim of 400
+    const int in_a_jam = sent(200, 700);  // far past the objective of 400
     EXPECT_LT(in_a_jam, 150) << "a thousand sidecars with one attempt each are a jam";
     EXPECT_GT(in_a_jam, 20) << "it goes on hearing from its servers";
     sent(150, 40);
@@ -296,9 +296,9 @@
 }
 
 TEST(Cutoff, AnAttemptEndsAtTheAimOnlyWhereNothingIsLostByIt) {
-    const auto until = [](Idempotency idempotency, double late_worth, std::uint32_t siblings = 1000) {
+    const auto until = [](Idempotency idempotency, double late_weight, std::uint32_t siblings = 1000) {
         RequestClass c = make_class(idempotency);
-        c.late_worth = late_worth;
+        c.late_weight = late_weight;
         Rig rig(one_of_many(siblings, c));
         rig.list(ListKind::snapshot, make_servers(20));
         const RequestId id = rig.request(0, 1000);
@@ -354,7 +354,7 @@
         rig.requests[id] = {s.classes[0], rig.now + 1500, {}, 0, false, false};
         rig.give(RequestArrived{id, 0, tenant, 1500});
         ++asked[tenant], taken[tenant] += rig.out(id);
-        if (rig.out(id)) rig.end(id, Outcome::success, 260);  // crowded: 0.65 of the aim
+        if (rig.out(id)) rig.end(id, Outcome::success, 260);  // crowded: 0.65 of the objective
         rig.pass(20);
     }
     const double first = 1.0 * taken[0] / asked[0], second = 1.0 * taken[1] / asked[1];
@@ -446,17 +446,18 @@
         EXPECT_NE(complaint(change).find(setting), std::string::npos) << setting << ": " << complaint(change);
     };
     names([](Settings& s) { s.classes.clear(); }, "classes");
-    names([](Settings& s) { s.classes[0].aim = 0; }, "classes[0].aim");
-    names([](Settings& s) { s.classes[0].aim = std::numeric_limits<double>::quiet_NaN(); }, "classes[0].aim");
-    names([](Settings& s) { s.classes[0].worth = -1; }, "classes[0].worth");
+    names([](Settings& s) { s.classes[0].latency_objective = 0; }, "classes[0].aim");
+    names([](Settings& s) { s.classes[0].latency_objective = std::numeric_limits<double>::quiet_NaN(); },
+          "classes[0].aim");
+    names([](Settings& s) { s.classes[0].priority_weight = -1; }, "classes[0].worth");
     names([](Settings& s) { s.classes[0].dedup_window = -1; }, "classes[0].dedup_window");
-    names([](Settings& s) { s.classes[0].late_worth = 2; }, "classes[0].late_worth");
+    names([](Settings& s) { s.classes[0].late_weight = 2; }, "classes[0].late_worth");
     names([](Settings& s) { s.tenants = {{1}, {-1}}; }, "tenants[1].quota");
     names([](Settings& s) { s.max_attempts = 0; }, "max_attempts");
     names([](Settings& s) { s.cold_from = 1.5; }, "cold_from");
     names([](Settings& s) { s.fall_multiple = 0; }, "fall_multiple");
     names([](Settings& s) { s.warm_within = -5; }, "warm_within");
-    names([](Settings& s) { s.fees.cross_zone = std::numeric_limits<double>::quiet_NaN(); },
+    names([](Settings& s) { s.costs.cross_zone = std::numeric_limits<double>::quiet_NaN(); },
           "fees.cross_zone");
     EXPECT_EQ(complaint([](Settings&) {}), "accepted");
 }
--- a/tests/balancer/composition_test.cpp
+++ b/tests/balancer/composition_test.cpp
@@ -139,7 +139,7 @@
     RequestTable requests;
     WaitQueue queue;
     for (RequestId id = 1; id <= 4; ++id) {
-        requests.add(id)->kind.worth = id == 2 ? 5 : 1;
+        requests.add(id)->kind.priority_weight = id == 2 ? 5 : 1;
         queue.push(id);
     }
     EXPECT_EQ(queue.take(requests), (std::vector<RequestId>{2, 4, 3, 1}));
@@ -229,7 +229,7 @@
     Request& add(Idempotency idempotency) {
         Request& request = *requests_.add(next_id_++);
         request.kind.idempotency = idempotency;
-        request.kind.aim = 400;
+        request.kind.latency_objective = 400;
         request.deadline = kNow + 1000;
         return request;
     }
--- a/tests/balancer/parts_test.cpp
+++ b/tests/balancer/parts_test.cpp
@@ -16,11 +16,11 @@
 
 Settings settings_of(std::uint32_t siblings, std::vector<double> worths = {1}) {
     Settings s;
-    for (const double worth : worths) {
+    for (const double priority_weight : worths) {
         RequestClass c;
         c.idempotency = Idempotency::idempotent;
-        c.aim = 400;
-        c.worth = worth;
+        c.latency_objective = 400;
+        c.priority_weight = priority_weight;
         s.classes.push_back(c);
     }
     s.siblings = siblings;
@@ -390,7 +390,7 @@
     Admission a(settings_of(4));
     a.pool_is(12);
     EXPECT_EQ(places(a, kNow), 60U) << "unseen: five times its part of four at each server";
-    // A long calm with 20 out at 0.2 of the aim: 20 * 0.55 / 0.2.
+    // A long calm with 20 out at 0.2 of the objective: 20 * 0.55 / 0.2.
     for (int i = 0; i < 5000; ++i) a.answered(0.2, 19, kNow + i * 10);
     EXPECT_NEAR(places(a, kNow + 50000), 56, 2);
     // A night without a request: all but what is believed of any server fades.
@@ -552,7 +552,7 @@
     std::vector<Server> servers;
     std::vector<Server*> pool;
     explicit Choice(ServerId count, double fee = 0) {
-        settings.fees.cross_zone = fee;
+        settings.costs.cross_zone = fee;
         settings.my_zone = 0;
         for (ServerId i = 1; i <= count; ++i) servers.push_back(server_of(i));
         for (Server& s : servers)
--- a/tests/balancer/property_test.cpp
+++ b/tests/balancer/property_test.cpp
@@ -27,7 +27,7 @@
     s.most_sessions = 30;
     s.most_sessions_at_server = 7;
     s.my_zone = 1;
-    s.fees.cross_zone = 0.02;
+    s.costs.cross_zone = 0.02;
     return s;
 }
 
--- a/tests/balancer/rig.hpp
+++ b/tests/balancer/rig.hpp
@@ -19,7 +19,7 @@
     c.idempotency = idempotency;
     c.dedup_scope = scope;
     c.dedup_window = window;
-    c.aim = 400;
+    c.latency_objective = 400;
     return c;
 }
 
--- a/tests/engine/engine_test.cpp
+++ b/tests/engine/engine_test.cpp
@@ -49,7 +49,7 @@
     Settings s;
     RequestClass safe, once;
     safe.idempotency = Idempotency::idempotent;
-    safe.aim = once.aim = 400;
+    safe.latency_objective = once.latency_objective = 400;
     once.idempotency = Idempotency::non_idempotent;
     s.classes = {safe, once};
     s.max_attempts = 4;
--- a/tests/example.cpp
+++ b/tests/example.cpp
@@ -10,7 +10,7 @@
     Settings settings;
     RequestClass read;
     read.idempotency = Idempotency::idempotent;
-    read.aim = 200;
+    read.latency_objective = 200;
     settings.classes = {read};
     Balancer balancer(settings, /*seed=*/42);
 
--- a/tests/fleet/campaign_test.cpp
+++ b/tests/fleet/campaign_test.cpp
@@ -8,7 +8,7 @@
 
 Options thin() {
     Options options = few(3, 3);
-    options.patience = 4000, options.aim = 1500;
+    options.patience = 4000, options.latency_objective = 1500;
     return options;
 }
 
--- a/tests/fleet/faults_test.cpp
+++ b/tests/fleet/faults_test.cpp
@@ -99,7 +99,7 @@
 // time, and a deposit that may have run is not called refused, nor done again.
 TEST(Fleet, AConnectionOnWhichNoByteMovesCostsNobodyAnOutcome) {
     Options options = few(1, 2);
-    options.patience = 1500, options.aim = 700;
+    options.patience = 1500, options.latency_objective = 700;
     Fleet fleet(options);
     fleet.start();
     struct Case {
--- a/tests/fleet/plants_test.cpp
+++ b/tests/fleet/plants_test.cpp
@@ -14,7 +14,7 @@
 
 TEST_P(Plants, IsFoundAndTheSoundProgramIsNotBlamed) {
     Options options = few();
-    options.patience = 3000, options.aim = 2000;  // what is lost is waited for
+    options.patience = 3000, options.latency_objective = 2000;  // what is lost is waited for
     options.program = "env ELMBAY_PLANT=" + std::string(GetParam().name) + " " + ELMBAY_PLANTED;
     {
         Fleet planted(options);
@@ -22,7 +22,7 @@
         EXPECT_FALSE(GetParam().scenario(planted)) << "the plant was not found";
     }
     options.program = ELMBAY_PLANTED;
-    options.patience = 20000, options.aim = 10000;
+    options.patience = 20000, options.latency_objective = 10000;
     Fleet sound(options);
     sound.start();
     EXPECT_TRUE(GetParam().scenario(sound)) << sound.story();
--- a/tests/fleet/scenarios.hpp
+++ b/tests/fleet/scenarios.hpp
@@ -13,7 +13,7 @@
     o.sidecars = sidecars, o.servers = servers;
     o.program = ELMBAY_PROGRAM;
     // Far beyond what a busy machine needs: nothing here is about speed.
-    o.patience = 20000, o.aim = 10000;
+    o.patience = 20000, o.latency_objective = 10000;
     return o;
 }
 
--- a/tests/simulator/wire_test.cpp
+++ b/tests/simulator/wire_test.cpp
@@ -136,10 +136,10 @@
     const Site site = read_site(Message(std::string_view(start_line).substr(0, start_line.size() - 1), 1));
     EXPECT_EQ(site.settings.classes.size(), 2U);
     EXPECT_EQ(site.settings.classes[1].idempotency, Idempotency::non_idempotent);
-    EXPECT_EQ(site.settings.classes[0].aim, 400);
+    EXPECT_EQ(site.settings.classes[0].latency_objective, 400);
     EXPECT_EQ(site.settings.my_zone, ZoneId{1});
     EXPECT_EQ(site.settings.cold_from, 0.16);
-    EXPECT_EQ(site.settings.fees.cross_zone, 0.02);
+    EXPECT_EQ(site.settings.costs.cross_zone, 0.02);
     EXPECT_FALSE(site.settings.list_on_request);
     EXPECT_EQ(site.classes[1], "deposit");
 }
--- a/tests/syscall_faults/fleet_faults_test.cpp
+++ b/tests/syscall_faults/fleet_faults_test.cpp
@@ -57,7 +57,7 @@
     options.sidecars = sidecars, options.servers = servers;
     options.program = faults.program();
     // Far beyond what a busy machine needs: nothing here is about speed.
-    options.patience = 10000, options.aim = 5000;
+    options.patience = 10000, options.latency_objective = 5000;
     options.settings = {{"limits", {{"connect-timeout-ms", 5000.0}}}};
     return options;
 }
@@ -213,7 +213,7 @@
     constexpr std::size_t kRounds = 8, kEach = 100, kTogether = 24;
     const Faults faults("seed=42 " + std::string(kAllTogether));
     Options options = options_for(faults, 3, 6);
-    options.patience = 3000, options.aim = 1500;  // what a cut way holds up ends in time
+    options.patience = 3000, options.latency_objective = 1500;  // what a cut way holds up ends in time
     Fleet fleet(options);
     fleet.start();
     for (std::size_t round = 0; round < kRounds; ++round) {
--- a/tools/campaign/main.cpp
+++ b/tools/campaign/main.cpp
@@ -16,7 +16,7 @@
         "they did against the rules. A schedule that fails is shrunk and written to FILE."};
     Options options;
     options.sidecars = 4, options.servers = 4;
-    options.patience = 1500, options.aim = 400;
+    options.patience = 1500, options.latency_objective = 400;
     options.program =
         (std::filesystem::read_symlink("/proc/self/exe").parent_path() / "../../elmbay").lexically_normal();
     std::uint64_t seed = 1;
