--- a/bench/fleet_size_rehearsal.sh
+++ b/bench/fleet_size_simulation.sh
@@ -2,9 +2,9 @@
 # Fleets of other sizes in virtual time: the same day with more servers and more sidecars. A sidecar's traffic and
 # the capacity of all servers for each sidecar stay the same, so servers get smaller as there are more of them.
 #
-#     bench/fleet_size_rehearsal.sh [build/tools/rehearsal/elmbay_rehearsal] [seeds]
+#     bench/fleet_size_simulation.sh [build/tools/simulation/elmbay_simulation] [seeds]
 set -eu
-rehearsal=${1:-build/tools/rehearsal/elmbay_rehearsal}
+simulation=${1:-build/tools/simulation/elmbay_simulation}
 seeds=${2:-"1 2"}
 folder=$(mktemp -d)
 trap 'rm -rf "$folder"' EXIT
@@ -43,7 +43,7 @@
 lasts = "5s"
 who = "5%"
 DAY
-  "$rehearsal" run "$folder/day.toml" --json "$folder/day.json" --quiet >/dev/null || true
+  "$simulation" run "$folder/day.toml" --json "$folder/day.json" --quiet >/dev/null || true
   python3 - "$folder/day.json" "$1" "$2" "$4" <<'READ'
 import json, sys
 report, servers, sidecars, seed = json.load(open(sys.argv[1])), *sys.argv[2:]
--- a/bench/rehearsal.sh
+++ b/bench/simulation.sh
@@ -1,9 +1,9 @@
 #!/usr/bin/env bash
-# What the rehearsal itself can carry. Usage: [RATES="1000 5000"] bench/rehearsal.sh [BUILD]   (default: build; 2 minutes)
+# What the simulation itself can carry. Usage: [RATES="1000 5000"] bench/simulation.sh [BUILD]   (default: build; 2 minutes)
 #   real:    requests a second through all of it (emulator and 4 sidecars) on two cores before it runs late
 #   virtual: simulated instance-seconds a second with 1,000 instances
 set -euo pipefail
-tool=${1:-build}/tools/rehearsal/elmbay_rehearsal
+tool=${1:-build}/tools/simulation/elmbay_simulation
 work=$(mktemp -d)
 trap 'rm -rf "$work"' EXIT
 
--- a/src/fleet/process.cpp
+++ b/src/fleet/process.cpp
@@ -90,7 +90,7 @@
     const pid_t child = ::fork();
     if (child < 0) throw std::system_error(errno, std::generic_category(), "fork");
     if (child == 0) {
-        ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // a rehearsal that is killed leaves nothing behind
+        ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // a simulation that is killed leaves nothing behind
         const int log_file = ::open(log_path.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
         const int nothing = ::open("/dev/null", O_RDONLY);
         ::dup2(nothing, STDIN_FILENO);
--- a/src/rehearsal/archive.cpp
+++ b/src/simulation/archive.cpp
@@ -1,8 +1,8 @@
-#include "rehearsal/archive.hpp"
+#include "simulation/archive.hpp"
 
-#include "rehearsal/chance.hpp"
+#include "simulation/chance.hpp"
 
-namespace elmbay::rehearsal {
+namespace elmbay::simulation {
 
 Archive::Archive(const Incident& incident, const Callers& callers)
     : incident_(incident),
@@ -68,4 +68,4 @@
     servers_[server].stop(now, out);
 }
 
-}  // namespace elmbay::rehearsal
+}  // namespace elmbay::simulation
--- a/src/rehearsal/archive.hpp
+++ b/src/simulation/archive.hpp
@@ -5,11 +5,11 @@
 #include <unordered_map>
 #include <vector>
 
-#include "rehearsal/callers.hpp"
-#include "rehearsal/server_model.hpp"
-#include "rehearsal/timeline.hpp"
+#include "simulation/callers.hpp"
+#include "simulation/server_model.hpp"
+#include "simulation/timeline.hpp"
 
-namespace elmbay::rehearsal {
+namespace elmbay::simulation {
 
 class Archive {
 public:
@@ -43,4 +43,4 @@
     Ticket last_ = 0;
 };
 
-}  // namespace elmbay::rehearsal
+}  // namespace elmbay::simulation
--- a/src/rehearsal/balancers.cpp
+++ b/src/simulation/balancers.cpp
@@ -1,4 +1,4 @@
-#include "rehearsal/balancers.hpp"
+#include "simulation/balancers.hpp"
 
 #include <algorithm>
 #include <map>
@@ -6,9 +6,9 @@
 #include <unordered_map>
 
 #include "base/random.hpp"
-#include "rehearsal/archive.hpp"
+#include "simulation/archive.hpp"
 
-namespace elmbay::rehearsal {
+namespace elmbay::simulation {
 
 namespace {
 
@@ -78,7 +78,7 @@
     };
 
     void on(const Started&) {}
-    void on(const SessionEnded&) {}  // the rehearsal has none
+    void on(const SessionEnded&) {}  // the simulation has none
     void on(const Remembered&) {}
     void on(const SiblingsKnown&) {}
     void on(const FirstByte&) {}
@@ -356,4 +356,4 @@
     return std::make_unique<Plain>(settings, seed, flaws);
 }
 
-}  // namespace elmbay::rehearsal
+}  // namespace elmbay::simulation
--- a/src/rehearsal/balancers.hpp
+++ b/src/simulation/balancers.hpp
@@ -1,10 +1,10 @@
-// What decides in a rehearsal in virtual time: elmbay's own decision module, or one that is known to be bad.
+// What decides in a simulation in virtual time: elmbay's own decision module, or one that is known to be bad.
 //
 // The oracle is no balancer that could be: it reads every server's queue. It gives the figure that others are
 // a share of.
 //
 // The bad ones are one plain balancer, sound but simple, with one flaw each. They are there to prove the
-// rehearsal: one that a bad balancer passes proves nothing.
+// simulation: one that a bad balancer passes proves nothing.
 #pragma once
 
 #include <memory>
@@ -13,7 +13,7 @@
 
 #include "elmbay/balancer.hpp"
 
-namespace elmbay::rehearsal {
+namespace elmbay::simulation {
 
 using balancer::Millis;
 
@@ -43,4 +43,4 @@
 std::unique_ptr<Decider> make_balancer(const std::string& name, const balancer::Settings& settings,
                                        std::uint64_t seed);
 
-}  // namespace elmbay::rehearsal
+}  // namespace elmbay::simulation
--- a/src/rehearsal/callers.cpp
+++ b/src/simulation/callers.cpp
@@ -1,12 +1,12 @@
-#include "rehearsal/callers.hpp"
+#include "simulation/callers.hpp"
 
 #include <algorithm>
 #include <cmath>
 
-#include "rehearsal/chance.hpp"
-#include "rehearsal/timeline.hpp"
+#include "simulation/chance.hpp"
+#include "simulation/timeline.hpp"
 
-namespace elmbay::rehearsal {
+namespace elmbay::simulation {
 
 namespace {
 
@@ -139,4 +139,4 @@
     return work(request) * lognormal(random, 1, c.attempt_noise);
 }
 
-}  // namespace elmbay::rehearsal
+}  // namespace elmbay::simulation
--- a/src/rehearsal/callers.hpp
+++ b/src/simulation/callers.hpp
@@ -7,9 +7,9 @@
 #include <optional>
 #include <vector>
 
-#include "rehearsal/incident.hpp"
+#include "simulation/incident.hpp"
 
-namespace elmbay::rehearsal {
+namespace elmbay::simulation {
 
 // A request is what a person wants; a try is one message to the sidecar. Tries of a request count from 0.
 using RequestNumber = std::uint64_t;
@@ -59,4 +59,4 @@
     std::vector<Ask> asks_;
 };
 
-}  // namespace elmbay::rehearsal
+}  // namespace elmbay::simulation
--- a/src/rehearsal/chance.hpp
+++ b/src/simulation/chance.hpp
@@ -1,4 +1,4 @@
-// Chance for rehearsals: every draw is keyed by what it is for, not by when it is made, so that the same file
+// Chance for simulations: every draw is keyed by what it is for, not by when it is made, so that the same file
 // and seed give the same work to the same request whatever else happened before.
 #pragma once
 
@@ -8,7 +8,7 @@
 
 #include "base/random.hpp"
 
-namespace elmbay::rehearsal {
+namespace elmbay::simulation {
 
 using balancer::Random;
 
@@ -59,4 +59,4 @@
 
 inline double uniform(Random& random, double low, double high) { return low + (high - low) * random.unit(); }
 
-}  // namespace elmbay::rehearsal
+}  // namespace elmbay::simulation
--- a/src/rehearsal/incident.cpp
+++ b/src/simulation/incident.cpp
@@ -1,4 +1,4 @@
-#include "rehearsal/incident.hpp"
+#include "simulation/incident.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -7,9 +7,9 @@
 #include <set>
 #include <sstream>
 
-#include "rehearsal/chance.hpp"
+#include "simulation/chance.hpp"
 
-namespace elmbay::rehearsal {
+namespace elmbay::simulation {
 
 namespace {
 
@@ -629,4 +629,4 @@
            "\n[[fault]]\n" + schema::manual(kFault) + "\n[expect]\n" + schema::manual(kExpect);
 }
 
-}  // namespace elmbay::rehearsal
+}  // namespace elmbay::simulation
--- a/src/rehearsal/incident.hpp
+++ b/src/simulation/incident.hpp
@@ -2,7 +2,7 @@
 //
 // parse_incident() checks the file as a whole before anything starts: every problem is named with line, key
 // and what is allowed, also what only shows when faults are laid over each other (a server that dies twice).
-// Times are milliseconds from the start of the rehearsal; work is milliseconds of one core at usual speed.
+// Times are milliseconds from the start of the simulation; work is milliseconds of one core at usual speed.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 #include "links/rules.hpp"
 #include "schema/schema.hpp"
 
-namespace elmbay::rehearsal {
+namespace elmbay::simulation {
 
 using balancer::Millis;
 
@@ -210,4 +210,4 @@
 // Every key of an incident file with its unit, default and range.
 std::string incident_manual();
 
-}  // namespace elmbay::rehearsal
+}  // namespace elmbay::simulation
--- a/src/rehearsal/judge.cpp
+++ b/src/simulation/judge.cpp
@@ -1,10 +1,10 @@
-#include "rehearsal/judge.hpp"
+#include "simulation/judge.hpp"
 
 #include <algorithm>
 #include <cmath>
 #include <cstdio>
 
-namespace elmbay::rehearsal {
+namespace elmbay::simulation {
 
 namespace {
 
@@ -260,4 +260,4 @@
     for (const TryId id : lost) broken(Rule::one_outcome, now, id, "never answered");
 }
 
-}  // namespace elmbay::rehearsal
+}  // namespace elmbay::simulation
--- a/src/rehearsal/judge.hpp
+++ b/src/simulation/judge.hpp
@@ -13,9 +13,9 @@
 #include <unordered_map>
 #include <vector>
 
-#include "rehearsal/callers.hpp"
+#include "simulation/callers.hpp"
 
-namespace elmbay::rehearsal {
+namespace elmbay::simulation {
 
 enum class Rule { one_outcome, nothing_twice, drains_kept, cold_spared };
 constexpr std::size_t kRules = 4;
@@ -136,4 +136,4 @@
     std::uint64_t attempts_ = 0, held_back_ = 0, fallen_ = 0, most_attempts_ = 0;
 };
 
-}  // namespace elmbay::rehearsal
+}  // namespace elmbay::simulation
--- a/src/rehearsal/latency.cpp
+++ b/src/simulation/latency.cpp
@@ -1,9 +1,9 @@
-#include "rehearsal/latency.hpp"
+#include "simulation/latency.hpp"
 
 #include <algorithm>
 #include <cmath>
 
-namespace elmbay::rehearsal {
+namespace elmbay::simulation {
 
 namespace {
 
@@ -36,4 +36,4 @@
     return most_;
 }
 
-}  // namespace elmbay::rehearsal
+}  // namespace elmbay::simulation
--- a/src/rehearsal/latency.hpp
+++ b/src/simulation/latency.hpp
@@ -5,9 +5,9 @@
 #include <cstddef>
 #include <tuple>
 
-#include "rehearsal/incident.hpp"
+#include "simulation/incident.hpp"
 
-namespace elmbay::rehearsal {
+namespace elmbay::simulation {
 
 class Latency {
 public:
@@ -33,4 +33,4 @@
     static decltype(bins_) make();
 };
 
-}  // namespace elmbay::rehearsal
+}  // namespace elmbay::simulation
--- a/src/rehearsal/members_companion.cpp
+++ b/src/simulation/members_companion.cpp
@@ -1,6 +1,6 @@
-#include "rehearsal/members_companion.hpp"
+#include "simulation/members_companion.hpp"
 
-namespace elmbay::rehearsal {
+namespace elmbay::simulation {
 
 namespace {
 
@@ -45,4 +45,4 @@
     membership_.take_changes();
 }
 
-}  // namespace elmbay::rehearsal
+}  // namespace elmbay::simulation
--- a/src/rehearsal/members_companion.hpp
+++ b/src/simulation/members_companion.hpp
@@ -3,17 +3,17 @@
 #pragma once
 
 #include "cluster/membership.hpp"
-#include "rehearsal/messages.hpp"
+#include "simulation/messages.hpp"
 
-namespace elmbay::rehearsal {
+namespace elmbay::simulation {
 
 /// One simulated sidecar's part in the membership protocol. Without I/O and clock; not thread-safe.
 class MembersCompanion : public Companion {
 public:
     /// @param self      its number among the incident's sidecars.
     /// @param seed      of its random choices.
-    /// @param now       milliseconds of the rehearsal.
-    /// @param unix_time Unix milliseconds at the rehearsal's time 0.
+    /// @param now       milliseconds of the simulation.
+    /// @param unix_time Unix milliseconds at the simulation's time 0.
     MembersCompanion(const Incident& incident, std::uint32_t self, std::uint64_t seed, Millis now,
                      Millis unix_time);
     void begin(Millis now, std::vector<Outgoing>& out) override;
@@ -30,4 +30,4 @@
     cluster::Membership membership_;
 };
 
-}  // namespace elmbay::rehearsal
+}  // namespace elmbay::simulation
--- a/src/rehearsal/messages.cpp
+++ b/src/simulation/messages.cpp
@@ -1,8 +1,8 @@
-#include "rehearsal/messages.hpp"
+#include "simulation/messages.hpp"
 
 #include <algorithm>
 
-namespace elmbay::rehearsal {
+namespace elmbay::simulation {
 
 Beats::Beats(const Incident& incident, std::uint32_t self, std::uint64_t seed)
     : incident_(incident), self_(self), random_(seed) {}
@@ -62,4 +62,4 @@
         deliveries.push_back({to, d.after, bytes});
 }
 
-}  // namespace elmbay::rehearsal
+}  // namespace elmbay::simulation
--- a/src/rehearsal/messages.hpp
+++ b/src/simulation/messages.hpp
@@ -10,10 +10,10 @@
 #include <unordered_map>
 #include <vector>
 
-#include "rehearsal/chance.hpp"
-#include "rehearsal/incident.hpp"
+#include "simulation/chance.hpp"
+#include "simulation/incident.hpp"
 
-namespace elmbay::rehearsal {
+namespace elmbay::simulation {
 
 struct Outgoing {
     std::optional<std::uint32_t> to;  // a sidecar; nothing: every other one
@@ -79,4 +79,4 @@
     std::unordered_map<std::uint64_t, std::uint64_t> numbers_;  // messages of a link so far
 };
 
-}  // namespace elmbay::rehearsal
+}  // namespace elmbay::simulation
--- a/src/rehearsal/page.cpp
+++ b/src/simulation/page.cpp
@@ -5,9 +5,9 @@
 #include <cmath>
 #include <map>
 
-#include "rehearsal/report.hpp"
+#include "simulation/report.hpp"
 
-namespace elmbay::rehearsal {
+namespace elmbay::simulation {
 
 namespace {
 
@@ -335,4 +335,4 @@
     return page + "</body></html>\n";
 }
 
-}  // namespace elmbay::rehearsal
+}  // namespace elmbay::simulation
--- a/src/rehearsal/real/real_run.cpp
+++ b/src/simulation/real/real_run.cpp
@@ -1,4 +1,4 @@
-#include "rehearsal/real/real_run.hpp"
+#include "simulation/real/real_run.hpp"
 
 #include <signal.h>
 #include <sys/wait.h>
@@ -14,13 +14,13 @@
 #include "fleet/request_reader.hpp"
 #include "links/datagram_net.hpp"
 #include "links/stream_link.hpp"
-#include "rehearsal/chance.hpp"
-#include "rehearsal/real/stand_in_callers.hpp"
-#include "rehearsal/real/stand_in_discovery.hpp"
-#include "rehearsal/real/stand_in_server.hpp"
-#include "rehearsal/sidecar_log.hpp"
+#include "simulation/chance.hpp"
+#include "simulation/real/stand_in_callers.hpp"
+#include "simulation/real/stand_in_discovery.hpp"
+#include "simulation/real/stand_in_server.hpp"
+#include "simulation/sidecar_log.hpp"
 
-namespace elmbay::rehearsal {
+namespace elmbay::simulation {
 
 namespace {
 
@@ -51,7 +51,7 @@
 public:
     explicit Folder(const std::string& given) : path_(given), own_(given.empty()) {
         if (own_) {
-            std::string name = (std::filesystem::temp_directory_path() / "rehearsal-XXXXXX").string();
+            std::string name = (std::filesystem::temp_directory_path() / "simulation-XXXXXX").string();
             if (!::mkdtemp(name.data())) throw std::runtime_error(name + ": can't be made");
             path_ = name;
         } else {
@@ -472,7 +472,7 @@
         stage_.at(stage_.now() + kDutyRound * (on ? side.share : 1 - side.share),
                   [this, who, on] { duty(who, !on); });
     }
-    static std::string text_of_step(const Step& s) { return rehearsal::text_of(s); }
+    static std::string text_of_step(const Step& s) { return simulation::text_of(s); }
     void revive(std::uint32_t who) {
         Side& side = sides_[who];
         configure(who);
@@ -563,4 +563,4 @@
     return RealRun(incident, options).run();
 }
 
-}  // namespace elmbay::rehearsal
+}  // namespace elmbay::simulation
--- a/src/rehearsal/real/real_run.hpp
+++ b/src/simulation/real/real_run.hpp
@@ -6,9 +6,9 @@
 #include <map>
 #include <string>
 
-#include "rehearsal/report.hpp"
+#include "simulation/report.hpp"
 
-namespace elmbay::rehearsal {
+namespace elmbay::simulation {
 
 struct RealOptions {
     std::string sidecar;                        // the command that starts one
@@ -22,4 +22,4 @@
 // sidecars don't come up, with the end of what one of them said.
 Report run_real(const Incident& incident, const RealOptions& options);
 
-}  // namespace elmbay::rehearsal
+}  // namespace elmbay::simulation
--- a/src/rehearsal/real/stage.cpp
+++ b/src/simulation/real/stage.cpp
@@ -1,8 +1,8 @@
-#include "rehearsal/real/stage.hpp"
+#include "simulation/real/stage.hpp"
 
 #include <algorithm>
 
-namespace elmbay::rehearsal {
+namespace elmbay::simulation {
 
 void Stage::begin(Millis from_now) {
     zero_ = clock_.now() + from_now;
@@ -35,4 +35,4 @@
     return p;
 }
 
-}  // namespace elmbay::rehearsal
+}  // namespace elmbay::simulation
--- a/src/rehearsal/real/stage.hpp
+++ b/src/simulation/real/stage.hpp
@@ -1,4 +1,4 @@
-// What all parts of a real rehearsal share: the loop, the time since its start, and how late the loop runs.
+// What all parts of a real simulation share: the loop, the time since its start, and how late the loop runs.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -6,9 +6,9 @@
 #include <functional>
 
 #include "base/timing.hpp"
-#include "rehearsal/report.hpp"
+#include "simulation/report.hpp"
 
-namespace elmbay::rehearsal {
+namespace elmbay::simulation {
 
 namespace asio = boost::asio;
 using tcp = asio::ip::tcp;
@@ -20,7 +20,7 @@
     // Time 0 is `from_now` ahead, lateness counts anew, and what was to run is forgotten.
     void begin(Millis from_now = 0);
     Millis now() const { return clock_.now() - zero_; }
-    // For boot_ms: Unix milliseconds of a time of the rehearsal.
+    // For boot_ms: Unix milliseconds of a time of the simulation.
     Millis unix_time(Millis at) const { return zero_ + at; }
 
     using Key = TimerQueue::Key;
@@ -50,4 +50,4 @@
     Millis most_ = 0;
 };
 
-}  // namespace elmbay::rehearsal
+}  // namespace elmbay::simulation
--- a/src/rehearsal/real/stand_in_callers.cpp
+++ b/src/simulation/real/stand_in_callers.cpp
@@ -1,11 +1,11 @@
-#include "rehearsal/real/stand_in_callers.hpp"
+#include "simulation/real/stand_in_callers.hpp"
 
 #include <boost/asio/write.hpp>
 #include <boost/beast/core/flat_buffer.hpp>
 #include <boost/beast/http.hpp>
 #include <charconv>
 
-namespace elmbay::rehearsal {
+namespace elmbay::simulation {
 
 namespace http = boost::beast::http;
 using boost::system::error_code;
@@ -190,4 +190,4 @@
     });
 }
 
-}  // namespace elmbay::rehearsal
+}  // namespace elmbay::simulation
--- a/src/rehearsal/real/stand_in_callers.hpp
+++ b/src/simulation/real/stand_in_callers.hpp
@@ -7,10 +7,10 @@
 #include <set>
 #include <vector>
 
-#include "rehearsal/callers.hpp"
-#include "rehearsal/real/stage.hpp"
+#include "simulation/callers.hpp"
+#include "simulation/real/stage.hpp"
 
-namespace elmbay::rehearsal {
+namespace elmbay::simulation {
 
 class StandInCallers {
 public:
@@ -64,4 +64,4 @@
     std::set<std::shared_ptr<Connection>> busy_;
 };
 
-}  // namespace elmbay::rehearsal
+}  // namespace elmbay::simulation
--- a/src/rehearsal/real/stand_in_discovery.cpp
+++ b/src/simulation/real/stand_in_discovery.cpp
@@ -1,4 +1,4 @@
-#include "rehearsal/real/stand_in_discovery.hpp"
+#include "simulation/real/stand_in_discovery.hpp"
 
 #include <boost/asio/write.hpp>
 #include <boost/beast/core/flat_buffer.hpp>
@@ -6,7 +6,7 @@
 #include <cmath>
 #include <deque>
 
-namespace elmbay::rehearsal {
+namespace elmbay::simulation {
 
 namespace http = boost::beast::http;
 using balancer::EndpointState;
@@ -188,4 +188,4 @@
     });
 }
 
-}  // namespace elmbay::rehearsal
+}  // namespace elmbay::simulation
--- a/src/rehearsal/real/stand_in_discovery.hpp
+++ b/src/simulation/real/stand_in_discovery.hpp
@@ -7,11 +7,11 @@
 #include <memory>
 #include <nlohmann/json.hpp>
 
-#include "rehearsal/judge.hpp"
-#include "rehearsal/real/stage.hpp"
-#include "rehearsal/timeline.hpp"
+#include "simulation/judge.hpp"
+#include "simulation/real/stage.hpp"
+#include "simulation/timeline.hpp"
 
-namespace elmbay::rehearsal {
+namespace elmbay::simulation {
 
 // One entry of the list as the registry knows it.
 struct Entry {
@@ -19,7 +19,7 @@
     tcp::endpoint endpoint;
     std::string hall;
     balancer::EndpointState state = balancer::EndpointState::active;
-    Millis online_since = 0;  // of the rehearsal; 0: long ago
+    Millis online_since = 0;  // of the simulation; 0: long ago
 };
 nlohmann::json listing_of(const std::vector<Entry>& entries, std::uint64_t rev, bool all, const Stage& stage);
 
@@ -67,4 +67,4 @@
     std::shared_ptr<bool> here_ = std::make_shared<bool>(true);  // timers look whether this still is
 };
 
-}  // namespace elmbay::rehearsal
+}  // namespace elmbay::simulation
--- a/src/rehearsal/real/stand_in_server.cpp
+++ b/src/simulation/real/stand_in_server.cpp
@@ -1,4 +1,4 @@
-#include "rehearsal/real/stand_in_server.hpp"
+#include "simulation/real/stand_in_server.hpp"
 
 #include <sys/socket.h>
 
@@ -7,7 +7,7 @@
 #include <boost/beast/http.hpp>
 #include <charconv>
 
-namespace elmbay::rehearsal {
+namespace elmbay::simulation {
 
 namespace http = boost::beast::http;
 using boost::system::error_code;
@@ -270,4 +270,4 @@
     });
 }
 
-}  // namespace elmbay::rehearsal
+}  // namespace elmbay::simulation
--- a/src/rehearsal/real/stand_in_server.hpp
+++ b/src/simulation/real/stand_in_server.hpp
@@ -8,11 +8,11 @@
 #include <optional>
 #include <set>
 
-#include "rehearsal/archive.hpp"
-#include "rehearsal/judge.hpp"
-#include "rehearsal/real/stage.hpp"
+#include "simulation/archive.hpp"
+#include "simulation/judge.hpp"
+#include "simulation/real/stage.hpp"
 
-namespace elmbay::rehearsal {
+namespace elmbay::simulation {
 
 class StandInServer {
 public:
@@ -68,4 +68,4 @@
     std::uint64_t accepted_ = 0;
 };
 
-}  // namespace elmbay::rehearsal
+}  // namespace elmbay::simulation
--- a/src/rehearsal/report.cpp
+++ b/src/simulation/report.cpp
@@ -1,13 +1,13 @@
-#include "rehearsal/report.hpp"
+#include "simulation/report.hpp"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
 
-#include "rehearsal/timeline.hpp"
+#include "simulation/timeline.hpp"
 
-namespace elmbay::rehearsal {
+namespace elmbay::simulation {
 
 namespace {
 
@@ -320,4 +320,4 @@
     return t;
 }
 
-}  // namespace elmbay::rehearsal
+}  // namespace elmbay::simulation
--- a/src/rehearsal/report.hpp
+++ b/src/simulation/report.hpp
@@ -6,11 +6,11 @@
 #include <string>
 #include <vector>
 
-#include "rehearsal/judge.hpp"
-#include "rehearsal/service.hpp"
-#include "rehearsal/sidecar_log.hpp"
+#include "simulation/judge.hpp"
+#include "simulation/service.hpp"
+#include "simulation/sidecar_log.hpp"
 
-namespace elmbay::rehearsal {
+namespace elmbay::simulation {
 
 struct RuleReport {
     std::string name;
@@ -79,4 +79,4 @@
 // Two runs of one incident, side by side: what `compare` prints.
 std::string comparison_of(const Report& a, const Report& b);
 
-}  // namespace elmbay::rehearsal
+}  // namespace elmbay::simulation
--- a/src/rehearsal/server_model.cpp
+++ b/src/simulation/server_model.cpp
@@ -1,10 +1,10 @@
-#include "rehearsal/server_model.hpp"
+#include "simulation/server_model.hpp"
 
 #include <algorithm>
 #include <cmath>
 #include <limits>
 
-namespace elmbay::rehearsal {
+namespace elmbay::simulation {
 
 namespace {
 
@@ -213,4 +213,4 @@
     done_since_start_ = 0;
 }
 
-}  // namespace elmbay::rehearsal
+}  // namespace elmbay::simulation
--- a/src/rehearsal/server_model.hpp
+++ b/src/simulation/server_model.hpp
@@ -13,9 +13,9 @@
 #include <unordered_map>
 #include <vector>
 
-#include "rehearsal/incident.hpp"
+#include "simulation/incident.hpp"
 
-namespace elmbay::rehearsal {
+namespace elmbay::simulation {
 
 using Ticket = std::uint64_t;  // names one request at a server; the caller's choice, above 0
 
@@ -101,4 +101,4 @@
     Ticket chore_ = 1ULL << 63;  // handshakes: work with no request
 };
 
-}  // namespace elmbay::rehearsal
+}  // namespace elmbay::simulation
--- a/src/rehearsal/service.cpp
+++ b/src/simulation/service.cpp
@@ -1,9 +1,9 @@
-#include "rehearsal/service.hpp"
+#include "simulation/service.hpp"
 
 #include <algorithm>
 #include <cmath>
 
-namespace elmbay::rehearsal {
+namespace elmbay::simulation {
 
 namespace {
 
@@ -126,4 +126,4 @@
     return r;
 }
 
-}  // namespace elmbay::rehearsal
+}  // namespace elmbay::simulation
--- a/src/rehearsal/service.hpp
+++ b/src/simulation/service.hpp
@@ -3,10 +3,10 @@
 
 #include <vector>
 
-#include "rehearsal/callers.hpp"
-#include "rehearsal/latency.hpp"
+#include "simulation/callers.hpp"
+#include "simulation/latency.hpp"
 
-namespace elmbay::rehearsal {
+namespace elmbay::simulation {
 
 struct ClassReport {
     std::string name;
@@ -74,4 +74,4 @@
     std::vector<Worth> tenths_;                  // of seconds
 };
 
-}  // namespace elmbay::rehearsal
+}  // namespace elmbay::simulation
--- a/src/rehearsal/sidecar_log.cpp
+++ b/src/simulation/sidecar_log.cpp
@@ -1,11 +1,11 @@
-#include "rehearsal/sidecar_log.hpp"
+#include "simulation/sidecar_log.hpp"
 
 #include <fmt/format.h>
 #include <fmt/ranges.h>
 
 #include <algorithm>
 
-namespace elmbay::rehearsal {
+namespace elmbay::simulation {
 
 namespace {
 
@@ -90,4 +90,4 @@
     return r;
 }
 
-}  // namespace elmbay::rehearsal
+}  // namespace elmbay::simulation
--- a/src/rehearsal/sidecar_log.hpp
+++ b/src/simulation/sidecar_log.hpp
@@ -5,9 +5,9 @@
 #include <string>
 #include <vector>
 
-#include "rehearsal/incident.hpp"
+#include "simulation/incident.hpp"
 
-namespace elmbay::rehearsal {
+namespace elmbay::simulation {
 
 // Of one process, or of one time in which it stood still or had part of its core.
 struct SidecarSpan {
@@ -61,4 +61,4 @@
     SidecarsReport messages_;
 };
 
-}  // namespace elmbay::rehearsal
+}  // namespace elmbay::simulation
--- a/src/rehearsal/storm.cpp
+++ b/src/simulation/storm.cpp
@@ -1,11 +1,11 @@
-#include "rehearsal/storm.hpp"
+#include "simulation/storm.hpp"
 
 #include <fmt/format.h>
 
 #include "fleet/shrink.hpp"
-#include "rehearsal/chance.hpp"
+#include "simulation/chance.hpp"
 
-namespace elmbay::rehearsal {
+namespace elmbay::simulation {
 
 namespace {
 
@@ -98,4 +98,4 @@
     return storm;
 }
 
-}  // namespace elmbay::rehearsal
+}  // namespace elmbay::simulation
--- a/src/rehearsal/storm.hpp
+++ b/src/simulation/storm.hpp
@@ -6,9 +6,9 @@
 #include <string>
 #include <vector>
 
-#include "rehearsal/incident.hpp"
+#include "simulation/incident.hpp"
 
-namespace elmbay::rehearsal {
+namespace elmbay::simulation {
 
 struct StormOptions {
     std::uint64_t sidecars = 4, servers = 6, faults = 12;
@@ -30,4 +30,4 @@
 // With the fewest faults that still fail.
 Storm shrunk(Storm storm, const std::function<bool(const Storm&)>& fails);
 
-}  // namespace elmbay::rehearsal
+}  // namespace elmbay::simulation
--- a/src/rehearsal/sweep.cpp
+++ b/src/simulation/sweep.cpp
@@ -1,4 +1,4 @@
-#include "rehearsal/sweep.hpp"
+#include "simulation/sweep.hpp"
 
 #include <fmt/format.h>
 
@@ -13,11 +13,11 @@
 #include <sstream>
 #include <thread>
 
-#include "rehearsal/balancers.hpp"
-#include "rehearsal/virtual_run.hpp"
+#include "simulation/balancers.hpp"
+#include "simulation/virtual_run.hpp"
 #include "schema/toml.hpp"
 
-namespace elmbay::rehearsal {
+namespace elmbay::simulation {
 
 namespace {
 
@@ -371,4 +371,4 @@
     return t;
 }
 
-}  // namespace elmbay::rehearsal
+}  // namespace elmbay::simulation
--- a/src/rehearsal/sweep.hpp
+++ b/src/simulation/sweep.hpp
@@ -8,9 +8,9 @@
 #include <string>
 #include <vector>
 
-#include "rehearsal/report.hpp"
+#include "simulation/report.hpp"
 
-namespace elmbay::rehearsal {
+namespace elmbay::simulation {
 
 struct SweepOptions {
     static constexpr std::uint64_t kMaxSeeds = 10000;
@@ -70,4 +70,4 @@
 // Throws std::invalid_argument unless both are of one incident, key and seeds.
 std::string comparison_of(const Sweep& a, const Sweep& b);
 
-}  // namespace elmbay::rehearsal
+}  // namespace elmbay::simulation
--- a/src/rehearsal/timeline.cpp
+++ b/src/simulation/timeline.cpp
@@ -1,11 +1,11 @@
-#include "rehearsal/timeline.hpp"
+#include "simulation/timeline.hpp"
 
 #include <algorithm>
 #include <cmath>
 
-#include "rehearsal/chance.hpp"
+#include "simulation/chance.hpp"
 
-namespace elmbay::rehearsal {
+namespace elmbay::simulation {
 
 namespace {
 
@@ -190,4 +190,4 @@
     return times;
 }
 
-}  // namespace elmbay::rehearsal
+}  // namespace elmbay::simulation
--- a/src/rehearsal/timeline.hpp
+++ b/src/simulation/timeline.hpp
@@ -5,9 +5,9 @@
 #include <string>
 #include <vector>
 
-#include "rehearsal/incident.hpp"
+#include "simulation/incident.hpp"
 
-namespace elmbay::rehearsal {
+namespace elmbay::simulation {
 
 enum class Change {
     freeze,     // stands still for `value` ms
@@ -57,4 +57,4 @@
 // Of one of them alone; 1 while it does not hold.
 double load_of(const Incident& incident, const FaultSpec& fault, Millis at);
 
-}  // namespace elmbay::rehearsal
+}  // namespace elmbay::simulation
--- a/src/rehearsal/virtual_run.cpp
+++ b/src/simulation/virtual_run.cpp
@@ -1,4 +1,4 @@
-#include "rehearsal/virtual_run.hpp"
+#include "simulation/virtual_run.hpp"
 
 #include <algorithm>
 #include <cstdarg>
@@ -6,14 +6,14 @@
 #include <queue>
 #include <unordered_map>
 
-#include "rehearsal/archive.hpp"
-#include "rehearsal/balancers.hpp"
-#include "rehearsal/chance.hpp"
-#include "rehearsal/members_companion.hpp"
-#include "rehearsal/messages.hpp"
-#include "rehearsal/sidecar_log.hpp"
+#include "simulation/archive.hpp"
+#include "simulation/balancers.hpp"
+#include "simulation/chance.hpp"
+#include "simulation/members_companion.hpp"
+#include "simulation/messages.hpp"
+#include "simulation/sidecar_log.hpp"
 
-namespace elmbay::rehearsal {
+namespace elmbay::simulation {
 
 namespace {
 
@@ -949,4 +949,4 @@
     return VirtualRun(incident, options).run();
 }
 
-}  // namespace elmbay::rehearsal
+}  // namespace elmbay::simulation
--- a/src/rehearsal/virtual_run.hpp
+++ b/src/simulation/virtual_run.hpp
@@ -8,9 +8,9 @@
 #include <ostream>
 #include <string>
 
-#include "rehearsal/report.hpp"
+#include "simulation/report.hpp"
 
-namespace elmbay::rehearsal {
+namespace elmbay::simulation {
 
 struct VirtualOptions {
     std::string balancer = "elmbay";
@@ -21,4 +21,4 @@
 // Throws std::invalid_argument for a balancer that does not exist.
 Report run_virtual(const Incident& incident, const VirtualOptions& options);
 
-}  // namespace elmbay::rehearsal
+}  // namespace elmbay::simulation
--- a/tests/cluster/virtual_fleet.hpp
+++ b/tests/cluster/virtual_fleet.hpp
@@ -14,7 +14,7 @@
 class VirtualFleet {
 public:
     static constexpr Millis kUnix = 1796000000000;  // the fleet's clock at its time 0
-    static constexpr std::size_t kMaxUnread = 256;  // of a frozen process, as in src/rehearsal
+    static constexpr std::size_t kMaxUnread = 256;  // of a frozen process, as in src/simulation
 
     struct Net {
         double loss = 0, repeat = 0, garble = 0;
--- a/tests/rehearsal/judge_test.cpp
+++ b/tests/simulation/judge_test.cpp
@@ -1,9 +1,9 @@
 // The judge of the four rules: each breach is seen, and what only looks like one is not.
-#include "rehearsal/judge.hpp"
+#include "simulation/judge.hpp"
 
 #include <gtest/gtest.h>
 
-namespace elmbay::rehearsal {
+namespace elmbay::simulation {
 namespace {
 
 // One request of each class, whose tries the tests play by hand.
@@ -205,4 +205,4 @@
 }
 
 }  // namespace
-}  // namespace elmbay::rehearsal
+}  // namespace elmbay::simulation
--- a/tests/rehearsal/latency_test.cpp
+++ b/tests/simulation/latency_test.cpp
@@ -1,5 +1,5 @@
 // Percentiles by histogram against those of the sorted list.
-#include "rehearsal/latency.hpp"
+#include "simulation/latency.hpp"
 
 #include <gtest/gtest.h>
 
@@ -7,7 +7,7 @@
 #include <random>
 #include <vector>
 
-namespace elmbay::rehearsal {
+namespace elmbay::simulation {
 namespace {
 
 TEST(LatencyHistogram, PercentilesAreWithinAPercentOfTheSortedLists) {
@@ -38,4 +38,4 @@
 }
 
 }  // namespace
-}  // namespace elmbay::rehearsal
+}  // namespace elmbay::simulation
--- a/tests/rehearsal/real_test.cpp
+++ b/tests/simulation/real_test.cpp
@@ -5,10 +5,10 @@
 #include <sstream>
 
 #include "fleet/process.hpp"
-#include "rehearsal/real/real_run.hpp"
-#include "rehearsal/virtual_run.hpp"
+#include "simulation/real/real_run.hpp"
+#include "simulation/virtual_run.hpp"
 
-namespace elmbay::rehearsal {
+namespace elmbay::simulation {
 namespace {
 
 // A few seconds, light enough for a machine that is busy otherwise: waits are generous, work is small.
@@ -94,7 +94,7 @@
 }
 
 TEST(Real, TheSameScriptTwiceAsksAndHappensTheSame) {
-    const std::string a = testing::TempDir() + "rehearsal-a.log", b = testing::TempDir() + "rehearsal-b.log";
+    const std::string a = testing::TempDir() + "simulation-a.log", b = testing::TempDir() + "simulation-b.log";
     const Report first = play(kShort, a), second = play(kShort, b);
     EXPECT_EQ(first.steps, second.steps);
     EXPECT_GT(first.steps.size(), 8U);
@@ -216,4 +216,4 @@
 }
 
 }  // namespace
-}  // namespace elmbay::rehearsal
+}  // namespace elmbay::simulation
--- a/tests/rehearsal/report_test.cpp
+++ b/tests/simulation/report_test.cpp
@@ -1,12 +1,12 @@
-#include "rehearsal/report.hpp"
+#include "simulation/report.hpp"
 
 #include <gtest/gtest.h>
 
 #include <nlohmann/json.hpp>
 
-#include "rehearsal/virtual_run.hpp"
+#include "simulation/virtual_run.hpp"
 
-namespace elmbay::rehearsal {
+namespace elmbay::simulation {
 namespace {
 
 Report small(const std::string& name = "a <b> & \"c\"") {
@@ -50,4 +50,4 @@
 }
 
 }  // namespace
-}  // namespace elmbay::rehearsal
+}  // namespace elmbay::simulation
--- a/tests/rehearsal/incident_test.cpp
+++ b/tests/simulation/scenario_test.cpp
@@ -1,12 +1,12 @@
 // The incident file: what is wrong is told with line, key and what is allowed, all of it at once.
-#include "rehearsal/incident.hpp"
+#include "simulation/incident.hpp"
 
 #include <gtest/gtest.h>
 
 #include "bundle.hpp"
-#include "rehearsal/timeline.hpp"
+#include "simulation/timeline.hpp"
 
-namespace elmbay::rehearsal {
+namespace elmbay::simulation {
 namespace {
 
 std::string problems_of(const std::string& text) {
@@ -116,4 +116,4 @@
 }
 
 }  // namespace
-}  // namespace elmbay::rehearsal
+}  // namespace elmbay::simulation
--- a/tests/rehearsal/server_model_test.cpp
+++ b/tests/simulation/server_model_test.cpp
@@ -1,13 +1,13 @@
 // The server model against what queueing theory says of it, and its faults laid over each other.
-#include "rehearsal/server_model.hpp"
+#include "simulation/server_model.hpp"
 
 #include <gtest/gtest.h>
 
 #include <cmath>
 
-#include "rehearsal/chance.hpp"
+#include "simulation/chance.hpp"
 
-namespace elmbay::rehearsal {
+namespace elmbay::simulation {
 namespace {
 
 FleetSpec bare() {
@@ -249,4 +249,4 @@
 }
 
 }  // namespace
-}  // namespace elmbay::rehearsal
+}  // namespace elmbay::simulation
--- a/tests/rehearsal/sidecars_test.cpp
+++ b/tests/simulation/sidecars_test.cpp
@@ -5,10 +5,10 @@
 #include <nlohmann/json.hpp>
 #include <sstream>
 
-#include "rehearsal/storm.hpp"
-#include "rehearsal/virtual_run.hpp"
+#include "simulation/storm.hpp"
+#include "simulation/virtual_run.hpp"
 
-namespace elmbay::rehearsal {
+namespace elmbay::simulation {
 namespace {
 
 std::string fault(const std::string& kind, const std::string& rest) {
@@ -153,4 +153,4 @@
 }
 
 }  // namespace
-}  // namespace elmbay::rehearsal
+}  // namespace elmbay::simulation
--- a/tests/rehearsal/virtual_test.cpp
+++ b/tests/simulation/virtual_test.cpp
@@ -5,10 +5,10 @@
 #include <sstream>
 
 #include "bundle.hpp"
-#include "rehearsal/balancers.hpp"
-#include "rehearsal/virtual_run.hpp"
+#include "simulation/balancers.hpp"
+#include "simulation/virtual_run.hpp"
 
-namespace elmbay::rehearsal {
+namespace elmbay::simulation {
 namespace {
 
 Incident incident_named(const std::string& name) {
@@ -178,4 +178,4 @@
 }
 
 }  // namespace
-}  // namespace elmbay::rehearsal
+}  // namespace elmbay::simulation
--- a/tools/rehearsal/bundle.hpp
+++ b/tools/simulation/bundle.hpp
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-namespace elmbay::rehearsal {
+namespace elmbay::simulation {
 
 struct Bundled {
     std::string name;
@@ -13,4 +13,4 @@
 // In order of their names.
 const std::vector<Bundled>& bundled();
 
-}  // namespace elmbay::rehearsal
+}  // namespace elmbay::simulation
--- a/tools/rehearsal/main.cpp
+++ b/tools/simulation/main.cpp
@@ -1,4 +1,4 @@
-// elmbay_rehearsal: plays an archive that fails on a script, and judges who balances it.
+// elmbay_simulation: plays an archive that fails on a script, and judges who balances it.
 #include <unistd.h>
 
 #include <CLI/CLI.hpp>
@@ -9,16 +9,16 @@
 #include <sstream>
 
 #include "bundle.hpp"
-#include "rehearsal/balancers.hpp"
-#include "rehearsal/real/real_run.hpp"
-#include "rehearsal/report.hpp"
-#include "rehearsal/storm.hpp"
-#include "rehearsal/sweep.hpp"
-#include "rehearsal/virtual_run.hpp"
+#include "simulation/balancers.hpp"
+#include "simulation/real/real_run.hpp"
+#include "simulation/report.hpp"
+#include "simulation/storm.hpp"
+#include "simulation/sweep.hpp"
+#include "simulation/virtual_run.hpp"
 
 namespace {
 
-using namespace elmbay::rehearsal;
+using namespace elmbay::simulation;
 
 constexpr int kKept = 0, kBroken = 1, kWrongUse = 2;
 
@@ -32,7 +32,7 @@
     std::ostringstream text;
     text << file.rdbuf();
     if (!file)
-        throw UseError(path + ": can't be read; `elmbay_rehearsal list` names the incidents that come along");
+        throw UseError(path + ": can't be read; `elmbay_simulation list` names the incidents that come along");
     return text.str();
 }
 
@@ -161,7 +161,7 @@
         });
         write_file(o.out, least.text());
         std::cout << "down to " << least.faults.size() << " faults of " << drawn.faults.size() << ", in "
-                  << o.out << "; `elmbay_rehearsal run " << o.out << (o.real ? " --real" : "")
+                  << o.out << "; `elmbay_simulation run " << o.out << (o.real ? " --real" : "")
                   << "` plays it again\n";
         return kBroken;
     }
@@ -355,13 +355,13 @@
         std::cerr << error.what();
         return kWrongUse;
     } catch (const UseError& error) {
-        std::cerr << "elmbay_rehearsal: " << error.what() << "\n";
+        std::cerr << "elmbay_simulation: " << error.what() << "\n";
         return kWrongUse;
     } catch (const std::invalid_argument& error) {
-        std::cerr << "elmbay_rehearsal: " << error.what() << "\n";
+        std::cerr << "elmbay_simulation: " << error.what() << "\n";
         return kWrongUse;
     } catch (const std::exception& error) {
-        std::cerr << "elmbay_rehearsal: " << error.what() << "\n";
+        std::cerr << "elmbay_simulation: " << error.what() << "\n";
         return kBroken;
     }
     return kWrongUse;
