--- a/bench/link_cost.cpp
+++ b/bench/link_cost.cpp
@@ -12,11 +12,11 @@
 #include <thread>
 #include <vector>
 
-#include "links/stream_link.hpp"
+#include "fault_proxy/stream_link.hpp"
 
 namespace {
 
-using namespace elmbay::links;
+using namespace elmbay::fault_proxy;
 namespace asio = boost::asio;
 using Clock = std::chrono::steady_clock;
 
--- a/src/links/boundaries.cpp
+++ b/src/fault_proxy/boundaries.cpp
@@ -1,4 +1,4 @@
-#include "links/boundaries.hpp"
+#include "fault_proxy/boundaries.hpp"
 
 #include <array>
 #include <boost/asio/buffer.hpp>
@@ -6,7 +6,7 @@
 #include <boost/beast/http/parser.hpp>
 #include <limits>
 
-namespace elmbay::links {
+namespace elmbay::fault_proxy {
 
 namespace http = boost::beast::http;
 
@@ -86,4 +86,4 @@
     return met;
 }
 
-}  // namespace elmbay::links
+}  // namespace elmbay::fault_proxy
--- a/src/links/boundaries.hpp
+++ b/src/fault_proxy/boundaries.hpp
@@ -8,9 +8,9 @@
 #include <string_view>
 #include <vector>
 
-#include "links/rules.hpp"
+#include "fault_proxy/rules.hpp"
 
-namespace elmbay::links {
+namespace elmbay::fault_proxy {
 
 struct Boundary {
     std::uint64_t at = 0;       // offset from the first byte of the stream
@@ -40,4 +40,4 @@
     std::uint64_t taken_ = 0, message_ = 1;  // taken_: offset of pending_'s first byte
 };
 
-}  // namespace elmbay::links
+}  // namespace elmbay::fault_proxy
--- a/src/links/datagram_net.cpp
+++ b/src/fault_proxy/datagram_net.cpp
@@ -1,6 +1,6 @@
-#include "links/datagram_net.hpp"
+#include "fault_proxy/datagram_net.hpp"
 
-namespace elmbay::links {
+namespace elmbay::fault_proxy {
 
 using Error = boost::system::error_code;
 
@@ -160,4 +160,4 @@
     }
 }
 
-}  // namespace elmbay::links
+}  // namespace elmbay::fault_proxy
--- a/src/links/datagram_net.hpp
+++ b/src/fault_proxy/datagram_net.hpp
@@ -9,9 +9,9 @@
 #include <memory>
 #include <vector>
 
-#include "links/ground.hpp"
+#include "fault_proxy/ground.hpp"
 
-namespace elmbay::links {
+namespace elmbay::fault_proxy {
 
 using udp = asio::ip::udp;
 
@@ -83,4 +83,4 @@
     void receive_all();
 };
 
-}  // namespace elmbay::links
+}  // namespace elmbay::fault_proxy
--- a/src/links/flow.cpp
+++ b/src/fault_proxy/flow.cpp
@@ -1,8 +1,8 @@
-#include "links/flow.hpp"
+#include "fault_proxy/flow.hpp"
 
 #include <algorithm>
 
-namespace elmbay::links {
+namespace elmbay::fault_proxy {
 
 namespace {
 
@@ -135,4 +135,4 @@
     steps.push_back({kind, clear_at_, {}});
 }
 
-}  // namespace elmbay::links
+}  // namespace elmbay::fault_proxy
--- a/src/links/flow.hpp
+++ b/src/fault_proxy/flow.hpp
@@ -8,10 +8,10 @@
 #include <string_view>
 #include <vector>
 
-#include "links/boundaries.hpp"
-#include "links/rules.hpp"
+#include "fault_proxy/boundaries.hpp"
+#include "fault_proxy/rules.hpp"
 
-namespace elmbay::links {
+namespace elmbay::fault_proxy {
 
 struct Step {
     enum class Kind { bytes, half_close, reset };
@@ -61,4 +61,4 @@
     std::vector<std::string> done_;  // rules that have had their one place here
 };
 
-}  // namespace elmbay::links
+}  // namespace elmbay::fault_proxy
--- a/src/links/ground.hpp
+++ b/src/fault_proxy/ground.hpp
@@ -9,9 +9,9 @@
 #include <list>
 
 #include "base/timing.hpp"
-#include "links/rules.hpp"
+#include "fault_proxy/rules.hpp"
 
-namespace elmbay::links {
+namespace elmbay::fault_proxy {
 
 class Ground {
 public:
@@ -82,4 +82,4 @@
     Key next_{};
 };
 
-}  // namespace elmbay::links
+}  // namespace elmbay::fault_proxy
--- a/src/links/pipe.hpp
+++ b/src/fault_proxy/pipe.hpp
@@ -8,7 +8,7 @@
 #include <cerrno>
 #include <utility>
 
-namespace elmbay::links {
+namespace elmbay::fault_proxy {
 
 class Pipe {
 public:
@@ -62,4 +62,4 @@
     std::size_t held_ = 0, last_ = 0;
 };
 
-}  // namespace elmbay::links
+}  // namespace elmbay::fault_proxy
--- a/src/links/rules.cpp
+++ b/src/fault_proxy/rules.cpp
@@ -1,4 +1,4 @@
-#include "links/rules.hpp"
+#include "fault_proxy/rules.hpp"
 
 #define XXH_INLINE_ALL  // a header alone: nothing to link
 #include <xxhash.h>
@@ -6,7 +6,7 @@
 #include <algorithm>
 #include <cmath>
 
-namespace elmbay::links {
+namespace elmbay::fault_proxy {
 
 namespace {
 
@@ -170,4 +170,4 @@
     return met;
 }
 
-}  // namespace elmbay::links
+}  // namespace elmbay::fault_proxy
--- a/src/links/rules.hpp
+++ b/src/fault_proxy/rules.hpp
@@ -17,7 +17,7 @@
 #include "base/random.hpp"
 #include "elmbay/balancer.hpp"
 
-namespace elmbay::links {
+namespace elmbay::fault_proxy {
 
 using balancer::Millis;
 using balancer::Random;
@@ -138,4 +138,4 @@
     std::vector<Free> busy_;  // by link under a rate: when its line is free again, for datagrams
 };
 
-}  // namespace elmbay::links
+}  // namespace elmbay::fault_proxy
--- a/src/links/script.cpp
+++ b/src/fault_proxy/script.cpp
@@ -1,4 +1,4 @@
-#include "links/script.hpp"
+#include "fault_proxy/script.hpp"
 
 #include <boost/asio/ip/address.hpp>
 #include <charconv>
@@ -6,7 +6,7 @@
 #include <set>
 #include <stdexcept>
 
-namespace elmbay::links {
+namespace elmbay::fault_proxy {
 
 namespace {
 
@@ -236,4 +236,4 @@
            schema::manual(rule_keys());
 }
 
-}  // namespace elmbay::links
+}  // namespace elmbay::fault_proxy
--- a/src/links/script.hpp
+++ b/src/fault_proxy/script.hpp
@@ -1,4 +1,4 @@
-// A file of links and rules: TOML by one table of keys (schema.hpp), for `elmbay_links` and for incidents.
+// A file of links and rules: TOML by one table of keys (schema.hpp), for `elmbay_fault_proxy` and for incidents.
 //
 //     [[link]]
 //     from = "n-0"
@@ -17,10 +17,10 @@
 #include <string>
 #include <vector>
 
-#include "links/rules.hpp"
+#include "fault_proxy/rules.hpp"
 #include "schema/schema.hpp"
 
-namespace elmbay::links {
+namespace elmbay::fault_proxy {
 
 // A rule as a person writes it.
 struct RuleSpec {
@@ -55,4 +55,4 @@
 boost::asio::ip::tcp::endpoint loopback_endpoint(const std::string& text);
 std::string script_manual();
 
-}  // namespace elmbay::links
+}  // namespace elmbay::fault_proxy
--- a/src/links/stream_link.cpp
+++ b/src/fault_proxy/stream_link.cpp
@@ -1,13 +1,13 @@
-#include "links/stream_link.hpp"
+#include "fault_proxy/stream_link.hpp"
 
 #include <sys/socket.h>
 
 #include <deque>
 
 #include "base/stream_socket.hpp"
-#include "links/pipe.hpp"
+#include "fault_proxy/pipe.hpp"
 
-namespace elmbay::links {
+namespace elmbay::fault_proxy {
 
 using Error = boost::system::error_code;
 
@@ -369,4 +369,4 @@
     });
 }
 
-}  // namespace elmbay::links
+}  // namespace elmbay::fault_proxy
--- a/src/links/stream_link.hpp
+++ b/src/fault_proxy/stream_link.hpp
@@ -16,10 +16,10 @@
 #include <set>
 #include <vector>
 
-#include "links/flow.hpp"
-#include "links/ground.hpp"
+#include "fault_proxy/flow.hpp"
+#include "fault_proxy/ground.hpp"
 
-namespace elmbay::links {
+namespace elmbay::fault_proxy {
 
 using tcp = asio::ip::tcp;
 
@@ -90,4 +90,4 @@
     std::shared_ptr<bool> here_ = std::make_shared<bool>(true);  // handlers look whether this still is
 };
 
-}  // namespace elmbay::links
+}  // namespace elmbay::fault_proxy
--- a/src/fleet/campaign.cpp
+++ b/src/fleet/campaign.cpp
@@ -12,8 +12,8 @@
 namespace {
 
 using Kind = Deed::Kind;
-using links::Act;
-using links::Rule;
+using fault_proxy::Act;
+using fault_proxy::Rule;
 
 constexpr std::array<const char*, 14> kNames{"ask",   "cut",     "split",   "heal", "reset",
                                              "break", "freeze",  "thaw",    "kill", "starve",
@@ -63,7 +63,7 @@
                 Rule r;
                 r.name = "cut " + std::to_string(++cuts_);
                 r.act = d.a % 2 ? Act::reset : Act::half_close;
-                r.from = {server}, r.to = {"n-*"}, r.place = links::Place::byte, r.byte = d.value;
+                r.from = {server}, r.to = {"n-*"}, r.place = fault_proxy::Place::byte, r.byte = d.value;
                 fleet_.ground().put(r);
                 return true;
             }
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -20,7 +20,7 @@
 
 namespace http = boost::beast::http;
 using Error = boost::system::error_code;
-using links::Link;
+using fault_proxy::Link;
 
 namespace {
 
@@ -340,7 +340,7 @@
     tcp::socket socket_;
     boost::beast::flat_buffer buffer_{kMaxMessage};
     http::response_parser<http::string_body> parser_;
-    links::Ground::Key limit_{}, leaving_{};
+    fault_proxy::Ground::Key limit_{}, leaving_{};
 };
 
 // ---- the fleet --------------------------------------------------------------------------------------------
@@ -374,7 +374,7 @@
 
 Fleet::Fleet(Options options)
     : options_(std::move(options)), run_(next_run()), folder_(fresh_folder()), ground_(io_, options_.seed) {
-    datagrams_ = std::make_unique<links::DatagramNet>(ground_, udp::endpoint(address(0), 0));
+    datagrams_ = std::make_unique<fault_proxy::DatagramNet>(ground_, udp::endpoint(address(0), 0));
     sidecars_.resize(options_.sidecars);
     for (std::size_t i = 0; i < options_.sidecars; ++i) {
         Sidecar& s = sidecars_[i];
@@ -403,13 +403,13 @@
     std::filesystem::remove_all(folder_, ignored);
 }
 
-links::StreamLink& Fleet::link(const std::string& from, const std::string& to) {
+fault_proxy::StreamLink& Fleet::link(const std::string& from, const std::string& to) {
     return *links_.at({from, to});
 }
 
 void Fleet::add_link(const std::string& from, const std::string& to, tcp::endpoint target,
                      std::optional<asio::ip::address> listen) {
-    links_[{from, to}] = std::make_unique<links::StreamLink>(
+    links_[{from, to}] = std::make_unique<fault_proxy::StreamLink>(
         ground_, Link{from, to}, tcp::endpoint(listen.value_or(target.address()), 0), target);
 }
 
@@ -433,14 +433,14 @@
 }
 
 // An attempt is out from its last byte, as the sidecar's end of the link saw it, to its answer or its end.
-void Fleet::watch_attempts(links::StreamLink& link, const std::string& sidecar, const std::string& server) {
+void Fleet::watch_attempts(fault_proxy::StreamLink& link, const std::string& sidecar, const std::string& server) {
     struct Seen {
         std::map<std::uint64_t, RequestReader> requests;
         std::map<std::uint64_t, std::unique_ptr<http::response_parser<http::string_body>>> answers;
         std::map<std::uint64_t, std::string> pending;
     };
     const auto seen = std::make_shared<Seen>();
-    links::StreamLink::Tap tap;
+    fault_proxy::StreamLink::Tap tap;
     tap.sent = [this, seen, sidecar, server](std::uint64_t nth, std::string_view bytes) {
         seen->requests[nth].take(bytes, now(), [&](const std::string& id, Millis first_byte) {
             ledger_.sent(now(), id, {sidecar, server, nth}, first_byte);
@@ -478,9 +478,9 @@
 
 // What the list has written to the sidecar's machine counts as told. A line of the watch is an object, or the
 // body of the whole list is; the framing between them holds no brace at its start.
-void Fleet::watch_list(links::StreamLink& link, const std::string& sidecar) {
+void Fleet::watch_list(fault_proxy::StreamLink& link, const std::string& sidecar) {
     const auto pending = std::make_shared<std::map<std::uint64_t, std::string>>();
-    links::StreamLink::Tap tap;
+    fault_proxy::StreamLink::Tap tap;
     tap.got = [this, pending, sidecar](std::uint64_t nth, std::string_view bytes) {
         std::string& text = (*pending)[nth];
         text += bytes;
--- a/src/fleet/fleet.hpp
+++ b/src/fleet/fleet.hpp
@@ -24,14 +24,14 @@
 
 #include "fleet/ledger.hpp"
 #include "fleet/process.hpp"
-#include "links/datagram_net.hpp"
-#include "links/stream_link.hpp"
+#include "fault_proxy/datagram_net.hpp"
+#include "fault_proxy/stream_link.hpp"
 
 namespace elmbay::fleet {
 
 namespace asio = boost::asio;
-using links::tcp;
-using links::udp;
+using fault_proxy::tcp;
+using fault_proxy::udp;
 using nlohmann::json;
 
 struct Options {
@@ -72,9 +72,9 @@
     // All sidecars, until each answers GET /up. Throws std::runtime_error with what one said if it does not.
     void start();
 
-    links::Ground& ground() { return ground_; }
-    links::DatagramNet& datagrams() { return *datagrams_; }
-    links::StreamLink& link(const std::string& from, const std::string& to);
+    fault_proxy::Ground& ground() { return ground_; }
+    fault_proxy::DatagramNet& datagrams() { return *datagrams_; }
+    fault_proxy::StreamLink& link(const std::string& from, const std::string& to);
     Millis now() const { return ground_.now(); }
     Ledger& ledger() { return ledger_; }
     std::size_t sidecars() const { return sidecars_.size(); }
@@ -140,7 +140,7 @@
         std::string operator_file;
         std::vector<tcp::socket> kept;  // its callers' connections that no request is open on
         double share = 1;
-        links::Ground::Key duty{};
+        fault_proxy::Ground::Key duty{};
         bool ready = false, may_end = false;
         std::uint64_t life = 0;
     };
@@ -155,8 +155,8 @@
     // listen: the address at which `from` finds it; the target's if left out.
     void add_link(const std::string& from, const std::string& to, tcp::endpoint target,
                   std::optional<asio::ip::address> listen = {});
-    void watch_attempts(links::StreamLink& link, const std::string& sidecar, const std::string& server);
-    void watch_list(links::StreamLink& link, const std::string& sidecar);
+    void watch_attempts(fault_proxy::StreamLink& link, const std::string& sidecar, const std::string& server);
+    void watch_list(fault_proxy::StreamLink& link, const std::string& sidecar);
     void keep_connection(std::size_t sidecar, tcp::socket socket);
     std::optional<tcp::socket> kept_connection(std::size_t sidecar);
     void look_ready(std::size_t sidecar);
@@ -170,10 +170,10 @@
     const std::uint32_t run_;  // picks a part of loopback, so that nothing else answers there
     std::filesystem::path folder_;
     asio::io_context io_{1};
-    links::Ground ground_;
+    fault_proxy::Ground ground_;
     Ledger ledger_;
-    std::map<links::Link, std::unique_ptr<links::StreamLink>> links_;
-    std::unique_ptr<links::DatagramNet> datagrams_;
+    std::map<fault_proxy::Link, std::unique_ptr<fault_proxy::StreamLink>> links_;
+    std::unique_ptr<fault_proxy::DatagramNet> datagrams_;
     std::vector<std::unique_ptr<Server>> servers_;
     std::vector<std::unique_ptr<ListService>> lists_;  // by sidecar
     std::vector<std::weak_ptr<Caller>> callers_;
--- a/src/simulation/incident.cpp
+++ b/src/simulation/incident.cpp
@@ -519,11 +519,11 @@
     });
 }
 
-std::vector<links::Rule> Incident::link_rules() const {
-    std::vector<links::Rule> rules;
+std::vector<fault_proxy::Rule> Incident::link_rules() const {
+    std::vector<fault_proxy::Rule> rules;
     for (const FaultSpec& f : faults) {
         if (!hits_links(f.kind)) continue;
-        links::Rule rule;
+        fault_proxy::Rule rule;
         rule.name = f.name + " " + std::to_string(rules.size() + 1);
         for (const std::string& group : f.groups) {
             std::istringstream words(group);
@@ -531,10 +531,10 @@
             for (std::string name; words >> name;) rule.groups.back().push_back(name);
         }
         if (f.kind != FaultKind::split) rule.from = f.from, rule.to = f.to;
-        if (hits_messages(f.kind)) rule.medium = links::Medium::datagram;
-        if (f.kind == FaultKind::lossy) rule.act = links::Act::lose, rule.chance = f.share;
+        if (hits_messages(f.kind)) rule.medium = fault_proxy::Medium::datagram;
+        if (f.kind == FaultKind::lossy) rule.act = fault_proxy::Act::lose, rule.chance = f.share;
         if (f.kind == FaultKind::late_messages) {
-            rule.act = links::Act::delay, rule.law = links::Law::uniform;
+            rule.act = fault_proxy::Act::delay, rule.law = fault_proxy::Law::uniform;
             rule.span = f.delay, rule.jitter = f.delay / 2;
         }
         rule.at = f.at;
@@ -546,7 +546,7 @@
         }
         const Millis end = f.lasts > 0 ? f.at + f.lasts : std::max(f.at + 1, overview.length);
         for (Millis t = f.at; t < end; t += f.every) {
-            links::Rule once = rule;
+            fault_proxy::Rule once = rule;
             once.name += " at " + std::to_string(static_cast<long>(t));
             once.at = t, once.lasts = std::min(f.pause, end - t);
             rules.push_back(std::move(once));
@@ -555,13 +555,13 @@
     return rules;
 }
 
-std::vector<links::Rule> Incident::message_rules() const {
-    links::Rule late, lost;
-    late.name = "messages are late", late.act = links::Act::delay, late.law = links::Law::uniform;
+std::vector<fault_proxy::Rule> Incident::message_rules() const {
+    fault_proxy::Rule late, lost;
+    late.name = "messages are late", late.act = fault_proxy::Act::delay, late.law = fault_proxy::Law::uniform;
     late.span = (messages.delay_least + messages.delay_most) / 2;
     late.jitter = (messages.delay_most - messages.delay_least) / 2;
-    lost.name = "messages are lost", lost.act = links::Act::lose, lost.chance = messages.loss;
-    late.medium = lost.medium = links::Medium::datagram;
+    lost.name = "messages are lost", lost.act = fault_proxy::Act::lose, lost.chance = messages.loss;
+    late.medium = lost.medium = fault_proxy::Medium::datagram;
     return {late, lost};
 }
 
--- a/src/simulation/incident.hpp
+++ b/src/simulation/incident.hpp
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "elmbay/balancer.hpp"
-#include "links/rules.hpp"
+#include "fault_proxy/rules.hpp"
 #include "schema/schema.hpp"
 
 namespace elmbay::simulation {
@@ -192,9 +192,9 @@
     }
     bool starts_off(std::uint32_t server) const;  // it joins later
     // What splits, one-way faults and faults on messages do to links between n-I, s-J and "list".
-    std::vector<links::Rule> link_rules() const;
+    std::vector<fault_proxy::Rule> link_rules() const;
     // What messages between sidecars meet without any fault.
-    std::vector<links::Rule> message_rules() const;
+    std::vector<fault_proxy::Rule> message_rules() const;
     // The settings that a decision module gets for this incident; changed: with a fault's `set` over them.
     balancer::Settings settings(std::uint32_t sidecar, const FaultSpec* changed = nullptr) const;
 };
--- a/src/simulation/messages.cpp
+++ b/src/simulation/messages.cpp
@@ -30,9 +30,9 @@
 
 MessageNet::MessageNet(const Incident& incident)
     : sidecars_(static_cast<std::uint32_t>(incident.sidecars.count)), rules_(incident.overview.seed) {
-    std::vector<links::Rule> rules = incident.message_rules();
-    for (links::Rule& rule : incident.link_rules()) {
-        cuts_ = cuts_ || rule.act == links::Act::cut;
+    std::vector<fault_proxy::Rule> rules = incident.message_rules();
+    for (fault_proxy::Rule& rule : incident.link_rules()) {
+        cuts_ = cuts_ || rule.act == fault_proxy::Act::cut;
         rules.push_back(std::move(rule));
     }
     rules_.replace_all(std::move(rules));
@@ -40,7 +40,7 @@
 }
 
 bool MessageNet::cut(Millis now, std::uint32_t from, std::uint32_t to) const {
-    return cuts_ && rules_.cut({names_[from], names_[to]}, links::Medium::datagram, now);
+    return cuts_ && rules_.cut({names_[from], names_[to]}, fault_proxy::Medium::datagram, now);
 }
 
 void MessageNet::send(Millis now, std::uint32_t from, const Outgoing& message,
@@ -57,7 +57,7 @@
 void MessageNet::one(Millis now, std::uint32_t from, std::uint32_t to, const std::string& bytes,
                      std::vector<Delivery>& deliveries) {
     const std::uint64_t nth = ++numbers_[(std::uint64_t{from} << 32) | to];
-    for (const links::Rules::Delivery& d :
+    for (const fault_proxy::Rules::Delivery& d :
          rules_.datagram({names_[from], names_[to]}, nth, bytes.size(), now))
         deliveries.push_back({to, d.after, bytes});
 }
--- a/src/simulation/messages.hpp
+++ b/src/simulation/messages.hpp
@@ -35,7 +35,7 @@
     virtual std::optional<std::uint32_t> siblings(Millis) { return {}; }
     // At next() or later.
     virtual void wake(Millis now, std::vector<Outgoing>& out) = 0;
-    virtual Millis next() const = 0;  // links::kNever: nothing to do until something is heard
+    virtual Millis next() const = 0;  // fault_proxy::kNever: nothing to do until something is heard
 };
 
 // Says that it is there, to some others drawn each time, and listens to nothing.
@@ -51,7 +51,7 @@
     const Incident& incident_;
     const std::uint32_t self_;
     Random random_;
-    Millis next_ = links::kNever;
+    Millis next_ = fault_proxy::kNever;
 };
 
 // What each message meets on its way. Chance is keyed by the ends and the number of the message on its link.
@@ -73,7 +73,7 @@
              std::vector<Delivery>& deliveries);
 
     const std::uint32_t sidecars_;
-    links::Rules rules_;
+    fault_proxy::Rules rules_;
     bool cuts_ = false;  // whether any rule ever cuts
     std::vector<std::string> names_;
     std::unordered_map<std::uint64_t, std::uint64_t> numbers_;  // messages of a link so far
--- a/src/simulation/real/real_run.cpp
+++ b/src/simulation/real/real_run.cpp
@@ -12,8 +12,8 @@
 
 #include "fleet/process.hpp"
 #include "fleet/request_reader.hpp"
-#include "links/datagram_net.hpp"
-#include "links/stream_link.hpp"
+#include "fault_proxy/datagram_net.hpp"
+#include "fault_proxy/stream_link.hpp"
 #include "simulation/chance.hpp"
 #include "simulation/real/stand_in_callers.hpp"
 #include "simulation/real/stand_in_discovery.hpp"
@@ -99,13 +99,13 @@
         ground_.begin(kLongAhead);  // nothing of the file holds before time 0
         auto rules = incident.link_rules();
         linked_ = std::any_of(rules.begin(), rules.end(),
-                              [](const links::Rule& rule) { return rule.medium != links::Medium::datagram; });
-        for (links::Rule& rule : incident.message_rules()) {
+                              [](const fault_proxy::Rule& rule) { return rule.medium != fault_proxy::Medium::datagram; });
+        for (fault_proxy::Rule& rule : incident.message_rules()) {
             rule.at = -kLongAhead;  // from before the start
             rules.push_back(std::move(rule));
         }
         ground_.replace_all(std::move(rules));
-        messages_.tap([this](const links::Link& link, std::size_t bytes, bool delivered) {
+        messages_.tap([this](const fault_proxy::Link& link, std::size_t bytes, bool delivered) {
             if (!delivered) return sidecars_.sent(stage_.now(), bytes);
             sidecars_.delivered(stage_.now(), number_of(link.from), number_of(link.to), bytes);
         });
@@ -152,10 +152,10 @@
     tcp::endpoint way_to_server(std::uint32_t i, std::uint32_t s) {
         if (!linked_) return servers_[s]->endpoint();
         auto& link = links_[{i, s}];
-        link = std::make_unique<links::StreamLink>(
-            ground_, links::Link{"n-" + std::to_string(i), "s-" + std::to_string(s)},
+        link = std::make_unique<fault_proxy::StreamLink>(
+            ground_, fault_proxy::Link{"n-" + std::to_string(i), "s-" + std::to_string(s)},
             tcp::endpoint(servers_[s]->endpoint().address(), 0), servers_[s]->endpoint());
-        if (!archive_.there_at_start(s)) link->target(links::StreamLink::Target::down);
+        if (!archive_.there_at_start(s)) link->target(fault_proxy::StreamLink::Target::down);
         watch(*link);
         servers_[s]->sent_at = [this](TryId id) {
             const auto at = sent_at_.find(id);
@@ -168,14 +168,14 @@
         if (!linked_) return list;
         auto& links = list_links_[i];  // the last is the one in use; those before stay until they are closed
         if (links.empty() || links.back().first != list)
-            links.emplace_back(list, std::make_unique<links::StreamLink>(
-                                         ground_, links::Link{"n-" + std::to_string(i), "list"},
+            links.emplace_back(list, std::make_unique<fault_proxy::StreamLink>(
+                                         ground_, fault_proxy::Link{"n-" + std::to_string(i), "list"},
                                          tcp::endpoint(list.address(), 0), list));
         return links.back().second->endpoint();
     }
-    void watch(links::StreamLink& link) {
+    void watch(fault_proxy::StreamLink& link) {
         const auto readers = std::make_shared<std::map<std::uint64_t, fleet::RequestReader>>();
-        links::StreamLink::Tap tap;
+        fault_proxy::StreamLink::Tap tap;
         tap.sent = [this, readers](std::uint64_t nth, std::string_view bytes) {
             (*readers)[nth].take(bytes, stage_.now(), [this](const std::string& id, Millis first_byte) {
                 if (const auto number = StandInServer::id_of(id)) sent_at_[*number] = first_byte;
@@ -186,7 +186,7 @@
     }
     // What the kernel says for a server that has gone, its links must say.
     void tell_links(const Step& s) {
-        using Target = links::StreamLink::Target;
+        using Target = fault_proxy::StreamLink::Target;
         if (s.change != Change::stop && s.change != Change::vanish && s.change != Change::start) return;
         const Target target = s.change == Change::stop     ? Target::down
                               : s.change == Change::vanish ? Target::deaf
@@ -198,12 +198,12 @@
     // ---- before the start
     // Where the others reach it, and a port of its own address at which it listens itself.
     void add_peer(std::uint32_t i) {
-        links::udp::socket probe(stage_.io, links::udp::endpoint(loopback(run_, kSidecars + i), 0));
+        fault_proxy::udp::socket probe(stage_.io, fault_proxy::udp::endpoint(loopback(run_, kSidecars + i), 0));
         peer_listens_.push_back(probe.local_endpoint());
         probe.close();
         messages_.add(name_of_sidecar(i), {loopback(run_, kPeers + i), 0}, peer_listens_.back());
     }
-    static std::string text_of_peer(const links::udp::endpoint& e) {
+    static std::string text_of_peer(const fault_proxy::udp::endpoint& e) {
         return e.address().to_string() + ":" + std::to_string(e.port());
     }
     json peers() const {
@@ -540,12 +540,12 @@
     SidecarLog sidecars_;
     const std::uint32_t run_;
     std::vector<std::unique_ptr<StandInServer>> servers_;
-    links::Ground ground_;
+    fault_proxy::Ground ground_;
     bool linked_ = false;  // whether the file has faults on streams: only then they go over links
-    links::DatagramNet messages_;
-    std::vector<links::udp::endpoint> peer_listens_;
-    std::map<std::pair<std::uint32_t, std::uint32_t>, std::unique_ptr<links::StreamLink>> links_;
-    std::map<std::uint32_t, std::vector<std::pair<tcp::endpoint, std::unique_ptr<links::StreamLink>>>>
+    fault_proxy::DatagramNet messages_;
+    std::vector<fault_proxy::udp::endpoint> peer_listens_;
+    std::map<std::pair<std::uint32_t, std::uint32_t>, std::unique_ptr<fault_proxy::StreamLink>> links_;
+    std::map<std::uint32_t, std::vector<std::pair<tcp::endpoint, std::unique_ptr<fault_proxy::StreamLink>>>>
         list_links_;
     std::unordered_map<TryId, Millis> sent_at_;  // of each try its last attempt
     std::vector<Side> sides_;
--- a/src/simulation/sidecar_log.cpp
+++ b/src/simulation/sidecar_log.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-std::string words_of(const links::Rule& rule) {
+std::string words_of(const fault_proxy::Rule& rule) {
     std::string ends;
     if (rule.groups.empty()) {
         ends = fmt::format("{} -> {}", fmt::join(rule.from, " "), fmt::join(rule.to, " "));
@@ -19,7 +19,7 @@
     }
     constexpr std::size_t kMaxShown = 120;  // a split of hundreds would fill a page
     if (ends.size() > kMaxShown) ends.replace(kMaxShown, std::string::npos, "...");
-    return std::string(links::name_of(rule.act)) + " " + ends;
+    return std::string(fault_proxy::name_of(rule.act)) + " " + ends;
 }
 
 }  // namespace
@@ -80,7 +80,7 @@
     for (auto* spans : {&r.lives, &r.troubles})
         for (SidecarSpan& span : *spans)
             if (span.to < 0) span.to = now;
-    for (const links::Rule& rule : incident_.link_rules())
+    for (const fault_proxy::Rule& rule : incident_.link_rules())
         r.cuts.push_back({rule.name, words_of(rule), rule.at,
                           rule.lasts > 0 ? rule.at + rule.lasts : incident_.overview.length});
     if (first_tries > 0)
--- a/src/simulation/virtual_run.cpp
+++ b/src/simulation/virtual_run.cpp
@@ -347,7 +347,7 @@
         }
         Instance& n = instances_[who];
         if (!n.companion) return;
-        if (n.companion->next() < links::kNever) put(n.companion->next(), What::speak, who, n.life);
+        if (n.companion->next() < fault_proxy::kNever) put(n.companion->next(), What::speak, who, n.life);
         const auto siblings = n.companion->siblings(now_);
         if (siblings && std::exchange(n.siblings, *siblings) != *siblings)
             give(who, SiblingsKnown{*siblings});
@@ -390,14 +390,14 @@
     // ---- links
     static std::string sidecar_name(std::uint32_t who) { return "n-" + std::to_string(who); }
     static std::string server_name(std::uint32_t who) { return "s-" + std::to_string(who); }
-    bool cut(const links::Link& link) const {
-        return !links_.all().empty() && links_.cut(link, links::Medium::stream, now_);
+    bool cut(const fault_proxy::Link& link) const {
+        return !links_.all().empty() && links_.cut(link, fault_proxy::Medium::stream, now_);
     }
     // Whatever is on its way over a cut link waits, as for retransmission. Whether it does.
-    bool waits(const links::Link& link, const Happening& h) {
+    bool waits(const fault_proxy::Link& link, const Happening& h) {
         if (!cut(link)) return false;
         const Millis next = links_.next_change(now_);
-        if (next < links::kNever) put(next, h.what, h.who, h.a, h.b);
+        if (next < fault_proxy::kNever) put(next, h.what, h.who, h.a, h.b);
         return true;
     }
     bool over_cut_link(const Happening& h) {
@@ -407,7 +407,7 @@
         const auto at = attempts_.find(h.a);
         if (at == attempts_.end()) return false;
         const Attempt& a = at->second;
-        const links::Link forth{sidecar_name(a.sidecar), server_name(a.server)};
+        const fault_proxy::Link forth{sidecar_name(a.sidecar), server_name(a.server)};
         if (h.what == What::arrive) {
             if (!a.fresh || a.connected) return waits(forth, h);
             if (!cut(forth) && !cut(forth.back())) return false;
@@ -917,7 +917,7 @@
     Service service_;
     const std::vector<Step> steps_;
     const std::vector<Notice> notices_;
-    links::Rules links_;
+    fault_proxy::Rules links_;
     MessageNet messages_;
     SidecarLog sidecars_;
     struct OnItsWay {
--- a/tests/links/datagram_test.cpp
+++ b/tests/fault_proxy/datagram_test.cpp
@@ -4,10 +4,10 @@
 
 #include <set>
 
-#include "links/datagram_net.hpp"
-#include "links/stream_link.hpp"
+#include "fault_proxy/datagram_net.hpp"
+#include "fault_proxy/stream_link.hpp"
 
-namespace elmbay::links {
+namespace elmbay::fault_proxy {
 namespace {
 
 using Error = boost::system::error_code;
@@ -201,4 +201,4 @@
 }
 
 }  // namespace
-}  // namespace elmbay::links
+}  // namespace elmbay::fault_proxy
--- a/tests/links/rules_test.cpp
+++ b/tests/fault_proxy/rules_test.cpp
@@ -1,10 +1,10 @@
 // Rules, boundaries and flows: no sockets, time given.
 #include <gtest/gtest.h>
 
-#include "links/flow.hpp"
-#include "links/script.hpp"
+#include "fault_proxy/flow.hpp"
+#include "fault_proxy/script.hpp"
 
-namespace elmbay::links {
+namespace elmbay::fault_proxy {
 namespace {
 
 Rule rule(const char* name, Act act) {
@@ -212,4 +212,4 @@
 }
 
 }  // namespace
-}  // namespace elmbay::links
+}  // namespace elmbay::fault_proxy
--- a/tests/links/stream_test.cpp
+++ b/tests/fault_proxy/stream_test.cpp
@@ -3,9 +3,9 @@
 
 #include <boost/asio/write.hpp>
 
-#include "links/stream_link.hpp"
+#include "fault_proxy/stream_link.hpp"
 
-namespace elmbay::links {
+namespace elmbay::fault_proxy {
 namespace {
 
 using Error = boost::system::error_code;
@@ -230,4 +230,4 @@
 }
 
 }  // namespace
-}  // namespace elmbay::links
+}  // namespace elmbay::fault_proxy
--- a/tests/fleet/cluster_test.cpp
+++ b/tests/fleet/cluster_test.cpp
@@ -7,8 +7,8 @@
 namespace elmbay::fleet {
 namespace {
 
-using links::Act;
-using links::Rule;
+using fault_proxy::Act;
+using fault_proxy::Rule;
 
 Options knowing(std::size_t sidecars) {
     Options options = few(sidecars, 2);
@@ -114,9 +114,9 @@
     Rule lost = cut({"n-*"}, {"n-*"}), late = lost, twice = lost;
     lost.name = "lost", lost.act = Act::lose, lost.chance = 0.3;
     late.name = "late", late.act = Act::delay, late.span = 30, late.jitter = 30,
-    late.law = links::Law::uniform;
+    late.law = fault_proxy::Law::uniform;
     twice.name = "twice", twice.act = Act::repeat, twice.chance = 0.2;
-    for (Rule* r : {&lost, &late, &twice}) r->medium = links::Medium::datagram, fleet.ground().put(*r);
+    for (Rule* r : {&lost, &late, &twice}) r->medium = fault_proxy::Medium::datagram, fleet.ground().put(*r);
     fleet.ground().put(cut({"n-0"}, {"n-1"}));
     fleet.start();
     ASSERT_TRUE(fleet.until([&] {
--- a/tests/fleet/faults_test.cpp
+++ b/tests/fleet/faults_test.cpp
@@ -14,9 +14,9 @@
 namespace elmbay::fleet {
 namespace {
 
-using links::Act;
-using links::Place;
-using links::Rule;
+using fault_proxy::Act;
+using fault_proxy::Place;
+using fault_proxy::Rule;
 using Answer = Ledger::Answer;
 
 Rule rule(const char* name, Act act, const char* from, const char* to) {
@@ -104,13 +104,13 @@
     fleet.start();
     struct Case {
         const char *from, *to;
-        links::Place place;
-        links::Part part;
+        fault_proxy::Place place;
+        fault_proxy::Part part;
     };
-    const Case cases[] = {{"s-*", "n-0", Place::opening, links::Part::begins},
-                          {"s-*", "n-0", Place::message, links::Part::head},
-                          {"n-0", "s-*", Place::opening, links::Part::begins},
-                          {"n-0", "s-*", Place::message, links::Part::head}};
+    const Case cases[] = {{"s-*", "n-0", Place::opening, fault_proxy::Part::begins},
+                          {"s-*", "n-0", Place::message, fault_proxy::Part::head},
+                          {"n-0", "s-*", Place::opening, fault_proxy::Part::begins},
+                          {"n-0", "s-*", Place::message, fault_proxy::Part::head}};
     for (const Case& c : cases) {
         for (const char* grade : {"deposit", "annotate"}) {
             Rule silent = rule("silent", Act::silence, c.from, c.to);
--- a/tests/fleet/scenarios.hpp
+++ b/tests/fleet/scenarios.hpp
@@ -46,9 +46,9 @@
 
 // Deposits whose answer is cut after the server has done them.
 inline bool deposits_with_cut_answers(Fleet& fleet) {
-    links::Rule cut;
-    cut.name = "cut", cut.act = links::Act::reset, cut.from = {"s-*"}, cut.to = {"n-0"};
-    cut.place = links::Place::byte, cut.byte = 9;
+    fault_proxy::Rule cut;
+    cut.name = "cut", cut.act = fault_proxy::Act::reset, cut.from = {"s-*"}, cut.to = {"n-0"};
+    cut.place = fault_proxy::Place::byte, cut.byte = 9;
     fleet.ground().put(cut);
     for (int i = 0; i < 5; ++i) {
         const std::string id = fleet.ask(0, "deposit");
--- a/tests/syscall_faults/fleet_faults_test.cpp
+++ b/tests/syscall_faults/fleet_faults_test.cpp
@@ -217,8 +217,8 @@
     Fleet fleet(options);
     fleet.start();
     for (std::size_t round = 0; round < kRounds; ++round) {
-        links::Rule cut;
-        cut.name = "cut", cut.act = links::Act::cut;
+        fault_proxy::Rule cut;
+        cut.name = "cut", cut.act = fault_proxy::Act::cut;
         cut.from = {"n-" + std::to_string(round % 3)};
         cut.to = round % 4 == 3 ? std::vector<std::string>{"list"}
                                 : std::vector<std::string>{"s-" + std::to_string(round % 6)};
--- a/tools/links/main.cpp
+++ b/tools/fault_proxy/main.cpp
@@ -1,4 +1,4 @@
-// elmbay_links: TCP and UDP links on loopback with faults on them, by a file or for one link.
+// elmbay_fault_proxy: TCP and UDP links on loopback with faults on them, by a file or for one link.
 #include <CLI/CLI.hpp>
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/signal_set.hpp>
@@ -8,13 +8,13 @@
 #include <memory>
 #include <sstream>
 
-#include "links/datagram_net.hpp"
-#include "links/script.hpp"
-#include "links/stream_link.hpp"
+#include "fault_proxy/datagram_net.hpp"
+#include "fault_proxy/script.hpp"
+#include "fault_proxy/stream_link.hpp"
 
 namespace {
 
-using namespace elmbay::links;
+using namespace elmbay::fault_proxy;
 namespace asio = boost::asio;
 
 // Nothing, and every problem told, if the file can't be used.
@@ -108,12 +108,12 @@
     CLI::App app{
         "Stands between two ends on loopback and does to their bytes and datagrams what its rules say.\n"
         "SIGHUP reads the rules again; SIGTERM ends it and tells what went by."};
-    app.set_version_flag("--version", "elmbay_links " ELMBAY_VERSION);
+    app.set_version_flag("--version", "elmbay_fault_proxy " ELMBAY_VERSION);
     app.footer("Exit: 0 ended as told, 1 an address can't be had, 2 wrong use or a file that can't be used.");
     std::string file;
     LinkSpec one{"a", "b", "127.0.0.1:0", ""};
     std::vector<std::string> acts;
-    auto* run = app.add_subcommand("run", "the links and rules of a file (docs/operate/links.md)");
+    auto* run = app.add_subcommand("run", "the links and rules of a file (docs/operate/fault-proxy.md)");
     run->add_option("file", file)->required();
     auto* check = app.add_subcommand("check", "says what is wrong with a file");
     check->add_option("file", file)->required();
@@ -154,10 +154,10 @@
     try {
         return Program(std::move(*script), file).run();
     } catch (const std::invalid_argument& error) {
-        std::cerr << "elmbay_links: " << error.what() << std::endl;
+        std::cerr << "elmbay_fault_proxy: " << error.what() << std::endl;
         return 2;
     } catch (const std::exception& error) {
-        std::cerr << "elmbay_links: " << error.what() << std::endl;
+        std::cerr << "elmbay_fault_proxy: " << error.what() << std::endl;
         return 1;
     }
 }
