--- a/bench/link_cost.cpp
+++ b/bench/link_cost.cpp
@@ -73,8 +73,8 @@
     std::thread serving([&] {
         for (int i = 0; i < 2 * kRounds; ++i) serve(server.accept());
     });
-    Ground ground(link_io);
-    StreamLink link(ground, {"a", "b"}, {asio::ip::address_v4::loopback(), 0}, server.local_endpoint());
+    EventLoopContext context(link_io);
+    StreamLink link(context, {"a", "b"}, {asio::ip::address_v4::loopback(), 0}, server.local_endpoint());
     const auto at = link.endpoint();
     auto work = asio::make_work_guard(link_io);
     std::thread linking([&] { link_io.run(); });
--- a/src/fault_proxy/datagram_net.cpp
+++ b/src/fault_proxy/datagram_net.cpp
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-DatagramNet::DatagramNet(Ground& ground, udp::endpoint everybody) : ground_(ground), everybody_(ground.io()) {
+DatagramNet::DatagramNet(EventLoopContext& context, udp::endpoint everybody) : context_(context), everybody_(context.io()) {
     open(everybody_, everybody);
     receive_all();
 }
@@ -22,7 +22,7 @@
 DatagramNet::~DatagramNet() { *here_ = false; }
 
 void DatagramNet::add(const std::string& name, udp::endpoint address, udp::endpoint target) {
-    auto member = std::make_unique<Member>(ground_.io());
+    auto member = std::make_unique<Member>(context_.io());
     member->name = name;
     member->target = std::move(target);
     open(member->socket, address);
@@ -68,10 +68,10 @@
         for (;;) {
             Error none;
             const std::size_t n =
-                member.socket.receive_from(asio::buffer(ground_.scratch), member.from, 0, none);
+                member.socket.receive_from(asio::buffer(context_.scratch), member.from, 0, none);
             if (none == asio::error::would_block) break;
             // A member that does not listen: the kernel tells so with the next call. Nothing has come.
-            if (!none) sent(member.from, member, {ground_.scratch.data(), n});
+            if (!none) sent(member.from, member, {context_.scratch.data(), n});
         }
         receive(member);
     });
@@ -82,10 +82,10 @@
         if (!*here || error) return;
         for (;;) {
             Error none;
-            const std::size_t n = everybody_.receive_from(asio::buffer(ground_.scratch), from_, 0, none);
+            const std::size_t n = everybody_.receive_from(asio::buffer(context_.scratch), from_, 0, none);
             if (none == asio::error::would_block) break;
             if (none) continue;
-            const std::string bytes(ground_.scratch.data(), n);
+            const std::string bytes(context_.scratch.data(), n);
             for (const auto& [name, member] : members_)
                 if (member->target != from_) sent(from_, *member, bytes);
         }
@@ -105,7 +105,7 @@
     if (bytes.size() > most_size_) ++state.counts.too_long;
     if (tap_) tap_(link, bytes.size(), false);
     const auto deliveries =
-        ground_.rules_for_datagrams().datagram(link, state.counts.sent, bytes.size(), ground_.now());
+        context_.rules_for_datagrams().datagram(link, state.counts.sent, bytes.size(), context_.now());
     for (const Rules::Delivery& d : deliveries) {
         std::string copy(bytes);
         for (std::size_t i = 0; i < copy.size() && i < d.garbled; ++i)
@@ -118,7 +118,7 @@
         held->after = d.behind > 0 ? state.passed + d.behind : UINT64_MAX;
         held->bytes = std::move(copy);
         // With nothing behind it a held one goes after its time; with no time either it would never.
-        held->timer = ground_.at(ground_.now() + std::max(d.after, d.behind > 0 ? 1.0 : 0.0),
+        held->timer = context_.at(context_.now() + std::max(d.after, d.behind > 0 ? 1.0 : 0.0),
                                  [this, here = here_, link, weak = std::weak_ptr(held)] {
                                      const auto late = weak.lock();
                                      if (!*here || !late) return;
@@ -134,7 +134,7 @@
 // Cut also those that were on their way when the link was cut.
 void DatagramNet::pass(const Link& link, std::string bytes) {
     State& state = links_[link];
-    if (ground_.rules().cut(link, Medium::datagram, ground_.now())) return;
+    if (context_.rules().cut(link, Medium::datagram, context_.now())) return;
     Error ignored;
     Member &from = *members_.at(link.from), &to = *members_.at(link.to);
     // What a dead process had sent arrives as well.
@@ -155,7 +155,7 @@
         if (due == state.held.end() && !too_many) return;
         const auto held = due == state.held.end() ? state.held.front() : *due;
         std::erase(state.held, held);
-        ground_.cancel(held->timer);
+        context_.cancel(held->timer);
         pass(link, std::move(held->bytes));
     }
 }
--- a/src/fault_proxy/datagram_net.hpp
+++ b/src/fault_proxy/datagram_net.hpp
@@ -9,7 +9,7 @@
 #include <memory>
 #include <vector>
 
-#include "fault_proxy/ground.hpp"
+#include "fault_proxy/event_loop_context.hpp"
 
 namespace elmbay::fault_proxy {
 
@@ -21,7 +21,7 @@
     static constexpr std::size_t kMaxHeldBack = 64;  // of one link, by reorder; the oldest goes then
 
     // everybody: the address that reaches all but the sender; port 0 takes any.
-    DatagramNet(Ground& ground, udp::endpoint everybody);
+    DatagramNet(EventLoopContext& context, udp::endpoint everybody);
     ~DatagramNet();
     DatagramNet(const DatagramNet&) = delete;
     DatagramNet& operator=(const DatagramNet&) = delete;
@@ -57,7 +57,7 @@
     struct HeldBack {
         std::uint64_t after = 0;  // goes once so many have passed
         std::string bytes;
-        Ground::Key timer{};
+        EventLoopContext::Key timer{};
     };
     struct State {
         Counts counts;
@@ -70,7 +70,7 @@
     void pass(const Link& link, std::string bytes);
     void release(const Link& link);
 
-    Ground& ground_;
+    EventLoopContext& context_;
     udp::socket everybody_;
     udp::endpoint from_;
     std::map<std::string, std::unique_ptr<Member>> members_;
--- a/src/fault_proxy/ground.hpp
+++ b/src/fault_proxy/event_loop_context.hpp
@@ -1,5 +1,5 @@
 // The driver's common ground: one loop, one clock that begins at 0, one set of rules, and all links that must
-// look again when a rule changes or a time comes. Not thread-safe: everything of one Ground runs in its loop.
+// look again when a rule changes or a time comes. Not thread-safe: everything of one EventLoopContext runs in its loop.
 #pragma once
 
 #include <array>
@@ -13,16 +13,16 @@
 
 namespace elmbay::fault_proxy {
 
-class Ground {
+class EventLoopContext {
 public:
     // From now on the process ignores SIGPIPE: splice(2) has no flag against it, and who is written to may
     // go.
-    Ground(asio::io_context& io, std::uint64_t seed = 1)
+    EventLoopContext(asio::io_context& io, std::uint64_t seed = 1)
         : io_(io), timers_(io, clock_), zero_(clock_.now()), rules_(seed) {
         std::signal(SIGPIPE, SIG_IGN);
     }
-    Ground(const Ground&) = delete;
-    Ground& operator=(const Ground&) = delete;
+    EventLoopContext(const EventLoopContext&) = delete;
+    EventLoopContext& operator=(const EventLoopContext&) = delete;
 
     Millis now() const { return clock_.now() - zero_; }
     // Time 0 is now, or ahead; rules hold by the new count.
--- a/src/fault_proxy/stream_link.cpp
+++ b/src/fault_proxy/stream_link.cpp
@@ -18,12 +18,12 @@
     Pair(StreamLink& link, tcp::socket opener, std::uint64_t nth)
         : link_(&link),
           nth_(nth),
-          forth_(link.ground_, link.link_, nth, true, std::move(opener)),
-          back_(link.ground_, link.link_.back(), nth, false, tcp::socket(link.ground_.io())) {}
+          forth_(link.context_, link.link_, nth, true, std::move(opener)),
+          back_(link.context_, link.link_.back(), nth, false, tcp::socket(link.context_.io())) {}
 
     void begin(Millis hold) {
         if (hold <= 0) return connect();
-        held_ = link_->ground_.at(link_->ground_.now() + hold, [self = shared_from_this()] {
+        held_ = link_->context_.at(link_->context_.now() + hold, [self = shared_from_this()] {
             self->held_ = {};
             if (self->link_) self->connect();
         });
@@ -41,9 +41,9 @@
             Error ignored;
             if (reset) way->socket.set_option(asio::socket_base::linger(true, 0), ignored);
             way->socket.close(ignored);
-            link_->ground_.cancel(way->timer);
+            link_->context_.cancel(way->timer);
         }
-        link_->ground_.cancel(held_);
+        link_->context_.cancel(held_);
         told_over();
         link_->pairs_.erase(shared_from_this());
         link_ = nullptr;
@@ -52,14 +52,14 @@
 private:
     // From `socket` to the other way's socket.
     struct Way {
-        Way(Ground& ground, Link link, std::uint64_t nth, bool asks, tcp::socket s)
-            : flow(ground.rules(), std::move(link), nth, asks), socket(std::move(s)) {}
+        Way(EventLoopContext& context, Link link, std::uint64_t nth, bool asks, tcp::socket s)
+            : flow(context.rules(), std::move(link), nth, asks), socket(std::move(s)) {}
         Flow flow;
         TcpSocket socket;
         std::deque<Step> steps;
         std::size_t waiting = 0, written = 0;  // bytes in steps; of the first step, passed on already
         bool reading = false, writing = false, ended = false, passed_end = false;
-        Ground::Key timer{};
+        EventLoopContext::Key timer{};
         Pipe pipe{};        // what is inside goes before steps
         bool bulk = false;  // its last read brought as much as a read takes: the next may go by the pipe
         std::size_t kept() const { return waiting + pipe.held(); }
@@ -122,12 +122,12 @@
             if (link_) read(way);
             return;
         }
-        auto& scratch = link_->ground_.scratch;
+        auto& scratch = link_->context_.scratch;
         std::vector<Step> steps;
         Error error;
         const std::size_t n = way.socket.read_some(asio::buffer(scratch), error);
         if (error == asio::error::would_block) return read(way);
-        const Millis now = link_->ground_.now();
+        const Millis now = link_->context_.now();
         if (error) {
             way.ended = true;
             if (&way == &forth_) told_over();
@@ -159,7 +159,7 @@
 
     void deliver(Way& way) {
         if (way.writing) return;
-        link_->ground_.cancel(way.timer);
+        link_->context_.cancel(way.timer);
         while (way.pipe.held() > 0) {
             if (cut(way)) return;  // look() comes back
             const Pipe::Moved moved = way.pipe.empty_to(other(way).socket.native_handle());
@@ -169,9 +169,9 @@
         while (!way.steps.empty()) {
             if (cut(way)) return;  // look() comes back
             Step& step = way.steps.front();
-            const Millis now = link_->ground_.now();
+            const Millis now = link_->context_.now();
             if (step.at > now) {
-                way.timer = link_->ground_.at(step.at, [self = shared_from_this(), &way] {
+                way.timer = link_->context_.at(step.at, [self = shared_from_this(), &way] {
                     way.timer = {};
                     if (self->link_) self->deliver(way);
                 });
@@ -222,24 +222,24 @@
     Way forth_, back_;
     bool told_over_ = false;
     bool connected_ = false;
-    Ground::Key held_{};
+    EventLoopContext::Key held_{};
 };
 
-StreamLink::StreamLink(Ground& ground, Link link, tcp::endpoint listen, tcp::endpoint target)
-    : ground_(ground),
+StreamLink::StreamLink(EventLoopContext& context, Link link, tcp::endpoint listen, tcp::endpoint target)
+    : context_(context),
       link_(std::move(link)),
       endpoint_(std::move(listen)),
       target_(std::move(target)),
-      acceptor_(ground.io()) {
+      acceptor_(context.io()) {
     open_listener();  // once in any case, so that the port is known and known to be free
-    place_ = ground_.watch([this] { look(); });
+    place_ = context_.watch([this] { look(); });
     look();
 }
 
 StreamLink::~StreamLink() {
     *here_ = false;
-    ground_.unwatch(place_);
-    ground_.cancel(probing_);
+    context_.unwatch(place_);
+    context_.cancel(probing_);
     reset_all();
 }
 
@@ -256,15 +256,15 @@
 void StreamLink::target(Target state) {
     behind_ = state;
     refused_ = false;
-    ground_.cancel(probing_);
+    context_.cancel(probing_);
     look();
 }
 
 void StreamLink::look() {
-    const Millis now = ground_.now();
-    cut_forth_ = ground_.rules().cut(link_, Medium::stream, now);
-    cut_back_ = ground_.rules().cut(link_.back(), Medium::stream, now);
-    if (behind_ == Target::down || refused_ || ground_.rules().refuses_all(link_, now))
+    const Millis now = context_.now();
+    cut_forth_ = context_.rules().cut(link_, Medium::stream, now);
+    cut_back_ = context_.rules().cut(link_.back(), Medium::stream, now);
+    if (behind_ == Target::down || refused_ || context_.rules().refuses_all(link_, now))
         enter(State::closed);
     else if (behind_ == Target::deaf || cut_forth_ || cut_back_)
         enter(State::deaf);
@@ -294,7 +294,7 @@
     ::listen(acceptor_.native_handle(), 0);
     // With a queue length of 0 the kernel still queues one connection; one more to be sure.
     for (int i = 0; i < 2; ++i) {
-        tcp::socket filler(ground_.io());
+        tcp::socket filler(context_.io());
         filler.open(endpoint_.protocol(), ignored);
         filler.native_non_blocking(true, ignored);
         // The system's own: asio's connect() waits until it is up, which is never.
@@ -333,7 +333,7 @@
         Error ignored;
         const tcp::endpoint from = error ? tcp::endpoint{} : socket.remote_endpoint(ignored);
         if (!error && !is_filler(from)) {
-            const auto opening = ground_.rules().opening(link_, ++opened_, ground_.now());
+            const auto opening = context_.rules().opening(link_, ++opened_, context_.now());
             if (opening.refused) {
                 socket.set_option(asio::socket_base::linger(true, 0), ignored);
                 socket.close(ignored);
@@ -355,14 +355,14 @@
 }
 
 void StreamLink::probe() {
-    const auto socket = std::make_shared<tcp::socket>(ground_.io());
+    const auto socket = std::make_shared<tcp::socket>(context_.io());
     socket->async_connect(target_, [this, here = here_, socket](Error error) {
         if (!*here || !refused_) return;
         if (!error) {
             refused_ = false;
             return look();
         }
-        probing_ = ground_.at(ground_.now() + kProbe, [this] {
+        probing_ = context_.at(context_.now() + kProbe, [this] {
             probing_ = {};
             probe();
         });
--- a/src/fault_proxy/stream_link.hpp
+++ b/src/fault_proxy/stream_link.hpp
@@ -17,7 +17,7 @@
 #include <vector>
 
 #include "fault_proxy/flow.hpp"
-#include "fault_proxy/ground.hpp"
+#include "fault_proxy/event_loop_context.hpp"
 
 namespace elmbay::fault_proxy {
 
@@ -33,7 +33,7 @@
     static constexpr int kBacklog = 1024;
 
     // listen: port 0 takes any. Throws boost::system::system_error if the address can't be had.
-    StreamLink(Ground& ground, Link link, tcp::endpoint listen, tcp::endpoint target);
+    StreamLink(EventLoopContext& context, Link link, tcp::endpoint listen, tcp::endpoint target);
     ~StreamLink();
     StreamLink(const StreamLink&) = delete;
     StreamLink& operator=(const StreamLink&) = delete;
@@ -74,7 +74,7 @@
     void target_refused();
     void probe();
 
-    Ground& ground_;
+    EventLoopContext& context_;
     const Link link_;
     tcp::endpoint endpoint_, target_;
     tcp::acceptor acceptor_;
@@ -85,8 +85,8 @@
     std::set<std::shared_ptr<Pair>> pairs_;
     std::uint64_t opened_ = 0, forth_ = 0, back_ = 0;
     Tap tap_;
-    Ground::Place place_;
-    Ground::Key probing_{};
+    EventLoopContext::Place place_;
+    EventLoopContext::Key probing_{};
     std::shared_ptr<bool> here_ = std::make_shared<bool>(true);  // handlers look whether this still is
 };
 
--- a/src/fleet/campaign.cpp
+++ b/src/process_testbed/chaos.cpp
@@ -1,4 +1,4 @@
-#include "fleet/campaign.hpp"
+#include "process_testbed/chaos.hpp"
 
 #include <array>
 #include <map>
@@ -7,11 +7,11 @@
 
 #include "base/random.hpp"
 
-namespace elmbay::fleet {
+namespace elmbay::process_testbed {
 
 namespace {
 
-using Kind = Deed::Kind;
+using Kind = FaultStep::Kind;
 using fault_proxy::Act;
 using fault_proxy::Rule;
 
@@ -19,21 +19,21 @@
                                              "break", "freeze",  "thaw",    "kill", "starve",
                                              "drain", "restore", "conduct", "wait"};
 constexpr std::array<const char*, 3> kGrades{"listen", "deposit", "annotate"};
-constexpr std::array<Conduct, 4> kConducts{Conduct::serve, Conduct::fail, Conduct::turn_away, Conduct::mute};
+constexpr std::array<ServerBehavior, 4> kConducts{ServerBehavior::serve, ServerBehavior::fail, ServerBehavior::turn_away, ServerBehavior::mute};
 constexpr std::uint64_t kLongestWait = 400;  // ms: beyond the drain grace with the next one's
 constexpr std::uint64_t kAnswerBytes = 90;   // about the length of an answer's head and body
 
 // What a schedule is carried out on, with what has to be undone at its end.
 class Player {
 public:
-    Player(const Options& options) : fleet_(options) { fleet_.start(); }
+    Player(const Options& options) : testbed_(options) { testbed_.start(); }
 
-    bool carry_out(const Deed& d) {
+    bool carry_out(const FaultStep& d) {
         const std::string sidecar = "n-" + std::to_string(d.a), server = "s-" + std::to_string(d.b);
         switch (d.kind) {
             case Kind::ask:
-                for (std::uint64_t i = 0; i < d.value && fleet_.running(d.a); ++i)
-                    fleet_.ask(d.a, kGrades[d.b % kGrades.size()]);
+                for (std::uint64_t i = 0; i < d.value && testbed_.running(d.a); ++i)
+                    testbed_.ask(d.a, kGrades[d.b % kGrades.size()]);
                 return true;
             case Kind::cut: {
                 const std::string other = d.b < servers() ? server : "list";
@@ -50,47 +50,47 @@
                 for (std::size_t j = 0; j < servers(); ++j)
                     r.groups[j >= servers() / 2].push_back("s-" + std::to_string(j));
                 r.groups[d.b % 2].push_back("list");
-                fleet_.ground().put(r);
+                testbed_.context().put(r);
                 return true;
             }
             case Kind::heal:
                 heal();
                 return true;
             case Kind::reset:
-                fleet_.link(sidecar, server).reset_all();
+                testbed_.link(sidecar, server).reset_all();
                 return true;
             case Kind::break_at: {
                 Rule r;
                 r.name = "cut " + std::to_string(++cuts_);
                 r.act = d.a % 2 ? Act::reset : Act::half_close;
                 r.from = {server}, r.to = {"n-*"}, r.place = fault_proxy::Place::byte, r.byte = d.value;
-                fleet_.ground().put(r);
+                testbed_.context().put(r);
                 return true;
             }
             case Kind::freeze:
-                if (fleet_.running(d.a)) fleet_.freeze(d.a);
+                if (testbed_.running(d.a)) testbed_.freeze(d.a);
                 return true;
             case Kind::thaw:
-                if (fleet_.process(d.a).frozen()) fleet_.thaw(d.a);
+                if (testbed_.process(d.a).frozen()) testbed_.thaw(d.a);
                 return true;
             case Kind::kill:
-                fleet_.kill(d.a);
-                fleet_.restart(d.a);
+                testbed_.kill(d.a);
+                testbed_.restart(d.a);
                 return true;
             case Kind::starve:
-                if (fleet_.running(d.a)) fleet_.starve(d.a, static_cast<double>(d.value) / 100);
+                if (testbed_.running(d.a)) testbed_.starve(d.a, static_cast<double>(d.value) / 100);
                 return true;
             case Kind::drain:
-                fleet_.list(d.b, "leaving");
+                testbed_.list(d.b, "leaving");
                 return true;
             case Kind::restore:
-                fleet_.list(d.b, "active");
+                testbed_.list(d.b, "active");
                 return true;
-            case Kind::conduct:
-                fleet_.server(d.b).conduct = kConducts[d.value % kConducts.size()];
+            case Kind::behavior:
+                testbed_.server(d.b).behavior = kConducts[d.value % kConducts.size()];
                 return true;
             case Kind::wait:
-                return fleet_.quiet_for(static_cast<Millis>(d.value));
+                return testbed_.quiet_for(static_cast<Millis>(d.value));
         }
         return true;
     }
@@ -98,33 +98,33 @@
     Verdict verdict(bool kept) {
         heal();
         for (std::size_t i = 0; i < sidecars(); ++i) {
-            fleet_.starve(i, 1);
-            if (fleet_.process(i).frozen()) fleet_.thaw(i);
+            testbed_.starve(i, 1);
+            if (testbed_.process(i).frozen()) testbed_.thaw(i);
         }
-        for (std::size_t j = 0; j < servers(); ++j) fleet_.server(j).conduct = Conduct::serve;
-        kept = kept && fleet_.settle();
+        for (std::size_t j = 0; j < servers(); ++j) testbed_.server(j).behavior = ServerBehavior::serve;
+        kept = kept && testbed_.settle();
         std::string leaks;
         for (std::size_t i = 0; kept && i < sidecars(); ++i)
-            if (fleet_.running(i) && fleet_.until([&] { return fleet_.ready(i); }) &&
-                !fleet_.descriptors_accounted(i))
+            if (testbed_.running(i) && testbed_.until([&] { return testbed_.ready(i); }) &&
+                !testbed_.descriptors_accounted(i))
                 leaks += "n-" + std::to_string(i) + " holds more descriptors than it counts\n";
         kept = kept && leaks.empty();
-        return {kept, kept ? "" : leaks + fleet_.story(), fleet_.ledger().asked(),
-                fleet_.ledger().count(Ledger::Answer::served)};
+        return {kept, kept ? "" : leaks + testbed_.explain(), testbed_.request_history().asked(),
+                testbed_.request_history().count(RequestHistory::Answer::served)};
     }
-    std::size_t servers() const { return fleet_.servers(); }
-    std::size_t sidecars() const { return fleet_.sidecars(); }
+    std::size_t servers() const { return testbed_.servers(); }
+    std::size_t sidecars() const { return testbed_.sidecars(); }
 
 private:
     void cut(const std::string& from, const std::string& to) {
         Rule r;
         r.name = "cut " + std::to_string(++cuts_);
         r.from = {from}, r.to = {to};
-        fleet_.ground().put(r);
+        testbed_.context().put(r);
     }
-    void heal() { fleet_.ground().replace_all({}); }
+    void heal() { testbed_.context().replace_all({}); }
 
-    Fleet fleet_;
+    ProcessTestbed testbed_;
     std::uint64_t cuts_ = 0;
 };
 
@@ -136,9 +136,9 @@
     // What happens alone hardly ever shows: half of the deeds are requests, with little time between.
     constexpr Kind kFaults[] = {Kind::cut,      Kind::cut,    Kind::split,   Kind::heal,   Kind::reset,
                                 Kind::break_at, Kind::freeze, Kind::thaw,    Kind::thaw,   Kind::kill,
-                                Kind::starve,   Kind::drain,  Kind::restore, Kind::conduct};
+                                Kind::starve,   Kind::drain,  Kind::restore, Kind::behavior};
     while (schedule.size() < deeds) {
-        Deed d;
+        FaultStep d;
         const std::size_t which = random.below(10);
         d.kind = which < 4 ? Kind::ask : which < 7 ? Kind::wait : kFaults[random.below(std::size(kFaults))];
         d.a = random.below(sidecars);
@@ -162,7 +162,7 @@
             case Kind::starve:
                 d.value = 10 + random.below(90);
                 break;
-            case Kind::conduct:
+            case Kind::behavior:
                 d.value = random.below(kConducts.size());
                 break;
             default:
@@ -175,7 +175,7 @@
 
 std::string text_of(const Schedule& schedule) {
     std::ostringstream text;
-    for (const Deed& d : schedule)
+    for (const FaultStep& d : schedule)
         text << kNames[static_cast<std::size_t>(d.kind)] << " " << d.a << " " << d.b << " " << d.value
              << "\n";
     return text.str();
@@ -190,7 +190,7 @@
         if (line.empty() || line[0] == '#') continue;
         std::istringstream words(line);
         std::string name;
-        Deed d;
+        FaultStep d;
         words >> name >> d.a >> d.b >> d.value;
         const auto at = std::find_if(kNames.begin(), kNames.end(), [&](const char* n) { return name == n; });
         if (!words || at == kNames.end())
@@ -202,13 +202,13 @@
 }
 
 Verdict play(const Options& options, const Schedule& schedule) {
-    for (const Deed& d : schedule)
+    for (const FaultStep& d : schedule)
         if (d.a >= options.sidecars || (d.b > options.servers && d.kind != Kind::ask))
             throw std::invalid_argument("the schedule names more than the fleet has");
     Player player(options);
-    for (const Deed& d : schedule)
+    for (const FaultStep& d : schedule)
         if (!player.carry_out(d)) return player.verdict(false);
     return player.verdict(true);
 }
 
-}  // namespace elmbay::fleet
+}  // namespace elmbay::process_testbed
--- a/src/fleet/process.cpp
+++ b/src/process_testbed/process.cpp
@@ -1,4 +1,4 @@
-#include "fleet/process.hpp"
+#include "process_testbed/process.hpp"
 
 #include <fcntl.h>
 #include <sched.h>
@@ -15,7 +15,7 @@
 #include <system_error>
 #include <vector>
 
-namespace elmbay::fleet {
+namespace elmbay::process_testbed {
 
 namespace {
 
@@ -129,4 +129,4 @@
     pid_ = -1;
 }
 
-}  // namespace elmbay::fleet
+}  // namespace elmbay::process_testbed
--- a/src/fleet/process.hpp
+++ b/src/process_testbed/process.hpp
@@ -8,7 +8,7 @@
 #include <optional>
 #include <string>
 
-namespace elmbay::fleet {
+namespace elmbay::process_testbed {
 
 class Process {
 public:
@@ -56,4 +56,4 @@
     pid_t pid_ = -1;
 };
 
-}  // namespace elmbay::fleet
+}  // namespace elmbay::process_testbed
--- a/src/fleet/fleet.cpp
+++ b/src/process_testbed/process_testbed.cpp
@@ -1,4 +1,4 @@
-#include "fleet/fleet.hpp"
+#include "process_testbed/process_testbed.hpp"
 
 #include <signal.h>
 #include <stdlib.h>
@@ -14,9 +14,9 @@
 #include <random>
 #include <stdexcept>
 
-#include "fleet/request_reader.hpp"
+#include "process_testbed/request_reader.hpp"
 
-namespace elmbay::fleet {
+namespace elmbay::process_testbed {
 
 namespace http = boost::beast::http;
 using Error = boost::system::error_code;
@@ -76,8 +76,8 @@
     std::optional<http::request_parser<http::string_body>> parser_;
 };
 
-Server::Server(Fleet& fleet, std::string name, tcp::endpoint listen)
-    : fleet_(fleet), name_(std::move(name)), acceptor_(fleet.ground().io(), listen) {
+Server::Server(ProcessTestbed& testbed, std::string name, tcp::endpoint listen)
+    : testbed_(testbed), name_(std::move(name)), acceptor_(testbed.context().io(), listen) {
     accept();
 }
 
@@ -99,21 +99,21 @@
 
 void Server::arrived(const std::shared_ptr<Connection>& connection, const std::string& id) {
     ++requests_;
-    const Millis now = fleet_.now();
-    if (conduct == Conduct::turn_away) {
-        fleet_.ledger().turned_away(now, id, name_);
+    const Millis now = testbed_.now();
+    if (behavior == ServerBehavior::turn_away) {
+        testbed_.request_history().turned_away(now, id, name_);
         return connection->respond("503 Service Unavailable", "X-Unprocessed: 1\r\n", "");
     }
-    if (conduct == Conduct::fail) return connection->respond("500 Internal Server Error", "", "failed\n");
-    fleet_.ledger().done(now, id, name_);
-    if (conduct == Conduct::mute) return;
+    if (behavior == ServerBehavior::fail) return connection->respond("500 Internal Server Error", "", "failed\n");
+    testbed_.request_history().done(now, id, name_);
+    if (behavior == ServerBehavior::mute) return;
     const std::string text = id + " " + name_ + "\n" + std::string(body, 'x');
-    if (conduct == Conduct::hold) {
+    if (behavior == ServerBehavior::hold) {
         held_.emplace_back(connection, text);
     } else if (delay <= 0) {
         connection->respond("200 OK", "Content-Type: text/plain\r\n", text);
     } else {
-        fleet_.ground().at(now + delay, [connection, text] {
+        testbed_.context().at(now + delay, [connection, text] {
             connection->respond("200 OK", "Content-Type: text/plain\r\n", text);
         });
     }
@@ -131,8 +131,8 @@
 public:
     static constexpr Millis kQuietLine = 2000;
 
-    ListService(Fleet& fleet, std::string sidecar, tcp::endpoint listen)
-        : fleet_(fleet), sidecar_(std::move(sidecar)), acceptor_(fleet.ground().io(), listen) {
+    ListService(ProcessTestbed& testbed, std::string sidecar, tcp::endpoint listen)
+        : testbed_(testbed), sidecar_(std::move(sidecar)), acceptor_(testbed.context().io(), listen) {
         accept();
         quiet();
     }
@@ -151,7 +151,7 @@
             ++number;
             if (only.empty() ? entry.state == "left" : uid != only) continue;
             targets.push_back({{"uid", uid},
-                               {"endpoint", text_of(fleet_.link(sidecar_, uid).endpoint())},
+                               {"endpoint", text_of(testbed_.link(sidecar_, uid).endpoint())},
                                {"az", std::string(1, static_cast<char>('a' + number % 3))},
                                {"model", "m"},
                                {"pod_group", 0},
@@ -231,7 +231,7 @@
         });
     }
     void quiet() {
-        fleet_.ground().at(fleet_.now() + kQuietLine, [this, here = here_] {
+        testbed_.context().at(testbed_.now() + kQuietLine, [this, here = here_] {
             if (!*here) return;
             for (const auto& watcher : watchers_)
                 if (watcher->watching) watcher->line("");
@@ -239,7 +239,7 @@
         });
     }
 
-    Fleet& fleet_;
+    ProcessTestbed& testbed_;
     const std::string sidecar_;
     tcp::acceptor acceptor_;
     std::map<std::string, Entry> entries_;
@@ -251,42 +251,42 @@
 // ---- callers ----------------------------------------------------------------------------------------------
 
 // One request on a new connection, or on one that is kept: what PROTOCOL says of the application.
-class Caller : public std::enable_shared_from_this<Caller> {
+class Client : public std::enable_shared_from_this<Client> {
 public:
-    Caller(Fleet& fleet, std::size_t sidecar, std::string id, std::string message, Millis patience,
+    Client(ProcessTestbed& testbed, std::size_t sidecar, std::string id, std::string message, Millis patience,
            Millis leaves)
-        : fleet_(&fleet),
+        : testbed_(&testbed),
           sidecar_(sidecar),
           id_(std::move(id)),
           message_(std::move(message)),
           patience_(patience),
           leaves_(leaves),
-          socket_(fleet.io_) {}
+          socket_(testbed.io_) {}
 
     void begin(const tcp::endpoint& at) {
-        limit_ = fleet_->ground_.at(fleet_->now() + patience_ + kLateAnswer, [self = shared_from_this()] {
+        limit_ = testbed_->context_.at(testbed_->now() + patience_ + kLateAnswer, [self = shared_from_this()] {
             self->limit_ = {};
-            if (self->fleet_)
+            if (self->testbed_)
                 self->end(std::nullopt,
-                          [&] { self->fleet_->ledger_.silence(self->fleet_->now(), self->id_); });
+                          [&] { self->testbed_->request_history_.silence(self->testbed_->now(), self->id_); });
         });
         if (leaves_ > 0)
-            leaving_ = fleet_->ground_.at(fleet_->now() + leaves_, [self = shared_from_this()] {
+            leaving_ = testbed_->context_.at(testbed_->now() + leaves_, [self = shared_from_this()] {
                 self->leaving_ = {};
-                if (self->fleet_)
+                if (self->testbed_)
                     self->end(std::nullopt,
-                              [&] { self->fleet_->ledger_.left(self->fleet_->now(), self->id_); });
+                              [&] { self->testbed_->request_history_.left(self->testbed_->now(), self->id_); });
             });
-        if (auto kept = fleet_->kept_connection(sidecar_)) {
+        if (auto kept = testbed_->kept_connection(sidecar_)) {
             socket_ = std::move(*kept);
             return write();
         }
         socket_.async_connect(at, [self = shared_from_this()](Error error) {
-            if (!self->fleet_) return;
+            if (!self->testbed_) return;
             // Not taken: nothing is owed.
             if (error)
                 return self->end(std::nullopt,
-                                 [&] { self->fleet_->ledger_.left(self->fleet_->now(), self->id_); });
+                                 [&] { self->testbed_->request_history_.left(self->testbed_->now(), self->id_); });
             Error ignored;
             self->socket_.set_option(tcp::no_delay(true), ignored);
             self->write();
@@ -295,10 +295,10 @@
     void drop() {
         Error ignored;
         socket_.close(ignored);
-        if (!fleet_) return;
-        fleet_->ground_.cancel(limit_);
-        fleet_->ground_.cancel(leaving_);
-        fleet_ = nullptr;
+        if (!testbed_) return;
+        testbed_->context_.cancel(limit_);
+        testbed_->context_.cancel(leaving_);
+        testbed_ = nullptr;
     }
 
 private:
@@ -307,43 +307,43 @@
         asio::async_write(socket_, asio::buffer(message_), [self](Error, std::size_t) {});
         parser_.body_limit(kMaxMessage);
         http::async_read(socket_, buffer_, parser_, [self](Error failed, std::size_t bytes) {
-            if (self->fleet_) self->read(failed, bytes);
+            if (self->testbed_) self->read(failed, bytes);
         });
     }
     void read(Error error, std::size_t bytes) {
-        using Answer = Ledger::Answer;
-        const Millis now = fleet_->now();
+        using Answer = RequestHistory::Answer;
+        const Millis now = testbed_->now();
         if (error && bytes == 0 && buffer_.size() == 0)
-            return end(std::nullopt, [&] { fleet_->ledger_.closed(now, id_); });
-        if (error) return end(Answer::cut, [&] { fleet_->ledger_.answered(now, id_, Answer::cut, true); });
+            return end(std::nullopt, [&] { testbed_->request_history_.closed(now, id_); });
+        if (error) return end(Answer::cut, [&] { testbed_->request_history_.answered(now, id_, Answer::cut, true); });
         const auto& response = parser_.get();
         const int status = response.result_int();
         const Answer answer = status == 200                    ? Answer::served
                               : status == 429 || status == 503 ? Answer::refused
                                                                : Answer::failed;
         const bool genuine = answer != Answer::served || response.body().starts_with(id_ + " ");
-        if (response.keep_alive()) fleet_->keep_connection(sidecar_, std::move(socket_));
-        end(answer, [&] { fleet_->ledger_.answered(now, id_, answer, genuine); });
+        if (response.keep_alive()) testbed_->keep_connection(sidecar_, std::move(socket_));
+        end(answer, [&] { testbed_->request_history_.answered(now, id_, answer, genuine); });
     }
     template <class Tell>
-    void end(std::optional<Ledger::Answer> answer, Tell tell) {
+    void end(std::optional<RequestHistory::Answer> answer, Tell tell) {
         const auto self = shared_from_this();
         tell();
-        fleet_->outcomes_[id_] = {true, answer};
+        testbed_->outcomes_[id_] = {true, answer};
         drop();
     }
 
-    Fleet* fleet_;
+    ProcessTestbed* testbed_;
     const std::size_t sidecar_;
     const std::string id_, message_;
     const Millis patience_, leaves_;
     tcp::socket socket_;
     boost::beast::flat_buffer buffer_{kMaxMessage};
     http::response_parser<http::string_body> parser_;
-    fault_proxy::Ground::Key limit_{}, leaving_{};
+    fault_proxy::EventLoopContext::Key limit_{}, leaving_{};
 };
 
-// ---- the fleet --------------------------------------------------------------------------------------------
+// ---- the testbed --------------------------------------------------------------------------------------------
 
 namespace {
 
@@ -367,14 +367,14 @@
 
 }  // namespace
 
-// Each fleet has a part of loopback of its own: 4,096 addresses, of 3,800 parts.
-asio::ip::address_v4 Fleet::address(std::uint32_t host) const {
+// Each testbed has a part of loopback of its own: 4,096 addresses, of 3,800 parts.
+asio::ip::address_v4 ProcessTestbed::address(std::uint32_t host) const {
     return asio::ip::address_v4((127U << 24) + (16U << 16) + ((run_ % 3800) << 12) + host + 2);
 }
 
-Fleet::Fleet(Options options)
-    : options_(std::move(options)), run_(next_run()), folder_(fresh_folder()), ground_(io_, options_.seed) {
-    datagrams_ = std::make_unique<fault_proxy::DatagramNet>(ground_, udp::endpoint(address(0), 0));
+ProcessTestbed::ProcessTestbed(Options options)
+    : options_(std::move(options)), run_(next_run()), folder_(fresh_folder()), context_(io_, options_.seed) {
+    datagrams_ = std::make_unique<fault_proxy::DatagramNet>(context_, udp::endpoint(address(0), 0));
     sidecars_.resize(options_.sidecars);
     for (std::size_t i = 0; i < options_.sidecars; ++i) {
         Sidecar& s = sidecars_[i];
@@ -395,25 +395,25 @@
     look_processes();
 }
 
-Fleet::~Fleet() {
-    for (const auto& weak : callers_)
+ProcessTestbed::~ProcessTestbed() {
+    for (const auto& weak : clients_)
         if (const auto caller = weak.lock()) caller->drop();
     for (Sidecar& s : sidecars_) s.process->kill();
     std::error_code ignored;
     std::filesystem::remove_all(folder_, ignored);
 }
 
-fault_proxy::StreamLink& Fleet::link(const std::string& from, const std::string& to) {
+fault_proxy::StreamLink& ProcessTestbed::link(const std::string& from, const std::string& to) {
     return *links_.at({from, to});
 }
 
-void Fleet::add_link(const std::string& from, const std::string& to, tcp::endpoint target,
+void ProcessTestbed::add_link(const std::string& from, const std::string& to, tcp::endpoint target,
                      std::optional<asio::ip::address> listen) {
     links_[{from, to}] = std::make_unique<fault_proxy::StreamLink>(
-        ground_, Link{from, to}, tcp::endpoint(listen.value_or(target.address()), 0), target);
+        context_, Link{from, to}, tcp::endpoint(listen.value_or(target.address()), 0), target);
 }
 
-std::size_t Fleet::add_server() {
+std::size_t ProcessTestbed::add_server() {
     const std::size_t number = servers_.size();
     const std::string name = server_name(number);
     servers_.push_back(std::make_unique<Server>(
@@ -426,14 +426,14 @@
     return number;
 }
 
-Server& Fleet::server(std::size_t number) { return *servers_.at(number); }
+Server& ProcessTestbed::server(std::size_t number) { return *servers_.at(number); }
 
-void Fleet::list(std::size_t server, const std::string& state) {
+void ProcessTestbed::list(std::size_t server, const std::string& state) {
     for (const auto& list : lists_) list->set(server_name(server), state, 0);
 }
 
 // An attempt is out from its last byte, as the sidecar's end of the link saw it, to its answer or its end.
-void Fleet::watch_attempts(fault_proxy::StreamLink& link, const std::string& sidecar, const std::string& server) {
+void ProcessTestbed::watch_attempts(fault_proxy::StreamLink& link, const std::string& sidecar, const std::string& server) {
     struct Seen {
         std::map<std::uint64_t, RequestReader> requests;
         std::map<std::uint64_t, std::unique_ptr<http::response_parser<http::string_body>>> answers;
@@ -443,7 +443,7 @@
     fault_proxy::StreamLink::Tap tap;
     tap.sent = [this, seen, sidecar, server](std::uint64_t nth, std::string_view bytes) {
         seen->requests[nth].take(bytes, now(), [&](const std::string& id, Millis first_byte) {
-            ledger_.sent(now(), id, {sidecar, server, nth}, first_byte);
+            request_history_.sent(now(), id, {sidecar, server, nth}, first_byte);
         });
     };
     tap.got = [this, seen, sidecar, server](std::uint64_t nth, std::string_view bytes) {
@@ -462,13 +462,13 @@
             const bool done = parser->is_done();
             // What can't be read has ended the attempt as well.
             if (done || (error && error != http::error::need_more))
-                ledger_.over(now(), {sidecar, server, nth});
+                request_history_.over(now(), {sidecar, server, nth});
             if (done) parser.reset();
             if (used == 0 || (error && !done)) return;
         }
     };
     tap.over = [this, seen, sidecar, server](std::uint64_t nth) {
-        ledger_.over(now(), {sidecar, server, nth});
+        request_history_.over(now(), {sidecar, server, nth});
         seen->requests.erase(nth);
         seen->answers.erase(nth);
         seen->pending.erase(nth);
@@ -478,7 +478,7 @@
 
 // What the list has written to the sidecar's machine counts as told. A line of the watch is an object, or the
 // body of the whole list is; the framing between them holds no brace at its start.
-void Fleet::watch_list(fault_proxy::StreamLink& link, const std::string& sidecar) {
+void ProcessTestbed::watch_list(fault_proxy::StreamLink& link, const std::string& sidecar) {
     const auto pending = std::make_shared<std::map<std::uint64_t, std::string>>();
     fault_proxy::StreamLink::Tap tap;
     tap.got = [this, pending, sidecar](std::uint64_t nth, std::string_view bytes) {
@@ -498,7 +498,7 @@
             }
             if (close == std::string::npos) return;  // not all of it yet
             for (const json& t : told["targets"])
-                ledger_.told(now(), sidecar, t["uid"], t["state"] == "active");
+                request_history_.told(now(), sidecar, t["uid"], t["state"] == "active");
             text.erase(0, close + 1);
         }
     };
@@ -506,11 +506,11 @@
     link.tap(std::move(tap));
 }
 
-std::string Fleet::status_path(std::size_t i) const {
+std::string ProcessTestbed::status_path(std::size_t i) const {
     return (folder_ / (sidecar_name(i) + ".status")).string();
 }
 
-void Fleet::configure(std::size_t i) {
+void ProcessTestbed::configure(std::size_t i) {
     Sidecar& s = sidecars_[i];
     std::string peers_all =
         datagrams_->everybody().address().to_string() + ":" + std::to_string(datagrams_->everybody().port());
@@ -564,7 +564,7 @@
     s.process->write_operator_file(file);
 }
 
-void Fleet::start() {
+void ProcessTestbed::start() {
     for (std::size_t i = 0; i < sidecars_.size(); ++i) restart(i);
     if (!until([this] {
             return std::all_of(sidecars_.begin(), sidecars_.end(), [](const Sidecar& s) { return s.ready; });
@@ -572,11 +572,11 @@
         for (const Sidecar& s : sidecars_)
             if (!s.ready) {
                 throw std::runtime_error("a sidecar of '" + options_.program +
-                                         "' does not come up; it said:\n" + log_of(*s.process) + story());
+                                         "' does not come up; it said:\n" + log_of(*s.process) + explain());
             }
 }
 
-void Fleet::restart(std::size_t i, const std::string& command, const std::string& operator_file) {
+void ProcessTestbed::restart(std::size_t i, const std::string& command, const std::string& operator_file) {
     Sidecar& s = sidecars_[i];
     if (!command.empty()) s.process->set_command(command);
     if (!operator_file.empty()) s.operator_file = operator_file;
@@ -584,11 +584,11 @@
     s.may_end = s.ready = false;
     datagrams_->listening(sidecar_name(i), true);
     s.process->start();
-    ledger_.note(now(), sidecar_name(i), "started");
+    request_history_.note(now(), sidecar_name(i), "started");
     look_ready(i);
 }
 
-void Fleet::look_ready(std::size_t i) {
+void ProcessTestbed::look_ready(std::size_t i) {
     struct Probe {
         explicit Probe(asio::io_context& io) : socket(io) {}
         tcp::socket socket;
@@ -600,9 +600,9 @@
         if (sidecars_[i].life != life || sidecars_[i].ready || !running(i)) return;
         sidecars_[i].ready = up;
         if (up)
-            ledger_.note(now(), sidecar_name(i), "ready");
+            request_history_.note(now(), sidecar_name(i), "ready");
         else
-            ground_.at(now() + kReadyLook, [this, i, life] {
+            context_.at(now() + kReadyLook, [this, i, life] {
                 if (sidecars_[i].life == life) look_ready(i);
             });
     };
@@ -617,19 +617,19 @@
 }
 
 // One that ends without having been told to has crashed.
-void Fleet::look_processes() {
+void ProcessTestbed::look_processes() {
     note_ended();
-    ground_.at(now() + kProcessLook, [this] { look_processes(); });
+    context_.at(now() + kProcessLook, [this] { look_processes(); });
 }
-void Fleet::note_ended() {
+void ProcessTestbed::note_ended() {
     for (std::size_t i = 0; i < sidecars_.size(); ++i) {
         const auto status = sidecars_[i].process->ended();
         if (!status) continue;
         sidecars_[i].ready = false;
         datagrams_->listening(sidecar_name(i), false);
-        ledger_.died(now(), sidecar_name(i));
+        request_history_.died(now(), sidecar_name(i));
         if (!sidecars_[i].may_end) {
-            ledger_.note(
+            request_history_.note(
                 now(), sidecar_name(i),
                 "ended by itself, status " + std::to_string(*status) + ": " + log_of(*sidecars_[i].process));
             broken_ = true;
@@ -637,50 +637,50 @@
     }
 }
 
-void Fleet::freeze(std::size_t i) {
+void ProcessTestbed::freeze(std::size_t i) {
     sidecars_[i].process->freeze();
-    ledger_.froze(now(), sidecar_name(i));
+    request_history_.froze(now(), sidecar_name(i));
 }
-void Fleet::thaw(std::size_t i) {
-    ledger_.thawed(now(), sidecar_name(i));
+void ProcessTestbed::thaw(std::size_t i) {
+    request_history_.thawed(now(), sidecar_name(i));
     sidecars_[i].process->thaw();
 }
 
-void Fleet::starve(std::size_t i, double share) {
+void ProcessTestbed::starve(std::size_t i, double share) {
     Sidecar& s = sidecars_[i];
-    ground_.cancel(s.duty);
+    context_.cancel(s.duty);
     s.share = share;
-    ledger_.note(now(), sidecar_name(i), "has " + std::to_string(share) + " of its core from now on");
+    request_history_.note(now(), sidecar_name(i), "has " + std::to_string(share) + " of its core from now on");
     if (share >= 1) return s.process->thaw();
     duty(i, false);
 }
-void Fleet::duty(std::size_t i, bool on) {
+void ProcessTestbed::duty(std::size_t i, bool on) {
     Sidecar& s = sidecars_[i];
     on ? s.process->thaw() : s.process->freeze();
     const Millis span = kDutyRound * (on ? s.share : 1 - s.share);
-    s.duty = ground_.at(now() + span, [this, i, on] {
+    s.duty = context_.at(now() + span, [this, i, on] {
         sidecars_[i].duty = {};
         duty(i, !on);
     });
 }
 
-void Fleet::kill(std::size_t i) {
+void ProcessTestbed::kill(std::size_t i) {
     datagrams_->listening(sidecar_name(i), false);
-    ground_.cancel(sidecars_[i].duty);
+    context_.cancel(sidecars_[i].duty);
     sidecars_[i].process->kill();
     sidecars_[i].ready = false;
-    ledger_.died(now(), sidecar_name(i));
+    request_history_.died(now(), sidecar_name(i));
 }
-void Fleet::terminate(std::size_t i) {
+void ProcessTestbed::terminate(std::size_t i) {
     sidecars_[i].may_end = true;
-    ledger_.note(now(), sidecar_name(i), "SIGTERM");
+    request_history_.note(now(), sidecar_name(i), "SIGTERM");
     sidecars_[i].process->signal(SIGTERM);
 }
-bool Fleet::running(std::size_t i) const { return sidecars_[i].process->running(); }
-bool Fleet::ready(std::size_t i) const { return sidecars_[i].ready; }
-Process& Fleet::process(std::size_t i) { return *sidecars_[i].process; }
+bool ProcessTestbed::running(std::size_t i) const { return sidecars_[i].process->running(); }
+bool ProcessTestbed::ready(std::size_t i) const { return sidecars_[i].ready; }
+Process& ProcessTestbed::process(std::size_t i) { return *sidecars_[i].process; }
 
-json Fleet::status(std::size_t i) {
+json ProcessTestbed::status(std::size_t i) {
     struct Reading {
         explicit Reading(asio::io_context& io) : socket(io) {}
         asio::local::stream_protocol::socket socket;
@@ -700,7 +700,7 @@
     return json::parse(reading->text, nullptr, false);
 }
 
-bool Fleet::descriptors_accounted(std::size_t i) {
+bool ProcessTestbed::descriptors_accounted(std::size_t i) {
     constexpr int kLooks = 40;
     constexpr Millis kBetween = 25;
     for (int look = 0; look < kLooks; ++look) {
@@ -717,35 +717,35 @@
     return false;
 }
 
-std::string Fleet::ask(std::size_t i, const Ask& a) {
+std::string ProcessTestbed::ask(std::size_t i, const ClientRequest& a) {
     const std::string id = "r" + std::to_string(++next_id_);
     const Millis patience = a.patience > 0 ? a.patience : options_.patience;
-    const bool safe = a.grade == "listen", keyed = a.grade == "annotate";
+    const bool safe = a.request_class == "listen", keyed = a.request_class == "annotate";
     char left[32];
     std::snprintf(left, sizeof left, "%.0fm", patience);
     std::string text = std::string(safe ? "GET" : "POST") +
                        " /api HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: " + id +
-                       "\r\nX-Service-Class: " + a.grade + "\r\nX-Time-Left: " + left + "\r\n";
+                       "\r\nX-Service-Class: " + a.request_class + "\r\nX-Time-Left: " + left + "\r\n";
     if (keyed) text += "Idempotency-Key: " + (a.key.empty() ? "k-" + id : a.key) + "\r\n";
     text += safe ? "\r\n" : "Content-Length: 4\r\n\r\nbody";
-    ledger_.asked(now(), id,
+    request_history_.asked(now(), id,
                   safe    ? Idempotency::idempotent
                   : keyed ? Idempotency::idempotency_key
                           : Idempotency::non_idempotent,
                   sidecar_name(i), patience);
     outcomes_[id];
-    const auto caller = std::make_shared<Caller>(*this, i, id, std::move(text), patience, a.leaves);
-    std::erase_if(callers_, [](const auto& weak) { return weak.expired(); });
-    callers_.push_back(caller);
+    const auto caller = std::make_shared<Client>(*this, i, id, std::move(text), patience, a.leaves);
+    std::erase_if(clients_, [](const auto& weak) { return weak.expired(); });
+    clients_.push_back(caller);
     caller->begin(link("c-" + std::to_string(i), sidecar_name(i)).endpoint());
     return id;
 }
 
-void Fleet::keep_connection(std::size_t i, tcp::socket socket) {
+void ProcessTestbed::keep_connection(std::size_t i, tcp::socket socket) {
     sidecars_[i].kept.push_back(std::move(socket));
 }
 // One that the sidecar has closed meanwhile is not used again.
-std::optional<tcp::socket> Fleet::kept_connection(std::size_t i) {
+std::optional<tcp::socket> ProcessTestbed::kept_connection(std::size_t i) {
     auto& kept = sidecars_[i].kept;
     while (!kept.empty()) {
         tcp::socket socket = std::move(kept.back());
@@ -759,49 +759,49 @@
     return {};
 }
 
-bool Fleet::ended(const std::string& id) const { return outcomes_.at(id).ended; }
-std::optional<Ledger::Answer> Fleet::answer(const std::string& id) const { return outcomes_.at(id).answer; }
+bool ProcessTestbed::ended(const std::string& id) const { return outcomes_.at(id).ended; }
+std::optional<RequestHistory::Answer> ProcessTestbed::answer(const std::string& id) const { return outcomes_.at(id).answer; }
 
-// One step of the loop, and the ledger after it.
-bool Fleet::step(Millis limit) {
+// One step of the loop, and the request_history after it.
+bool ProcessTestbed::step(Millis limit) {
     io_.run_one_for(std::chrono::milliseconds(50));
-    ledger_.look(now());
-    return ledger_.violations().empty() && !broken_ && now() < limit;
+    request_history_.look(now());
+    return request_history_.violations().empty() && !broken_ && now() < limit;
 }
 
-bool Fleet::until(const std::function<bool()>& holds) {
+bool ProcessTestbed::until(const std::function<bool()>& holds) {
     const Millis limit = now() + kWaitWithin;
     while (!holds())
         if (!step(limit)) return false;
     return true;
 }
 
-bool Fleet::quiet_for(Millis span) {
+bool ProcessTestbed::quiet_for(Millis span) {
     const Millis end = now() + span;
     while (now() < end)
         if (!step(end + kWaitWithin)) return false;
     return true;
 }
 
-bool Fleet::settle() {
-    if (!until([this] { return ledger_.open() == 0; })) return false;
-    if (!quiet_for(2 * Ledger::kSlack)) return false;
-    ledger_.finish(now());
-    return ledger_.violations().empty();
+bool ProcessTestbed::settle() {
+    if (!until([this] { return request_history_.open() == 0; })) return false;
+    if (!quiet_for(2 * RequestHistory::kSlack)) return false;
+    request_history_.finish(now());
+    return request_history_.violations().empty();
 }
 
-std::string Fleet::violations() const {
+std::string ProcessTestbed::violations() const {
     std::string text;
-    for (const Ledger::Violation& v : ledger_.violations()) text += v.id + ": " + v.what + "\n";
+    for (const RequestHistory::Violation& v : request_history_.violations()) text += v.id + ": " + v.what + "\n";
     return text;
 }
 
-std::string Fleet::story(const std::string& id) {
+std::string ProcessTestbed::explain(const std::string& id) {
     note_ended();  // what broke it may have ended a process that has not been looked at since
     std::string text = violations();
-    if (!id.empty()) return text + ledger_.history(id);
-    if (ledger_.violations().empty()) return text + ledger_.history();
-    return text + ledger_.history(ledger_.violations().front().id);
+    if (!id.empty()) return text + request_history_.history(id);
+    if (request_history_.violations().empty()) return text + request_history_.history();
+    return text + request_history_.history(request_history_.violations().front().id);
 }
 
-}  // namespace elmbay::fleet
+}  // namespace elmbay::process_testbed
--- a/src/fleet/fleet.hpp
+++ b/src/process_testbed/process_testbed.hpp
@@ -1,12 +1,12 @@
 // A small language for tests of many processes: start so many sidecars, put rules on the links between them,
 // servers, the list and callers, freeze and kill, wait for events, ask each process what it believes. After
-// every step of the loop the ledger is looked at; what it holds against the fleet ends the wait.
+// every step of the loop the request_history is looked at; what it holds against the testbed ends the wait.
 //
-//     Fleet fleet({.sidecars = 3, .servers = 2, .program = ELMBAY_PROGRAM});
-//     fleet.start();
-//     const auto id = fleet.ask(0, "deposit");
-//     fleet.ground().put({.name = "cut", .from = {"s-*"}, .to = {"n-0"}, .act = Act::cut});
-//     ASSERT_TRUE(fleet.until([&] { return fleet.ended(id); })) << fleet.story(id);
+//     ProcessTestbed testbed({.sidecars = 3, .servers = 2, .program = ELMBAY_PROGRAM});
+//     testbed.start();
+//     const auto id = testbed.ask(0, "deposit");
+//     testbed.ground().put({.name = "cut", .from = {"s-*"}, .to = {"n-0"}, .act = Act::cut});
+//     ASSERT_TRUE(testbed.until([&] { return testbed.ended(id); })) << testbed.story(id);
 //
 // Names: sidecars n-0 ..., servers s-0 ..., the list "list", callers of n-I c-I. Links: c-I -> n-I,
 // n-I -> s-J, n-I -> list; between sidecars datagrams. Everything runs in one loop and one thread; nothing
@@ -22,12 +22,12 @@
 #include <string>
 #include <vector>
 
-#include "fleet/ledger.hpp"
-#include "fleet/process.hpp"
+#include "process_testbed/request_history.hpp"
+#include "process_testbed/process.hpp"
 #include "fault_proxy/datagram_net.hpp"
 #include "fault_proxy/stream_link.hpp"
 
-namespace elmbay::fleet {
+namespace elmbay::process_testbed {
 
 namespace asio = boost::asio;
 using fault_proxy::tcp;
@@ -47,7 +47,7 @@
 };
 
 // What a server does with a request.
-enum class Conduct {
+enum class ServerBehavior {
     serve,      // answers after `delay`
     hold,       // does the work and answers once release() is called
     fail,       // 500
@@ -57,26 +57,26 @@
 
 class Server;
 class ListService;
-class Caller;
+class Client;
 
-class Fleet {
+class ProcessTestbed {
 public:
     static constexpr Millis kReadyWithin = 30000,
                             kWaitWithin = 60000;  // far beyond what a busy machine needs
 
-    explicit Fleet(Options options);
-    ~Fleet();
-    Fleet(const Fleet&) = delete;
-    Fleet& operator=(const Fleet&) = delete;
+    explicit ProcessTestbed(Options options);
+    ~ProcessTestbed();
+    ProcessTestbed(const ProcessTestbed&) = delete;
+    ProcessTestbed& operator=(const ProcessTestbed&) = delete;
 
     // All sidecars, until each answers GET /up. Throws std::runtime_error with what one said if it does not.
     void start();
 
-    fault_proxy::Ground& ground() { return ground_; }
+    fault_proxy::EventLoopContext& context() { return context_; }
     fault_proxy::DatagramNet& datagrams() { return *datagrams_; }
     fault_proxy::StreamLink& link(const std::string& from, const std::string& to);
-    Millis now() const { return ground_.now(); }
-    Ledger& ledger() { return ledger_; }
+    Millis now() const { return context_.now(); }
+    RequestHistory& request_history() { return request_history_; }
     std::size_t sidecars() const { return sidecars_.size(); }
     std::size_t servers() const { return servers_.size(); }
 
@@ -103,16 +103,16 @@
     void configure(std::size_t sidecar);
 
     // ---- callers
-    struct Ask {
-        std::string grade = "listen";  // deposit, annotate
+    struct ClientRequest {
+        std::string request_class = "listen";  // deposit, annotate
         Millis patience = 0;           // 0: that of the options
         Millis leaves = 0;             // closes its connection after so long; 0: stays
         std::string key{};             // of annotate; empty: its own
     };
-    std::string ask(std::size_t sidecar, const std::string& grade) { return ask(sidecar, Ask{grade}); }
-    std::string ask(std::size_t sidecar, const Ask& ask);
+    std::string ask(std::size_t sidecar, const std::string& request_class) { return ask(sidecar, ClientRequest{request_class}); }
+    std::string ask(std::size_t sidecar, const ClientRequest& ask);
     bool ended(const std::string& id) const;
-    std::optional<Ledger::Answer> answer(const std::string& id) const;
+    std::optional<RequestHistory::Answer> answer(const std::string& id) const;
 
     // ---- servers and their list
     Server& server(std::size_t number);
@@ -125,14 +125,14 @@
     bool until(const std::function<bool()>& holds);
     // Runs it for so long: only for what must not happen meanwhile.
     bool quiet_for(Millis span);
-    // Everything asked has its end, and the ledger has nothing against the fleet.
+    // Everything asked has its end, and the request_history has nothing against the testbed.
     bool settle();
     std::string violations() const;
     // For a failure's message: the broken rules and the interleaved history of whom it concerns.
-    std::string story(const std::string& id = "");
+    std::string explain(const std::string& id = "");
 
 private:
-    friend class Caller;
+    friend class Client;
     struct Sidecar {
         std::unique_ptr<Process> process;
         tcp::endpoint listen;
@@ -140,13 +140,13 @@
         std::string operator_file;
         std::vector<tcp::socket> kept;  // its callers' connections that no request is open on
         double share = 1;
-        fault_proxy::Ground::Key duty{};
+        fault_proxy::EventLoopContext::Key duty{};
         bool ready = false, may_end = false;
         std::uint64_t life = 0;
     };
     struct Outcome {
         bool ended = false;
-        std::optional<Ledger::Answer> answer;
+        std::optional<RequestHistory::Answer> answer;
     };
 
     static std::string sidecar_name(std::size_t i) { return "n-" + std::to_string(i); }
@@ -170,13 +170,13 @@
     const std::uint32_t run_;  // picks a part of loopback, so that nothing else answers there
     std::filesystem::path folder_;
     asio::io_context io_{1};
-    fault_proxy::Ground ground_;
-    Ledger ledger_;
+    fault_proxy::EventLoopContext context_;
+    RequestHistory request_history_;
     std::map<fault_proxy::Link, std::unique_ptr<fault_proxy::StreamLink>> links_;
     std::unique_ptr<fault_proxy::DatagramNet> datagrams_;
     std::vector<std::unique_ptr<Server>> servers_;
     std::vector<std::unique_ptr<ListService>> lists_;  // by sidecar
-    std::vector<std::weak_ptr<Caller>> callers_;
+    std::vector<std::weak_ptr<Client>> clients_;
     std::vector<Sidecar> sidecars_;
     std::map<std::string, Outcome> outcomes_;
     std::uint64_t next_id_ = 0;
@@ -186,10 +186,10 @@
 // An archive server that does what it is told.
 class Server {
 public:
-    Server(Fleet& fleet, std::string name, tcp::endpoint listen);
+    Server(ProcessTestbed& testbed, std::string name, tcp::endpoint listen);
     ~Server();
 
-    Conduct conduct = Conduct::serve;
+    ServerBehavior behavior = ServerBehavior::serve;
     Millis delay = 0;
     std::size_t body = 0;  // bytes of an answer beside its first line
 
@@ -205,7 +205,7 @@
     void accept();
     void arrived(const std::shared_ptr<Connection>& connection, const std::string& id);
 
-    Fleet& fleet_;
+    ProcessTestbed& testbed_;
     const std::string name_;
     tcp::acceptor acceptor_;
     std::set<std::shared_ptr<Connection>> connections_;
@@ -213,4 +213,4 @@
     std::uint64_t requests_ = 0;
 };
 
-}  // namespace elmbay::fleet
+}  // namespace elmbay::process_testbed
--- a/src/fleet/ledger.cpp
+++ b/src/process_testbed/request_history.cpp
@@ -1,33 +1,33 @@
-#include "fleet/ledger.hpp"
+#include "process_testbed/request_history.hpp"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 
-namespace elmbay::fleet {
+namespace elmbay::process_testbed {
 
 namespace {
 
-const char* name_of(Ledger::Answer answer) {
+const char* name_of(RequestHistory::Answer answer) {
     constexpr const char* kNames[] = {"served", "refused", "failed", "cut"};
     return kNames[static_cast<std::size_t>(answer)];
 }
 
 }  // namespace
 
-void Ledger::event(Millis now, const std::string& who, const std::string& id, std::string text) {
+void RequestHistory::event(Millis now, const std::string& who, const std::string& id, std::string text) {
     events_.push_back({now, who, id, std::move(text)});
     if (events_.size() > kMaxEvents) events_.pop_front();
 }
 
-void Ledger::wrong(Millis now, const std::string& id, const std::string& what) {
+void RequestHistory::wrong(Millis now, const std::string& id, const std::string& what) {
     violations_.push_back({now, what, id});
     event(now, "ledger", id, "BROKEN: " + what);
 }
 
-void Ledger::note(Millis now, const std::string& who, const std::string& text) { event(now, who, "", text); }
+void RequestHistory::note(Millis now, const std::string& who, const std::string& text) { event(now, who, "", text); }
 
-void Ledger::asked(Millis now, const std::string& id, Idempotency idempotency, const std::string& sidecar,
+void RequestHistory::asked(Millis now, const std::string& id, Idempotency idempotency, const std::string& sidecar,
                    Millis patience) {
     Request& r = requests_[id];
     r.idempotency = idempotency, r.sidecar = sidecar, r.asked = now, r.until = now + patience;
@@ -36,13 +36,13 @@
     event(now, sidecar, id, fmt::format("asked, for {:.0f} ms", patience));
 }
 
-void Ledger::close(Request& request, Millis now) {
+void RequestHistory::close(Request& request, Millis now) {
     if (request.ended >= 0) return;
     request.ended = now;
     --open_;
 }
 
-void Ledger::answered(Millis now, const std::string& id, Answer answer, bool genuine) {
+void RequestHistory::answered(Millis now, const std::string& id, Answer answer, bool genuine) {
     Request& r = requests_[id];
     event(now, r.sidecar, id, std::string("answered: ") + name_of(answer));
     if (r.answered) wrong(now, id, "one final outcome: it was answered twice");
@@ -58,7 +58,7 @@
         wrong(now, id, "nothing twice: refused, though a server has done it");
 }
 
-void Ledger::silence(Millis now, const std::string& id) {
+void RequestHistory::silence(Millis now, const std::string& id) {
     Request& r = requests_[id];
     if (r.ended >= 0) return;
     event(now, r.sidecar, id, "its caller has heard nothing in its time");
@@ -66,14 +66,14 @@
     close(r, now);
 }
 
-void Ledger::left(Millis now, const std::string& id) {
+void RequestHistory::left(Millis now, const std::string& id) {
     Request& r = requests_[id];
     if (r.ended >= 0) return;
     event(now, r.sidecar, id, "its caller has gone");
     close(r, now);
 }
 
-void Ledger::closed(Millis now, const std::string& id) {
+void RequestHistory::closed(Millis now, const std::string& id) {
     Request& r = requests_[id];
     event(now, r.sidecar, id, "its connection was closed with no answer");
     // A caller whose request was never sent on may ask again; else its outcome is lost.
@@ -81,7 +81,7 @@
     close(r, now);
 }
 
-void Ledger::sent(Millis now, const std::string& id, const Attempt& attempt, Millis first_byte) {
+void RequestHistory::sent(Millis now, const std::string& id, const Attempt& attempt, Millis first_byte) {
     const auto at = requests_.find(id);
     event(now, attempt.sidecar, id,
           fmt::format("sent to {}, connection {}", attempt.server, attempt.connection));
@@ -104,7 +104,7 @@
     at_[attempt] = id;
 }
 
-void Ledger::over(Millis now, const Attempt& attempt) {
+void RequestHistory::over(Millis now, const Attempt& attempt) {
     const auto at = at_.find(attempt);
     if (at == at_.end()) return;
     event(now, attempt.sidecar, at->second,
@@ -113,7 +113,7 @@
     at_.erase(at);
 }
 
-void Ledger::done(Millis now, const std::string& id, const std::string& server) {
+void RequestHistory::done(Millis now, const std::string& id, const std::string& server) {
     const auto at = requests_.find(id);
     if (at == requests_.end()) return;
     Request& r = at->second;
@@ -125,17 +125,17 @@
     }
 }
 
-void Ledger::turned_away(Millis now, const std::string& id, const std::string& server) {
+void RequestHistory::turned_away(Millis now, const std::string& id, const std::string& server) {
     event(now, server, id, "turned away unseen");
     const auto at = requests_.find(id);
     if (at != requests_.end()) ++at->second.away;
 }
 
-void Ledger::no_such_id(Millis now, const std::string& id, const std::string& server) {
+void RequestHistory::no_such_id(Millis now, const std::string& id, const std::string& server) {
     wrong(now, id, server + " got a request that no caller sent");
 }
 
-void Ledger::told(Millis now, const std::string& sidecar, const std::string& server, bool may_send) {
+void RequestHistory::told(Millis now, const std::string& sidecar, const std::string& server, bool may_send) {
     event(now, sidecar, "", fmt::format("told: {} {}", server, may_send ? "active" : "leaving or left"));
     if (may_send)
         drained_.erase({sidecar, server});
@@ -143,7 +143,7 @@
         drained_.try_emplace({sidecar, server}, now);
 }
 
-void Ledger::died(Millis now, const std::string& sidecar) {
+void RequestHistory::died(Millis now, const std::string& sidecar) {
     event(now, sidecar, "", "its process is gone");
     for (auto& [id, r] : requests_) {
         if (r.sidecar != sidecar) continue;
@@ -156,19 +156,19 @@
     std::erase_if(drained_, [&](const auto& entry) { return entry.first.first == sidecar; });
 }
 
-void Ledger::froze(Millis now, const std::string& sidecar) {
+void RequestHistory::froze(Millis now, const std::string& sidecar) {
     event(now, sidecar, "", "frozen");
     frozen_.insert(sidecar);
     for (auto& [id, r] : requests_)
         if (r.sidecar == sidecar && r.ended < 0) r.excused = true;
 }
 
-void Ledger::thawed(Millis now, const std::string& sidecar) {
+void RequestHistory::thawed(Millis now, const std::string& sidecar) {
     event(now, sidecar, "", "thawed");
     frozen_.erase(sidecar);
 }
 
-void Ledger::look(Millis now) {
+void RequestHistory::look(Millis now) {
     while (!waiting_.empty() && waiting_.front().due <= now) {
         const Waiting w = waiting_.front();
         waiting_.pop_front();
@@ -179,13 +179,13 @@
     }
 }
 
-void Ledger::finish(Millis now) {
+void RequestHistory::finish(Millis now) {
     look(now + kSlack);
     for (auto& [id, r] : requests_)
         if (r.ended < 0 && !r.excused) wrong(now, id, "one final outcome: it never came");
 }
 
-std::string Ledger::history(const std::string& id, std::size_t most) const {
+std::string RequestHistory::history(const std::string& id, std::size_t most) const {
     // Who touched it: events of that request, and all notes of those processes.
     std::set<std::string> who;
     for (const Event& e : events_)
@@ -201,4 +201,4 @@
     return text;
 }
 
-}  // namespace elmbay::fleet
+}  // namespace elmbay::process_testbed
--- a/src/fleet/ledger.hpp
+++ b/src/process_testbed/request_history.hpp
@@ -14,12 +14,12 @@
 
 #include "elmbay/balancer.hpp"
 
-namespace elmbay::fleet {
+namespace elmbay::process_testbed {
 
 using balancer::Idempotency;
 using balancer::Millis;
 
-class Ledger {
+class RequestHistory {
 public:
     static constexpr Millis kSlack = 50, kDrainGrace = 500;
     static constexpr std::uint32_t kMaxAttempts = 4;
@@ -118,4 +118,4 @@
     std::uint64_t counts_[4] = {0, 0, 0, 0};
 };
 
-}  // namespace elmbay::fleet
+}  // namespace elmbay::process_testbed
--- a/src/fleet/request_reader.hpp
+++ b/src/process_testbed/request_reader.hpp
@@ -9,7 +9,7 @@
 
 #include "elmbay/balancer.hpp"
 
-namespace elmbay::fleet {
+namespace elmbay::process_testbed {
 
 using balancer::Millis;
 
@@ -47,4 +47,4 @@
     std::optional<boost::beast::http::request_parser<boost::beast::http::string_body>> parser_;
 };
 
-}  // namespace elmbay::fleet
+}  // namespace elmbay::process_testbed
--- a/src/fleet/shrink.hpp
+++ b/src/process_testbed/shrink.hpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <vector>
 
-namespace elmbay::fleet {
+namespace elmbay::process_testbed {
 
 // fails is asked of each shorter list; what is returned failed. rounds: of a whole pass, at most.
 template <class T, class Fails>
@@ -28,4 +28,4 @@
     return list;
 }
 
-}  // namespace elmbay::fleet
+}  // namespace elmbay::process_testbed
--- a/src/simulation/real/real_run.cpp
+++ b/src/simulation/real/real_run.cpp
@@ -10,8 +10,8 @@
 #include <nlohmann/json.hpp>
 #include <random>
 
-#include "fleet/process.hpp"
-#include "fleet/request_reader.hpp"
+#include "process_testbed/process.hpp"
+#include "process_testbed/request_reader.hpp"
 #include "fault_proxy/datagram_net.hpp"
 #include "fault_proxy/stream_link.hpp"
 #include "simulation/chance.hpp"
@@ -85,8 +85,8 @@
           notices_(notices(incident, steps_)),
           sidecars_(incident),
           run_(std::random_device()()),
-          ground_(stage_.io, incident.overview.seed),
-          messages_(ground_, {loopback(run_, kEverybody), 0}) {
+          context_(stage_.io, incident.overview.seed),
+          messages_(context_, {loopback(run_, kEverybody), 0}) {
         for (const FaultSpec& f : incident.faults)
             if (f.kind == FaultKind::other_build && !options.builds.contains(f.build))
                 throw std::invalid_argument("a fault starts the build '" + f.build +
@@ -96,7 +96,7 @@
             log_.open(options.log);
             if (!log_) throw std::runtime_error(options.log + ": can't be written");
         }
-        ground_.begin(kLongAhead);  // nothing of the file holds before time 0
+        context_.begin(kLongAhead);  // nothing of the file holds before time 0
         auto rules = incident.link_rules();
         linked_ = std::any_of(rules.begin(), rules.end(),
                               [](const fault_proxy::Rule& rule) { return rule.medium != fault_proxy::Medium::datagram; });
@@ -104,7 +104,7 @@
             rule.at = -kLongAhead;  // from before the start
             rules.push_back(std::move(rule));
         }
-        ground_.replace_all(std::move(rules));
+        context_.replace_all(std::move(rules));
         messages_.tap([this](const fault_proxy::Link& link, std::size_t bytes, bool delivered) {
             if (!delivered) return sidecars_.sent(stage_.now(), bytes);
             sidecars_.delivered(stage_.now(), number_of(link.from), number_of(link.to), bytes);
@@ -121,7 +121,7 @@
         for (Side& side : sides_) side.process->start();
         wait_ready();
         stage_.begin(kBeforeFirst);
-        ground_.begin(kBeforeFirst);
+        context_.begin(kBeforeFirst);
         for (Side& side : sides_) side.discovery->resume();
         begin();
         for (std::uint32_t i = 0; i < sides_.size(); ++i) sidecars_.began(0, i, "elmbay");
@@ -133,7 +133,7 @@
 
 private:
     struct Side {
-        std::unique_ptr<fleet::Process> process;
+        std::unique_ptr<process_testbed::Process> process;
         std::unique_ptr<StandInDiscovery> discovery;
         std::unique_ptr<StandInCallers> callers;
         tcp::endpoint listen;
@@ -153,7 +153,7 @@
         if (!linked_) return servers_[s]->endpoint();
         auto& link = links_[{i, s}];
         link = std::make_unique<fault_proxy::StreamLink>(
-            ground_, fault_proxy::Link{"n-" + std::to_string(i), "s-" + std::to_string(s)},
+            context_, fault_proxy::Link{"n-" + std::to_string(i), "s-" + std::to_string(s)},
             tcp::endpoint(servers_[s]->endpoint().address(), 0), servers_[s]->endpoint());
         if (!archive_.there_at_start(s)) link->target(fault_proxy::StreamLink::Target::down);
         watch(*link);
@@ -169,12 +169,12 @@
         auto& links = list_links_[i];  // the last is the one in use; those before stay until they are closed
         if (links.empty() || links.back().first != list)
             links.emplace_back(list, std::make_unique<fault_proxy::StreamLink>(
-                                         ground_, fault_proxy::Link{"n-" + std::to_string(i), "list"},
+                                         context_, fault_proxy::Link{"n-" + std::to_string(i), "list"},
                                          tcp::endpoint(list.address(), 0), list));
         return links.back().second->endpoint();
     }
     void watch(fault_proxy::StreamLink& link) {
-        const auto readers = std::make_shared<std::map<std::uint64_t, fleet::RequestReader>>();
+        const auto readers = std::make_shared<std::map<std::uint64_t, process_testbed::RequestReader>>();
         fault_proxy::StreamLink::Tap tap;
         tap.sent = [this, readers](std::uint64_t nth, std::string_view bytes) {
             (*readers)[nth].take(bytes, stage_.now(), [this](const std::string& id, Millis first_byte) {
@@ -226,7 +226,7 @@
                                0});
         side.discovery = std::make_unique<StandInDiscovery>(stage_, judge_, i, std::move(entries), address);
         const std::string command = options_.sidecar;
-        side.process = std::make_unique<fleet::Process>("n-" + std::to_string(i), command, folder_.path());
+        side.process = std::make_unique<process_testbed::Process>("n-" + std::to_string(i), command, folder_.path());
         side.callers = std::make_unique<StandInCallers>(
             stage_, incident_, callers_, side.listen,
             StandInCallers::Handlers{
@@ -540,7 +540,7 @@
     SidecarLog sidecars_;
     const std::uint32_t run_;
     std::vector<std::unique_ptr<StandInServer>> servers_;
-    fault_proxy::Ground ground_;
+    fault_proxy::EventLoopContext context_;
     bool linked_ = false;  // whether the file has faults on streams: only then they go over links
     fault_proxy::DatagramNet messages_;
     std::vector<fault_proxy::udp::endpoint> peer_listens_;
--- a/src/simulation/storm.cpp
+++ b/src/simulation/storm.cpp
@@ -2,7 +2,7 @@
 
 #include <fmt/format.h>
 
-#include "fleet/shrink.hpp"
+#include "process_testbed/shrink.hpp"
 #include "simulation/chance.hpp"
 
 namespace elmbay::simulation {
@@ -92,7 +92,7 @@
 }
 
 Storm shrunk(Storm storm, const std::function<bool(const Storm&)>& fails) {
-    storm.faults = fleet::shrink(storm.faults, [&](const std::vector<std::string>& faults) {
+    storm.faults = process_testbed::shrink(storm.faults, [&](const std::vector<std::string>& faults) {
         return fails({storm.head, faults});
     });
     return storm;
--- a/tests/fault_proxy/datagram_test.cpp
+++ b/tests/fault_proxy/datagram_test.cpp
@@ -33,8 +33,8 @@
 
 struct Net {
     asio::io_context io{1};
-    Ground ground{io};
-    DatagramNet net{ground, {asio::ip::address_v4::loopback(), 0}};
+    EventLoopContext context{io};
+    DatagramNet net{context, {asio::ip::address_v4::loopback(), 0}};
     std::vector<std::unique_ptr<Probe>> probes;
     std::vector<std::unique_ptr<tcp::acceptor>> servers;
     std::vector<std::unique_ptr<StreamLink>> links;  // [from * kMembers + to]
@@ -52,7 +52,7 @@
         for (int i = 0; i < kMembers; ++i)
             for (int j = 0; j < kMembers; ++j)
                 links.push_back(std::make_unique<StreamLink>(
-                    ground, Link{name_of(i), name_of(j)}, tcp::endpoint(asio::ip::address_v4::loopback(), 0),
+                    context, Link{name_of(i), name_of(j)}, tcp::endpoint(asio::ip::address_v4::loopback(), 0),
                     servers[j]->local_endpoint()));
     }
     // Who hears whom now. A datagram that is cut is gone for good, so one later is enough to know: each sends
@@ -108,7 +108,7 @@
         std::function<bool(int, int)> hears;
         std::function<void()> put;
     };
-    const auto clear = [&] { n.ground.replace_all({}); };
+    const auto clear = [&] { n.context.replace_all({}); };
     const Stage script[] = {
         {"whole", [](int, int) { return true; }, clear},
         {"halves with a bridge",
@@ -118,7 +118,7 @@
              r.name = "halves";
              r.groups = {{"n-0", "n-1", "n-2", "n-3", "n-4", "n-10"},
                          {"n-5", "n-6", "n-7", "n-8", "n-9", "n-10"}};
-             n.ground.put(r);
+             n.context.put(r);
          }},
         {"and one way to n-11",
          [&](int i, int j) {
@@ -127,7 +127,7 @@
          [&] {
              Rule r;
              r.name = "one way", r.from = {"n-0", "n-1", "n-2"}, r.to = {"n-11"};
-             n.ground.put(r);
+             n.context.put(r);
          }},
         {"one alone", [](int i, int j) { return i != 7 && j != 7; },
          [&] {
@@ -138,7 +138,7 @@
              // Nobody is cut off from itself.
              out.to =
                  in.from = {"n-0", "n-1", "n-2", "n-3", "n-4", "n-5", "n-6", "n-8", "n-9", "n-10", "n-11"};
-             n.ground.put(out), n.ground.put(in);
+             n.context.put(out), n.context.put(in);
          }},
         {"healed", [](int, int) { return true; }, clear}};
     for (const Stage& stage : script) {
@@ -182,7 +182,7 @@
     Net n;
     Rule r;
     r.name = "back", r.act = Act::reorder, r.behind = 2, r.span = 30000, r.first = r.last = 1;
-    n.ground.put(r);
+    n.context.put(r);
     std::vector<std::string> order;
     const auto to = n.net.address_of("n-1");
     std::size_t seen = 0;
--- a/tests/fault_proxy/stream_test.cpp
+++ b/tests/fault_proxy/stream_test.cpp
@@ -32,9 +32,9 @@
 
 struct Rig {
     asio::io_context io{1};
-    Ground ground{io};
+    EventLoopContext context{io};
     tcp::acceptor server{io, any()};
-    StreamLink link{ground, {"a", "b"}, any(), server.local_endpoint()};
+    StreamLink link{context, {"a", "b"}, any(), server.local_endpoint()};
     std::vector<std::shared_ptr<End>> accepted;
 
     Rig() { accept(); }
@@ -69,7 +69,7 @@
     void put(const char* name, Act act, const char* from, const char* to) {
         Rule r;
         r.name = name, r.act = act, r.from = {from}, r.to = {to};
-        ground.put(r);
+        context.put(r);
     }
     std::shared_ptr<End> both_up() {
         const auto before = accepted.size();
@@ -134,7 +134,7 @@
     EXPECT_EQ(b->got.size(), held);
     EXPECT_EQ(held, passed_on);
     EXPECT_FALSE(b->ended);
-    rig.ground.take_away("cut");
+    rig.context.take_away("cut");
     ASSERT_TRUE(rig.until([&] { return b->got.size() > held + 4'000'000; }));
     // From here on a rule has a word: what is in the pipe still goes first.
     rig.put("late", Act::delay, "a", "b");
@@ -155,7 +155,7 @@
     rig.quiet();
     EXPECT_EQ(a->got, "");
     EXPECT_FALSE(late->up || late->refused);
-    EXPECT_TRUE(rig.ground.take_away("cut"));
+    EXPECT_TRUE(rig.context.take_away("cut"));
     ASSERT_TRUE(rig.until([&] { return a->got == "back" && late->up; }));
     ASSERT_TRUE(rig.until([&] { return rig.accepted.size() == 2; }));  // and no filler came through
     rig.quiet();
@@ -169,12 +169,12 @@
     ASSERT_TRUE(rig.until([&] { return refused->refused; }));
     Rule second;
     second.name = "no", second.act = Act::refuse, second.first = second.last = 2;
-    rig.ground.put(second);
+    rig.context.put(second);
     const auto first = rig.both_up();
     const auto other = rig.connect();
     ASSERT_TRUE(rig.until([&] { return other->ended; }));
     EXPECT_TRUE(other->reset);
-    rig.ground.take_away("no");
+    rig.context.take_away("no");
     rig.link.target(StreamLink::Target::down);
     const auto down = rig.connect();
     ASSERT_TRUE(rig.until([&] { return down->refused; }));
@@ -196,14 +196,14 @@
     }));
     Rule hold;
     hold.name = "hold", hold.act = Act::hold, hold.span = 80;
-    rig.ground.put(hold);
+    rig.context.put(hold);
     const auto held = rig.connect();
     ASSERT_TRUE(rig.until([&] { return held->up; }));
     const auto before = rig.accepted.size();
-    const Millis began = rig.ground.now();
+    const Millis began = rig.context.now();
     held->send("x");
     ASSERT_TRUE(rig.until([&] { return rig.accepted.size() > before; }));
-    EXPECT_GE(rig.ground.now() - began, 50);
+    EXPECT_GE(rig.context.now() - began, 50);
 }
 
 // Both ends of each of these see what the rule says, at each of the first bytes.
@@ -212,14 +212,14 @@
         Rig rig;
         Rule r;
         r.name = "r", r.act = Act::reset, r.from = {"b"}, r.to = {"a"}, r.place = Place::byte, r.byte = byte;
-        rig.ground.put(r);
+        rig.context.put(r);
         const auto a = rig.both_up();
         const auto b = rig.accepted.back();
         b->send("12345678");
         ASSERT_TRUE(rig.until([&] { return a->ended && b->ended; })) << byte;
         EXPECT_TRUE(a->reset && b->reset) << byte;
         r.act = Act::half_close;
-        rig.ground.put(r);
+        rig.context.put(r);
         const auto c = rig.both_up();
         rig.accepted.back()->send("12345678");
         ASSERT_TRUE(rig.until([&] { return c->ended; })) << byte;
--- a/tests/fleet/campaign_test.cpp
+++ b/tests/process_testbed/chaos_test.cpp
@@ -1,9 +1,9 @@
 // A campaign in small: a fixed seed, for about twenty seconds, and that what it finds is shrunk.
-#include "fleet/campaign.hpp"
+#include "process_testbed/chaos.hpp"
 
 #include "scenarios.hpp"
 
-namespace elmbay::fleet {
+namespace elmbay::process_testbed {
 namespace {
 
 Options thin() {
@@ -12,7 +12,7 @@
     return options;
 }
 
-TEST(Campaign, SchedulesAreTheSameForTheSameSeedAndSurviveBeingWrittenDown) {
+TEST(Chaos, SchedulesAreTheSameForTheSameSeedAndSurviveBeingWrittenDown) {
     const Schedule one = draw_schedule(7, 3, 3, 200);
     EXPECT_EQ(one, draw_schedule(7, 3, 3, 200));
     EXPECT_NE(one, draw_schedule(8, 3, 3, 200));
@@ -20,19 +20,19 @@
     EXPECT_THROW(parse_schedule("ask 0 0 1\nfly 1 2 3\n"), std::invalid_argument);
 }
 
-TEST(Campaign, EverythingIsKeptUnderSchedulesOfAFixedSeed) {
+TEST(Chaos, EverythingIsKeptUnderSchedulesOfAFixedSeed) {
     for (std::uint64_t seed = 501; seed < 511; ++seed) {
         const Schedule schedule = draw_schedule(seed, 3, 3, 40);
         const Verdict verdict = play(thin(), schedule);
-        ASSERT_TRUE(verdict.kept) << "seed " << seed << "\n" << verdict.story << text_of(schedule);
+        ASSERT_TRUE(verdict.kept) << "seed " << seed << "\n" << verdict.explain << text_of(schedule);
         EXPECT_GT(verdict.asked, 10U);
     }
 }
 
 // A planted fault in a long schedule comes down to the few deeds that show it.
-TEST(Campaign, AFailingScheduleIsShrunkToTheDeedsThatMatter) {
+TEST(Chaos, AFailingScheduleIsShrunkToTheDeedsThatMatter) {
     Options options = thin();
-    options.program = std::string("env ELMBAY_PLANT=resend ") + ELMBAY_PLANTED;
+    options.program = std::string("env ELMBAY_PLANT=resend ") + ELMBAY_PROGRAM_WITH_FAILPOINTS;
     const Schedule schedule = parse_schedule(
         "ask 1 0 2\nwait 0 0 5\ndrain 0 2 0\nask 2 2 1\nwait 0 0 20\nrestore 0 2 0\nbreak 1 0 9\nbreak 1 1 "
         "9\n"
@@ -45,23 +45,23 @@
 }
 
 // One descriptor for each attempt that failed to connect or was reset: what is left over shows at the end.
-TEST(Campaign, ALeakIsFoundBySchedulesOfResets) {
+TEST(Chaos, ALeakIsFoundBySchedulesOfResets) {
     Options options = thin();
-    options.program = std::string("env ELMBAY_PLANT=leak ") + ELMBAY_PLANTED;
+    options.program = std::string("env ELMBAY_PLANT=leak ") + ELMBAY_PROGRAM_WITH_FAILPOINTS;
     Schedule schedule;
     for (std::uint64_t i = 0; i < 20; ++i) {
-        schedule.push_back({Deed::Kind::ask, 0, 0, 3});
-        schedule.push_back({Deed::Kind::wait, 0, 0, 30});
+        schedule.push_back({FaultStep::Kind::ask, 0, 0, 3});
+        schedule.push_back({FaultStep::Kind::wait, 0, 0, 30});
         for (std::size_t server = 0; server < 3; ++server)
-            schedule.push_back({Deed::Kind::reset, 0, server, 0});
+            schedule.push_back({FaultStep::Kind::reset, 0, server, 0});
     }
     const Verdict verdict = play(options, schedule);
     EXPECT_FALSE(verdict.kept);
-    EXPECT_NE(verdict.story.find("holds more descriptors"), std::string::npos) << verdict.story;
+    EXPECT_NE(verdict.explain.find("holds more descriptors"), std::string::npos) << verdict.explain;
     options.program = ELMBAY_PROGRAM;
     const Verdict sound = play(options, schedule);
-    EXPECT_TRUE(sound.kept) << sound.story;
+    EXPECT_TRUE(sound.kept) << sound.explain;
 }
 
 }  // namespace
-}  // namespace elmbay::fleet
+}  // namespace elmbay::process_testbed
--- a/tests/fleet/log_test.cpp
+++ b/tests/process_testbed/log_test.cpp
@@ -9,7 +9,7 @@
 
 #include "scenarios.hpp"
 
-namespace elmbay::fleet {
+namespace elmbay::process_testbed {
 namespace {
 
 /// A named pipe in a folder of its own, open for reading until close_reader().
@@ -44,19 +44,19 @@
     LogPipe log;
     Options options = few(1, 2);
     options.program += " 2>" + log.path();
-    Fleet fleet(options);
-    fleet.start();
+    ProcessTestbed testbed(options);
+    testbed.start();
     log.close_reader();
     // A configuration that cannot be used is one line in the log.
-    fleet.process(0).write_config(nlohmann::json::array());
+    testbed.process(0).write_config(nlohmann::json::array());
     for (int i = 0; i < 10; ++i) {
-        fleet.process(0).signal(SIGHUP);
-        const std::string id = fleet.ask(0, "listen");
-        ASSERT_TRUE(fleet.until([&] { return fleet.ended(id); })) << fleet.story(id);
-        EXPECT_EQ(fleet.answer(id), Ledger::Answer::served) << fleet.story(id);
+        testbed.process(0).signal(SIGHUP);
+        const std::string id = testbed.ask(0, "listen");
+        ASSERT_TRUE(testbed.until([&] { return testbed.ended(id); })) << testbed.explain(id);
+        EXPECT_EQ(testbed.answer(id), RequestHistory::Answer::served) << testbed.explain(id);
     }
-    EXPECT_TRUE(fleet.process(0).running());
+    EXPECT_TRUE(testbed.process(0).running());
 }
 
 }  // namespace
-}  // namespace elmbay::fleet
+}  // namespace elmbay::process_testbed
--- /dev/null
+++ b/tests/process_testbed/scenarios.hpp
@@ -0,0 +1,79 @@
+// What several tests of many processes do. Each says whether the testbed kept everything: the sound program
+// must, and one with the fault that the scenario is for must not.
+#pragma once
+
+#include <gtest/gtest.h>
+
+#include "process_testbed/process_testbed.hpp"
+
+namespace elmbay::process_testbed {
+
+inline Options few(std::size_t sidecars = 2, std::size_t servers = 2) {
+    Options o;
+    o.sidecars = sidecars, o.servers = servers;
+    o.program = ELMBAY_PROGRAM;
+    // Far beyond what a busy machine needs: nothing here is about speed.
+    o.patience = 20000, o.latency_objective = 10000;
+    return o;
+}
+
+// Frozen with forty requests in hand, half of them not read yet; while it stands still their callers go and
+// the connections of what it had out are reset, so it wakes with reasons to try again and nobody to do it
+// for.
+inline bool frozen_with_forty_requests(ProcessTestbed& testbed) {
+    Server &s0 = testbed.server(0), &s1 = testbed.server(1);
+    s0.behavior = s1.behavior = ServerBehavior::hold;
+    std::vector<std::string> ids;
+    for (int i = 0; i < 20; ++i) ids.push_back(testbed.ask(0, ProcessTestbed::ClientRequest{"listen", 20000, 800}));
+    if (!testbed.until([&] { return s0.holding() + s1.holding() >= testbed.request_history().open(); })) return false;
+    testbed.freeze(0);
+    for (int i = 0; i < 20; ++i) ids.push_back(testbed.ask(0, ProcessTestbed::ClientRequest{"listen", 20000, 800}));
+    const auto all_ended = [&] {
+        return std::all_of(ids.begin(), ids.end(), [&](const auto& id) { return testbed.ended(id); });
+    };
+    if (!testbed.until(all_ended)) return false;
+    testbed.link("n-0", "s-0").reset_all();
+    testbed.link("n-0", "s-1").reset_all();
+    // The request_history's slack runs from when they went.
+    if (!testbed.quiet_for(2 * RequestHistory::kSlack)) return false;
+    s0.behavior = s1.behavior = ServerBehavior::serve;
+    const auto before = s0.requests() + s1.requests();
+    testbed.thaw(0);
+    const std::string after = testbed.ask(0, "listen");
+    if (!testbed.until([&] { return testbed.ended(after); }) || !testbed.settle()) return false;
+    return s0.requests() + s1.requests() == before + 1;
+}
+
+// Deposits whose answer is cut after the server has done them.
+inline bool deposits_with_cut_answers(ProcessTestbed& testbed) {
+    fault_proxy::Rule cut;
+    cut.name = "cut", cut.act = fault_proxy::Act::reset, cut.from = {"s-*"}, cut.to = {"n-0"};
+    cut.place = fault_proxy::Place::byte, cut.byte = 9;
+    testbed.context().put(cut);
+    for (int i = 0; i < 5; ++i) {
+        const std::string id = testbed.ask(0, "deposit");
+        if (!testbed.until([&] { return testbed.ended(id); })) return false;
+    }
+    return testbed.settle();
+}
+
+// Servers that take longer than the slack, so that what is out together is seen to be.
+inline bool slow_answers(ProcessTestbed& testbed) {
+    testbed.server(0).delay = testbed.server(1).delay = 3 * RequestHistory::kSlack;
+    for (int i = 0; i < 10; ++i) testbed.ask(0, i % 2 ? "listen" : "annotate");
+    return testbed.settle();
+}
+
+// Many connections that end: what the process holds must be what it counts, and a bound for what it has
+// besides.
+inline bool descriptors_are_those_counted(ProcessTestbed& testbed) {
+    for (int i = 0; i < 60; ++i) {
+        const std::string id = testbed.ask(0, "listen");
+        if (!testbed.until([&] { return testbed.ended(id); })) return false;
+        testbed.link("n-0", "s-0").reset_all();
+        testbed.link("n-0", "s-1").reset_all();
+    }
+    return testbed.settle() && testbed.descriptors_accounted(0);
+}
+
+}  // namespace elmbay::process_testbed
--- a/tests/fleet/state_test.cpp
+++ b/tests/process_testbed/state_test.cpp
@@ -8,10 +8,10 @@
 #include "scenarios.hpp"
 #include "state/snapshot_store.hpp"
 
-namespace elmbay::fleet {
+namespace elmbay::process_testbed {
 namespace {
 
-using Answer = Ledger::Answer;
+using Answer = RequestHistory::Answer;
 
 constexpr std::size_t kServers = 8;  // so that a snapshot is larger than the log
 
@@ -19,36 +19,36 @@
 protected:
     void SetUp() override {
         ASSERT_NE(::mkdtemp(folder.data()), nullptr);
-        fleet.start();
-        fleet.kill(0);
+        testbed.start();
+        testbed.kill(0);
         life();
         serve_some();
-        ASSERT_TRUE(fleet.until([&] { return newest() > 0; })) << log();
+        ASSERT_TRUE(testbed.until([&] { return newest() > 0; })) << log();
     }
     void TearDown() override { std::filesystem::remove_all(folder); }
 
     void life() {
-        fleet.restart(0, "", "[state]\nfolder = \"" + folder + "\"\nevery = \"100ms\"\n");
-        ASSERT_TRUE(fleet.until([&] { return fleet.ready(0); })) << log();
+        testbed.restart(0, "", "[state]\nfolder = \"" + folder + "\"\nevery = \"100ms\"\n");
+        ASSERT_TRUE(testbed.until([&] { return testbed.ready(0); })) << log();
     }
     // Thirty requests, all served.
     void serve_some() {
         std::vector<std::string> ids;
         for (int i = 0; i < 10; ++i)
-            for (const char* grade : {"listen", "deposit", "annotate"}) ids.push_back(fleet.ask(0, grade));
-        ASSERT_TRUE(fleet.settle()) << fleet.story() << log();
-        for (const std::string& id : ids) ASSERT_EQ(fleet.answer(id), Answer::served) << fleet.story(id);
+            for (const char* request_class : {"listen", "deposit", "annotate"}) ids.push_back(testbed.ask(0, request_class));
+        ASSERT_TRUE(testbed.settle()) << testbed.explain() << log();
+        for (const std::string& id : ids) ASSERT_EQ(testbed.answer(id), Answer::served) << testbed.explain(id);
     }
     // The files of the running program end at so many bytes; none: as they like.
     void limit_files(std::optional<rlim_t> bytes) {
         rlimit limit{};
-        const pid_t pid = fleet.process(0).pid();
+        const pid_t pid = testbed.process(0).pid();
         ASSERT_EQ(::prlimit(pid, RLIMIT_FSIZE, nullptr, &limit), 0);
         limit.rlim_cur = bytes ? *bytes : limit.rlim_max;
         ASSERT_EQ(::prlimit(pid, RLIMIT_FSIZE, &limit, nullptr), 0);
     }
     std::string log() {
-        std::ifstream file(fleet.process(0).log());
+        std::ifstream file(testbed.process(0).log());
         return {std::istreambuf_iterator<char>(file), {}};
     }
     std::size_t told(const std::string& what) {
@@ -66,26 +66,26 @@
     }
 
     std::string folder = (std::filesystem::temp_directory_path() / "elmbay-folder-XXXXXX").string();
-    Fleet fleet{few(1, kServers)};
+    ProcessTestbed testbed{few(1, kServers)};
 };
 
 TEST_F(StateFolder, ThatFailsForAWhileIsToldOnceRequestsAreServedAndItIsKeptAgain) {
-    limit_files(std::filesystem::file_size(fleet.process(0).log()) + 200);
+    limit_files(std::filesystem::file_size(testbed.process(0).log()) + 200);
     for (int i = 0; i < 3; ++i) serve_some();
-    ASSERT_TRUE(fleet.until([&] { return told("event=write_failed") > 0; })) << log();
+    ASSERT_TRUE(testbed.until([&] { return told("event=write_failed") > 0; })) << log();
     const std::int64_t kept = newest();
     serve_some();
-    ASSERT_TRUE(fleet.quiet_for(1000)) << "ten more writes that fail";
+    ASSERT_TRUE(testbed.quiet_for(1000)) << "ten more writes that fail";
     EXPECT_EQ(told("event=write_failed"), 1U) << log();
     EXPECT_EQ(newest(), kept) << "no part of a write counts";
 
     limit_files({});
-    ASSERT_TRUE(fleet.until([&] { return told("event=write_recovered") > 0; })) << log();
+    ASSERT_TRUE(testbed.until([&] { return told("event=write_recovered") > 0; })) << log();
     EXPECT_GT(newest(), kept);
     serve_some();
     EXPECT_EQ(told("event=write_failed"), 1U) << log();
     EXPECT_EQ(told("event=write_recovered"), 1U) << log();
-    ASSERT_TRUE(fleet.settle()) << fleet.story();
+    ASSERT_TRUE(testbed.settle()) << testbed.explain();
 }
 
 // The log may be on the same disk: a line that could not be written is lost, not the program and not later
@@ -93,25 +93,25 @@
 TEST_F(StateFolder, AndTheLogWithItEndsNothing) {
     limit_files(0);
     for (int i = 0; i < 3; ++i) serve_some();
-    ASSERT_TRUE(fleet.quiet_for(500)) << "five writes that fail";
-    EXPECT_TRUE(fleet.running(0));
+    ASSERT_TRUE(testbed.quiet_for(500)) << "five writes that fail";
+    EXPECT_TRUE(testbed.running(0));
     limit_files({});
-    ASSERT_TRUE(fleet.until([&] { return told("event=write_recovered") > 0; })) << log();
-    ASSERT_TRUE(fleet.settle()) << fleet.story();
+    ASSERT_TRUE(testbed.until([&] { return told("event=write_recovered") > 0; })) << log();
+    ASSERT_TRUE(testbed.settle()) << testbed.explain();
 }
 
 TEST_F(StateFolder, AKillWhileItFailsLeavesTheLastWholeState) {
-    limit_files(std::filesystem::file_size(fleet.process(0).log()) + 200);
+    limit_files(std::filesystem::file_size(testbed.process(0).log()) + 200);
     for (int i = 0; i < 3; ++i) serve_some();
-    ASSERT_TRUE(fleet.until([&] { return told("event=write_failed") > 0; })) << log();
+    ASSERT_TRUE(testbed.until([&] { return told("event=write_failed") > 0; })) << log();
     const std::int64_t kept = newest();
-    fleet.kill(0);
+    testbed.kill(0);
     EXPECT_EQ(newest(), kept);
     life();
     serve_some();
-    ASSERT_TRUE(fleet.until([&] { return newest() > kept; })) << log();
-    ASSERT_TRUE(fleet.settle()) << fleet.story();
+    ASSERT_TRUE(testbed.until([&] { return newest() > kept; })) << log();
+    ASSERT_TRUE(testbed.settle()) << testbed.explain();
 }
 
 }  // namespace
-}  // namespace elmbay::fleet
+}  // namespace elmbay::process_testbed
--- a/tests/simulation/real_test.cpp
+++ b/tests/simulation/real_test.cpp
@@ -4,7 +4,7 @@
 #include <fstream>
 #include <sstream>
 
-#include "fleet/process.hpp"
+#include "process_testbed/process.hpp"
 #include "simulation/real/real_run.hpp"
 #include "simulation/virtual_run.hpp"
 
--- a/tests/syscall_faults/fleet_faults_test.cpp
+++ b/tests/syscall_faults/fleet_faults_test.cpp
@@ -10,12 +10,12 @@
 #include <string>
 #include <vector>
 
-#include "fleet/fleet.hpp"
+#include "process_testbed/process_testbed.hpp"
 
-namespace elmbay::fleet {
+namespace elmbay::process_testbed {
 namespace {
 
-using Answer = Ledger::Answer;
+using Answer = RequestHistory::Answer;
 const std::array<std::string, 3> kGrades{"listen", "deposit", "annotate"};
 
 // One specification of faults for the program's processes, and how often each of its rules struck.
@@ -77,7 +77,7 @@
 }
 
 std::string answers(Fleet& fleet) {
-    Ledger& ledger = fleet.ledger();
+    RequestHistory& ledger = fleet.ledger();
     return "served " + std::to_string(ledger.count(Answer::served)) + ", refused " +
            std::to_string(ledger.count(Answer::refused)) + ", failed " +
            std::to_string(ledger.count(Answer::failed)) + ", cut " +
@@ -85,7 +85,7 @@
 }
 
 std::uint64_t without_answer(Fleet& fleet) {
-    Ledger& ledger = fleet.ledger();
+    RequestHistory& ledger = fleet.ledger();
     return ledger.asked() - ledger.count(Answer::served) - ledger.count(Answer::refused) -
            ledger.count(Answer::failed) - ledger.count(Answer::cut);
 }
@@ -232,4 +232,4 @@
 }
 
 }  // namespace
-}  // namespace elmbay::fleet
+}  // namespace elmbay::process_testbed
--- a/tools/campaign/main.cpp
+++ b/tools/chaos/main.cpp
@@ -1,4 +1,4 @@
-// elmbay_campaign: schedules of faults on processes of a sidecar, until the time is over or one fails.
+// elmbay_chaos: schedules of faults on processes of a sidecar, until the time is over or one fails.
 #include <CLI/CLI.hpp>
 #include <chrono>
 #include <filesystem>
@@ -6,10 +6,10 @@
 #include <iostream>
 #include <sstream>
 
-#include "fleet/campaign.hpp"
+#include "process_testbed/chaos.hpp"
 
 int main(int argc, char** argv) {
-    using namespace elmbay::fleet;
+    using namespace elmbay::process_testbed;
     CLI::App app{
         "Starts sidecars, puts faults between them, servers and the list as drawn from a seed, and holds "
         "what\n"
@@ -45,7 +45,7 @@
             text << file.rdbuf();
             if (!file) throw std::invalid_argument(replay + ": can't be read");
             const Verdict v = play(options, parse_schedule(text.str()));
-            std::cout << (v.kept ? "kept\n" : v.story);
+            std::cout << (v.kept ? "kept\n" : v.explain);
             return v.kept ? 0 : 1;
         }
         const auto end = std::chrono::steady_clock::now() + std::chrono::duration<double>(seconds);
@@ -56,7 +56,7 @@
             const Verdict v = play(options, schedule);
             ++played, asked += v.asked, served += v.served;
             if (v.kept) continue;
-            std::cout << "seed " << seed << " fails:\n" << v.story << "shrinking" << std::endl;
+            std::cout << "seed " << seed << " fails:\n" << v.explain << "shrinking" << std::endl;
             const Schedule least =
                 shrink(schedule, [&](const Schedule& s) { return !play(options, s).kept; });
             std::ofstream(out) << "# seed " << seed << ", " << options.sidecars << " sidecars, "
@@ -71,10 +71,10 @@
                   << " served: all kept" << std::endl;
         return 0;
     } catch (const std::invalid_argument& error) {
-        std::cerr << "elmbay_campaign: " << error.what() << std::endl;
+        std::cerr << "elmbay_chaos: " << error.what() << std::endl;
         return 2;
     } catch (const std::exception& error) {
-        std::cerr << "elmbay_campaign: " << error.what() << std::endl;
+        std::cerr << "elmbay_chaos: " << error.what() << std::endl;
         return 1;
     }
 }
--- a/tools/fault_proxy/main.cpp
+++ b/tools/fault_proxy/main.cpp
@@ -38,13 +38,13 @@
 public:
     Program(Script script, std::string path)
         : path_(std::move(path)),
-          ground_(io_, script.seed),
+          context_(io_, script.seed),
           ends_(io_, SIGTERM, SIGINT),
           again_(io_, SIGHUP) {
-        ground_.replace_all(std::move(script.rules));
+        context_.replace_all(std::move(script.rules));
         for (const LinkSpec& l : script.links) {
             links_.push_back(std::make_unique<StreamLink>(
-                ground_, Link{l.from, l.to}, loopback_endpoint(l.listen), loopback_endpoint(l.target)));
+                context_, Link{l.from, l.to}, loopback_endpoint(l.listen), loopback_endpoint(l.target)));
             std::cout << l.from << " -> " << l.to << " at " << text_of(links_.back()->endpoint())
                       << std::endl;
         }
@@ -54,7 +54,7 @@
             return udp::endpoint(e.address(), e.port());
         };
         net_ = std::make_unique<DatagramNet>(
-            ground_, udp_of(script.everybody.empty() ? "127.0.0.1:0" : script.everybody));
+            context_, udp_of(script.everybody.empty() ? "127.0.0.1:0" : script.everybody));
         for (const MemberSpec& m : script.members) net_->add(m.name, udp_of(m.listen), udp_of(m.target));
         std::cout << script.members.size() << " members of datagrams" << std::endl;
     }
@@ -63,7 +63,7 @@
             if (!error) io_.stop();
         });
         await_reload();
-        ground_.begin();
+        context_.begin();
         std::cout << "ready" << std::endl;
         io_.run();
         tell();
@@ -77,9 +77,9 @@
         again_.async_wait([this](boost::system::error_code error, int) {
             if (error) return;
             if (auto script = path_.empty() ? std::nullopt : read_script(path_)) {
-                ground_.replace_all(std::move(script->rules));
-                ground_.begin();
-                std::cout << "rules read again: " << ground_.rules().all().size() << std::endl;
+                context_.replace_all(std::move(script->rules));
+                context_.begin();
+                std::cout << "rules read again: " << context_.rules().all().size() << std::endl;
             }
             await_reload();
         });
@@ -96,7 +96,7 @@
 
     asio::io_context io_{1};
     const std::string path_;
-    Ground ground_;
+    EventLoopContext context_;
     std::vector<std::unique_ptr<StreamLink>> links_;
     std::unique_ptr<DatagramNet> net_;
     asio::signal_set ends_, again_;
