--- a/bench/balancer_cost.cpp
+++ b/bench/balancer_cost.cpp
@@ -36,7 +36,7 @@
     const auto out = static_cast<std::size_t>(state.range(1));
     Settings settings;
     settings.classes = {RequestClass{Idempotency::idempotent, DedupScope::all, 0, 400}};
-    settings.warm_within = 15000;
+    settings.slow_start_duration = 15000;
     settings.siblings = 1000;  // else the pool is the fleet
     Balancer balancer(settings, 1);
     std::vector<Action> actions;
--- a/bench/state_cost.cpp
+++ b/bench/state_cost.cpp
@@ -60,9 +60,9 @@
         }
         if (id % 500 != 0) continue;
         const auto from = Steady::now();
-        state::Snapshot snapshot{"n-1", {static_cast<std::int64_t>(now), 0, {}}, balancer.knowledge(now), {}};
+        state::Snapshot snapshot{"n-1", {static_cast<std::int64_t>(now), 0, {}}, balancer.learned_state(now), {}};
         took.push_back(micros(Steady::now() - from));
-        for (ServerKnowledge& s : snapshot.knowledge.servers) {
+        for (LearnedServerState& s : snapshot.learned_state.servers) {
             snapshot.uids.push_back("s-" + std::to_string(s.server));
             s.server = static_cast<std::uint32_t>(snapshot.uids.size() - 1);
         }
--- a/include/elmbay/balancer.hpp
+++ b/include/elmbay/balancer.hpp
@@ -14,7 +14,7 @@
 #include <variant>
 #include <vector>
 
-#include "elmbay/knowledge.hpp"
+#include "elmbay/learned_state.hpp"
 
 namespace elmbay::balancer {
 
@@ -58,14 +58,14 @@
     std::uint32_t siblings = 1;      // sidecars that share these servers, this one included
     bool list_on_request = false;    // the server list must be subscribed to
     std::uint32_t max_attempts = 3;  // for one request, the first included
-    bool parallel_tries = false;     // two attempts of one request may be out together
+    bool allow_hedging = false;     // two attempts of one request may be out together
     bool may_cancel = true;          // Cancel is permitted
-    double cold_from = 1;            // a starting server has at least this share of its capacity, 0 to 1
-    Millis warm_within = 0;          // and all of it after this
+    double slow_start_min_share = 1;            // a starting server has at least this share of its capacity, 0 to 1
+    Millis slow_start_duration = 0;          // and all of it after this
     // Sessions this sidecar may hold, those that are upgrading among them: in all (0: each is refused), and
     // at one server.
-    std::uint32_t most_sessions = 0, most_sessions_at_server = UINT32_MAX;
-    double fall_multiple = 2;  // sent more than this multiple of what it can do, a cold server falls over
+    std::uint32_t max_sessions = 0, max_sessions_per_server = UINT32_MAX;
+    double overload_multiple = 2;  // sent more than this multiple of what it can do, a cold server falls over
     Costs costs;
 };
 
@@ -76,7 +76,7 @@
 struct ServerInfo {
     ServerId id = 0;
     ZoneId zone = 0;
-    std::uint32_t kind = 0;  // of machine, as opaque as the zone: servers of one kind are likely to be alike
+    std::uint32_t machine_type = 0;  // as opaque as the zone: servers of one type are likely to be alike
     std::uint32_t cell = 0;
     EndpointState state = EndpointState::active;
     Millis online_since = 0;  // when it last started, see ServerList::wall_time; 0: long ago
@@ -107,12 +107,12 @@
     std::optional<Millis> wall_time{};
     // How long before the list a change may have happened without being told: since the last word of whoever
     // tells it, also that nothing has changed. Infinity: since before this life. Only used with wall_time.
-    Millis unheard_for = 0;
+    Millis list_age_bound = 0;
 };
 // What an earlier life of this sidecar had learned, before the first list. age: since it was taken, downtime
 // and all; less than 0: not known, and nothing of it is believed.
-struct Remembered {
-    Knowledge knowledge{};
+struct StateRestored {
+    LearnedState learned_state{};
     Millis age = -1;
 };
 struct RequestArrived {
@@ -122,7 +122,7 @@
     Millis time_left = 0;                   // until the client abandons this try
     Millis effort = 0;                      // expected work, 0 if not known
     bool repeat = false;                    // known to be the client's retry
-    bool no_place = false;                  // the driver can't keep it: it needs its answer at once
+    bool table_full = false;                  // the driver can't keep it: it needs its answer at once
     // Its attempts are upgrades, time_left is what they may take in all, its class says how often one may
     // take effect. Once AttemptEnded tells of a completed one, it belongs to its client until SessionEnded,
     // without a deadline.
@@ -156,7 +156,7 @@
 struct SiblingsKnown {
     std::uint32_t count = 0;
 };
-using Event = std::variant<Started, Remembered, ServerList, RequestArrived, FirstByte, AttemptEnded,
+using Event = std::variant<Started, StateRestored, ServerList, RequestArrived, FirstByte, AttemptEnded,
                            ClientDisconnected, SessionEnded, TimerFired, SiblingsKnown>;
 
 // ---- Actions --------------------------------------------------------------------------------------------
@@ -165,7 +165,7 @@
 struct StartAttempt {
     RequestId id = 0;
     ServerId server = 0;
-    Millis try_until = 0;  // the caller ends the attempt as overdue at this time
+    Millis attempt_deadline = 0;  // the caller ends the attempt as overdue at this time
     // Its last byte leaves before this time, or the attempt ends as superseded: by then the servers may have
     // forgotten the one that it repeats.
     Millis write_by = std::numeric_limits<Millis>::infinity();
@@ -176,7 +176,7 @@
 };
 struct Reject {  // final: trying again is harmless
     RequestId id = 0;
-    Millis retry_in = 0;  // 0: no advice
+    Millis retry_after = 0;  // 0: no advice
 };
 struct Fail {  // final: failed, promises nothing
     RequestId id = 0;
@@ -209,14 +209,14 @@
 
     // What this instance costs in memory: requests, servers and timers held at present, the length of the
     // list of those that wait for room, at most twice the requests and 64, and sessions, at most
-    // most_sessions.
-    struct Held {
+    // max_sessions.
+    struct ResourceUsage {
         std::size_t requests = 0, servers = 0, timers = 0, waiting = 0, sessions = 0;
     };
-    Held held() const;
+    ResourceUsage resource_usage() const;
 
     // What it has learned, to be given to the next life. Linear in the servers; changes nothing.
-    Knowledge knowledge(Millis now) const;
+    LearnedState learned_state(Millis now) const;
 
 private:
     struct Impl;
--- a/src/balancer/admission.cpp
+++ b/src/balancer/admission.cpp
@@ -1,6 +1,6 @@
 #include "balancer/admission.hpp"
 
-#include "balancer/memory.hpp"
+#include "balancer/learned_state_restorer.hpp"
 
 namespace elmbay::balancer {
 
@@ -45,8 +45,8 @@
     return std::max(least_ceiling_, learned_ * std::min(1.0, warm_ / std::max(1.0, taught_by_)));
 }
 
-void Admission::know(Knowledge& k, Millis now) const {
-    k.crowd = Memory::of(crowd_, now);
+void Admission::know(LearnedState& k, Millis now) const {
+    k.crowd = LearnedStateRestorer::of(crowd_, now);
     k.room = crowd_.count > 0 ? room(now) : 0;
     k.learned = learned_ * std::exp((at_ - now) / kLearned);
     k.taught_by = taught_by_;
@@ -54,9 +54,9 @@
 
 // The ceiling fades as ever. The room is as good as the answers that it follows: once these weigh less than
 // one, a new sidecar's is better.
-void Admission::recall(const Knowledge& k, Millis taken_at, Millis now) {
+void Admission::recall(const LearnedState& k, Millis taken_at, Millis now) {
     learned_ = k.learned, taught_by_ = k.taught_by, at_ = taken_at;
-    const DecayingAverage crowd = Memory::recalled(k.crowd, taken_at);
+    const DecayingAverage crowd = LearnedStateRestorer::recalled(k.crowd, taken_at);
     if (k.room > 0 && crowd.left(now, kMemory) >= 1) crowd_ = crowd, room_ = used_ = k.room;
 }
 
--- a/src/balancer/admission.hpp
+++ b/src/balancer/admission.hpp
@@ -17,7 +17,7 @@
 #include <cmath>
 
 #include "base/decaying.hpp"
-#include "elmbay/knowledge.hpp"
+#include "elmbay/learned_state.hpp"
 
 namespace elmbay::balancer {
 
@@ -51,8 +51,8 @@
     void set_siblings(std::uint32_t siblings) { each_ = kFloor / std::max(1U, siblings); }
 
     // What has been learned, into and out of a value; an earlier life's counts as of the time it was taken.
-    void know(Knowledge& k, Millis now) const;
-    void recall(const Knowledge& k, Millis taken_at, Millis now);
+    void know(LearnedState& k, Millis now) const;
+    void recall(const LearnedState& k, Millis taken_at, Millis now);
     // The pool has so many warm servers.
     void pool_is(std::size_t warm);
     // A warm server answered; ratio: the time it took over its objective. out: attempts still out with it.
--- a/src/balancer/aperture.cpp
+++ b/src/balancer/aperture.cpp
@@ -53,11 +53,11 @@
         if (!s->open() || s->ejection_state != EjectionState::healthy) continue;
         pool_.push_back(s);
         s->in_pool = true;
-        if (!cold_->is_cold(*s, now)) ++warm_, ++alike_[s->info.kind];
+        if (!cold_->is_cold(*s, now)) ++warm_, ++alike_[s->info.machine_type];
     }
     count_carriers(now);
-    for (const auto& [kind, warm] : alike_)
-        each_[kind] = of_[kind].rate(now, kRateMemory) / carriers_of_[kind].count(now, kRateMemory);
+    for (const auto& [machine_type, warm] : alike_)
+        each_[machine_type] = of_[machine_type].rate(now, kRateMemory) / carriers_of_[machine_type].count(now, kRateMemory);
 }
 
 // Divided by those that are left alone, what servers carried that have just gone would look like the work of
@@ -68,20 +68,20 @@
         carriers_.set(std::min(width_, static_cast<double>(listed_)), now, kRateMemory);
     }
     carriers_.set(static_cast<double>(warm_), now, kRateMemory);
-    for (const auto& [kind, warm] : alike_) carriers_of_.try_emplace(kind);
-    for (auto& [kind, carriers] : carriers_of_) {
-        const auto warm = alike_.find(kind);
+    for (const auto& [machine_type, warm] : alike_) carriers_of_.try_emplace(machine_type);
+    for (auto& [machine_type, carriers] : carriers_of_) {
+        const auto warm = alike_.find(machine_type);
         carriers.set(warm == alike_.end() ? 0 : warm->second, now, kRateMemory);
     }
 }
 
-double Aperture::each(std::uint32_t kind, Millis now) const {
-    const auto alike = alike_.find(kind), last = each_.find(kind);
+double Aperture::each(std::uint32_t machine_type, Millis now) const {
+    const auto alike = alike_.find(machine_type), last = each_.find(machine_type);
     const auto all = static_cast<double>(warm_);
     const double mean = carried_rate(now) / std::max(1.0, carriers_.count(now, kRateMemory));
     if (alike == alike_.end()) return last == each_.end() ? mean * (all > 0 ? kUnlike : 1) : last->second;
     if (alike->second == all) return mean;
-    return of_.at(kind).rate(now, kRateMemory) / carriers_of_.at(kind).count(now, kRateMemory);
+    return of_.at(machine_type).rate(now, kRateMemory) / carriers_of_.at(machine_type).count(now, kRateMemory);
 }
 
 }  // namespace elmbay::balancer
--- a/src/balancer/aperture.hpp
+++ b/src/balancer/aperture.hpp
@@ -53,12 +53,12 @@
         recalled_ = true;
     }
     // A warm server of that kind has completed a request.
-    void completed(std::uint32_t kind, Millis now) {
-        for (DecayingCounter* t : {&carried_, &of_[kind]}) t->add(now, kRateMemory);
+    void completed(std::uint32_t machine_type, Millis now) {
+        for (DecayingCounter* t : {&carried_, &of_[machine_type]}) t->add(now, kRateMemory);
     }
     double carried_rate(Millis now) const { return carried_.rate(now, kRateMemory); }
     // What one warm server of this kind carries of that, or carried when the pool last had one.
-    double each(std::uint32_t kind, Millis now) const;
+    double each(std::uint32_t machine_type, Millis now) const;
 
     bool stale(Millis now, int outstanding) const { return now >= until_ || outstanding > width_; }
     // outstanding: attempts at warm servers.
--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -23,7 +23,7 @@
 #include "balancer/fairness.hpp"
 #include "balancer/final_responder.hpp"
 #include "balancer/latency_estimate.hpp"
-#include "balancer/memory.hpp"
+#include "balancer/learned_state_restorer.hpp"
 #include "balancer/outcome_accounting.hpp"
 #include "balancer/pick.hpp"
 #include "balancer/request_table.hpp"
@@ -36,7 +36,7 @@
 #include "balancer/subscription_backoff.hpp"
 #include "balancer/timer_table.hpp"
 #include "balancer/wait_queue.hpp"
-#include "base/knowledge.hpp"
+#include "base/learned_state.hpp"
 #include "base/random.hpp"
 #include "base/settings.hpp"
 
@@ -73,7 +73,7 @@
     Admission admission{settings};
     Fairness fairness{settings.tenants};
     RetryBudget retry_budget;
-    Memory memory;
+    LearnedStateRestorer state_restorer;
     Sessions sessions{settings};
     Pick pick{settings, random, pace};
 
@@ -82,7 +82,7 @@
     WaitQueue queue;
     TimerTable timers{context};
     SubscriptionBackoff subscription_backoff;
-    ServerTable servers{random, pace, memory, aperture, ages};
+    ServerTable servers{random, pace, state_restorer, aperture, ages};
     ServerPool pool{aperture, ejection, admission, sessions};
 
     // What acts.
@@ -98,14 +98,14 @@
         if (settings.list_on_request) context.emit(Subscribe{true});
     }
 
-    void on(const Remembered& event) {
+    void on(const StateRestored& event) {
         if (!servers.empty()) return;  // too late: what we see ourselves is better
-        const Knowledge knowledge = sound(event.knowledge);
-        memory.keep(knowledge, event.age, context.now());
-        if (!memory.believed()) return;
-        admission.recall(knowledge, memory.taken_at(), context.now());
-        aperture.recall(knowledge.carried, memory.taken_at());
-        retry_budget.at_most(knowledge.retries_left);
+        const LearnedState learned_state = sound(event.learned_state);
+        state_restorer.keep(learned_state, event.age, context.now());
+        if (!state_restorer.believed()) return;
+        admission.recall(learned_state, state_restorer.taken_at(), context.now());
+        aperture.recall(learned_state.carried, state_restorer.taken_at());
+        retry_budget.at_most(learned_state.retries_left);
     }
 
     // What was out, learned or saved up stays; only what it is a part of is another number.
@@ -116,15 +116,15 @@
         pool.draw_pool(context.now());
     }
 
-    Knowledge known(Millis at) const {
-        Knowledge knowledge;
+    LearnedState known(Millis at) const {
+        LearnedState learned_state;
         for (const auto& [id, server] : servers.servers()) {
-            if (server.listed) knowledge.servers.push_back(Memory::of(server, at));
+            if (server.listed) learned_state.servers.push_back(LearnedStateRestorer::of(server, at));
         }
-        admission.know(knowledge, at);
-        knowledge.carried = aperture.carried_rate(at);
-        knowledge.retries_left = retry_budget.left();
-        return sound(std::move(knowledge));
+        admission.know(learned_state, at);
+        learned_state.carried = aperture.carried_rate(at);
+        learned_state.retries_left = retry_budget.left();
+        return sound(std::move(learned_state));
     }
 
     void on(const ServerList& list) {
@@ -152,7 +152,7 @@
         request.part = fairness.arrived(event.tenant, context.now());
         request.session = event.session && sessions.has_place();
         if (request.session) sessions.taken();
-        if (event.no_place || request.session != event.session) return responder.finish(request);
+        if (event.table_full || request.session != event.session) return responder.finish(request);
         timers.set_timer(request.deadline, request.id);
         dispatcher.place(request);
     }
@@ -276,9 +276,9 @@
     impl_->queue.purge_ended(impl_->requests);
 }
 
-Knowledge Balancer::knowledge(Millis now) const { return impl_->known(std::max(impl_->context.now(), now)); }
+LearnedState Balancer::learned_state(Millis now) const { return impl_->known(std::max(impl_->context.now(), now)); }
 
-Balancer::Held Balancer::held() const {
+Balancer::ResourceUsage Balancer::resource_usage() const {
     return {impl_->requests.size(), impl_->servers.size(), impl_->timers.size(), impl_->queue.size(),
             impl_->sessions.held()};
 }
--- a/src/balancer/cold_start.hpp
+++ b/src/balancer/cold_start.hpp
@@ -1,6 +1,6 @@
 // Cold start (rule 4: no cold server pushed over).
 //
-// A server of age a does at least cold_from of its work, rising evenly to all of it at warm_within. It is
+// A server of age a does at least slow_start_min_share of its work, rising evenly to all of it at slow_start_duration. It is
 // sent that share of what a warm server of its kind carries for us (not of the mean of all: what starting
 // servers lag behind must not halve their feed, and what large ones carry would fell a small one), so the sum
 // over all sidecars stays within what it can do without agreement among them. Carried, not sent or asked for:
@@ -25,7 +25,7 @@
     };
 
     explicit ColdStart(const Settings& settings)
-        : from_(settings.cold_from), within_(settings.warm_within), fall_(settings.fall_multiple) {}
+        : from_(settings.slow_start_min_share), within_(settings.slow_start_duration), fall_(settings.overload_multiple) {}
 
     bool is_cold(const Server& s, Millis now) const {
         return within_ > 0 && now < s.process.started_at + within_;
--- a/src/balancer/final_responder.cpp
+++ b/src/balancer/final_responder.cpp
@@ -9,7 +9,7 @@
     const Millis now = context_->now();
     for (Attempt& attempt : request.attempts) attempt.timed_out = attempt.out && now >= request.deadline;
     cancel_all(request);
-    const Millis wait = retry_in(request);
+    const Millis wait = retry_after(request);
     if (request.may_refuse(now + wait))  // harmless when it comes back
         context_->emit(Reject{request.id, wait});
     else
@@ -20,7 +20,7 @@
 
 // When to come back: what is out now has half its time left in the mean, and then leaves its place. No
 // sooner than what the request might have waited here.
-Millis FinalResponder::retry_in(const Request& request) const {
+Millis FinalResponder::retry_after(const Request& request) const {
     return request.kind.latency_objective * std::max(kWaitShare, std::min(1.0, admission_->crowd()) / 2);
 }
 
--- a/src/balancer/final_responder.hpp
+++ b/src/balancer/final_responder.hpp
@@ -25,7 +25,7 @@
     void cancel_all(const Request& request);
 
 private:
-    Millis retry_in(const Request& request) const;
+    Millis retry_after(const Request& request) const;
 
     const Settings* settings_;
     EventContext* context_;
--- a/src/balancer/latency_estimate.hpp
+++ b/src/balancer/latency_estimate.hpp
@@ -17,7 +17,7 @@
         2;  // the kind counts as much as this many answers of the server's own
 
     // A server that the list tells of, for the first time or as another kind.
-    void learn(Server& s) { s.kind = &kinds_[s.info.kind]; }
+    void learn(Server& s) { s.kind = &machine_types_[s.info.machine_type]; }
     // ratio: an answer's time over its objective. A cold server is slow by nature and says nothing of its
     // kind.
     void answered(Server& s, double ratio, bool cold, Millis now) const {
@@ -31,7 +31,7 @@
     }
 
 private:
-    std::map<std::uint32_t, DecayingAverage> kinds_;  // nodes stay where they are: servers point at them
+    std::map<std::uint32_t, DecayingAverage> machine_types_;  // nodes stay where they are: servers point at them
 };
 
 }  // namespace elmbay::balancer
--- a/src/balancer/memory.cpp
+++ b/src/balancer/learned_state_restorer.cpp
@@ -1,21 +1,21 @@
-#include "balancer/memory.hpp"
+#include "balancer/learned_state_restorer.hpp"
 
 #include <algorithm>
 #include <cmath>
 
 namespace elmbay::balancer {
 
-void Memory::keep(const Knowledge& knowledge, Millis age, Millis now) {
+void LearnedStateRestorer::keep(const LearnedState& learned_state, Millis age, Millis now) {
     believed_ = age >= 0 && age <= kBelieved;
     if (!believed_) return;
     taken_at_ = now - age;
-    for (const ServerKnowledge& s : knowledge.servers) servers_.try_emplace(s.server, s);
+    for (const LearnedServerState& s : learned_state.servers) servers_.try_emplace(s.server, s);
 }
 
-void Memory::recall(Server& s, bool may_remove, Millis now) {
+void LearnedStateRestorer::recall(Server& s, bool may_remove, Millis now) {
     const auto at = servers_.find(s.info.id);
     if (at == servers_.end()) return;
-    const ServerKnowledge k = at->second;
+    const LearnedServerState k = at->second;
     servers_.erase(at);
     const Millis age = now - taken_at_;
     s.tokens = std::min(s.tokens, k.tokens);
@@ -30,8 +30,8 @@
     for (std::uint32_t i = believed; i-- > 0;) s.window.add((k.outcomes >> i & 1U) != 0);
 }
 
-ServerKnowledge Memory::of(const Server& s, Millis now) {
-    ServerKnowledge k{s.info.id, s.info.online_since, s.window.bits(), s.window.filled(), {}, s.tokens};
+LearnedServerState LearnedStateRestorer::of(const Server& s, Millis now) {
+    LearnedServerState k{s.info.id, s.info.online_since, s.window.bits(), s.window.filled(), {}, s.tokens};
     if (s.ejection_state == EjectionState::ejected) k.out_ms = std::max(0.0, s.backoff_until - now);
     if (s.ejection_state == EjectionState::probing)
         k.out_ms = 0;  // undecided: the next life tries it at once
--- a/src/balancer/memory.hpp
+++ b/src/balancer/learned_state_restorer.hpp
@@ -9,19 +9,19 @@
 #include <map>
 
 #include "balancer/server.hpp"
-#include "elmbay/knowledge.hpp"
+#include "elmbay/learned_state.hpp"
 
 namespace elmbay::balancer {
 
-class Memory {
+class LearnedStateRestorer {
 public:
     // A server's record older than this says nothing of now; the fading means forget by themselves.
     static constexpr Millis kBelieved = 300000;
     // Outcomes of a window fade like this: the oldest go first.
     static constexpr Millis kOutcomes = 60000;
 
-    // Sound knowledge. age: since it was taken; of less than 0 or none, nothing is believed.
-    void keep(const Knowledge& knowledge, Millis age, Millis now);
+    // Sound learned_state. age: since it was taken; of less than 0 or none, nothing is believed.
+    void keep(const LearnedState& learned_state, Millis age, Millis now);
     bool believed() const { return believed_; }
     Millis taken_at() const { return taken_at_; }
     // What is known of this process of a server that is new to us, once. may_remove: the pool can spare it.
@@ -29,16 +29,16 @@
     void forget_servers() { servers_.clear(); }
 
     // As of now.
-    static ServerKnowledge of(const Server& s, Millis now);
-    static FadingKnowledge of(const DecayingAverage& mean, Millis now) {
+    static LearnedServerState of(const Server& s, Millis now);
+    static DecayedMean of(const DecayingAverage& mean, Millis now) {
         return {mean.value, mean.count, now - mean.at};
     }
-    static DecayingAverage recalled(const FadingKnowledge& known, Millis taken_at) {
+    static DecayingAverage recalled(const DecayedMean& known, Millis taken_at) {
         return {{known.weight, taken_at - known.since}, known.value};
     }
 
 private:
-    std::map<ServerId, ServerKnowledge> servers_;
+    std::map<ServerId, LearnedServerState> servers_;
     Millis taken_at_ = 0;
     bool believed_ = false;
 };
--- a/src/balancer/outcome_accounting.cpp
+++ b/src/balancer/outcome_accounting.cpp
@@ -16,7 +16,7 @@
             record_latency(server, Admission::kMaxRatio, cold);
         else if (completed || event.outcome == Outcome::timed_out)
             record_latency(server, std::max(0.0, event.duration) / request.kind.latency_objective, cold);
-        if (completed && !attempt.cold) parts_.aperture.completed(server.info.kind, now);
+        if (completed && !attempt.cold) parts_.aperture.completed(server.info.machine_type, now);
     }
     const bool late = event.duration > request.kind.latency_objective && !cold;
     judge(server, event.outcome, attempt.trial, late);
--- a/src/balancer/request.cpp
+++ b/src/balancer/request.cpp
@@ -36,7 +36,7 @@
     if (ended || streaming || now >= deadline) return false;  // rule 1
     if (attempts.size() >= settings.max_attempts) return false;
     if (!s.open()) return false;  // rule 3
-    if (any_out() && (!settings.parallel_tries || kind.idempotency == Idempotency::non_idempotent))
+    if (any_out() && (!settings.allow_hedging || kind.idempotency == Idempotency::non_idempotent))
         return false;
     if (now >= write_by()) return false;  // rule 2
     if (kind.idempotency == Idempotency::idempotency_key)
--- a/src/balancer/server_age.cpp
+++ b/src/balancer/server_age.cpp
@@ -55,8 +55,8 @@
 }
 
 void ServerAges::place(std::vector<Start> starts, const ServerList& list, Millis now) {
-    const bool first_list = std::isinf(list.unheard_for);
-    const bool may_be_older = list.unheard_for > kOutage;
+    const bool first_list = std::isinf(list.list_age_bound);
+    const bool may_be_older = list.list_age_bound > kOutage;
     // Few starts in an outage cost little as cold ones. Then nothing needs to be believed.
     if (may_be_older && (first_list || starts.size() > doubted()))
         return place_by_claims(std::move(starts), list, now);
@@ -70,7 +70,7 @@
     std::sort(starts.begin(), starts.end(), [](const Start& a, const Start& b) { return a.told > b.told; });
     std::size_t may_doubt = doubted();
     for (const Start& start : starts) {
-        Millis age = std::min(wall_time - start.told, list.unheard_for);
+        Millis age = std::min(wall_time - start.told, list.list_age_bound);
         if (may_doubt > 0) {
             --may_doubt;
             age = std::min(age, least.without(start.server) - start.told);
--- a/src/balancer/server_age.hpp
+++ b/src/balancer/server_age.hpp
@@ -6,7 +6,7 @@
 //
 // Contract, for lists that come with a reading of our wall clock:
 // - A server's age counts from the first hearing of its youngest process. It is warm at the latest
-//   warm_within after that hearing.
+//   slow_start_duration after that hearing.
 // - A start that is heard of while discovery was being listened to has age 0, whatever the wall clocks say.
 // - A start that may be older than its hearing (the first lists of a life, a list after an outage) has the
 //   age that our wall clock tells, but the youngest part of the list has no more than the other servers'
--- a/src/balancer/server_table.cpp
+++ b/src/balancer/server_table.cpp
@@ -14,7 +14,7 @@
         change(list.servers, now);
     else
         replace(list.servers, now);
-    if (list.kind == ListKind::snapshot) memory_->forget_servers();
+    if (list.kind == ListKind::snapshot) restorer_->forget_servers();
 }
 
 void ServerTable::replace(const std::vector<ServerInfo>& list, Millis now) {
@@ -62,7 +62,7 @@
     server.listed = info.state != EndpointState::removed;
     if (!fresh) return server;
     // Half of the list stays in the pool, whatever the restored state says of it.
-    memory_->recall(server, 2 * (recalled_out_ + 1) <= listed_, now);
+    restorer_->recall(server, 2 * (recalled_out_ + 1) <= listed_, now);
     recalled_out_ += server.ejection_state == EjectionState::ejected;
     return server;
 }
--- a/src/balancer/server_table.hpp
+++ b/src/balancer/server_table.hpp
@@ -4,7 +4,7 @@
 
 #include "balancer/aperture.hpp"
 #include "balancer/latency_estimate.hpp"
-#include "balancer/memory.hpp"
+#include "balancer/learned_state_restorer.hpp"
 #include "balancer/server.hpp"
 #include "balancer/server_age.hpp"
 #include "base/random.hpp"
@@ -18,8 +18,8 @@
 /// one goes. Bound: the list's length (the driver's limit) and what is outstanding at servers that left it.
 class ServerTable {
 public:
-    ServerTable(Random& random, LatencyEstimate& pace, Memory& memory, Aperture& aperture, ServerAges& ages)
-        : random_(&random), pace_(&pace), memory_(&memory), aperture_(&aperture), ages_(&ages) {}
+    ServerTable(Random& random, LatencyEstimate& pace, LearnedStateRestorer& restorer, Aperture& aperture, ServerAges& ages)
+        : random_(&random), pace_(&pace), restorer_(&restorer), aperture_(&aperture), ages_(&ages) {}
 
     /// Takes in a list of any kind but failed. The pool has to be drawn anew next.
     void apply(const ServerList& list, Millis now);
@@ -44,7 +44,7 @@
 
     Random* random_;
     LatencyEstimate* pace_;
-    Memory* memory_;
+    LearnedStateRestorer* restorer_;
     Aperture* aperture_;
     ServerAges* ages_;
     std::map<ServerId, Server> servers_;
--- a/src/balancer/sessions.hpp
+++ b/src/balancer/sessions.hpp
@@ -18,7 +18,7 @@
     // out: a sidecar with few requests and many sessions must not keep them all at the narrowest pool.
     static constexpr std::size_t kEach = 32;
 
-    explicit Sessions(const Settings& s) : most_(s.most_sessions), most_at_one_(s.most_sessions_at_server) {}
+    explicit Sessions(const Settings& s) : most_(s.max_sessions), most_at_one_(s.max_sessions_per_server) {}
 
     // Bounds: of all that are held or upgrading, and of those at one server (Server::sessions).
     bool has_place() const { return held_.size() + upgrading_ < most_; }
--- a/src/base/config.cpp
+++ b/src/base/config.cpp
@@ -78,7 +78,7 @@
         t.endpoint =
             endpoint(text(member(entry, "endpoint", path + "."), path + ".endpoint"), path + ".endpoint");
     if (const auto at = entry.find("az"); at != entry.end()) t.zone = text(*at, path + ".az");
-    if (const auto at = entry.find("model"); at != entry.end()) t.kind = text(*at, path + ".model");
+    if (const auto at = entry.find("model"); at != entry.end()) t.machine_type = text(*at, path + ".model");
     if (const auto at = entry.find("pod_group"); at != entry.end())
         t.cell = static_cast<std::uint32_t>(whole(*at, path + ".pod_group"));
     if (const auto at = entry.find("boot_ms"); at != entry.end())
--- a/src/base/config.hpp
+++ b/src/base/config.hpp
@@ -29,7 +29,7 @@
     std::string uid;
     Endpoint endpoint;
     std::string zone;
-    std::string kind;
+    std::string machine_type;
     std::uint32_t cell = 0;
     balancer::EndpointState state = balancer::EndpointState::active;
     Millis online_since = 0;
@@ -40,7 +40,7 @@
     bool all = false;
     std::vector<Target> targets;
     std::size_t passed_over = 0;                                   // targets beyond kMaxTargets
-    Millis unheard_for = std::numeric_limits<Millis>::infinity();  // balancer::ServerList's
+    Millis list_age_bound = std::numeric_limits<Millis>::infinity();  // balancer::ServerList's
 };
 // Targets that are taken of one list: three times what a sidecar keeps listed (EndpointRegistry). An
 // incremental list names those that left as well; no honest one is as long as this.
--- a/src/base/knowledge.cpp
+++ b/src/base/learned_state.cpp
@@ -1,4 +1,4 @@
-#include "base/knowledge.hpp"
+#include "base/learned_state.hpp"
 
 #include <algorithm>
 
@@ -17,16 +17,16 @@
     if (!within(figure, least, most)) figure = unknown;
 }
 
-void mend(FadingKnowledge& k) {
+void mend(DecayedMean& k) {
     if (!within(k.value, 0, kMaxMean) || !within(k.weight, 0, kMaxSamples) || !within(k.since, 0, kDay))
         k = {0, 0, kDay};
 }
 
 }  // namespace
 
-Knowledge sound(Knowledge k) {
+LearnedState sound(LearnedState k) {
     if (k.servers.size() > kMaxRememberedServers) k.servers.resize(kMaxRememberedServers);
-    for (ServerKnowledge& s : k.servers) {
+    for (LearnedServerState& s : k.servers) {
         if (!within(s.online_since, 0, 1e15)) s.online_since = -1;  // of no process that there can be
         if (s.seen > kMaxOutcomes) s.seen = s.outcomes = 0;
         if (s.out_ms && !within(*s.out_ms, 0, kLongestOut)) s.out_ms.reset();
--- a/src/base/knowledge.hpp
+++ b/src/base/learned_state.hpp
@@ -1,14 +1,14 @@
 // Whether remembered figures make sense; what follows from them is decided under src/balancer.
 #pragma once
 
-#include "elmbay/knowledge.hpp"
+#include "elmbay/learned_state.hpp"
 
 namespace elmbay::balancer {
 
-// Each field in the range that knowledge.hpp states; one that was not, or was not finite, is as if it had not
+// Each field in the range that learned_state.hpp states; one that was not, or was not finite, is as if it had not
 // been known. At most kMaxRememberedServers, the first
 // of them.
-Knowledge sound(Knowledge knowledge);
+LearnedState sound(LearnedState learned_state);
 
 constexpr std::size_t kMaxRememberedServers = 4096;  // as many as a sidecar lists
 
--- a/src/base/settings.cpp
+++ b/src/base/settings.cpp
@@ -28,9 +28,9 @@
     for (std::size_t i = 0; i < s.tenants.size(); ++i)
         check_time(s.tenants[i].quota, "tenants[" + std::to_string(i) + "].quota");
     check(s.max_attempts >= 1, "max_attempts");
-    check_time(s.warm_within, "warm_within");
-    check(std::isfinite(s.fall_multiple) && s.fall_multiple >= 1, "fall_multiple");
-    check(s.cold_from >= 0 && s.cold_from <= 1, "cold_from");
+    check_time(s.slow_start_duration, "warm_within");
+    check(std::isfinite(s.overload_multiple) && s.overload_multiple >= 1, "fall_multiple");
+    check(s.slow_start_min_share >= 0 && s.slow_start_min_share <= 1, "cold_from");
     check_time(s.costs.cross_zone, "fees.cross_zone");
 }
 
--- a/src/base/site.cpp
+++ b/src/base/site.cpp
@@ -116,11 +116,11 @@
     if (start.has("my-number")) site.my_number = static_cast<std::uint32_t>(start.integer("my-number"));
     site.may_tell = start.flag_or("limits.may-tell", site.may_tell);
     s.max_attempts = static_cast<std::uint32_t>(start.integer_or("limits.max-attempts", s.max_attempts));
-    s.parallel_tries = start.flag_or("limits.parallel-tries", s.parallel_tries);
+    s.allow_hedging = start.flag_or("limits.parallel-tries", s.allow_hedging);
     s.may_cancel = start.flag_or("limits.may-cancel", false);
-    s.cold_from = start.number_or("rules.cold-from", s.cold_from);
-    s.fall_multiple = start.number_or("rules.fall-multiple", s.fall_multiple);
-    s.warm_within = start.number_or("rules.warm-within-ms", s.warm_within);
+    s.slow_start_min_share = start.number_or("rules.cold-from", s.slow_start_min_share);
+    s.overload_multiple = start.number_or("rules.fall-multiple", s.overload_multiple);
+    s.slow_start_duration = start.number_or("rules.warm-within-ms", s.slow_start_duration);
     s.costs.cross_zone = start.number_or("fees.cross-zone", s.costs.cross_zone);
     site.connect_timeout = start.number_or("limits.connect-timeout-ms", site.connect_timeout);
     site.idle_close = start.number_or("limits.idle-close-ms", site.idle_close);
--- a/src/base/site.hpp
+++ b/src/base/site.hpp
@@ -56,7 +56,7 @@
 struct Site {
     Settings settings;
     std::vector<std::string> zones;
-    std::vector<std::string> kinds;
+    std::vector<std::string> machine_types;
     std::vector<std::string> classes;
     std::vector<Millis> give_up;  // by class: how long its client waits, all tries together
     std::vector<std::string> tenants;
--- a/src/engine/engine.cpp
+++ b/src/engine/engine.cpp
@@ -15,8 +15,8 @@
 
 void Engine::begin(Millis now) { give(now, Started{}); }
 
-void Engine::remember(Millis now, Knowledge knowledge, Millis age) {
-    give(now, Remembered{std::move(knowledge), age});
+void Engine::restore_state(Millis now, LearnedState learned_state, Millis age) {
+    give(now, StateRestored{std::move(learned_state), age});
 }
 
 void Engine::take(Millis now, const RequestArrived& request) {
@@ -71,17 +71,17 @@
                            const auto at = requests_.find(a.id);
                            if (at == requests_.end()) return;
                            ++at->second.out;
-                           port_.start({a.id, at->second.sent++}, a.server, a.try_until, a.write_by);
+                           port_.start({a.id, at->second.sent++}, a.server, a.attempt_deadline, a.write_by);
                            if (failpoint_enabled("twice")) {
                                ++at->second.out;
-                               port_.start({a.id, at->second.sent++}, a.server, a.try_until, a.write_by);
+                               port_.start({a.id, at->second.sent++}, a.server, a.attempt_deadline, a.write_by);
                            }
                        },
                        [this](const Cancel& a) {
                            port_.cancel({a.id, a.attempt});
                        },
                        [this](const Reject& a) {
-                           finish(a.id, {Final::Kind::refused, a.retry_in});
+                           finish(a.id, {Final::Kind::refused, a.retry_after});
                            settle(a.id);
                        },
                        [this](const Fail& a) {
--- a/src/engine/engine.hpp
+++ b/src/engine/engine.hpp
@@ -43,7 +43,7 @@
         failed    // promises nothing
     };
     Kind kind = Kind::failed;
-    Millis retry_in = 0;     // refused: when to come back; 0: no advice
+    Millis retry_after = 0;     // refused: when to come back; 0: no advice
     bool timed_out = false;  // failed: nothing came in time, rather than a wrong thing
 };
 
@@ -74,8 +74,8 @@
     // The first call.
     void begin(Millis now);
     // What an earlier life had learned and how long ago; between begin() and the first listed().
-    void remember(Millis now, balancer::Knowledge knowledge, Millis age);
-    balancer::Knowledge knowledge(Millis now) const { return balancer_.knowledge(now); }
+    void restore_state(Millis now, balancer::LearnedState learned_state, Millis age);
+    balancer::LearnedState learned_state(Millis now) const { return balancer_.learned_state(now); }
     // A request has been taken. Its id must be new; one that is in the table already is left as it is.
     void take(Millis now, const balancer::RequestArrived& request);
     // Its caller no longer waits. Unknown or finished ones are nothing new.
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -57,13 +57,13 @@
           every_(static_cast<std::int64_t>(settings.every)),
           timer_(io) {}
 
-    std::optional<elmbay::Sidecar::Remembered> load() {
+    std::optional<elmbay::Sidecar::RestoredState> load() {
         auto loaded = writer_.start();
         failures_.started(writer_.status());
         for (const std::string& line : elmbay::state::load_events(loaded, folder_)) log(line);
         if (!loaded.snapshot) return {};
         const double age = elmbay::state::age_of(loaded.snapshot->taken, elmbay::state::current_timestamp());
-        return elmbay::Sidecar::Remembered{std::move(*loaded.snapshot), age};
+        return elmbay::Sidecar::RestoredState{std::move(*loaded.snapshot), age};
     }
     void keep(const elmbay::Sidecar& sidecar) {
         timer_.expires_after(every_);
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -174,7 +174,7 @@
             return false;
         }
         const Millis now = owner_.clock_.now();
-        listing.unheard_for = now - std::exchange(owner_.last_word_, now);
+        listing.list_age_bound = now - std::exchange(owner_.last_word_, now);
         owner_.rev_ = listing.rev;
         owner_.wait_ = owner_.waits_.first;
         owner_.listed_(std::move(listing));
--- a/src/sidecar/endpoint_registry.cpp
+++ b/src/sidecar/endpoint_registry.cpp
@@ -43,7 +43,7 @@
     if (entry.first_told == 0 || other_process) entry.first_told = lists_;
     entry.info = {entry.info.id,
                   name_number(zones_, target.zone),
-                  name_number(kinds_, target.kind),
+                  name_number(machine_types_, target.machine_type),
                   target.cell,
                   target.state,
                   target.online_since,
--- a/src/sidecar/endpoint_registry.hpp
+++ b/src/sidecar/endpoint_registry.hpp
@@ -50,8 +50,8 @@
     };
 
     // zones, kinds: the names that have numbers already.
-    explicit EndpointRegistry(std::vector<std::string> zones = {}, std::vector<std::string> kinds = {})
-        : zones_(std::move(zones)), kinds_(std::move(kinds)) {}
+    explicit EndpointRegistry(std::vector<std::string> zones = {}, std::vector<std::string> machine_types = {})
+        : zones_(std::move(zones)), machine_types_(std::move(machine_types)) {}
     EndpointRegistry(const EndpointRegistry&) = delete;
     EndpointRegistry& operator=(const EndpointRegistry&) = delete;
 
@@ -90,7 +90,7 @@
     std::unordered_map<balancer::ServerId, const Entry*> by_id_;  // all entries
     std::map<Endpoint, Position> by_endpoint_;                    // listed entries
     std::map<std::string_view, Position> withdrawn_;              // by uid: entries that are not listed
-    std::vector<std::string> zones_, kinds_;
+    std::vector<std::string> zones_, machine_types_;
     ServerNumbers numbers_;
     std::uint64_t lists_ = 0;  // taken over so far
     std::uint64_t visited_ = 0;
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -92,8 +92,8 @@
     const auto bound = [](std::uint64_t n) {
         return static_cast<std::uint32_t>(std::min<std::uint64_t>(n, UINT32_MAX));
     };
-    config.site.settings.most_sessions = websocket.on ? bound(websocket.most) : 0;
-    config.site.settings.most_sessions_at_server = bound(websocket.most_at_server);
+    config.site.settings.max_sessions = websocket.on ? bound(websocket.most) : 0;
+    config.site.settings.max_sessions_per_server = bound(websocket.most_at_server);
     return config;
 }
 
@@ -106,7 +106,7 @@
 
 }  // namespace
 
-Sidecar::Sidecar(asio::io_context& io, Config config, std::optional<Remembered> remembered,
+Sidecar::Sidecar(asio::io_context& io, Config config, std::optional<RestoredState> remembered,
                  const websocket::Settings& websocket, Clock clock)
     : io_(io),
       clock_(clock),
@@ -115,7 +115,7 @@
       budget_(budget_of(config_, websocket)),
       bytes_(config_.memory / kLongShare),
       engine_(config_.site.settings, config_.seed, *this),
-      servers_(config_.site.zones, config_.site.kinds),
+      servers_(config_.site.zones, config_.site.machine_types),
       upstream_(
           io, budget_, bytes_, timers_, clock_, {config_.site.connect_timeout, config_.site.idle_close},
           [this](AttemptKey key, Outcome outcome, Millis duration, HttpResponse response) {
@@ -142,7 +142,7 @@
       listener_(io, config_.listen, budget_, bytes_, timers_, clock_, longest_deadline(config_.site),
                 listener_handlers(websocket)) {
     engine_.begin(clock_.now());
-    if (remembered) remember(std::move(*remembered));
+    if (remembered) restore_state(std::move(*remembered));
     listed(ListKind::cached, std::exchange(config_.known, {}));
     if (!config_.site.settings.list_on_request) discovery_.watch();
 }
@@ -167,34 +167,34 @@
 }
 
 // The module knows servers by numbers, and numbers don't last: each name gets one before a list names it.
-void Sidecar::remember(Remembered remembered) {
-    balancer::Knowledge& knowledge = remembered.snapshot.knowledge;
-    for (std::size_t i = 0; i < knowledge.servers.size() && i < remembered.snapshot.uids.size(); ++i)
-        knowledge.servers[i].server = servers_.reserve(remembered.snapshot.uids[i]);
-    engine_.remember(clock_.now(), std::move(knowledge), remembered.age);
+void Sidecar::restore_state(RestoredState remembered) {
+    balancer::LearnedState& learned_state = remembered.snapshot.learned_state;
+    for (std::size_t i = 0; i < learned_state.servers.size() && i < remembered.snapshot.uids.size(); ++i)
+        learned_state.servers[i].server = servers_.reserve(remembered.snapshot.uids[i]);
+    engine_.restore_state(clock_.now(), std::move(learned_state), remembered.age);
 }
 
 state::Snapshot Sidecar::snapshot() const {
-    state::Snapshot snapshot{config_.name, {}, engine_.knowledge(clock_.now()), {}};
+    state::Snapshot snapshot{config_.name, {}, engine_.learned_state(clock_.now()), {}};
     std::unordered_map<ServerId, const std::string*> names;
     for (const auto& [uid, entry] : servers_.entries())
         if (uid.size() <= state::kMaxNameBytes) names[entry.info.id] = &uid;
-    std::vector<ServerKnowledge> named;
-    for (ServerKnowledge& s : snapshot.knowledge.servers) {
+    std::vector<LearnedServerState> named;
+    for (LearnedServerState& s : snapshot.learned_state.servers) {
         const auto name = names.find(s.server);
         if (name == names.end()) continue;
         s.server = static_cast<std::uint32_t>(snapshot.uids.size());
         snapshot.uids.push_back(*name->second);
         named.push_back(s);
     }
-    snapshot.knowledge.servers = std::move(named);
+    snapshot.learned_state.servers = std::move(named);
     return snapshot;
 }
 
 nlohmann::json Sidecar::status() {
-    const balancer::Knowledge knowledge = engine_.knowledge(clock_.now());
-    std::unordered_map<ServerId, const ServerKnowledge*> learned;
-    for (const ServerKnowledge& s : knowledge.servers) learned[s.server] = &s;
+    const balancer::LearnedState learned_state = engine_.learned_state(clock_.now());
+    std::unordered_map<ServerId, const LearnedServerState*> learned;
+    for (const LearnedServerState& s : learned_state.servers) learned[s.server] = &s;
     nlohmann::json servers = nlohmann::json::array();
     for (const auto& [uid, entry] : servers_.entries()) {
         const char* state = !entry.listed                                 ? "left"
@@ -225,8 +225,8 @@
                             {{"clients", budget_.used(elmbay::Side::clients)},
                              {"servers", budget_.used(elmbay::Side::servers)},
                              {"sessions", budget_.used(elmbay::Side::sessions)}}},
-                           {"room", knowledge.room},
-                           {"crowd", knowledge.crowd.value},
+                           {"room", learned_state.room},
+                           {"crowd", learned_state.crowd.value},
                            {"servers", std::move(servers)}};
     if (cluster_) told["cluster"] = cluster_->status();
     return told;
@@ -274,7 +274,7 @@
 
 void Sidecar::arrived(RequestId id, HttpRequest request, Arrival arrival) {
     RequestArrived event = describe(id, request, config_.site, kAnswerMargin, arrival.waited);
-    event.no_place = !arrival.has_place;
+    event.table_full = !arrival.has_place;
     ++counts_.taken;
     messages_[id] = std::make_shared<const HttpRequest>(for_server(std::move(request)));
     engine_.take(clock_.now(), event);
@@ -284,7 +284,7 @@
     RequestArrived event = describe(id, request, config_.site, kAnswerMargin, arrival.waited);
     event.session = true;
     if (!websocket_->take(id, std::move(client), std::move(request))) return;
-    event.no_place = !arrival.has_place || !websocket_->has_place(id);
+    event.table_full = !arrival.has_place || !websocket_->has_place(id);
     engine_.take(clock_.now(), event);
 }
 
@@ -308,7 +308,7 @@
 
 void Sidecar::listed(ListKind kind, const Listing& listing) {
     const EndpointRegistry::Update update = servers_.apply(kind, listing.targets);
-    ServerList list{kind, {}, clock_.wall(), listing.unheard_for};
+    ServerList list{kind, {}, clock_.wall(), listing.list_age_bound};
     list.servers.reserve(update.changes.size());
     // The sockets hear of a drain before the module acts on it: nothing waiting may slip out.
     for (const EndpointRegistry::Change& change : update.changes) {
@@ -364,9 +364,9 @@
         response.body() = std::move(ended_->body());
     } else if (outcome.kind == Kind::refused) {
         response.result(http::status::service_unavailable);
-        if (outcome.retry_in > 0) {
+        if (outcome.retry_after > 0) {
             char seconds[32];
-            std::snprintf(seconds, sizeof seconds, "%.3f", outcome.retry_in / 1000);
+            std::snprintf(seconds, sizeof seconds, "%.3f", outcome.retry_after / 1000);
             response.set(http::field::retry_after, seconds);
         }
         response.body() = "refused: trying again is harmless\n";
--- a/src/sidecar/sidecar.hpp
+++ b/src/sidecar/sidecar.hpp
@@ -29,11 +29,11 @@
     // Throws boost::system::system_error if it can't listen, std::invalid_argument for settings that make no
     // sense.
     // remembered: what an earlier life had learned, and its age in milliseconds (less than 0: not known).
-    struct Remembered {
+    struct RestoredState {
         state::Snapshot snapshot;
         Millis age = -1;
     };
-    Sidecar(asio::io_context& io, Config config, std::optional<Remembered> remembered = {},
+    Sidecar(asio::io_context& io, Config config, std::optional<RestoredState> remembered = {},
             const websocket::Settings& websocket = {}, Clock clock = Clock());
     Sidecar(const Sidecar&) = delete;
     Sidecar& operator=(const Sidecar&) = delete;
@@ -65,7 +65,7 @@
     void attempt_ended(AttemptKey key, Outcome outcome, Millis duration, HttpResponse response);
     void listed(balancer::ListKind kind, const Listing& listing);
 
-    void remember(Remembered remembered);
+    void restore_state(RestoredState remembered);
 
     // What the engine wants done.
     void start(AttemptKey key, ServerId server, Millis until, Millis write_by) override;
--- a/src/simulation/balancers.cpp
+++ b/src/simulation/balancers.cpp
@@ -20,7 +20,7 @@
     void handle(Millis now, const Event& event, std::vector<Action>& actions) override {
         balancer_.handle(now, event, actions);
     }
-    Knowledge knowledge(Millis now) const override { return balancer_.knowledge(now); }
+    LearnedState learned_state(Millis now) const override { return balancer_.learned_state(now); }
 
 private:
     Balancer balancer_;
@@ -79,7 +79,7 @@
 
     void on(const Started&) {}
     void on(const SessionEnded&) {}  // the simulation has none
-    void on(const Remembered&) {}
+    void on(const StateRestored&) {}
     void on(const SiblingsKnown&) {}
     void on(const FirstByte&) {}
     void on(const ServerList& list) {
@@ -168,7 +168,7 @@
     }
     bool usable(const Server& s) const {
         if (s.info.state != EndpointState::active || now_ < s.out_until) return false;
-        const bool cold = s.info.online_since > 0 && now_ < s.info.online_since + settings_.warm_within;
+        const bool cold = s.info.online_since > 0 && now_ < s.info.online_since + settings_.slow_start_duration;
         return flaws_.flood || !cold;
     }
     void give_up(Request& r) {
--- a/src/simulation/balancers.hpp
+++ b/src/simulation/balancers.hpp
@@ -26,8 +26,8 @@
     virtual void see(const Archive&) {}
     // As balancer::Balancer::handle().
     virtual void handle(Millis now, const balancer::Event& event, std::vector<balancer::Action>& actions) = 0;
-    // As balancer::Balancer::knowledge(); those that learn nothing know nothing.
-    virtual balancer::Knowledge knowledge(Millis) const { return {}; }
+    // As balancer::Balancer::learned_state(); those that learn nothing know nothing.
+    virtual balancer::LearnedState learned_state(Millis) const { return {}; }
 };
 
 struct BalancerName {
--- a/src/simulation/incident.cpp
+++ b/src/simulation/incident.cpp
@@ -41,9 +41,9 @@
      "efficiency lost for each request held per core beyond thrash_from", 0, 1},
     {"thrash_from", Unit::number, &FleetSpec::thrash_from, "6", "requests held per core that cost nothing", 0,
      10000},
-    {"cold_from", Unit::share, &FleetSpec::cold_from, "20%", "capacity of a server that has just started",
+    {"cold_from", Unit::share, &FleetSpec::slow_start_min_share, "20%", "capacity of a server that has just started",
      0.01, 1},
-    {"warm_within", Unit::duration, &FleetSpec::warm_within, "\"15s\"", "until it has all of its capacity", 0,
+    {"warm_within", Unit::duration, &FleetSpec::slow_start_duration, "\"15s\"", "until it has all of its capacity", 0,
      kLongest},
     {"warm_by", Unit::word, &FleetSpec::warm_by, "\"time\"", "what warms a server", 0, 0, {"time", "work"}},
     {"warm_work", Unit::duration, &FleetSpec::warm_work, "\"20s\"",
@@ -127,7 +127,7 @@
 const std::vector<Key<RulesSpec>> kRules{
     {"drain_grace", Unit::duration, &RulesSpec::drain_grace, "\"500ms\"",
      "after it nothing new goes to a server that drains", 0, 60000},
-    {"fall_multiple", Unit::number, &RulesSpec::fall_multiple, "2.5",
+    {"fall_multiple", Unit::number, &RulesSpec::overload_multiple, "2.5",
      "a cold server sent more than this multiple of what it can do falls over", 1, 100},
     {"fall_span", Unit::duration, &RulesSpec::fall_span, "\"1s\"", "and this is the time looked at", 100,
      60000},
@@ -217,9 +217,9 @@
     {"siblings", [](balancer::Settings& s, double v) { s.siblings = static_cast<std::uint32_t>(v); }, 1, 1e6},
     {"max_attempts", [](balancer::Settings& s, double v) { s.max_attempts = static_cast<std::uint32_t>(v); },
      1, 10},
-    {"cold_from", [](balancer::Settings& s, double v) { s.cold_from = v; }, 0.01, 1},
-    {"warm_within", [](balancer::Settings& s, double v) { s.warm_within = v; }, 0, kLongest},
-    {"fall_multiple", [](balancer::Settings& s, double v) { s.fall_multiple = v; }, 1, 100}};
+    {"cold_from", [](balancer::Settings& s, double v) { s.slow_start_min_share = v; }, 0.01, 1},
+    {"warm_within", [](balancer::Settings& s, double v) { s.slow_start_duration = v; }, 0, kLongest},
+    {"fall_multiple", [](balancer::Settings& s, double v) { s.overload_multiple = v; }, 1, 100}};
 
 // "NAME=VALUE" over settings; what is wrong with it, or nothing.
 std::optional<std::string> apply_setting(const std::string& text, balancer::Settings& settings) {
@@ -580,9 +580,9 @@
     s.siblings = static_cast<std::uint32_t>(sidecars.count);
     s.max_attempts = static_cast<std::uint32_t>(sidecars.max_attempts);
     s.may_cancel = true;
-    s.cold_from = rules.told_cold_from > 0 ? rules.told_cold_from : fleet.cold_from;
-    s.warm_within = rules.told_warm_within > 0 ? rules.told_warm_within : fleet.warm_within;
-    s.fall_multiple = rules.fall_multiple;
+    s.slow_start_min_share = rules.told_cold_from > 0 ? rules.told_cold_from : fleet.slow_start_min_share;
+    s.slow_start_duration = rules.told_warm_within > 0 ? rules.told_warm_within : fleet.slow_start_duration;
+    s.overload_multiple = rules.overload_multiple;
     s.costs.cross_zone = 0.02;
     if (changed)
         for (const std::string& text : changed->set) apply_setting(text, s);
--- a/src/simulation/incident.hpp
+++ b/src/simulation/incident.hpp
@@ -32,10 +32,10 @@
     std::uint64_t queue = 80;   // the waiting room
     double thrash = 0.03;       // efficiency lost for each request held per core beyond thrash_from
     double thrash_from = 6;
-    double cold_from = 0.2;  // share of its capacity with which a started server begins
-    Millis warm_within = 15000;
+    double slow_start_min_share = 0.2;  // share of its capacity with which a started server begins
+    Millis slow_start_duration = 15000;
     std::string warm_by = "time";  // or "work"
-    Millis warm_work = 20000;      // by work: so much makes it warm, if warm_within does not before
+    Millis warm_work = 20000;      // by work: so much makes it warm, if slow_start_duration does not before
     bool drops_waiting = true;  // what waits is dropped when its sidecar stops waiting; running work goes on
     std::uint64_t connections = 800;
     Millis handshake_work = 1;
@@ -89,7 +89,7 @@
 
 struct RulesSpec {
     Millis drain_grace = 500;
-    double fall_multiple = 2.5;
+    double overload_multiple = 2.5;
     Millis fall_span = 1000;
     // What sidecars are told of cold starts, where it is less than the truth: the settings of a site are
     // bounds for all its machines. 0: the truth.
--- a/src/simulation/judge.cpp
+++ b/src/simulation/judge.cpp
@@ -223,7 +223,7 @@
     for (const Push& p : pushes) work += p.work, knowing += p.told ? p.work : 0;
     for (const ClassSpec& c : incident_.classes) shares += c.share, mean += c.share * c.work;
     const double bound =
-        with_chance(incident_.rules.fall_multiple * load.capacity * incident_.rules.fall_span, mean / shares);
+        with_chance(incident_.rules.overload_multiple * load.capacity * incident_.rules.fall_span, mean / shares);
     if (work <= bound) return false;
     ++fallen_;
     if (knowing * 3 >= work * 2)  // by those who had been told of its start; others could not know
--- a/src/simulation/real/real_run.cpp
+++ b/src/simulation/real/real_run.cpp
@@ -281,9 +281,9 @@
                 {"connect-timeout-ms", incident_.fleet.connect_timeout},
                 {"idle-close-ms", incident_.fleet.idle_close}}},
               {"rules",
-               {{"cold-from", s.cold_from},
-                {"fall-multiple", s.fall_multiple},
-                {"warm-within-ms", s.warm_within}}},
+               {{"cold-from", s.slow_start_min_share},
+                {"fall-multiple", s.overload_multiple},
+                {"warm-within-ms", s.slow_start_duration}}},
               {"fees", {{"cross-zone", s.costs.cross_zone}}}}}};
         side.process->write_config(config);
         if (incident_.sidecars.cluster) side.process->write_operator_file("[cluster]\non = true\n");
--- a/src/simulation/real/stand_in_server.cpp
+++ b/src/simulation/real/stand_in_server.cpp
@@ -126,7 +126,7 @@
       number_(number),
       endpoint_(std::move(address)),
       acceptor_(stage.io) {
-    // Held once in any case, so that the port is known and known to be free.
+    // ResourceUsage once in any case, so that the port is known and known to be free.
     open();
     if (!archive_.there_at_start(number)) close(true);
 }
--- a/src/simulation/report.cpp
+++ b/src/simulation/report.cpp
@@ -136,7 +136,7 @@
         const Millis last = f.begins(f.hit.empty() ? 0 : f.hit.size() - 1);
         Millis to = f.lasts > 0 ? last + f.lasts : incident.overview.length;
         if (f.kind == FaultKind::drain) to = last + f.linger + f.lasts;
-        if (f.kind == FaultKind::join) to = f.at + incident.fleet.warm_within;
+        if (f.kind == FaultKind::join) to = f.at + incident.fleet.slow_start_duration;
         r.faults.push_back({f.name, whom(f), f.at, std::min(to, incident.overview.length)});
     }
     for (const Step& s : timeline(incident)) r.steps.push_back(text_of(s));
--- a/src/simulation/server_model.cpp
+++ b/src/simulation/server_model.cpp
@@ -22,10 +22,10 @@
     : spec_(spec), speed_(speed), up_(running) {}
 
 double ServerModel::warmth(Millis now) const {
-    if (started_ < 0 || spec_.warm_within <= 0) return 1;
-    double part = (now - started_) / spec_.warm_within;
+    if (started_ < 0 || spec_.slow_start_duration <= 0) return 1;
+    double part = (now - started_) / spec_.slow_start_duration;
     if (spec_.warm_by == "work") part = std::max(part, done_since_start_ / spec_.warm_work);
-    return spec_.cold_from + (1 - spec_.cold_from) * std::clamp(part, 0.0, 1.0);
+    return spec_.slow_start_min_share + (1 - spec_.slow_start_min_share) * std::clamp(part, 0.0, 1.0);
 }
 
 double ServerModel::capacity(Millis now) const {
--- a/src/simulation/virtual_run.cpp
+++ b/src/simulation/virtual_run.cpp
@@ -107,7 +107,7 @@
     std::unique_ptr<Companion> companion;
     std::uint32_t siblings = 0;  // as its companion told its module last
     Millis began = 0;
-    Knowledge kept;  // what its store holds
+    LearnedState kept;  // what its store holds
     Millis kept_at = -1;
 };
 
@@ -521,7 +521,7 @@
             server + 1, incident_.hall_of(server), 0, 0, state, online_since > 0 ? online_since + kEpoch : 0};
     }
     void keep(Instance& n) {
-        n.kept = n.decider->knowledge(now_ + kEpoch);
+        n.kept = n.decider->learned_state(now_ + kEpoch);
         n.kept_at = now_;
     }
     bool just_restarted(const Instance& n, Millis at) const {
@@ -553,7 +553,7 @@
                         changed && changed->build.empty() ? build + " (" + changed->name + ")" : build);
         n.decider->see(archive_);
         give(who, Started{});
-        if (n.kept_at >= 0) give(who, Remembered{n.kept, now_ - n.kept_at});
+        if (n.kept_at >= 0) give(who, StateRestored{n.kept, now_ - n.kept_at});
         ServerList list{ListKind::cached, {}};
         for (const ServerInfo& info : listed_) {
             if (info.state != EndpointState::removed) list.servers.push_back(info);
@@ -606,7 +606,7 @@
             end(at->second, Outcome::cancelled);
             put(now_, What::recall, who, number);
         } else if (const auto* refuse = std::get_if<Reject>(&action)) {
-            answer(who, refuse->id, Answer::refused, refuse->retry_in);
+            answer(who, refuse->id, Answer::refused, refuse->retry_after);
             settle(who, refuse->id);
         } else if (const auto* up = std::get_if<Fail>(&action)) {
             answer(who, up->id, Answer::failed, 0);
@@ -656,7 +656,7 @@
                     (1 + incident_.fleet.latency_jitter * (2 * random.unit() - 1));
         log("send %llu.%u n-%u s-%u", ull(a.id), a.number, who, server);
         a.judged = judge_.sent(now_, a.id, server, who);
-        if (s.try_until > 0) put(s.try_until - kEpoch, What::expire, who, number);
+        if (s.attempt_deadline > 0) put(s.attempt_deadline - kEpoch, What::expire, who, number);
         if (!n.idle[server].empty()) {
             a.epoch = n.idle[server].back().epoch;
             n.idle[server].pop_back();
--- a/src/simulator/wire.cpp
+++ b/src/simulator/wire.cpp
@@ -222,7 +222,7 @@
         CatalogEntry e;
         e.server = entry.text("server");
         if (entry.has("rack-zone")) e.zone = entry.text("rack-zone");
-        if (entry.has("kind")) e.kind = entry.text("kind");
+        if (entry.has("kind")) e.machine_type = entry.text("kind");
         e.cell = static_cast<std::uint32_t>(entry.integer_or("pod", 0));
         e.state = named(entry, "phase", states);
         e.online_since = entry.number_or("online-since-ms", 0);
@@ -255,7 +255,7 @@
             const ServerId id = instance.server(e.server);
             instance.servers[id].listed = e.state != EndpointState::removed;
             list.servers.push_back({id, number_of(instance.site.zones, e.zone),
-                                    number_of(instance.site.kinds, e.kind), e.cell, e.state, e.online_since,
+                                    number_of(instance.site.machine_types, e.machine_type), e.cell, e.state, e.online_since,
                                     e.weight});
         }
     }
@@ -312,7 +312,7 @@
     std::visit(Visitor{[&](const StartAttempt& a) {
                            request("DISPATCH", a.id);
                            server(a.server);
-                           time(" try-until-ms", a.try_until);
+                           time(" try-until-ms", a.attempt_deadline);
                            ++instance.requests.at(a.id).out;
                            ++instance.servers.at(a.server).out;
                        },
@@ -322,7 +322,7 @@
                        },
                        [&](const Reject& a) {
                            request("DECLINE", a.id);
-                           if (a.retry_in > 0) time(" retry-in-ms", a.retry_in);
+                           if (a.retry_after > 0) time(" retry-in-ms", a.retry_after);
                            instance.end_request(a.id);
                        },
                        [&](const Fail& a) {
--- a/src/simulator/wire.hpp
+++ b/src/simulator/wire.hpp
@@ -34,7 +34,7 @@
 struct CatalogEntry {
     std::string server;
     std::string zone;
-    std::string kind;
+    std::string machine_type;
     std::uint32_t cell = 0;
     EndpointState state = EndpointState::active;
     Millis online_since = 0;
--- a/src/state/command.cpp
+++ b/src/state/command.cpp
@@ -60,7 +60,7 @@
 }
 
 // A character each, the oldest first.
-std::string outcomes_of(const balancer::ServerKnowledge& server) {
+std::string outcomes_of(const balancer::LearnedServerState& server) {
     std::string outcomes;
     for (std::uint32_t bit = std::min(server.seen, kMaxOutcomes); bit-- > 0;)
         outcomes += (server.outcomes >> bit & 1U) != 0 ? '+' : '-';
@@ -69,21 +69,21 @@
 
 nlohmann::ordered_json json_of(const GenerationFile& file) {
     const Snapshot& snapshot = *file.content.snapshot;
-    const balancer::Knowledge& knowledge = snapshot.knowledge;
+    const balancer::LearnedState& learned_state = snapshot.learned_state;
     nlohmann::ordered_json out{{"file", file.name},
                                {"generation", file.content.generation},
                                {"instance", snapshot.instance},
                                {"taken", text_of(snapshot.taken)},
                                {"taken_ms", snapshot.taken.wall_ms},
-                               {"room", knowledge.room},
-                               {"ceiling", knowledge.learned},
-                               {"taught_by", knowledge.taught_by},
-                               {"crowd", knowledge.crowd.value},
-                               {"carried_a_second", knowledge.carried * 1000},
-                               {"retries_left", knowledge.retries_left}};
+                               {"room", learned_state.room},
+                               {"ceiling", learned_state.learned},
+                               {"taught_by", learned_state.taught_by},
+                               {"crowd", learned_state.crowd.value},
+                               {"carried_a_second", learned_state.carried * 1000},
+                               {"retries_left", learned_state.retries_left}};
     out["servers"] = nlohmann::ordered_json::array();
     for (std::size_t i = 0; i < snapshot.uids.size(); ++i) {
-        const balancer::ServerKnowledge& known = knowledge.servers[i];
+        const balancer::LearnedServerState& known = learned_state.servers[i];
         nlohmann::ordered_json server{{"uid", snapshot.uids[i]},
                                       {"online_since", known.online_since},
                                       {"outcomes", outcomes_of(known)}};
@@ -95,16 +95,16 @@
 
 void print_for_people(const GenerationFile& file) {
     const Snapshot& snapshot = *file.content.snapshot;
-    const balancer::Knowledge& knowledge = snapshot.knowledge;
+    const balancer::LearnedState& learned_state = snapshot.learned_state;
     fmt::print("{} (generation {}), of '{}', {}\n", file.name, file.content.generation, snapshot.instance,
                text_of(snapshot.taken));
     fmt::print(
         "room {:.1f}, ceiling {:.1f} taught by {:.1f} servers, crowd {:.2f}, carried {:.1f}/s, retries "
         "{:.1f}\n",
-        knowledge.room, knowledge.learned, knowledge.taught_by, knowledge.crowd.value,
-        knowledge.carried * 1000, knowledge.retries_left);
+        learned_state.room, learned_state.learned, learned_state.taught_by, learned_state.crowd.value,
+        learned_state.carried * 1000, learned_state.retries_left);
     for (std::size_t i = 0; i < snapshot.uids.size(); ++i) {
-        const balancer::ServerKnowledge& server = knowledge.servers[i];
+        const balancer::LearnedServerState& server = learned_state.servers[i];
         const std::string removed =
             server.out_ms ? fmt::format("removed, {:.1f}s left", *server.out_ms / 1000) : "";
         fmt::print("  {:<24} {:<20} {}\n", snapshot.uids[i], outcomes_of(server), removed);
--- a/src/state/snapshot.hpp
+++ b/src/state/snapshot.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "elmbay/knowledge.hpp"
+#include "elmbay/learned_state.hpp"
 #include "state/timestamp.hpp"
 
 namespace elmbay::state {
@@ -20,7 +20,7 @@
 struct Snapshot {
     std::string instance;           ///< whose it is; 1 to kMaxNameBytes bytes
     Timestamp taken;                ///< when
-    balancer::Knowledge knowledge;  ///< servers[i].server == i
+    balancer::LearnedState learned_state;  ///< servers[i].server == i
     std::vector<std::string> uids;  ///< uids[i] names servers[i]; each once, 1 to kMaxNameBytes bytes
 };
 
--- a/src/state/snapshot_decoder.cpp
+++ b/src/state/snapshot_decoder.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-using balancer::ServerKnowledge;
+using balancer::LearnedServerState;
 using layout::read_number;
 using layout::RecordKind;
 using nlohmann::json;
@@ -46,7 +46,7 @@
     return field != body.end() && field->is_number_integer() ? field->get<std::int64_t>() : 0;
 }
 
-balancer::FadingKnowledge mean_field(const json& body, const char* name) {
+balancer::DecayedMean mean_field(const json& body, const char* name) {
     const auto field = body.find(name);
     if (field == body.end() || !field->is_array() || field->size() != 3) return {};
     for (const json& figure : *field)
@@ -62,8 +62,8 @@
     return uid.size() <= kMaxNameBytes ? uid : std::string();
 }
 
-ServerKnowledge server_of(const json& body) {
-    ServerKnowledge server;
+LearnedServerState server_of(const json& body) {
+    LearnedServerState server;
     server.online_since = number_field(body, "online_since", -1);
     server.outcomes = count_field(body, "outcomes");
     server.seen = count_field(body, "seen");
@@ -73,8 +73,8 @@
 }
 
 // Everything but the servers.
-balancer::Knowledge means_of(const json& body) {
-    balancer::Knowledge means;
+balancer::LearnedState means_of(const json& body) {
+    balancer::LearnedState means;
     means.crowd = mean_field(body, "crowd");
     means.room = number_field(body, "room", 0);
     means.learned = number_field(body, "learned", 0);
@@ -120,8 +120,8 @@
     Snapshot snapshot(std::string instance) const {
         Snapshot snapshot{std::move(instance), taken_, means_, {}};
         for (const auto& [uid, known] : servers_) {
-            snapshot.knowledge.servers.push_back(known);
-            snapshot.knowledge.servers.back().server = static_cast<std::uint32_t>(snapshot.uids.size());
+            snapshot.learned_state.servers.push_back(known);
+            snapshot.learned_state.servers.back().server = static_cast<std::uint32_t>(snapshot.uids.size());
             snapshot.uids.push_back(uid);
         }
         return snapshot;
@@ -135,8 +135,8 @@
         servers_[uid] = server_of(body);
     }
 
-    std::map<std::string, ServerKnowledge> servers_;
-    balancer::Knowledge means_;
+    std::map<std::string, LearnedServerState> servers_;
+    balancer::LearnedState means_;
     Timestamp taken_;
 };
 
--- a/src/state/snapshot_encoder.cpp
+++ b/src/state/snapshot_encoder.cpp
@@ -9,16 +9,16 @@
 
 namespace {
 
-using balancer::ServerKnowledge;
+using balancer::LearnedServerState;
 using layout::append_number;
 using layout::RecordKind;
 using nlohmann::json;
 
-json body_of(const balancer::FadingKnowledge& mean) {
+json body_of(const balancer::DecayedMean& mean) {
     return json::array({mean.value, mean.weight, mean.since});
 }
 
-json body_of(const std::string& uid, const ServerKnowledge& server) {
+json body_of(const std::string& uid, const LearnedServerState& server) {
     json body{{"uid", uid},
               {"online_since", server.online_since},
               {"outcomes", server.outcomes},
@@ -28,10 +28,10 @@
     return body;
 }
 
-json body_of(const balancer::Knowledge& knowledge) {
-    return {{"crowd", body_of(knowledge.crowd)}, {"room", knowledge.room},
-            {"learned", knowledge.learned},      {"taught_by", knowledge.taught_by},
-            {"carried", knowledge.carried},      {"retries_left", knowledge.retries_left}};
+json body_of(const balancer::LearnedState& learned_state) {
+    return {{"crowd", body_of(learned_state.crowd)}, {"room", learned_state.room},
+            {"learned", learned_state.learned},      {"taught_by", learned_state.taught_by},
+            {"carried", learned_state.carried},      {"retries_left", learned_state.retries_left}};
 }
 
 json body_of(const Timestamp& taken) {
@@ -40,7 +40,7 @@
             {"boot", json::binary({taken.boot.begin(), taken.boot.end()})}};
 }
 
-bool same(const ServerKnowledge& a, const ServerKnowledge& b) {
+bool same(const LearnedServerState& a, const LearnedServerState& b) {
     return a.online_since == b.online_since && a.outcomes == b.outcomes && a.seen == b.seen &&
            a.out_ms == b.out_ms && a.tokens == b.tokens;
 }
@@ -73,18 +73,18 @@
 
 // Servers that are new or have changed, then those that are gone.
 void append_servers(BatchEncoder& batch, const Snapshot* before, const Snapshot& after) {
-    std::map<std::string_view, const ServerKnowledge*> known_before;
+    std::map<std::string_view, const LearnedServerState*> known_before;
     if (before)
         for (std::size_t i = 0; i < before->uids.size(); ++i)
-            known_before[before->uids[i]] = &before->knowledge.servers[i];
+            known_before[before->uids[i]] = &before->learned_state.servers[i];
     for (std::size_t i = 0; i < after.uids.size(); ++i) {
-        const ServerKnowledge& known = after.knowledge.servers[i];
+        const LearnedServerState& known = after.learned_state.servers[i];
         const auto earlier = known_before.find(after.uids[i]);
         const bool changed = earlier == known_before.end() || !same(*earlier->second, known);
         if (earlier != known_before.end()) known_before.erase(earlier);
         if (changed) batch.append(RecordKind::server, body_of(after.uids[i], known));
     }
-    for (const auto& [uid, knowledge] : known_before)
+    for (const auto& [uid, learned_state] : known_before)
         batch.append(RecordKind::server_gone, {{"uid", std::string(uid)}});
 }
 
@@ -110,8 +110,8 @@
                          std::uint64_t& next_record) {
     BatchEncoder batch(generation, next_record);
     append_servers(batch, before, after);
-    const json means = body_of(after.knowledge);
-    if (!before || means != body_of(before->knowledge)) batch.append(RecordKind::means, means);
+    const json means = body_of(after.learned_state);
+    if (!before || means != body_of(before->learned_state)) batch.append(RecordKind::means, means);
     batch.append(RecordKind::batch_end, body_of(after.taken));
     return batch.take();
 }
--- a/tests/balancer/balancer_test.cpp
+++ b/tests/balancer/balancer_test.cpp
@@ -287,7 +287,7 @@
     const RequestId id = rig.next_id++;
     rig.requests[id] = {rig.settings.classes[0], rig.now + 1000, {}, 0, false, false};
     RequestArrived event{id, 0, {}, 1000, 0, false};
-    event.no_place = true;
+    event.table_full = true;
     rig.give(event);
     EXPECT_TRUE(rig.requests.at(id).refused);
     EXPECT_EQ(rig.sends(id), 0U) << "its answer is the last that the driver can give it";
@@ -314,7 +314,7 @@
 TEST(Pick, ASlowKindIsKnownBeforeEachOfItsServersIs) {
     Rig rig(make_settings());
     std::vector<ServerInfo> servers = make_servers(20);
-    for (ServerInfo& s : servers) s.kind = s.id % 2;
+    for (ServerInfo& s : servers) s.machine_type = s.id % 2;
     rig.list(ListKind::snapshot, servers);
     int slow = 0;
     for (int i = 0; i < 60; ++i) {
@@ -384,7 +384,7 @@
         }
         rig.balancer.handle(rig.now, ClientDisconnected{900}, actions);
     }
-    EXPECT_EQ(rig.balancer.held().requests, 0U);
+    EXPECT_EQ(rig.balancer.resource_usage().requests, 0U);
 }
 
 TEST(BadInput, EventsAboutUnknownOrRepeatedThingsHaveNoEffect) {
@@ -410,7 +410,7 @@
     EXPECT_FALSE(rig.out(id));
     rig.list(ListKind::snapshot,
              {{5, 0, 0, 0, EndpointState::active, 0}, {5, 0, 0, 0, EndpointState::active, 0}});
-    EXPECT_EQ(rig.balancer.held().servers, 1U);
+    EXPECT_EQ(rig.balancer.resource_usage().servers, 1U);
     run(rig, 5, 0, Outcome::success);
     rig.settle();
 }
@@ -422,7 +422,7 @@
     for (int i = 0; i < 5000; ++i) {
         rig.request(0, 300);
         rig.pass(5);
-        ASSERT_LE(rig.balancer.held().waiting, 2 * rig.balancer.held().requests + 64);
+        ASSERT_LE(rig.balancer.resource_usage().waiting, 2 * rig.balancer.resource_usage().requests + 64);
     }
     const RequestId last = rig.request(0, 300);
     rig.list(ListKind::snapshot, make_servers(1));
@@ -454,9 +454,9 @@
     names([](Settings& s) { s.classes[0].late_weight = 2; }, "classes[0].late_worth");
     names([](Settings& s) { s.tenants = {{1}, {-1}}; }, "tenants[1].quota");
     names([](Settings& s) { s.max_attempts = 0; }, "max_attempts");
-    names([](Settings& s) { s.cold_from = 1.5; }, "cold_from");
-    names([](Settings& s) { s.fall_multiple = 0; }, "fall_multiple");
-    names([](Settings& s) { s.warm_within = -5; }, "warm_within");
+    names([](Settings& s) { s.slow_start_min_share = 1.5; }, "cold_from");
+    names([](Settings& s) { s.overload_multiple = 0; }, "fall_multiple");
+    names([](Settings& s) { s.slow_start_duration = -5; }, "warm_within");
     names([](Settings& s) { s.costs.cross_zone = std::numeric_limits<double>::quiet_NaN(); },
           "fees.cross_zone");
     EXPECT_EQ(complaint([](Settings&) {}), "accepted");
--- a/tests/balancer/cold_budget_test.cpp
+++ b/tests/balancer/cold_budget_test.cpp
@@ -43,9 +43,9 @@
         settings_.classes = {RequestClass{Idempotency::idempotent, DedupScope::all, 3000, 400}};
         settings_.siblings = scenario.sidecars;
         settings_.max_attempts = 4;
-        settings_.cold_from = 0.16;
-        settings_.warm_within = 20000;
-        settings_.fall_multiple = 2.5;
+        settings_.slow_start_min_share = 0.16;
+        settings_.slow_start_duration = 20000;
+        settings_.overload_multiple = 2.5;
         servers_.resize(scenario.servers + 1);
         for (std::uint32_t i = 0; i < scenario.sidecars; ++i) sidecars_.push_back(new_life(seed * 1000 + i));
     }
@@ -58,8 +58,8 @@
         for (std::uint32_t i = 0; i < scenario_.sidecars; ++i) give(i, ServerList{ListKind::snapshot, infos});
         now_ = start_;
         run_until(start_ + kWarmRun);
-        std::vector<Knowledge> known;
-        for (auto& sidecar : sidecars_) known.push_back(sidecar->knowledge(now_));
+        std::vector<LearnedState> known;
+        for (auto& sidecar : sidecars_) known.push_back(sidecar->learned_state(now_));
         std::vector<ServerInfo> fresh;
         for (ServerId id = 1; id <= scenario_.restarted; ++id) {
             servers_[id] = {now_, now_, {}};
@@ -69,7 +69,7 @@
         if (scenario_.remembers) {
             for (std::uint32_t i = 0; i < scenario_.sidecars; ++i) {
                 sidecars_[i] = new_life(77000 + i);
-                give(i, Remembered{known[i], 500});
+                give(i, StateRestored{known[i], 500});
                 give(i, ServerList{ListKind::snapshot, infos});
             }
             calls_.clear();
@@ -110,8 +110,8 @@
 
     double capacity(const ServerState& server) const {
         if (server.started == 0) return scenario_.capacity;
-        const double age = std::min(1.0, (now_ - server.started) / settings_.warm_within);
-        return scenario_.capacity * (settings_.cold_from + (1 - settings_.cold_from) * age);
+        const double age = std::min(1.0, (now_ - server.started) / settings_.slow_start_duration);
+        return scenario_.capacity * (settings_.slow_start_min_share + (1 - settings_.slow_start_min_share) * age);
     }
 
     void run_until(Millis until) {
@@ -164,8 +164,8 @@
         const std::uint32_t number = calls_[send.id].attempts++;
         if (server.started > 0) count(server);
         server.busy_until = std::max(now_, server.busy_until) + kPerSecond / capacity(server);
-        const bool late = server.busy_until >= send.try_until;
-        const Millis at = late ? send.try_until : server.busy_until;
+        const bool late = server.busy_until >= send.attempt_deadline;
+        const Millis at = late ? send.attempt_deadline : server.busy_until;
         due_.push({at, ++order_, sidecar,
                    AttemptEnded{send.id, number, late ? Outcome::timed_out : Outcome::success, at - now_}});
     }
@@ -174,7 +174,7 @@
         ++sent_to_cold_;
         server.got.push_back(now_);
         while (server.got.front() <= now_ - kSpan) server.got.pop_front();
-        const double allowed = settings_.fall_multiple * capacity(server) * kSpan / kPerSecond;
+        const double allowed = settings_.overload_multiple * capacity(server) * kSpan / kPerSecond;
         worst_ = std::max(worst_, static_cast<double>(server.got.size()) / with_chance(allowed));
     }
 
--- a/tests/balancer/composition_test.cpp
+++ b/tests/balancer/composition_test.cpp
@@ -22,7 +22,7 @@
 
 Settings settings_with_sessions(std::uint32_t most) {
     Settings settings;
-    settings.most_sessions = most;
+    settings.max_sessions = most;
     return settings;
 }
 
@@ -250,7 +250,7 @@
     ASSERT_EQ(actions_.size(), 1U);
     const auto& refusal = std::get<Reject>(actions_.front());
     EXPECT_EQ(refusal.id, request.id);
-    EXPECT_GE(refusal.retry_in, 400 * FinalResponder::kWaitShare);
+    EXPECT_GE(refusal.retry_after, 400 * FinalResponder::kWaitShare);
     EXPECT_TRUE(request.ended);
 }
 
--- a/tests/balancer/fleet_change_test.cpp
+++ b/tests/balancer/fleet_change_test.cpp
@@ -34,7 +34,7 @@
     Settings s;
     s.classes.emplace_back();
     s.siblings = kSidecars;
-    s.warm_within = 10000;
+    s.slow_start_duration = 10000;
     return s;
 }
 
--- a/tests/balancer/memory_test.cpp
+++ b/tests/balancer/learned_state_restorer_test.cpp
@@ -15,7 +15,7 @@
 constexpr double kInf = std::numeric_limits<double>::infinity();
 
 // Runs requests until one is removed; gives what is known then.
-Knowledge of_a_life_with_a_bad(ServerId bad, ServerId servers, Rig& rig) {
+LearnedState of_a_life_with_a_bad(ServerId bad, ServerId servers, Rig& rig) {
     rig.give(Started{});
     rig.list(ListKind::snapshot, make_servers(servers));
     for (int i = 0; i < 400 && rig.removals() == 0; ++i) {
@@ -24,14 +24,14 @@
             rig.end(id, rig.where(id) == bad ? Outcome::error_response : Outcome::success, 20);
     }
     EXPECT_EQ(rig.removals(), 1);
-    return rig.balancer.knowledge(rig.now);
+    return rig.balancer.learned_state(rig.now);
 }
 
-Rig next_life(const Knowledge& known, Millis age, const std::vector<ServerInfo>& servers,
+Rig next_life(const LearnedState& known, Millis age, const std::vector<ServerInfo>& servers,
               ListKind kind = ListKind::snapshot) {
     Rig rig(make_settings(), 7);
     rig.give(Started{});
-    rig.give(Remembered{known, age});
+    rig.give(StateRestored{known, age});
     rig.list(kind, servers);
     return rig;
 }
@@ -48,17 +48,17 @@
     return who;
 }
 
-TEST(Remembered, ARemovedServerStaysOutForWhatIsLeftOfItsBackoff) {
+TEST(StateRestored, ARemovedServerStaysOutForWhatIsLeftOfItsBackoff) {
     Rig first(make_settings());
-    const Knowledge known = of_a_life_with_a_bad(2, 6, first);
+    const LearnedState known = of_a_life_with_a_bad(2, 6, first);
     Rig rig = next_life(known, 4000, make_servers(6));
     EXPECT_FALSE(used(rig, 250).contains(2)) << "5 s of the 6 that are left";
     EXPECT_TRUE(used(rig, 70).contains(2)) << "then its trial";
 }
 
-TEST(Remembered, OneWhoseBackoffIsOverIsOnTrialAtOnce) {
+TEST(StateRestored, OneWhoseBackoffIsOverIsOnTrialAtOnce) {
     Rig first(make_settings());
-    const Knowledge known = of_a_life_with_a_bad(2, 6, first);
+    const LearnedState known = of_a_life_with_a_bad(2, 6, first);
     for (const Millis age : {10000.0, 60000.0, 290000.0}) {
         Rig rig = next_life(known, age, make_servers(6));
         const RequestId trial = rig.request();
@@ -78,30 +78,30 @@
     }
 }
 
-TEST(Remembered, AnOlderOrUndatedMemoryIsNone) {
+TEST(StateRestored, AnOlderOrUndatedMemoryIsNone) {
     Rig first(make_settings());
-    const Knowledge known = of_a_life_with_a_bad(2, 6, first);
+    const LearnedState known = of_a_life_with_a_bad(2, 6, first);
     for (const Millis age : {-1.0, -1e9, 300001.0, 5.0 * 24 * 3600 * 1000, kNan, kInf}) {
         Rig rig = next_life(known, age, make_servers(6));
         EXPECT_NE(rig.where(rig.request()), 0U);
-        const auto k = rig.balancer.knowledge(rig.now);
-        for (const ServerKnowledge& s : k.servers) EXPECT_FALSE(s.out_ms) << age;
+        const auto k = rig.balancer.learned_state(rig.now);
+        for (const LearnedServerState& s : k.servers) EXPECT_FALSE(s.out_ms) << age;
         EXPECT_EQ(k.learned, 0) << age;
     }
 }
 
-TEST(Remembered, AnotherProcessUnderTheNameIsNotTheOneThatFailed) {
+TEST(StateRestored, AnotherProcessUnderTheNameIsNotTheOneThatFailed) {
     Rig first(make_settings());
-    const Knowledge known = of_a_life_with_a_bad(2, 6, first);
+    const LearnedState known = of_a_life_with_a_bad(2, 6, first);
     std::vector<ServerInfo> servers = make_servers(6);
     servers[1].online_since = 5000;  // long warm, but started since
     Rig rig = next_life(known, 1000, servers);
     EXPECT_TRUE(used(rig, 60).contains(2));
 }
 
-TEST(Remembered, WhatTheFirstWholeListDoesNotNameIsForgotten) {
+TEST(StateRestored, WhatTheFirstWholeListDoesNotNameIsForgotten) {
     Rig first(make_settings());
-    const Knowledge known = of_a_life_with_a_bad(2, 6, first);
+    const LearnedState known = of_a_life_with_a_bad(2, 6, first);
     Rig rig = next_life(known, 1000, {make_servers(6)[0], make_servers(6)[2], make_servers(6)[3]});
     rig.list(ListKind::snapshot, make_servers(6));
     EXPECT_TRUE(used(rig, 60).contains(2))
@@ -112,8 +112,8 @@
     EXPECT_FALSE(used(saved, 100).contains(2));
 }
 
-TEST(Remembered, HalfOfTheListStaysWhateverItSays) {
-    Knowledge known;
+TEST(StateRestored, HalfOfTheListStaysWhateverItSays) {
+    LearnedState known;
     for (ServerId id = 1; id <= 8; ++id) known.servers.push_back({id, 0, 0, 20, 9000.0, 1});
     Rig rig = next_life(known, 0, make_servers(8));
     EXPECT_EQ(used(rig, 200).size(), 4U);
@@ -121,8 +121,8 @@
     EXPECT_EQ(used(shrunk, 3).size(), 1U) << "the only one there is";
 }
 
-TEST(Remembered, AFailingWindowGoesOnWhereItWas) {
-    Knowledge known;
+TEST(StateRestored, AFailingWindowGoesOnWhereItWas) {
+    LearnedState known;
     // Nine successes and two failures: one more of a full window's worth and it goes.
     known.servers.push_back({1, 0, 0b11111111111111110011, 20, {}, 1});
     const auto removed_after = [&](Millis age) {
@@ -140,16 +140,16 @@
     EXPECT_GT(removed_after(250000), 1) << "it has faded";
 }
 
-TEST(Remembered, ColdTokensAndRetriesAreNotGivenAnew) {
-    Knowledge known;
+TEST(StateRestored, ColdTokensAndRetriesAreNotGivenAnew) {
+    LearnedState known;
     known.servers.push_back({1, 99000, 0, 0, {}, -1});
     known.retries_left = 0;
-    const auto first_send = [&](const Knowledge& k, std::uint64_t seed) {
+    const auto first_send = [&](const LearnedState& k, std::uint64_t seed) {
         Settings settings = make_settings();
-        settings.warm_within = 200000;
+        settings.slow_start_duration = 200000;
         Rig rig(settings, seed);
         rig.give(Started{});
-        rig.give(Remembered{k, 0});
+        rig.give(StateRestored{k, 0});
         rig.list(ListKind::snapshot, {{1, 0, 0, 0, EndpointState::active, 99000}});
         int tries = 0;
         for (; tries < 1900 && !rig.out(rig.request(0, 100)); ++tries) {
@@ -166,7 +166,7 @@
     }
     EXPECT_GT(remembered, 1.2 * fresh);
 
-    const auto sends_of_a_failing = [&](const Knowledge& k) {
+    const auto sends_of_a_failing = [&](const LearnedState& k) {
         Rig rig = next_life(k, 0, make_servers(6));
         const RequestId id = rig.request();
         while (rig.out(id)) rig.end(id, Outcome::error_response);
@@ -176,8 +176,8 @@
     EXPECT_GT(sends_of_a_failing({}), 1U);
 }
 
-TEST(Remembered, ARestartInARushKeepsTheRoomForAsLongAsItsAnswersCount) {
-    Knowledge known;
+TEST(StateRestored, ARestartInARushKeepsTheRoomForAsLongAsItsAnswersCount) {
+    LearnedState known;
     known.crowd = {0.6, 10, 0};
     known.room = 6;
     const auto admitted = [&](Millis age) {
@@ -188,22 +188,22 @@
     EXPECT_GT(admitted(60000), 12) << "as a new one";
 }
 
-TEST(Remembered, TooLateAWordIsNone) {
-    Knowledge known;
+TEST(StateRestored, TooLateAWordIsNone) {
+    LearnedState known;
     known.servers.push_back({1, 0, 0, 20, 9000.0, 1});
     Rig rig(make_settings(), 7);
     rig.list(ListKind::snapshot, make_servers(4));
-    rig.give(Remembered{known, 0});
+    rig.give(StateRestored{known, 0});
     rig.list(ListKind::snapshot, make_servers(4));
     EXPECT_TRUE(used(rig, 40).contains(1));
 }
 
-TEST(Remembered, KnowledgeGoesRound) {
+TEST(StateRestored, KnowledgeGoesRound) {
     Rig first(make_settings());
-    const Knowledge known = of_a_life_with_a_bad(2, 6, first);
+    const LearnedState known = of_a_life_with_a_bad(2, 6, first);
     Rig rig = next_life(known, 0, make_servers(6));
     rig.now = first.now;
-    const Knowledge again = next_life(known, 0, make_servers(6)).balancer.knowledge(rig.now);
+    const LearnedState again = next_life(known, 0, make_servers(6)).balancer.learned_state(rig.now);
     ASSERT_EQ(again.servers.size(), known.servers.size());
     for (std::size_t i = 0; i < known.servers.size(); ++i) {
         EXPECT_EQ(again.servers[i].seen, known.servers[i].out_ms ? 0 : known.servers[i].seen);
@@ -219,13 +219,13 @@
     return random.below(3) ? odd[random.below(10)] : (random.unit() - 0.2) * std::pow(10, random.below(7));
 }
 
-Knowledge any_knowledge(Random& random) {
-    Knowledge k;
+LearnedState any_knowledge(Random& random) {
+    LearnedState k;
     const auto fading = [&] {
-        return FadingKnowledge{any_figure(random), any_figure(random), any_figure(random)};
+        return DecayedMean{any_figure(random), any_figure(random), any_figure(random)};
     };
     for (std::size_t i = random.below(16); i > 0; --i) {
-        ServerKnowledge s;
+        LearnedServerState s;
         s.server = static_cast<std::uint32_t>(random.below(12));
         s.online_since = random.below(2) ? 0 : any_figure(random);
         s.outcomes = static_cast<std::uint32_t>(random.next());
@@ -242,7 +242,7 @@
 
 // Whatever it is told, rules hold, every healthy server is asked within a backoff, and what it knows then is
 // sound.
-TEST(Remembered, WhateverIsRememberedEveryHealthyServerIsAskedWithinABackoff) {
+TEST(StateRestored, WhateverIsRememberedEveryHealthyServerIsAskedWithinABackoff) {
     ::setenv("RC_PARAMS", "seed=20261201 max_success=300", 0);
     EXPECT_TRUE(rc::check([] {
         Random random(*rc::gen::arbitrary<std::uint64_t>());
@@ -250,7 +250,7 @@
                 random.next());
         rig.give(Started{});
         rig.give(
-            Remembered{any_knowledge(random), random.below(2) ? any_figure(random) : random.unit() * 20000});
+            StateRestored{any_knowledge(random), random.below(2) ? any_figure(random) : random.unit() * 20000});
         rig.list(ListKind::snapshot, make_servers(8));
         std::set<ServerId> asked;
         const Millis until = rig.now + 10000 + 500;
@@ -265,7 +265,7 @@
             }
         }
         RC_ASSERT(asked.size() == 8U);
-        const Knowledge k = rig.balancer.knowledge(rig.now);
+        const LearnedState k = rig.balancer.learned_state(rig.now);
         RC_ASSERT(std::isfinite(k.room + k.learned + k.taught_by + k.carried + k.crowd.value));
         rig.settle();
         RC_ASSERT(!::testing::Test::HasFailure());
--- a/tests/balancer/parts_test.cpp
+++ b/tests/balancer/parts_test.cpp
@@ -25,9 +25,9 @@
     }
     s.siblings = siblings;
     s.max_attempts = 4;
-    s.cold_from = 0.2;
-    s.warm_within = 10000;
-    s.fall_multiple = 2.5;
+    s.slow_start_min_share = 0.2;
+    s.slow_start_duration = 10000;
+    s.overload_multiple = 2.5;
     return s;
 }
 Server server_of(ServerId id, std::uint64_t rank = 0) {
@@ -73,7 +73,7 @@
     Request r = request_of(Idempotency::idempotent);
     r.attempts.push_back(attempt_at(1, true, true));
     EXPECT_FALSE(r.may_go_to(s, settings, kNow));
-    settings.parallel_tries = true;
+    settings.allow_hedging = true;
     EXPECT_TRUE(r.may_go_to(s, settings, kNow));
     r.attempts.assign(settings.max_attempts, attempt_at(1, false, true));
     EXPECT_FALSE(r.may_go_to(s, settings, kNow));
@@ -310,14 +310,14 @@
 // What large servers carry would fell a small one: the guide for a cold server is what its own kind carries.
 TEST(AperturePart, UnlikeServersAreTheGuideForTheirKind) {
     Fleet fleet(4, 6);  // all of them in the pool
-    for (std::size_t i = 0; i < 4; ++i) fleet.servers[i].info.kind = 1;
+    for (std::size_t i = 0; i < 4; ++i) fleet.servers[i].info.machine_type = 1;
     fleet.list();
     fleet.aperture.draw(kNow, 0);
     ASSERT_EQ(fleet.aperture.warm(), 6U);
     for (int i = 0; i < 30; ++i) fleet.aperture.completed(1, kNow);
     for (int i = 0; i < 60; ++i) fleet.aperture.completed(2, kNow);
     const double rate = 1 / Aperture::kRateMemory;
-    for (std::size_t i = 4; i < 6; ++i) fleet.servers[i].info.kind = 2;
+    for (std::size_t i = 4; i < 6; ++i) fleet.servers[i].info.machine_type = 2;
     fleet.aperture.draw(kNow, 0);
     EXPECT_DOUBLE_EQ(fleet.aperture.each(1, kNow), 30 / 4.0 * rate);
     EXPECT_DOUBLE_EQ(fleet.aperture.each(2, kNow), 60 / 2.0 * rate);
@@ -556,7 +556,7 @@
         settings.my_zone = 0;
         for (ServerId i = 1; i <= count; ++i) servers.push_back(server_of(i));
         for (Server& s : servers)
-            s.info.zone = (s.info.id - 1) % 2, s.info.kind = s.info.id, pace.learn(s), pool.push_back(&s);
+            s.info.zone = (s.info.id - 1) % 2, s.info.machine_type = s.info.id, pace.learn(s), pool.push_back(&s);
     }
     std::map<ServerId, int> of(int times, const Request& r = {}, Pick::LoadLevel crowd = {0.1, false, 1}) {
         Pick pick(settings, random, pace);
--- a/tests/balancer/property_test.cpp
+++ b/tests/balancer/property_test.cpp
@@ -22,10 +22,10 @@
                                 make_class(Idempotency::idempotency_key, DedupScope::zone, 700),
                                 make_class(Idempotency::idempotency_key, DedupScope::cell, 700)});
     s.siblings = siblings;
-    s.parallel_tries = parallel;
+    s.allow_hedging = parallel;
     s.tenants = {{10}, {1}};
-    s.most_sessions = 30;
-    s.most_sessions_at_server = 7;
+    s.max_sessions = 30;
+    s.max_sessions_per_server = 7;
     s.my_zone = 1;
     s.costs.cross_zone = 0.02;
     return s;
@@ -104,9 +104,9 @@
             const std::uint64_t draw = random.next();
             play(rig, Step{draw, draw >> 8, draw >> 24});
             RC_ASSERT(!::testing::Test::HasFailure());
-            RC_ASSERT(rig.balancer.held().sessions == rig.sessions.size());
-            RC_ASSERT(rig.balancer.held().sessions <= rig.settings.most_sessions);
-            RC_ASSERT(rig.balancer.held().waiting <= 2 * rig.balancer.held().requests + 64);
+            RC_ASSERT(rig.balancer.resource_usage().sessions == rig.sessions.size());
+            RC_ASSERT(rig.balancer.resource_usage().sessions <= rig.settings.max_sessions);
+            RC_ASSERT(rig.balancer.resource_usage().waiting <= 2 * rig.balancer.resource_usage().requests + 64);
         }
         events += static_cast<std::size_t>(steps);
         rig.settle();
--- a/tests/balancer/rig.hpp
+++ b/tests/balancer/rig.hpp
@@ -27,8 +27,8 @@
     Settings s;
     s.classes = std::move(classes);
     s.max_attempts = 4;
-    s.cold_from = 0.2;
-    s.warm_within = 20000;
+    s.slow_start_min_share = 0.2;
+    s.slow_start_duration = 20000;
     return s;
 }
 
@@ -213,7 +213,7 @@
         const Sent* first = nullptr;
         for (const Sent& s : r.sent) {
             if (s.out) {
-                EXPECT_TRUE(settings.parallel_tries) << "two attempts out";
+                EXPECT_TRUE(settings.allow_hedging) << "two attempts out";
             }
             if (!s.may_have_run) continue;
             if (!first) first = &s;
@@ -231,7 +231,7 @@
         if (first && r.kind.idempotency == Idempotency::idempotency_key) {
             EXPECT_LT(now, first->at + r.kind.dedup_window) << "rule 2: after the window";
         }
-        r.sent.push_back({send.server, now, send.try_until > 0 ? send.try_until : r.deadline, true, true});
+        r.sent.push_back({send.server, now, send.attempt_deadline > 0 ? send.attempt_deadline : r.deadline, true, true});
     }
 
     // Everything taken must have been answered once.
@@ -239,8 +239,8 @@
         pass(60000);
         for (const auto& [id, r] : requests)
             EXPECT_TRUE(closed(r)) << "rule 1: request " << id << " unanswered";
-        EXPECT_EQ(balancer.held().requests, 0U);
-        EXPECT_EQ(balancer.held().sessions, sessions.size());
+        EXPECT_EQ(balancer.resource_usage().requests, 0U);
+        EXPECT_EQ(balancer.resource_usage().sessions, sessions.size());
     }
 };
 
--- a/tests/balancer/rules_test.cpp
+++ b/tests/balancer/rules_test.cpp
@@ -24,7 +24,7 @@
                                 make_class(Idempotency::idempotency_key, DedupScope::all, 700),
                                 make_class(Idempotency::idempotency_key, DedupScope::zone, 700),
                                 make_class(Idempotency::idempotency_key, DedupScope::cell, 700)});
-    s.parallel_tries = parallel;
+    s.allow_hedging = parallel;
     return s;
 }
 
@@ -124,9 +124,9 @@
         rig.pass(10000);
     }
     rig.settle();
-    EXPECT_EQ(rig.balancer.held().requests, 0U);
-    EXPECT_LE(rig.balancer.held().servers, 2U);
-    EXPECT_LE(rig.balancer.held().timers, 1U);
+    EXPECT_EQ(rig.balancer.resource_usage().requests, 0U);
+    EXPECT_LE(rig.balancer.resource_usage().servers, 2U);
+    EXPECT_LE(rig.balancer.resource_usage().timers, 1U);
 }
 
 // ---- One temptation each --------------------------------------------------------------------------------
--- a/tests/balancer/server_age_test.cpp
+++ b/tests/balancer/server_age_test.cpp
@@ -41,8 +41,8 @@
     Millis now = kNow;
     Millis wall_off = 0;
 
-    void hear(ListKind kind, std::vector<ServerInfo> servers, Millis unheard_for = 0) {
-        ages.hear({kind, std::move(servers), kUnix + now + wall_off, unheard_for}, now);
+    void hear(ListKind kind, std::vector<ServerInfo> servers, Millis list_age_bound = 0) {
+        ages.hear({kind, std::move(servers), kUnix + now + wall_off, list_age_bound}, now);
     }
     Millis age(ServerId id) const { return now - ages.process_of(id).started_at; }
     std::uint32_t process(ServerId id) const { return ages.process_of(id).number; }
--- a/tests/balancer/session_test.cpp
+++ b/tests/balancer/session_test.cpp
@@ -11,8 +11,8 @@
 Settings with_sessions(std::uint32_t most = 100000, std::uint32_t at_one = UINT32_MAX) {
     Settings s = make_settings({make_class(Idempotency::idempotent), make_class(Idempotency::non_idempotent),
                                 make_class(Idempotency::idempotency_key)});
-    s.most_sessions = most;
-    s.most_sessions_at_server = at_one;
+    s.max_sessions = most;
+    s.max_sessions_per_server = at_one;
     return s;
 }
 
@@ -38,8 +38,8 @@
     Sessions with, without;
     for (int i = 0; i < 1000; ++i) with.session();
     without.now = with.now;
-    EXPECT_EQ(with.balancer.held().sessions, 1000U);
-    EXPECT_EQ(with.balancer.held().requests, 0U) << "nothing but the sessions is left of them";
+    EXPECT_EQ(with.balancer.resource_usage().sessions, 1000U);
+    EXPECT_EQ(with.balancer.resource_usage().requests, 0U) << "nothing but the sessions is left of them";
     EXPECT_EQ(with.still_out(with.burst(2000)), without.still_out(without.burst(2000)));
 }
 
@@ -47,10 +47,10 @@
 TEST(Session, QuickUpgradesDoNotTeachThatWorkIsQuick) {
     Sessions rig;
     for (int i = 0; i < 40; ++i) rig.end(rig.request(), Outcome::success, 390);
-    const Millis room = rig.balancer.knowledge(rig.now).crowd.value;
+    const Millis room = rig.balancer.learned_state(rig.now).crowd.value;
     ASSERT_GT(room, 0.9);
     for (int i = 0; i < 200; ++i) rig.session();
-    EXPECT_EQ(rig.balancer.knowledge(rig.now).crowd.value, room);
+    EXPECT_EQ(rig.balancer.learned_state(rig.now).crowd.value, room);
 }
 
 TEST(Session, NewOnesAreSpreadByThoseHeld) {
@@ -117,7 +117,7 @@
 TEST(Session, OffMeansThatEachIsRefused) {
     Sessions rig(with_sessions(0));
     EXPECT_TRUE(rig.requests.at(rig.upgrade()).refused);
-    EXPECT_EQ(rig.balancer.held().requests, 0U);
+    EXPECT_EQ(rig.balancer.resource_usage().requests, 0U);
 }
 
 // The server took it and the reply was lost: it may have run.
@@ -143,8 +143,8 @@
     rig.requests.at(id).gone = true;
     rig.give(ClientDisconnected{id});
     rig.end(id, Outcome::success);  // the upgrade and the cancel have crossed
-    EXPECT_EQ(rig.balancer.held().sessions, 0U);
-    EXPECT_EQ(rig.balancer.held().requests, 0U);
+    EXPECT_EQ(rig.balancer.resource_usage().sessions, 0U);
+    EXPECT_EQ(rig.balancer.resource_usage().requests, 0U);
 }
 
 TEST(Session, ADrainingServerGetsNoNewOne) {
@@ -188,11 +188,11 @@
     Sessions rig(with_sessions(), 1);
     const RequestId one = rig.session(), two = rig.session();
     rig.list(ListKind::snapshot, {});
-    EXPECT_EQ(rig.balancer.held().servers, 1U);
+    EXPECT_EQ(rig.balancer.resource_usage().servers, 1U);
     rig.end_session(one);
-    EXPECT_EQ(rig.balancer.held().servers, 1U);
+    EXPECT_EQ(rig.balancer.resource_usage().servers, 1U);
     rig.end_session(two, true);
-    EXPECT_EQ(rig.balancer.held().servers, 0U);
+    EXPECT_EQ(rig.balancer.resource_usage().servers, 0U);
 }
 
 }  // namespace
--- a/tests/clock_test.cpp
+++ b/tests/clock_test.cpp
@@ -25,9 +25,9 @@
     bool watching = false;
 
     // A warm-up so long that nothing warms up within a test, or so short that it does.
-    explicit ClockRig(Millis warm_within = 600 * kSecond) : NetRig(kServers) {
+    explicit ClockRig(Millis slow_start_duration = 600 * kSecond) : NetRig(kServers) {
         config["settings"]["rules"] = {
-            {"cold-from", 0.05}, {"warm-within-ms", warm_within}, {"fall-multiple", 2.5}};
+            {"cold-from", 0.05}, {"warm-within-ms", slow_start_duration}, {"fall-multiple", 2.5}};
     }
     void start_under_clock() {
         const Clock clock([this] { return true_wall_time() + wall_off; });
--- a/tests/engine/engine_test.cpp
+++ b/tests/engine/engine_test.cpp
@@ -105,7 +105,7 @@
 // place back once.
 TEST_F(EngineTest, ASessionHoldsItsPlaceUntilItEnds) {
     Settings one = settings();
-    one.most_sessions = 1;
+    one.max_sessions = 1;
     TestPort own;
     Engine sessions(one, 1, own);
     sessions.begin(now);
--- a/tests/example.cpp
+++ b/tests/example.cpp
@@ -33,5 +33,5 @@
             std::cout << "timer at " << timer->at << '\n';  // hand TimerFired{timer->token} back then
         }
     }
-    return attempt == 2 && balancer.held().requests == 0 ? 0 : 1;
+    return attempt == 2 && balancer.resource_usage().requests == 0 ? 0 : 1;
 }
--- a/tests/net_rig.hpp
+++ b/tests/net_rig.hpp
@@ -149,7 +149,7 @@
         for (const auto& s : servers) list.push_back(target(index++, s.address(), state));
         return list;
     }
-    void start(std::optional<Sidecar::Remembered> remembered = {},
+    void start(std::optional<Sidecar::RestoredState> remembered = {},
                const websocket::Settings& websocket = {}) {
         sidecar =
             std::make_unique<Sidecar>(io, parse_config(config.dump()), std::move(remembered), websocket);
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -722,7 +722,7 @@
 // A life whose whole list names the servers the other way round from the short, old one that it starts with:
 // they get other numbers than in a life before.
 struct NextLife : NetRig {
-    explicit NextLife(std::optional<Sidecar::Remembered> remembered) : NetRig(5) {
+    explicit NextLife(std::optional<Sidecar::RestoredState> remembered) : NetRig(5) {
         Json all = targets(), known = all;
         known.erase(4);
         config["known"]["targets"] = known;
@@ -741,7 +741,7 @@
     const auto removed = [](const NetRig& rig) {
         const state::Snapshot s = rig.sidecar->snapshot();
         for (std::size_t i = 0; i < s.uids.size(); ++i)
-            if (s.uids[i] == "s-4" && s.knowledge.servers[i].out_ms) return true;
+            if (s.uids[i] == "s-4" && s.learned_state.servers[i].out_ms) return true;
         return false;
     };
     ASSERT_GT(ask(first, 400, first.servers.back(), [&] { return removed(first); }), 0);
@@ -750,7 +750,7 @@
     EXPECT_EQ(learned.instance, "n");
     EXPECT_EQ(learned.uids.size(), 5U);
 
-    NextLife remembers(Sidecar::Remembered{learned, 100});
+    NextLife remembers(Sidecar::RestoredState{learned, 100});
     EXPECT_TRUE(removed(remembers));
     EXPECT_EQ(ask(remembers, 60, remembers.servers.back()), 0);
     NextLife blind({});
--- a/tests/sidecar/endpoint_registry_test.cpp
+++ b/tests/sidecar/endpoint_registry_test.cpp
@@ -26,7 +26,7 @@
     t.uid = "s-" + std::to_string(index);
     t.endpoint = address(index);
     t.zone = "a";
-    t.kind = "m";
+    t.machine_type = "m";
     t.state = state;
     t.online_since = online_since;
     return t;
--- a/tests/sidecar/listing_test.cpp
+++ b/tests/sidecar/listing_test.cpp
@@ -33,7 +33,7 @@
     EXPECT_EQ(t.uid, "s-2") << "of a key that comes twice the last counts";
     EXPECT_EQ(t.state, balancer::EndpointState::draining);
     EXPECT_EQ(t.zone, "a");
-    EXPECT_EQ(t.kind, "m");
+    EXPECT_EQ(t.machine_type, "m");
     EXPECT_EQ(t.cell, 3U);
     EXPECT_EQ(t.online_since, 12.5);
     EXPECT_EQ(t.weight, 0.5);
--- a/tests/simulation/server_model_test.cpp
+++ b/tests/simulation/server_model_test.cpp
@@ -18,8 +18,8 @@
     spec.thrash = 0;
     spec.handshake_work = 0;
     spec.connection_tax = 0;
-    spec.warm_within = 10000;
-    spec.cold_from = 0.2;
+    spec.slow_start_duration = 10000;
+    spec.slow_start_min_share = 0.2;
     return spec;
 }
 
--- a/tests/simulator/wire_test.cpp
+++ b/tests/simulator/wire_test.cpp
@@ -138,7 +138,7 @@
     EXPECT_EQ(site.settings.classes[1].idempotency, Idempotency::non_idempotent);
     EXPECT_EQ(site.settings.classes[0].latency_objective, 400);
     EXPECT_EQ(site.settings.my_zone, ZoneId{1});
-    EXPECT_EQ(site.settings.cold_from, 0.16);
+    EXPECT_EQ(site.settings.slow_start_min_share, 0.16);
     EXPECT_EQ(site.settings.costs.cross_zone, 0.02);
     EXPECT_FALSE(site.settings.list_on_request);
     EXPECT_EQ(site.classes[1], "deposit");
--- a/tests/state/fuzz.cpp
+++ b/tests/state/fuzz.cpp
@@ -31,7 +31,7 @@
     if (whole != r.snapshot.has_value() || r.used_bytes > size) std::abort();
     if (!whole) return 0;
     const Snapshot& s = *r.snapshot;
-    if (s.uids.size() != s.knowledge.servers.size() || s.uids.size() > kMaxServers) std::abort();
+    if (s.uids.size() != s.learned_state.servers.size() || s.uids.size() > kMaxServers) std::abort();
     if (s.instance.empty() || s.instance.size() > kMaxNameBytes) std::abort();
     // What was read can be written, and says the same then.
     std::uint64_t next = 0, again = 0;
--- a/tests/state/old_snapshot_test.cpp
+++ b/tests/state/old_snapshot_test.cpp
@@ -28,18 +28,18 @@
         EXPECT_EQ(snapshot.taken.wall_ms, 1700000000003);
         EXPECT_EQ(snapshot.taken.since_boot_ms, 5003);
         for (std::size_t i = 0; i < snapshot.taken.boot.size(); ++i) EXPECT_EQ(snapshot.taken.boot[i], i + 1);
-        EXPECT_EQ(snapshot.knowledge.room, 43.5);
-        EXPECT_EQ(snapshot.knowledge.learned, 83.25);
-        EXPECT_EQ(snapshot.knowledge.taught_by, 7);
-        EXPECT_EQ(snapshot.knowledge.carried, 0.125);
-        EXPECT_EQ(snapshot.knowledge.retries_left, 6.5);
-        EXPECT_EQ(snapshot.knowledge.crowd.value, 0.75);
-        EXPECT_EQ(snapshot.knowledge.crowd.weight, 3);
-        EXPECT_EQ(snapshot.knowledge.crowd.since, 250);
+        EXPECT_EQ(snapshot.learned_state.room, 43.5);
+        EXPECT_EQ(snapshot.learned_state.learned, 83.25);
+        EXPECT_EQ(snapshot.learned_state.taught_by, 7);
+        EXPECT_EQ(snapshot.learned_state.carried, 0.125);
+        EXPECT_EQ(snapshot.learned_state.retries_left, 6.5);
+        EXPECT_EQ(snapshot.learned_state.crowd.value, 0.75);
+        EXPECT_EQ(snapshot.learned_state.crowd.weight, 3);
+        EXPECT_EQ(snapshot.learned_state.crowd.since, 250);
         EXPECT_EQ(snapshot.uids, (std::vector<std::string>{"s-0", "s-2", "s-3", "s-4"}));
-        ASSERT_EQ(snapshot.knowledge.servers.size(), 4U);
+        ASSERT_EQ(snapshot.learned_state.servers.size(), 4U);
         for (std::size_t i = 0; i < 4; ++i) {
-            const balancer::ServerKnowledge& server = snapshot.knowledge.servers[i];
+            const balancer::LearnedServerState& server = snapshot.learned_state.servers[i];
             const auto number = static_cast<unsigned>(snapshot.uids[i][2] - '0');
             EXPECT_EQ(server.server, i);
             EXPECT_EQ(server.online_since, 1699999990000.0 + number);
