--- a/src/simulation/balancers.cpp
+++ b/src/simulation/baselines/baseline_policies.cpp
@@ -1,4 +1,4 @@
-#include "simulation/balancers.hpp"
+#include "simulation/baselines/baseline_policies.hpp"
 
 #include <algorithm>
 #include <map>
@@ -6,7 +6,7 @@
 #include <unordered_map>
 
 #include "base/random.hpp"
-#include "simulation/archive.hpp"
+#include "simulation/models/service_model.hpp"
 
 namespace elmbay::simulation {
 
@@ -27,19 +27,19 @@
 };
 
 struct Flaws {
-    bool storm = false;         // random servers, short patience, and again at once as often as it may
+    bool retry_storm = false;         // random servers, short patience, and again at once as often as it may
     bool twice = false;         // a second attempt beside the first
     bool resend = false;        // unsafe requests too are sent again after an error
     bool deaf = false;          // goes on sending to servers that drain or are gone
     bool flood = false;         // favours the server that started last
-    bool hold = false;          // keeps failures until the caller's time is nearly over
+    bool hold = false;          // keeps failures until the client's time is nearly over
     bool never_remove = false;  // believes in every server for ever
 };
 
 constexpr int kFailuresToRemove = 5;
 constexpr Millis kRemovedFor = 5000;
-constexpr Millis kStormPatience = 120;
-constexpr Millis kHeldUntil = 20;  // before the caller's time is over
+constexpr Millis kRetryStormTimeout = 120;
+constexpr Millis kHeldUntil = 20;  // before the client's time is over
 
 // Least outstanding of two, out after five failures in a row, nothing to cold servers, one more attempt where
 // the class allows it.
@@ -60,7 +60,7 @@
         int outstanding = 0, failures = 0;
         Millis out_until = 0;
     };
-    struct Try {
+    struct ClientRequest {
         ServerId server = 0;
         bool out = true, may_have_run = true;
     };
@@ -68,12 +68,12 @@
         RequestId id = 0;
         RequestClass kind;
         Millis deadline = 0;
-        std::vector<Try> tries;
+        std::vector<ClientRequest> tries;
         bool any_out() const {
-            return std::any_of(tries.begin(), tries.end(), [](const Try& t) { return t.out; });
+            return std::any_of(tries.begin(), tries.end(), [](const ClientRequest& t) { return t.out; });
         }
         bool may_have_run() const {
-            return std::any_of(tries.begin(), tries.end(), [](const Try& t) { return t.may_have_run; });
+            return std::any_of(tries.begin(), tries.end(), [](const ClientRequest& t) { return t.may_have_run; });
         }
     };
 
@@ -106,7 +106,7 @@
         const auto at = requests_.find(e.id);
         if (at == requests_.end() || e.attempt >= at->second.tries.size()) return;
         Request& r = at->second;
-        Try& t = r.tries[e.attempt];
+        ClientRequest& t = r.tries[e.attempt];
         t.out = false;
         t.may_have_run = e.outcome != Outcome::rejected && e.outcome != Outcome::connect_failed &&
                          e.outcome != Outcome::not_sent;
@@ -137,7 +137,7 @@
     }
 
     bool sends_again(Request& r) {
-        const std::size_t most = flaws_.storm ? settings_.max_attempts : 2;
+        const std::size_t most = flaws_.retry_storm ? settings_.max_attempts : 2;
         if (r.tries.size() >= most || now_ >= r.deadline - kHeldUntil) return false;
         if (r.may_have_run() && r.kind.idempotency == Idempotency::non_idempotent && !flaws_.resend)
             return false;
@@ -156,14 +156,14 @@
         }
         Server* s = open[random_.below(open.size())];
         Server* other = open[random_.below(open.size())];
-        if (!flaws_.storm && other->outstanding < s->outstanding) s = other;
+        if (!flaws_.retry_storm && other->outstanding < s->outstanding) s = other;
         if (flaws_.flood)
             for (Server* candidate : open)
                 if (candidate->info.online_since > s->info.online_since) s = candidate;
         r.tries.push_back({s->info.id});
         ++s->outstanding;
         act(StartAttempt{r.id, s->info.id,
-                         flaws_.storm ? std::min(r.deadline, now_ + kStormPatience) : r.deadline});
+                         flaws_.retry_storm ? std::min(r.deadline, now_ + kRetryStormTimeout) : r.deadline});
         return true;
     }
     bool usable(const Server& s) const {
@@ -217,7 +217,7 @@
         for (const RequestClass& c : settings.classes)
             max_priority_weight_ = std::max(max_priority_weight_, c.priority_weight);
     }
-    void see(const Archive& archive) override { archive_ = &archive; }
+    void see(const ServiceModel& service_model) override { service_model_ = &service_model; }
     void handle(Millis now, const Event& event, std::vector<Action>& actions) override {
         now_ = now;
         actions_ = &actions;
@@ -227,7 +227,7 @@
         } else if (const auto* e = std::get_if<RequestArrived>(&event)) {
             Open& r = open_[e->id];
             if (e->class_index < settings_.classes.size()) r.kind = settings_.classes[e->class_index];
-            r.work = archive_->mean_work(e->class_index);
+            r.work = service_model_->mean_work(e->class_index);
             r.until = now_ + e->time_left;
             place(e->id, r);
         } else if (const auto* end = std::get_if<AttemptEnded>(&event)) {
@@ -273,9 +273,9 @@
     }
     // Cores shared evenly by all that are in work, the waiting room ahead of it.
     Millis estimate(std::uint32_t server, Millis work) const {
-        const ServerModel& s = archive_->server(server);
+        const ServerModel& s = service_model_->server(server);
         if (!s.running() || !s.reachable() || s.frozen(now_ - kEpoch)) return 1e9;
-        const double capacity = s.capacity(now_ - kEpoch), cores = archive_->cores();
+        const double capacity = s.capacity(now_ - kEpoch), cores = service_model_->cores();
         const double there = static_cast<double>(s.in_work() + s.waiting()) + 1;
         return work * std::max(1.0, there / cores) * cores / capacity;
     }
@@ -304,7 +304,7 @@
     const double share_;
     const bool worth_first_;
     double max_priority_weight_ = 1e-9;
-    const Archive* archive_ = nullptr;
+    const ServiceModel* service_model_ = nullptr;
     Millis now_ = 0;
     std::vector<Action>* actions_ = nullptr;
     std::map<ServerId, EndpointState> phases_;
@@ -343,13 +343,13 @@
             return std::make_unique<Oracle>(settings, std::stod(name.substr(7)) / 100,
                                             name.ends_with("worth"));
     Flaws flaws;
-    flaws.storm = name == "random-storm";
+    flaws.retry_storm = name == "random-storm";
     flaws.twice = name == "twice-at-once";
     flaws.resend = name == "resend-unsafe";
     flaws.deaf = name == "deaf-to-drains";
     flaws.flood = name == "flood-cold";
     flaws.hold = name == "hold-answers";
-    flaws.never_remove = flaws.storm || name == "never-remove";
+    flaws.never_remove = flaws.retry_storm || name == "never-remove";
     const bool known = std::any_of(balancer_names().begin(), balancer_names().end(),
                                    [&](const BalancerName& b) { return b.name == name; });
     if (!known) throw std::invalid_argument("'" + name + "' is not a balancer");
--- a/src/simulation/balancers.hpp
+++ b/src/simulation/baselines/baseline_policies.hpp
@@ -17,13 +17,13 @@
 
 using balancer::Millis;
 
-class Archive;
+class ServiceModel;
 
 class Decider {
 public:
     virtual ~Decider() = default;
     // Before the first event. Only the oracle looks.
-    virtual void see(const Archive&) {}
+    virtual void see(const ServiceModel&) {}
     // As balancer::Balancer::handle().
     virtual void handle(Millis now, const balancer::Event& event, std::vector<balancer::Action>& actions) = 0;
     // As balancer::Balancer::learned_state(); those that learn nothing know nothing.
--- a/src/simulation/judge.cpp
+++ b/src/simulation/checking/invariant_checker.cpp
@@ -1,4 +1,4 @@
-#include "simulation/judge.hpp"
+#include "simulation/checking/invariant_checker.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -31,46 +31,46 @@
     return "";
 }
 
-Judge::Judge(const Incident& incident, const Callers& callers, Millis slack)
-    : incident_(incident), callers_(callers), slack_(slack), pushes_(incident.fleet.servers) {}
+InvariantChecker::InvariantChecker(const Scenario& scenario, const ClientModel& clients, Millis slack)
+    : scenario_(scenario), clients_(clients), slack_(slack), pushes_(scenario.fleet.servers) {}
 
-const Judge::Attempt* Judge::Record::first_possible_run() const {
+const InvariantChecker::Attempt* InvariantChecker::Record::first_possible_run() const {
     for (const Attempt& a : attempts)
         if (a.may_have_run) return &a;
     return nullptr;
 }
 
-const ClassSpec& Judge::class_of(TryId id) const {
-    return incident_.classes[callers_.ask(request_of(id)).class_index];
+const ClassSpec& InvariantChecker::class_of(ClientRequestId id) const {
+    return scenario_.classes[clients_.ask(operation_of(id)).class_index];
 }
 
-void Judge::broken(Rule rule, Millis now, TryId id, const std::string& what) {
+void InvariantChecker::broken(Rule rule, Millis now, ClientRequestId id, const std::string& what) {
     Finding& f = findings_[static_cast<std::size_t>(rule)];
     ++f.count;
     if (f.examples.size() >= kExamples) return;
     char text[64];
     std::snprintf(text, sizeof text, "%.3fs request %llu try %llu: ", now / 1000,
-                  static_cast<unsigned long long>(request_of(id)),
-                  static_cast<unsigned long long>(id % kMaxTries));
+                  static_cast<unsigned long long>(operation_of(id)),
+                  static_cast<unsigned long long>(id % kMaxRequestsPerOperation));
     f.examples.push_back(text + what);
 }
 
-bool Judge::kept() const {
+bool InvariantChecker::kept() const {
     return std::all_of(findings_.begin(), findings_.end(), [](const Finding& f) { return f.count == 0; });
 }
 
-// ---- callers
+// ---- clients
 // ------------------------------------------------------------------------------------------------
 
-void Judge::asked(Millis now, const Try& t) {
+void InvariantChecker::asked(Millis now, const ClientRequest& t) {
     Record& r = tries_[t.id];
     r.last_over = now;
     r.deadline = now + t.time_left;
-    r.sidecar = callers_.ask(request_of(t.id)).sidecar;
+    r.sidecar = clients_.ask(operation_of(t.id)).sidecar;
     r.may_be_late = frozen_.contains(r.sidecar);
 }
 
-void Judge::answered(Millis now, TryId id, Answer answer, bool genuine) {
+void InvariantChecker::answered(Millis now, ClientRequestId id, Answer answer, bool genuine) {
     const auto at = tries_.find(id);
     if (at == tries_.end()) return;
     Record& r = at->second;
@@ -102,7 +102,7 @@
         ++held_back_;
 }
 
-void Judge::left(Millis now, TryId id) {
+void InvariantChecker::left(Millis now, ClientRequestId id) {
     const auto at = tries_.find(id);
     if (at == tries_.end()) return;
     at->second.open = false;
@@ -110,20 +110,20 @@
     at->second.ended = now;
 }
 
-void Judge::closed(Millis now, TryId id) {
+void InvariantChecker::closed(Millis now, ClientRequestId id) {
     const auto at = tries_.find(id);
     if (at == tries_.end()) return;
     if (at->second.open && at->second.attempts.empty()) at->second.excused = true;
     answered(now, id, Answer::none);
 }
 
-void Judge::stranger(Millis now, const std::string& what) { broken(Rule::one_outcome, now, 0, what); }
+void InvariantChecker::stranger(Millis now, const std::string& what) { broken(Rule::one_outcome, now, 0, what); }
 
-void Judge::excuse(TryId id) {
+void InvariantChecker::excuse(ClientRequestId id) {
     if (const auto at = tries_.find(id); at != tries_.end()) at->second.excused = true;
 }
 
-void Judge::sidecar_died(std::uint32_t sidecar) {
+void InvariantChecker::sidecar_died(std::uint32_t sidecar) {
     for (auto& [id, r] : tries_) {
         if (r.sidecar != sidecar) continue;
         if (r.open) r.excused = true;
@@ -133,20 +133,20 @@
     sidecar_ended(sidecar);
 }
 
-void Judge::sidecar_froze(std::uint32_t sidecar) {
+void InvariantChecker::sidecar_froze(std::uint32_t sidecar) {
     frozen_.insert(sidecar);
     for (auto& [id, r] : tries_)
         if (r.sidecar == sidecar && r.open) r.may_be_late = true;
 }
-void Judge::sidecar_thawed(std::uint32_t sidecar) { frozen_.erase(sidecar); }
-void Judge::sidecar_starved(std::uint32_t sidecar, bool starved) {
+void InvariantChecker::sidecar_thawed(std::uint32_t sidecar) { frozen_.erase(sidecar); }
+void InvariantChecker::sidecar_starved(std::uint32_t sidecar, bool starved) {
     if (starved)
         starved_.insert(sidecar);
     else
         starved_.erase(sidecar);
 }
 
-void Judge::sidecar_ended(std::uint32_t sidecar) {
+void InvariantChecker::sidecar_ended(std::uint32_t sidecar) {
     std::erase_if(told_, [&](const auto& entry) { return entry.first.first == sidecar; });
     frozen_.erase(sidecar);
 }
@@ -154,7 +154,7 @@
 // ---- the registry
 // -------------------------------------------------------------------------------------------
 
-void Judge::told(Millis now, std::uint32_t sidecar, std::uint32_t server, balancer::EndpointState state,
+void InvariantChecker::told(Millis now, std::uint32_t sidecar, std::uint32_t server, balancer::EndpointState state,
                  Millis online_since) {
     Told& t = told_[{sidecar, server}];
     if (t.state == balancer::EndpointState::active || state == balancer::EndpointState::active)
@@ -166,7 +166,7 @@
 // ---- servers
 // ------------------------------------------------------------------------------------------------
 
-void Judge::check_twice(Millis now, TryId id, const Record& r, std::uint32_t server) {
+void InvariantChecker::check_twice(Millis now, ClientRequestId id, const Record& r, std::uint32_t server) {
     const ClassSpec& c = class_of(id);
     if (const Attempt* ran = r.first_possible_run()) {
         if (c.kind() == balancer::Idempotency::non_idempotent)
@@ -176,11 +176,11 @@
         if (c.kind() == balancer::Idempotency::idempotency_key && now >= ran->sent + c.window + slack_)
             broken(Rule::nothing_twice, now, id, "keyed, sent again after servers forgot the key");
     }
-    if (r.attempts.size() >= incident_.sidecars.max_attempts)
+    if (r.attempts.size() >= scenario_.sidecars.max_attempts)
         broken(Rule::nothing_twice, now, id, "more attempts than are allowed");
 }
 
-std::uint32_t Judge::sent(Millis now, TryId id, std::uint32_t server, std::uint32_t sidecar) {
+std::uint32_t InvariantChecker::sent(Millis now, ClientRequestId id, std::uint32_t server, std::uint32_t sidecar) {
     const auto at = tries_.find(id);
     if (at == tries_.end()) {
         broken(Rule::one_outcome, now, id, "sent to a server, and no caller asked for it");
@@ -197,7 +197,7 @@
         if (r.attempts[i].out) suspects_.push_back({id, i, now});
     if (const auto t = told_.find({sidecar, server});
         t != told_.end() && t->second.state != balancer::EndpointState::active &&
-        now > t->second.at + incident_.rules.drain_grace + slack_)
+        now > t->second.at + scenario_.rules.drain_grace + slack_)
         broken(Rule::drains_kept, now, id,
                "sent to s-" + std::to_string(server) + ", " +
                    std::to_string(static_cast<long>(now - t->second.at)) + "ms after n-" +
@@ -207,7 +207,7 @@
     return static_cast<std::uint32_t>(r.attempts.size() - 1);
 }
 
-bool Judge::reached(Millis now, TryId id, std::uint32_t attempt, Reached what, const ServerLoad& load) {
+bool InvariantChecker::reached(Millis now, ClientRequestId id, std::uint32_t attempt, Reached what, const ServerLoad& load) {
     const auto at = tries_.find(id);
     if (at == tries_.end() || attempt >= at->second.attempts.size()) return false;
     Record& r = at->second;
@@ -217,13 +217,13 @@
     const auto told = told_.find({r.sidecar, a.server});
     auto& pushes = pushes_[a.server];
     pushes.push_back({now, load.work, told != told_.end() && told->second.online_since >= load.started});
-    while (pushes.front().at <= now - incident_.rules.fall_span || pushes.front().at < load.started)
+    while (pushes.front().at <= now - scenario_.rules.fall_span || pushes.front().at < load.started)
         pushes.pop_front();
     double work = 0, knowing = 0, shares = 0, mean = 0;
     for (const Push& p : pushes) work += p.work, knowing += p.told ? p.work : 0;
-    for (const ClassSpec& c : incident_.classes) shares += c.share, mean += c.share * c.work;
+    for (const ClassSpec& c : scenario_.classes) shares += c.share, mean += c.share * c.work;
     const double bound =
-        with_chance(incident_.rules.overload_multiple * load.capacity * incident_.rules.fall_span, mean / shares);
+        with_chance(scenario_.rules.overload_multiple * load.capacity * scenario_.rules.fall_span, mean / shares);
     if (work <= bound) return false;
     ++fallen_;
     if (knowing * 3 >= work * 2)  // by those who had been told of its start; others could not know
@@ -236,7 +236,7 @@
     return true;
 }
 
-void Judge::over(Millis now, TryId id, std::uint32_t attempt) {
+void InvariantChecker::over(Millis now, ClientRequestId id, std::uint32_t attempt) {
     const auto at = tries_.find(id);
     if (at == tries_.end() || attempt >= at->second.attempts.size()) return;
     Record& r = at->second;
@@ -250,14 +250,14 @@
     });
 }
 
-void Judge::finish(Millis now) {
+void InvariantChecker::finish(Millis now) {
     for (const Suspect& s : suspects_) broken(Rule::nothing_twice, s.since, s.id, "two attempts out at once");
     suspects_.clear();
-    std::vector<TryId> lost;
+    std::vector<ClientRequestId> lost;
     for (const auto& [id, r] : tries_)
         if (r.open && !r.excused && !r.may_be_late) lost.push_back(id);
     std::sort(lost.begin(), lost.end());
-    for (const TryId id : lost) broken(Rule::one_outcome, now, id, "never answered");
+    for (const ClientRequestId id : lost) broken(Rule::one_outcome, now, id, "never answered");
 }
 
 }  // namespace elmbay::simulation
--- a/src/simulation/judge.hpp
+++ b/src/simulation/checking/invariant_checker.hpp
@@ -1,4 +1,4 @@
-// The four rules, judged from what servers, callers and the registry saw, never from what a sidecar says.
+// The four rules, judged from what servers, clients and the registry saw, never from what a sidecar says.
 //
 // Both drivers report here. The virtual one knows when a sidecar sends and gives up; the real one sees it
 // when the bytes come or the connection ends, and so grants `slack` (PROTOCOL: each limit is 50 ms longer on
@@ -13,7 +13,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "simulation/callers.hpp"
+#include "simulation/models/client_model.hpp"
 
 namespace elmbay::simulation {
 
@@ -29,25 +29,25 @@
     bool cold = false;
 };
 
-class Judge {
+class InvariantChecker {
 public:
     static constexpr std::size_t kExamples = 5;  // kept of each rule; beyond that only the count
     // A refusal or failure later than this share of the objective after the last attempt ended (or the
     // request came) was sat on: the module may hold a request for a sixteenth of its objective.
     static constexpr double kPromptShare = 0.25;
 
-    Judge(const Incident& incident, const Callers& callers, Millis slack);
+    InvariantChecker(const Scenario& scenario, const ClientModel& clients, Millis slack);
 
-    // ---- callers
-    void asked(Millis now, const Try& t);
-    // Callers see an answer's last byte. genuine: a served answer's body was made for this try.
-    void answered(Millis now, TryId id, Answer answer, bool genuine = true);
-    void left(Millis now, TryId id);
-    // The connection was closed with nothing. Where nothing was sent on for the try, the caller knows that it
+    // ---- clients
+    void asked(Millis now, const ClientRequest& t);
+    // ClientModel see an answer's last byte. genuine: a served answer's body was made for this try.
+    void answered(Millis now, ClientRequestId id, Answer answer, bool genuine = true);
+    void left(Millis now, ClientRequestId id);
+    // The connection was closed with nothing. Where nothing was sent on for the try, the client knows that it
     // has not been taken; else its outcome is lost.
-    void closed(Millis now, TryId id);
+    void closed(Millis now, ClientRequestId id);
     // The try is excused: its sidecar was killed, or ended as it was told to with nothing sent on for it.
-    void excuse(TryId id);
+    void excuse(ClientRequestId id);
     void sidecar_died(std::uint32_t sidecar);
     // It ended as it was told to: what it had taken and not answered is lost; its next life is told anew.
     void sidecar_ended(std::uint32_t sidecar);
@@ -66,14 +66,14 @@
     // ---- servers
     enum class Reached { accepted, turned_away, never };
     // An attempt goes out. Returns its number within the try.
-    std::uint32_t sent(Millis now, TryId id, std::uint32_t server, std::uint32_t sidecar);
+    std::uint32_t sent(Millis now, ClientRequestId id, std::uint32_t server, std::uint32_t sidecar);
     // What became of it at the server, whose figures at this time are given. True: that was too much for a
     // cold server, it falls over.
-    bool reached(Millis now, TryId id, std::uint32_t attempt, Reached what, const ServerLoad& load = {});
-    // Something came to a server that no caller asked for.
+    bool reached(Millis now, ClientRequestId id, std::uint32_t attempt, Reached what, const ServerLoad& load = {});
+    // Something came to a server that no client asked for.
     void stranger(Millis now, const std::string& what);
     // It is no longer out: answered, reset, or its sidecar ended it.
-    void over(Millis now, TryId id, std::uint32_t attempt);
+    void over(Millis now, ClientRequestId id, std::uint32_t attempt);
 
     // After the last event. What is open now is lost.
     void finish(Millis now);
@@ -101,13 +101,13 @@
         Millis deadline = 0, last_over = 0, ended = 0;
         std::uint32_t sidecar = 0;
         bool open = true, excused = false;
-        bool gone = false;         // its caller went away
+        bool gone = false;         // its client went away
         bool may_be_late = false;  // its sidecar stood still
         std::vector<Attempt> attempts;
         const Attempt* first_possible_run() const;
     };
     struct Suspect {
-        TryId id;
+        ClientRequestId id;
         std::uint32_t attempt;
         Millis since;
     };
@@ -120,14 +120,14 @@
         bool told;
     };
 
-    const ClassSpec& class_of(TryId id) const;
-    void broken(Rule rule, Millis now, TryId id, const std::string& what);
-    void check_twice(Millis now, TryId id, const Record& record, std::uint32_t server);
+    const ClassSpec& class_of(ClientRequestId id) const;
+    void broken(Rule rule, Millis now, ClientRequestId id, const std::string& what);
+    void check_twice(Millis now, ClientRequestId id, const Record& record, std::uint32_t server);
 
-    const Incident& incident_;
-    const Callers& callers_;
+    const Scenario& scenario_;
+    const ClientModel& clients_;
     const Millis slack_;
-    std::unordered_map<TryId, Record> tries_;
+    std::unordered_map<ClientRequestId, Record> tries_;
     std::map<std::pair<std::uint32_t, std::uint32_t>, Told> told_;  // by sidecar and server
     std::vector<std::deque<Push>> pushes_;                          // by server, within the span looked at
     std::vector<Suspect> suspects_;
--- a/src/simulation/sidecar_log.cpp
+++ b/src/simulation/checking/sidecar_log.cpp
@@ -1,4 +1,4 @@
-#include "simulation/sidecar_log.hpp"
+#include "simulation/checking/sidecar_log.hpp"
 
 #include <fmt/format.h>
 #include <fmt/ranges.h>
@@ -24,12 +24,12 @@
 
 }  // namespace
 
-SidecarLog::SidecarLog(const Incident& incident) : incident_(incident) {
-    const auto seconds = static_cast<std::size_t>(incident.overview.length / 1000) + 1;
+SidecarLog::SidecarLog(const Scenario& scenario) : scenario_(scenario) {
+    const auto seconds = static_cast<std::size_t>(scenario.overview.length / 1000) + 1;
     messages_.seconds.resize(seconds);
-    if (incident.sidecars.count <= kMaxInMatrix)
-        messages_.heard.assign(incident.sidecars.count,
-                               std::vector<std::uint64_t>(incident.sidecars.count, 0));
+    if (scenario.sidecars.count <= kMaxInMatrix)
+        messages_.heard.assign(scenario.sidecars.count,
+                               std::vector<std::uint64_t>(scenario.sidecars.count, 0));
 }
 
 void SidecarLog::close(std::vector<SidecarSpan>& spans, std::uint32_t who, Millis now,
@@ -80,11 +80,11 @@
     for (auto* spans : {&r.lives, &r.troubles})
         for (SidecarSpan& span : *spans)
             if (span.to < 0) span.to = now;
-    for (const fault_proxy::Rule& rule : incident_.link_rules())
+    for (const fault_proxy::Rule& rule : scenario_.link_rules())
         r.cuts.push_back({rule.name, words_of(rule), rule.at,
-                          rule.lasts > 0 ? rule.at + rule.lasts : incident_.overview.length});
+                          rule.lasts > 0 ? rule.at + rule.lasts : scenario_.overview.length});
     if (first_tries > 0)
-        r.price = incident_.messages.price * static_cast<double>(r.bytes) /
+        r.price = scenario_.messages.price * static_cast<double>(r.bytes) /
                   (static_cast<double>(MessagesSpec::kMaxMessage) * static_cast<double>(first_tries));
     if (r.delivered == 0) r.heard.clear();
     return r;
--- a/src/simulation/sidecar_log.hpp
+++ b/src/simulation/checking/sidecar_log.hpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "simulation/incident.hpp"
+#include "simulation/scenario/scenario.hpp"
 
 namespace elmbay::simulation {
 
@@ -38,7 +38,7 @@
 public:
     static constexpr std::size_t kMaxInMatrix = 64;  // beyond it a page can't show it
 
-    explicit SidecarLog(const Incident& incident);
+    explicit SidecarLog(const Scenario& scenario);
 
     void began(Millis now, std::uint32_t who, const std::string& build);
     void ended(Millis now, std::uint32_t who, const std::string& how);
@@ -56,7 +56,7 @@
     MessageSecond* second(Millis now);
     static void close(std::vector<SidecarSpan>& spans, std::uint32_t who, Millis now, const std::string& how);
 
-    const Incident& incident_;
+    const Scenario& scenario_;
     std::vector<SidecarSpan> lives_, pauses_, starved_;  // to < 0: still going on
     SidecarsReport messages_;
 };
--- a/src/simulation/real/stand_in_callers.cpp
+++ b/src/simulation/drivers/sockets/client_emulator.cpp
@@ -1,4 +1,4 @@
-#include "simulation/real/stand_in_callers.hpp"
+#include "simulation/drivers/sockets/client_emulator.hpp"
 
 #include <boost/asio/write.hpp>
 #include <boost/beast/core/flat_buffer.hpp>
@@ -11,26 +11,26 @@
 using boost::system::error_code;
 
 // One connection, one try at a time.
-class StandInCallers::Connection : public std::enable_shared_from_this<Connection> {
+class ClientEmulator::Connection : public std::enable_shared_from_this<Connection> {
 public:
-    Connection(StandInCallers& callers) : callers_(&callers), socket_(callers.stage_.io) {}
+    Connection(ClientEmulator& clients) : clients_(&clients), socket_(clients.testbed_.io) {}
 
     // On a new connection, or once more on one that is kept.
-    void ask(const Try& t) {
+    void ask(const ClientRequest& t) {
         try_ = t;
         active_ = true;
-        patience_ = callers_->stage_.at(t.at + t.time_left + kSlack, [self = shared_from_this()] {
+        patience_ = clients_->testbed_.at(t.at + t.time_left + kSlack, [self = shared_from_this()] {
             self->patience_ = {};
             self->over({End::silence});
         });
         if (t.leaves > 0)
-            leaving_ = callers_->stage_.at(t.at + t.leaves, [self = shared_from_this()] {
+            leaving_ = clients_->testbed_.at(t.at + t.leaves, [self = shared_from_this()] {
                 self->leaving_ = {};
                 self->over({End::left, Answer::none});
             });
         if (connected_) return write();
-        socket_.async_connect(callers_->sidecar_, [self = shared_from_this()](error_code error) {
-            if (!self->callers_ || !self->active_) return;
+        socket_.async_connect(clients_->sidecar_, [self = shared_from_this()](error_code error) {
+            if (!self->clients_ || !self->active_) return;
             if (error) return self->over({End::unreached});
             error_code ignored;
             self->socket_.set_option(tcp::no_delay(true), ignored);
@@ -47,23 +47,23 @@
         return error == asio::error::would_block;
     }
     void drop() {
-        callers_ = nullptr;
+        clients_ = nullptr;
         error_code ignored;
         socket_.close(ignored);
     }
 
 private:
     void write() {
-        if (!told_) callers_->handlers_.taken(try_);
+        if (!told_) clients_->handlers_.taken(try_);
         told_ = true;
-        text_ = callers_->message(try_);
+        text_ = clients_->message(try_);
         asio::async_write(socket_, asio::buffer(text_),
                           [self = shared_from_this()](error_code, std::size_t) {});
         parser_ = std::make_unique<http::response_parser<http::string_body>>();
         parser_->body_limit(kMaxAnswer);
         http::async_read(socket_, buffer_, *parser_,
                          [self = shared_from_this()](error_code error, std::size_t bytes) {
-                             if (self->callers_ && self->active_) self->read(error, bytes);
+                             if (self->clients_ && self->active_) self->read(error, bytes);
                          });
     }
     void read(error_code error, std::size_t bytes) {
@@ -93,56 +93,56 @@
     void again() {
         error_code ignored;
         socket_.close(ignored);
-        socket_ = tcp::socket(callers_->stage_.io);
+        socket_ = tcp::socket(clients_->testbed_.io);
         connected_ = reused_ = false;
         buffer_.clear();
-        callers_->stage_.cancel(patience_);
-        callers_->stage_.cancel(leaving_);
+        clients_->testbed_.cancel(patience_);
+        clients_->testbed_.cancel(leaving_);
         ask(try_);
     }
     void over(const Outcome& outcome) {
-        if (!callers_ || !active_) return;
+        if (!clients_ || !active_) return;
         active_ = told_ = false;
-        callers_->stage_.cancel(patience_);
-        callers_->stage_.cancel(leaving_);
-        StandInCallers* callers = callers_;
-        const Try t = try_;
+        clients_->testbed_.cancel(patience_);
+        clients_->testbed_.cancel(leaving_);
+        ClientEmulator* clients = clients_;
+        const ClientRequest t = try_;
         const auto self = shared_from_this();
-        callers->busy_.erase(self);
+        clients->busy_.erase(self);
         if (outcome.end == End::answered && keep_) {
             reused_ = true;
-            callers->idle_.push_back(self);
+            clients->idle_.push_back(self);
         } else {
             drop();
         }
-        callers->handlers_.ended(t, outcome);
+        clients->handlers_.ended(t, outcome);
     }
 
-    StandInCallers* callers_;
+    ClientEmulator* clients_;
     tcp::socket socket_;
     boost::beast::flat_buffer buffer_{kMaxAnswer + 16384};
     std::unique_ptr<http::response_parser<http::string_body>> parser_;
-    Try try_;
+    ClientRequest try_;
     std::string text_;
-    Stage::Key patience_{}, leaving_{};
+    LoopbackTestbed::Key patience_{}, leaving_{};
     bool active_ = false, connected_ = false, reused_ = false, told_ = false, keep_ = false;
 };
 
-StandInCallers::StandInCallers(Stage& stage, const Incident& incident, const Callers& callers,
+ClientEmulator::ClientEmulator(LoopbackTestbed& testbed, const Scenario& scenario, const ClientModel& clients,
                                tcp::endpoint sidecar, Handlers handlers)
-    : stage_(stage),
-      incident_(incident),
-      callers_(callers),
+    : testbed_(testbed),
+      scenario_(scenario),
+      clients_(clients),
       sidecar_(std::move(sidecar)),
       handlers_(std::move(handlers)) {}
 
-StandInCallers::~StandInCallers() {
+ClientEmulator::~ClientEmulator() {
     for (const auto& connection : idle_) connection->drop();
     for (const auto& connection : busy_) connection->drop();
 }
 
-std::string StandInCallers::message(const Try& t) const {
-    const ClassSpec& c = incident_.classes[callers_.ask(request_of(t.id)).class_index];
+std::string ClientEmulator::message(const ClientRequest& t) const {
+    const ClassSpec& c = scenario_.classes[clients_.ask(operation_of(t.id)).class_index];
     const bool safe = c.kind() == balancer::Idempotency::idempotent;
     char id[24], left[32];
     std::snprintf(id, sizeof id, "%016llx", static_cast<unsigned long long>(t.id));
@@ -150,13 +150,13 @@
     std::string text = std::string(safe ? "GET" : "POST") + " /api HTTP/1.1\r\nHost: app.svc\r\n" +
                        "X-Correlation-Id: " + id + "\r\nX-Service-Class: " + c.name +
                        "\r\nX-Time-Left: " + left + "\r\n";
-    if (t.id % kMaxTries > 0) text += "X-Repeat: 1\r\n";
+    if (t.id % kMaxRequestsPerOperation > 0) text += "X-Repeat: 1\r\n";
     if (c.kind() == balancer::Idempotency::idempotency_key)
-        text += "Idempotency-Key: k" + std::to_string(request_of(t.id)) + "\r\n";
+        text += "Idempotency-Key: k" + std::to_string(operation_of(t.id)) + "\r\n";
     return text + (safe ? "\r\n" : "Content-Length: 4\r\n\r\nbody");
 }
 
-void StandInCallers::ask(const Try& t) {
+void ClientEmulator::ask(const ClientRequest& t) {
     std::shared_ptr<Connection> connection;
     while (!idle_.empty() && !connection) {
         connection = std::move(idle_.back());
@@ -171,14 +171,14 @@
     connection->ask(t);
 }
 
-void StandInCallers::up(std::function<void(bool)> told) {
+void ClientEmulator::up(std::function<void(bool)> told) {
     struct Probe {
         Probe(asio::io_context& io) : socket(io) {}
         tcp::socket socket;
         boost::beast::flat_buffer buffer{16384};
         http::response<http::string_body> response;
     };
-    const auto probe = std::make_shared<Probe>(stage_.io);
+    const auto probe = std::make_shared<Probe>(testbed_.io);
     probe->socket.async_connect(sidecar_, [probe, told = std::move(told)](error_code error) {
         if (error) return told(false);
         static const std::string text = "GET /up HTTP/1.1\r\nHost: app.svc\r\n\r\n";
--- a/src/simulation/real/stand_in_callers.hpp
+++ b/src/simulation/drivers/sockets/client_emulator.hpp
@@ -1,4 +1,4 @@
-// The callers of one sidecar: PROTOCOL's "The application to its sidecar" on kept connections.
+// The clients of one sidecar: PROTOCOL's "The application to its sidecar" on kept connections.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -7,16 +7,16 @@
 #include <set>
 #include <vector>
 
-#include "simulation/callers.hpp"
-#include "simulation/real/stage.hpp"
+#include "simulation/models/client_model.hpp"
+#include "simulation/drivers/sockets/loopback_testbed.hpp"
 
 namespace elmbay::simulation {
 
-class StandInCallers {
+class ClientEmulator {
 public:
     // An answer that is longer is none that a server made.
     static constexpr std::uint64_t kMaxAnswer = 64 * 1024;
-    // A caller looks at its clock this much late, as the rules on sockets do.
+    // A client looks at its clock this much late, as the rules on sockets do.
     static constexpr Millis kSlack = 50;
 
     enum class End {
@@ -25,7 +25,7 @@
         closed,     // the connection was closed with nothing
         unreached,  // no connection came up: the try has not been taken
         silence,    // its time is over
-        left        // this caller has gone away
+        left        // this client has gone away
     };
     struct Outcome {
         End end = End::silence;
@@ -35,17 +35,17 @@
     };
     // taken: the first byte is about to be written to a connection that came up. Each try has one ended().
     struct Handlers {
-        std::function<void(const Try&)> taken;
-        std::function<void(const Try&, const Outcome&)> ended;
+        std::function<void(const ClientRequest&)> taken;
+        std::function<void(const ClientRequest&, const Outcome&)> ended;
     };
 
-    StandInCallers(Stage& stage, const Incident& incident, const Callers& callers, tcp::endpoint sidecar,
+    ClientEmulator(LoopbackTestbed& testbed, const Scenario& scenario, const ClientModel& clients, tcp::endpoint sidecar,
                    Handlers handlers);
-    ~StandInCallers();
-    StandInCallers(const StandInCallers&) = delete;
-    StandInCallers& operator=(const StandInCallers&) = delete;
+    ~ClientEmulator();
+    ClientEmulator(const ClientEmulator&) = delete;
+    ClientEmulator& operator=(const ClientEmulator&) = delete;
 
-    void ask(const Try& t);
+    void ask(const ClientRequest& t);
     // Whether GET /up answers 200; told once.
     void up(std::function<void(bool)> told);
 
@@ -53,11 +53,11 @@
     class Connection;
     friend class Connection;
 
-    std::string message(const Try& t) const;
+    std::string message(const ClientRequest& t) const;
 
-    Stage& stage_;
-    const Incident& incident_;
-    const Callers& callers_;
+    LoopbackTestbed& testbed_;
+    const Scenario& scenario_;
+    const ClientModel& clients_;
     const tcp::endpoint sidecar_;
     const Handlers handlers_;
     std::vector<std::shared_ptr<Connection>> idle_;
--- a/src/simulation/real/stand_in_discovery.cpp
+++ b/src/simulation/drivers/sockets/discovery_emulator.cpp
@@ -1,4 +1,4 @@
-#include "simulation/real/stand_in_discovery.hpp"
+#include "simulation/drivers/sockets/discovery_emulator.hpp"
 
 #include <boost/asio/write.hpp>
 #include <boost/beast/core/flat_buffer.hpp>
@@ -13,7 +13,7 @@
 using boost::system::error_code;
 
 nlohmann::json listing_of(const std::vector<Entry>& entries, std::uint64_t rev, bool all,
-                          const Stage& stage) {
+                          const LoopbackTestbed& testbed) {
     nlohmann::json targets = nlohmann::json::array();
     for (const Entry& e : entries) {
         if (all && e.state == EndpointState::removed) continue;
@@ -27,14 +27,14 @@
                        : e.state == EndpointState::draining ? "leaving"
                                                             : "left"},
              {"capacity_hint", 1.0},
-             {"boot_ms", e.online_since > 0 ? std::floor(stage.unix_time(e.online_since)) : 0.0}});
+             {"boot_ms", e.online_since > 0 ? std::floor(testbed.unix_time(e.online_since)) : 0.0}});
     }
     return {{"rev", rev}, {"all", all}, {"targets", targets}};
 }
 
-class StandInDiscovery::Connection : public std::enable_shared_from_this<Connection> {
+class DiscoveryEmulator::Connection : public std::enable_shared_from_this<Connection> {
 public:
-    Connection(StandInDiscovery& discovery, tcp::socket socket)
+    Connection(DiscoveryEmulator& discovery, tcp::socket socket)
         : discovery_(&discovery), socket_(std::move(socket)) {
         error_code ignored;
         socket_.set_option(tcp::no_delay(true), ignored);
@@ -67,7 +67,7 @@
         const std::string target(request_.target());
         const bool watch = target.find("stream=1") != std::string::npos;
         const std::string list =
-            listing_of(discovery_->entries_, discovery_->rev_, true, discovery_->stage_).dump();
+            listing_of(discovery_->entries_, discovery_->rev_, true, discovery_->testbed_).dump();
         if (!target.starts_with("/discovery/hosts"))
             return send("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
         if (!watch) {
@@ -102,7 +102,7 @@
         drop();
     }
 
-    StandInDiscovery* discovery_;
+    DiscoveryEmulator* discovery_;
     tcp::socket socket_;
     boost::beast::flat_buffer buffer_{kMaxRequest};
     http::request<http::empty_body> request_;
@@ -110,24 +110,24 @@
     bool watching_ = false;
 };
 
-StandInDiscovery::StandInDiscovery(Stage& stage, Judge& judge, std::uint32_t sidecar,
+DiscoveryEmulator::DiscoveryEmulator(LoopbackTestbed& testbed, InvariantChecker& checker, std::uint32_t sidecar,
                                    std::vector<Entry> entries, const asio::ip::address& address)
-    : stage_(stage),
-      judge_(judge),
+    : testbed_(testbed),
+      checker_(checker),
       sidecar_(sidecar),
       entries_(std::move(entries)),
       address_(address),
-      acceptor_(std::make_shared<tcp::acceptor>(stage.io, tcp::endpoint(address, 0))) {
+      acceptor_(std::make_shared<tcp::acceptor>(testbed.io, tcp::endpoint(address, 0))) {
     accept();
     quiet_lines();
 }
 
-StandInDiscovery::~StandInDiscovery() {
+DiscoveryEmulator::~DiscoveryEmulator() {
     *here_ = false;
     for (const auto& connection : connections_) connection->drop();
 }
 
-void StandInDiscovery::accept() {
+void DiscoveryEmulator::accept() {
     acceptor_->async_accept([this, acceptor = acceptor_, here = here_](error_code error, tcp::socket socket) {
         if (!*here || acceptor != acceptor_ || error == asio::error::operation_aborted) return;
         if (!error) {
@@ -138,21 +138,21 @@
     });
 }
 
-void StandInDiscovery::quiet_lines() {
-    stage_.at(stage_.now() + kQuietLine, [this, here = here_] {
+void DiscoveryEmulator::quiet_lines() {
+    testbed_.at(testbed_.now() + kQuietLine, [this, here = here_] {
         if (!*here) return;
         for (const auto& connection : std::list(connections_)) connection->line("");
         quiet_lines();
     });
 }
 
-tcp::endpoint StandInDiscovery::move() {
+tcp::endpoint DiscoveryEmulator::move() {
     error_code ignored;
     acceptor_->close(ignored);
-    acceptor_ = std::make_shared<tcp::acceptor>(stage_.io, tcp::endpoint(address_, 0));
+    acceptor_ = std::make_shared<tcp::acceptor>(testbed_.io, tcp::endpoint(address_, 0));
     accept();
     std::vector<std::weak_ptr<Connection>> old(connections_.begin(), connections_.end());
-    stage_.at(stage_.now() + kOldCloses, [this, here = here_, old = std::move(old)] {
+    testbed_.at(testbed_.now() + kOldCloses, [this, here = here_, old = std::move(old)] {
         if (!*here) return;
         for (const auto& weak : old)
             if (const auto connection = weak.lock()) {
@@ -163,27 +163,27 @@
     return endpoint();
 }
 
-void StandInDiscovery::told(const Entry& e) {
-    judge_.told(stage_.now(), sidecar_, e.server, e.state, e.online_since);
+void DiscoveryEmulator::told(const Entry& e) {
+    checker_.told(testbed_.now(), sidecar_, e.server, e.state, e.online_since);
 }
 
-void StandInDiscovery::all_told() {
+void DiscoveryEmulator::all_told() {
     for (const Entry& e : entries_) told(e);
 }
 
-void StandInDiscovery::change(const Notice& notice) {
+void DiscoveryEmulator::change(const Notice& notice) {
     Entry& e = entries_[notice.server];
     e.state = notice.state;
     e.online_since = std::max(e.online_since, notice.online_since);
     ++rev_;
-    const std::string text = listing_of({e}, rev_, false, stage_).dump();
+    const std::string text = listing_of({e}, rev_, false, testbed_).dump();
     bool watched = false;
     for (const auto& connection : std::list(connections_)) {
         watched = watched || connection->watching();
         connection->line(text);
     }
     if (watched) return told(e);
-    stage_.at(stage_.now() + kToldAfter, [this, here = here_, server = notice.server] {
+    testbed_.at(testbed_.now() + kToldAfter, [this, here = here_, server = notice.server] {
         if (*here) told(entries_[server]);
     });
 }
--- a/src/simulation/real/stand_in_discovery.hpp
+++ b/src/simulation/drivers/sockets/discovery_emulator.hpp
@@ -7,9 +7,9 @@
 #include <memory>
 #include <nlohmann/json.hpp>
 
-#include "simulation/judge.hpp"
-#include "simulation/real/stage.hpp"
-#include "simulation/timeline.hpp"
+#include "simulation/checking/invariant_checker.hpp"
+#include "simulation/drivers/sockets/loopback_testbed.hpp"
+#include "simulation/scenario/timeline.hpp"
 
 namespace elmbay::simulation {
 
@@ -21,9 +21,9 @@
     balancer::EndpointState state = balancer::EndpointState::active;
     Millis online_since = 0;  // of the simulation; 0: long ago
 };
-nlohmann::json listing_of(const std::vector<Entry>& entries, std::uint64_t rev, bool all, const Stage& stage);
+nlohmann::json listing_of(const std::vector<Entry>& entries, std::uint64_t rev, bool all, const LoopbackTestbed& testbed);
 
-class StandInDiscovery {
+class DiscoveryEmulator {
 public:
     // What counts as told though no watch is open to tell it (LATER: 4 s after SIGHUP).
     static constexpr Millis kToldAfter = 4000;
@@ -31,14 +31,14 @@
     static constexpr Millis kQuietLine = 2000, kOldCloses = 1500;
     static constexpr std::size_t kMaxRequest = 16 * 1024;
 
-    StandInDiscovery(Stage& stage, Judge& judge, std::uint32_t sidecar, std::vector<Entry> entries,
+    DiscoveryEmulator(LoopbackTestbed& testbed, InvariantChecker& checker, std::uint32_t sidecar, std::vector<Entry> entries,
                      const asio::ip::address& address);
-    ~StandInDiscovery();
-    StandInDiscovery(const StandInDiscovery&) = delete;
-    StandInDiscovery& operator=(const StandInDiscovery&) = delete;
+    ~DiscoveryEmulator();
+    DiscoveryEmulator(const DiscoveryEmulator&) = delete;
+    DiscoveryEmulator& operator=(const DiscoveryEmulator&) = delete;
 
     void change(const Notice& notice);
-    // After the stage has forgotten its timers.
+    // After the testbed has forgotten its timers.
     void resume() { quiet_lines(); }
     // Another port from now on. Returns it; the old one takes no new connection.
     tcp::endpoint move();
@@ -56,8 +56,8 @@
     void all_told();
     void told(const Entry& entry);
 
-    Stage& stage_;
-    Judge& judge_;
+    LoopbackTestbed& testbed_;
+    InvariantChecker& checker_;
     const std::uint32_t sidecar_;
     std::vector<Entry> entries_;
     std::uint64_t rev_ = 1;
--- a/src/simulation/real/stage.cpp
+++ b/src/simulation/drivers/sockets/loopback_testbed.cpp
@@ -1,10 +1,10 @@
-#include "simulation/real/stage.hpp"
+#include "simulation/drivers/sockets/loopback_testbed.hpp"
 
 #include <algorithm>
 
 namespace elmbay::simulation {
 
-void Stage::begin(Millis from_now) {
+void LoopbackTestbed::begin(Millis from_now) {
     zero_ = clock_.now() + from_now;
     timers_.clear();
     std::fill(lateness_.begin(), lateness_.end(), 0);
@@ -12,14 +12,14 @@
     most_ = 0;
 }
 
-void Stage::note_lateness(Millis late) {
+void LoopbackTestbed::note_lateness(Millis late) {
     late = std::max(0.0, late);
     ++wakeups_;
     most_ = std::max(most_, late);
     ++lateness_[std::min(kSteps, static_cast<std::size_t>(late * 10))];
 }
 
-Punctuality Stage::punctuality() const {
+Punctuality LoopbackTestbed::punctuality() const {
     Punctuality p;
     p.measured = true;
     p.most = most_;
--- a/src/simulation/real/stage.hpp
+++ b/src/simulation/drivers/sockets/loopback_testbed.hpp
@@ -6,16 +6,16 @@
 #include <functional>
 
 #include "base/timing.hpp"
-#include "simulation/report.hpp"
+#include "simulation/reports/report.hpp"
 
 namespace elmbay::simulation {
 
 namespace asio = boost::asio;
 using tcp = asio::ip::tcp;
 
-class Stage {
+class LoopbackTestbed {
 public:
-    Stage() : timers_(io, clock_) {}
+    LoopbackTestbed() : timers_(io, clock_) {}
 
     // Time 0 is `from_now` ahead, lateness counts anew, and what was to run is forgotten.
     void begin(Millis from_now = 0);
--- a/src/simulation/real/stand_in_server.cpp
+++ b/src/simulation/drivers/sockets/server_emulator.cpp
@@ -1,4 +1,4 @@
-#include "simulation/real/stand_in_server.hpp"
+#include "simulation/drivers/sockets/server_emulator.hpp"
 
 #include <sys/socket.h>
 
@@ -21,17 +21,17 @@
 
 }  // namespace
 
-std::optional<TryId> StandInServer::id_of(const std::string& text) {
-    TryId id = 0;
+std::optional<ClientRequestId> ServerEmulator::id_of(const std::string& text) {
+    ClientRequestId id = 0;
     const auto [end, wrong] = std::from_chars(text.data(), text.data() + text.size(), id, 16);
     if (wrong != std::errc() || end != text.data() + text.size() || text.size() != 16) return {};
     return id;
 }
 
 // Reads all the time: a sidecar that gives up shows it by closing, also while its request is in work.
-class StandInServer::Connection : public std::enable_shared_from_this<Connection> {
+class ServerEmulator::Connection : public std::enable_shared_from_this<Connection> {
 public:
-    Connection(StandInServer& server, tcp::socket socket) : server_(&server), socket_(std::move(socket)) {
+    Connection(ServerEmulator& server, tcp::socket socket) : server_(&server), socket_(std::move(socket)) {
         error_code ignored;
         socket_.set_option(tcp::no_delay(true), ignored);
         fresh_parser();
@@ -67,7 +67,7 @@
     bool silent() const { return silent_; }
 
     Ticket ticket = 0;
-    TryId id = 0;
+    ClientRequestId id = 0;
     std::uint32_t judged = 0;
 
 private:
@@ -93,14 +93,14 @@
         return true;
     }
     void gone() {
-        StandInServer* server = server_;
+        ServerEmulator* server = server_;
         if (!server) return;
         server_ = nullptr;
         error_code ignored;
         socket_.close(ignored);
-        const Millis now = server->stage_.now();
+        const Millis now = server->testbed_.now();
         if (ticket != 0) {
-            server->judge_.over(now, id, judged);
+            server->checker_.over(now, id, judged);
             server->tickets_.erase(ticket);
             server->model().abandon(now, ticket, server->out_);
         }
@@ -109,33 +109,33 @@
         server->pump();
     }
 
-    StandInServer* server_;
+    ServerEmulator* server_;
     tcp::socket socket_;
     boost::beast::flat_buffer buffer_{kMaxBody + kMaxHead};
     std::unique_ptr<http::request_parser<http::string_body>> parser_;
     bool busy_ = false, silent_ = false;
 };
 
-StandInServer::StandInServer(Stage& stage, Archive& archive, Judge& judge, Service& service,
-                             const Callers& callers, std::uint32_t number, tcp::endpoint address)
-    : stage_(stage),
-      archive_(archive),
-      judge_(judge),
-      service_(service),
-      callers_(callers),
+ServerEmulator::ServerEmulator(LoopbackTestbed& testbed, ServiceModel& service_model, InvariantChecker& checker, ServiceMetrics& metrics,
+                             const ClientModel& clients, std::uint32_t number, tcp::endpoint address)
+    : testbed_(testbed),
+      service_model_(service_model),
+      checker_(checker),
+      metrics_(metrics),
+      clients_(clients),
       number_(number),
       endpoint_(std::move(address)),
-      acceptor_(stage.io) {
+      acceptor_(testbed.io) {
     // ResourceUsage once in any case, so that the port is known and known to be free.
     open();
-    if (!archive_.there_at_start(number)) close(true);
+    if (!service_model_.there_at_start(number)) close(true);
 }
 
-StandInServer::~StandInServer() {
+ServerEmulator::~ServerEmulator() {
     for (const auto& connection : connections_) connection->drop(true);
 }
 
-void StandInServer::open() {
+void ServerEmulator::open() {
     acceptor_.open(endpoint_.protocol());
     acceptor_.set_option(tcp::acceptor::reuse_address(true));
     acceptor_.bind(endpoint_);
@@ -144,11 +144,11 @@
     accept();
 }
 
-void StandInServer::accept() {
+void ServerEmulator::accept() {
     acceptor_.async_accept([this](error_code error, tcp::socket socket) {
         if (error == asio::error::operation_aborted || !acceptor_.is_open()) return;
         if (!error) {
-            if (model().connect(stage_.now(), out_)) {
+            if (model().connect(testbed_.now(), out_)) {
                 ++accepted_;
                 auto connection = std::make_shared<Connection>(*this, std::move(socket));
                 connections_.insert(connection);
@@ -163,13 +163,13 @@
     });
 }
 
-void StandInServer::close(bool reset) {
+void ServerEmulator::close(bool reset) {
     error_code ignored;
     acceptor_.close(ignored);
     fillers_.clear();
     const auto connections = std::exchange(connections_, {});
     for (const auto& connection : connections) {
-        if (connection->ticket != 0) judge_.over(stage_.now(), connection->id, connection->judged);
+        if (connection->ticket != 0) checker_.over(testbed_.now(), connection->id, connection->judged);
         connection->drop(reset);
     }
     tickets_.clear();
@@ -177,13 +177,13 @@
 
 // Connections stay open and silent. New ones never come up: the kernel drops them while the queue is full,
 // which it is once nothing is accepted any more and its length is none.
-void StandInServer::cut_off() {
+void ServerEmulator::cut_off() {
     for (const auto& connection : connections_) connection->silence();
     error_code ignored;
     acceptor_.cancel(ignored);
     ::listen(acceptor_.native_handle(), 0);
     for (int i = 0; i < kFillers; ++i) {
-        fillers_.emplace_back(stage_.io);
+        fillers_.emplace_back(testbed_.io);
         fillers_.back().open(endpoint_.protocol(), ignored);
         fillers_.back().native_non_blocking(true, ignored);
         // The system's own: asio's connect() waits until it is up, which is never.
@@ -192,9 +192,9 @@
     }
 }
 
-void StandInServer::apply(const Step& step) {
+void ServerEmulator::apply(const Step& step) {
     const bool was_up = model().running(), was_cut_off = !model().reachable();
-    archive_.apply(step, out_);
+    service_model_.apply(step, out_);
     if (step.change == Change::stop && was_up) {
         out_.clear();  // each of them is told by its connection's end
         close(true);
@@ -207,36 +207,36 @@
     pump();
 }
 
-void StandInServer::arrived(const std::shared_ptr<Connection>& connection, const std::string& text) {
-    const Millis now = stage_.now();
+void ServerEmulator::arrived(const std::shared_ptr<Connection>& connection, const std::string& text) {
+    const Millis now = testbed_.now();
     const auto id = id_of(text);
-    if (!id || request_of(*id) >= callers_.asks().size()) {
-        judge_.stranger(now, "s-" + std::to_string(number_) + " got a request that no caller sent: '" +
+    if (!id || operation_of(*id) >= clients_.arrivals().size()) {
+        checker_.stranger(now, "s-" + std::to_string(number_) + " got a request that no caller sent: '" +
                                  text.substr(0, 40) + "'");
         return connection->respond("400 Bad Request", "", "");
     }
-    const std::uint32_t sidecar = callers_.ask(request_of(*id)).sidecar;
+    const std::uint32_t sidecar = clients_.ask(operation_of(*id)).sidecar;
     connection->id = *id;
-    connection->judged = judge_.sent(sent_at ? sent_at(*id) : now, *id, number_, sidecar);
-    const ServerLoad load{callers_.attempt_work(request_of(*id), number_), model().capacity(now),
+    connection->judged = checker_.sent(sent_at ? sent_at(*id) : now, *id, number_, sidecar);
+    const ServerLoad load{clients_.attempt_work(operation_of(*id), number_), model().capacity(now),
                           model().started(), model().cold(now)};
-    connection->ticket = archive_.arrive(now, number_, *id, out_);
+    connection->ticket = service_model_.arrive(now, number_, *id, out_);
     const Ticket ticket = connection->ticket;
     tickets_[ticket] = connection;
-    service_.attempt(now, number_, load.work);
+    metrics_.attempt(now, number_, load.work);
     bool away = false;
     for (const Departure& d : out_) away = away || (d.ticket == ticket && d.fate == Fate::turned_away);
-    const bool fell = judge_.reached(now, *id, connection->judged,
-                                     away ? Judge::Reached::turned_away : Judge::Reached::accepted, load);
+    const bool fell = checker_.reached(now, *id, connection->judged,
+                                     away ? InvariantChecker::Reached::turned_away : InvariantChecker::Reached::accepted, load);
     if (fell) {
-        archive_.fell(now, number_, out_);
+        service_model_.fell(now, number_, out_);
         out_.clear();
         close(true);
     }
     pump();
 }
 
-void StandInServer::pump() {
+void ServerEmulator::pump() {
     const ServerModel::Out departed = std::exchange(out_, {});
     for (const Departure& d : departed) {
         const auto at = tickets_.find(d.ticket);
@@ -244,7 +244,7 @@
         const auto connection = at->second.lock();
         tickets_.erase(at);
         if (!connection) continue;
-        judge_.over(stage_.now(), connection->id, connection->judged);
+        checker_.over(testbed_.now(), connection->id, connection->judged);
         if (d.fate == Fate::done) {
             char body[64];
             std::snprintf(body, sizeof body, "%016llx s-%u\n",
@@ -254,18 +254,18 @@
             connection->respond("500 Internal Server Error", "", "failed\n");
         } else if (d.fate == Fate::turned_away) {
             // A machine that stood still turns away once it goes on again: unseen, as those at once.
-            judge_.reached(stage_.now(), connection->id, connection->judged, Judge::Reached::turned_away);
+            checker_.reached(testbed_.now(), connection->id, connection->judged, InvariantChecker::Reached::turned_away);
             connection->respond("503 Service Unavailable", "X-Unprocessed: 1\r\n", "");
         }
     }
     const Millis next = model().next();
     if (next > 1e300 || (poll_at_ >= 0 && next >= poll_at_)) return;
-    stage_.cancel(poll_);
+    testbed_.cancel(poll_);
     poll_at_ = next;
-    poll_ = stage_.at(next, [this] {
+    poll_ = testbed_.at(next, [this] {
         poll_at_ = -1;
         poll_ = {};
-        model().advance(stage_.now(), out_);
+        model().advance(testbed_.now(), out_);
         pump();
     });
 }
--- a/src/simulation/real/real_run.cpp
+++ b/src/simulation/drivers/sockets/socket_run.cpp
@@ -1,4 +1,4 @@
-#include "simulation/real/real_run.hpp"
+#include "simulation/drivers/sockets/socket_run.hpp"
 
 #include <signal.h>
 #include <sys/wait.h>
@@ -14,11 +14,11 @@
 #include "process_testbed/request_reader.hpp"
 #include "fault_proxy/datagram_net.hpp"
 #include "fault_proxy/stream_link.hpp"
-#include "simulation/chance.hpp"
-#include "simulation/real/stand_in_callers.hpp"
-#include "simulation/real/stand_in_discovery.hpp"
-#include "simulation/real/stand_in_server.hpp"
-#include "simulation/sidecar_log.hpp"
+#include "simulation/models/random_streams.hpp"
+#include "simulation/drivers/sockets/client_emulator.hpp"
+#include "simulation/drivers/sockets/discovery_emulator.hpp"
+#include "simulation/drivers/sockets/server_emulator.hpp"
+#include "simulation/checking/sidecar_log.hpp"
 
 namespace elmbay::simulation {
 
@@ -71,23 +71,23 @@
     bool own_;
 };
 
-class RealRun {
+class SocketRun {
 public:
-    RealRun(const Incident& incident, const RealOptions& options)
-        : incident_(incident),
+    SocketRun(const Scenario& scenario, const SocketRunOptions& options)
+        : scenario_(scenario),
           options_(options),
           folder_(options.folder),
-          callers_(incident),
-          archive_(incident, callers_),
-          judge_(incident, callers_, StandInCallers::kSlack),
-          service_(incident, callers_),
-          steps_(timeline(incident)),
-          notices_(notices(incident, steps_)),
-          sidecars_(incident),
+          clients_(scenario),
+          service_model_(scenario, clients_),
+          checker_(scenario, clients_, ClientEmulator::kSlack),
+          metrics_(scenario, clients_),
+          steps_(timeline(scenario)),
+          notices_(notices(scenario, steps_)),
+          sidecars_(scenario),
           run_(std::random_device()()),
-          context_(stage_.io, incident.overview.seed),
+          context_(testbed_.io, scenario.overview.seed),
           messages_(context_, {loopback(run_, kEverybody), 0}) {
-        for (const FaultSpec& f : incident.faults)
+        for (const FaultSpec& f : scenario.faults)
             if (f.kind == FaultKind::other_build && !options.builds.contains(f.build))
                 throw std::invalid_argument("a fault starts the build '" + f.build +
                                             "': say which command that is with --build " + f.build +
@@ -97,36 +97,36 @@
             if (!log_) throw std::runtime_error(options.log + ": can't be written");
         }
         context_.begin(kLongAhead);  // nothing of the file holds before time 0
-        auto rules = incident.link_rules();
+        auto rules = scenario.link_rules();
         linked_ = std::any_of(rules.begin(), rules.end(),
                               [](const fault_proxy::Rule& rule) { return rule.medium != fault_proxy::Medium::datagram; });
-        for (fault_proxy::Rule& rule : incident.message_rules()) {
+        for (fault_proxy::Rule& rule : scenario.message_rules()) {
             rule.at = -kLongAhead;  // from before the start
             rules.push_back(std::move(rule));
         }
         context_.replace_all(std::move(rules));
         messages_.tap([this](const fault_proxy::Link& link, std::size_t bytes, bool delivered) {
-            if (!delivered) return sidecars_.sent(stage_.now(), bytes);
-            sidecars_.delivered(stage_.now(), number_of(link.from), number_of(link.to), bytes);
+            if (!delivered) return sidecars_.sent(testbed_.now(), bytes);
+            sidecars_.delivered(testbed_.now(), number_of(link.from), number_of(link.to), bytes);
         });
-        for (std::uint32_t i = 0; i < archive_.count(); ++i)
-            servers_.push_back(std::make_unique<StandInServer>(stage_, archive_, judge_, service_, callers_,
+        for (std::uint32_t i = 0; i < service_model_.count(); ++i)
+            servers_.push_back(std::make_unique<ServerEmulator>(testbed_, service_model_, checker_, metrics_, clients_,
                                                                i, tcp::endpoint(loopback(run_, i), 0)));
-        for (std::uint32_t i = 0; i < incident.sidecars.count; ++i) add_peer(i);
-        for (std::uint32_t i = 0; i < incident.sidecars.count; ++i) add_sidecar(i);
+        for (std::uint32_t i = 0; i < scenario.sidecars.count; ++i) add_peer(i);
+        for (std::uint32_t i = 0; i < scenario.sidecars.count; ++i) add_sidecar(i);
     }
 
     Report run() {
-        stage_.begin();  // for the waits until all are ready
+        testbed_.begin();  // for the waits until all are ready
         for (Side& side : sides_) side.process->start();
         wait_ready();
-        stage_.begin(kBeforeFirst);
+        testbed_.begin(kBeforeFirst);
         context_.begin(kBeforeFirst);
         for (Side& side : sides_) side.discovery->resume();
         begin();
         for (std::uint32_t i = 0; i < sides_.size(); ++i) sidecars_.began(0, i, "elmbay");
-        while (!over_) stage_.io.run_one();
-        judge_.finish(stage_.now());
+        while (!over_) testbed_.io.run_one();
+        checker_.finish(testbed_.now());
         for (Side& side : sides_) side.process->kill();
         return report();
     }
@@ -134,8 +134,8 @@
 private:
     struct Side {
         std::unique_ptr<process_testbed::Process> process;
-        std::unique_ptr<StandInDiscovery> discovery;
-        std::unique_ptr<StandInCallers> callers;
+        std::unique_ptr<DiscoveryEmulator> discovery;
+        std::unique_ptr<ClientEmulator> clients;
         tcp::endpoint listen;
         bool ready = false, may_end = false;
         std::uint32_t life = 0;
@@ -148,18 +148,18 @@
         return static_cast<std::uint32_t>(std::stoul(sidecar.substr(2)));
     }
 
-    // ---- links, where the incident has faults on them: between each sidecar, its servers and its list
+    // ---- links, where the scenario has faults on them: between each sidecar, its servers and its list
     tcp::endpoint way_to_server(std::uint32_t i, std::uint32_t s) {
         if (!linked_) return servers_[s]->endpoint();
         auto& link = links_[{i, s}];
         link = std::make_unique<fault_proxy::StreamLink>(
             context_, fault_proxy::Link{"n-" + std::to_string(i), "s-" + std::to_string(s)},
             tcp::endpoint(servers_[s]->endpoint().address(), 0), servers_[s]->endpoint());
-        if (!archive_.there_at_start(s)) link->target(fault_proxy::StreamLink::Target::down);
+        if (!service_model_.there_at_start(s)) link->target(fault_proxy::StreamLink::Target::down);
         watch(*link);
-        servers_[s]->sent_at = [this](TryId id) {
+        servers_[s]->sent_at = [this](ClientRequestId id) {
             const auto at = sent_at_.find(id);
-            return at == sent_at_.end() ? stage_.now() : at->second;
+            return at == sent_at_.end() ? testbed_.now() : at->second;
         };
         return link->endpoint();
     }
@@ -177,8 +177,8 @@
         const auto readers = std::make_shared<std::map<std::uint64_t, process_testbed::RequestReader>>();
         fault_proxy::StreamLink::Tap tap;
         tap.sent = [this, readers](std::uint64_t nth, std::string_view bytes) {
-            (*readers)[nth].take(bytes, stage_.now(), [this](const std::string& id, Millis first_byte) {
-                if (const auto number = StandInServer::id_of(id)) sent_at_[*number] = first_byte;
+            (*readers)[nth].take(bytes, testbed_.now(), [this](const std::string& id, Millis first_byte) {
+                if (const auto number = ServerEmulator::id_of(id)) sent_at_[*number] = first_byte;
             });
         };
         tap.over = [readers](std::uint64_t nth) { readers->erase(nth); };
@@ -198,7 +198,7 @@
     // ---- before the start
     // Where the others reach it, and a port of its own address at which it listens itself.
     void add_peer(std::uint32_t i) {
-        fault_proxy::udp::socket probe(stage_.io, fault_proxy::udp::endpoint(loopback(run_, kSidecars + i), 0));
+        fault_proxy::udp::socket probe(testbed_.io, fault_proxy::udp::endpoint(loopback(run_, kSidecars + i), 0));
         peer_listens_.push_back(probe.local_endpoint());
         probe.close();
         messages_.add(name_of_sidecar(i), {loopback(run_, kPeers + i), 0}, peer_listens_.back());
@@ -216,31 +216,31 @@
         Side side;
         const auto address = loopback(run_, kSidecars + i);
         // A free port of its own address: nothing else has it, so it is free again at the next start.
-        tcp::acceptor probe(stage_.io, tcp::endpoint(address, 0));
+        tcp::acceptor probe(testbed_.io, tcp::endpoint(address, 0));
         side.listen = probe.local_endpoint();
         probe.close();
         std::vector<Entry> entries;
-        for (std::uint32_t s = 0; s < archive_.count(); ++s)
-            entries.push_back({s, way_to_server(i, s), incident_.fleet.halls[incident_.hall_of(s)],
-                               archive_.there_at_start(s) ? EndpointState::active : EndpointState::removed,
+        for (std::uint32_t s = 0; s < service_model_.count(); ++s)
+            entries.push_back({s, way_to_server(i, s), scenario_.fleet.halls[scenario_.hall_of(s)],
+                               service_model_.there_at_start(s) ? EndpointState::active : EndpointState::removed,
                                0});
-        side.discovery = std::make_unique<StandInDiscovery>(stage_, judge_, i, std::move(entries), address);
+        side.discovery = std::make_unique<DiscoveryEmulator>(testbed_, checker_, i, std::move(entries), address);
         const std::string command = options_.sidecar;
         side.process = std::make_unique<process_testbed::Process>("n-" + std::to_string(i), command, folder_.path());
-        side.callers = std::make_unique<StandInCallers>(
-            stage_, incident_, callers_, side.listen,
-            StandInCallers::Handlers{
-                [this](const Try& t) { judge_.asked(stage_.now(), t); },
-                [this](const Try& t, const StandInCallers::Outcome& o) { ended(t, o); }});
+        side.clients = std::make_unique<ClientEmulator>(
+            testbed_, scenario_, clients_, side.listen,
+            ClientEmulator::Handlers{
+                [this](const ClientRequest& t) { checker_.asked(testbed_.now(), t); },
+                [this](const ClientRequest& t, const ClientEmulator::Outcome& o) { ended(t, o); }});
         sides_.push_back(std::move(side));
         configure(i);
     }
     void configure(std::uint32_t i) {
         Side& side = sides_[i];
-        const FaultSpec* changed = side.changed ? &incident_.faults[*side.changed] : nullptr;
-        const balancer::Settings s = incident_.settings(i, changed);
+        const FaultSpec* changed = side.changed ? &scenario_.faults[*side.changed] : nullptr;
+        const balancer::Settings s = scenario_.settings(i, changed);
         json classes = json::array();
-        for (const ClassSpec& c : incident_.classes)
+        for (const ClassSpec& c : scenario_.classes)
             classes.push_back({{"name", c.name},
                                {"effect", c.idempotency == "safe"    ? "repeatable"
                                           : c.idempotency == "keyed" ? "by_key"
@@ -252,24 +252,24 @@
                                {"credit", c.priority_weight},
                                {"late-value", 0.0}});
         std::string halls;
-        for (const std::string& hall : incident_.fleet.halls) halls += (halls.empty() ? "" : ",") + hall;
+        for (const std::string& hall : scenario_.fleet.halls) halls += (halls.empty() ? "" : ",") + hall;
         char seed[24];
         std::snprintf(seed, sizeof seed, "%016llx",
                       static_cast<unsigned long long>(
-                          stream(incident_.overview.seed, Purpose::balancer, i, ++side.life).next()));
+                          stream(scenario_.overview.seed, Purpose::balancer, i, ++side.life).next()));
         const json config = {
             {"name", "n-" + std::to_string(i)},
             {"listen", text_of(side.listen)},
             {"discovery", text_of(way_to_list(i))},
             {"seed", seed},
-            {"limits", {{"cores", 1.0}, {"memory_mb", 192}, {"sockets", incident_.sidecars.sockets}}},
+            {"limits", {{"cores", 1.0}, {"memory_mb", 192}, {"sockets", scenario_.sidecars.sockets}}},
             {"peer_listen", text_of_peer(peer_listens_[i])},
             {"peers", peers()},
             {"peers_all", text_of_peer(messages_.everybody())},
-            {"known", listing_of(side.discovery->entries(), side.discovery->rev(), true, stage_)},
+            {"known", listing_of(side.discovery->entries(), side.discovery->rev(), true, testbed_)},
             {"settings",
              {{"azs", halls},
-              {"my-zone", incident_.fleet.halls[i % incident_.fleet.halls.size()]},
+              {"my-zone", scenario_.fleet.halls[i % scenario_.fleet.halls.size()]},
               {"classes", classes},
               {"membership-mode", "pushed"},
               {"my-number", i},
@@ -278,21 +278,21 @@
                {{"max-attempts", s.max_attempts},
                 {"may-cancel", true},
                 {"parallel-tries", false},
-                {"connect-timeout-ms", incident_.fleet.connect_timeout},
-                {"idle-close-ms", incident_.fleet.idle_close}}},
+                {"connect-timeout-ms", scenario_.fleet.connect_timeout},
+                {"idle-close-ms", scenario_.fleet.idle_close}}},
               {"rules",
                {{"cold-from", s.slow_start_min_share},
                 {"fall-multiple", s.overload_multiple},
                 {"warm-within-ms", s.slow_start_duration}}},
               {"fees", {{"cross-zone", s.costs.cross_zone}}}}}};
         side.process->write_config(config);
-        if (incident_.sidecars.cluster) side.process->write_operator_file("[cluster]\non = true\n");
+        if (scenario_.sidecars.cluster) side.process->write_operator_file("[cluster]\non = true\n");
     }
     void look_ready(std::uint32_t i) {
         Side& side = sides_[i];
-        side.callers->up([this, i](bool up) {
+        side.clients->up([this, i](bool up) {
             sides_[i].ready = sides_[i].ready || up;
-            if (!up) stage_.at(stage_.now() + kReadyLook, [this, i] { look_ready(i); });
+            if (!up) testbed_.at(testbed_.now() + kReadyLook, [this, i] { look_ready(i); });
         });
     }
     void wait_ready() {
@@ -301,10 +301,10 @@
             return std::all_of(sides_.begin(), sides_.end(), [](const Side& s) { return s.ready; });
         };
         while (!all()) {
-            stage_.io.run_one_for(std::chrono::milliseconds(50));
+            testbed_.io.run_one_for(std::chrono::milliseconds(50));
             for (Side& side : sides_)
                 if (side.process->ended()) not_ready(side, "ended at once");
-            if (stage_.now() > kReadyWithin)
+            if (testbed_.now() > kReadyWithin)
                 for (Side& side : sides_)
                     if (!side.ready) not_ready(side, "is not ready after 15 s");
         }
@@ -318,76 +318,76 @@
 
     // ---- the run
     void begin() {
-        for (const Step& s : steps_) stage_.at(s.at, [this, &s] { step(s); });
+        for (const Step& s : steps_) testbed_.at(s.at, [this, &s] { step(s); });
         for (const Notice& n : notices_)
             for (std::uint32_t i = 0; i < sides_.size(); ++i)
-                stage_.at(n.at + spread_of(incident_, i), [this, &n, i] { sides_[i].discovery->change(n); });
+                testbed_.at(n.at + spread_of(scenario_, i), [this, &n, i] { sides_[i].discovery->change(n); });
         for (std::uint32_t i = 0; i < sides_.size(); ++i)
-            for (std::uint32_t s = 0; s < archive_.count(); ++s)
-                if (!archive_.there_at_start(s)) judge_.told(stage_.now(), i, s, EndpointState::removed, 0);
+            for (std::uint32_t s = 0; s < service_model_.count(); ++s)
+                if (!service_model_.there_at_start(s)) checker_.told(testbed_.now(), i, s, EndpointState::removed, 0);
         look_processes();
         ask_next();
         Millis patience = 0;
-        for (const ClassSpec& c : incident_.classes) patience = std::max(patience, c.give_up);
-        stage_.at(incident_.overview.length + 1, [this] { finished(); });
-        stage_.at(incident_.overview.length + patience + 1000, [this] { over_ = true; });
+        for (const ClassSpec& c : scenario_.classes) patience = std::max(patience, c.give_up);
+        testbed_.at(scenario_.overview.length + 1, [this] { finished(); });
+        testbed_.at(scenario_.overview.length + patience + 1000, [this] { over_ = true; });
     }
     void note(const std::string& line) {
         if (log_.is_open()) log_ << line << "\n";
     }
     void ask_next() {
-        if (next_ask_ >= callers_.asks().size()) return;
-        const RequestNumber request = next_ask_++;
-        stage_.at(callers_.ask(request).at, [this, request] {
-            const Ask& a = callers_.ask(request);
+        if (next_ask_ >= clients_.arrivals().size()) return;
+        const OperationId request = next_ask_++;
+        testbed_.at(clients_.ask(request).at, [this, request] {
+            const ClientArrival& a = clients_.ask(request);
             ask_hash_ = fnv1a(ask_text(request, a), ask_hash_);
             note(ask_text(request, a));
-            ask(callers_.first(request));
+            ask(clients_.first(request));
             ask_next();
         });
     }
-    std::string ask_text(RequestNumber request, const Ask& a) const {
+    std::string ask_text(OperationId request, const ClientArrival& a) const {
         char text[96];
         std::snprintf(text, sizeof text, "%.4f ask %llu n-%u %u %.4f", a.at,
                       static_cast<unsigned long long>(request), a.sidecar, a.class_index,
-                      callers_.work(request));
+                      clients_.work(request));
         return text;
     }
-    void ask(Try t) {
-        t.at = stage_.now();
+    void ask(ClientRequest t) {
+        t.at = testbed_.now();
         ++open_;
-        sides_[callers_.ask(request_of(t.id)).sidecar].callers->ask(t);
+        sides_[clients_.ask(operation_of(t.id)).sidecar].clients->ask(t);
     }
-    void ended(const Try& t, const StandInCallers::Outcome& o) {
-        using End = StandInCallers::End;
-        const Millis now = stage_.now();
+    void ended(const ClientRequest& t, const ClientEmulator::Outcome& o) {
+        using End = ClientEmulator::End;
+        const Millis now = testbed_.now();
         --open_;
         switch (o.end) {
             case End::left:
-                judge_.left(now, t.id);
-                service_.left(request_of(t.id));
+                checker_.left(now, t.id);
+                metrics_.left(operation_of(t.id));
                 return finished();
             case End::unreached:
                 break;
             case End::closed:
-                judge_.closed(now, t.id);
+                checker_.closed(now, t.id);
                 break;
             default:
-                judge_.answered(now, t.id, o.answer, o.genuine);
+                checker_.answered(now, t.id, o.answer, o.genuine);
         }
-        if (const auto next = callers_.next(now, t, o.answer, o.retry_after)) {
+        if (const auto next = clients_.next(now, t, o.answer, o.retry_after)) {
             ++open_;
-            stage_.at(next->at, [this, again = *next] {
+            testbed_.at(next->at, [this, again = *next] {
                 --open_;
                 ask(again);
             });
         } else {
-            service_.ended(now, request_of(t.id), o.answer);
+            metrics_.ended(now, operation_of(t.id), o.answer);
         }
         finished();
     }
     void finished() {
-        if (open_ == 0 && next_ask_ >= callers_.asks().size() && stage_.now() > incident_.overview.length)
+        if (open_ == 0 && next_ask_ >= clients_.arrivals().size() && testbed_.now() > scenario_.overview.length)
             over_ = true;
     }
 
@@ -404,23 +404,23 @@
             case Change::sidecar_kill:
                 messages_.listening(name_of_sidecar(s.who), false);
                 side.process->kill();
-                judge_.sidecar_died(s.who);
-                sidecars_.ended(stage_.now(), s.who, "killed");
+                checker_.sidecar_died(s.who);
+                sidecars_.ended(testbed_.now(), s.who, "killed");
                 break;
             case Change::sidecar_pause:
                 side.process->freeze();
-                judge_.sidecar_froze(s.who);
-                sidecars_.paused(stage_.now(), s.who);
+                checker_.sidecar_froze(s.who);
+                sidecars_.paused(testbed_.now(), s.who);
                 break;
             case Change::sidecar_wake:
-                judge_.sidecar_thawed(s.who);
+                checker_.sidecar_thawed(s.who);
                 side.process->thaw();
-                sidecars_.woke(stage_.now(), s.who);
+                sidecars_.woke(testbed_.now(), s.who);
                 break;
             case Change::sidecar_starve:
                 side.share = s.value;
-                sidecars_.starved(stage_.now(), s.who, s.value);
-                judge_.sidecar_starved(s.who, s.value < 1);
+                sidecars_.starved(testbed_.now(), s.who, s.value);
+                checker_.sidecar_starved(s.who, s.value < 1);
                 if (!std::exchange(side.duty_runs, true)) duty(s.who, true);
                 break;
             case Change::sidecar_change:
@@ -450,12 +450,12 @@
         Side& side = sides_[who];
         side.may_end = true;
         side.process->signal(SIGTERM);
-        stage_.at(stage_.now() + kTermWithin, [this, who, life = side.life] {
+        testbed_.at(testbed_.now() + kTermWithin, [this, who, life = side.life] {
             if (sides_[who].life != life || !sides_[who].process->running()) return;
             notes_.push_back("n-" + std::to_string(who) + " had not ended " +
                              std::to_string(static_cast<int>(kTermWithin)) + "ms after SIGTERM");
             sides_[who].process->kill();  // what it has not answered is lost
-            sidecars_.ended(stage_.now(), who, "killed after SIGTERM");
+            sidecars_.ended(testbed_.now(), who, "killed after SIGTERM");
             revive(who);
         });
     }
@@ -469,7 +469,7 @@
             side.duty_runs = false;
             return;
         }
-        stage_.at(stage_.now() + kDutyRound * (on ? side.share : 1 - side.share),
+        testbed_.at(testbed_.now() + kDutyRound * (on ? side.share : 1 - side.share),
                   [this, who, on] { duty(who, !on); });
     }
     static std::string text_of_step(const Step& s) { return simulation::text_of(s); }
@@ -479,7 +479,7 @@
         side.may_end = false;
         std::string command = options_.sidecar, build = "elmbay";
         if (side.changed) {
-            const FaultSpec& f = incident_.faults[*side.changed];
+            const FaultSpec& f = scenario_.faults[*side.changed];
             if (f.build.empty())
                 build += " (" + f.name + ")";
             else
@@ -488,7 +488,7 @@
         messages_.listening(name_of_sidecar(who), true);
         side.process->set_command(command);
         side.process->start();
-        sidecars_.began(stage_.now(), who, build);
+        sidecars_.began(testbed_.now(), who, build);
     }
     // A sidecar that ends without having been told to has crashed.
     void look_processes() {
@@ -498,28 +498,28 @@
             const std::string how = WIFSIGNALED(*status) ? "by signal " + std::to_string(WTERMSIG(*status))
                                                          : "with " + std::to_string(WEXITSTATUS(*status));
             if (sides_[i].may_end) {
-                judge_.sidecar_ended(i);
-                sidecars_.ended(stage_.now(), i, "ended");
+                checker_.sidecar_ended(i);
+                sidecars_.ended(testbed_.now(), i, "ended");
                 revive(i);
             } else {
-                judge_.stranger(stage_.now(), "n-" + std::to_string(i) + " ended by itself, " + how);
+                checker_.stranger(testbed_.now(), "n-" + std::to_string(i) + " ended by itself, " + how);
                 notes_.push_back("n-" + std::to_string(i) + " ended by itself, " + how);
             }
         }
-        if (options_.progress && stage_.now() > shown_ + incident_.overview.length / 100) {
-            shown_ = stage_.now();
-            options_.progress(std::clamp(shown_ / incident_.overview.length, 0.0, 1.0));
+        if (options_.progress && testbed_.now() > shown_ + scenario_.overview.length / 100) {
+            shown_ = testbed_.now();
+            options_.progress(std::clamp(shown_ / scenario_.overview.length, 0.0, 1.0));
         }
-        stage_.at(stage_.now() + kProcessLook, [this] { look_processes(); });
+        testbed_.at(testbed_.now() + kProcessLook, [this] { look_processes(); });
     }
 
     Report report() {
-        Report r = make_report(incident_, callers_, judge_, service_);
+        Report r = make_report(scenario_, clients_, checker_, metrics_);
         r.mode = "real";
         r.balancer = options_.sidecar;
-        r.punctuality = stage_.punctuality();
+        r.punctuality = testbed_.punctuality();
         r.notes = notes_;
-        r.side = sidecars_.report(std::min(stage_.now(), incident_.overview.length), next_ask_);
+        r.side = sidecars_.report(std::min(testbed_.now(), scenario_.overview.length), next_ask_);
         r.steps = executed_;
         for (const auto& server : servers_) r.connections += server->connections();
         r.log_lines = executed_.size() + next_ask_;
@@ -527,19 +527,19 @@
         return r;
     }
 
-    const Incident& incident_;
-    const RealOptions& options_;
+    const Scenario& scenario_;
+    const SocketRunOptions& options_;
     const Folder folder_;
-    Stage stage_;
-    Callers callers_;
-    Archive archive_;
-    Judge judge_;
-    Service service_;
+    LoopbackTestbed testbed_;
+    ClientModel clients_;
+    ServiceModel service_model_;
+    InvariantChecker checker_;
+    ServiceMetrics metrics_;
     const std::vector<Step> steps_;
     const std::vector<Notice> notices_;
     SidecarLog sidecars_;
     const std::uint32_t run_;
-    std::vector<std::unique_ptr<StandInServer>> servers_;
+    std::vector<std::unique_ptr<ServerEmulator>> servers_;
     fault_proxy::EventLoopContext context_;
     bool linked_ = false;  // whether the file has faults on streams: only then they go over links
     fault_proxy::DatagramNet messages_;
@@ -547,7 +547,7 @@
     std::map<std::pair<std::uint32_t, std::uint32_t>, std::unique_ptr<fault_proxy::StreamLink>> links_;
     std::map<std::uint32_t, std::vector<std::pair<tcp::endpoint, std::unique_ptr<fault_proxy::StreamLink>>>>
         list_links_;
-    std::unordered_map<TryId, Millis> sent_at_;  // of each try its last attempt
+    std::unordered_map<ClientRequestId, Millis> sent_at_;  // of each try its last attempt
     std::vector<Side> sides_;
     std::ofstream log_;
     std::vector<std::string> executed_, notes_;
@@ -559,8 +559,8 @@
 
 }  // namespace
 
-Report run_real(const Incident& incident, const RealOptions& options) {
-    return RealRun(incident, options).run();
+Report run_real(const Scenario& scenario, const SocketRunOptions& options) {
+    return SocketRun(scenario, options).run();
 }
 
 }  // namespace elmbay::simulation
--- a/src/simulation/real/real_run.hpp
+++ b/src/simulation/drivers/sockets/socket_run.hpp
@@ -1,4 +1,4 @@
-// An incident in real time: emulated servers, discovery and callers on loopback sockets round real sidecar
+// An scenario in real time: emulated servers, discovery and clients on loopback sockets round real sidecar
 // processes. One thread and one loop; it measures its own lateness.
 #pragma once
 
@@ -6,11 +6,11 @@
 #include <map>
 #include <string>
 
-#include "simulation/report.hpp"
+#include "simulation/reports/report.hpp"
 
 namespace elmbay::simulation {
 
-struct RealOptions {
+struct SocketRunOptions {
     std::string sidecar;                        // the command that starts one
     std::map<std::string, std::string> builds;  // of faults other-build: the command of each name
     std::string folder;  // for configurations and logs; empty: a temporary one, removed at the end
@@ -20,6 +20,6 @@
 
 // Throws std::invalid_argument for a fault's build that builds does not name, std::runtime_error if the
 // sidecars don't come up, with the end of what one of them said.
-Report run_real(const Incident& incident, const RealOptions& options);
+Report run_real(const Scenario& scenario, const SocketRunOptions& options);
 
 }  // namespace elmbay::simulation
--- a/src/simulation/virtual_run.cpp
+++ b/src/simulation/drivers/virtual/virtual_run.cpp
@@ -1,4 +1,4 @@
-#include "simulation/virtual_run.hpp"
+#include "simulation/drivers/virtual/virtual_run.hpp"
 
 #include <algorithm>
 #include <cstdarg>
@@ -6,12 +6,12 @@
 #include <queue>
 #include <unordered_map>
 
-#include "simulation/archive.hpp"
-#include "simulation/balancers.hpp"
-#include "simulation/chance.hpp"
-#include "simulation/members_companion.hpp"
-#include "simulation/messages.hpp"
-#include "simulation/sidecar_log.hpp"
+#include "simulation/models/service_model.hpp"
+#include "simulation/baselines/baseline_policies.hpp"
+#include "simulation/models/random_streams.hpp"
+#include "simulation/models/membership_agent.hpp"
+#include "simulation/models/message_network.hpp"
+#include "simulation/checking/sidecar_log.hpp"
 
 namespace elmbay::simulation {
 
@@ -21,7 +21,7 @@
 
 // The module's clock at time 0: servers that started "long ago" have 0, so no start may come out as 0.
 constexpr Millis kEpoch = 1e9;
-// As the real sidecar: its answer leaves this much before the caller's time is over, or a tenth of it.
+// As the real sidecar: its answer leaves this much before the client's time is over, or a tenth of it.
 constexpr Millis kAnswerMargin = 8;
 constexpr double kMaxMarginShare = 0.1;
 constexpr Millis kClientLatency = 0.1;
@@ -45,11 +45,11 @@
     poll,
     revive,
     intake,   // a request that came while its sidecar stood still is read
-    gone,     // and a caller that went meanwhile is noticed
+    gone,     // and a client that went meanwhile is noticed
     duty,     // a starved sidecar gets its core, or loses it
     message,  // a datagram has come
     refused,  // a machine says that nobody listens there
-    speak     // a companion wants to be woken
+    speak     // a agent wants to be woken
 };
 
 // Of a socket's receive buffer that nobody reads: so many datagrams stay, what comes after is gone.
@@ -72,7 +72,7 @@
 
 // One attempt from the sidecar's decision to its end there.
 struct Attempt {
-    TryId id = 0;
+    ClientRequestId id = 0;
     std::uint32_t sidecar = 0, server = 0, number = 0, judged = 0, life = 0;
     std::uint32_t epoch = 0;  // of the server's process that has the connection
     Ticket ticket = 0;
@@ -104,54 +104,54 @@
     std::size_t unread = 0;              // datagrams among them
     double share = 1;                    // of its core
     std::optional<std::size_t> changed;  // the fault whose build or settings it runs
-    std::unique_ptr<Companion> companion;
-    std::uint32_t siblings = 0;  // as its companion told its module last
+    std::unique_ptr<MembershipAgent> agent;
+    std::uint32_t siblings = 0;  // as its agent told its module last
     Millis began = 0;
     LearnedState kept;  // what its store holds
     Millis kept_at = -1;
 };
 
-// The last of a try, until the caller has its answer or is gone.
+// The last of a try, until the client has its answer or is gone.
 struct OpenTry {
-    Try t;
+    ClientRequest t;
     std::uint32_t life = 0;
 };
 
 class VirtualRun {
 public:
-    VirtualRun(const Incident& incident, const VirtualOptions& options)
-        : incident_(incident),
+    VirtualRun(const Scenario& scenario, const VirtualOptions& options)
+        : scenario_(scenario),
           options_(options),
-          callers_(incident),
-          archive_(incident, callers_),
-          judge_(incident, callers_, 0),
-          service_(incident, callers_),
-          steps_(timeline(incident)),
-          notices_(notices(incident, steps_)),
-          links_(incident.overview.seed),
-          messages_(incident),
-          sidecars_(incident),
-          epochs_(archive_.count(), 0),
-          poll_at_(archive_.count(), -1) {
-        for (std::uint32_t i = 0; i < archive_.count(); ++i)
+          clients_(scenario),
+          service_model_(scenario, clients_),
+          checker_(scenario, clients_, 0),
+          metrics_(scenario, clients_),
+          steps_(timeline(scenario)),
+          notices_(notices(scenario, steps_)),
+          links_(scenario.overview.seed),
+          messages_(scenario),
+          sidecars_(scenario),
+          epochs_(service_model_.count(), 0),
+          poll_at_(service_model_.count(), -1) {
+        for (std::uint32_t i = 0; i < service_model_.count(); ++i)
             listed_.push_back(info_of(i, EndpointState::active, 0));
-        for (std::uint32_t i = 0; i < archive_.count(); ++i)
-            if (!archive_.there_at_start(i)) listed_[i].state = EndpointState::removed;
-        instances_.resize(incident.sidecars.count);
-        links_.replace_all(incident.link_rules());
+        for (std::uint32_t i = 0; i < service_model_.count(); ++i)
+            if (!service_model_.there_at_start(i)) listed_[i].state = EndpointState::removed;
+        instances_.resize(scenario.sidecars.count);
+        links_.replace_all(scenario.link_rules());
     }
 
     Report run() {
         for (std::uint32_t i = 0; i < instances_.size(); ++i) begin_life(i);
         for (std::size_t i = 0; i < steps_.size(); ++i) put(steps_[i].at, What::step, 0, i);
         for (std::size_t i = 0; i < notices_.size(); ++i) put(notices_[i].at, What::told, 0, i, 0);
-        if (incident_.sidecars.remember > 0)
+        if (scenario_.sidecars.remember > 0)
             for (std::uint32_t i = 0; i < instances_.size(); ++i)
-                put(incident_.sidecars.remember, What::remember, i);
+                put(scenario_.sidecars.remember, What::remember, i);
         ask_next();
-        const Millis length = incident_.overview.length;
+        const Millis length = scenario_.overview.length;
         Millis patience = 0;
-        for (const ClassSpec& c : incident_.classes) patience = std::max(patience, c.give_up);
+        for (const ClassSpec& c : scenario_.classes) patience = std::max(patience, c.give_up);
         Millis shown = 0;
         while (!queue_.empty()) {
             const Happening h = queue_.top();
@@ -164,13 +164,13 @@
                 options_.progress(std::min(1.0, now_ / length));
             }
         }
-        judge_.finish(now_);
-        Report report = make_report(incident_, callers_, judge_, service_);
+        checker_.finish(now_);
+        Report report = make_report(scenario_, clients_, checker_, metrics_);
         report.mode = "virtual";
         report.balancer = options_.balancer;
         report.connections = connections_;
         report.restarted = restarted_;
-        report.side = sidecars_.report(std::min(now_, length), callers_.asks().size());
+        report.side = sidecars_.report(std::min(now_, length), clients_.arrivals().size());
         report.log_lines = log_lines_;
         report.log_hash = log_hash_;
         return report;
@@ -228,11 +228,11 @@
                 return speak(h);
             case What::remember:
                 if (instances_[h.who].decider && !instances_[h.who].still()) keep(instances_[h.who]);
-                return put(now_ + incident_.sidecars.remember, What::remember, h.who);
+                return put(now_ + scenario_.sidecars.remember, What::remember, h.who);
             case What::poll:
                 if (h.at != poll_at_[h.who]) return;
                 poll_at_[h.who] = -1;
-                archive_.server(h.who).advance(now_, out_);
+                service_model_.server(h.who).advance(now_, out_);
                 return pump(h.who);
         }
     }
@@ -269,18 +269,18 @@
         Instance& n = instances_[who];
         if (!n.alive || n.frozen) return;
         n.frozen = true;
-        judge_.sidecar_froze(who);
+        checker_.sidecar_froze(who);
         sidecars_.paused(now_, who);
     }
     void thaw(std::uint32_t who) {
         Instance& n = instances_[who];
         if (!n.frozen) return;
         n.frozen = false;
-        judge_.sidecar_thawed(who);
+        checker_.sidecar_thawed(who);
         sidecars_.woke(now_, who);
         catch_up(who);
     }
-    // Callers' ends and lists come before all that could send, as in the program (Upstream::Gate).
+    // ClientModel' ends and lists come before all that could send, as in the program (Upstream::Gate).
     void catch_up(std::uint32_t who) {
         Instance& n = instances_[who];
         if (n.still()) return;
@@ -307,7 +307,7 @@
         n.share = share;
         sidecars_.starved(now_, who, share);
         if (share >= 1) n.off_core = false, catch_up(who);
-        judge_.sidecar_starved(who, share < 1);
+        checker_.sidecar_starved(who, share < 1);
         if (!goes_on && share < 1) duty(who, 0);
     }
     void duty(std::uint32_t who, std::uint64_t on) {
@@ -321,43 +321,43 @@
     // ---- messages between sidecars
     void start_companion(std::uint32_t who) {
         Instance& n = instances_[who];
-        n.companion.reset();
-        if (incident_.messages.beat <= 0 && !incident_.sidecars.cluster) return;
-        const std::uint64_t seed = stream(incident_.overview.seed, Purpose::messages, who, n.life).next();
-        if (incident_.sidecars.cluster)
-            n.companion = std::make_unique<MembersCompanion>(incident_, who, seed, now_, kUnix);
+        n.agent.reset();
+        if (scenario_.messages.beat <= 0 && !scenario_.sidecars.cluster) return;
+        const std::uint64_t seed = stream(scenario_.overview.seed, Purpose::messages, who, n.life).next();
+        if (scenario_.sidecars.cluster)
+            n.agent = std::make_unique<ClusterMembershipAgent>(scenario_, who, seed, now_, kUnix);
         else
-            n.companion = std::make_unique<Beats>(incident_, who, seed);
-        n.siblings = static_cast<std::uint32_t>(incident_.sidecars.count);
+            n.agent = std::make_unique<Beats>(scenario_, who, seed);
+        n.siblings = static_cast<std::uint32_t>(scenario_.sidecars.count);
         std::vector<Outgoing> out;
-        n.companion->begin(now_, out);
+        n.agent->begin(now_, out);
         said(who, out);
     }
     void said(std::uint32_t who, const std::vector<Outgoing>& out) {
-        std::vector<MessageNet::Delivery> deliveries;
+        std::vector<MessageNetwork::Delivery> deliveries;
         for (const Outgoing& message : out) {
             deliveries.clear();
             messages_.send(now_, who, message, deliveries);
             const std::uint64_t copies = message.to ? 1 : instances_.size() - 1;
             for (std::uint64_t i = 0; i < copies; ++i) sidecars_.sent(now_, message.bytes.size());
-            for (MessageNet::Delivery& d : deliveries) {
+            for (MessageNetwork::Delivery& d : deliveries) {
                 on_their_way_[++last_message_] = {who, std::move(d.bytes)};
                 put(now_ + d.after, What::message, d.to, last_message_);
             }
         }
         Instance& n = instances_[who];
-        if (!n.companion) return;
-        if (n.companion->next() < fault_proxy::kNever) put(n.companion->next(), What::speak, who, n.life);
-        const auto siblings = n.companion->siblings(now_);
+        if (!n.agent) return;
+        if (n.agent->next() < fault_proxy::kNever) put(n.agent->next(), What::speak, who, n.life);
+        const auto siblings = n.agent->siblings(now_);
         if (siblings && std::exchange(n.siblings, *siblings) != *siblings)
             give(who, SiblingsKnown{*siblings});
     }
     void speak(const Happening& h) {
         Instance& n = instances_[h.who];
         // One that has been told another time meanwhile has another event for it.
-        if (n.life != h.a || !n.companion || n.companion->next() > now_) return;
+        if (n.life != h.a || !n.agent || n.agent->next() > now_) return;
         std::vector<Outgoing> out;
-        n.companion->wake(now_, out);
+        n.agent->wake(now_, out);
         said(h.who, out);
     }
     void forget_message(std::uint64_t number) { on_their_way_.erase(number); }
@@ -369,21 +369,21 @@
         Instance& n = instances_[h.who];
         if (!n.alive) {
             if (!messages_.cut(now_, h.who, from))
-                put(now_ + incident_.messages.delay_least, What::refused, from, h.who);
+                put(now_ + scenario_.messages.delay_least, What::refused, from, h.who);
             return;
         }
         sidecars_.delivered(now_, from, h.who, bytes.size());
-        if (!n.companion) return;
+        if (!n.agent) return;
         std::vector<Outgoing> out;
-        n.companion->heard(now_, from, bytes, out);
+        n.agent->heard(now_, from, bytes, out);
         said(h.who, out);
     }
 
     void hear_refusal(const Happening& h) {
         Instance& n = instances_[h.who];
-        if (!n.companion) return;
+        if (!n.agent) return;
         std::vector<Outgoing> out;
-        n.companion->refused(now_, static_cast<std::uint32_t>(h.a), out);
+        n.agent->refused(now_, static_cast<std::uint32_t>(h.a), out);
         said(h.who, out);
     }
 
@@ -412,18 +412,18 @@
             if (!a.fresh || a.connected) return waits(forth, h);
             if (!cut(forth) && !cut(forth.back())) return false;
             // Its connection does not come up while the link is cut: tried until the sidecar gives it up.
-            never_up(at->second, h.a, std::max(0.0, a.sent + incident_.fleet.connect_timeout - now_));
+            never_up(at->second, h.a, std::max(0.0, a.sent + scenario_.fleet.connect_timeout - now_));
             return true;
         }
         // What the sidecar finds out by itself needs no link.
         return a.outcome != Outcome::connect_failed && waits(forth.back(), h);
     }
 
-    // ---- callers
+    // ---- clients
     // Arrivals enter the queue one at a time: millions of them need not be in it together.
     void ask_next() {
-        if (next_ask_ >= callers_.asks().size()) return;
-        const Try t = callers_.first(next_ask_++);
+        if (next_ask_ >= clients_.arrivals().size()) return;
+        const ClientRequest t = clients_.first(next_ask_++);
         ++pending_;
         waiting_.emplace(t.id, t);
         put(t.at, What::ask, 0, t.id, 1);
@@ -432,34 +432,34 @@
         --pending_;
         if (h.b == 1) ask_next();
         const auto waiting = waiting_.find(h.a);
-        const Try t = waiting->second;
+        const ClientRequest t = waiting->second;
         waiting_.erase(waiting);
-        const Ask& a = callers_.ask(request_of(t.id));
+        const ClientArrival& a = clients_.ask(operation_of(t.id));
         Instance& n = instances_[a.sidecar];
-        log("ask %llu n-%u %s", ull(t.id), a.sidecar, incident_.classes[a.class_index].name.c_str());
+        log("ask %llu n-%u %s", ull(t.id), a.sidecar, scenario_.classes[a.class_index].name.c_str());
         if (!n.alive || n.draining) return after(t, Answer::none, 0);  // nobody there: it has not been taken
-        judge_.asked(now_, t);
+        checker_.asked(now_, t);
         open_[t.id] = {t, n.life};
         put(now_ + t.time_left, What::patience, 0, t.id);
         if (t.leaves > 0) put(now_ + t.leaves, What::leave, a.sidecar, t.id, n.life);
         n.requests[t.id];
         happen({now_, 0, What::intake, a.sidecar, t.id});
     }
-    // Time that it lay unread is its caller's.
-    void intake(TryId id) {
+    // Time that it lay unread is its client's.
+    void intake(ClientRequestId id) {
         const auto open = open_.find(id);
         if (open == open_.end()) return;
-        const Try& t = open->second.t;
-        const Ask& a = callers_.ask(request_of(id));
+        const ClientRequest& t = open->second.t;
+        const ClientArrival& a = clients_.ask(operation_of(id));
         RequestArrived event;
         event.id = t.id;
         event.class_index = a.class_index;
         event.time_left = std::max(
             1.0, t.time_left - (now_ - t.at) - std::min(kAnswerMargin, t.time_left * kMaxMarginShare));
-        event.repeat = t.id % kMaxTries > 0;
+        event.repeat = t.id % kMaxRequestsPerOperation > 0;
         give(a.sidecar, event);
     }
-    void answer(std::uint32_t who, TryId id, Answer what, Millis retry_after) {
+    void answer(std::uint32_t who, ClientRequestId id, Answer what, Millis retry_after) {
         const auto at = instances_[who].requests.find(id);
         if (at == instances_[who].requests.end() || at->second.over) return;
         at->second.over = true;
@@ -468,46 +468,46 @@
             what == Answer::served    ? "served"
             : what == Answer::refused ? "refused"
                                       : "failed");
-        judge_.answered(now_ + kClientLatency, id, what);
+        checker_.answered(now_ + kClientLatency, id, what);
         if (open == open_.end()) return;
-        const Try t = open->second.t;
+        const ClientRequest t = open->second.t;
         open_.erase(open);
         after(t, what, retry_after);
     }
-    // The caller goes on, or the request is over.
-    void after(const Try& t, Answer what, Millis retry_after) {
-        if (const auto next = callers_.next(now_, t, what, retry_after)) {
+    // The client goes on, or the request is over.
+    void after(const ClientRequest& t, Answer what, Millis retry_after) {
+        if (const auto next = clients_.next(now_, t, what, retry_after)) {
             ++pending_;
             waiting_.emplace(next->id, *next);
             put(next->at, What::ask, 0, next->id, 0);
         } else {
-            service_.ended(now_ + kClientLatency, request_of(t.id), what);
-            count_restarted(request_of(t.id), what);
+            metrics_.ended(now_ + kClientLatency, operation_of(t.id), what);
+            count_restarted(operation_of(t.id), what);
         }
     }
-    void out_of_patience(TryId id) {
+    void out_of_patience(ClientRequestId id) {
         const auto open = open_.find(id);
         if (open == open_.end()) return;
-        const Try t = open->second.t;
+        const ClientRequest t = open->second.t;
         log("silence %llu", ull(id));
-        const std::uint32_t who = callers_.ask(request_of(id)).sidecar;
+        const std::uint32_t who = clients_.ask(operation_of(id)).sidecar;
         // One that has part of its core only may answer a moment later; on sockets the slack is for that.
-        if (instances_[who].share < 1 || instances_[who].off_core) judge_.excuse(id);
-        judge_.answered(now_, id, Answer::none);
+        if (instances_[who].share < 1 || instances_[who].off_core) checker_.excuse(id);
+        checker_.answered(now_, id, Answer::none);
         open_.erase(id);
         happen({now_, 0, What::gone, who, id});
         after(t, Answer::none, 0);
     }
-    void leave(TryId id, std::uint32_t life) {
-        const std::uint32_t who = callers_.ask(request_of(id)).sidecar;
+    void leave(ClientRequestId id, std::uint32_t life) {
+        const std::uint32_t who = clients_.ask(operation_of(id)).sidecar;
         if (!open_.contains(id) || instances_[who].life != life) return;
         log("leave %llu", ull(id));
-        judge_.left(now_, id);
-        service_.left(request_of(id));
+        checker_.left(now_, id);
+        metrics_.left(operation_of(id));
         open_.erase(id);
         happen({now_, 0, What::gone, who, id});
     }
-    void gone(std::uint32_t who, TryId id) {
+    void gone(std::uint32_t who, ClientRequestId id) {
         const auto at = instances_[who].requests.find(id);
         if (at == instances_[who].requests.end() || at->second.over) return;
         at->second.over = true;
@@ -518,7 +518,7 @@
     // ---- sidecars
     ServerInfo info_of(std::uint32_t server, EndpointState state, Millis online_since) const {
         return {
-            server + 1, incident_.hall_of(server), 0, 0, state, online_since > 0 ? online_since + kEpoch : 0};
+            server + 1, scenario_.hall_of(server), 0, 0, state, online_since > 0 ? online_since + kEpoch : 0};
     }
     void keep(Instance& n) {
         n.kept = n.decider->learned_state(now_ + kEpoch);
@@ -527,11 +527,11 @@
     bool just_restarted(const Instance& n, Millis at) const {
         return n.life > 1 && at >= n.began && at < n.began + Report::kAfterRestart;
     }
-    void count_restarted(RequestNumber request, Answer what) {
-        const Ask& ask = callers_.ask(request);
+    void count_restarted(OperationId request, Answer what) {
+        const ClientArrival& ask = clients_.ask(request);
         if (!just_restarted(instances_[ask.sidecar], ask.at)) return;
-        const ClassSpec& c = incident_.classes[ask.class_index];
-        const double priority_weight = c.priority_weight * callers_.work(request);
+        const ClassSpec& c = scenario_.classes[ask.class_index];
+        const double priority_weight = c.priority_weight * clients_.work(request);
         restarted_.worth_asked += priority_weight;
         if (what == Answer::served && now_ + kClientLatency - ask.at <= c.latency_objective)
             restarted_.worth_got += priority_weight;
@@ -539,25 +539,25 @@
     void begin_life(std::uint32_t who) {
         Instance& n = instances_[who];
         // A planned restart writes once more as it ends; one that was killed has what it wrote last.
-        if (n.decider && incident_.sidecars.remember > 0) keep(n);
+        if (n.decider && scenario_.sidecars.remember > 0) keep(n);
         n.began = now_;
         ++n.life;
         n.alive = true;
         n.draining = false;
-        n.idle.assign(archive_.count(), {});
-        const std::uint64_t seed = stream(incident_.overview.seed, Purpose::balancer, who, n.life).next();
-        const FaultSpec* changed = n.changed ? &incident_.faults[*n.changed] : nullptr;
+        n.idle.assign(service_model_.count(), {});
+        const std::uint64_t seed = stream(scenario_.overview.seed, Purpose::balancer, who, n.life).next();
+        const FaultSpec* changed = n.changed ? &scenario_.faults[*n.changed] : nullptr;
         const std::string& build = changed && !changed->build.empty() ? changed->build : options_.balancer;
-        n.decider = make_balancer(build, incident_.settings(who, changed), seed);
+        n.decider = make_balancer(build, scenario_.settings(who, changed), seed);
         sidecars_.began(now_, who,
                         changed && changed->build.empty() ? build + " (" + changed->name + ")" : build);
-        n.decider->see(archive_);
+        n.decider->see(service_model_);
         give(who, Started{});
         if (n.kept_at >= 0) give(who, StateRestored{n.kept, now_ - n.kept_at});
         ServerList list{ListKind::cached, {}};
         for (const ServerInfo& info : listed_) {
             if (info.state != EndpointState::removed) list.servers.push_back(info);
-            judge_.told(now_, who, info.id - 1, info.state, std::max(0.0, info.online_since - kEpoch));
+            checker_.told(now_, who, info.id - 1, info.state, std::max(0.0, info.online_since - kEpoch));
         }
         give(who, std::move(list));
         start_companion(who);
@@ -565,9 +565,9 @@
     void kill(std::uint32_t who) {
         Instance& n = instances_[who];
         n.alive = false;
-        n.companion.reset();
+        n.agent.reset();
         forget_waiting(n);
-        judge_.sidecar_died(who);
+        checker_.sidecar_died(who);
         sidecars_.ended(now_, who, "killed");
         for (const std::uint64_t number : out_of(who, {})) {
             end(attempts_.at(number), Outcome::connection_reset);
@@ -576,13 +576,13 @@
         close_idle(n);
         n.requests.clear();
         n.decider.reset();
-        std::vector<Try> lost;
+        std::vector<ClientRequest> lost;
         for (const auto& [id, open] : open_)
-            if (callers_.ask(request_of(id)).sidecar == who) lost.push_back(open.t);
-        std::sort(lost.begin(), lost.end(), [](const Try& a, const Try& b) { return a.id < b.id; });
-        for (const Try& t : lost) {
+            if (clients_.ask(operation_of(id)).sidecar == who) lost.push_back(open.t);
+        std::sort(lost.begin(), lost.end(), [](const ClientRequest& a, const ClientRequest& b) { return a.id < b.id; });
+        for (const ClientRequest& t : lost) {
             open_.erase(t.id);
-            judge_.answered(now_, t.id, Answer::none);
+            checker_.answered(now_, t.id, Answer::none);
             after(t, Answer::none, 0);
         }
     }
@@ -618,7 +618,7 @@
     void timer(const Happening& h) {
         if (instances_[h.who].life == h.b) give(h.who, TimerFired{h.a});
     }
-    void settle(std::uint32_t who, TryId id) {
+    void settle(std::uint32_t who, ClientRequestId id) {
         Instance& n = instances_[who];
         const auto at = n.requests.find(id);
         if (at != n.requests.end() && at->second.over && at->second.out == 0) n.requests.erase(at);
@@ -628,9 +628,9 @@
         }
     }
     void close_idle(Instance& n) {
-        for (std::uint32_t s = 0; s < archive_.count(); ++s) {
+        for (std::uint32_t s = 0; s < service_model_.count(); ++s) {
             for (; !n.idle[s].empty(); n.idle[s].pop_back())
-                if (n.idle[s].back().epoch == epochs_[s]) archive_.server(s).disconnect(now_, out_);
+                if (n.idle[s].back().epoch == epochs_[s]) service_model_.server(s).disconnect(now_, out_);
             pump(s);
         }
     }
@@ -642,7 +642,7 @@
         Instance& n = instances_[who];
         const auto open = n.requests.find(s.id);
         const std::uint32_t server = s.server - 1;
-        if (open == n.requests.end() || server >= archive_.count()) return;
+        if (open == n.requests.end() || server >= service_model_.count()) return;
         const std::uint64_t number = ++last_attempt_;
         Attempt& a = attempts_[number];
         a.id = s.id, a.sidecar = who, a.server = server;
@@ -650,12 +650,12 @@
         a.life = n.life, a.sent = now_, a.epoch = epochs_[server];
         open->second.attempts.push_back(number);
         ++open->second.out;
-        Random random = stream(incident_.overview.seed, Purpose::latency, s.id, a.number);
-        const bool same = incident_.hall_of(server) == who % incident_.fleet.halls.size();
-        a.latency = (same ? incident_.fleet.same_hall : incident_.fleet.cross_hall) *
-                    (1 + incident_.fleet.latency_jitter * (2 * random.unit() - 1));
+        Random random = stream(scenario_.overview.seed, Purpose::latency, s.id, a.number);
+        const bool same = scenario_.hall_of(server) == who % scenario_.fleet.halls.size();
+        a.latency = (same ? scenario_.fleet.same_hall : scenario_.fleet.cross_hall) *
+                    (1 + scenario_.fleet.latency_jitter * (2 * random.unit() - 1));
         log("send %llu.%u n-%u s-%u", ull(a.id), a.number, who, server);
-        a.judged = judge_.sent(now_, a.id, server, who);
+        a.judged = checker_.sent(now_, a.id, server, who);
         if (s.attempt_deadline > 0) put(s.attempt_deadline - kEpoch, What::expire, who, number);
         if (!n.idle[server].empty()) {
             a.epoch = n.idle[server].back().epoch;
@@ -664,11 +664,11 @@
             return put(now_ + a.latency, What::arrive, who, number);
         }
         a.fresh = true;
-        if (archive_.server(server).reachable()) return put(now_ + 3 * a.latency, What::arrive, who, number);
-        never_up(a, number, incident_.fleet.connect_timeout);
+        if (service_model_.server(server).reachable()) return put(now_ + 3 * a.latency, What::arrive, who, number);
+        never_up(a, number, scenario_.fleet.connect_timeout);
     }
     void never_up(Attempt& a, std::uint64_t number, Millis after) {
-        judge_.reached(now_, a.id, a.judged, Judge::Reached::never);
+        checker_.reached(now_, a.id, a.judged, InvariantChecker::Reached::never);
         a.arrived = true;
         a.outcome = Outcome::connect_failed;
         put(now_ + after, What::reply, a.sidecar, number);
@@ -677,13 +677,13 @@
         const auto at = attempts_.find(number);
         if (at == attempts_.end()) return;
         Attempt& a = at->second;
-        ServerModel& server = archive_.server(a.server);
+        ServerModel& server = service_model_.server(a.server);
         if (a.fresh && !a.out) {  // given up before the connection was there: not a byte of it was written
             attempts_.erase(at);
             return;
         }
         if (a.fresh) {
-            if (!server.reachable()) return never_up(a, number, incident_.fleet.connect_timeout);
+            if (!server.reachable()) return never_up(a, number, scenario_.fleet.connect_timeout);
             const bool up = server.connect(now_, out_);
             pump(a.server);
             if (!up) return never_up(a, number, a.latency);
@@ -699,25 +699,25 @@
             }
             return drop_if_done(number);
         }
-        const ServerLoad load{callers_.attempt_work(request_of(a.id), a.server), server.capacity(now_),
+        const ServerLoad load{clients_.attempt_work(operation_of(a.id), a.server), server.capacity(now_),
                               server.started(), server.cold(now_)};
-        a.ticket = archive_.arrive(now_, a.server, a.id, out_);
+        a.ticket = service_model_.arrive(now_, a.server, a.id, out_);
         const bool away = std::any_of(out_.begin(), out_.end(), [&](const Departure& d) {
             return d.ticket == a.ticket && d.fate == Fate::turned_away;
         });
         log("reach %llu.%u s-%u %.3f%s", ull(a.id), a.number, a.server, load.work, away ? " away" : "");
-        service_.attempt(now_, a.server, load.work);
+        metrics_.attempt(now_, a.server, load.work);
         tickets_[a.ticket] = number;
         const std::uint32_t where = a.server;
-        const bool fell = judge_.reached(now_, a.id, a.judged,
-                                         away ? Judge::Reached::turned_away : Judge::Reached::accepted, load);
+        const bool fell = checker_.reached(now_, a.id, a.judged,
+                                         away ? InvariantChecker::Reached::turned_away : InvariantChecker::Reached::accepted, load);
         if (!a.out) abandon(a);  // given up on its way, though the bytes had gone out
         drop_if_done(number);
         pump(where);
         if (!fell) return;
         log("fell s-%u", where);
         ++epochs_[where];
-        archive_.fell(now_, where, out_);
+        service_model_.fell(now_, where, out_);
         forget_connections(where);
         pump(where);
     }
@@ -735,7 +735,7 @@
             a.ticket = 0;
             // A machine that stood still turns away once it goes on again: unseen, as those at once.
             if (d.fate == Fate::turned_away)
-                judge_.reached(now_, a.id, a.judged, Judge::Reached::turned_away);
+                checker_.reached(now_, a.id, a.judged, InvariantChecker::Reached::turned_away);
             if (!a.out) continue;
             a.outcome = d.fate == Fate::done          ? Outcome::success
                         : d.fate == Fate::failed      ? Outcome::error_response
@@ -743,7 +743,7 @@
                                                       : Outcome::connection_reset;
             put(now_ + a.latency, What::reply, a.sidecar, number);
         }
-        const Millis next = archive_.server(server).next();
+        const Millis next = service_model_.server(server).next();
         if (next < 1e300 && (poll_at_[server] < 0 || next < poll_at_[server])) {
             poll_at_[server] = std::max(next, now_);
             put(next, What::poll, server);
@@ -759,16 +759,16 @@
     // The sidecar's side of it is over: the connection goes back to the pool, or is closed.
     void end(Attempt& a, Outcome outcome) {
         a.out = false;
-        judge_.over(now_, a.id, a.judged);
+        checker_.over(now_, a.id, a.judged);
         const bool clean =
             outcome == Outcome::success || outcome == Outcome::error_response || outcome == Outcome::rejected;
         const bool there = a.connected && a.epoch == epochs_[a.server];
         const Instance& n = instances_[a.sidecar];
         if (clean && there && n.life == a.life && !n.draining) {
             instances_[a.sidecar].idle[a.server].push_back({++last_idle_, a.epoch});
-            put(now_ + incident_.fleet.idle_close, What::idle, a.sidecar, last_idle_, a.server);
+            put(now_ + scenario_.fleet.idle_close, What::idle, a.sidecar, last_idle_, a.server);
         } else if (there) {
-            archive_.server(a.server).disconnect(now_, out_);
+            service_model_.server(a.server).disconnect(now_, out_);
         }
         a.connected = false;
         abandon(a);
@@ -777,7 +777,7 @@
     void abandon(Attempt& a) {
         if (a.ticket == 0) return;
         tickets_.erase(a.ticket);
-        archive_.server(a.server).abandon(now_, a.ticket, out_);
+        service_model_.server(a.server).abandon(now_, a.ticket, out_);
         a.ticket = 0;
     }
     void drop_if_done(std::uint64_t number) {
@@ -821,7 +821,7 @@
         const bool there = at->epoch == epochs_[h.b];
         idle.erase(at);
         if (!there) return;
-        archive_.server(static_cast<std::uint32_t>(h.b)).disconnect(now_, out_);
+        service_model_.server(static_cast<std::uint32_t>(h.b)).disconnect(now_, out_);
         pump(static_cast<std::uint32_t>(h.b));
     }
     void forget_connections(std::uint32_t server) {
@@ -841,9 +841,9 @@
         if (s.change == Change::sidecar_restart || s.change == Change::sidecar_change ||
             s.change == Change::sidecar_back) {
             instances_[s.who].draining = true;
-            if (Instance& n = instances_[s.who]; n.companion && !n.still()) {
+            if (Instance& n = instances_[s.who]; n.agent && !n.still()) {
                 std::vector<Outgoing> out;
-                n.companion->leave(now_, out);
+                n.agent->leave(now_, out);
                 said(s.who, out);
             }
             if (instances_[s.who].requests.empty()) put(now_, What::revive, s.who);
@@ -851,8 +851,8 @@
         }
         if (s.sidecar()) return;
         if (s.change == Change::stop || s.change == Change::vanish) ++epochs_[s.who];
-        const bool was_cut_off = !archive_.server(s.who).reachable();
-        archive_.apply(s, out_);
+        const bool was_cut_off = !service_model_.server(s.who).reachable();
+        service_model_.apply(s, out_);
         pump(s.who);
         if (s.change == Change::stop) forget_connections(s.who);
         if (s.change == Change::start && was_cut_off) {
@@ -876,7 +876,7 @@
             known = info;
             known.online_since = since;
             for (std::uint32_t i = 0; i < instances_.size(); ++i)
-                put(now_ + spread_of(incident_, i), What::told, i, h.a, 1);
+                put(now_ + spread_of(scenario_, i), What::told, i, h.a, 1);
             return;
         }
         if (!instances_[h.who].decider) return;
@@ -888,7 +888,7 @@
     ServerInfo note_told(std::uint32_t who, const Notice& notice) {
         ServerInfo entry = info_of(notice.server, notice.state, notice.online_since);
         entry.online_since = std::max(entry.online_since, listed_[notice.server].online_since);
-        judge_.told(now_, who, notice.server, entry.state, std::max(0.0, entry.online_since - kEpoch));
+        checker_.told(now_, who, notice.server, entry.state, std::max(0.0, entry.online_since - kEpoch));
         return entry;
     }
 
@@ -909,16 +909,16 @@
         if (options_.log) *options_.log << text;
     }
 
-    const Incident& incident_;
+    const Scenario& scenario_;
     const VirtualOptions& options_;
-    Callers callers_;
-    Archive archive_;
-    Judge judge_;
-    Service service_;
+    ClientModel clients_;
+    ServiceModel service_model_;
+    InvariantChecker checker_;
+    ServiceMetrics metrics_;
     const std::vector<Step> steps_;
     const std::vector<Notice> notices_;
     fault_proxy::Rules links_;
-    MessageNet messages_;
+    MessageNetwork messages_;
     SidecarLog sidecars_;
     struct OnItsWay {
         std::uint32_t from;
@@ -934,8 +934,8 @@
     std::uint64_t number_ = 0, last_attempt_ = 0, last_idle_ = 0;
     Millis now_ = 0;
     std::size_t next_ask_ = 0, pending_ = 0;
-    std::unordered_map<TryId, Try> waiting_;
-    std::unordered_map<TryId, OpenTry> open_;
+    std::unordered_map<ClientRequestId, ClientRequest> waiting_;
+    std::unordered_map<ClientRequestId, OpenTry> open_;
     std::unordered_map<std::uint64_t, Attempt> attempts_;
     std::unordered_map<Ticket, std::uint64_t> tickets_;
     ServerModel::Out out_;
@@ -945,8 +945,8 @@
 
 }  // namespace
 
-Report run_virtual(const Incident& incident, const VirtualOptions& options) {
-    return VirtualRun(incident, options).run();
+Report run_virtual(const Scenario& scenario, const VirtualOptions& options) {
+    return VirtualRun(scenario, options).run();
 }
 
 }  // namespace elmbay::simulation
--- a/src/simulation/virtual_run.hpp
+++ b/src/simulation/drivers/virtual/virtual_run.hpp
@@ -1,6 +1,6 @@
-// An incident in simulated time: the models round decision modules, without sockets, as fast as it goes.
+// An scenario in simulated time: the models round decision modules, without sockets, as fast as it goes.
 //
-// One thread and one queue of events ordered by time and then by number: the same incident, seed and balancer
+// One thread and one queue of events ordered by time and then by number: the same scenario, seed and balancer
 // give the same log byte for byte.
 #pragma once
 
@@ -8,7 +8,7 @@
 #include <ostream>
 #include <string>
 
-#include "simulation/report.hpp"
+#include "simulation/reports/report.hpp"
 
 namespace elmbay::simulation {
 
@@ -19,6 +19,6 @@
 };
 
 // Throws std::invalid_argument for a balancer that does not exist.
-Report run_virtual(const Incident& incident, const VirtualOptions& options);
+Report run_virtual(const Scenario& scenario, const VirtualOptions& options);
 
 }  // namespace elmbay::simulation
--- a/src/simulation/members_companion.hpp
+++ b/src/simulation/models/membership_agent.hpp
@@ -3,18 +3,18 @@
 #pragma once
 
 #include "cluster/membership.hpp"
-#include "simulation/messages.hpp"
+#include "simulation/models/message_network.hpp"
 
 namespace elmbay::simulation {
 
 /// One simulated sidecar's part in the membership protocol. Without I/O and clock; not thread-safe.
-class MembersCompanion : public Companion {
+class ClusterMembershipAgent : public MembershipAgent {
 public:
-    /// @param self      its number among the incident's sidecars.
+    /// @param self      its number among the scenario's sidecars.
     /// @param seed      of its random choices.
     /// @param now       milliseconds of the simulation.
     /// @param unix_time Unix milliseconds at the simulation's time 0.
-    MembersCompanion(const Incident& incident, std::uint32_t self, std::uint64_t seed, Millis now,
+    ClusterMembershipAgent(const Scenario& scenario, std::uint32_t self, std::uint64_t seed, Millis now,
                      Millis unix_time);
     void begin(Millis now, std::vector<Outgoing>& out) override;
     void heard(Millis now, std::uint32_t from, std::string_view bytes, std::vector<Outgoing>& out) override;
--- a/src/simulation/messages.cpp
+++ b/src/simulation/models/message_network.cpp
@@ -1,37 +1,37 @@
-#include "simulation/messages.hpp"
+#include "simulation/models/message_network.hpp"
 
 #include <algorithm>
 
 namespace elmbay::simulation {
 
-Beats::Beats(const Incident& incident, std::uint32_t self, std::uint64_t seed)
-    : incident_(incident), self_(self), random_(seed) {}
+Beats::Beats(const Scenario& scenario, std::uint32_t self, std::uint64_t seed)
+    : scenario_(scenario), self_(self), random_(seed) {}
 
 void Beats::begin(Millis now, std::vector<Outgoing>&) {
     // The first within one round, so that sidecars that start together don't speak together.
-    if (incident_.messages.beat > 0) next_ = now + incident_.messages.beat * random_.unit();
+    if (scenario_.messages.beat > 0) next_ = now + scenario_.messages.beat * random_.unit();
 }
 
 void Beats::wake(Millis now, std::vector<Outgoing>& out) {
-    next_ = now + incident_.messages.beat;
-    const std::string bytes(incident_.messages.beat_size, 'b');
-    const std::uint64_t others = incident_.sidecars.count - 1;
-    if (incident_.messages.beat_to == 0 || incident_.messages.beat_to >= others) {
+    next_ = now + scenario_.messages.beat;
+    const std::string bytes(scenario_.messages.beat_size, 'b');
+    const std::uint64_t others = scenario_.sidecars.count - 1;
+    if (scenario_.messages.beat_to == 0 || scenario_.messages.beat_to >= others) {
         out.push_back({{}, bytes});
         return;
     }
     std::vector<std::uint32_t> drawn;
-    while (drawn.size() < incident_.messages.beat_to) {
-        const auto to = static_cast<std::uint32_t>(random_.below(incident_.sidecars.count));
+    while (drawn.size() < scenario_.messages.beat_to) {
+        const auto to = static_cast<std::uint32_t>(random_.below(scenario_.sidecars.count));
         if (to != self_ && std::find(drawn.begin(), drawn.end(), to) == drawn.end()) drawn.push_back(to);
     }
     for (const std::uint32_t to : drawn) out.push_back({to, bytes});
 }
 
-MessageNet::MessageNet(const Incident& incident)
-    : sidecars_(static_cast<std::uint32_t>(incident.sidecars.count)), rules_(incident.overview.seed) {
-    std::vector<fault_proxy::Rule> rules = incident.message_rules();
-    for (fault_proxy::Rule& rule : incident.link_rules()) {
+MessageNetwork::MessageNetwork(const Scenario& scenario)
+    : sidecars_(static_cast<std::uint32_t>(scenario.sidecars.count)), rules_(scenario.overview.seed) {
+    std::vector<fault_proxy::Rule> rules = scenario.message_rules();
+    for (fault_proxy::Rule& rule : scenario.link_rules()) {
         cuts_ = cuts_ || rule.act == fault_proxy::Act::cut;
         rules.push_back(std::move(rule));
     }
@@ -39,11 +39,11 @@
     for (std::uint32_t i = 0; i < sidecars_; ++i) names_.push_back("n-" + std::to_string(i));
 }
 
-bool MessageNet::cut(Millis now, std::uint32_t from, std::uint32_t to) const {
+bool MessageNetwork::cut(Millis now, std::uint32_t from, std::uint32_t to) const {
     return cuts_ && rules_.cut({names_[from], names_[to]}, fault_proxy::Medium::datagram, now);
 }
 
-void MessageNet::send(Millis now, std::uint32_t from, const Outgoing& message,
+void MessageNetwork::send(Millis now, std::uint32_t from, const Outgoing& message,
                       std::vector<Delivery>& deliveries) {
     if (message.to) {
         if (*message.to < sidecars_ && *message.to != from)
@@ -54,7 +54,7 @@
         if (to != from) one(now, from, to, message.bytes, deliveries);
 }
 
-void MessageNet::one(Millis now, std::uint32_t from, std::uint32_t to, const std::string& bytes,
+void MessageNetwork::one(Millis now, std::uint32_t from, std::uint32_t to, const std::string& bytes,
                      std::vector<Delivery>& deliveries) {
     const std::uint64_t nth = ++numbers_[(std::uint64_t{from} << 32) | to];
     for (const fault_proxy::Rules::Delivery& d :
--- a/src/simulation/messages.hpp
+++ b/src/simulation/models/message_network.hpp
@@ -1,5 +1,5 @@
 // Messages between sidecars in virtual time: PROTOCOL's "Between sidecars" with the delays, losses and faults
-// of the incident. What speaks and listens beside a decision module is a Companion.
+// of the scenario. What speaks and listens beside a decision module is a MembershipAgent.
 #pragma once
 
 #include <functional>
@@ -10,8 +10,8 @@
 #include <unordered_map>
 #include <vector>
 
-#include "simulation/chance.hpp"
-#include "simulation/incident.hpp"
+#include "simulation/models/random_streams.hpp"
+#include "simulation/scenario/scenario.hpp"
 
 namespace elmbay::simulation {
 
@@ -21,9 +21,9 @@
 };
 
 // One life of it: a restart makes another. No I/O and no clock; `now` never goes back.
-class Companion {
+class MembershipAgent {
 public:
-    virtual ~Companion() = default;
+    virtual ~MembershipAgent() = default;
     virtual void begin(Millis now, std::vector<Outgoing>& out) = 0;
     virtual void heard(Millis now, std::uint32_t from, std::string_view bytes,
                        std::vector<Outgoing>& out) = 0;
@@ -39,25 +39,25 @@
 };
 
 // Says that it is there, to some others drawn each time, and listens to nothing.
-class Beats : public Companion {
+class Beats : public MembershipAgent {
 public:
-    Beats(const Incident& incident, std::uint32_t self, std::uint64_t seed);
+    Beats(const Scenario& scenario, std::uint32_t self, std::uint64_t seed);
     void begin(Millis now, std::vector<Outgoing>& out) override;
     void heard(Millis, std::uint32_t, std::string_view, std::vector<Outgoing>&) override {}
     void wake(Millis now, std::vector<Outgoing>& out) override;
     Millis next() const override { return next_; }
 
 private:
-    const Incident& incident_;
+    const Scenario& scenario_;
     const std::uint32_t self_;
     Random random_;
     Millis next_ = fault_proxy::kNever;
 };
 
 // What each message meets on its way. Chance is keyed by the ends and the number of the message on its link.
-class MessageNet {
+class MessageNetwork {
 public:
-    explicit MessageNet(const Incident& incident);
+    explicit MessageNetwork(const Scenario& scenario);
 
     struct Delivery {
         std::uint32_t to = 0;
--- a/src/simulation/chance.hpp
+++ b/src/simulation/models/random_streams.hpp
@@ -26,7 +26,7 @@
     balancer,
     backoff,
     messages,
-    storm
+    schedule
 };
 
 // A stream of its own for each seed, purpose and pair of names.
--- a/src/simulation/server_model.cpp
+++ b/src/simulation/models/server_model.cpp
@@ -1,4 +1,4 @@
-#include "simulation/server_model.hpp"
+#include "simulation/models/server_model.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/simulation/server_model.hpp
+++ b/src/simulation/models/server_model.hpp
@@ -1,4 +1,4 @@
-// One archive server, without sockets and clock: the caller gives `now` (milliseconds, never going back) and
+// One service_model server, without sockets and clock: the client gives `now` (milliseconds, never going back) and
 // asks when to come again.
 //
 // Requests in slots share the cores evenly (processor sharing): k of them get min(1, cores / k) of a core
@@ -13,11 +13,11 @@
 #include <unordered_map>
 #include <vector>
 
-#include "simulation/incident.hpp"
+#include "simulation/scenario/scenario.hpp"
 
 namespace elmbay::simulation {
 
-using Ticket = std::uint64_t;  // names one request at a server; the caller's choice, above 0
+using Ticket = std::uint64_t;  // names one request at a server; the client's choice, above 0
 
 enum class Fate { done, failed, turned_away, reset };
 struct Departure {
--- a/src/simulation/archive.cpp
+++ b/src/simulation/models/service_model.cpp
@@ -1,28 +1,28 @@
-#include "simulation/archive.hpp"
+#include "simulation/models/service_model.hpp"
 
-#include "simulation/chance.hpp"
+#include "simulation/models/random_streams.hpp"
 
 namespace elmbay::simulation {
 
-Archive::Archive(const Incident& incident, const Callers& callers)
-    : incident_(incident),
-      callers_(callers),
-      fails_(incident.fleet.servers, 0),
-      fallen_(incident.fleet.servers, false) {
-    for (std::uint32_t i = 0; i < incident.fleet.servers; ++i) {
-        Random random = stream(incident.overview.seed, Purpose::server_speed, i);
-        const double spread = incident.fleet.speed_spread;
-        servers_.emplace_back(incident.fleet, uniform(random, 1 - spread, 1 + spread),
-                              !incident.starts_off(i));
+ServiceModel::ServiceModel(const Scenario& scenario, const ClientModel& clients)
+    : scenario_(scenario),
+      clients_(clients),
+      fails_(scenario.fleet.servers, 0),
+      fallen_(scenario.fleet.servers, false) {
+    for (std::uint32_t i = 0; i < scenario.fleet.servers; ++i) {
+        Random random = stream(scenario.overview.seed, Purpose::server_speed, i);
+        const double spread = scenario.fleet.speed_spread;
+        servers_.emplace_back(scenario.fleet, uniform(random, 1 - spread, 1 + spread),
+                              !scenario.starts_off(i));
     }
 }
 
-Ticket Archive::arrive(Millis now, std::uint32_t server, TryId id, ServerModel::Out& out) {
-    const RequestNumber request = request_of(id);
-    const ClassSpec& c = incident_.classes[callers_.ask(request).class_index];
-    Random random = stream(incident_.overview.seed, Purpose::fast_failure, id, server);
-    const bool fails = random.unit() < incident_.fleet.error_rate + fails_[server];
-    Millis work = callers_.attempt_work(request, server);
+Ticket ServiceModel::arrive(Millis now, std::uint32_t server, ClientRequestId id, ServerModel::Out& out) {
+    const OperationId request = operation_of(id);
+    const ClassSpec& c = scenario_.classes[clients_.ask(request).class_index];
+    Random random = stream(scenario_.overview.seed, Purpose::fast_failure, id, server);
+    const bool fails = random.unit() < scenario_.fleet.error_rate + fails_[server];
+    Millis work = clients_.attempt_work(request, server);
     if (c.kind() == balancer::Idempotency::idempotency_key && !fails && servers_[server].running()) {
         const auto [at, fresh] = keys_.try_emplace(request, now);
         if (!fresh && now < at->second + c.window)
@@ -34,7 +34,7 @@
     return last_;
 }
 
-void Archive::apply(const Step& step, ServerModel::Out& out) {
+void ServiceModel::apply(const Step& step, ServerModel::Out& out) {
     ServerModel& server = servers_[step.who];
     switch (step.change) {
         case Change::freeze:
@@ -63,7 +63,7 @@
     }
 }
 
-void Archive::fell(Millis now, std::uint32_t server, ServerModel::Out& out) {
+void ServiceModel::fell(Millis now, std::uint32_t server, ServerModel::Out& out) {
     fallen_[server] = true;
     servers_[server].stop(now, out);
 }
--- a/src/simulation/page.cpp
+++ b/src/simulation/reports/html_report.cpp
@@ -5,7 +5,7 @@
 #include <cmath>
 #include <map>
 
-#include "simulation/report.hpp"
+#include "simulation/reports/report.hpp"
 
 namespace elmbay::simulation {
 
@@ -136,9 +136,9 @@
 std::string work_rows(const Report& r, const Axis& axis) {
     std::vector<std::pair<double, std::size_t>> totals;
     float most = 1;
-    for (std::size_t i = 0; i < r.service.servers.size(); ++i) {
+    for (std::size_t i = 0; i < r.metrics.servers.size(); ++i) {
         double total = 0;
-        for (const ServerSecond& s : r.service.servers[i]) total += s.work, most = std::max(most, s.work);
+        for (const ServerSecond& s : r.metrics.servers[i]) total += s.work, most = std::max(most, s.work);
         totals.push_back({total, i});
     }
     if (totals.size() > kMaxRows) {
@@ -152,7 +152,7 @@
         const double y = kTop + 14.0 * static_cast<double>(row);
         t += fmt::format("<text x='{}' y='{:.1f}' class='tick' text-anchor='end'>s-{}</text>", kLeft - 6,
                          y + 11, totals[row].second);
-        const auto& seconds = r.service.servers[totals[row].second];
+        const auto& seconds = r.metrics.servers[totals[row].second];
         for (std::size_t s = 0; s < seconds.size() && static_cast<double>(s) < axis.seconds(); ++s)
             t += fmt::format(
                 "<rect x='{:.1f}' y='{:.1f}' width='{:.1f}' height='13' fill='#1864ab' opacity='{:.2f}'>"
@@ -273,7 +273,7 @@
         "<table><tr><th>Class</th><th>asked</th><th>in its "
         "aim</th><th>late</th><th>refused</th><th>failed</th>"
         "<th>goodput</th><th>p50 ms</th><th>p90</th><th>p99</th><th>most</th></tr>";
-    for (const ClassReport& c : r.service.classes)
+    for (const ClassReport& c : r.metrics.classes)
         t += fmt::format(
             "<tr><td>{}</td><td>{}</td><td>{}</td><td>{}</td><td>{}</td><td>{}</td><td>{:.3f}</td>"
             "<td>{:.0f}</td><td>{:.0f}</td><td>{:.0f}</td><td>{:.0f}</td></tr>",
@@ -298,7 +298,7 @@
     const Axis axis(r.length);
     std::vector<double> goodput, asked, p50, p99;
     double most_asked = 1, most_p99 = 1;
-    for (const SecondReport& s : r.service.seconds) {
+    for (const SecondReport& s : r.metrics.seconds) {
         goodput.push_back(100 * s.goodput());
         asked.push_back(static_cast<double>(s.asked));
         p50.push_back(s.p50), p99.push_back(s.p99);
@@ -317,9 +317,9 @@
         "<p class='facts'>{5}, {6}, seed {7}: {8} servers, {9} sidecars, {10} requests in {11:.0f}s, "
         "{12:.3f} "
         "attempts a try. Goodput {13:.3f}, worst class {14:.3f}, worst second {15:.3f}.{16}</p>",
-        escaped(r.incident), words, kStyle, escaped(r.about), colour, r.mode, escaped(r.balancer), r.seed,
-        r.servers, r.sidecars, r.requests, r.length / 1000, r.attempts_per_try, r.service.goodput,
-        r.service.worst_class, r.service.worst_second,
+        escaped(r.scenario), words, kStyle, escaped(r.about), colour, r.mode, escaped(r.balancer), r.seed,
+        r.servers, r.sidecars, r.requests, r.length / 1000, r.attempts_per_try, r.metrics.goodput,
+        r.metrics.worst_class, r.metrics.worst_second,
         r.punctuality.measured ? fmt::format(" The emulator's own lateness: p99 {:.1f}ms, most {:.1f}ms.",
                                              r.punctuality.p99, r.punctuality.most)
                                : "");
--- a/src/simulation/latency.cpp
+++ b/src/simulation/reports/latency_histogram.cpp
@@ -1,4 +1,4 @@
-#include "simulation/latency.hpp"
+#include "simulation/reports/latency_histogram.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -9,23 +9,23 @@
 
 int bins_needed() {
     return static_cast<int>(
-        std::ceil(std::log(Latency::kMost / Latency::kLeast) / std::log(Latency::kPrecision)));
+        std::ceil(std::log(LatencyHistogram::kMost / LatencyHistogram::kLeast) / std::log(LatencyHistogram::kPrecision)));
 }
 
 }  // namespace
 
-decltype(Latency::bins_) Latency::make() {
+decltype(LatencyHistogram::bins_) LatencyHistogram::make() {
     return boost::histogram::make_histogram_with(boost::histogram::unlimited_storage<>(),
                                                  Axis(static_cast<unsigned>(bins_needed()), kLeast, kMost));
 }
 
-void Latency::add(Millis took) {
+void LatencyHistogram::add(Millis took) {
     bins_(std::clamp(took, kLeast, std::nextafter(kMost, 0.0)));
     ++count_;
     most_ = std::max(most_, took);
 }
 
-Millis Latency::quantile(double q) const {
+Millis LatencyHistogram::quantile(double q) const {
     if (count_ == 0) return 0;
     const double rank = std::floor(q * static_cast<double>(count_ - 1) + 0.5) + 1;  // of the one asked for
     double seen = 0;
--- a/src/simulation/latency.hpp
+++ b/src/simulation/reports/latency_histogram.hpp
@@ -5,11 +5,11 @@
 #include <cstddef>
 #include <tuple>
 
-#include "simulation/incident.hpp"
+#include "simulation/scenario/scenario.hpp"
 
 namespace elmbay::simulation {
 
-class Latency {
+class LatencyHistogram {
 public:
     // From 0.1 ms (shorter ones count as that) to an hour, each bin 1% wider than the one before: a
     // percentile is the middle of its bin and off by at most 0.5%. A thousand and seven hundred bins, of one
--- a/src/simulation/report.cpp
+++ b/src/simulation/reports/report.cpp
@@ -1,11 +1,11 @@
-#include "simulation/report.hpp"
+#include "simulation/reports/report.hpp"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
 
-#include "simulation/timeline.hpp"
+#include "simulation/scenario/timeline.hpp"
 
 namespace elmbay::simulation {
 
@@ -19,22 +19,22 @@
 
 void add_expectations(Report& r, const ExpectSpec& e) {
     Millis p99 = 0;
-    for (const ClassReport& c : r.service.classes) p99 = std::max(p99, c.p99);
+    for (const ClassReport& c : r.metrics.classes) p99 = std::max(p99, c.p99);
     const ExpectSpec none;
-    if (e.goodput != none.goodput) expect(r, "goodput", e.goodput, r.service.goodput, false);
+    if (e.goodput != none.goodput) expect(r, "goodput", e.goodput, r.metrics.goodput, false);
     if (e.worst_class != none.worst_class)
-        expect(r, "worst_class", e.worst_class, r.service.worst_class, false);
+        expect(r, "worst_class", e.worst_class, r.metrics.worst_class, false);
     if (e.worst_second != none.worst_second)
-        expect(r, "worst_second", e.worst_second, r.service.worst_second, false);
-    if (e.answered != none.answered) expect(r, "answered", e.answered, r.service.answered, false);
+        expect(r, "worst_second", e.worst_second, r.metrics.worst_second, false);
+    if (e.answered != none.answered) expect(r, "answered", e.answered, r.metrics.answered, false);
     if (e.attempts != none.attempts) expect(r, "attempts", e.attempts, r.attempts_per_try, true);
     if (e.held_back != none.held_back)
         expect(r, "held_back", e.held_back,
                r.tries > 0 ? static_cast<double>(r.held_back) / static_cast<double>(r.tries) : 0, true);
     if (e.p99 != none.p99) expect(r, "p99", e.p99, p99, true);
-    if (e.onset != none.onset) expect(r, "onset", e.onset, r.service.rush.onset, false);
-    if (e.settle != none.settle) expect(r, "settle", e.settle, r.service.rush.settle, true);
-    if (e.recover != none.recover) expect(r, "recover", e.recover, r.service.rush.recover, true);
+    if (e.onset != none.onset) expect(r, "onset", e.onset, r.metrics.rush.onset, false);
+    if (e.settle != none.settle) expect(r, "settle", e.settle, r.metrics.rush.settle, true);
+    if (e.recover != none.recover) expect(r, "recover", e.recover, r.metrics.rush.recover, true);
 }
 
 std::string whom(const FaultSpec& f) {
@@ -111,42 +111,42 @@
                        [](const ExpectationReport& e) { return e.kept; });
 }
 
-Report make_report(const Incident& incident, const Callers& callers, const Judge& judge,
-                   const Service& service) {
+Report make_report(const Scenario& scenario, const ClientModel& clients, const InvariantChecker& checker,
+                   const ServiceMetrics& metrics) {
     Report r;
-    r.incident = incident.name;
-    r.about = incident.overview.about;
-    r.seed = incident.overview.seed;
-    r.length = incident.overview.length;
-    r.servers = incident.fleet.servers;
-    r.sidecars = incident.sidecars.count;
-    r.requests = callers.asks().size();
-    r.tries = judge.tries();
-    r.attempts = judge.attempts();
-    r.most_attempts = judge.most_attempts();
+    r.scenario = scenario.name;
+    r.about = scenario.overview.about;
+    r.seed = scenario.overview.seed;
+    r.length = scenario.overview.length;
+    r.servers = scenario.fleet.servers;
+    r.sidecars = scenario.sidecars.count;
+    r.requests = clients.arrivals().size();
+    r.tries = checker.tries();
+    r.attempts = checker.attempts();
+    r.most_attempts = checker.most_attempts();
     r.attempts_per_try = r.tries > 0 ? static_cast<double>(r.attempts) / static_cast<double>(r.tries) : 0;
-    r.held_back = judge.held_back();
-    r.fallen = judge.fallen();
+    r.held_back = checker.held_back();
+    r.fallen = checker.fallen();
     for (std::size_t i = 0; i < kRules; ++i) {
-        const auto& finding = judge.finding(static_cast<Rule>(i));
+        const auto& finding = checker.finding(static_cast<Rule>(i));
         r.rules.push_back({name_of(static_cast<Rule>(i)), finding.count, finding.examples});
     }
-    r.service = service.report();
-    for (const FaultSpec& f : incident.faults) {
+    r.metrics = metrics.report();
+    for (const FaultSpec& f : scenario.faults) {
         const Millis last = f.begins(f.hit.empty() ? 0 : f.hit.size() - 1);
-        Millis to = f.lasts > 0 ? last + f.lasts : incident.overview.length;
+        Millis to = f.lasts > 0 ? last + f.lasts : scenario.overview.length;
         if (f.kind == FaultKind::drain) to = last + f.linger + f.lasts;
-        if (f.kind == FaultKind::join) to = f.at + incident.fleet.slow_start_duration;
-        r.faults.push_back({f.name, whom(f), f.at, std::min(to, incident.overview.length)});
+        if (f.kind == FaultKind::join) to = f.at + scenario.fleet.slow_start_duration;
+        r.faults.push_back({f.name, whom(f), f.at, std::min(to, scenario.overview.length)});
     }
-    for (const Step& s : timeline(incident)) r.steps.push_back(text_of(s));
-    add_expectations(r, incident.expect);
+    for (const Step& s : timeline(scenario)) r.steps.push_back(text_of(s));
+    add_expectations(r, scenario.expect);
     return r;
 }
 
 std::string text_of(const Report& r) {
     std::string t =
-        fmt::format("{} ({}, {}, seed {}): {}\n", r.incident, r.mode, r.balancer, r.seed, verdict(r));
+        fmt::format("{} ({}, {}, seed {}): {}\n", r.scenario, r.mode, r.balancer, r.seed, verdict(r));
     if (!r.about.empty()) t += "  " + r.about + "\n";
     t += fmt::format("  {} servers, {} sidecars, {:.0f}s, {} requests, {} tries, {} attempts\n\n", r.servers,
                      r.sidecars, r.length / 1000, r.requests, r.tries, r.attempts);
@@ -161,9 +161,9 @@
     t += fmt::format(
         "\n  goodput {:.3f}, worst class {:.3f}, worst second {:.3f}; attempts a try {:.3f}, most {}"
         "; sat on {}; fell over {}\n",
-        r.service.goodput, r.service.worst_class, r.service.worst_second, r.attempts_per_try, r.most_attempts,
+        r.metrics.goodput, r.metrics.worst_class, r.metrics.worst_second, r.attempts_per_try, r.most_attempts,
         r.held_back, r.fallen);
-    if (const RushReport& rush = r.service.rush; rush.any)
+    if (const RushReport& rush = r.metrics.rush; rush.any)
         t += fmt::format(
             "  rush: goodput {:.3f} once settled, {:.3f} of that in the worse of its first two seconds; "
             "settled after "
@@ -176,7 +176,7 @@
     t += sidecars_text(r);
     t += fmt::format("\n  {:<14}{:>8}{:>9}{:>7}{:>9}{:>8}{:>8}{:>8}{:>8}{:>8}\n", "class", "asked", "in aim",
                      "late", "refused", "failed", "p50", "p90", "p99", "max ms");
-    for (const ClassReport& c : r.service.classes)
+    for (const ClassReport& c : r.metrics.classes)
         t += fmt::format("  {:<14}{:>8}{:>9}{:>7}{:>9}{:>8}{:>8.0f}{:>8.0f}{:>8.0f}{:>8.0f}\n", c.name,
                          c.asked, c.in_aim, c.late, c.refused, c.failed, c.p50, c.p90, c.p99, c.most);
     if (r.punctuality.measured)
@@ -189,7 +189,7 @@
 
 ordered_json json_of(const Report& r) {
     ordered_json j;
-    j["incident"] = r.incident;
+    j["incident"] = r.scenario;
     j["mode"] = r.mode;
     j["balancer"] = r.balancer;
     j["seed"] = r.seed;
@@ -211,19 +211,19 @@
         {"servers", r.servers},     {"sidecars", r.sidecars},     {"requests", r.requests},
         {"tries", r.tries},         {"attempts", r.attempts},     {"most_attempts", r.most_attempts},
         {"held_back", r.held_back}, {"fallen_servers", r.fallen}, {"connections", r.connections}};
-    j["goodput"] = r.service.goodput;
-    j["worst_class"] = r.service.worst_class;
-    j["worst_second"] = r.service.worst_second;
-    j["answered"] = r.service.answered;
+    j["goodput"] = r.metrics.goodput;
+    j["worst_class"] = r.metrics.worst_class;
+    j["worst_second"] = r.metrics.worst_second;
+    j["answered"] = r.metrics.answered;
     j["attempts_per_try"] = r.attempts_per_try;
-    if (const RushReport& rush = r.service.rush; rush.any)
+    if (const RushReport& rush = r.metrics.rush; rush.any)
         j["rush"] = {{"from_ms", rush.from}, {"to_ms", rush.to},         {"settled", rush.settled},
                      {"onset", rush.onset},  {"settle_ms", rush.settle}, {"recover_ms", rush.recover}};
     if (r.restarted.worth_asked > 0)
         j["restarted"] = {{"attempts", r.restarted.attempts},
                           {"failed", r.restarted.failed},
                           {"goodput", r.restarted.goodput()}};
-    for (const ClassReport& c : r.service.classes)
+    for (const ClassReport& c : r.metrics.classes)
         j["classes"].push_back({{"name", c.name},
                                 {"asked", c.asked},
                                 {"in_aim", c.in_aim},
@@ -237,15 +237,15 @@
                                 {"p99_ms", c.p99},
                                 {"max_ms", c.most}});
     j["seconds"] = ordered_json::array();
-    for (const SecondReport& s : r.service.seconds)
+    for (const SecondReport& s : r.metrics.seconds)
         j["seconds"].push_back({{"asked", s.asked},
                                 {"in_aim", s.in_aim},
                                 {"goodput", s.goodput()},
                                 {"p50_ms", s.p50},
                                 {"p99_ms", s.p99}});
-    for (std::size_t i = 0; i < r.service.servers.size(); ++i) {
+    for (std::size_t i = 0; i < r.metrics.servers.size(); ++i) {
         ordered_json work = ordered_json::array(), attempts = ordered_json::array();
-        for (const ServerSecond& s : r.service.servers[i]) {
+        for (const ServerSecond& s : r.metrics.servers[i]) {
             work.push_back(s.work);
             attempts.push_back(s.attempts);
         }
@@ -271,7 +271,7 @@
     if (j.is_discarded()) throw std::invalid_argument("the report is not JSON");
     try {
         Report r;
-        r.incident = j.at("incident").get<std::string>();
+        r.scenario = j.at("incident").get<std::string>();
         r.balancer = j.at("balancer").get<std::string>();
         r.seed = j.at("seed").get<std::uint64_t>();
         for (const auto& rule : j.at("rules"))
@@ -281,16 +281,16 @@
             r.expectations.push_back({e.at("name").get<std::string>(), e.at("stated").get<double>(),
                                       e.at("seen").get<double>(), e.at("at_most").get<bool>(),
                                       e.at("kept").get<bool>()});
-        r.service.goodput = j.at("goodput").get<double>();
-        r.service.worst_class = j.at("worst_class").get<double>();
-        r.service.worst_second = j.at("worst_second").get<double>();
+        r.metrics.goodput = j.at("goodput").get<double>();
+        r.metrics.worst_class = j.at("worst_class").get<double>();
+        r.metrics.worst_second = j.at("worst_second").get<double>();
         r.attempts_per_try = j.at("attempts_per_try").get<double>();
         for (const auto& c : j.at("classes")) {
             ClassReport report;
             report.name = c.at("name").get<std::string>();
             report.p50 = c.at("p50_ms").get<double>(), report.p99 = c.at("p99_ms").get<double>();
             report.worth_asked = 1, report.worth_got = c.at("goodput").get<double>();
-            r.service.classes.push_back(std::move(report));
+            r.metrics.classes.push_back(std::move(report));
         }
         return r;
     } catch (const ordered_json::exception& error) {
@@ -299,7 +299,7 @@
 }
 
 std::string comparison_of(const Report& a, const Report& b) {
-    std::string t = fmt::format("{:<28}{:>22}{:>22}\n", a.incident, a.balancer, b.balancer);
+    std::string t = fmt::format("{:<28}{:>22}{:>22}\n", a.scenario, a.balancer, b.balancer);
     const auto row = [&](const std::string& name, double x, double y, int digits) {
         t += fmt::format("{:<28}{:>22.{}f}{:>22.{}f}\n", name, x, digits, y, digits);
     };
@@ -307,12 +307,12 @@
         t += fmt::format("{:<28}{:>22}{:>22}\n", a.rules[i].name,
                          a.rules[i].broken ? fmt::format("BROKEN {}", a.rules[i].broken) : "kept",
                          b.rules[i].broken ? fmt::format("BROKEN {}", b.rules[i].broken) : "kept");
-    row("goodput", a.service.goodput, b.service.goodput, 4);
-    row("worst class", a.service.worst_class, b.service.worst_class, 4);
-    row("worst second", a.service.worst_second, b.service.worst_second, 4);
+    row("goodput", a.metrics.goodput, b.metrics.goodput, 4);
+    row("worst class", a.metrics.worst_class, b.metrics.worst_class, 4);
+    row("worst second", a.metrics.worst_second, b.metrics.worst_second, 4);
     row("attempts a try", a.attempts_per_try, b.attempts_per_try, 4);
-    for (std::size_t i = 0; i < a.service.classes.size() && i < b.service.classes.size(); ++i) {
-        const ClassReport &x = a.service.classes[i], &y = b.service.classes[i];
+    for (std::size_t i = 0; i < a.metrics.classes.size() && i < b.metrics.classes.size(); ++i) {
+        const ClassReport &x = a.metrics.classes[i], &y = b.metrics.classes[i];
         row(x.name + " goodput", x.goodput(), y.goodput(), 4);
         row(x.name + " p50 ms", x.p50, y.p50, 0);
         row(x.name + " p99 ms", x.p99, y.p99, 0);
--- a/src/simulation/report.hpp
+++ b/src/simulation/reports/report.hpp
@@ -6,9 +6,9 @@
 #include <string>
 #include <vector>
 
-#include "simulation/judge.hpp"
-#include "simulation/service.hpp"
-#include "simulation/sidecar_log.hpp"
+#include "simulation/checking/invariant_checker.hpp"
+#include "simulation/reports/service_metrics.hpp"
+#include "simulation/checking/sidecar_log.hpp"
 
 namespace elmbay::simulation {
 
@@ -39,7 +39,7 @@
 };
 
 struct Report {
-    std::string incident, about, mode, balancer;
+    std::string scenario, about, mode, balancer;
     std::uint64_t seed = 0;
     Millis length = 0;
     std::uint64_t servers = 0, sidecars = 0, requests = 0, tries = 0, attempts = 0, most_attempts = 0;
@@ -54,7 +54,7 @@
     double attempts_per_try = 0;
     std::vector<RuleReport> rules;
     std::vector<ExpectationReport> expectations;
-    Service::Report service;
+    ServiceMetrics::Report metrics;
     Punctuality punctuality;
     SidecarsReport side;
     std::vector<FaultBand> faults;
@@ -68,15 +68,15 @@
 };
 
 // The part that both drivers share: fills rules, expectations, service and faults.
-Report make_report(const Incident& incident, const Callers& callers, const Judge& judge,
-                   const Service& service);
+Report make_report(const Scenario& scenario, const ClientModel& clients, const InvariantChecker& checker,
+                   const ServiceMetrics& metrics);
 
 std::string text_of(const Report& report);
 nlohmann::ordered_json json_of(const Report& report);
 std::string page_of(const Report& report);  // one self-contained HTML file
 // What comparison_of() needs of a report that was written by json_of(). Throws std::invalid_argument.
 Report report_from_json(const std::string& text);
-// Two runs of one incident, side by side: what `compare` prints.
+// Two runs of one scenario, side by side: what `compare` prints.
 std::string comparison_of(const Report& a, const Report& b);
 
 }  // namespace elmbay::simulation
--- a/src/simulation/service.cpp
+++ b/src/simulation/reports/service_metrics.cpp
@@ -1,4 +1,4 @@
-#include "simulation/service.hpp"
+#include "simulation/reports/service_metrics.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -13,19 +13,19 @@
 
 }  // namespace
 
-Service::Service(const Incident& incident, const Callers& callers)
-    : incident_(incident),
-      callers_(callers),
-      classes_(incident.classes.size()),
-      seconds_(static_cast<std::size_t>(std::ceil(incident.overview.length / 1000))),
-      servers_(incident.fleet.servers),
+ServiceMetrics::ServiceMetrics(const Scenario& scenario, const ClientModel& clients)
+    : scenario_(scenario),
+      clients_(clients),
+      classes_(scenario.classes.size()),
+      seconds_(static_cast<std::size_t>(std::ceil(scenario.overview.length / 1000))),
+      servers_(scenario.fleet.servers),
       by_class_(classes_.size()),
       by_second_(seconds_.size()),
-      tenths_(static_cast<std::size_t>(std::ceil(incident.overview.length / kTenth))) {
-    for (std::size_t i = 0; i < classes_.size(); ++i) classes_[i].name = incident.classes[i].name;
+      tenths_(static_cast<std::size_t>(std::ceil(scenario.overview.length / kTenth))) {
+    for (std::size_t i = 0; i < classes_.size(); ++i) classes_[i].name = scenario.classes[i].name;
 }
 
-void Service::attempt(Millis now, std::uint32_t server, Millis work) {
+void ServiceMetrics::attempt(Millis now, std::uint32_t server, Millis work) {
     auto& seconds = servers_[server];
     const auto second = static_cast<std::size_t>(std::max(0.0, now) / 1000);
     // The end of a run trails into a few seconds more; beyond that nothing is drawn.
@@ -35,13 +35,13 @@
     seconds[second].work += static_cast<float>(work);
 }
 
-void Service::ended(Millis now, RequestNumber request, Answer answer) {
-    const Ask& ask = callers_.ask(request);
+void ServiceMetrics::ended(Millis now, OperationId request, Answer answer) {
+    const ClientArrival& ask = clients_.ask(request);
     ClassReport& c = classes_[ask.class_index];
     const auto index = std::min(static_cast<std::size_t>(ask.at / 1000), seconds_.size() - 1);
     SecondReport& second = seconds_[index];
     const double priority_weight =
-        incident_.classes[ask.class_index].priority_weight * callers_.work(request);
+        scenario_.classes[ask.class_index].priority_weight * clients_.work(request);
     ++c.asked, ++second.asked;
     c.worth_asked += priority_weight, second.worth_asked += priority_weight;
     Worth& tenth = tenths_[std::min(static_cast<std::size_t>(ask.at / kTenth), tenths_.size() - 1)];
@@ -50,7 +50,7 @@
         const Millis took = now - ask.at;
         by_class_[ask.class_index].add(took);
         by_second_[index].add(took);
-        const bool in_aim = took <= incident_.classes[ask.class_index].latency_objective;
+        const bool in_aim = took <= scenario_.classes[ask.class_index].latency_objective;
         c.in_aim += in_aim, c.late += !in_aim, second.in_aim += in_aim;
         if (in_aim)
             c.worth_got += priority_weight, second.worth_got += priority_weight, tenth.got += priority_weight;
@@ -61,9 +61,9 @@
     }
 }
 
-void Service::left(RequestNumber request) { ++classes_[callers_.ask(request).class_index].left; }
+void ServiceMetrics::left(OperationId request) { ++classes_[clients_.ask(request).class_index].left; }
 
-double Service::goodput(Millis from, Millis to) const {
+double ServiceMetrics::goodput(Millis from, Millis to) const {
     Worth sum;
     const auto end = std::min(static_cast<std::size_t>(std::max(0.0, to) / kTenth + 0.5), tenths_.size());
     for (auto i = static_cast<std::size_t>(std::max(0.0, from) / kTenth + 0.5); i < end; ++i)
@@ -71,10 +71,10 @@
     return sum.asked > 0 ? sum.got / sum.asked : 1;
 }
 
-RushReport Service::rush() const {
+RushReport ServiceMetrics::rush() const {
     RushReport r;
-    const Millis length = incident_.overview.length;
-    for (const FaultSpec& f : incident_.faults) {
+    const Millis length = scenario_.overview.length;
+    for (const FaultSpec& f : scenario_.faults) {
         if (f.kind != FaultKind::load) continue;
         const Millis to = f.lasts > 0 ? std::min(f.at + f.lasts, length) : length;
         r.from = r.any ? std::min(r.from, f.at) : f.at;
@@ -97,7 +97,7 @@
     return r;
 }
 
-Service::Report Service::report() const {
+ServiceMetrics::Report ServiceMetrics::report() const {
     Report r;
     r.classes = classes_;
     r.seconds = seconds_;
@@ -106,7 +106,7 @@
     std::uint64_t requests = 0, served = 0;
     r.worst_class = r.worst_second = 1;
     for (std::size_t i = 0; i < classes_.size(); ++i) {
-        const Latency& took = by_class_[i];
+        const LatencyHistogram& took = by_class_[i];
         ClassReport& c = r.classes[i];
         c.p50 = took.quantile(0.5), c.p90 = took.quantile(0.9), c.p99 = took.quantile(0.99);
         c.most = took.most();
--- a/src/simulation/service.hpp
+++ b/src/simulation/reports/service_metrics.hpp
@@ -1,10 +1,10 @@
-// What callers and servers got out of it: goodput, latency, work; by class, by second, by server.
+// What clients and servers got out of it: goodput, latency, work; by class, by second, by server.
 #pragma once
 
 #include <vector>
 
-#include "simulation/callers.hpp"
-#include "simulation/latency.hpp"
+#include "simulation/models/client_model.hpp"
+#include "simulation/reports/latency_histogram.hpp"
 
 namespace elmbay::simulation {
 
@@ -40,14 +40,14 @@
     float work = 0;  // ms of core time sent to it
 };
 
-class Service {
+class ServiceMetrics {
 public:
-    Service(const Incident& incident, const Callers& callers);
+    ServiceMetrics(const Scenario& scenario, const ClientModel& clients);
 
     void attempt(Millis now, std::uint32_t server, Millis work);
-    // The end of a whole request, with the last answer of its last try. Nothing for one whose caller left.
-    void ended(Millis now, RequestNumber request, Answer answer);
-    void left(RequestNumber request);
+    // The end of a whole request, with the last answer of its last try. Nothing for one whose client left.
+    void ended(Millis now, OperationId request, Answer answer);
+    void left(OperationId request);
 
     struct Report {
         std::vector<ClassReport> classes;
@@ -65,12 +65,12 @@
     struct Worth {
         double asked = 0, got = 0;
     };
-    const Incident& incident_;
-    const Callers& callers_;
+    const Scenario& scenario_;
+    const ClientModel& clients_;
     std::vector<ClassReport> classes_;
     std::vector<SecondReport> seconds_;
     std::vector<std::vector<ServerSecond>> servers_;
-    std::vector<Latency> by_class_, by_second_;  // of served requests
+    std::vector<LatencyHistogram> by_class_, by_second_;  // of served requests
     std::vector<Worth> tenths_;                  // of seconds
 };
 
--- a/src/simulation/sweep.cpp
+++ b/src/simulation/reports/sweep.cpp
@@ -1,4 +1,4 @@
-#include "simulation/sweep.hpp"
+#include "simulation/reports/sweep.hpp"
 
 #include <fmt/format.h>
 
@@ -13,8 +13,8 @@
 #include <sstream>
 #include <thread>
 
-#include "simulation/balancers.hpp"
-#include "simulation/virtual_run.hpp"
+#include "simulation/baselines/baseline_policies.hpp"
+#include "simulation/drivers/virtual/virtual_run.hpp"
 #include "schema/toml.hpp"
 
 namespace elmbay::simulation {
@@ -31,14 +31,14 @@
     double (*value)(const Report&);
 };
 const Named kFigures[] = {
-    {"goodput", Named::Of::all, [](const Report& r) { return r.service.goodput; }},
-    {"worst_class", Named::Of::all, [](const Report& r) { return r.service.worst_class; }},
-    {"worst_second", Named::Of::all, [](const Report& r) { return r.service.worst_second; }},
+    {"goodput", Named::Of::all, [](const Report& r) { return r.metrics.goodput; }},
+    {"worst_class", Named::Of::all, [](const Report& r) { return r.metrics.worst_class; }},
+    {"worst_second", Named::Of::all, [](const Report& r) { return r.metrics.worst_second; }},
     {"attempts", Named::Of::all, [](const Report& r) { return r.attempts_per_try; }},
-    {"settled", Named::Of::rushes, [](const Report& r) { return r.service.rush.settled; }},
-    {"onset", Named::Of::rushes, [](const Report& r) { return r.service.rush.onset; }},
-    {"settle_ms", Named::Of::rushes, [](const Report& r) { return r.service.rush.settle; }},
-    {"recover_ms", Named::Of::rushes, [](const Report& r) { return r.service.rush.recover; }},
+    {"settled", Named::Of::rushes, [](const Report& r) { return r.metrics.rush.settled; }},
+    {"onset", Named::Of::rushes, [](const Report& r) { return r.metrics.rush.onset; }},
+    {"settle_ms", Named::Of::rushes, [](const Report& r) { return r.metrics.rush.settle; }},
+    {"recover_ms", Named::Of::rushes, [](const Report& r) { return r.metrics.rush.recover; }},
     {"restart_goodput", Named::Of::restarts, [](const Report& r) { return r.restarted.goodput(); }},
     {"restart_failed", Named::Of::restarts,
      [](const Report& r) { return static_cast<double>(r.restarted.failed); }},
@@ -60,11 +60,11 @@
     const auto work = [&] {
         for (std::size_t i = next++; i < tasks.size(); i = next++) {
             try {
-                Incident incident = parse_incident(texts[tasks[i].row], name, tasks[i].seed);
-                incident.name = name;
+                Scenario scenario = parse_scenario(texts[tasks[i].row], name, tasks[i].seed);
+                scenario.name = name;
                 VirtualOptions how;
                 how.balancer = tasks[i].balancer;
-                tasks[i].report = run_virtual(incident, how);
+                tasks[i].report = run_virtual(scenario, how);
             } catch (...) {
                 const std::lock_guard lock(mutex);
                 if (!wrong) wrong = std::current_exception();
@@ -88,7 +88,7 @@
 std::vector<SweepFigure> figures_of(const std::vector<const Report*>& reports) {
     std::vector<SweepFigure> figures;
     for (const Named& f : kFigures) {
-        if (f.of == Named::Of::rushes && !reports.front()->service.rush.any) continue;
+        if (f.of == Named::Of::rushes && !reports.front()->metrics.rush.any) continue;
         if (f.of == Named::Of::restarts && reports.front()->restarted.worth_asked == 0) continue;
         figures.push_back({f.name, {}});
         for (const Report* r : reports) figures.back().values.push_back(f.value(*r));
@@ -276,7 +276,7 @@
 }
 
 std::string text_of(const Sweep& sweep) {
-    std::string t = fmt::format("{} ({}): seeds {} to {}\n", sweep.incident, sweep.balancer, sweep.first_seed,
+    std::string t = fmt::format("{} ({}): seeds {} to {}\n", sweep.scenario, sweep.balancer, sweep.first_seed,
                                 sweep.first_seed + sweep.seeds - 1);
     for (const SweepRow& row : sweep.rows) {
         if (!row.value.empty()) t += fmt::format("\n{} = {}\n", sweep.key, row.value);
@@ -299,7 +299,7 @@
 }
 
 ordered_json json_of(const Sweep& sweep) {
-    ordered_json j{{"sweep", sweep.incident}, {"balancer", sweep.balancer},
+    ordered_json j{{"sweep", sweep.scenario}, {"balancer", sweep.balancer},
                    {"key", sweep.key},        {"first_seed", sweep.first_seed},
                    {"seeds", sweep.seeds},    {"rows", ordered_json::array()}};
     for (const SweepRow& row : sweep.rows) {
@@ -314,7 +314,7 @@
     try {
         const ordered_json j = ordered_json::parse(text);
         Sweep s;
-        s.incident = j.at("sweep").get<std::string>();
+        s.scenario = j.at("sweep").get<std::string>();
         s.balancer = j.at("balancer").get<std::string>();
         s.key = j.at("key").get<std::string>();
         s.first_seed = j.at("first_seed").get<std::uint64_t>();
@@ -344,17 +344,17 @@
         "</style></head><body><h1>{0}</h1><p>{1}, seeds {2} to {3}{4}. A dot is a run, a bar their mean; "
         "grey: the best "
         "oracle.</p>",
-        sweep.incident, sweep.balancer, sweep.first_seed, sweep.first_seed + sweep.seeds - 1,
+        sweep.scenario, sweep.balancer, sweep.first_seed, sweep.first_seed + sweep.seeds - 1,
         sweep.key.empty() ? "" : ", by " + sweep.key);
     for (const Named& f : kFigures) page += strip(sweep, f.name);
     return page + "<pre>" + text_of(sweep) + "</pre></body></html>\n";
 }
 
 std::string comparison_of(const Sweep& a, const Sweep& b) {
-    if (a.incident != b.incident || a.key != b.key || a.first_seed != b.first_seed || a.seeds != b.seeds ||
+    if (a.scenario != b.scenario || a.key != b.key || a.first_seed != b.first_seed || a.seeds != b.seeds ||
         a.rows.size() != b.rows.size())
         throw std::invalid_argument("the two are not of one incident, key and seeds");
-    std::string t = fmt::format("{}, seeds {} to {}: A = {}, B = {}\n", a.incident, a.first_seed,
+    std::string t = fmt::format("{}, seeds {} to {}: A = {}, B = {}\n", a.scenario, a.first_seed,
                                 a.first_seed + a.seeds - 1, a.balancer, b.balancer);
     for (std::size_t i = 0; i < a.rows.size(); ++i) {
         if (!a.rows[i].value.empty()) t += fmt::format("\n{} = {}\n", a.key, a.rows[i].value);
--- a/src/simulation/sweep.hpp
+++ b/src/simulation/reports/sweep.hpp
@@ -1,4 +1,4 @@
-// One incident over many seeds, and over values of one of its keys: mean, spread and worst of each figure,
+// One scenario over many seeds, and over values of one of its keys: mean, spread and worst of each figure,
 // and whether two balancers (or two builds) differ by more than chance. Runs in virtual time, spread over the
 // cores; the same seeds give the same figures whatever the number of threads.
 #pragma once
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "simulation/report.hpp"
+#include "simulation/reports/report.hpp"
 
 namespace elmbay::simulation {
 
@@ -17,7 +17,7 @@
 
     std::string balancer = "elmbay";
     std::uint64_t first_seed = 1, seeds = 20;
-    std::string key;  // "callers.rate", "fault.1.times" (lists count from 1); none: no key is varied
+    std::string key;  // "clients.rate", "fault.1.times" (lists count from 1); none: no key is varied
     std::vector<std::string> values;  // of that key, as they would stand in the file
     bool oracle = false;   // also what the oracles reach (see balancers.hpp), the best of them in the mean
     unsigned threads = 0;  // 0: one for each core
@@ -38,13 +38,13 @@
     const SweepFigure* figure(const std::string& name) const;
 };
 struct Sweep {
-    std::string incident, balancer, key;
+    std::string scenario, balancer, key;
     std::uint64_t first_seed = 1, seeds = 0;
     std::vector<SweepRow> rows;
     bool rules_kept() const;
 };
 
-// text: the incident's file. Throws IncidentError for a file (with a value put in) that can't be used, and
+// text: the scenario's file. Throws ScenarioError for a file (with a value put in) that can't be used, and
 // std::invalid_argument for a key that names nothing, no seeds, or a balancer that does not exist.
 Sweep run_sweep(const std::string& text, const std::string& name, const SweepOptions& options);
 // The file with one value put in place of another, or added. Throws std::invalid_argument.
@@ -67,7 +67,7 @@
 nlohmann::ordered_json json_of(const Sweep& sweep);
 Sweep sweep_from_json(const std::string& text);  // throws std::invalid_argument
 std::string page_of(const Sweep& sweep);         // one self-contained HTML file
-// Throws std::invalid_argument unless both are of one incident, key and seeds.
+// Throws std::invalid_argument unless both are of one scenario, key and seeds.
 std::string comparison_of(const Sweep& a, const Sweep& b);
 
 }  // namespace elmbay::simulation
--- a/src/simulation/storm.cpp
+++ b/src/simulation/scenario/random_fault_schedule.cpp
@@ -1,9 +1,9 @@
-#include "simulation/storm.hpp"
+#include "simulation/scenario/random_fault_schedule.hpp"
 
 #include <fmt/format.h>
 
 #include "process_testbed/shrink.hpp"
-#include "simulation/chance.hpp"
+#include "simulation/models/random_streams.hpp"
 
 namespace elmbay::simulation {
 
@@ -20,7 +20,7 @@
 std::string name(const char* prefix, Random& random, std::uint64_t count) {
     return fmt::format("{}{}", prefix, random.below(count));
 }
-std::string any_end(Random& random, const StormOptions& o) {
+std::string any_end(Random& random, const RandomFaultOptions& o) {
     return random.below(3) == 0 ? name("s-", random, o.servers) : name("n-", random, o.sidecars);
 }
 // Whole tenths of a second read well, and are the same on every machine.
@@ -28,7 +28,7 @@
     return fmt::format("\"{}ms\"", 100 * (least + random.below(most - least + 1)));
 }
 
-std::string draw_fault(Random& random, const StormOptions& o) {
+std::string draw_fault(Random& random, const RandomFaultOptions& o) {
     const bool of_sidecars = random.below(2) == 0;
     const std::string kind = of_sidecars ? kOfSidecars[random.below(std::size(kOfSidecars))]
                                          : kOfServers[random.below(std::size(kOfServers))];
@@ -56,46 +56,46 @@
 
 bool sound(const std::string& text) {
     try {
-        parse_incident(text, "storm");
+        parse_scenario(text, "storm");
         return true;
-    } catch (const IncidentError&) {
+    } catch (const ScenarioError&) {
         return false;
     }
 }
 
 }  // namespace
 
-std::string Storm::text() const {
+std::string RandomFaultSchedule::text() const {
     std::string t = head;
     for (const std::string& fault : faults) t += "\n" + fault;
     return t;
 }
 
-Storm draw_storm(std::uint64_t seed, const StormOptions& o) {
-    Random random = stream(seed, Purpose::storm);
-    Storm storm;
+RandomFaultSchedule draw_random_faults(std::uint64_t seed, const RandomFaultOptions& o) {
+    Random random = stream(seed, Purpose::schedule);
+    RandomFaultSchedule schedule;
     // They know each other, so that faults on messages meet some.
-    storm.head = fmt::format(
+    schedule.head = fmt::format(
         "about = \"storm {0}\"\nseed = {0}\nlength = \"{1}ms\"\n[fleet]\nservers = {2}\n[sidecars]\n"
         "count = {3}\ncluster = true\n[callers]\nrate = {4}\n",
         seed, o.length, o.servers, o.sidecars, o.rate);
-    while (storm.faults.size() < o.faults) {
+    while (schedule.faults.size() < o.faults) {
         bool found = false;
         for (int i = 0; i < kTries && !found; ++i) {
-            storm.faults.push_back(draw_fault(random, o));
-            found = sound(storm.text());
-            if (!found) storm.faults.pop_back();
+            schedule.faults.push_back(draw_fault(random, o));
+            found = sound(schedule.text());
+            if (!found) schedule.faults.pop_back();
         }
         if (!found) break;  // as full as it gets
     }
-    return storm;
+    return schedule;
 }
 
-Storm shrunk(Storm storm, const std::function<bool(const Storm&)>& fails) {
-    storm.faults = process_testbed::shrink(storm.faults, [&](const std::vector<std::string>& faults) {
-        return fails({storm.head, faults});
+RandomFaultSchedule shrunk(RandomFaultSchedule schedule, const std::function<bool(const RandomFaultSchedule&)>& fails) {
+    schedule.faults = process_testbed::shrink(schedule.faults, [&](const std::vector<std::string>& faults) {
+        return fails({schedule.head, faults});
     });
-    return storm;
+    return schedule;
 }
 
 }  // namespace elmbay::simulation
--- a/src/simulation/storm.hpp
+++ b/src/simulation/scenario/random_fault_schedule.hpp
@@ -1,4 +1,4 @@
-// Incidents drawn from a seed: many faults of every kind, laid over each other, held against the rules, and
+// Scenarios drawn from a seed: many faults of every kind, laid over each other, held against the rules, and
 // shrunk to the few that matter. The same text is played in virtual time and on sockets.
 #pragma once
 
@@ -6,28 +6,28 @@
 #include <string>
 #include <vector>
 
-#include "simulation/incident.hpp"
+#include "simulation/scenario/scenario.hpp"
 
 namespace elmbay::simulation {
 
-struct StormOptions {
+struct RandomFaultOptions {
     std::uint64_t sidecars = 4, servers = 6, faults = 12;
     Millis length = 15000;
     double rate =
         150;  // requests a second, all sidecars together; half of what the servers can do by default
 };
 
-// An incident file in parts, so that faults can be left out.
-struct Storm {
+// An scenario file in parts, so that faults can be left out.
+struct RandomFaultSchedule {
     std::string head;
     std::vector<std::string> faults;
     std::string text() const;
 };
 
-// The same for the same seed and options, on every machine; always an incident that can be played.
-Storm draw_storm(std::uint64_t seed, const StormOptions& options);
+// The same for the same seed and options, on every machine; always an scenario that can be played.
+RandomFaultSchedule draw_random_faults(std::uint64_t seed, const RandomFaultOptions& options);
 
 // With the fewest faults that still fail.
-Storm shrunk(Storm storm, const std::function<bool(const Storm&)>& fails);
+RandomFaultSchedule shrunk(RandomFaultSchedule schedule, const std::function<bool(const RandomFaultSchedule&)>& fails);
 
 }  // namespace elmbay::simulation
--- a/src/simulation/incident.cpp
+++ b/src/simulation/scenario/scenario.cpp
@@ -1,4 +1,4 @@
-#include "simulation/incident.hpp"
+#include "simulation/scenario/scenario.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -7,7 +7,7 @@
 #include <set>
 #include <sstream>
 
-#include "simulation/chance.hpp"
+#include "simulation/models/random_streams.hpp"
 
 namespace elmbay::simulation {
 
@@ -73,31 +73,31 @@
     {"spread", Unit::duration, &RegistrySpec::spread, "\"100ms\"", "between one sidecar and another", 0,
      60000}};
 
-const std::vector<Key<CallersSpec>> kCallers{
-    {"rate", Unit::number, &CallersSpec::rate, "300", "requests a second, through all sidecars together",
+const std::vector<Key<ClientsSpec>> kCallers{
+    {"rate", Unit::number, &ClientsSpec::rate, "300", "requests a second, through all sidecars together",
      0.001, kMaxRate},
     {"shape",
      Unit::word,
-     &CallersSpec::shape,
+     &ClientsSpec::shape,
      "\"steady\"",
      "of the arrivals, which wait for no answer",
      0,
      0,
      {"steady", "bursty", "ramp", "wave"}},
-    {"swing", Unit::share, &CallersSpec::swing, "30%", "bursty, wave: how far the rate leaves its mean", 0,
+    {"swing", Unit::share, &ClientsSpec::swing, "30%", "bursty, wave: how far the rate leaves its mean", 0,
      1},
-    {"ramp_to", Unit::number, &CallersSpec::ramp_to, "1", "ramp: multiple of the rate at the end", 0, 1000},
-    {"period", Unit::duration, &CallersSpec::period, "\"8s\"", "of a wave; mean length of a burst or lull",
+    {"ramp_to", Unit::number, &ClientsSpec::ramp_to, "1", "ramp: multiple of the rate at the end", 0, 1000},
+    {"period", Unit::duration, &ClientsSpec::period, "\"8s\"", "of a wave; mean length of a burst or lull",
      100, kLongest},
-    {"skew", Unit::share, &CallersSpec::skew, "50%", "0: sidecars alike; towards 1 few carry most", 0, 0.99},
-    {"retries", Unit::count, &CallersSpec::retries, "3", "of a caller, after the first try", 0, 10},
-    {"try_share", Unit::share, &CallersSpec::try_share, "45%",
+    {"skew", Unit::share, &ClientsSpec::skew, "50%", "0: sidecars alike; towards 1 few carry most", 0, 0.99},
+    {"retries", Unit::count, &ClientsSpec::retries, "3", "of a caller, after the first try", 0, 10},
+    {"try_share", Unit::share, &ClientsSpec::try_share, "45%",
      "of its class's give-up time after which a try is given up", 0.05, 1},
-    {"backoff", Unit::duration, &CallersSpec::backoff, "\"50ms\"", "before a caller's retry", 0, 60000},
-    {"together", Unit::duration, &CallersSpec::together, "\"0ms\"",
+    {"backoff", Unit::duration, &ClientsSpec::backoff, "\"50ms\"", "before a caller's retry", 0, 60000},
+    {"together", Unit::duration, &ClientsSpec::together, "\"0ms\"",
      "retries leave at multiples of this, all at once; 0: each for itself", 0, 60000},
-    {"honour", Unit::share, &CallersSpec::honour, "40%", "callers that keep to Retry-After", 0, 1},
-    {"impatient", Unit::share, &CallersSpec::impatient, "0.5%", "callers that leave before a try is over", 0,
+    {"honour", Unit::share, &ClientsSpec::honour, "40%", "callers that keep to Retry-After", 0, 1},
+    {"impatient", Unit::share, &ClientsSpec::impatient, "0.5%", "callers that leave before a try is over", 0,
      1}};
 
 const std::vector<Key<SidecarsSpec>> kSidecars{
@@ -314,22 +314,22 @@
 }
 
 // Names as links know them; a hall is all that stands in it.
-std::vector<std::string> ends_of(const std::vector<std::string>& names, const Incident& incident,
+std::vector<std::string> ends_of(const std::vector<std::string>& names, const Scenario& scenario,
                                  const std::string& key, std::uint32_t line, Problems& problems) {
-    const auto halls = static_cast<std::uint32_t>(incident.fleet.halls.size());
+    const auto halls = static_cast<std::uint32_t>(scenario.fleet.halls.size());
     std::vector<std::string> ends;
     for (const std::string& text : names) {
         std::istringstream words(text);
         for (std::string name; words >> name;) {
-            const auto hall = std::find(incident.fleet.halls.begin(), incident.fleet.halls.end(), name);
-            if (hall != incident.fleet.halls.end()) {
-                const auto nth = static_cast<std::uint32_t>(hall - incident.fleet.halls.begin());
-                for (std::uint32_t i = nth; i < incident.fleet.servers; i += halls)
+            const auto hall = std::find(scenario.fleet.halls.begin(), scenario.fleet.halls.end(), name);
+            if (hall != scenario.fleet.halls.end()) {
+                const auto nth = static_cast<std::uint32_t>(hall - scenario.fleet.halls.begin());
+                for (std::uint32_t i = nth; i < scenario.fleet.servers; i += halls)
                     ends.push_back("s-" + std::to_string(i));
-                for (std::uint32_t i = nth; i < incident.sidecars.count; i += halls)
+                for (std::uint32_t i = nth; i < scenario.sidecars.count; i += halls)
                     ends.push_back("n-" + std::to_string(i));
-            } else if (name == "list" || name == "*" || numbered(name, "s-", incident.fleet.servers) ||
-                       numbered(name, "n-", incident.sidecars.count)) {
+            } else if (name == "list" || name == "*" || numbered(name, "s-", scenario.fleet.servers) ||
+                       numbered(name, "n-", scenario.sidecars.count)) {
                 ends.push_back(name);
             } else {
                 problems.push_back({line, key, "'" + name + "' is no sidecar, server or hall, nor 'list'"});
@@ -339,16 +339,16 @@
     return ends;
 }
 
-void check_links(FaultSpec& fault, std::size_t nth, const Incident& incident, Problems& problems) {
+void check_links(FaultSpec& fault, std::size_t nth, const Scenario& scenario, Problems& problems) {
     const std::string key = "fault " + std::to_string(nth + 1);
     for (std::string& group : fault.groups) {
         std::string ends;
-        for (const std::string& e : ends_of({group}, incident, key + ".groups", fault.line, problems))
+        for (const std::string& e : ends_of({group}, scenario, key + ".groups", fault.line, problems))
             ends += (ends.empty() ? "" : " ") + e;
         group = ends;
     }
-    fault.from = ends_of(fault.from, incident, key + ".from", fault.line, problems);
-    fault.to = ends_of(fault.to, incident, key + ".to", fault.line, problems);
+    fault.from = ends_of(fault.from, scenario, key + ".from", fault.line, problems);
+    fault.to = ends_of(fault.to, scenario, key + ".to", fault.line, problems);
     if (fault.kind == FaultKind::split && fault.groups.size() < 2)
         problems.push_back({fault.line, key + ".groups", "takes two groups at least"});
     if (hits_messages(fault.kind) && fault.from.empty()) fault.from = {"*"};
@@ -358,22 +358,22 @@
 }
 
 // Shares are rounded up, so that a small share of a small fleet still hits somebody, and drawn by the seed.
-void select(FaultSpec& fault, std::size_t nth, const Incident& incident, Problems& problems) {
+void select(FaultSpec& fault, std::size_t nth, const Scenario& scenario, Problems& problems) {
     if (hits_nobody(fault.kind)) return;
     const bool sidecars = hits_sidecars(fault.kind);
     const auto count =
-        static_cast<std::uint32_t>(sidecars ? incident.sidecars.count : incident.fleet.servers);
+        static_cast<std::uint32_t>(sidecars ? scenario.sidecars.count : scenario.fleet.servers);
     std::set<std::uint32_t> hit;
     const std::string key = "fault " + std::to_string(nth + 1) + ".who";
     for (const std::string& who : fault.who) {
         const double share = who.ends_with('%') ? schema::parse_share(who).value_or(0) : 0;
-        const auto hall = std::find(incident.fleet.halls.begin(), incident.fleet.halls.end(), who);
+        const auto hall = std::find(scenario.fleet.halls.begin(), scenario.fleet.halls.end(), who);
         if (const auto number = numbered(who, sidecars ? "n-" : "s-", count)) {
             hit.insert(*number);
         } else if (who == "all") {
             for (std::uint32_t i = 0; i < count; ++i) hit.insert(i);
         } else if (share > 0 && share <= 1) {
-            Random random = stream(incident.overview.seed, Purpose::selection, nth);
+            Random random = stream(scenario.overview.seed, Purpose::selection, nth);
             std::vector<std::uint32_t> all(count);
             for (std::uint32_t i = 0; i < count; ++i) all[i] = i;
             const auto part = static_cast<std::size_t>(std::ceil(share * count - 1e-9));
@@ -381,9 +381,9 @@
                 std::swap(all[i], all[i + random.below(all.size() - i)]);
                 hit.insert(all[i]);
             }
-        } else if (hall != incident.fleet.halls.end()) {  // sidecars stand in them in turn, like servers
+        } else if (hall != scenario.fleet.halls.end()) {  // sidecars stand in them in turn, like servers
             for (std::uint32_t i = 0; i < count; ++i)
-                if (incident.fleet.halls[incident.hall_of(i)] == who) hit.insert(i);
+                if (scenario.fleet.halls[scenario.hall_of(i)] == who) hit.insert(i);
         } else {
             problems.push_back({fault.line, key,
                                 "'" + who + "' names nobody; there are " +
@@ -394,8 +394,8 @@
     fault.hit.assign(hit.begin(), hit.end());
 }
 
-Millis end_of(const FaultSpec& fault, std::size_t nth, const Incident& incident) {
-    return fault.lasts > 0 ? fault.begins(nth) + fault.lasts : std::max(incident.overview.length, fault.at);
+Millis end_of(const FaultSpec& fault, std::size_t nth, const Scenario& scenario) {
+    return fault.lasts > 0 ? fault.begins(nth) + fault.lasts : std::max(scenario.overview.length, fault.at);
 }
 
 struct Span {
@@ -405,15 +405,15 @@
 
 // What can't be: two ends of one server at a time, an end of one that has not started, the same fault twice
 // at once on one server (which of the two figures would hold?). Different faults may overlap as they like.
-void check_overlaps(const Incident& incident, Problems& problems) {
+void check_overlaps(const Scenario& scenario, Problems& problems) {
     std::map<std::pair<std::uint32_t, std::string>, std::vector<Span>> spans;
     std::map<std::uint32_t, const FaultSpec*> joins;
-    for (const FaultSpec& f : incident.faults)
+    for (const FaultSpec& f : scenario.faults)
         if (f.kind == FaultKind::join)
             for (const std::uint32_t s : f.hit)
                 if (!joins.emplace(s, &f).second)
                     problems.push_back({f.line, "fault.who", "s-" + std::to_string(s) + " joins twice"});
-    for (const FaultSpec& f : incident.faults) {
+    for (const FaultSpec& f : scenario.faults) {
         if (f.kind == FaultKind::join || hits_links(f.kind)) continue;  // rules of links may overlap
         const std::string group = ends_the_process(f.kind) ? "end"
                                   : hits_sidecars(f.kind)  ? "sidecar"
@@ -421,8 +421,8 @@
         for (std::size_t i = 0; i < std::max<std::size_t>(1, f.hit.size()); ++i) {
             const std::uint32_t who = f.hit.empty() ? 0 : f.hit[i];
             const Span span{f.begins(i),
-                            f.kind == FaultKind::drain && f.lasts > 0 ? end_of(f, i, incident) + f.linger
-                                                                      : end_of(f, i, incident),
+                            f.kind == FaultKind::drain && f.lasts > 0 ? end_of(f, i, scenario) + f.linger
+                                                                      : end_of(f, i, scenario),
                             &f};
             const std::string name = hits_nobody(f.kind) ? "it" : "s-" + std::to_string(who);
             if (ends_the_process(f.kind) && joins.contains(who) && joins.at(who)->begins(0) >= span.from)
@@ -444,37 +444,37 @@
     }
 }
 
-void check_whole(Incident& incident, Problems& problems) {
-    if (incident.classes.empty()) {
+void check_whole(Scenario& scenario, Problems& problems) {
+    if (scenario.classes.empty()) {
         // Midlands Voices' own, so that the shortest file is of use.
         ClassSpec listen{"listen", 0.52, "safe", 95}, deposit{"deposit", 0.34, "unsafe", 60},
             annotate{"annotate", 0.14, "keyed", 110};
         deposit.latency_objective = 300, deposit.give_up = 1200, deposit.priority_weight = 5;
         annotate.latency_objective = 500;
-        incident.classes = {listen, deposit, annotate};
+        scenario.classes = {listen, deposit, annotate};
     }
     std::set<std::string> names;
-    for (const ClassSpec& c : incident.classes) {
+    for (const ClassSpec& c : scenario.classes) {
         if (!names.insert(c.name).second) problems.push_back({0, "class." + c.name, "is there twice"});
         if (c.give_up < c.latency_objective)
             problems.push_back({0, "class." + c.name + ".give_up", "is before its aim"});
     }
     double shares = 0;
-    for (const ClassSpec& c : incident.classes) shares += c.share;
+    for (const ClassSpec& c : scenario.classes) shares += c.share;
     if (shares <= 0) problems.push_back({0, "class.share", "adds up to nothing"});
-    if (incident.registry.notice_most < incident.registry.notice_least)
+    if (scenario.registry.notice_most < scenario.registry.notice_least)
         problems.push_back({0, "registry.notice_most", "is less than notice_least"});
-    if (incident.messages.delay_most < incident.messages.delay_least)
+    if (scenario.messages.delay_most < scenario.messages.delay_least)
         problems.push_back({0, "messages.delay_most", "is less than delay_least"});
-    if (incident.callers.rate * incident.overview.length / 1000 > 2e7)
+    if (scenario.clients.rate * scenario.overview.length / 1000 > 2e7)
         problems.push_back({0, "callers.rate", "gives more than 20 million requests in all"});
-    for (std::size_t i = 0; i < incident.faults.size(); ++i) {
-        FaultSpec& f = incident.faults[i];
+    for (std::size_t i = 0; i < scenario.faults.size(); ++i) {
+        FaultSpec& f = scenario.faults[i];
         const auto kind = kKinds.find(f.kind_name);
         if (kind == kKinds.end()) return;  // told by the schema
         f.kind = kind->second;
         if (f.name.empty()) f.name = f.kind_name;
-        if (f.at >= incident.overview.length)
+        if (f.at >= scenario.overview.length)
             problems.push_back({f.line, "fault " + std::to_string(i + 1) + ".at", "is after the end"});
         if (!f.only.empty() && !names.contains(f.only))
             problems.push_back({f.line, "fault " + std::to_string(i + 1) + ".only",
@@ -484,7 +484,7 @@
         if (pulses && f.pause >= f.every)
             problems.push_back(
                 {f.line, "fault " + std::to_string(i + 1) + ".pause", "must be shorter than 'every'"});
-        if (hits_links(f.kind)) check_links(f, i, incident, problems);
+        if (hits_links(f.kind)) check_links(f, i, scenario, problems);
         if (f.kind == FaultKind::other_build && f.build.empty())
             problems.push_back({f.line, "fault " + std::to_string(i + 1) + ".build", "is needed"});
         if (f.kind == FaultKind::other_settings && f.set.empty())
@@ -496,12 +496,12 @@
         }
         const bool ends_by_itself = f.kind != FaultKind::other_build && f.kind != FaultKind::other_settings;
         if (hits_sidecars(f.kind) && f.lasts == 0 && ends_by_itself) f.lasts = 1000;
-        select(f, i, incident, problems);
+        select(f, i, scenario, problems);
     }
-    if (problems.empty()) check_overlaps(incident, problems);
+    if (problems.empty()) check_overlaps(scenario, problems);
     std::size_t off = 0;
-    for (std::uint32_t s = 0; s < incident.fleet.servers; ++s) off += incident.starts_off(s);
-    if (problems.empty() && off == incident.fleet.servers)
+    for (std::uint32_t s = 0; s < scenario.fleet.servers; ++s) off += scenario.starts_off(s);
+    if (problems.empty() && off == scenario.fleet.servers)
         problems.push_back({0, "fault.who", "no server is there at the start"});
 }
 
@@ -513,13 +513,13 @@
                                   : balancer::Idempotency::non_idempotent;
 }
 
-bool Incident::starts_off(std::uint32_t server) const {
+bool Scenario::starts_off(std::uint32_t server) const {
     return std::any_of(faults.begin(), faults.end(), [&](const FaultSpec& f) {
         return f.kind == FaultKind::join && std::find(f.hit.begin(), f.hit.end(), server) != f.hit.end();
     });
 }
 
-std::vector<fault_proxy::Rule> Incident::link_rules() const {
+std::vector<fault_proxy::Rule> Scenario::link_rules() const {
     std::vector<fault_proxy::Rule> rules;
     for (const FaultSpec& f : faults) {
         if (!hits_links(f.kind)) continue;
@@ -555,7 +555,7 @@
     return rules;
 }
 
-std::vector<fault_proxy::Rule> Incident::message_rules() const {
+std::vector<fault_proxy::Rule> Scenario::message_rules() const {
     fault_proxy::Rule late, lost;
     late.name = "messages are late", late.act = fault_proxy::Act::delay, late.law = fault_proxy::Law::uniform;
     late.span = (messages.delay_least + messages.delay_most) / 2;
@@ -565,7 +565,7 @@
     return {late, lost};
 }
 
-balancer::Settings Incident::settings(std::uint32_t sidecar, const FaultSpec* changed) const {
+balancer::Settings Scenario::settings(std::uint32_t sidecar, const FaultSpec* changed) const {
     balancer::Settings s;
     for (const ClassSpec& c : classes) {
         balancer::RequestClass rc;
@@ -589,39 +589,39 @@
     return s;
 }
 
-Incident parse_incident(const std::string& text, const std::string& file, std::optional<std::uint64_t> seed) {
+Scenario parse_scenario(const std::string& text, const std::string& file, std::optional<std::uint64_t> seed) {
     Problems problems;
-    Incident incident;
+    Scenario scenario;
     try {
         const toml::table table = toml::parse(text, file);
         schema::read_table(
-            table, "", kOverview, incident.overview, problems,
+            table, "", kOverview, scenario.overview, problems,
             {"fleet", "registry", "callers", "sidecars", "messages", "rules", "class", "fault", "expect"});
-        if (seed) incident.overview.seed = *seed;
-        schema::read_section(table, "fleet", kFleet, incident.fleet, problems);
-        schema::read_section(table, "registry", kRegistry, incident.registry, problems);
-        schema::read_section(table, "callers", kCallers, incident.callers, problems);
-        schema::read_section(table, "sidecars", kSidecars, incident.sidecars, problems);
-        schema::read_section(table, "messages", kMessages, incident.messages, problems);
-        schema::read_section(table, "rules", kRules, incident.rules, problems);
-        schema::read_section(table, "expect", kExpect, incident.expect, problems);
+        if (seed) scenario.overview.seed = *seed;
+        schema::read_section(table, "fleet", kFleet, scenario.fleet, problems);
+        schema::read_section(table, "registry", kRegistry, scenario.registry, problems);
+        schema::read_section(table, "callers", kCallers, scenario.clients, problems);
+        schema::read_section(table, "sidecars", kSidecars, scenario.sidecars, problems);
+        schema::read_section(table, "messages", kMessages, scenario.messages, problems);
+        schema::read_section(table, "rules", kRules, scenario.rules, problems);
+        schema::read_section(table, "expect", kExpect, scenario.expect, problems);
         schema::read_sections(
             table, "class", kMaxClasses, kClass, problems,
-            [&](ClassSpec c, std::size_t, std::uint32_t) { incident.classes.push_back(std::move(c)); });
+            [&](ClassSpec c, std::size_t, std::uint32_t) { scenario.classes.push_back(std::move(c)); });
         schema::read_sections(table, "fault", kMaxFaults, kFault, problems,
                               [&](FaultSpec f, std::size_t, std::uint32_t line) {
                                   f.line = line;
-                                  incident.faults.push_back(std::move(f));
+                                  scenario.faults.push_back(std::move(f));
                               });
     } catch (const toml::parse_error& error) {
         problems.push_back({error.source().begin.line, "", std::string(error.description())});
     }
-    if (problems.empty()) check_whole(incident, problems);
-    if (!problems.empty()) throw IncidentError(schema::text_of(file, problems));
-    return incident;
+    if (problems.empty()) check_whole(scenario, problems);
+    if (!problems.empty()) throw ScenarioError(schema::text_of(file, problems));
+    return scenario;
 }
 
-std::string incident_manual() {
+std::string scenario_manual() {
     return "At the top:\n" + schema::manual(kOverview) + "\n[fleet]\n" + schema::manual(kFleet) +
            "\n[registry]\n" + schema::manual(kRegistry) + "\n[callers]\n" + schema::manual(kCallers) +
            "\n[sidecars]\n" + schema::manual(kSidecars) + "\n[messages]\n" + schema::manual(kMessages) +
