--- a/src/simulation/incident.hpp
+++ b/src/simulation/scenario/scenario.hpp
@@ -1,6 +1,6 @@
-// An incident: the archive, its callers, the sidecars between them, and what goes wrong when. One TOML file.
+// An scenario: the service_model, its clients, the sidecars between them, and what goes wrong when. One TOML file.
 //
-// parse_incident() checks the file as a whole before anything starts: every problem is named with line, key
+// parse_scenario() checks the file as a whole before anything starts: every problem is named with line, key
 // and what is allowed, also what only shows when faults are laid over each other (a server that dies twice).
 // Times are milliseconds from the start of the simulation; work is milliseconds of one core at usual speed.
 #pragma once
@@ -51,7 +51,7 @@
     Millis spread = 100;                            // between sidecars
 };
 
-struct CallersSpec {
+struct ClientsSpec {
     double rate = 300;  // requests a second, all sidecars together
     std::string shape = "steady";
     double swing = 0.3;    // of bursty and wave, how far from the mean
@@ -62,7 +62,7 @@
     double try_share = 0.45;  // a try is given up after this share of its class's give-up time
     Millis backoff = 50;
     Millis together = 0;       // retries leave at multiples of this, all at once; 0: each for itself
-    double honour = 0.4;       // the share of callers that keep to Retry-After
+    double honour = 0.4;       // the share of clients that keep to Retry-After
     double impatient = 0.005;  // the share that leaves before its try is over
 };
 
@@ -136,7 +136,7 @@
     drain,          // is told to drain, finishes, and is gone after `linger`; back cold after `lasts`
     join,           // a server that was off until now starts cold
     list_late,      // the list falls `delay` further behind
-    load,           // callers ask `times` as often
+    load,           // clients ask `times` as often
     split,          // `groups` don't hear each other
     one_way,        // nothing of `from` gets to `to`; the other way all does
     lossy,          // `share` of the messages from `from` to `to` are lost
@@ -174,12 +174,12 @@
     Millis begins(std::size_t nth) const { return at + apart * static_cast<double>(nth); }
 };
 
-struct Incident {
+struct Scenario {
     std::string name;
     Overview overview;
     FleetSpec fleet;
     RegistrySpec registry;
-    CallersSpec callers;
+    ClientsSpec clients;
     SidecarsSpec sidecars;
     MessagesSpec messages;
     RulesSpec rules;
@@ -195,19 +195,19 @@
     std::vector<fault_proxy::Rule> link_rules() const;
     // What messages between sidecars meet without any fault.
     std::vector<fault_proxy::Rule> message_rules() const;
-    // The settings that a decision module gets for this incident; changed: with a fault's `set` over them.
+    // The settings that a decision module gets for this scenario; changed: with a fault's `set` over them.
     balancer::Settings settings(std::uint32_t sidecar, const FaultSpec* changed = nullptr) const;
 };
 
 // A file that can't be used; what() has a line for each problem.
-struct IncidentError : std::runtime_error {
+struct ScenarioError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-// Throws IncidentError. file is the name for its messages. seed: in place of the file's, if given.
-Incident parse_incident(const std::string& text, const std::string& file,
+// Throws ScenarioError. file is the name for its messages. seed: in place of the file's, if given.
+Scenario parse_scenario(const std::string& text, const std::string& file,
                         std::optional<std::uint64_t> seed = {});
-// Every key of an incident file with its unit, default and range.
-std::string incident_manual();
+// Every key of an scenario file with its unit, default and range.
+std::string scenario_manual();
 
 }  // namespace elmbay::simulation
--- a/src/simulation/timeline.cpp
+++ b/src/simulation/scenario/timeline.cpp
@@ -1,9 +1,9 @@
-#include "simulation/timeline.hpp"
+#include "simulation/scenario/timeline.hpp"
 
 #include <algorithm>
 #include <cmath>
 
-#include "simulation/chance.hpp"
+#include "simulation/models/random_streams.hpp"
 
 namespace elmbay::simulation {
 
@@ -78,9 +78,9 @@
     }
 }
 
-Millis list_delay_at(const Incident& incident, Millis at) {
+Millis list_delay_at(const Scenario& scenario, Millis at) {
     Millis delay = 0;
-    for (const FaultSpec& f : incident.faults)
+    for (const FaultSpec& f : scenario.faults)
         if (f.kind == FaultKind::list_late && at >= f.at && (f.lasts == 0 || at < f.at + f.lasts))
             delay += f.delay;
     return delay;
@@ -128,12 +128,12 @@
     return "";
 }
 
-std::vector<Step> timeline(const Incident& incident) {
+std::vector<Step> timeline(const Scenario& scenario) {
     std::vector<Step> steps;
-    for (std::size_t n = 0; n < incident.faults.size(); ++n) {
-        const FaultSpec& f = incident.faults[n];
+    for (std::size_t n = 0; n < scenario.faults.size(); ++n) {
+        const FaultSpec& f = scenario.faults[n];
         for (std::size_t i = 0; i < f.hit.size(); ++i)
-            add(f, n, i, f.hit[i], incident.overview.length, steps);
+            add(f, n, i, f.hit[i], scenario.overview.length, steps);
     }
     std::stable_sort(steps.begin(), steps.end(), [](const Step& a, const Step& b) { return a.at < b.at; });
     return steps;
@@ -146,16 +146,16 @@
     return text;
 }
 
-std::vector<Notice> notices(const Incident& incident, const std::vector<Step>& steps) {
+std::vector<Notice> notices(const Scenario& scenario, const std::vector<Step>& steps) {
     std::vector<Notice> list;
-    std::vector<Millis> last(incident.fleet.servers, 0);
-    std::vector<std::uint64_t> count(incident.fleet.servers, 0);
+    std::vector<Millis> last(scenario.fleet.servers, 0);
+    std::vector<std::uint64_t> count(scenario.fleet.servers, 0);
     for (const Step& s : steps) {
         const bool ends = s.change == Change::stop || s.change == Change::vanish;
         if (!ends && s.change != Change::start && s.change != Change::drain) continue;
-        Random random = stream(incident.overview.seed, Purpose::notice, s.who, ++count[s.who]);
-        const Millis known = s.at + list_delay_at(incident, s.at) +
-                             uniform(random, incident.registry.notice_least, incident.registry.notice_most);
+        Random random = stream(scenario.overview.seed, Purpose::notice, s.who, ++count[s.who]);
+        const Millis known = s.at + list_delay_at(scenario, s.at) +
+                             uniform(random, scenario.registry.notice_least, scenario.registry.notice_most);
         last[s.who] = std::max(last[s.who], known);
         Notice notice{last[s.who], s.who};
         notice.state = ends                        ? balancer::EndpointState::removed
@@ -168,13 +168,13 @@
     return list;
 }
 
-Millis spread_of(const Incident& incident, std::uint32_t sidecar) {
-    Random random = stream(incident.overview.seed, Purpose::notice, ~0ULL, sidecar);
-    return incident.registry.spread * random.unit();
+Millis spread_of(const Scenario& scenario, std::uint32_t sidecar) {
+    Random random = stream(scenario.overview.seed, Purpose::notice, ~0ULL, sidecar);
+    return scenario.registry.spread * random.unit();
 }
 
-double load_of(const Incident& incident, const FaultSpec& f, Millis at) {
-    const Millis lasts = f.lasts > 0 ? f.lasts : incident.overview.length - f.at;
+double load_of(const Scenario& scenario, const FaultSpec& f, Millis at) {
+    const Millis lasts = f.lasts > 0 ? f.lasts : scenario.overview.length - f.at;
     if (f.kind != FaultKind::load || at < f.at || at >= f.at + lasts) return 1;
     const Millis since = at - f.at;
     if (f.shape == "ramp") return 1 + (f.times - 1) * since / lasts;
@@ -184,9 +184,9 @@
     return f.times;
 }
 
-double load_at(const Incident& incident, Millis at) {
+double load_at(const Scenario& scenario, Millis at) {
     double times = 1;
-    for (const FaultSpec& f : incident.faults) times *= load_of(incident, f, at);
+    for (const FaultSpec& f : scenario.faults) times *= load_of(scenario, f, at);
     return times;
 }
 
--- a/src/simulation/timeline.hpp
+++ b/src/simulation/scenario/timeline.hpp
@@ -1,11 +1,11 @@
-// What the incident file says, laid out in time: every single change that a driver carries out, and every
+// What the scenario file says, laid out in time: every single change that a driver carries out, and every
 // notice that the registry gives. Both are fixed by file and seed alone, before anything runs.
 #pragma once
 
 #include <string>
 #include <vector>
 
-#include "simulation/incident.hpp"
+#include "simulation/scenario/scenario.hpp"
 
 namespace elmbay::simulation {
 
@@ -38,7 +38,7 @@
     bool sidecar() const { return change >= Change::sidecar_kill; }
 };
 // In order of time, then of the file.
-std::vector<Step> timeline(const Incident& incident);
+std::vector<Step> timeline(const Scenario& scenario);
 std::string text_of(const Step& step);
 
 // One change of the list. at: when the registry knows it; a sidecar is told spread_of() later.
@@ -49,12 +49,12 @@
     Millis online_since = 0;  // 0: since before the start
 };
 // In order of time. What is told of one server stays in the order in which it happened.
-std::vector<Notice> notices(const Incident& incident, const std::vector<Step>& steps);
-Millis spread_of(const Incident& incident, std::uint32_t sidecar);
+std::vector<Notice> notices(const Scenario& scenario, const std::vector<Step>& steps);
+Millis spread_of(const Scenario& scenario, std::uint32_t sidecar);
 
-// The rate that callers ask at, as a multiple of the usual one: faults of kind load together.
-double load_at(const Incident& incident, Millis at);
+// The rate that clients ask at, as a multiple of the usual one: faults of kind load together.
+double load_at(const Scenario& scenario, Millis at);
 // Of one of them alone; 1 while it does not hold.
-double load_of(const Incident& incident, const FaultSpec& fault, Millis at);
+double load_of(const Scenario& scenario, const FaultSpec& fault, Millis at);
 
 }  // namespace elmbay::simulation
--- a/tests/simulation/latency_test.cpp
+++ b/tests/simulation/latency_histogram_test.cpp
@@ -1,5 +1,5 @@
 // Percentiles by histogram against those of the sorted list.
-#include "simulation/latency.hpp"
+#include "simulation/reports/latency_histogram.hpp"
 
 #include <gtest/gtest.h>
 
@@ -13,7 +13,7 @@
 TEST(LatencyHistogram, PercentilesAreWithinAPercentOfTheSortedLists) {
     std::mt19937_64 random(20261201);
     std::lognormal_distribution<double> took(4.0, 1.2);
-    Latency histogram;
+    LatencyHistogram histogram;
     std::vector<double> all;
     for (int i = 0; i < 20000; ++i) {
         all.push_back(took(random));
@@ -28,12 +28,12 @@
 }
 
 TEST(LatencyHistogram, WhatIsOutOfItsRangeStaysCounted) {
-    Latency h;
+    LatencyHistogram h;
     EXPECT_EQ(h.quantile(0.5), 0);
     for (const double took : {0.0, -3.0, 1e12}) h.add(took);
     EXPECT_EQ(h.count(), 3U);
-    EXPECT_LE(h.quantile(0.5), Latency::kLeast * Latency::kPrecision);
-    EXPECT_GT(h.quantile(1), Latency::kMost / 2);
+    EXPECT_LE(h.quantile(0.5), LatencyHistogram::kLeast * LatencyHistogram::kPrecision);
+    EXPECT_GT(h.quantile(1), LatencyHistogram::kMost / 2);
     EXPECT_EQ(h.most(), 1e12);
 }
 
--- a/tests/simulation/report_test.cpp
+++ b/tests/simulation/report_test.cpp
@@ -1,21 +1,21 @@
-#include "simulation/report.hpp"
+#include "simulation/reports/report.hpp"
 
 #include <gtest/gtest.h>
 
 #include <nlohmann/json.hpp>
 
-#include "simulation/virtual_run.hpp"
+#include "simulation/drivers/virtual/virtual_run.hpp"
 
 namespace elmbay::simulation {
 namespace {
 
 Report small(const std::string& name = "a <b> & \"c\"") {
-    Incident incident = parse_incident(
+    Scenario scenario = parse_scenario(
         "length = \"3s\"\n[[fault]]\nkind = \"freeze\"\nname = \"<script>\"\nat = \"1s\"\n[expect]\ngoodput "
         "= 1\n",
         "f");
-    incident.name = name;
-    return run_virtual(incident, {});
+    scenario.name = name;
+    return run_virtual(scenario, {});
 }
 
 TEST(Report, APageIsWholeLoadsNothingAndEscapesNames) {
--- a/tests/simulation/scenario_test.cpp
+++ b/tests/simulation/scenario_test.cpp
@@ -1,18 +1,18 @@
-// The incident file: what is wrong is told with line, key and what is allowed, all of it at once.
-#include "simulation/incident.hpp"
+// The scenario file: what is wrong is told with line, key and what is allowed, all of it at once.
+#include "simulation/scenario/scenario.hpp"
 
 #include <gtest/gtest.h>
 
 #include "bundle.hpp"
-#include "simulation/timeline.hpp"
+#include "simulation/scenario/timeline.hpp"
 
 namespace elmbay::simulation {
 namespace {
 
 std::string problems_of(const std::string& text) {
     try {
-        parse_incident(text, "f.toml");
-    } catch (const IncidentError& error) {
+        parse_scenario(text, "f.toml");
+    } catch (const ScenarioError& error) {
         return error.what();
     }
     return "";
@@ -21,24 +21,24 @@
 #define EXPECT_TOLD(text, part) \
     EXPECT_NE(problems_of(text).find(part), std::string::npos) << problems_of(text)
 
-TEST(Incident, AnEmptyFileIsOneThatRuns) {
-    const Incident incident = parse_incident("", "f.toml");
-    EXPECT_EQ(incident.classes.size(), 3U);
-    EXPECT_EQ(incident.classes[1].kind(), balancer::Idempotency::non_idempotent);
+TEST(Scenario, AnEmptyFileIsOneThatRuns) {
+    const Scenario scenario = parse_scenario("", "f.toml");
+    EXPECT_EQ(scenario.classes.size(), 3U);
+    EXPECT_EQ(scenario.classes[1].kind(), balancer::Idempotency::non_idempotent);
 }
 
-TEST(Incident, AllBundledOnesAreSound) {
+TEST(Scenario, AllBundledOnesAreSound) {
     EXPECT_GE(bundled().size(), 9U);
-    for (const Bundled& b : bundled()) EXPECT_NO_THROW(parse_incident(b.text, b.name)) << b.name;
+    for (const BundledScenario& b : bundled()) EXPECT_NO_THROW(parse_scenario(b.text, b.name)) << b.name;
 }
 
-TEST(Incident, AnUnknownKeyIsToldWithLineAndWhatWasMeant) {
+TEST(Scenario, AnUnknownKeyIsToldWithLineAndWhatWasMeant) {
     EXPECT_TOLD("length = \"10s\"\n[fleet]\nserver = 3\n",
                 "f.toml:3: fleet.server: is not a key here; did you mean 'servers'?");
     EXPECT_TOLD("[flet]\n", "did you mean 'fleet'?");
 }
 
-TEST(Incident, BadUnitsRangesAndWordsAreTold) {
+TEST(Scenario, BadUnitsRangesAndWordsAreTold) {
     EXPECT_TOLD("length = 10\n", "f.toml:1: length: is a duration");
     EXPECT_TOLD("length = \"10 parsecs\"\n", "is a duration such as");
     EXPECT_TOLD("[fleet]\nservers = 0\n", "f.toml:2: fleet.servers: must be between 1 and 4096");
@@ -53,14 +53,14 @@
     EXPECT_TOLD("[[fault]]\nat = \"1s\"\n", "fault 1.kind: is missing");
 }
 
-TEST(Incident, TextThatIsNotTomlIsToldWithItsLine) { EXPECT_TOLD("length = \"10s\"\n[[[\n", "f.toml:2"); }
+TEST(Scenario, TextThatIsNotTomlIsToldWithItsLine) { EXPECT_TOLD("length = \"10s\"\n[[[\n", "f.toml:2"); }
 
-TEST(Incident, AllProblemsAreToldAtOnce) {
+TEST(Scenario, AllProblemsAreToldAtOnce) {
     const std::string told = problems_of("lenght = \"1s\"\n[fleet]\nservers = 0\ncores = 0\n");
     EXPECT_EQ(std::count(told.begin(), told.end(), '\n'), 3) << told;
 }
 
-TEST(Incident, AServerCantDieTwiceAtOnce) {
+TEST(Scenario, AServerCantDieTwiceAtOnce) {
     const std::string once = "[[fault]]\nkind = \"die\"\nat = \"2s\"\nlasts = \"5s\"\nwho = [\"s-1\"]\n";
     EXPECT_TOLD(once + "[[fault]]\nkind = \"vanish\"\nat = \"6s\"\nwho = [\"s-1\"]\n",
                 "f.toml:6: fault.at: s-1 can't end twice: line 1");
@@ -73,7 +73,7 @@
         "can't end twice");
 }
 
-TEST(Incident, WhatNamesNobodyIsTold) {
+TEST(Scenario, WhatNamesNobodyIsTold) {
     EXPECT_TOLD("[[fault]]\nkind = \"die\"\nat = \"1s\"\nwho = [\"s-99\"]\n",
                 "'s-99' names nobody; there are s-0 to s-11");
     EXPECT_TOLD("[[fault]]\nkind = \"die\"\nat = \"1s\"\nwho = []\n", "not an empty one");
@@ -86,27 +86,27 @@
         "s-1 has not joined by then");
 }
 
-TEST(Incident, SharesAreDrawnBySeedAndHallsByName) {
+TEST(Scenario, SharesAreDrawnBySeedAndHallsByName) {
     const std::string text = "seed = 4\n[[fault]]\nkind = \"freeze\"\nat = \"1s\"\nwho = \"25%\"\n";
-    const auto hit = [&](std::uint64_t seed) { return parse_incident(text, "f", seed).faults[0].hit; };
+    const auto hit = [&](std::uint64_t seed) { return parse_scenario(text, "f", seed).faults[0].hit; };
     EXPECT_EQ(hit(4).size(), 3U);
     EXPECT_EQ(hit(4), hit(4));
     bool differs = false;
     for (std::uint64_t seed = 5; seed < 15; ++seed) differs = differs || hit(seed) != hit(4);
     EXPECT_TRUE(differs);
-    const Incident halls =
-        parse_incident("[[fault]]\nkind = \"freeze\"\nat = \"1s\"\nwho = \"hall-b\"\n", "f");
+    const Scenario halls =
+        parse_scenario("[[fault]]\nkind = \"freeze\"\nat = \"1s\"\nwho = \"hall-b\"\n", "f");
     EXPECT_EQ(halls.faults[0].hit, (std::vector<std::uint32_t>{1, 4, 7, 10}));
 }
 
 TEST(Timeline, AListThatRunsLateKeepsTheOrderOfOneServersNews) {
     // Its death is told late, its return would be told early: it must not come first.
-    const Incident incident = parse_incident(
+    const Scenario scenario = parse_scenario(
         "length = \"30s\"\n[registry]\nnotice_least = \"100ms\"\nnotice_most = \"100ms\"\n"
         "[[fault]]\nkind = \"list-late\"\nat = \"1s\"\nlasts = \"2s\"\ndelay = \"9s\"\n"
         "[[fault]]\nkind = \"die\"\nat = \"2s\"\nlasts = \"2s\"\nwho = \"s-3\"\n",
         "f");
-    const auto list = notices(incident, timeline(incident));
+    const auto list = notices(scenario, timeline(scenario));
     ASSERT_EQ(list.size(), 2U);
     EXPECT_EQ(list[0].state, balancer::EndpointState::removed);
     EXPECT_DOUBLE_EQ(list[0].at, 11100);
--- a/tests/simulation/server_model_test.cpp
+++ b/tests/simulation/server_model_test.cpp
@@ -1,11 +1,11 @@
 // The server model against what queueing theory says of it, and its faults laid over each other.
-#include "simulation/server_model.hpp"
+#include "simulation/models/server_model.hpp"
 
 #include <gtest/gtest.h>
 
 #include <cmath>
 
-#include "simulation/chance.hpp"
+#include "simulation/models/random_streams.hpp"
 
 namespace elmbay::simulation {
 namespace {
@@ -43,7 +43,7 @@
     spec.cores = spec.slots = static_cast<std::uint64_t>(cores);
     ServerModel server(spec, 1, true);
     Random random = stream(seed, Purpose::arrivals);
-    const double service = 10, gap = service / (load * cores);
+    const double metrics = 10, gap = metrics / (load * cores);
     const int requests = 200000;
     std::vector<Millis> arrived(requests + 1), work(requests + 1);
     ServerModel::Out out;
@@ -61,7 +61,7 @@
             book(at);
         }
         arrived[i] = now;
-        work[i] = exponential(random, service);
+        work[i] = exponential(random, metrics);
         server.arrive(now, i, work[i], false, out);
     }
     while (server.next() < 1e300) {
--- a/tests/simulation/sidecars_test.cpp
+++ b/tests/simulation/sidecars_test.cpp
@@ -5,8 +5,8 @@
 #include <nlohmann/json.hpp>
 #include <sstream>
 
-#include "simulation/storm.hpp"
-#include "simulation/virtual_run.hpp"
+#include "simulation/scenario/random_fault_schedule.hpp"
+#include "simulation/drivers/virtual/virtual_run.hpp"
 
 namespace elmbay::simulation {
 namespace {
@@ -21,7 +21,7 @@
 Report play(const std::string& text, std::ostream* log = nullptr) {
     VirtualOptions options;
     options.log = log;
-    return run_virtual(parse_incident(text, "f.toml"), options);
+    return run_virtual(parse_scenario(text, "f.toml"), options);
 }
 
 TEST(Sidecars, OneThatStandsStillSendsNothingMeanwhileAndForNobodyThatHasGone) {
@@ -48,7 +48,7 @@
 }
 
 TEST(Sidecars, AStarvedOneIsSlowerAndBreaksNothing) {
-    const auto p50 = [](const Report& r) { return r.service.classes[0].p50; };
+    const auto p50 = [](const Report& r) { return r.metrics.classes[0].p50; };
     const Report usual = play(kCalm);
     const Report starved =
         play(kCalm + fault("starve", "at = \"1s\"\nlasts = \"10s\"\nshare = 0.2\nwho = \"all\""));
@@ -112,41 +112,41 @@
     for (const std::string& text :
          {fault("other-settings", "at = \"1s\"\nset = \"sibling=3\""), fault("other-build", "at = \"1s\""),
           fault("pause", "at = \"1s\"\nwho = \"s-1\""), std::string("[messages]\nloss = 2\n")})
-        EXPECT_THROW(parse_incident(text, "f.toml"), IncidentError) << text;
+        EXPECT_THROW(parse_scenario(text, "f.toml"), ScenarioError) << text;
 }
 
 // A campaign in virtual time: the same for the same seed, elmbay keeps the rules, and who breaks one is found
-// and his storm shrunk to the few faults that matter.
-TEST(Storms, AreTheSameForTheSameSeed) {
-    const StormOptions options;
-    EXPECT_EQ(draw_storm(3, options).text(), draw_storm(3, options).text());
-    EXPECT_NE(draw_storm(3, options).text(), draw_storm(4, options).text());
+// and his schedule shrunk to the few faults that matter.
+TEST(RandomFaultSchedules, AreTheSameForTheSameSeed) {
+    const RandomFaultOptions options;
+    EXPECT_EQ(draw_random_faults(3, options).text(), draw_random_faults(3, options).text());
+    EXPECT_NE(draw_random_faults(3, options).text(), draw_random_faults(4, options).text());
     std::ostringstream first, second;
-    play(draw_storm(3, options).text(), &first);
-    play(draw_storm(3, options).text(), &second);
+    play(draw_random_faults(3, options).text(), &first);
+    play(draw_random_faults(3, options).text(), &second);
     EXPECT_GT(first.str().size(), 100000U);
     EXPECT_TRUE(first.str() == second.str());
 }
 
-TEST(Storms, ElmbayKeepsTheRulesInAHundred) {
+TEST(RandomFaultSchedules, ElmbayKeepsTheRulesInAHundred) {
     for (std::uint64_t seed = 1; seed <= 100; ++seed) {
-        const Report r = play(draw_storm(seed, {}).text());
+        const Report r = play(draw_random_faults(seed, {}).text());
         ASSERT_TRUE(r.rules_kept()) << "storm " << seed << "\n" << text_of(r);
     }
 }
 
-TEST(Storms, WhoBreaksARuleIsFoundAndItsStormShrunk) {
+TEST(RandomFaultSchedules, WhoBreaksARuleIsFoundAndItsStormShrunk) {
     for (const char* bad : {"resend-unsafe", "deaf-to-drains"}) {
         VirtualOptions options;
         options.balancer = bad;
-        const auto breaks = [&](const Storm& storm) {
-            return !run_virtual(parse_incident(storm.text(), "storm"), options).rules_kept();
+        const auto breaks = [&](const RandomFaultSchedule& schedule) {
+            return !run_virtual(parse_scenario(schedule.text(), "storm"), options).rules_kept();
         };
         std::uint64_t seed = 1;
-        while (seed < 40 && !breaks(draw_storm(seed, {}))) ++seed;
-        const Storm drawn = draw_storm(seed, {});
+        while (seed < 40 && !breaks(draw_random_faults(seed, {}))) ++seed;
+        const RandomFaultSchedule drawn = draw_random_faults(seed, {});
         ASSERT_TRUE(breaks(drawn)) << bad;
-        const Storm least = shrunk(drawn, breaks);
+        const RandomFaultSchedule least = shrunk(drawn, breaks);
         EXPECT_TRUE(breaks(least)) << bad;
         EXPECT_LE(least.faults.size(), 2U) << bad << "\n" << least.text();
     }
--- a/tests/simulation/real_test.cpp
+++ b/tests/simulation/socket_run_test.cpp
@@ -5,8 +5,8 @@
 #include <sstream>
 
 #include "process_testbed/process.hpp"
-#include "simulation/real/real_run.hpp"
-#include "simulation/virtual_run.hpp"
+#include "simulation/drivers/sockets/socket_run.hpp"
+#include "simulation/drivers/virtual/virtual_run.hpp"
 
 namespace elmbay::simulation {
 namespace {
@@ -80,16 +80,16 @@
 }
 
 Report play(const std::string& text, const std::string& log = "") {
-    const Incident incident = parse_incident(text, "f.toml");
-    RealOptions options;
+    const Scenario scenario = parse_scenario(text, "f.toml");
+    SocketRunOptions options;
     options.sidecar = ELMBAY_PROGRAM;
     options.log = log;
-    return run_real(incident, options);
+    return run_real(scenario, options);
 }
 
 std::uint64_t served(const Report& report) {
     std::uint64_t count = 0;
-    for (const ClassReport& c : report.service.classes) count += c.in_aim + c.late;
+    for (const ClassReport& c : report.metrics.classes) count += c.in_aim + c.late;
     return count;
 }
 
@@ -145,7 +145,7 @@
                              "from = [\"hall-b\"]\nto = [\"hall-a\"]\n"
                              "[[fault]]\nkind = \"drain\"\nat = \"1200ms\"\nwho = \"s-2\"\n";
     const Report real = play(text);
-    const Report simulated = run_virtual(parse_incident(text, "f.toml"), {});
+    const Report simulated = run_virtual(parse_scenario(text, "f.toml"), {});
     EXPECT_TRUE(simulated.rules_kept()) << text_of(simulated);
     if (real.punctuality.trusted()) {
         EXPECT_TRUE(real.rules_kept()) << text_of(real);
@@ -154,13 +154,13 @@
     // What is on its way over a connection that stood waits for the link: most of a second and a half.
     for (const Report& report : {real, simulated}) {
         Millis most = 0;
-        for (const ClassReport& c : report.service.classes) most = std::max(most, c.most);
+        for (const ClassReport& c : report.metrics.classes) most = std::max(most, c.most);
         EXPECT_GT(most, 700) << text_of(report);
     }
 }
 
 // On sockets: half of the sidecars come back together while a server is cold, one stands still while a server
-// drains, one has little of its core, one runs another build and one other settings. The judge of cold starts
+// drains, one has little of its core, one runs another build and one other settings. The checker of cold starts
 // and of drains holds all of it against the rules.
 TEST(Real, SidecarsFailWhileServersDo) {
     const std::string text =
@@ -173,12 +173,12 @@
         "[[fault]]\nkind = \"other-build\"\nat = \"2s\"\nwho = \"n-1\"\nbuild = \"other\"\n"
         "[[fault]]\nkind = \"other-settings\"\nat = \"2s\"\nwho = \"n-0\"\nset = \"siblings=9\"\n";
     const std::string with_four = std::string(text).replace(text.find("count = 2"), 9, "count = 4");
-    const Incident incident = parse_incident(with_four, "f.toml");
-    RealOptions options;
+    const Scenario scenario = parse_scenario(with_four, "f.toml");
+    SocketRunOptions options;
     options.sidecar = ELMBAY_PROGRAM;
-    EXPECT_THROW(run_real(incident, options), std::invalid_argument) << "the build has no command";
+    EXPECT_THROW(run_real(scenario, options), std::invalid_argument) << "the build has no command";
     options.builds["other"] = std::string("env RELAY_OTHER=1 ") + ELMBAY_PROGRAM;
-    const Report report = run_real(incident, options);
+    const Report report = run_real(scenario, options);
     EXPECT_TRUE(report.notes.empty()) << text_of(report);
     EXPECT_GT(served(report), report.requests / 2) << text_of(report);
     if (report.punctuality.trusted()) {
@@ -192,11 +192,11 @@
 }
 
 TEST(Real, ASidecarThatDoesNotComeUpIsToldWithWhatItSaid) {
-    const Incident incident = parse_incident("length = \"1s\"\n", "f.toml");
-    RealOptions options;
+    const Scenario scenario = parse_scenario("length = \"1s\"\n", "f.toml");
+    SocketRunOptions options;
     options.sidecar = "echo no such luck; exit 3";
     try {
-        run_real(incident, options);
+        run_real(scenario, options);
         FAIL() << "it ran";
     } catch (const std::runtime_error& error) {
         EXPECT_NE(std::string(error.what()).find("no such luck"), std::string::npos) << error.what();
@@ -204,12 +204,12 @@
 }
 
 TEST(Real, ASidecarThatCrashesIsABrokenRule) {
-    const Incident incident =
-        parse_incident("length = \"3s\"\n[sidecars]\ncount = 1\n[callers]\nrate = 20\n", "f.toml");
-    RealOptions options;
+    const Scenario scenario =
+        parse_scenario("length = \"3s\"\n[sidecars]\ncount = 1\n[callers]\nrate = 20\n", "f.toml");
+    SocketRunOptions options;
     // Ends by itself a second and a half after its start, which is after it is ready.
     options.sidecar = std::string("timeout -s KILL 1.5 ") + ELMBAY_PROGRAM;
-    const Report report = run_real(incident, options);
+    const Report report = run_real(scenario, options);
     EXPECT_FALSE(report.rules_kept());
     ASSERT_FALSE(report.notes.empty());
     EXPECT_NE(report.notes[0].find("ended by itself"), std::string::npos);
--- a/tests/simulation/virtual_test.cpp
+++ b/tests/simulation/virtual_run_test.cpp
@@ -5,26 +5,26 @@
 #include <sstream>
 
 #include "bundle.hpp"
-#include "simulation/balancers.hpp"
-#include "simulation/virtual_run.hpp"
+#include "simulation/baselines/baseline_policies.hpp"
+#include "simulation/drivers/virtual/virtual_run.hpp"
 
 namespace elmbay::simulation {
 namespace {
 
-Incident incident_named(const std::string& name) {
-    for (const Bundled& b : bundled())
+Scenario incident_named(const std::string& name) {
+    for (const BundledScenario& b : bundled())
         if (b.name == name) {
-            Incident incident = parse_incident(b.text, name);
-            incident.name = name;
-            return incident;
+            Scenario scenario = parse_scenario(b.text, name);
+            scenario.name = name;
+            return scenario;
         }
     throw std::invalid_argument(name);
 }
 
-Report play(const std::string& incident, const std::string& balancer) {
+Report play(const std::string& scenario, const std::string& balancer) {
     VirtualOptions options;
     options.balancer = balancer;
-    return run_virtual(incident_named(incident), options);
+    return run_virtual(incident_named(scenario), options);
 }
 
 std::uint64_t broken(const Report& report, Rule rule) {
@@ -37,40 +37,40 @@
 }
 
 TEST(Virtual, TheSameFileAndSeedGiveTheSameBytes) {
-    const Incident incident = incident_named("all-at-once");
+    const Scenario scenario = incident_named("all-at-once");
     std::ostringstream first, second, other;
     VirtualOptions options;
     options.log = &first;
-    const Report a = run_virtual(incident, options);
+    const Report a = run_virtual(scenario, options);
     options.log = &second;
-    const Report b = run_virtual(incident, options);
+    const Report b = run_virtual(scenario, options);
     EXPECT_GT(first.str().size(), 100000U);
     EXPECT_TRUE(first.str() == second.str());
     EXPECT_EQ(json_of(a).dump(), json_of(b).dump());
-    Incident moved = incident;
+    Scenario moved = scenario;
     moved.overview.seed += 1;
     options.log = &other;
     run_virtual(moved, options);
     EXPECT_FALSE(first.str() == other.str());
 }
 
-class EveryIncident : public testing::TestWithParam<std::string> {};
-TEST_P(EveryIncident, ElmbayKeepsAllRulesAndExpectations) {
+class EveryScenario : public testing::TestWithParam<std::string> {};
+TEST_P(EveryScenario, ElmbayKeepsAllRulesAndExpectations) {
     const Report report = play(GetParam(), "elmbay");
     EXPECT_TRUE(report.rules_kept()) << text_of(report);
     EXPECT_TRUE(report.expectations_kept()) << text_of(report);
     EXPECT_GT(report.requests, 1000U);
-    // Nothing fell between the books: each request ended or its caller left.
+    // Nothing fell between the books: each request ended or its client left.
     std::uint64_t ended = 0;
-    for (const ClassReport& c : report.service.classes) ended += c.asked + c.left;
+    for (const ClassReport& c : report.metrics.classes) ended += c.asked + c.left;
     EXPECT_EQ(ended, report.requests);
 }
 std::vector<std::string> names() {
     std::vector<std::string> list;
-    for (const Bundled& b : bundled()) list.push_back(b.name);
+    for (const BundledScenario& b : bundled()) list.push_back(b.name);
     return list;
 }
-INSTANTIATE_TEST_SUITE_P(Bundled, EveryIncident, testing::ValuesIn(names()), [](const auto& info) {
+INSTANTIATE_TEST_SUITE_P(BundledScenario, EveryScenario, testing::ValuesIn(names()), [](const auto& info) {
     std::string name = info.param;
     std::replace(name.begin(), name.end(), '-', '_');
     return name;
@@ -96,38 +96,38 @@
 
 TEST(BadBalancers, AnUnknownOneIsAnError) { EXPECT_THROW(play("calm", "nobody"), std::invalid_argument); }
 
-TEST(Callers, AskTheSameWhateverHappens) {
-    const Incident incident = incident_named("radio-feature");
-    const Callers a(incident), b(incident);
-    ASSERT_EQ(a.asks().size(), b.asks().size());
-    for (std::size_t i = 0; i < a.asks().size(); i += 97) EXPECT_DOUBLE_EQ(a.work(i), b.work(i));
+TEST(ClientModel, AskTheSameWhateverHappens) {
+    const Scenario scenario = incident_named("radio-feature");
+    const ClientModel a(scenario), b(scenario);
+    ASSERT_EQ(a.arrivals().size(), b.arrivals().size());
+    for (std::size_t i = 0; i < a.arrivals().size(); i += 97) EXPECT_DOUBLE_EQ(a.work(i), b.work(i));
     // Four times as many while it is on air (10 s to 20 s of 30).
     const auto between = [&](Millis from, Millis to) {
-        return std::count_if(a.asks().begin(), a.asks().end(),
-                             [&](const Ask& x) { return x.at >= from && x.at < to; });
+        return std::count_if(a.arrivals().begin(), a.arrivals().end(),
+                             [&](const ClientArrival& x) { return x.at >= from && x.at < to; });
     };
     const double times = static_cast<double>(between(10000, 20000)) /
                          static_cast<double>(between(0, 10000) + between(20000, 30000)) * 2;
     EXPECT_NEAR(times, 4, 0.8);
 }
 
-TEST(Callers, AnUnsafeRequestIsAskedAgainOnlyAfterARefusal) {
-    const Incident incident = incident_named("calm");
-    const Callers callers(incident);
-    for (RequestNumber r = 0; r < 200; ++r) {
-        const Try t = callers.first(r);
+TEST(ClientModel, AnUnsafeRequestIsAskedAgainOnlyAfterARefusal) {
+    const Scenario scenario = incident_named("calm");
+    const ClientModel clients(scenario);
+    for (OperationId r = 0; r < 200; ++r) {
+        const ClientRequest t = clients.first(r);
         const bool unsafe =
-            incident.classes[callers.ask(r).class_index].kind() == balancer::Idempotency::non_idempotent;
-        EXPECT_EQ(callers.next(t.at + 10, t, Answer::failed, 0).has_value(), !unsafe);
-        EXPECT_TRUE(callers.next(t.at + 10, t, Answer::refused, 0).has_value());
-        EXPECT_FALSE(callers.next(t.at + 10, t, Answer::served, 0).has_value());
+            scenario.classes[clients.ask(r).class_index].kind() == balancer::Idempotency::non_idempotent;
+        EXPECT_EQ(clients.next(t.at + 10, t, Answer::failed, 0).has_value(), !unsafe);
+        EXPECT_TRUE(clients.next(t.at + 10, t, Answer::refused, 0).has_value());
+        EXPECT_FALSE(clients.next(t.at + 10, t, Answer::served, 0).has_value());
     }
 }
 
-// All callers go away while their attempts wait: none of it is a loss, and nothing goes out for them
+// All clients go away while their attempts wait: none of it is a loss, and nothing goes out for them
 // afterwards.
 TEST(Virtual, CallersGoneWhileTheirAttemptsWaitBreakNothing) {
-    const Incident incident = parse_incident(
+    const Scenario scenario = parse_scenario(
         "length = \"5s\"\n[callers]\nrate = 200\nimpatient = 1\n[fleet]\nservers = 3\n"
         "[[fault]]\nkind = \"freeze\"\nat = \"1s\"\nwho = \"all\"\npause = \"900ms\"\nevery = \"1s\"\n"
         "[[fault]]\nkind = \"die\"\nat = \"1.8s\"\nlasts = \"400ms\"\nwho = [\"s-0\", \"s-1\"]\n"
@@ -136,7 +136,7 @@
     std::ostringstream log;
     VirtualOptions options;
     options.log = &log;
-    const Report report = run_virtual(incident, options);
+    const Report report = run_virtual(scenario, options);
     EXPECT_TRUE(report.rules_kept()) << text_of(report);
     // Whoever leaves is told to the module, which withdraws what is out for them at that very moment.
     std::istringstream lines(log.str());
@@ -154,25 +154,25 @@
 
 // A server that takes all and answers nothing costs the requests that are with it, and soon gets no more.
 TEST(Virtual, AServerThatAcceptsAndServesNoneIsFoundOut) {
-    const Incident incident = parse_incident(
+    const Scenario scenario = parse_scenario(
         "length = \"20s\"\n[fleet]\nservers = 8\n[callers]\nrate = 200\n"
         "[[fault]]\nkind = \"hollow\"\nat = \"2s\"\nwho = \"s-3\"\n",
         "f");
-    const Report report = run_virtual(incident, {});
+    const Report report = run_virtual(scenario, {});
     EXPECT_TRUE(report.rules_kept()) << text_of(report);
     double before = 0, after = 0;
-    for (std::size_t s = 0; s < 2; ++s) before += report.service.servers[3][s].work / 2;
-    for (std::size_t s = 12; s < 20 && s < report.service.servers[3].size(); ++s)
-        after += report.service.servers[3][s].work / 8;
+    for (std::size_t s = 0; s < 2; ++s) before += report.metrics.servers[3][s].work / 2;
+    for (std::size_t s = 12; s < 20 && s < report.metrics.servers[3].size(); ++s)
+        after += report.metrics.servers[3][s].work / 8;
     EXPECT_LT(after, before / 4);
 }
 
 TEST(Virtual, AThousandSidecarsPlayToo) {
-    Incident incident = parse_incident(
+    Scenario scenario = parse_scenario(
         "length = \"3s\"\n[fleet]\nservers = 60\n[callers]\nrate = 1000\n[sidecars]\ncount = 1000\n"
         "[[fault]]\nkind = \"die\"\nat = \"1s\"\nwho = \"25%\"\n",
         "f");
-    const Report report = run_virtual(incident, {});
+    const Report report = run_virtual(scenario, {});
     EXPECT_TRUE(report.rules_kept()) << text_of(report);
     EXPECT_GT(report.tries, 2000U);
 }
--- a/tools/simulation/bundle.hpp
+++ b/tools/simulation/bundle.hpp
@@ -1,4 +1,4 @@
-// The incidents that come with the program.
+// The scenarios that come with the program.
 #pragma once
 
 #include <string>
@@ -6,11 +6,11 @@
 
 namespace elmbay::simulation {
 
-struct Bundled {
+struct BundledScenario {
     std::string name;
     std::string text;
 };
 // In order of their names.
-const std::vector<Bundled>& bundled();
+const std::vector<BundledScenario>& bundled();
 
 }  // namespace elmbay::simulation
--- a/tools/simulation/main.cpp
+++ b/tools/simulation/main.cpp
@@ -1,4 +1,4 @@
-// elmbay_simulation: plays an archive that fails on a script, and judges who balances it.
+// elmbay_simulation: plays an service_model that fails on a script, and judges who balances it.
 #include <unistd.h>
 
 #include <CLI/CLI.hpp>
@@ -9,12 +9,12 @@
 #include <sstream>
 
 #include "bundle.hpp"
-#include "simulation/balancers.hpp"
-#include "simulation/real/real_run.hpp"
-#include "simulation/report.hpp"
-#include "simulation/storm.hpp"
-#include "simulation/sweep.hpp"
-#include "simulation/virtual_run.hpp"
+#include "simulation/baselines/baseline_policies.hpp"
+#include "simulation/drivers/sockets/socket_run.hpp"
+#include "simulation/reports/report.hpp"
+#include "simulation/scenario/random_fault_schedule.hpp"
+#include "simulation/reports/sweep.hpp"
+#include "simulation/drivers/virtual/virtual_run.hpp"
 
 namespace {
 
@@ -43,30 +43,30 @@
     if (!file) throw std::runtime_error(path + ": can't be written");
 }
 
-// A bundled name, or a file: its text, its name for messages, and the incident's own.
+// A bundled name, or a file: its text, its name for messages, and the scenario's own.
 struct Source {
     std::string text, file, name;
 };
 Source source_of(const std::string& which) {
-    for (const Bundled& b : bundled())
+    for (const BundledScenario& b : bundled())
         if (b.name == which) return {b.text, b.name + ".toml", b.name};
     return {read_file(which), which, std::filesystem::path(which).filename().string()};
 }
-Incident load(const std::string& which, std::optional<std::uint64_t> seed) {
+Scenario load(const std::string& which, std::optional<std::uint64_t> seed) {
     const Source source = source_of(which);
-    Incident incident = parse_incident(source.text, source.file, seed);
-    incident.name = source.name;
-    return incident;
+    Scenario scenario = parse_scenario(source.text, source.file, seed);
+    scenario.name = source.name;
+    return scenario;
 }
 
 struct RunOptions {
-    std::string incident = "radio-feature";
+    std::string scenario = "radio-feature";
     std::string balancer = "elmbay";
     std::optional<std::uint64_t> seed;
     std::string json, html, log, sidecar, folder;
     bool real = false, quiet = false;
     std::vector<std::string> builds;  // NAME=COMMAND
-    StormOptions storm;
+    RandomFaultOptions schedule;
     std::string out = "failed.toml";
     SweepOptions sweep;  // of `sweep`, and of `compare` over seeds
 };
@@ -81,7 +81,7 @@
     };
 }
 
-Report play(const Incident& incident, const std::string& balancer, const std::string& log, bool quiet) {
+Report play(const Scenario& scenario, const std::string& balancer, const std::string& log, bool quiet) {
     VirtualOptions options;
     options.balancer = balancer;
     options.progress = progress_bar(quiet);
@@ -91,7 +91,7 @@
         if (!file) throw std::runtime_error(log + ": can't be written");
         options.log = &file;
     }
-    return run_virtual(incident, options);
+    return run_virtual(scenario, options);
 }
 
 // The elmbay that was built with this program.
@@ -102,8 +102,8 @@
     throw UseError("no elmbay was built beside this program; name one with --sidecar");
 }
 
-Report play_real(const Incident& incident, const std::string& sidecar, const RunOptions& o) {
-    RealOptions options;
+Report play_real(const Scenario& scenario, const std::string& sidecar, const RunOptions& o) {
+    SocketRunOptions options;
     options.sidecar = sidecar.empty() ? built_sidecar() : sidecar;
     options.folder = o.folder;
     for (const std::string& build : o.builds) {
@@ -114,15 +114,15 @@
     }
     options.log = o.log;
     options.progress = progress_bar(o.quiet);
-    return run_real(incident, options);
+    return run_real(scenario, options);
 }
 
 int run(const RunOptions& o) {
     if (o.real && o.balancer != "elmbay")
         throw UseError("--balancer is for virtual time; with --real, --sidecar names the program");
-    const Incident incident = load(o.incident, o.seed);
+    const Scenario scenario = load(o.scenario, o.seed);
     const Report report =
-        o.real ? play_real(incident, o.sidecar, o) : play(incident, o.balancer, o.log, o.quiet);
+        o.real ? play_real(scenario, o.sidecar, o) : play(scenario, o.balancer, o.log, o.quiet);
     if (!o.json.empty()) write_file(o.json, json_of(report).dump(1) + "\n");
     if (!o.html.empty()) write_file(o.html, page_of(report));
     std::cout << text_of(report);
@@ -130,22 +130,22 @@
     return report.passed() ? kKept : kBroken;
 }
 
-// Incidents drawn from seeds, until one breaks a rule; that one is shrunk and written down.
-int storm(const RunOptions& o) {
+// Scenarios drawn from seeds, until one breaks a rule; that one is shrunk and written down.
+int schedule(const RunOptions& o) {
     if (o.real && o.balancer != "elmbay")
         throw UseError("--balancer is for virtual time; with --real, --sidecar names the program");
-    const auto verdict = [&](const Storm& s) {
-        Incident incident = parse_incident(s.text(), "storm");
-        incident.name = "storm";
+    const auto verdict = [&](const RandomFaultSchedule& s) {
+        Scenario scenario = parse_scenario(s.text(), "storm");
+        scenario.name = "storm";
         RunOptions quiet = o;
         quiet.quiet = true;
-        return o.real ? play_real(incident, o.sidecar, quiet) : play(incident, o.balancer, "", true);
+        return o.real ? play_real(scenario, o.sidecar, quiet) : play(scenario, o.balancer, "", true);
     };
     std::uint64_t played = 0, untrusted = 0, requests = 0, faults = 0;
     const auto progress = progress_bar(o.quiet);
     for (std::uint64_t i = 0; i < o.sweep.seeds; ++i) {
         const std::uint64_t seed = o.sweep.first_seed + i;
-        const Storm drawn = draw_storm(seed, o.storm);
+        const RandomFaultSchedule drawn = draw_random_faults(seed, o.schedule);
         const Report report = verdict(drawn);
         ++played, requests += report.requests, faults += drawn.faults.size();
         if (progress) progress(static_cast<double>(played) / static_cast<double>(o.sweep.seeds));
@@ -155,7 +155,7 @@
         }
         if (report.rules_kept()) continue;
         std::cout << "seed " << seed << ", after " << played << " storms:\n" << text_of(report);
-        const Storm least = shrunk(drawn, [&](const Storm& s) {
+        const RandomFaultSchedule least = shrunk(drawn, [&](const RandomFaultSchedule& s) {
             const Report r = verdict(s);
             return r.punctuality.trusted() && !r.rules_kept();
         });
@@ -172,18 +172,18 @@
 }
 
 int list() {
-    for (const Bundled& b : bundled()) {
-        const Incident incident = parse_incident(b.text, b.name + ".toml");
+    for (const BundledScenario& b : bundled()) {
+        const Scenario scenario = parse_scenario(b.text, b.name + ".toml");
         std::cout << b.name << std::string(b.name.size() < 28 ? 28 - b.name.size() : 1, ' ')
-                  << incident.overview.about << "\n";
+                  << scenario.overview.about << "\n";
     }
     return kKept;
 }
 
 int check(const std::string& which) {
-    const Incident incident = load(which, {});
-    std::cout << which << ": sound: " << incident.fleet.servers << " servers, " << incident.sidecars.count
-              << " sidecars, " << incident.faults.size() << " faults in " << incident.overview.length / 1000
+    const Scenario scenario = load(which, {});
+    std::cout << which << ": sound: " << scenario.fleet.servers << " servers, " << scenario.sidecars.count
+              << " sidecars, " << scenario.faults.size() << " faults in " << scenario.overview.length / 1000
               << "s\n";
     return kKept;
 }
@@ -198,7 +198,7 @@
 }
 
 int sweep(const RunOptions& o) {
-    const Source source = source_of(o.incident);
+    const Source source = source_of(o.scenario);
     SweepOptions options = o.sweep;
     options.balancer = o.balancer;
     options.progress = progress_bar(o.quiet);
@@ -214,7 +214,7 @@
     if (o.real) throw UseError("--seeds is for virtual time; sockets are compared run by run");
     const auto get = [&](const std::string& which) {
         if (is_report(which)) return sweep_from_json(read_file(which));
-        const Source source = source_of(o.incident);
+        const Source source = source_of(o.scenario);
         SweepOptions options = o.sweep;
         options.balancer = which;
         options.progress = progress_bar(o.quiet);
@@ -226,20 +226,20 @@
 }
 
 int compare(const std::string& a, const std::string& b, const RunOptions& o) {
-    std::optional<Incident> incident;
+    std::optional<Scenario> scenario;
     const auto get = [&](const std::string& which) {
         if (is_report(which)) return report_from_json(read_file(which));
         if (!o.real && !is_balancer(which))
             throw UseError("'" + which +
                            "' is neither a balancer (`run --help` lists them) nor a .json report; "
                            "with --real it would be a command");
-        if (!incident) incident = load(o.incident, o.seed);
-        return o.real ? play_real(*incident, which, o) : play(*incident, which, "", o.quiet);
+        if (!scenario) scenario = load(o.scenario, o.seed);
+        return o.real ? play_real(*scenario, which, o) : play(*scenario, which, "", o.quiet);
     };
     const Report first = get(a), second = get(b);
-    if (first.incident != second.incident || first.seed != second.seed)
-        throw UseError("the two are not of one incident and seed: " + first.incident + " and " +
-                       second.incident);
+    if (first.scenario != second.scenario || first.seed != second.seed)
+        throw UseError("the two are not of one incident and seed: " + first.scenario + " and " +
+                       second.scenario);
     std::cout << comparison_of(first, second);
     return first.passed() && second.passed() ? kKept : kBroken;
 }
@@ -263,7 +263,7 @@
 
     RunOptions o;
     CLI::App* run_command = app.add_subcommand("run", "plays an incident and gives the verdict");
-    run_command->add_option("incident", o.incident, "a file, or a name from `list`")->capture_default_str();
+    run_command->add_option("incident", o.scenario, "a file, or a name from `list`")->capture_default_str();
     run_command->add_option("--balancer", o.balancer, "who decides")->capture_default_str();
     CLI::Option* real = run_command->add_flag(
         "--real,!--virtual", o.real, "on sockets, in real time, round real sidecars; else simulated");
@@ -281,7 +281,7 @@
     run_command->footer(balancer_help());
     CLI::App* sweep_command =
         app.add_subcommand("sweep", "one incident over many seeds, or over values of one of its keys");
-    sweep_command->add_option("incident", o.incident, "a file, or a name from `list`")->capture_default_str();
+    sweep_command->add_option("incident", o.scenario, "a file, or a name from `list`")->capture_default_str();
     sweep_command->add_option("--balancer", o.balancer, "who decides")->capture_default_str();
     CLI::Option* key = sweep_command->add_option(
         "--key", o.sweep.key, "the key to vary, such as callers.rate or fault.1.times (lists count from 1)");
@@ -295,16 +295,16 @@
     sweep_command->add_flag("--quiet", o.quiet, "no progress");
     CLI::App* storm_command =
         app.add_subcommand("storm", "incidents drawn from seeds, until one breaks a rule");
-    storm_command->add_option("--sidecars", o.storm.sidecars)
+    storm_command->add_option("--sidecars", o.schedule.sidecars)
         ->check(CLI::Range(2, 1000))
         ->capture_default_str();
-    storm_command->add_option("--servers", o.storm.servers)
+    storm_command->add_option("--servers", o.schedule.servers)
         ->check(CLI::Range(2, 1000))
         ->capture_default_str();
-    storm_command->add_option("--faults", o.storm.faults, "of a storm, at most")
+    storm_command->add_option("--faults", o.schedule.faults, "of a storm, at most")
         ->check(CLI::Range(1, 200))
         ->capture_default_str();
-    storm_command->add_option("--rate", o.storm.rate, "requests a second, all sidecars together")
+    storm_command->add_option("--rate", o.schedule.rate, "requests a second, all sidecars together")
         ->check(CLI::Range(1.0, 1e5))
         ->capture_default_str();
     storm_command->add_option("--balancer", o.balancer, "who decides")->capture_default_str();
@@ -323,7 +323,7 @@
     compare_command->add_flag("--real", o.real, "A and B are commands that start a sidecar");
     compare_command->add_option("a", a, "a balancer, or a .json report")->required();
     compare_command->add_option("b", b, "another")->required();
-    compare_command->add_option("--incident", o.incident, "a file, or a name from `list`")
+    compare_command->add_option("--incident", o.scenario, "a file, or a name from `list`")
         ->capture_default_str();
     compare_command->add_option("--seed", o.seed, "in place of the file's");
     compare_command->add_flag("--quiet", o.quiet, "no progress");
@@ -344,14 +344,14 @@
         if (*list_command) return list();
         if (*check_command) return check(checked);
         if (*keys_command) {
-            std::cout << incident_manual();
+            std::cout << scenario_manual();
             return kKept;
         }
         if (*sweep_command) return sweep(o);
-        if (*storm_command) return storm(o);
+        if (*storm_command) return schedule(o);
         if (*compare_command) return seeds->count() > 0 ? compare_sweeps(a, b, o) : compare(a, b, o);
         if (*run_command) return run(o);
-    } catch (const IncidentError& error) {
+    } catch (const ScenarioError& error) {
         std::cerr << error.what();
         return kWrongUse;
     } catch (const UseError& error) {
