--- a/src/base/config.cpp
+++ b/src/base/config.cpp
@@ -190,13 +190,13 @@
     }
 }
 
-balancer::Site site(const Json& settings) {
+balancer::DeploymentSettings deployment(const Json& settings) {
     std::vector<std::pair<std::string, std::string>> pairs;
     flatten(settings, "", pairs);
     balancer::Fields fields("settings");
     for (const auto& [name, value] : pairs) fields.add(name, value);
     try {
-        return balancer::read_site(fields);
+        return balancer::read_deployment_settings(fields);
     } catch (const balancer::FieldError& error) {
         throw ConfigError(error.what());
     }
@@ -238,7 +238,7 @@
     }
     const Json& settings = member(json, "settings", "");
     if (!settings.is_object()) fail("settings", "is not an object");
-    c.site = site(settings);
+    c.deployment = deployment(settings);
     const auto peer = [](const Json& value, const std::string& field) {
         const Endpoint e = endpoint(text(value, field), field);
         return PeerEndpoint(e.address(), e.port());
--- a/src/base/config.hpp
+++ b/src/base/config.hpp
@@ -11,7 +11,7 @@
 #include <string_view>
 #include <vector>
 
-#include "base/site.hpp"
+#include "base/deployment_settings.hpp"
 
 namespace elmbay {
 
@@ -53,7 +53,7 @@
     std::uint64_t seed = 0;
     std::size_t sockets = 1024;       // file descriptors that the process may hold
     std::size_t memory = 32U << 20U;  // bytes; where nothing is said, as little as the platform ever gives
-    balancer::Site site;
+    balancer::DeploymentSettings deployment;
     Listing known;
     // Messages between sidecars (PROTOCOL): where this one listens, and where it reaches each, by their
     // numbers.
--- a/src/base/site.cpp
+++ b/src/base/deployment_settings.cpp
@@ -1,4 +1,4 @@
-#include "base/site.hpp"
+#include "base/deployment_settings.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -87,11 +87,11 @@
     return number;
 }
 
-Site read_site(const Fields& start) {
-    Site site;
-    Settings& s = site.settings;
-    if (start.has("azs")) site.zones = split(start.text("azs"));
-    if (start.has("my-zone")) s.my_zone = number_of(site.zones, start.text("my-zone"));
+DeploymentSettings read_deployment_settings(const Fields& start) {
+    DeploymentSettings deployment;
+    Settings& s = deployment.settings;
+    if (start.has("azs")) deployment.zones = split(start.text("azs"));
+    if (start.has("my-zone")) s.my_zone = number_of(deployment.zones, start.text("my-zone"));
     for (std::uint64_t i = 0, count = start.integer("classes.count"); i < count; ++i) {
         const std::string prefix = "classes." + std::to_string(i) + ".";
         RequestClass c;
@@ -103,18 +103,18 @@
         c.late_weight = start.number_or(prefix + "late-value", c.late_weight);
         c.priority_weight = start.number_or(prefix + "credit", c.priority_weight);
         s.classes.push_back(c);
-        site.give_up.push_back(start.number_or(prefix + "give-up-ms", c.latency_objective));
-        site.classes.emplace_back(start.text(prefix + "name"));
+        deployment.give_up.push_back(start.number_or(prefix + "give-up-ms", c.latency_objective));
+        deployment.classes.emplace_back(start.text(prefix + "name"));
     }
     for (std::uint64_t i = 0, count = start.integer_or("tenants.count", 0); i < count; ++i) {
         const std::string prefix = "tenants." + std::to_string(i) + ".";
         s.tenants.push_back({start.number_or(prefix + "quota-per-s", 0)});
-        site.tenants.emplace_back(start.text(prefix + "name"));
+        deployment.tenants.emplace_back(start.text(prefix + "name"));
     }
     if (start.has("membership-mode")) s.list_on_request = start.text("membership-mode") == "on_request";
     s.siblings = static_cast<std::uint32_t>(start.integer_or("siblings", s.siblings));
-    if (start.has("my-number")) site.my_number = static_cast<std::uint32_t>(start.integer("my-number"));
-    site.may_tell = start.flag_or("limits.may-tell", site.may_tell);
+    if (start.has("my-number")) deployment.my_number = static_cast<std::uint32_t>(start.integer("my-number"));
+    deployment.may_tell = start.flag_or("limits.may-tell", deployment.may_tell);
     s.max_attempts = static_cast<std::uint32_t>(start.integer_or("limits.max-attempts", s.max_attempts));
     s.allow_hedging = start.flag_or("limits.parallel-tries", s.allow_hedging);
     s.may_cancel = start.flag_or("limits.may-cancel", false);
@@ -122,9 +122,9 @@
     s.overload_multiple = start.number_or("rules.fall-multiple", s.overload_multiple);
     s.slow_start_duration = start.number_or("rules.warm-within-ms", s.slow_start_duration);
     s.costs.cross_zone = start.number_or("fees.cross-zone", s.costs.cross_zone);
-    site.connect_timeout = start.number_or("limits.connect-timeout-ms", site.connect_timeout);
-    site.idle_close = start.number_or("limits.idle-close-ms", site.idle_close);
-    return site;
+    deployment.connect_timeout = start.number_or("limits.connect-timeout-ms", deployment.connect_timeout);
+    deployment.idle_close = start.number_or("limits.idle-close-ms", deployment.idle_close);
+    return deployment;
 }
 
 }  // namespace elmbay::balancer
--- a/src/base/site.hpp
+++ b/src/base/deployment_settings.hpp
@@ -53,7 +53,7 @@
 }
 
 // The library's settings, the names behind its integers, and what only a driver has to know.
-struct Site {
+struct DeploymentSettings {
     Settings settings;
     std::vector<std::string> zones;
     std::vector<std::string> machine_types;
@@ -70,6 +70,6 @@
 double sound_weight(double told);
 // A name's number; one not met before gets the next.
 std::uint32_t number_of(std::vector<std::string>& names, std::string_view name);
-Site read_site(const Fields& settings);
+DeploymentSettings read_deployment_settings(const Fields& settings);
 
 }  // namespace elmbay::balancer
--- a/src/http/message.hpp
+++ b/src/http/message.hpp
@@ -17,7 +17,7 @@
 // ByteBudget.
 constexpr std::size_t kUsualBody = 64 * 1024;
 constexpr std::size_t kMaxRequestBody = 256 * 1024;
-constexpr std::size_t kMaxAnswerBody = 512 * 1024;
+constexpr std::size_t kMaxResponseBody = 512 * 1024;
 constexpr std::size_t kMaxHeader = 16 * 1024;  // many times what the protocol's headers need
 
 // Whether a server says that it turned a request away unseen: it never ran (PROTOCOL, Sidecars to servers).
--- a/src/http/intake.cpp
+++ b/src/http/request_validation.cpp
@@ -1,4 +1,4 @@
-#include "http/intake.hpp"
+#include "http/request_validation.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -9,7 +9,7 @@
 namespace {
 
 using balancer::Idempotency;
-using balancer::Site;
+using balancer::DeploymentSettings;
 
 constexpr std::size_t kLongestId = 256;  // of an id or key; the protocol's have 16 and 32 characters
 // On a slow or shared core a short time must not go to the margin whole.
@@ -22,9 +22,9 @@
 // What else the protocol names: servers may use it, and need not.
 constexpr const char* kFurther[] = {kClass, "X-Account", "Cookie", "X-Repeat", "X-Weight-Hint", "X-Facts"};
 
-std::size_t class_of(const RequestHead& head, const Site& site) {
-    const auto at = std::find(site.classes.begin(), site.classes.end(), field(head, kClass));
-    return static_cast<std::size_t>(at - site.classes.begin());
+std::size_t class_of(const RequestHead& head, const DeploymentSettings& deployment) {
+    const auto at = std::find(deployment.classes.begin(), deployment.classes.end(), field(head, kClass));
+    return static_cast<std::size_t>(at - deployment.classes.begin());
 }
 
 }  // namespace
@@ -44,45 +44,45 @@
     return std::to_string(static_cast<std::int64_t>(left * 1000)) + "u";
 }
 
-std::optional<Problem> problem_of(const RequestHead& head, const Site& site) {
+std::optional<RequestProblem> validate_request(const RequestHead& head, const DeploymentSettings& deployment) {
     const bool get = head.method() == http::verb::get;
     if (!get && head.method() != http::verb::post)
-        return Problem{http::status::method_not_allowed, "GET or POST\n"};
-    if (const auto problem = header_problem_of(head, site)) return problem;
-    if (get != (site.settings.classes[class_of(head, site)].idempotency == Idempotency::idempotent))
-        return Problem{http::status::bad_request, "the method is not that of the class\n"};
+        return RequestProblem{http::status::method_not_allowed, "GET or POST\n"};
+    if (const auto problem = validate_headers(head, deployment)) return problem;
+    if (get != (deployment.settings.classes[class_of(head, deployment)].idempotency == Idempotency::idempotent))
+        return RequestProblem{http::status::bad_request, "the method is not that of the class\n"};
     return {};
 }
 
-std::optional<Problem> header_problem_of(const RequestHead& head, const Site& site) {
-    const auto bad = [](const char* words) { return Problem{http::status::bad_request, words}; };
+std::optional<RequestProblem> validate_headers(const RequestHead& head, const DeploymentSettings& deployment) {
+    const auto bad = [](const char* words) { return RequestProblem{http::status::bad_request, words}; };
     for (const char* name : {kId, kClass, kTimeLeft, kKey})
         if (head.count(name) > 1) return bad("a header that may stand once is repeated\n");
     const auto id = field(head, kId), key = field(head, kKey);
     if (id.empty()) return bad("X-Correlation-Id is missing\n");
     if (id.size() > kLongestId || key.size() > kLongestId) return bad("an id is too long\n");
-    const std::size_t index = class_of(head, site);
-    if (index == site.classes.size()) return bad("X-Service-Class is not a known class\n");
+    const std::size_t index = class_of(head, deployment);
+    if (index == deployment.classes.size()) return bad("X-Service-Class is not a known class\n");
     if (!parse_time_left(field(head, kTimeLeft))) return bad("X-Time-Left is not a number and a unit\n");
-    if ((site.settings.classes[index].idempotency == Idempotency::idempotency_key) == key.empty())
+    if ((deployment.settings.classes[index].idempotency == Idempotency::idempotency_key) == key.empty())
         return bad("Idempotency-Key goes with a keyed class\n");
     return {};
 }
 
-balancer::RequestArrived describe(RequestId id, const RequestHead& head, const Site& site, Millis margin,
+balancer::RequestArrived describe(RequestId id, const RequestHead& head, const DeploymentSettings& deployment, Millis margin,
                                   Millis waited) {
     balancer::RequestArrived event;
     event.id = id;
-    event.class_index = static_cast<std::uint32_t>(class_of(head, site));
+    event.class_index = static_cast<std::uint32_t>(class_of(head, deployment));
     // A client never waits longer than its class is worth waiting for; what it says is not trusted beyond
     // that.
     const Millis left =
-        std::min(parse_time_left(field(head, kTimeLeft)).value_or(0), site.give_up.at(event.class_index));
+        std::min(parse_time_left(field(head, kTimeLeft)).value_or(0), deployment.give_up.at(event.class_index));
     event.time_left = std::max(1.0, left - std::min(margin, left * kMaxMarginShare) - waited);
     if (const auto account = field(head, "X-Account"); !account.empty()) {
-        const auto tenant = std::find(site.tenants.begin(), site.tenants.end(), account);
-        if (tenant != site.tenants.end())
-            event.tenant = static_cast<std::uint32_t>(tenant - site.tenants.begin());
+        const auto tenant = std::find(deployment.tenants.begin(), deployment.tenants.end(), account);
+        if (tenant != deployment.tenants.end())
+            event.tenant = static_cast<std::uint32_t>(tenant - deployment.tenants.begin());
     }
     const auto hint = field(head, "X-Weight-Hint");
     double micros = 0;
@@ -93,7 +93,7 @@
     return event;
 }
 
-HttpRequest for_server(HttpRequest request) {
+HttpRequest forwarded_request(HttpRequest request) {
     HttpRequest anew(request.method(), request.target(), 11);
     anew.set(http::field::host, request[http::field::host]);
     anew.set(kId, request[kId]);
--- a/src/http/intake.hpp
+++ b/src/http/request_validation.hpp
@@ -4,7 +4,7 @@
 
 #include <optional>
 
-#include "base/site.hpp"
+#include "base/deployment_settings.hpp"
 #include "http/message.hpp"
 
 namespace elmbay {
@@ -14,7 +14,7 @@
 using RequestHead = http::request_header<>;
 
 // Why a request can't be used: answered here, never sent on.
-struct Problem {
+struct RequestProblem {
     http::status status = http::status::bad_request;
     const char* words = "";
 };
@@ -22,18 +22,18 @@
 // Whether it can be passed on at all. What is unknown, missing, repeated or contradicts itself can't: whoever
 // sent it is not the application that the settings describe, and a guess at its meaning may run something
 // twice.
-std::optional<Problem> problem_of(const RequestHead& head, const balancer::Site& site);
+std::optional<RequestProblem> validate_request(const RequestHead& head, const balancer::DeploymentSettings& deployment);
 // The part of it that holds for a request of any method: the headers that the protocol names.
-std::optional<Problem> header_problem_of(const RequestHead& head, const balancer::Site& site);
+std::optional<RequestProblem> validate_headers(const RequestHead& head, const balancer::DeploymentSettings& deployment);
 
 // What the module is told of a request that has no problem. margin: the answer leaves that much before the
 // client's time is up; waited: so much of that time is over already (both in ms).
-balancer::RequestArrived describe(RequestId id, const RequestHead& head, const balancer::Site& site,
+balancer::RequestArrived describe(RequestId id, const RequestHead& head, const balancer::DeploymentSettings& deployment,
                                   Millis margin, Millis waited = 0);
 
 // The request for a server, built anew from what the protocol names: nothing else that a client writes gets
 // there.
-HttpRequest for_server(HttpRequest request);
+HttpRequest forwarded_request(HttpRequest request);
 
 // A number and a unit, m for milliseconds or u for microseconds; nothing if it can't be read.
 std::optional<Millis> parse_time_left(std::string_view text);
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -58,8 +58,8 @@
     return response;
 }
 
-constexpr Problem kTooLarge{http::status::payload_too_large, "body too large\n"};
-constexpr Problem kTooSlow{http::status::request_timeout, "no request came in time\n"};
+constexpr RequestProblem kTooLarge{http::status::payload_too_large, "body too large\n"};
+constexpr RequestProblem kTooSlow{http::status::request_timeout, "no request came in time\n"};
 
 // Since the last byte came, as the kernel counts it (tcp(7), tcp_info: in ms, as coarse as its tick). A
 // connection that waited to be accepted, or whose bytes lay there while this process had no core, has used up
@@ -265,14 +265,14 @@
             return turn_away({http::status::bad_request, "framing that contradicts itself\n"}, true);
         } else if (path == "/up") {
             if (head.method() != http::verb::get)
-                problem_ = Problem{http::status::method_not_allowed, "GET\n"};
+                problem_ = RequestProblem{http::status::method_not_allowed, "GET\n"};
         } else if (path != "/api" && path.substr(0, 5) != "/api/") {
-            problem_ = Problem{http::status::not_found, "no such path\n"};
+            problem_ = RequestProblem{http::status::not_found, "no such path\n"};
         } else {
             problem_ = owner_.handlers_.problem(head);
         }
         if (head.method() == http::verb::get && !parser_->is_done())
-            problem_ = Problem{http::status::bad_request, "GET with a body\n"};
+            problem_ = RequestProblem{http::status::bad_request, "GET with a body\n"};
         if (parser_->is_done()) return take();
         if (problem_) return turn_away(*problem_, true);
         if (const auto length = parser_->content_length(); !length || *length > kUsualBody) {
@@ -375,7 +375,7 @@
         owner_.handlers_.upgraded(owner_.next_id_++, std::move(socket_), std::move(request), arrival);
     }
 
-    void turn_away(const Problem& problem, bool last) {
+    void turn_away(const RequestProblem& problem, bool last) {
         last_ = last_ || last;
         turned_away_ = true;
         write(plain(problem.status, problem.words));
@@ -387,7 +387,7 @@
         buffer_.reset();
         long_.reset();
         if (response.body().size() > kUsualBody) {
-            long_ = owner_.bytes_.take(kMaxAnswerBody);
+            long_ = owner_.bytes_.take(kMaxResponseBody);
             if (!long_) response = plain(http::status::bad_gateway, "no memory for so long an answer\n");
         }
         if (owner_.draining_) last_ = true;
@@ -442,7 +442,7 @@
     std::optional<http::request_parser<http::string_body>> parser_;
     std::optional<HttpResponse> response_;
     std::optional<ByteBudget::Grant> long_;  // for the request's body or the answer's
-    std::optional<Problem> problem_;         // of the request being read
+    std::optional<RequestProblem> problem_;         // of the request being read
     RequestId id_ = 0;                       // of the request in work
     State state_ = State::idle;
     bool asked_ = false;        // a request has come from it, whatever became of that
--- a/src/net/listener.hpp
+++ b/src/net/listener.hpp
@@ -16,7 +16,7 @@
 #include "base/config.hpp"
 #include "base/sockets.hpp"
 #include "base/timing.hpp"
-#include "http/intake.hpp"
+#include "http/request_validation.hpp"
 #include "http/message.hpp"
 
 namespace elmbay {
@@ -30,7 +30,7 @@
 class Listener {
 public:
     struct Handlers {
-        std::function<std::optional<Problem>(const RequestHead&)> problem;  // why it can't be used
+        std::function<std::optional<RequestProblem>(const RequestHead&)> problem;  // why it can't be used
         std::function<void(RequestId, HttpRequest, Arrival)> arrived;  // each gets one answer() or gone()
         std::function<void(RequestId)> gone;
         std::function<bool()> ready;  // for GET /up
--- a/src/net/answer.cpp
+++ b/src/net/response_reader.cpp
@@ -1,4 +1,4 @@
-#include "net/answer.hpp"
+#include "net/response_reader.hpp"
 
 #include <algorithm>
 
@@ -12,13 +12,13 @@
 // or trailer ends here.
 constexpr std::size_t kMaxBeside = kMaxHeader + kUsualBody + kMaxHeader;
 // All that came and the body taken from it are held at the same time.
-constexpr std::size_t kLongCost = 2 * kMaxAnswerBody;
+constexpr std::size_t kLongCost = 2 * kMaxResponseBody;
 // Fewer bytes behind an answer don't show whether they repeat it or are the rest of a body cut short.
 constexpr std::size_t kLeastRepeat = 12;
 
 }  // namespace
 
-AnswerReader::State AnswerReader::feed(std::string_view bytes) {
+ResponseReader::State ResponseReader::feed(std::string_view bytes) {
     if (state_ == State::whole) {
         // As much again is enough to see whether it repeats itself.
         if (raw_.size() < 2 * parsed_) raw_.append(bytes);
@@ -32,7 +32,7 @@
     return state_;
 }
 
-AnswerReader::State AnswerReader::end() {
+ResponseReader::State ResponseReader::end() {
     if (state_ != State::more || !parser_ || !parser_->is_header_done() || !parser_->need_eof())
         return state_;
     boost::system::error_code error;
@@ -41,12 +41,12 @@
     return state_;
 }
 
-AnswerReader::State AnswerReader::parse() {
+ResponseReader::State ResponseReader::parse() {
     for (;;) {
         if (!parser_) {
             parser_.emplace();
             parser_->header_limit(kMaxHeader);
-            parser_->body_limit(kMaxAnswerBody);
+            parser_->body_limit(kMaxResponseBody);
         }
         while (parsed_ < raw_.size() && !parser_->is_done()) {
             const bool had_head = parser_->is_header_done();
@@ -70,13 +70,13 @@
 }
 
 // What is long, or does not say how long it is, may be so only with a grant.
-bool AnswerReader::head_is_sound() {
+bool ResponseReader::head_is_sound() {
     if (!framing_is_clear(parser_->get())) return false;
     const auto length = parser_->content_length();
     if (length && *length <= kUsualBody) return true;
     long_.reset();
     long_ = budget_.take(kLongCost);
-    if (length) return long_ && *length <= kMaxAnswerBody;
+    if (length) return long_ && *length <= kMaxResponseBody;
     if (!long_) parser_->body_limit(kUsualBody);
     return true;
 }
@@ -84,7 +84,7 @@
 // Bytes behind an answer: where its length was too short, they are the rest of its body, and what was parsed
 // is no whole answer. Only where they are this message once more (or its beginning) is it sure that it ended
 // there.
-bool AnswerReader::repeats_itself() const {
+bool ResponseReader::repeats_itself() const {
     const std::string_view all(raw_);
     const std::string_view message = all.substr(start_, parsed_ - start_), behind = all.substr(parsed_);
     if (behind.empty()) return true;
--- a/src/net/answer.hpp
+++ b/src/net/response_reader.hpp
@@ -12,12 +12,12 @@
 // Tells at the first byte that shows it whether an answer is spoilt. What servers send that is whole says in
 // one Content-Length, or in chunks, where it ends, and nothing but a repetition of itself follows it; or it
 // says neither and ends with its connection (RFC 9112, 6.3), in good order: a reset is no end.
-class AnswerReader {
+class ResponseReader {
 public:
     enum class State { more, whole, spoilt };
 
     // budget: for what is longer than usual. It must outlive the reader.
-    explicit AnswerReader(ByteBudget& budget) : budget_(budget) {}
+    explicit ResponseReader(ByteBudget& budget) : budget_(budget) {}
 
     State feed(std::string_view bytes);
     // The server has ended its sending, in good order. What is not whole then never is.
--- a/src/net/upstream.cpp
+++ b/src/net/upstream.cpp
@@ -12,8 +12,8 @@
 #include "base/socket_failures.hpp"
 #include "base/socket_state.hpp"
 #include "base/stream_socket.hpp"
-#include "http/intake.hpp"
-#include "net/answer.hpp"
+#include "http/request_validation.hpp"
+#include "net/response_reader.hpp"
 
 namespace elmbay {
 
@@ -198,9 +198,9 @@
                 if (error == asio::error::eof) answer_->end();
                 break;
             }
-            if (answer_->feed({owner_.scratch_.data(), got}) == AnswerReader::State::spoilt) break;
+            if (answer_->feed({owner_.scratch_.data(), got}) == ResponseReader::State::spoilt) break;
         }
-        if (!ended_ && answer_->state() == AnswerReader::State::more) return wait();
+        if (!ended_ && answer_->state() == ResponseReader::State::more) return wait();
         read_ = true;
         if (!writing_) return finish({});
         // Broken, or answered, before the write's end is known here. Whether the last byte went out decides
@@ -232,7 +232,7 @@
         Outcome outcome = written_ && !failpoint_enabled("resend") ? Outcome::connection_reset : unwritten_;
         bool reusable = false;
         HttpResponse response;
-        if (state == AnswerReader::State::whole) {
+        if (state == ResponseReader::State::whole) {
             reusable = !was_broken && !ended_ && !write_error && written_ && answer_->reusable();
             response = answer_->release();
             const auto status = response.result_int();
@@ -242,7 +242,7 @@
                 outcome =
                     status == 200 && !response.body().empty() ? Outcome::success : Outcome::error_response;
             owner_.servers_.at(server).heard = owner_.clock_.now();
-        } else if (state == AnswerReader::State::spoilt && written_) {
+        } else if (state == ResponseReader::State::spoilt && written_) {
             outcome = Outcome::error_response;  // it has run, and nobody can tell how it ended
         }
         answer_.reset();
@@ -258,7 +258,7 @@
 
     Upstream& owner_;
     TcpSocket socket_;
-    std::optional<AnswerReader> answer_;
+    std::optional<ResponseReader> answer_;
     std::shared_ptr<const HttpRequest> message_;
     std::optional<http::request<http::span_body<const char>>> request_;
     TimerQueue::Key timer_{}, again_{};  // for the connection to be up; for the next try to open it
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -64,22 +64,22 @@
     setup.peers = config.peers;
     if (!settings.peers.empty()) setup.peers.clear();
     for (const std::string& peer : settings.peers) setup.peers.push_back(peer_address(peer, "peers"));
-    setup.self = settings.peers.empty() && config.site.my_number
-                     ? *config.site.my_number
+    setup.self = settings.peers.empty() && config.deployment.my_number
+                     ? *config.deployment.my_number
                      : static_cast<std::uint32_t>(settings.number);
     if (setup.peers.empty())
         throw ConfigError("[cluster] peers: neither they nor those of the configuration are there");
     if (setup.self >= setup.peers.size())
         throw ConfigError("[cluster] number: " + std::to_string(setup.self) + " is beyond the " +
                           std::to_string(setup.peers.size()) + " peers");
-    setup.siblings = config.site.settings.siblings;
+    setup.siblings = config.deployment.settings.siblings;
     setup.seed = config.seed ^ 0x636c7573746572;  // its own chance: the module's must not change with it
     setup.period = settings.period;
     return setup;
 }
 
-Millis longest_deadline(const Site& site) {
-    return site.give_up.empty() ? 0 : *std::max_element(site.give_up.begin(), site.give_up.end());
+Millis longest_deadline(const DeploymentSettings& deployment) {
+    return deployment.give_up.empty() ? 0 : *std::max_element(deployment.give_up.begin(), deployment.give_up.end());
 }
 
 // A list that names nobody, in the version that every list begins with, is none.
@@ -92,8 +92,8 @@
     const auto bound = [](std::uint64_t n) {
         return static_cast<std::uint32_t>(std::min<std::uint64_t>(n, UINT32_MAX));
     };
-    config.site.settings.max_sessions = websocket.on ? bound(websocket.most) : 0;
-    config.site.settings.max_sessions_per_server = bound(websocket.most_at_server);
+    config.deployment.settings.max_sessions = websocket.on ? bound(websocket.most) : 0;
+    config.deployment.settings.max_sessions_per_server = bound(websocket.most_at_server);
     return config;
 }
 
@@ -114,17 +114,17 @@
       timers_(io, clock_),
       budget_(budget_of(config_, websocket)),
       bytes_(config_.memory / kLongShare),
-      engine_(config_.site.settings, config_.seed, *this),
-      servers_(config_.site.zones, config_.site.machine_types),
+      engine_(config_.deployment.settings, config_.seed, *this),
+      servers_(config_.deployment.zones, config_.deployment.machine_types),
       upstream_(
-          io, budget_, bytes_, timers_, clock_, {config_.site.connect_timeout, config_.site.idle_close},
+          io, budget_, bytes_, timers_, clock_, {config_.deployment.connect_timeout, config_.deployment.idle_close},
           [this](AttemptKey key, Outcome outcome, Millis duration, HttpResponse response) {
               attempt_ended(key, outcome, duration, std::move(response));
           },
           {[this] { return discovery_.unread(); }, [this](RequestId id) { return listener_.gone(id); }}),
       websocket_(!websocket.on ? nullptr
                                : std::make_unique<websocket::Front>(
-                                     io, budget_, timers_, clock_, websocket, config_.site.connect_timeout,
+                                     io, budget_, timers_, clock_, websocket, config_.deployment.connect_timeout,
                                      config_.seed,
                                      websocket::Front::Handlers{
                                          [this](AttemptKey key, Outcome outcome, Millis duration) {
@@ -135,28 +135,28 @@
                                              engine_.session_ended(clock_.now(), id, broken);
                                          }})),
       discovery_(io, config_.discovery, budget_, timers_, clock_, held_rev(config_.known), config_.seed,
-                 config_.site.settings.list_on_request ? Discovery::Mode::asked : Discovery::Mode::pushed,
+                 config_.deployment.settings.list_on_request ? Discovery::Mode::asked : Discovery::Mode::pushed,
                  [this](const Listing& listing) {
                      listed(listing.all ? ListKind::snapshot : ListKind::incremental, listing);
                  }),
-      listener_(io, config_.listen, budget_, bytes_, timers_, clock_, longest_deadline(config_.site),
+      listener_(io, config_.listen, budget_, bytes_, timers_, clock_, longest_deadline(config_.deployment),
                 listener_handlers(websocket)) {
     engine_.begin(clock_.now());
     if (remembered) restore_state(std::move(*remembered));
     listed(ListKind::cached, std::exchange(config_.known, {}));
-    if (!config_.site.settings.list_on_request) discovery_.watch();
+    if (!config_.deployment.settings.list_on_request) discovery_.watch();
 }
 
 Listener::Handlers Sidecar::listener_handlers(const websocket::Settings& settings) {
-    Listener::Handlers handlers{[this](const RequestHead& head) { return problem_of(head, config_.site); },
+    Listener::Handlers handlers{[this](const RequestHead& head) { return validate_request(head, config_.deployment); },
                                 [this](RequestId id, HttpRequest request, Arrival arrival) {
                                     arrived(id, std::move(request), arrival);
                                 },
                                 [this](RequestId id) { gone(id); }, [this] { return ready_; }};
     if (!settings.on) return handlers;
     handlers.problem = [this, origins = settings.origins](const RequestHead& head) {
-        return websocket::asks_upgrade(head) ? websocket::upgrade_problem(head, config_.site, origins)
-                                             : problem_of(head, config_.site);
+        return websocket::asks_upgrade(head) ? websocket::validate_upgrade(head, config_.deployment, origins)
+                                             : validate_request(head, config_.deployment);
     };
     handlers.takes_connection = websocket::asks_upgrade;
     handlers.upgraded = [this](RequestId id, asio::ip::tcp::socket client, HttpRequest request,
@@ -213,7 +213,7 @@
                            {"pid", ::getpid()},
                            {"now_ms", clock_.wall()},
                            {"ready", ready_},
-                           {"siblings", config_.site.settings.siblings},
+                           {"siblings", config_.deployment.settings.siblings},
                            {"requests",
                             {{"open", engine_.requests()},
                              {"taken", counts_.taken},
@@ -238,7 +238,7 @@
 }
 
 void Sidecar::join(const cluster::Settings& settings) {
-    if (!config_.site.may_tell) {
+    if (!config_.deployment.may_tell) {
         std::cerr << "elmbay: [cluster]: the settings allow no messages between sidecars" << std::endl;
         return;
     }
@@ -273,15 +273,15 @@
 // ---- Events -----------------------------------------------------------------------------------------------
 
 void Sidecar::arrived(RequestId id, HttpRequest request, Arrival arrival) {
-    RequestArrived event = describe(id, request, config_.site, kAnswerMargin, arrival.waited);
+    RequestArrived event = describe(id, request, config_.deployment, kAnswerMargin, arrival.waited);
     event.table_full = !arrival.has_place;
     ++counts_.taken;
-    messages_[id] = std::make_shared<const HttpRequest>(for_server(std::move(request)));
+    messages_[id] = std::make_shared<const HttpRequest>(forwarded_request(std::move(request)));
     engine_.take(clock_.now(), event);
 }
 
 void Sidecar::upgraded(RequestId id, asio::ip::tcp::socket client, HttpRequest request, Arrival arrival) {
-    RequestArrived event = describe(id, request, config_.site, kAnswerMargin, arrival.waited);
+    RequestArrived event = describe(id, request, config_.deployment, kAnswerMargin, arrival.waited);
     event.session = true;
     if (!websocket_->take(id, std::move(client), std::move(request))) return;
     event.table_full = !arrival.has_place || !websocket_->has_place(id);
--- a/src/sidecar/sidecar.hpp
+++ b/src/sidecar/sidecar.hpp
@@ -14,7 +14,7 @@
 #include "base/timing.hpp"
 #include "cluster/driver.hpp"
 #include "engine/engine.hpp"
-#include "http/intake.hpp"
+#include "http/request_validation.hpp"
 #include "net/discovery.hpp"
 #include "net/listener.hpp"
 #include "net/upstream.hpp"
--- a/src/simulator/wire.cpp
+++ b/src/simulator/wire.cpp
@@ -79,8 +79,8 @@
         bool listed = false;
     };
 
-    Instance(std::string name_, Site site_, std::uint64_t seed)
-        : name(std::move(name_)), site(std::move(site_)), balancer(site.settings, seed) {}
+    Instance(std::string name_, DeploymentSettings deployment_, std::uint64_t seed)
+        : name(std::move(name_)), deployment(std::move(deployment_)), balancer(deployment.settings, seed) {}
 
     ServerId server(const std::string& server_name) {
         const auto [at, fresh] = server_ids.try_emplace(server_name, next_server);
@@ -106,7 +106,7 @@
     }
 
     std::string name;
-    Site site;
+    DeploymentSettings deployment;
     Balancer balancer;
     std::unordered_map<std::string, RequestId> request_ids;
     std::unordered_map<RequestId, Request> requests;
@@ -179,11 +179,11 @@
         arrived.time_left = message.number("time-left-ms");
         arrived.effort = message.number_or("effort-ms", 0);
         arrived.repeat = message.flag_or("repeat", false);
-        const auto& classes = instance.site.classes;
+        const auto& classes = instance.deployment.classes;
         const auto grade = std::find(classes.begin(), classes.end(), message.text("grade"));
         arrived.class_index = static_cast<std::uint32_t>(grade - classes.begin());
         if (message.has("realm")) {
-            const auto& tenants = instance.site.tenants;
+            const auto& tenants = instance.deployment.tenants;
             const auto realm = std::find(tenants.begin(), tenants.end(), message.text("realm"));
             if (realm != tenants.end()) arrived.tenant = static_cast<std::uint32_t>(realm - tenants.begin());
         }
@@ -237,7 +237,7 @@
     const std::uint64_t seed = message.integer("entropy");
     instances_.erase(name);
     try {
-        const auto at = instances_.try_emplace(name, name, read_site(message), seed).first;
+        const auto at = instances_.try_emplace(name, name, read_deployment_settings(message), seed).first;
         give(at->second, Started{});
     } catch (const std::invalid_argument& error) {
         reply_ += "FAULT who=" + name + " words=" + error.what() + "\n";
@@ -254,8 +254,8 @@
         for (const CatalogEntry& e : catalogs_[ref]) {
             const ServerId id = instance.server(e.server);
             instance.servers[id].listed = e.state != EndpointState::removed;
-            list.servers.push_back({id, number_of(instance.site.zones, e.zone),
-                                    number_of(instance.site.machine_types, e.machine_type), e.cell, e.state, e.online_since,
+            list.servers.push_back({id, number_of(instance.deployment.zones, e.zone),
+                                    number_of(instance.deployment.machine_types, e.machine_type), e.cell, e.state, e.online_since,
                                     e.weight});
         }
     }
--- a/src/websocket/front.cpp
+++ b/src/websocket/front.cpp
@@ -7,7 +7,7 @@
 #include <cmath>
 #include <cstdio>
 
-#include "http/intake.hpp"
+#include "http/request_validation.hpp"
 #include "websocket/handshake.hpp"
 
 namespace elmbay::websocket {
--- a/src/websocket/handshake.cpp
+++ b/src/websocket/handshake.cpp
@@ -57,9 +57,9 @@
                        [](const auto& f) { return http::token_list(f.value()).exists("websocket"); });
 }
 
-std::optional<Problem> upgrade_problem(const RequestHead& head, const balancer::Site& site,
+std::optional<RequestProblem> validate_upgrade(const RequestHead& head, const balancer::DeploymentSettings& deployment,
                                        const std::vector<std::string>& origins) {
-    const auto bad = [](const char* words) { return Problem{http::status::bad_request, words}; };
+    const auto bad = [](const char* words) { return RequestProblem{http::status::bad_request, words}; };
     if (head.method() != http::verb::get) return bad("an upgrade is a GET\n");
     if (head.version() != 11) return bad("an upgrade is HTTP/1.1\n");
     for (const char* name : {"Host", kKey, "Sec-WebSocket-Version", "Origin"})
@@ -70,14 +70,14 @@
     if (!has_token(head, http::field::upgrade, "websocket")) return bad("Upgrade is not websocket\n");
     if (!has_token(head, http::field::connection, "upgrade")) return bad("Connection is not upgrade\n");
     if (field(head, "Sec-WebSocket-Version") != kVersion)
-        return Problem{http::status::upgrade_required, "Sec-WebSocket-Version 13\n"};
+        return RequestProblem{http::status::upgrade_required, "Sec-WebSocket-Version 13\n"};
     if (!is_key(field(head, kKey))) return bad("Sec-WebSocket-Key is not 16 bytes in base64\n");
     if (!tokens_of(head, kProtocol)) return bad("Sec-WebSocket-Protocol is no list of different tokens\n");
     const auto origin = head[http::field::origin];
     if (!origins.empty() && !origin.empty() &&
         std::none_of(origins.begin(), origins.end(), [&](const auto& o) { return iequals(o, origin); }))
-        return Problem{http::status::forbidden, "this origin is not allowed\n"};
-    return header_problem_of(head, site);
+        return RequestProblem{http::status::forbidden, "this origin is not allowed\n"};
+    return validate_headers(head, deployment);
 }
 
 std::vector<std::string> offered_by(const RequestHead& head) {
@@ -85,7 +85,7 @@
 }
 
 void ask_server(http::fields& into, const HttpRequest& client, Millis left) {
-    for (const auto& f : for_server(client))
+    for (const auto& f : forwarded_request(client))
         if (f.name() != http::field::host) into.set(f.name_string(), f.value());
     into.set("X-Time-Left", time_left_text(left));
     std::string all;
--- a/src/websocket/handshake.hpp
+++ b/src/websocket/handshake.hpp
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "engine/engine.hpp"
-#include "http/intake.hpp"
+#include "http/request_validation.hpp"
 
 namespace elmbay::websocket {
 
@@ -26,7 +26,7 @@
 // 426 where another version would do (4.4), 403 for an origin that the operator does not list, else 400.
 // origins: as a browser writes them ("https://archive.example"), compared without case; empty: any. A client
 // that names no origin is no browser, and not what such a list protects from: it may come.
-std::optional<Problem> upgrade_problem(const RequestHead& head, const balancer::Site& site,
+std::optional<RequestProblem> validate_upgrade(const RequestHead& head, const balancer::DeploymentSettings& deployment,
                                        const std::vector<std::string>& origins);
 
 // The subprotocols that a client without problem offers, in its order of preference.
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -950,7 +950,7 @@
     const Config config = load_config(
         [&](const char* name) { return std::string(name) == "RELAY_CONFIG" ? path.c_str() : nullptr; });
     EXPECT_EQ(config.known.targets.size(), 1U);
-    EXPECT_EQ(config.site.classes.size(), 3U);
+    EXPECT_EQ(config.deployment.classes.size(), 3U);
 }
 
 }  // namespace
--- a/tests/simulator/wire_test.cpp
+++ b/tests/simulator/wire_test.cpp
@@ -133,15 +133,15 @@
 }
 
 TEST(Codec, SettingsArriveWhole) {
-    const Site site = read_site(Message(std::string_view(start_line).substr(0, start_line.size() - 1), 1));
-    EXPECT_EQ(site.settings.classes.size(), 2U);
-    EXPECT_EQ(site.settings.classes[1].idempotency, Idempotency::non_idempotent);
-    EXPECT_EQ(site.settings.classes[0].latency_objective, 400);
-    EXPECT_EQ(site.settings.my_zone, ZoneId{1});
-    EXPECT_EQ(site.settings.slow_start_min_share, 0.16);
-    EXPECT_EQ(site.settings.costs.cross_zone, 0.02);
-    EXPECT_FALSE(site.settings.list_on_request);
-    EXPECT_EQ(site.classes[1], "deposit");
+    const DeploymentSettings deployment = read_deployment_settings(Message(std::string_view(start_line).substr(0, start_line.size() - 1), 1));
+    EXPECT_EQ(deployment.settings.classes.size(), 2U);
+    EXPECT_EQ(deployment.settings.classes[1].idempotency, Idempotency::non_idempotent);
+    EXPECT_EQ(deployment.settings.classes[0].latency_objective, 400);
+    EXPECT_EQ(deployment.settings.my_zone, ZoneId{1});
+    EXPECT_EQ(deployment.settings.slow_start_min_share, 0.16);
+    EXPECT_EQ(deployment.settings.costs.cross_zone, 0.02);
+    EXPECT_FALSE(deployment.settings.list_on_request);
+    EXPECT_EQ(deployment.classes[1], "deposit");
 }
 
 TEST(Host, AMegabyteLongBatchIsAnsweredWhole) {
--- a/tests/syscall_faults/listener_faults_test.cpp
+++ b/tests/syscall_faults/listener_faults_test.cpp
@@ -28,7 +28,7 @@
 
     ListenerRig()
         : listener(io, loopback(), budget, bytes, timers, clock, kLongest,
-                   {[](const RequestHead&) { return std::optional<Problem>(); },
+                   {[](const RequestHead&) { return std::optional<RequestProblem>(); },
                     [this](RequestId id, const HttpRequest&, Arrival) { arrived(id); },
                     [this](RequestId id) { gone.push_back(id); }, [] { return true; }}) {
         arrived = [this](RequestId id) { answer(id); };
@@ -98,7 +98,7 @@
 TEST(ThrowingHandlers, AnExceptionFromAJudgementOfTheHeadIsAnsweredAtOnce) {
     ListenerRig rig;
     Listener::Handlers handlers;
-    handlers.problem = [](const RequestHead&) -> std::optional<Problem> { throw std::bad_alloc(); };
+    handlers.problem = [](const RequestHead&) -> std::optional<RequestProblem> { throw std::bad_alloc(); };
     handlers.arrived = [](RequestId, const HttpRequest&, Arrival) { ADD_FAILURE() << "not judged"; };
     handlers.gone = [](RequestId) {};
     handlers.ready = [] { return true; };
--- a/tests/websocket/fuzz.cpp
+++ b/tests/websocket/fuzz.cpp
@@ -25,12 +25,12 @@
 }
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
-    static const elmbay::balancer::Site site = test::site();
+    static const elmbay::balancer::DeploymentSettings deployment = test::deployment();
     const std::string_view text(reinterpret_cast<const char*>(data), size);
     if (const auto head = test::parsed_ask(text); head && asks_upgrade(*head)) {
         const auto offered = offered_by(*head);
         if (offered.size() > kMaxSubprotocols) std::abort();
-        if (!upgrade_problem(*head, site, {})) {
+        if (!validate_upgrade(*head, deployment, {})) {
             http::fields into;
             ask_server(into, *head, 250);
             for (const auto& f : into)
--- a/tests/websocket/handshake_test.cpp
+++ b/tests/websocket/handshake_test.cpp
@@ -13,7 +13,7 @@
 using test::ask;
 using test::parsed_answer;
 using test::parsed_ask;
-using test::site;
+using test::deployment;
 
 struct Case {
     const char* name;
@@ -29,7 +29,7 @@
     const auto head = parsed_ask(ask(c.from, c.to));
     ASSERT_TRUE(head) << "Beast takes it for a request";
     const auto problem =
-        upgrade_problem(*head, site(), {"https://archive.example", "https://other.example:8443"});
+        validate_upgrade(*head, deployment(), {"https://archive.example", "https://other.example:8443"});
     EXPECT_EQ(problem ? static_cast<unsigned>(problem->status) : 0U, c.status)
         << (problem ? problem->words : "");
 }
@@ -97,7 +97,7 @@
 TEST(Ask, WithoutAListEveryOriginMayCome) {
     const auto head = parsed_ask(ask("Host: app.svc\r\n", "Host: app.svc\r\nOrigin: https://anywhere\r\n"));
     ASSERT_TRUE(head);
-    EXPECT_FALSE(upgrade_problem(*head, site(), {}));
+    EXPECT_FALSE(validate_upgrade(*head, deployment(), {}));
 }
 
 TEST(Ask, OnlyWhatNamesWebSocketAsksForIt) {
--- a/tests/websocket/heads.hpp
+++ b/tests/websocket/heads.hpp
@@ -8,19 +8,19 @@
 
 namespace elmbay::websocket::test {
 
-inline balancer::Site site() {
+inline balancer::DeploymentSettings deployment() {
     using balancer::Idempotency;
-    balancer::Site site;
+    balancer::DeploymentSettings deployment;
     for (const auto& [name, idempotency] : {std::pair{"safe", Idempotency::idempotent},
                                             {"unsafe", Idempotency::non_idempotent},
                                             {"keyed", Idempotency::idempotency_key}}) {
         balancer::RequestClass c;
         c.idempotency = idempotency;
-        site.settings.classes.push_back(c);
-        site.classes.emplace_back(name);
-        site.give_up.push_back(1000);
+        deployment.settings.classes.push_back(c);
+        deployment.classes.emplace_back(name);
+        deployment.give_up.push_back(1000);
     }
-    return site;
+    return deployment;
 }
 
 inline std::string replaced(std::string text, const std::string& from, const std::string& to) {
