--- a/bench/state_cost.cpp
+++ b/bench/state_cost.cpp
@@ -60,7 +60,8 @@
         }
         if (id % 500 != 0) continue;
         const auto from = Steady::now();
-        state::Snapshot snapshot{"n-1", {static_cast<std::int64_t>(now), 0, {}}, balancer.learned_state(now), {}};
+        state::Snapshot snapshot{
+            "n-1", {static_cast<std::int64_t>(now), 0, {}}, balancer.learned_state(now), {}};
         took.push_back(micros(Steady::now() - from));
         for (LearnedServerState& s : snapshot.learned_state.servers) {
             snapshot.uids.push_back("s-" + std::to_string(s.server));
--- a/include/elmbay/balancer.hpp
+++ b/include/elmbay/balancer.hpp
@@ -55,13 +55,13 @@
     std::vector<RequestClass> classes;  // at least one
     std::vector<Tenant> tenants;        // may be empty
     std::optional<ZoneId> my_zone;
-    std::uint32_t siblings = 1;      // sidecars that share these servers, this one included
-    bool list_on_request = false;    // the server list must be subscribed to
-    std::uint32_t max_attempts = 3;  // for one request, the first included
-    bool allow_hedging = false;     // two attempts of one request may be out together
-    bool may_cancel = true;          // Cancel is permitted
-    double slow_start_min_share = 1;            // a starting server has at least this share of its capacity, 0 to 1
-    Millis slow_start_duration = 0;          // and all of it after this
+    std::uint32_t siblings = 1;       // sidecars that share these servers, this one included
+    bool list_on_request = false;     // the server list must be subscribed to
+    std::uint32_t max_attempts = 3;   // for one request, the first included
+    bool allow_hedging = false;       // two attempts of one request may be out together
+    bool may_cancel = true;           // Cancel is permitted
+    double slow_start_min_share = 1;  // a starting server has at least this share of its capacity, 0 to 1
+    Millis slow_start_duration = 0;   // and all of it after this
     // Sessions this sidecar may hold, those that are upgrading among them: in all (0: each is refused), and
     // at one server.
     std::uint32_t max_sessions = 0, max_sessions_per_server = UINT32_MAX;
@@ -122,7 +122,7 @@
     Millis time_left = 0;                   // until the client abandons this try
     Millis effort = 0;                      // expected work, 0 if not known
     bool repeat = false;                    // known to be the client's retry
-    bool table_full = false;                  // the driver can't keep it: it needs its answer at once
+    bool table_full = false;                // the driver can't keep it: it needs its answer at once
     // Its attempts are upgrades, time_left is what they may take in all, its class says how often one may
     // take effect. Once AttemptEnded tells of a completed one, it belongs to its client until SessionEnded,
     // without a deadline.
--- a/include/elmbay/learned_state.hpp
+++ b/include/elmbay/learned_state.hpp
@@ -1,5 +1,5 @@
-// What a Balancer has learned, as a value: taken from one life of a sidecar (Balancer::learned_state) and given
-// to the next (event StateRestored). Servers are named by the caller's integers, as everywhere.
+// What a Balancer has learned, as a value: taken from one life of a sidecar (Balancer::learned_state) and
+// given to the next (event StateRestored). Servers are named by the caller's integers, as everywhere.
 //
 // Times are spans before the moment at which it was taken, so the value needs no clock. A field that is not
 // finite or out of the range stated here is as if it had not been there; nothing a file holds can make the
@@ -30,12 +30,12 @@
 
 struct LearnedState {
     std::vector<LearnedServerState> servers;  // each once
-    DecayedMean crowd;                 // warm servers' answers' time over their objective
-    double room = 0;                       // attempts that might be out, 0 to 100,000; 0: not known
-    double learned = 0;                    // the most that could be out, the same range
-    double taught_by = 0;                  // warm servers that taught it, 0 to 100,000
-    double carried = 0;                    // requests a ms that warm servers completed, 0 to 10,000
-    double retries_left = 10;              // 0 to 10
+    DecayedMean crowd;                        // warm servers' answers' time over their objective
+    double room = 0;                          // attempts that might be out, 0 to 100,000; 0: not known
+    double learned = 0;                       // the most that could be out, the same range
+    double taught_by = 0;                     // warm servers that taught it, 0 to 100,000
+    double carried = 0;                       // requests a ms that warm servers completed, 0 to 10,000
+    double retries_left = 10;                 // 0 to 10
 };
 
 }  // namespace elmbay::balancer
--- a/src/balancer/aperture.cpp
+++ b/src/balancer/aperture.cpp
@@ -57,7 +57,8 @@
     }
     count_carriers(now);
     for (const auto& [machine_type, warm] : alike_)
-        each_[machine_type] = of_[machine_type].rate(now, kRateMemory) / carriers_of_[machine_type].count(now, kRateMemory);
+        each_[machine_type] =
+            of_[machine_type].rate(now, kRateMemory) / carriers_of_[machine_type].count(now, kRateMemory);
 }
 
 // Divided by those that are left alone, what servers carried that have just gone would look like the work of
@@ -81,7 +82,8 @@
     const double mean = carried_rate(now) / std::max(1.0, carriers_.count(now, kRateMemory));
     if (alike == alike_.end()) return last == each_.end() ? mean * (all > 0 ? kUnlike : 1) : last->second;
     if (alike->second == all) return mean;
-    return of_.at(machine_type).rate(now, kRateMemory) / carriers_of_.at(machine_type).count(now, kRateMemory);
+    return of_.at(machine_type).rate(now, kRateMemory) /
+           carriers_of_.at(machine_type).count(now, kRateMemory);
 }
 
 }  // namespace elmbay::balancer
--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -276,7 +276,9 @@
     impl_->queue.purge_ended(impl_->requests);
 }
 
-LearnedState Balancer::learned_state(Millis now) const { return impl_->known(std::max(impl_->context.now(), now)); }
+LearnedState Balancer::learned_state(Millis now) const {
+    return impl_->known(std::max(impl_->context.now(), now));
+}
 
 Balancer::ResourceUsage Balancer::resource_usage() const {
     return {impl_->requests.size(), impl_->servers.size(), impl_->timers.size(), impl_->queue.size(),
--- a/src/balancer/cold_start.hpp
+++ b/src/balancer/cold_start.hpp
@@ -1,11 +1,11 @@
 // Cold start (rule 4: no cold server pushed over).
 //
-// A server of age a does at least slow_start_min_share of its work, rising evenly to all of it at slow_start_duration. It is
-// sent that share of what a warm server of its kind carries for us (not of the mean of all: what starting
-// servers lag behind must not halve their feed, and what large ones carry would fell a small one), so the sum
-// over all sidecars stays within what it can do without agreement among them. Carried, not sent or asked for:
-// in a storm of retries those are many times what a warm server can do. A token is one send; a bucket holds
-// one at most, so that nothing is saved up for a burst.
+// A server of age a does at least slow_start_min_share of its work, rising evenly to all of it at
+// slow_start_duration. It is sent that share of what a warm server of its kind carries for us (not of the
+// mean of all: what starting servers lag behind must not halve their feed, and what large ones carry would
+// fell a small one), so the sum over all sidecars stays within what it can do without agreement among them.
+// Carried, not sent or asked for: in a storm of retries those are many times what a warm server can do. A
+// token is one send; a bucket holds one at most, so that nothing is saved up for a burst.
 #pragma once
 
 #include "balancer/server.hpp"
@@ -25,7 +25,9 @@
     };
 
     explicit ColdStart(const Settings& settings)
-        : from_(settings.slow_start_min_share), within_(settings.slow_start_duration), fall_(settings.overload_multiple) {}
+        : from_(settings.slow_start_min_share),
+          within_(settings.slow_start_duration),
+          fall_(settings.overload_multiple) {}
 
     bool is_cold(const Server& s, Millis now) const {
         return within_ > 0 && now < s.process.started_at + within_;
--- a/src/balancer/latency_estimate.hpp
+++ b/src/balancer/latency_estimate.hpp
@@ -31,7 +31,8 @@
     }
 
 private:
-    std::map<std::uint32_t, DecayingAverage> machine_types_;  // nodes stay where they are: servers point at them
+    std::map<std::uint32_t, DecayingAverage>
+        machine_types_;  // nodes stay where they are: servers point at them
 };
 
 }  // namespace elmbay::balancer
--- a/src/balancer/request_table.hpp
+++ b/src/balancer/request_table.hpp
@@ -11,8 +11,8 @@
 
 /// The requests that have no final answer yet, or still have an attempt out.
 ///
-/// Owned by Balancer::Impl. Bound: what the driver takes at once (it says table_full for the rest). References
-/// stay valid until forget_ended(), which runs once after each event.
+/// Owned by Balancer::Impl. Bound: what the driver takes at once (it says table_full for the rest).
+/// References stay valid until forget_ended(), which runs once after each event.
 class RequestTable {
 public:
     /// Adds a request, with its place in the order of arrival. nullptr if the id is known already.
--- a/src/balancer/server_table.hpp
+++ b/src/balancer/server_table.hpp
@@ -18,7 +18,8 @@
 /// one goes. Bound: the list's length (the driver's limit) and what is outstanding at servers that left it.
 class ServerTable {
 public:
-    ServerTable(Random& random, LatencyEstimate& pace, LearnedStateRestorer& restorer, Aperture& aperture, ServerAges& ages)
+    ServerTable(Random& random, LatencyEstimate& pace, LearnedStateRestorer& restorer, Aperture& aperture,
+                ServerAges& ages)
         : random_(&random), pace_(&pace), restorer_(&restorer), aperture_(&aperture), ages_(&ages) {}
 
     /// Takes in a list of any kind but failed. The pool has to be drawn anew next.
--- a/src/base/config.hpp
+++ b/src/base/config.hpp
@@ -39,7 +39,7 @@
     std::uint64_t rev = 0;
     bool all = false;
     std::vector<Target> targets;
-    std::size_t passed_over = 0;                                   // targets beyond kMaxTargets
+    std::size_t passed_over = 0;                                      // targets beyond kMaxTargets
     Millis list_age_bound = std::numeric_limits<Millis>::infinity();  // balancer::ServerList's
 };
 // Targets that are taken of one list: three times what a sidecar keeps listed (EndpointRegistry). An
--- a/src/base/failpoints.hpp
+++ b/src/base/failpoints.hpp
@@ -1,6 +1,6 @@
 // Faults planted on purpose, to prove that the tests of many processes find them. Only a build with
-// ELMBAY_FAILPOINTS (tests/process_testbed's own) knows any; in every other failpoint_enabled() is false for the
-// compiler.
+// ELMBAY_FAILPOINTS (tests/process_testbed's own) knows any; in every other failpoint_enabled() is false for
+// the compiler.
 #pragma once
 
 #ifdef ELMBAY_FAILPOINTS
--- a/src/base/learned_state.hpp
+++ b/src/base/learned_state.hpp
@@ -5,9 +5,8 @@
 
 namespace elmbay::balancer {
 
-// Each field in the range that learned_state.hpp states; one that was not, or was not finite, is as if it had not
-// been known. At most kMaxRememberedServers, the first
-// of them.
+// Each field in the range that learned_state.hpp states; one that was not, or was not finite, is as if it had
+// not been known. At most kMaxRememberedServers, the first of them.
 LearnedState sound(LearnedState learned_state);
 
 constexpr std::size_t kMaxRememberedServers = 4096;  // as many as a sidecar lists
--- a/src/engine/engine.cpp
+++ b/src/engine/engine.cpp
@@ -10,47 +10,49 @@
 
 using namespace elmbay::balancer;
 
-Engine::Engine(Settings settings, std::uint64_t seed, Port& port)
-    : port_(port), balancer_(std::move(settings), seed) {}
+Engine::Engine(Settings settings, std::uint64_t seed, ActionHandler& port)
+    : action_handler_(port), balancer_(std::move(settings), seed) {}
 
-void Engine::begin(Millis now) { give(now, Started{}); }
+void Engine::begin(Millis now) { dispatch(now, Started{}); }
 
 void Engine::restore_state(Millis now, LearnedState learned_state, Millis age) {
-    give(now, StateRestored{std::move(learned_state), age});
+    dispatch(now, StateRestored{std::move(learned_state), age});
 }
 
-void Engine::take(Millis now, const RequestArrived& request) {
-    if (requests_.try_emplace(request.id).second) give(now, request);
+void Engine::on_request(Millis now, const RequestArrived& request) {
+    if (requests_.try_emplace(request.id).second) dispatch(now, request);
 }
 
-void Engine::client_gone(Millis now, RequestId id) {
+void Engine::on_client_disconnected(Millis now, RequestId id) {
     const auto at = requests_.find(id);
     if (at == requests_.end() || at->second.over) return;
     at->second.over = true;
-    give(now, ClientDisconnected{id});
+    dispatch(now, ClientDisconnected{id});
     settle(id);
 }
 
-void Engine::attempt_ended(Millis now, AttemptKey key, Outcome outcome, Millis duration) {
+void Engine::on_attempt_ended(Millis now, AttemptKey key, Outcome outcome, Millis duration) {
     const auto at = requests_.find(key.request);
     if (at == requests_.end()) return;
     Request& r = at->second;
     --r.out;
     r.last = outcome;
-    if (outcome == Outcome::success) finish(key.request, {Final::Kind::served});
-    give(now, AttemptEnded{key.request, key.number, outcome, duration, r.over});
+    if (outcome == Outcome::success) finish(key.request, {FinalOutcome::Kind::success});
+    dispatch(now, AttemptEnded{key.request, key.number, outcome, duration, r.over});
     settle(key.request);
 }
 
-void Engine::session_ended(Millis now, RequestId id, bool broken) { give(now, SessionEnded{id, broken}); }
+void Engine::on_session_ended(Millis now, RequestId id, bool broken) {
+    dispatch(now, SessionEnded{id, broken});
+}
 
-void Engine::listed(Millis now, ServerList list) { give(now, std::move(list)); }
+void Engine::on_endpoint_list(Millis now, ServerList list) { dispatch(now, std::move(list)); }
 
-void Engine::siblings_known(Millis now, std::uint32_t count) { give(now, SiblingsKnown{count}); }
+void Engine::on_sibling_count(Millis now, std::uint32_t count) { dispatch(now, SiblingsKnown{count}); }
 
-void Engine::timer_fired(Millis now, TimerToken token) { give(now, TimerFired{token}); }
+void Engine::on_timer(Millis now, TimerToken token) { dispatch(now, TimerFired{token}); }
 
-void Engine::give(Millis now, Event event) {
+void Engine::dispatch(Millis now, Event event) {
     events_.push_back({now, std::move(event)});
     if (handling_) return;  // an action brought it about: it comes after this event's other actions
     handling_ = true;
@@ -67,43 +69,45 @@
 }
 
 void Engine::run(const Action& action) {
-    std::visit(Visitor{[this](const StartAttempt& a) {
-                           const auto at = requests_.find(a.id);
-                           if (at == requests_.end()) return;
-                           ++at->second.out;
-                           port_.start({a.id, at->second.sent++}, a.server, a.attempt_deadline, a.write_by);
-                           if (failpoint_enabled("twice")) {
-                               ++at->second.out;
-                               port_.start({a.id, at->second.sent++}, a.server, a.attempt_deadline, a.write_by);
-                           }
-                       },
-                       [this](const Cancel& a) {
-                           port_.cancel({a.id, a.attempt});
-                       },
-                       [this](const Reject& a) {
-                           finish(a.id, {Final::Kind::refused, a.retry_after});
-                           settle(a.id);
-                       },
-                       [this](const Fail& a) {
-                           const auto at = requests_.find(a.id);
-                           const bool timed_out =
-                               at != requests_.end() &&
-                               (at->second.out > 0 || at->second.last == Outcome::timed_out);
-                           finish(a.id, {Final::Kind::failed, 0, timed_out});
-                           settle(a.id);
-                       },
-                       [this](const SetTimer& a) { port_.set_timer(a.at, a.token); },
-                       [this](const Subscribe& a) { port_.subscribe(a.active); }, [](const Log&) {}},
-               action);
+    std::visit(
+        Visitor{
+            [this](const StartAttempt& a) {
+                const auto at = requests_.find(a.id);
+                if (at == requests_.end()) return;
+                ++at->second.out;
+                action_handler_.start({a.id, at->second.sent++}, a.server, a.attempt_deadline, a.write_by);
+                if (failpoint_enabled("twice")) {
+                    ++at->second.out;
+                    action_handler_.start({a.id, at->second.sent++}, a.server, a.attempt_deadline,
+                                          a.write_by);
+                }
+            },
+            [this](const Cancel& a) {
+                action_handler_.cancel({a.id, a.attempt});
+            },
+            [this](const Reject& a) {
+                finish(a.id, {FinalOutcome::Kind::rejected, a.retry_after});
+                settle(a.id);
+            },
+            [this](const Fail& a) {
+                const auto at = requests_.find(a.id);
+                const bool timed_out =
+                    at != requests_.end() && (at->second.out > 0 || at->second.last == Outcome::timed_out);
+                finish(a.id, {FinalOutcome::Kind::failed, 0, timed_out});
+                settle(a.id);
+            },
+            [this](const SetTimer& a) { action_handler_.set_timer(a.at, a.token); },
+            [this](const Subscribe& a) { action_handler_.subscribe(a.active); }, [](const Log&) {}},
+        action);
 }
 
 // The only way to the caller: the first outcome is the final one.
-void Engine::finish(RequestId id, const Final& outcome) {
+void Engine::finish(RequestId id, const FinalOutcome& outcome) {
     const auto at = requests_.find(id);
     if (at == requests_.end() || at->second.over) return;
     at->second.over = true;
     if (failpoint_enabled("lose") && id % 5 == 0) return;
-    port_.finish(id, outcome);
+    action_handler_.finish(id, outcome);
 }
 
 // What has its outcome and nothing out leaves no trace.
@@ -111,7 +115,7 @@
     const auto at = requests_.find(id);
     if (at == requests_.end() || !at->second.over || at->second.out > 0) return;
     requests_.erase(at);
-    port_.forget(id);
+    action_handler_.forget(id);
 }
 
 }  // namespace elmbay::engine
--- a/src/fault_proxy/datagram_net.cpp
+++ b/src/fault_proxy/datagram_net.cpp
@@ -14,7 +14,8 @@
 
 }  // namespace
 
-DatagramNet::DatagramNet(EventLoopContext& context, udp::endpoint everybody) : context_(context), everybody_(context.io()) {
+DatagramNet::DatagramNet(EventLoopContext& context, udp::endpoint everybody)
+    : context_(context), everybody_(context.io()) {
     open(everybody_, everybody);
     receive_all();
 }
@@ -119,13 +120,13 @@
         held->bytes = std::move(copy);
         // With nothing behind it a held one goes after its time; with no time either it would never.
         held->timer = context_.at(context_.now() + std::max(d.after, d.behind > 0 ? 1.0 : 0.0),
-                                 [this, here = here_, link, weak = std::weak_ptr(held)] {
-                                     const auto late = weak.lock();
-                                     if (!*here || !late) return;
-                                     late->timer = {};
-                                     std::erase(links_[link].held, late);
-                                     pass(link, std::move(late->bytes));
-                                 });
+                                  [this, here = here_, link, weak = std::weak_ptr(held)] {
+                                      const auto late = weak.lock();
+                                      if (!*here || !late) return;
+                                      late->timer = {};
+                                      std::erase(links_[link].held, late);
+                                      pass(link, std::move(late->bytes));
+                                  });
         state.held.push_back(held);
     }
     release(link);
--- a/src/fault_proxy/event_loop_context.hpp
+++ b/src/fault_proxy/event_loop_context.hpp
@@ -1,5 +1,6 @@
 // The driver's common ground: one loop, one clock that begins at 0, one set of rules, and all links that must
-// look again when a rule changes or a time comes. Not thread-safe: everything of one EventLoopContext runs in its loop.
+// look again when a rule changes or a time comes. Not thread-safe: everything of one EventLoopContext runs in
+// its loop.
 #pragma once
 
 #include <array>
--- a/src/fault_proxy/script.hpp
+++ b/src/fault_proxy/script.hpp
@@ -1,4 +1,5 @@
-// A file of links and rules: TOML by one table of keys (schema.hpp), for `elmbay_fault_proxy` and for incidents.
+// A file of links and rules: TOML by one table of keys (schema.hpp), for `elmbay_fault_proxy` and for
+// incidents.
 //
 //     [[link]]
 //     from = "n-0"
--- a/src/fault_proxy/stream_link.hpp
+++ b/src/fault_proxy/stream_link.hpp
@@ -16,8 +16,8 @@
 #include <set>
 #include <vector>
 
-#include "fault_proxy/flow.hpp"
 #include "fault_proxy/event_loop_context.hpp"
+#include "fault_proxy/flow.hpp"
 
 namespace elmbay::fault_proxy {
 
--- a/src/http/request_validation.cpp
+++ b/src/http/request_validation.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-using balancer::Idempotency;
 using balancer::DeploymentSettings;
+using balancer::Idempotency;
 
 constexpr std::size_t kLongestId = 256;  // of an id or key; the protocol's have 16 and 32 characters
 // On a slow or shared core a short time must not go to the margin whole.
@@ -44,17 +44,20 @@
     return std::to_string(static_cast<std::int64_t>(left * 1000)) + "u";
 }
 
-std::optional<RequestProblem> validate_request(const RequestHead& head, const DeploymentSettings& deployment) {
+std::optional<RequestProblem> validate_request(const RequestHead& head,
+                                               const DeploymentSettings& deployment) {
     const bool get = head.method() == http::verb::get;
     if (!get && head.method() != http::verb::post)
         return RequestProblem{http::status::method_not_allowed, "GET or POST\n"};
     if (const auto problem = validate_headers(head, deployment)) return problem;
-    if (get != (deployment.settings.classes[class_of(head, deployment)].idempotency == Idempotency::idempotent))
+    if (get !=
+        (deployment.settings.classes[class_of(head, deployment)].idempotency == Idempotency::idempotent))
         return RequestProblem{http::status::bad_request, "the method is not that of the class\n"};
     return {};
 }
 
-std::optional<RequestProblem> validate_headers(const RequestHead& head, const DeploymentSettings& deployment) {
+std::optional<RequestProblem> validate_headers(const RequestHead& head,
+                                               const DeploymentSettings& deployment) {
     const auto bad = [](const char* words) { return RequestProblem{http::status::bad_request, words}; };
     for (const char* name : {kId, kClass, kTimeLeft, kKey})
         if (head.count(name) > 1) return bad("a header that may stand once is repeated\n");
@@ -69,16 +72,16 @@
     return {};
 }
 
-balancer::RequestArrived describe(RequestId id, const RequestHead& head, const DeploymentSettings& deployment, Millis margin,
-                                  Millis waited) {
+balancer::RequestArrived describe(RequestId id, const RequestHead& head, const DeploymentSettings& deployment,
+                                  Millis margin, Millis kernel_queue_time) {
     balancer::RequestArrived event;
     event.id = id;
     event.class_index = static_cast<std::uint32_t>(class_of(head, deployment));
     // A client never waits longer than its class is worth waiting for; what it says is not trusted beyond
     // that.
-    const Millis left =
-        std::min(parse_time_left(field(head, kTimeLeft)).value_or(0), deployment.give_up.at(event.class_index));
-    event.time_left = std::max(1.0, left - std::min(margin, left * kMaxMarginShare) - waited);
+    const Millis left = std::min(parse_time_left(field(head, kTimeLeft)).value_or(0),
+                                 deployment.give_up.at(event.class_index));
+    event.time_left = std::max(1.0, left - std::min(margin, left * kMaxMarginShare) - kernel_queue_time);
     if (const auto account = field(head, "X-Account"); !account.empty()) {
         const auto tenant = std::find(deployment.tenants.begin(), deployment.tenants.end(), account);
         if (tenant != deployment.tenants.end())
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -235,7 +235,7 @@
         if (id_ == 0) return;
         const RequestId gone = std::exchange(id_, 0);
         owner_.in_work_.erase(gone);
-        owner_.handlers_.gone(gone);
+        owner_.handlers_.on_client_disconnected(gone);
     }
 
     void read() {
@@ -269,7 +269,7 @@
         } else if (path != "/api" && path.substr(0, 5) != "/api/") {
             problem_ = RequestProblem{http::status::not_found, "no such path\n"};
         } else {
-            problem_ = owner_.handlers_.problem(head);
+            problem_ = owner_.handlers_.validate(head);
         }
         if (head.method() == http::verb::get && !parser_->is_done())
             problem_ = RequestProblem{http::status::bad_request, "GET with a body\n"};
@@ -332,17 +332,17 @@
             return turn_away({http::status::conflict, "X-Correlation-Id has been used\n"}, false);
         // Past kLastTaken its answer could come after the process has been killed: the decisions reject it at
         // once, like one for which there is no place.
-        const bool has_place =
+        const bool has_capacity =
             owner_.clock_.now() < owner_.taking_until_ && owner_.in_work_.size() < owner_.budget_.places();
-        const Arrival arrival{waited_in_kernel(socket_), has_place};
-        if (owner_.handlers_.takes_connection && owner_.handlers_.takes_connection(request))
-            return hand_over(std::move(request), arrival);
+        const ReceivedRequest received{waited_in_kernel(socket_), has_capacity};
+        if (owner_.handlers_.is_upgrade && owner_.handlers_.is_upgrade(request))
+            return hand_over(std::move(request), received);
         state_ = State::working;
         id_ = owner_.next_id_++;
         owner_.in_work_[id_] = this;
         const auto self = shared_from_this();
         await();  // to see the client leave
-        owner_.handlers_.arrived(id_, std::move(request), arrival);
+        owner_.handlers_.on_request(id_, std::move(request), received);
     }
 
     // An exception on a request's way (no memory, say) must not leave its client without an outcome: whoever
@@ -369,10 +369,10 @@
         if (state_ == State::writing && !response_) close();  // its answer has not begun
     }
 
-    void hand_over(HttpRequest request, Arrival arrival) {
+    void hand_over(HttpRequest request, ReceivedRequest received) {
         state_ = State::closed;
         owner_.remove(*this);
-        owner_.handlers_.upgraded(owner_.next_id_++, std::move(socket_), std::move(request), arrival);
+        owner_.handlers_.on_upgrade(owner_.next_id_++, std::move(socket_), std::move(request), received);
     }
 
     void turn_away(const RequestProblem& problem, bool last) {
@@ -442,7 +442,7 @@
     std::optional<http::request_parser<http::string_body>> parser_;
     std::optional<HttpResponse> response_;
     std::optional<ByteBudget::Grant> long_;  // for the request's body or the answer's
-    std::optional<RequestProblem> problem_;         // of the request being read
+    std::optional<RequestProblem> problem_;  // of the request being read
     RequestId id_ = 0;                       // of the request in work
     State state_ = State::idle;
     bool asked_ = false;        // a request has come from it, whatever became of that
@@ -496,7 +496,7 @@
 
 Listener::~Listener() = default;
 
-bool Listener::gone(RequestId id) const {
+bool Listener::client_disconnected(RequestId id) const {
     const auto at = in_work_.find(id);
     return !failpoint_enabled("thaw") && (at == in_work_.end() || at->second->gone());
 }
@@ -552,7 +552,7 @@
     connection->start();
 }
 
-void Listener::answer(RequestId id, HttpResponse response) {
+void Listener::respond(RequestId id, HttpResponse response) {
     const auto at = in_work_.find(id);
     if (at == in_work_.end()) return;
     Connection* connection = at->second;
--- a/src/net/listener.hpp
+++ b/src/net/listener.hpp
@@ -16,28 +16,30 @@
 #include "base/config.hpp"
 #include "base/sockets.hpp"
 #include "base/timing.hpp"
-#include "http/request_validation.hpp"
 #include "http/message.hpp"
+#include "http/request_validation.hpp"
 
 namespace elmbay {
 
 // How a request came in.
-struct Arrival {
-    Millis waited = 0;      // in the kernel since its last byte came, in ms; 0 where the kernel does not tell
-    bool has_place = true;  // false: taken in on the reserve of sockets, it must have its answer at once
+struct ReceivedRequest {
+    Millis kernel_queue_time =
+        0;  // in the kernel since its last byte came, in ms; 0 where the kernel does not tell
+    bool has_capacity = true;  // false: taken in on the reserve of sockets, it must have its answer at once
 };
 
 class Listener {
 public:
     struct Handlers {
-        std::function<std::optional<RequestProblem>(const RequestHead&)> problem;  // why it can't be used
-        std::function<void(RequestId, HttpRequest, Arrival)> arrived;  // each gets one answer() or gone()
-        std::function<void(RequestId)> gone;
+        std::function<std::optional<RequestProblem>(const RequestHead&)> validate;  // why it can't be used
+        std::function<void(RequestId, HttpRequest, ReceivedRequest)>
+            on_request;  // each gets one respond() or on_client_disconnected()
+        std::function<void(RequestId)> on_client_disconnected;
         std::function<bool()> ready;  // for GET /up
-        // Whether a request without a problem asks for the connection itself; none: never. Then `upgraded`
-        // gets both, in place of `arrived`, and answers them.
-        std::function<bool(const RequestHead&)> takes_connection{};
-        std::function<void(RequestId, asio::ip::tcp::socket, HttpRequest, Arrival)> upgraded{};
+        // Whether a request without a problem asks for the connection itself; none: never. Then `on_upgrade`
+        // gets both, in place of `on_request`, and answers them.
+        std::function<bool(const RequestHead&)> is_upgrade{};
+        std::function<void(RequestId, asio::ip::tcp::socket, HttpRequest, ReceivedRequest)> on_upgrade{};
     };
 
     // A port that is taken is waited for: a planned restart may begin before the last life has ended
@@ -52,7 +54,7 @@
     Listener& operator=(const Listener&) = delete;
 
     // The final answer. Without effect where the client has gone.
-    void answer(RequestId id, HttpResponse response);
+    void respond(RequestId id, HttpResponse response);
 
     // Goes on accepting for kLinger, answers with Connection: close, takes nothing more after kLastTaken, and
     // calls done once no connection is left. The platform kills no sooner than the longest deadline and 0.7 s
@@ -62,7 +64,7 @@
 
     // Whether its client has closed, or ended its sending, which is the same, or has sent more, which ends
     // its request; looks at the socket itself, ahead of the event that tells.
-    bool gone(RequestId id) const;
+    bool client_disconnected(RequestId id) const;
 
     Endpoint local_endpoint() const { return acceptor_.local_endpoint(); }
     std::size_t connections() const { return fresh_.size() + kept_.size(); }
--- a/src/net/upstream.cpp
+++ b/src/net/upstream.cpp
@@ -319,8 +319,8 @@
 
 std::size_t Upstream::idle_connections() const { return idle_.size(); }
 
-void Upstream::start(AttemptKey key, ServerId to, Millis until, Millis write_by,
-                     std::shared_ptr<const HttpRequest> request) {
+void Upstream::start_attempt(AttemptKey key, ServerId to, Millis until, Millis write_by,
+                             std::shared_ptr<const HttpRequest> request) {
     auto attempt = std::make_unique<Attempt>();
     attempt->key = key;
     attempt->server = to;
@@ -344,7 +344,7 @@
     while (!server.waiting.empty()) {
         Attempt& attempt = *attempts_.at(server.waiting.front());
         const bool too_late = clock_.now() >= std::min(attempt.until, attempt.write_by);
-        if (!server.may_send || too_late || gate_.caller_gone(attempt.key.request)) {
+        if (!server.may_send || too_late || gate_.client_disconnected(attempt.key.request)) {
             // Told leaving or gone while the attempt waited for its connection, or nobody wants it any more.
             // The timer that ends it may come later: a process that was held up hears of connections first.
             server.waiting.pop_front();
@@ -437,7 +437,7 @@
     end(attempt, Outcome::timed_out);
 }
 
-void Upstream::cancel(AttemptKey key) {
+void Upstream::cancel_attempt(AttemptKey key) {
     const auto at = attempts_.find(key);
     if (at == attempts_.end()) return;
     Attempt& attempt = *at->second;
--- a/src/net/upstream.hpp
+++ b/src/net/upstream.hpp
@@ -38,7 +38,7 @@
         std::function<bool()> list_unread = [] {
             return false;
         };  // the list has said something that has not been read
-        std::function<bool(RequestId)> caller_gone = [](RequestId) {
+        std::function<bool(RequestId)> client_disconnected = [](RequestId) {
             return false;
         };  // its caller has closed, whether or not that was handled
     };
@@ -60,10 +60,10 @@
 
     // Of a server that set_server() has named. Ends as overdue at until, unless something else ends it
     // before. Its last byte is handed to the kernel before write_by, or it ends as superseded.
-    void start(AttemptKey key, ServerId server, Millis until, Millis write_by,
-               std::shared_ptr<const HttpRequest> request);
+    void start_attempt(AttemptKey key, ServerId server, Millis until, Millis write_by,
+                       std::shared_ptr<const HttpRequest> request);
     // Closes the attempt's connection before it returns; the attempt ends as recalled.
-    void cancel(AttemptKey key);
+    void cancel_attempt(AttemptKey key);
 
     std::size_t idle_connections() const;
 
--- a/src/process_testbed/chaos.cpp
+++ b/src/process_testbed/chaos.cpp
@@ -19,7 +19,8 @@
                                              "break", "freeze",  "thaw",    "kill", "starve",
                                              "drain", "restore", "conduct", "wait"};
 constexpr std::array<const char*, 3> kGrades{"listen", "deposit", "annotate"};
-constexpr std::array<ServerBehavior, 4> kConducts{ServerBehavior::serve, ServerBehavior::fail, ServerBehavior::turn_away, ServerBehavior::mute};
+constexpr std::array<ServerBehavior, 4> kConducts{ServerBehavior::serve, ServerBehavior::fail,
+                                                  ServerBehavior::turn_away, ServerBehavior::mute};
 constexpr std::uint64_t kLongestWait = 400;  // ms: beyond the drain grace with the next one's
 constexpr std::uint64_t kAnswerBytes = 90;   // about the length of an answer's head and body
 
@@ -134,8 +135,8 @@
     balancer::Random random(seed);
     Schedule schedule;
     // What happens alone hardly ever shows: half of the deeds are requests, with little time between.
-    constexpr Kind kFaults[] = {Kind::cut,      Kind::cut,    Kind::split,   Kind::heal,   Kind::reset,
-                                Kind::break_at, Kind::freeze, Kind::thaw,    Kind::thaw,   Kind::kill,
+    constexpr Kind kFaults[] = {Kind::cut,      Kind::cut,    Kind::split,   Kind::heal,    Kind::reset,
+                                Kind::break_at, Kind::freeze, Kind::thaw,    Kind::thaw,    Kind::kill,
                                 Kind::starve,   Kind::drain,  Kind::restore, Kind::behavior};
     while (schedule.size() < deeds) {
         FaultStep d;
--- a/src/process_testbed/chaos.hpp
+++ b/src/process_testbed/chaos.hpp
@@ -1,6 +1,6 @@
-// Schedules of faults drawn from a seed, played on the program's processes, and the request_history looked at after
-// each. A schedule that fails is shrunk to a smallest one that still does, and written down to be kept as a
-// test.
+// Schedules of faults drawn from a seed, played on the program's processes, and the request_history looked at
+// after each. A schedule that fails is shrunk to a smallest one that still does, and written down to be kept
+// as a test.
 #pragma once
 
 #include <string>
@@ -22,12 +22,12 @@
         break_at,  // answers of server b end before byte `value`, by reset or half-close
         freeze,
         thaw,
-        kill,     // and started again at once
-        starve,   // a: sidecar; value: percent of its core
-        drain,    // b: server
-        restore,  // b: server is active again
+        kill,      // and started again at once
+        starve,    // a: sidecar; value: percent of its core
+        drain,     // b: server
+        restore,   // b: server is active again
         behavior,  // b: server; value: serve, fail, turn away, mute
-        wait      // value: ms
+        wait       // value: ms
     };
     Kind kind = Kind::wait;
     std::size_t a = 0, b = 0;
--- a/src/process_testbed/process_testbed.cpp
+++ b/src/process_testbed/process_testbed.cpp
@@ -104,7 +104,8 @@
         testbed_.request_history().turned_away(now, id, name_);
         return connection->respond("503 Service Unavailable", "X-Unprocessed: 1\r\n", "");
     }
-    if (behavior == ServerBehavior::fail) return connection->respond("500 Internal Server Error", "", "failed\n");
+    if (behavior == ServerBehavior::fail)
+        return connection->respond("500 Internal Server Error", "", "failed\n");
     testbed_.request_history().done(now, id, name_);
     if (behavior == ServerBehavior::mute) return;
     const std::string text = id + " " + name_ + "\n" + std::string(body, 'x');
@@ -264,18 +265,21 @@
           socket_(testbed.io_) {}
 
     void begin(const tcp::endpoint& at) {
-        limit_ = testbed_->context_.at(testbed_->now() + patience_ + kLateAnswer, [self = shared_from_this()] {
-            self->limit_ = {};
-            if (self->testbed_)
-                self->end(std::nullopt,
-                          [&] { self->testbed_->request_history_.silence(self->testbed_->now(), self->id_); });
-        });
+        limit_ =
+            testbed_->context_.at(testbed_->now() + patience_ + kLateAnswer, [self = shared_from_this()] {
+                self->limit_ = {};
+                if (self->testbed_)
+                    self->end(std::nullopt, [&] {
+                        self->testbed_->request_history_.silence(self->testbed_->now(), self->id_);
+                    });
+            });
         if (leaves_ > 0)
             leaving_ = testbed_->context_.at(testbed_->now() + leaves_, [self = shared_from_this()] {
                 self->leaving_ = {};
                 if (self->testbed_)
-                    self->end(std::nullopt,
-                              [&] { self->testbed_->request_history_.left(self->testbed_->now(), self->id_); });
+                    self->end(std::nullopt, [&] {
+                        self->testbed_->request_history_.left(self->testbed_->now(), self->id_);
+                    });
             });
         if (auto kept = testbed_->kept_connection(sidecar_)) {
             socket_ = std::move(*kept);
@@ -285,8 +289,9 @@
             if (!self->testbed_) return;
             // Not taken: nothing is owed.
             if (error)
-                return self->end(std::nullopt,
-                                 [&] { self->testbed_->request_history_.left(self->testbed_->now(), self->id_); });
+                return self->end(std::nullopt, [&] {
+                    self->testbed_->request_history_.left(self->testbed_->now(), self->id_);
+                });
             Error ignored;
             self->socket_.set_option(tcp::no_delay(true), ignored);
             self->write();
@@ -315,7 +320,9 @@
         const Millis now = testbed_->now();
         if (error && bytes == 0 && buffer_.size() == 0)
             return end(std::nullopt, [&] { testbed_->request_history_.closed(now, id_); });
-        if (error) return end(Answer::cut, [&] { testbed_->request_history_.answered(now, id_, Answer::cut, true); });
+        if (error)
+            return end(Answer::cut,
+                       [&] { testbed_->request_history_.answered(now, id_, Answer::cut, true); });
         const auto& response = parser_.get();
         const int status = response.result_int();
         const Answer answer = status == 200                    ? Answer::served
@@ -343,7 +350,8 @@
     fault_proxy::EventLoopContext::Key limit_{}, leaving_{};
 };
 
-// ---- the testbed --------------------------------------------------------------------------------------------
+// ---- the testbed
+// --------------------------------------------------------------------------------------------
 
 namespace {
 
@@ -408,7 +416,7 @@
 }
 
 void ProcessTestbed::add_link(const std::string& from, const std::string& to, tcp::endpoint target,
-                     std::optional<asio::ip::address> listen) {
+                              std::optional<asio::ip::address> listen) {
     links_[{from, to}] = std::make_unique<fault_proxy::StreamLink>(
         context_, Link{from, to}, tcp::endpoint(listen.value_or(target.address()), 0), target);
 }
@@ -433,7 +441,8 @@
 }
 
 // An attempt is out from its last byte, as the sidecar's end of the link saw it, to its answer or its end.
-void ProcessTestbed::watch_attempts(fault_proxy::StreamLink& link, const std::string& sidecar, const std::string& server) {
+void ProcessTestbed::watch_attempts(fault_proxy::StreamLink& link, const std::string& sidecar,
+                                    const std::string& server) {
     struct Seen {
         std::map<std::uint64_t, RequestReader> requests;
         std::map<std::uint64_t, std::unique_ptr<http::response_parser<http::string_body>>> answers;
@@ -650,7 +659,8 @@
     Sidecar& s = sidecars_[i];
     context_.cancel(s.duty);
     s.share = share;
-    request_history_.note(now(), sidecar_name(i), "has " + std::to_string(share) + " of its core from now on");
+    request_history_.note(now(), sidecar_name(i),
+                          "has " + std::to_string(share) + " of its core from now on");
     if (share >= 1) return s.process->thaw();
     duty(i, false);
 }
@@ -729,10 +739,10 @@
     if (keyed) text += "Idempotency-Key: " + (a.key.empty() ? "k-" + id : a.key) + "\r\n";
     text += safe ? "\r\n" : "Content-Length: 4\r\n\r\nbody";
     request_history_.asked(now(), id,
-                  safe    ? Idempotency::idempotent
-                  : keyed ? Idempotency::idempotency_key
-                          : Idempotency::non_idempotent,
-                  sidecar_name(i), patience);
+                           safe    ? Idempotency::idempotent
+                           : keyed ? Idempotency::idempotency_key
+                                   : Idempotency::non_idempotent,
+                           sidecar_name(i), patience);
     outcomes_[id];
     const auto caller = std::make_shared<Client>(*this, i, id, std::move(text), patience, a.leaves);
     std::erase_if(clients_, [](const auto& weak) { return weak.expired(); });
@@ -760,7 +770,9 @@
 }
 
 bool ProcessTestbed::ended(const std::string& id) const { return outcomes_.at(id).ended; }
-std::optional<RequestHistory::Answer> ProcessTestbed::answer(const std::string& id) const { return outcomes_.at(id).answer; }
+std::optional<RequestHistory::Answer> ProcessTestbed::answer(const std::string& id) const {
+    return outcomes_.at(id).answer;
+}
 
 // One step of the loop, and the request_history after it.
 bool ProcessTestbed::step(Millis limit) {
@@ -792,7 +804,8 @@
 
 std::string ProcessTestbed::violations() const {
     std::string text;
-    for (const RequestHistory::Violation& v : request_history_.violations()) text += v.id + ": " + v.what + "\n";
+    for (const RequestHistory::Violation& v : request_history_.violations())
+        text += v.id + ": " + v.what + "\n";
     return text;
 }
 
--- a/src/process_testbed/process_testbed.hpp
+++ b/src/process_testbed/process_testbed.hpp
@@ -22,10 +22,10 @@
 #include <string>
 #include <vector>
 
-#include "process_testbed/request_history.hpp"
-#include "process_testbed/process.hpp"
 #include "fault_proxy/datagram_net.hpp"
 #include "fault_proxy/stream_link.hpp"
+#include "process_testbed/process.hpp"
+#include "process_testbed/request_history.hpp"
 
 namespace elmbay::process_testbed {
 
@@ -105,11 +105,13 @@
     // ---- callers
     struct ClientRequest {
         std::string request_class = "listen";  // deposit, annotate
-        Millis patience = 0;           // 0: that of the options
-        Millis leaves = 0;             // closes its connection after so long; 0: stays
-        std::string key{};             // of annotate; empty: its own
+        Millis patience = 0;                   // 0: that of the options
+        Millis leaves = 0;                     // closes its connection after so long; 0: stays
+        std::string key{};                     // of annotate; empty: its own
     };
-    std::string ask(std::size_t sidecar, const std::string& request_class) { return ask(sidecar, ClientRequest{request_class}); }
+    std::string ask(std::size_t sidecar, const std::string& request_class) {
+        return ask(sidecar, ClientRequest{request_class});
+    }
     std::string ask(std::size_t sidecar, const ClientRequest& ask);
     bool ended(const std::string& id) const;
     std::optional<RequestHistory::Answer> answer(const std::string& id) const;
--- a/src/process_testbed/request_history.cpp
+++ b/src/process_testbed/request_history.cpp
@@ -25,10 +25,12 @@
     event(now, "ledger", id, "BROKEN: " + what);
 }
 
-void RequestHistory::note(Millis now, const std::string& who, const std::string& text) { event(now, who, "", text); }
+void RequestHistory::note(Millis now, const std::string& who, const std::string& text) {
+    event(now, who, "", text);
+}
 
-void RequestHistory::asked(Millis now, const std::string& id, Idempotency idempotency, const std::string& sidecar,
-                   Millis patience) {
+void RequestHistory::asked(Millis now, const std::string& id, Idempotency idempotency,
+                           const std::string& sidecar, Millis patience) {
     Request& r = requests_[id];
     r.idempotency = idempotency, r.sidecar = sidecar, r.asked = now, r.until = now + patience;
     r.excused = frozen_.contains(sidecar);
--- a/src/sidecar/endpoint_registry.hpp
+++ b/src/sidecar/endpoint_registry.hpp
@@ -50,7 +50,8 @@
     };
 
     // zones, kinds: the names that have numbers already.
-    explicit EndpointRegistry(std::vector<std::string> zones = {}, std::vector<std::string> machine_types = {})
+    explicit EndpointRegistry(std::vector<std::string> zones = {},
+                              std::vector<std::string> machine_types = {})
         : zones_(std::move(zones)), machine_types_(std::move(machine_types)) {}
     EndpointRegistry(const EndpointRegistry&) = delete;
     EndpointRegistry& operator=(const EndpointRegistry&) = delete;
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -79,7 +79,9 @@
 }
 
 Millis longest_deadline(const DeploymentSettings& deployment) {
-    return deployment.give_up.empty() ? 0 : *std::max_element(deployment.give_up.begin(), deployment.give_up.end());
+    return deployment.give_up.empty()
+               ? 0
+               : *std::max_element(deployment.give_up.begin(), deployment.give_up.end());
 }
 
 // A list that names nobody, in the version that every list begins with, is none.
@@ -116,29 +118,31 @@
       bytes_(config_.memory / kLongShare),
       engine_(config_.deployment.settings, config_.seed, *this),
       servers_(config_.deployment.zones, config_.deployment.machine_types),
-      upstream_(
-          io, budget_, bytes_, timers_, clock_, {config_.deployment.connect_timeout, config_.deployment.idle_close},
-          [this](AttemptKey key, Outcome outcome, Millis duration, HttpResponse response) {
-              attempt_ended(key, outcome, duration, std::move(response));
-          },
-          {[this] { return discovery_.unread(); }, [this](RequestId id) { return listener_.gone(id); }}),
+      upstream_(io, budget_, bytes_, timers_, clock_,
+                {config_.deployment.connect_timeout, config_.deployment.idle_close},
+                [this](AttemptKey key, Outcome outcome, Millis duration, HttpResponse response) {
+                    on_attempt_ended(key, outcome, duration, std::move(response));
+                },
+                {[this] { return discovery_.unread(); },
+                 [this](RequestId id) { return listener_.client_disconnected(id); }}),
       websocket_(!websocket.on ? nullptr
                                : std::make_unique<websocket::Front>(
-                                     io, budget_, timers_, clock_, websocket, config_.deployment.connect_timeout,
-                                     config_.seed,
+                                     io, budget_, timers_, clock_, websocket,
+                                     config_.deployment.connect_timeout, config_.seed,
                                      websocket::Front::Handlers{
                                          [this](AttemptKey key, Outcome outcome, Millis duration) {
-                                             engine_.attempt_ended(clock_.now(), key, outcome, duration);
+                                             engine_.on_attempt_ended(clock_.now(), key, outcome, duration);
                                          },
                                          [this](RequestId id) { gone(id); },
                                          [this](RequestId id, bool broken) {
-                                             engine_.session_ended(clock_.now(), id, broken);
+                                             engine_.on_session_ended(clock_.now(), id, broken);
                                          }})),
-      discovery_(io, config_.discovery, budget_, timers_, clock_, held_rev(config_.known), config_.seed,
-                 config_.deployment.settings.list_on_request ? Discovery::Mode::asked : Discovery::Mode::pushed,
-                 [this](const Listing& listing) {
-                     listed(listing.all ? ListKind::snapshot : ListKind::incremental, listing);
-                 }),
+      discovery_(
+          io, config_.discovery, budget_, timers_, clock_, held_rev(config_.known), config_.seed,
+          config_.deployment.settings.list_on_request ? Discovery::Mode::asked : Discovery::Mode::pushed,
+          [this](const Listing& listing) {
+              listed(listing.all ? ListKind::snapshot : ListKind::incremental, listing);
+          }),
       listener_(io, config_.listen, budget_, bytes_, timers_, clock_, longest_deadline(config_.deployment),
                 listener_handlers(websocket)) {
     engine_.begin(clock_.now());
@@ -148,20 +152,21 @@
 }
 
 Listener::Handlers Sidecar::listener_handlers(const websocket::Settings& settings) {
-    Listener::Handlers handlers{[this](const RequestHead& head) { return validate_request(head, config_.deployment); },
-                                [this](RequestId id, HttpRequest request, Arrival arrival) {
-                                    arrived(id, std::move(request), arrival);
-                                },
-                                [this](RequestId id) { gone(id); }, [this] { return ready_; }};
+    Listener::Handlers handlers{
+        [this](const RequestHead& head) { return validate_request(head, config_.deployment); },
+        [this](RequestId id, HttpRequest request, ReceivedRequest received) {
+            arrived(id, std::move(request), received);
+        },
+        [this](RequestId id) { gone(id); }, [this] { return ready_; }};
     if (!settings.on) return handlers;
-    handlers.problem = [this, origins = settings.origins](const RequestHead& head) {
+    handlers.validate = [this, origins = settings.origins](const RequestHead& head) {
         return websocket::asks_upgrade(head) ? websocket::validate_upgrade(head, config_.deployment, origins)
                                              : validate_request(head, config_.deployment);
     };
-    handlers.takes_connection = websocket::asks_upgrade;
-    handlers.upgraded = [this](RequestId id, asio::ip::tcp::socket client, HttpRequest request,
-                               Arrival arrival) {
-        upgraded(id, std::move(client), std::move(request), arrival);
+    handlers.is_upgrade = websocket::asks_upgrade;
+    handlers.on_upgrade = [this](RequestId id, asio::ip::tcp::socket client, HttpRequest request,
+                                 ReceivedRequest received) {
+        upgraded(id, std::move(client), std::move(request), received);
     };
     return handlers;
 }
@@ -244,7 +249,7 @@
     }
     cluster_.emplace(io_, timers_, clock_, cluster_setup(config_, settings),
                      cluster::Driver::Handlers{
-                         [this](std::uint32_t siblings) { engine_.siblings_known(clock_.now(), siblings); },
+                         [this](std::uint32_t siblings) { engine_.on_sibling_count(clock_.now(), siblings); },
                          [this](const cluster::Change& change) { tell(change); }});
 }
 
@@ -272,33 +277,36 @@
 
 // ---- Events -----------------------------------------------------------------------------------------------
 
-void Sidecar::arrived(RequestId id, HttpRequest request, Arrival arrival) {
-    RequestArrived event = describe(id, request, config_.deployment, kAnswerMargin, arrival.waited);
-    event.table_full = !arrival.has_place;
+void Sidecar::arrived(RequestId id, HttpRequest request, ReceivedRequest received) {
+    RequestArrived event =
+        describe(id, request, config_.deployment, kAnswerMargin, received.kernel_queue_time);
+    event.table_full = !received.has_capacity;
     ++counts_.taken;
     messages_[id] = std::make_shared<const HttpRequest>(forwarded_request(std::move(request)));
-    engine_.take(clock_.now(), event);
+    engine_.on_request(clock_.now(), event);
 }
 
-void Sidecar::upgraded(RequestId id, asio::ip::tcp::socket client, HttpRequest request, Arrival arrival) {
-    RequestArrived event = describe(id, request, config_.deployment, kAnswerMargin, arrival.waited);
+void Sidecar::upgraded(RequestId id, asio::ip::tcp::socket client, HttpRequest request,
+                       ReceivedRequest received) {
+    RequestArrived event =
+        describe(id, request, config_.deployment, kAnswerMargin, received.kernel_queue_time);
     event.session = true;
     if (!websocket_->take(id, std::move(client), std::move(request))) return;
-    event.table_full = !arrival.has_place || !websocket_->has_place(id);
-    engine_.take(clock_.now(), event);
+    event.table_full = !received.has_capacity || !websocket_->has_capacity(id);
+    engine_.on_request(clock_.now(), event);
 }
 
 void Sidecar::gone(RequestId id) {
     ++counts_.gone;
-    engine_.client_gone(clock_.now(), id);
+    engine_.on_client_disconnected(clock_.now(), id);
 }
 
-void Sidecar::attempt_ended(AttemptKey key, Outcome outcome, Millis duration, HttpResponse response) {
+void Sidecar::on_attempt_ended(AttemptKey key, Outcome outcome, Millis duration, HttpResponse response) {
     // Told from within another's end where that one brought it about: each has its own answer.
     const auto restore = [this](HttpResponse** outer) { ended_ = *outer; };
     HttpResponse* outer = std::exchange(ended_, &response);
     const std::unique_ptr<HttpResponse*, decltype(restore)> guard(&outer, restore);
-    engine_.attempt_ended(clock_.now(), key, outcome, duration);
+    engine_.on_attempt_ended(clock_.now(), key, outcome, duration);
 }
 
 void Sidecar::set_server(const EndpointRegistry::Change& change) {
@@ -318,7 +326,7 @@
     for (const ServerId id : update.withdrawn) set_server({{.id = id}, {}, false});
     ready_ = ready_ || update.any_active;
     say_passed_over(listing.passed_over + update.passed_over);
-    engine_.listed(clock_.now(), std::move(list));
+    engine_.on_endpoint_list(clock_.now(), std::move(list));
     servers_.forget_withdrawn([this](ServerId id) {
         if (upstream_.attempts_at(id) > 0) return false;
         upstream_.forget_server(id);
@@ -339,30 +347,30 @@
 
 void Sidecar::start(AttemptKey key, ServerId server, Millis until, Millis write_by) {
     if (!websocket_ || !websocket_->has(key.request))
-        return upstream_.start(key, server, until, write_by, messages_.at(key.request));
+        return upstream_.start_attempt(key, server, until, write_by, messages_.at(key.request));
     Endpoint endpoint{};  // the module sends to what is listed only; any other could not be reached
     if (const EndpointRegistry::Entry* entry = servers_.find(server)) endpoint = entry->endpoint;
     websocket_->start(key, server, endpoint, until, write_by);
 }
 
 void Sidecar::cancel(AttemptKey key) {
-    upstream_.cancel(key);
+    upstream_.cancel_attempt(key);
     if (websocket_) websocket_->cancel(key);
 }
 
-void Sidecar::finish(RequestId id, const engine::Final& outcome) {
-    using Kind = engine::Final::Kind;
-    ++(outcome.kind == Kind::served    ? counts_.served
-       : outcome.kind == Kind::refused ? counts_.refused
-                                       : counts_.failed);
+void Sidecar::finish(RequestId id, const engine::FinalOutcome& outcome) {
+    using Kind = engine::FinalOutcome::Kind;
+    ++(outcome.kind == Kind::success    ? counts_.served
+       : outcome.kind == Kind::rejected ? counts_.refused
+                                        : counts_.failed);
     const bool session = websocket_ && websocket_->has(id);
-    if (session && outcome.kind == Kind::served) return websocket_->serve(id);
+    if (session && outcome.kind == Kind::success) return websocket_->serve(id);
     HttpResponse response(http::status::ok, 11);
-    if (outcome.kind == Kind::served) {
+    if (outcome.kind == Kind::success) {
         if (const auto type = (*ended_)[http::field::content_type]; !type.empty())
             response.set(http::field::content_type, type);
         response.body() = std::move(ended_->body());
-    } else if (outcome.kind == Kind::refused) {
+    } else if (outcome.kind == Kind::rejected) {
         response.result(http::status::service_unavailable);
         if (outcome.retry_after > 0) {
             char seconds[32];
@@ -377,13 +385,13 @@
     if (session)
         websocket_->refuse(id, std::move(response));
     else
-        listener_.answer(id, std::move(response));
+        listener_.respond(id, std::move(response));
 }
 
 void Sidecar::forget(RequestId id) { messages_.erase(id); }
 
 void Sidecar::set_timer(Millis at, TimerToken token) {
-    timers_.set(at, [this, token] { engine_.timer_fired(clock_.now(), token); });
+    timers_.set(at, [this, token] { engine_.on_timer(clock_.now(), token); });
 }
 
 void Sidecar::subscribe(bool active) { active ? discovery_.watch() : discovery_.stop(); }
--- a/src/sidecar/sidecar.hpp
+++ b/src/sidecar/sidecar.hpp
@@ -24,7 +24,7 @@
 
 namespace elmbay {
 
-class Sidecar : private engine::Port {
+class Sidecar : private engine::ActionHandler {
 public:
     // Throws boost::system::system_error if it can't listen, std::invalid_argument for settings that make no
     // sense.
@@ -56,13 +56,13 @@
     state::Snapshot snapshot() const;
 
 private:
-    void arrived(RequestId id, HttpRequest request, Arrival arrival);
-    void upgraded(RequestId id, asio::ip::tcp::socket client, HttpRequest request, Arrival arrival);
+    void arrived(RequestId id, HttpRequest request, ReceivedRequest received);
+    void upgraded(RequestId id, asio::ip::tcp::socket client, HttpRequest request, ReceivedRequest received);
     Listener::Handlers listener_handlers(const websocket::Settings& settings);
     void set_server(const EndpointRegistry::Change& change);
     void say_passed_over(std::size_t targets);
     void gone(RequestId id);
-    void attempt_ended(AttemptKey key, Outcome outcome, Millis duration, HttpResponse response);
+    void on_attempt_ended(AttemptKey key, Outcome outcome, Millis duration, HttpResponse response);
     void listed(balancer::ListKind kind, const Listing& listing);
 
     void restore_state(RestoredState remembered);
@@ -70,7 +70,7 @@
     // What the engine wants done.
     void start(AttemptKey key, ServerId server, Millis until, Millis write_by) override;
     void cancel(AttemptKey key) override;
-    void finish(RequestId id, const engine::Final& outcome) override;
+    void finish(RequestId id, const engine::FinalOutcome& outcome) override;
     void forget(RequestId id) override;
     void set_timer(Millis at, balancer::TimerToken token) override;
     void subscribe(bool active) override;
--- a/src/simulation/baselines/baseline_policies.cpp
+++ b/src/simulation/baselines/baseline_policies.cpp
@@ -27,7 +27,7 @@
 };
 
 struct Flaws {
-    bool retry_storm = false;         // random servers, short patience, and again at once as often as it may
+    bool retry_storm = false;   // random servers, short patience, and again at once as often as it may
     bool twice = false;         // a second attempt beside the first
     bool resend = false;        // unsafe requests too are sent again after an error
     bool deaf = false;          // goes on sending to servers that drain or are gone
@@ -73,7 +73,8 @@
             return std::any_of(tries.begin(), tries.end(), [](const ClientRequest& t) { return t.out; });
         }
         bool may_have_run() const {
-            return std::any_of(tries.begin(), tries.end(), [](const ClientRequest& t) { return t.may_have_run; });
+            return std::any_of(tries.begin(), tries.end(),
+                               [](const ClientRequest& t) { return t.may_have_run; });
         }
     };
 
@@ -168,7 +169,8 @@
     }
     bool usable(const Server& s) const {
         if (s.info.state != EndpointState::active || now_ < s.out_until) return false;
-        const bool cold = s.info.online_since > 0 && now_ < s.info.online_since + settings_.slow_start_duration;
+        const bool cold =
+            s.info.online_since > 0 && now_ < s.info.online_since + settings_.slow_start_duration;
         return flaws_.flood || !cold;
     }
     void give_up(Request& r) {
--- a/src/simulation/checking/invariant_checker.cpp
+++ b/src/simulation/checking/invariant_checker.cpp
@@ -117,7 +117,9 @@
     answered(now, id, Answer::none);
 }
 
-void InvariantChecker::stranger(Millis now, const std::string& what) { broken(Rule::one_outcome, now, 0, what); }
+void InvariantChecker::stranger(Millis now, const std::string& what) {
+    broken(Rule::one_outcome, now, 0, what);
+}
 
 void InvariantChecker::excuse(ClientRequestId id) {
     if (const auto at = tries_.find(id); at != tries_.end()) at->second.excused = true;
@@ -154,8 +156,8 @@
 // ---- the registry
 // -------------------------------------------------------------------------------------------
 
-void InvariantChecker::told(Millis now, std::uint32_t sidecar, std::uint32_t server, balancer::EndpointState state,
-                 Millis online_since) {
+void InvariantChecker::told(Millis now, std::uint32_t sidecar, std::uint32_t server,
+                            balancer::EndpointState state, Millis online_since) {
     Told& t = told_[{sidecar, server}];
     if (t.state == balancer::EndpointState::active || state == balancer::EndpointState::active)
         t.at = now;  // the first word counts
@@ -180,7 +182,8 @@
         broken(Rule::nothing_twice, now, id, "more attempts than are allowed");
 }
 
-std::uint32_t InvariantChecker::sent(Millis now, ClientRequestId id, std::uint32_t server, std::uint32_t sidecar) {
+std::uint32_t InvariantChecker::sent(Millis now, ClientRequestId id, std::uint32_t server,
+                                     std::uint32_t sidecar) {
     const auto at = tries_.find(id);
     if (at == tries_.end()) {
         broken(Rule::one_outcome, now, id, "sent to a server, and no caller asked for it");
@@ -207,7 +210,8 @@
     return static_cast<std::uint32_t>(r.attempts.size() - 1);
 }
 
-bool InvariantChecker::reached(Millis now, ClientRequestId id, std::uint32_t attempt, Reached what, const ServerLoad& load) {
+bool InvariantChecker::reached(Millis now, ClientRequestId id, std::uint32_t attempt, Reached what,
+                               const ServerLoad& load) {
     const auto at = tries_.find(id);
     if (at == tries_.end() || attempt >= at->second.attempts.size()) return false;
     Record& r = at->second;
@@ -222,8 +226,8 @@
     double work = 0, knowing = 0, shares = 0, mean = 0;
     for (const Push& p : pushes) work += p.work, knowing += p.told ? p.work : 0;
     for (const ClassSpec& c : scenario_.classes) shares += c.share, mean += c.share * c.work;
-    const double bound =
-        with_chance(scenario_.rules.overload_multiple * load.capacity * scenario_.rules.fall_span, mean / shares);
+    const double bound = with_chance(
+        scenario_.rules.overload_multiple * load.capacity * scenario_.rules.fall_span, mean / shares);
     if (work <= bound) return false;
     ++fallen_;
     if (knowing * 3 >= work * 2)  // by those who had been told of its start; others could not know
--- a/src/simulation/checking/invariant_checker.hpp
+++ b/src/simulation/checking/invariant_checker.hpp
@@ -69,7 +69,8 @@
     std::uint32_t sent(Millis now, ClientRequestId id, std::uint32_t server, std::uint32_t sidecar);
     // What became of it at the server, whose figures at this time are given. True: that was too much for a
     // cold server, it falls over.
-    bool reached(Millis now, ClientRequestId id, std::uint32_t attempt, Reached what, const ServerLoad& load = {});
+    bool reached(Millis now, ClientRequestId id, std::uint32_t attempt, Reached what,
+                 const ServerLoad& load = {});
     // Something came to a server that no client asked for.
     void stranger(Millis now, const std::string& what);
     // It is no longer out: answered, reset, or its sidecar ended it.
--- a/src/simulation/drivers/sockets/client_emulator.hpp
+++ b/src/simulation/drivers/sockets/client_emulator.hpp
@@ -7,8 +7,8 @@
 #include <set>
 #include <vector>
 
-#include "simulation/models/client_model.hpp"
 #include "simulation/drivers/sockets/loopback_testbed.hpp"
+#include "simulation/models/client_model.hpp"
 
 namespace elmbay::simulation {
 
@@ -39,8 +39,8 @@
         std::function<void(const ClientRequest&, const Outcome&)> ended;
     };
 
-    ClientEmulator(LoopbackTestbed& testbed, const Scenario& scenario, const ClientModel& clients, tcp::endpoint sidecar,
-                   Handlers handlers);
+    ClientEmulator(LoopbackTestbed& testbed, const Scenario& scenario, const ClientModel& clients,
+                   tcp::endpoint sidecar, Handlers handlers);
     ~ClientEmulator();
     ClientEmulator(const ClientEmulator&) = delete;
     ClientEmulator& operator=(const ClientEmulator&) = delete;
--- a/src/simulation/drivers/sockets/discovery_emulator.cpp
+++ b/src/simulation/drivers/sockets/discovery_emulator.cpp
@@ -110,8 +110,9 @@
     bool watching_ = false;
 };
 
-DiscoveryEmulator::DiscoveryEmulator(LoopbackTestbed& testbed, InvariantChecker& checker, std::uint32_t sidecar,
-                                   std::vector<Entry> entries, const asio::ip::address& address)
+DiscoveryEmulator::DiscoveryEmulator(LoopbackTestbed& testbed, InvariantChecker& checker,
+                                     std::uint32_t sidecar, std::vector<Entry> entries,
+                                     const asio::ip::address& address)
     : testbed_(testbed),
       checker_(checker),
       sidecar_(sidecar),
--- a/src/simulation/drivers/sockets/discovery_emulator.hpp
+++ b/src/simulation/drivers/sockets/discovery_emulator.hpp
@@ -21,7 +21,8 @@
     balancer::EndpointState state = balancer::EndpointState::active;
     Millis online_since = 0;  // of the simulation; 0: long ago
 };
-nlohmann::json listing_of(const std::vector<Entry>& entries, std::uint64_t rev, bool all, const LoopbackTestbed& testbed);
+nlohmann::json listing_of(const std::vector<Entry>& entries, std::uint64_t rev, bool all,
+                          const LoopbackTestbed& testbed);
 
 class DiscoveryEmulator {
 public:
@@ -31,8 +32,8 @@
     static constexpr Millis kQuietLine = 2000, kOldCloses = 1500;
     static constexpr std::size_t kMaxRequest = 16 * 1024;
 
-    DiscoveryEmulator(LoopbackTestbed& testbed, InvariantChecker& checker, std::uint32_t sidecar, std::vector<Entry> entries,
-                     const asio::ip::address& address);
+    DiscoveryEmulator(LoopbackTestbed& testbed, InvariantChecker& checker, std::uint32_t sidecar,
+                      std::vector<Entry> entries, const asio::ip::address& address);
     ~DiscoveryEmulator();
     DiscoveryEmulator(const DiscoveryEmulator&) = delete;
     DiscoveryEmulator& operator=(const DiscoveryEmulator&) = delete;
--- a/src/simulation/drivers/sockets/server_emulator.cpp
+++ b/src/simulation/drivers/sockets/server_emulator.cpp
@@ -116,8 +116,9 @@
     bool busy_ = false, silent_ = false;
 };
 
-ServerEmulator::ServerEmulator(LoopbackTestbed& testbed, ServiceModel& service_model, InvariantChecker& checker, ServiceMetrics& metrics,
-                             const ClientModel& clients, std::uint32_t number, tcp::endpoint address)
+ServerEmulator::ServerEmulator(LoopbackTestbed& testbed, ServiceModel& service_model,
+                               InvariantChecker& checker, ServiceMetrics& metrics, const ClientModel& clients,
+                               std::uint32_t number, tcp::endpoint address)
     : testbed_(testbed),
       service_model_(service_model),
       checker_(checker),
@@ -212,7 +213,7 @@
     const auto id = id_of(text);
     if (!id || operation_of(*id) >= clients_.arrivals().size()) {
         checker_.stranger(now, "s-" + std::to_string(number_) + " got a request that no caller sent: '" +
-                                 text.substr(0, 40) + "'");
+                                   text.substr(0, 40) + "'");
         return connection->respond("400 Bad Request", "", "");
     }
     const std::uint32_t sidecar = clients_.ask(operation_of(*id)).sidecar;
@@ -226,8 +227,9 @@
     metrics_.attempt(now, number_, load.work);
     bool away = false;
     for (const Departure& d : out_) away = away || (d.ticket == ticket && d.fate == Fate::turned_away);
-    const bool fell = checker_.reached(now, *id, connection->judged,
-                                     away ? InvariantChecker::Reached::turned_away : InvariantChecker::Reached::accepted, load);
+    const bool fell = checker_.reached(
+        now, *id, connection->judged,
+        away ? InvariantChecker::Reached::turned_away : InvariantChecker::Reached::accepted, load);
     if (fell) {
         service_model_.fell(now, number_, out_);
         out_.clear();
@@ -254,7 +256,8 @@
             connection->respond("500 Internal Server Error", "", "failed\n");
         } else if (d.fate == Fate::turned_away) {
             // A machine that stood still turns away once it goes on again: unseen, as those at once.
-            checker_.reached(testbed_.now(), connection->id, connection->judged, InvariantChecker::Reached::turned_away);
+            checker_.reached(testbed_.now(), connection->id, connection->judged,
+                             InvariantChecker::Reached::turned_away);
             connection->respond("503 Service Unavailable", "X-Unprocessed: 1\r\n", "");
         }
     }
--- a/src/simulation/drivers/sockets/server_emulator.hpp
+++ b/src/simulation/drivers/sockets/server_emulator.hpp
@@ -8,9 +8,9 @@
 #include <optional>
 #include <set>
 
-#include "simulation/models/service_model.hpp"
 #include "simulation/checking/invariant_checker.hpp"
 #include "simulation/drivers/sockets/loopback_testbed.hpp"
+#include "simulation/models/service_model.hpp"
 
 namespace elmbay::simulation {
 
@@ -20,10 +20,11 @@
     static constexpr std::uint64_t kMaxBody = 64 * 1024;
     static constexpr std::uint32_t kMaxHead = 16 * 1024;
 
-    // Listens at once if the service_model says that it is there at the start. Throws boost::system::system_error
-    // if the address can't be had.
-    ServerEmulator(LoopbackTestbed& testbed, ServiceModel& service_model, InvariantChecker& checker, ServiceMetrics& metrics, const ClientModel& clients,
-                  std::uint32_t number, tcp::endpoint address);
+    // Listens at once if the service_model says that it is there at the start. Throws
+    // boost::system::system_error if the address can't be had.
+    ServerEmulator(LoopbackTestbed& testbed, ServiceModel& service_model, InvariantChecker& checker,
+                   ServiceMetrics& metrics, const ClientModel& clients, std::uint32_t number,
+                   tcp::endpoint address);
     ~ServerEmulator();
     ServerEmulator(const ServerEmulator&) = delete;
     ServerEmulator& operator=(const ServerEmulator&) = delete;
--- a/src/simulation/drivers/sockets/socket_run.cpp
+++ b/src/simulation/drivers/sockets/socket_run.cpp
@@ -10,15 +10,15 @@
 #include <nlohmann/json.hpp>
 #include <random>
 
-#include "process_testbed/process.hpp"
-#include "process_testbed/request_reader.hpp"
 #include "fault_proxy/datagram_net.hpp"
 #include "fault_proxy/stream_link.hpp"
-#include "simulation/models/random_streams.hpp"
+#include "process_testbed/process.hpp"
+#include "process_testbed/request_reader.hpp"
+#include "simulation/checking/sidecar_log.hpp"
 #include "simulation/drivers/sockets/client_emulator.hpp"
 #include "simulation/drivers/sockets/discovery_emulator.hpp"
 #include "simulation/drivers/sockets/server_emulator.hpp"
-#include "simulation/checking/sidecar_log.hpp"
+#include "simulation/models/random_streams.hpp"
 
 namespace elmbay::simulation {
 
@@ -98,8 +98,9 @@
         }
         context_.begin(kLongAhead);  // nothing of the file holds before time 0
         auto rules = scenario.link_rules();
-        linked_ = std::any_of(rules.begin(), rules.end(),
-                              [](const fault_proxy::Rule& rule) { return rule.medium != fault_proxy::Medium::datagram; });
+        linked_ = std::any_of(rules.begin(), rules.end(), [](const fault_proxy::Rule& rule) {
+            return rule.medium != fault_proxy::Medium::datagram;
+        });
         for (fault_proxy::Rule& rule : scenario.message_rules()) {
             rule.at = -kLongAhead;  // from before the start
             rules.push_back(std::move(rule));
@@ -110,8 +111,9 @@
             sidecars_.delivered(testbed_.now(), number_of(link.from), number_of(link.to), bytes);
         });
         for (std::uint32_t i = 0; i < service_model_.count(); ++i)
-            servers_.push_back(std::make_unique<ServerEmulator>(testbed_, service_model_, checker_, metrics_, clients_,
-                                                               i, tcp::endpoint(loopback(run_, i), 0)));
+            servers_.push_back(std::make_unique<ServerEmulator>(testbed_, service_model_, checker_, metrics_,
+                                                                clients_, i,
+                                                                tcp::endpoint(loopback(run_, i), 0)));
         for (std::uint32_t i = 0; i < scenario.sidecars.count; ++i) add_peer(i);
         for (std::uint32_t i = 0; i < scenario.sidecars.count; ++i) add_sidecar(i);
     }
@@ -198,7 +200,8 @@
     // ---- before the start
     // Where the others reach it, and a port of its own address at which it listens itself.
     void add_peer(std::uint32_t i) {
-        fault_proxy::udp::socket probe(testbed_.io, fault_proxy::udp::endpoint(loopback(run_, kSidecars + i), 0));
+        fault_proxy::udp::socket probe(testbed_.io,
+                                       fault_proxy::udp::endpoint(loopback(run_, kSidecars + i), 0));
         peer_listens_.push_back(probe.local_endpoint());
         probe.close();
         messages_.add(name_of_sidecar(i), {loopback(run_, kPeers + i), 0}, peer_listens_.back());
@@ -221,12 +224,14 @@
         probe.close();
         std::vector<Entry> entries;
         for (std::uint32_t s = 0; s < service_model_.count(); ++s)
-            entries.push_back({s, way_to_server(i, s), scenario_.fleet.halls[scenario_.hall_of(s)],
-                               service_model_.there_at_start(s) ? EndpointState::active : EndpointState::removed,
-                               0});
-        side.discovery = std::make_unique<DiscoveryEmulator>(testbed_, checker_, i, std::move(entries), address);
+            entries.push_back(
+                {s, way_to_server(i, s), scenario_.fleet.halls[scenario_.hall_of(s)],
+                 service_model_.there_at_start(s) ? EndpointState::active : EndpointState::removed, 0});
+        side.discovery =
+            std::make_unique<DiscoveryEmulator>(testbed_, checker_, i, std::move(entries), address);
         const std::string command = options_.sidecar;
-        side.process = std::make_unique<process_testbed::Process>("n-" + std::to_string(i), command, folder_.path());
+        side.process =
+            std::make_unique<process_testbed::Process>("n-" + std::to_string(i), command, folder_.path());
         side.clients = std::make_unique<ClientEmulator>(
             testbed_, scenario_, clients_, side.listen,
             ClientEmulator::Handlers{
@@ -321,10 +326,12 @@
         for (const Step& s : steps_) testbed_.at(s.at, [this, &s] { step(s); });
         for (const Notice& n : notices_)
             for (std::uint32_t i = 0; i < sides_.size(); ++i)
-                testbed_.at(n.at + spread_of(scenario_, i), [this, &n, i] { sides_[i].discovery->change(n); });
+                testbed_.at(n.at + spread_of(scenario_, i),
+                            [this, &n, i] { sides_[i].discovery->change(n); });
         for (std::uint32_t i = 0; i < sides_.size(); ++i)
             for (std::uint32_t s = 0; s < service_model_.count(); ++s)
-                if (!service_model_.there_at_start(s)) checker_.told(testbed_.now(), i, s, EndpointState::removed, 0);
+                if (!service_model_.there_at_start(s))
+                    checker_.told(testbed_.now(), i, s, EndpointState::removed, 0);
         look_processes();
         ask_next();
         Millis patience = 0;
@@ -387,7 +394,8 @@
         finished();
     }
     void finished() {
-        if (open_ == 0 && next_ask_ >= clients_.arrivals().size() && testbed_.now() > scenario_.overview.length)
+        if (open_ == 0 && next_ask_ >= clients_.arrivals().size() &&
+            testbed_.now() > scenario_.overview.length)
             over_ = true;
     }
 
@@ -470,7 +478,7 @@
             return;
         }
         testbed_.at(testbed_.now() + kDutyRound * (on ? side.share : 1 - side.share),
-                  [this, who, on] { duty(who, !on); });
+                    [this, who, on] { duty(who, !on); });
     }
     static std::string text_of_step(const Step& s) { return simulation::text_of(s); }
     void revive(std::uint32_t who) {
--- a/src/simulation/drivers/virtual/virtual_run.cpp
+++ b/src/simulation/drivers/virtual/virtual_run.cpp
@@ -6,12 +6,12 @@
 #include <queue>
 #include <unordered_map>
 
-#include "simulation/models/service_model.hpp"
 #include "simulation/baselines/baseline_policies.hpp"
-#include "simulation/models/random_streams.hpp"
+#include "simulation/checking/sidecar_log.hpp"
 #include "simulation/models/membership_agent.hpp"
 #include "simulation/models/message_network.hpp"
-#include "simulation/checking/sidecar_log.hpp"
+#include "simulation/models/random_streams.hpp"
+#include "simulation/models/service_model.hpp"
 
 namespace elmbay::simulation {
 
@@ -579,7 +579,8 @@
         std::vector<ClientRequest> lost;
         for (const auto& [id, open] : open_)
             if (clients_.ask(operation_of(id)).sidecar == who) lost.push_back(open.t);
-        std::sort(lost.begin(), lost.end(), [](const ClientRequest& a, const ClientRequest& b) { return a.id < b.id; });
+        std::sort(lost.begin(), lost.end(),
+                  [](const ClientRequest& a, const ClientRequest& b) { return a.id < b.id; });
         for (const ClientRequest& t : lost) {
             open_.erase(t.id);
             checker_.answered(now_, t.id, Answer::none);
@@ -664,7 +665,8 @@
             return put(now_ + a.latency, What::arrive, who, number);
         }
         a.fresh = true;
-        if (service_model_.server(server).reachable()) return put(now_ + 3 * a.latency, What::arrive, who, number);
+        if (service_model_.server(server).reachable())
+            return put(now_ + 3 * a.latency, What::arrive, who, number);
         never_up(a, number, scenario_.fleet.connect_timeout);
     }
     void never_up(Attempt& a, std::uint64_t number, Millis after) {
@@ -709,8 +711,9 @@
         metrics_.attempt(now_, a.server, load.work);
         tickets_[a.ticket] = number;
         const std::uint32_t where = a.server;
-        const bool fell = checker_.reached(now_, a.id, a.judged,
-                                         away ? InvariantChecker::Reached::turned_away : InvariantChecker::Reached::accepted, load);
+        const bool fell = checker_.reached(
+            now_, a.id, a.judged,
+            away ? InvariantChecker::Reached::turned_away : InvariantChecker::Reached::accepted, load);
         if (!a.out) abandon(a);  // given up on its way, though the bytes had gone out
         drop_if_done(number);
         pump(where);
--- a/src/simulation/models/client_model.cpp
+++ b/src/simulation/models/client_model.cpp
@@ -106,9 +106,12 @@
     return t;
 }
 
-ClientRequest ClientModel::first(OperationId request) const { return make(request, 0, arrivals_[request].at); }
+ClientRequest ClientModel::first(OperationId request) const {
+    return make(request, 0, arrivals_[request].at);
+}
 
-std::optional<ClientRequest> ClientModel::next(Millis now, const ClientRequest& last, Answer answer, Millis retry_after) const {
+std::optional<ClientRequest> ClientModel::next(Millis now, const ClientRequest& last, Answer answer,
+                                               Millis retry_after) const {
     const OperationId request = operation_of(last.id);
     const std::uint64_t nth = last.id % kMaxRequestsPerOperation + 1;
     const ClientArrival& ask = arrivals_[request];
--- a/src/simulation/models/client_model.hpp
+++ b/src/simulation/models/client_model.hpp
@@ -1,7 +1,7 @@
 // The clients: who asks when, for what, and what they do with what they get. No I/O, no clock.
 //
-// Arrivals are drawn ahead and wait for no answer (open loop): a slow service_model does not make clients kinder.
-// Everything about a request follows from the seed and its number, whatever happened to others.
+// Arrivals are drawn ahead and wait for no answer (open loop): a slow service_model does not make clients
+// kinder. Everything about a request follows from the seed and its number, whatever happened to others.
 #pragma once
 
 #include <optional>
@@ -15,7 +15,9 @@
 using OperationId = std::uint64_t;
 using ClientRequestId = std::uint64_t;
 constexpr std::uint64_t kMaxRequestsPerOperation = 16;
-constexpr ClientRequestId client_request_id(OperationId request, std::uint64_t nth) { return request * kMaxRequestsPerOperation + nth; }
+constexpr ClientRequestId client_request_id(OperationId request, std::uint64_t nth) {
+    return request * kMaxRequestsPerOperation + nth;
+}
 constexpr OperationId operation_of(ClientRequestId id) { return id / kMaxRequestsPerOperation; }
 
 struct ClientArrival {
@@ -46,7 +48,8 @@
     ClientRequest first(OperationId request) const;
     // What follows the end of a try at `now`. Nothing: the client gives up or is content. An unsafe request
     // is asked again only after a refusal: only then is it known not to have run.
-    std::optional<ClientRequest> next(Millis now, const ClientRequest& last, Answer answer, Millis retry_after) const;
+    std::optional<ClientRequest> next(Millis now, const ClientRequest& last, Answer answer,
+                                      Millis retry_after) const;
 
     // Core time of a request, and of one attempt at one server.
     Millis work(OperationId request) const;
--- a/src/simulation/models/membership_agent.cpp
+++ b/src/simulation/models/membership_agent.cpp
@@ -17,13 +17,13 @@
 
 }  // namespace
 
-ClusterMembershipAgent::ClusterMembershipAgent(const Scenario& scenario, std::uint32_t self, std::uint64_t seed,
-                                   Millis now, Millis unix_time)
+ClusterMembershipAgent::ClusterMembershipAgent(const Scenario& scenario, std::uint32_t self,
+                                               std::uint64_t seed, Millis now, Millis unix_time)
     : membership_(membership_setup(scenario, self, seed), now, unix_time + now) {}
 
 void ClusterMembershipAgent::begin(Millis, std::vector<Outgoing>& out) { send(out); }
 void ClusterMembershipAgent::heard(Millis now, std::uint32_t from, std::string_view bytes,
-                             std::vector<Outgoing>& out) {
+                                   std::vector<Outgoing>& out) {
     membership_.heard(now, from, bytes);
     send(out);
 }
--- a/src/simulation/models/membership_agent.hpp
+++ b/src/simulation/models/membership_agent.hpp
@@ -15,7 +15,7 @@
     /// @param now       milliseconds of the simulation.
     /// @param unix_time Unix milliseconds at the simulation's time 0.
     ClusterMembershipAgent(const Scenario& scenario, std::uint32_t self, std::uint64_t seed, Millis now,
-                     Millis unix_time);
+                           Millis unix_time);
     void begin(Millis now, std::vector<Outgoing>& out) override;
     void heard(Millis now, std::uint32_t from, std::string_view bytes, std::vector<Outgoing>& out) override;
     void refused(Millis now, std::uint32_t whom, std::vector<Outgoing>& out) override;
--- a/src/simulation/models/message_network.cpp
+++ b/src/simulation/models/message_network.cpp
@@ -44,7 +44,7 @@
 }
 
 void MessageNetwork::send(Millis now, std::uint32_t from, const Outgoing& message,
-                      std::vector<Delivery>& deliveries) {
+                          std::vector<Delivery>& deliveries) {
     if (message.to) {
         if (*message.to < sidecars_ && *message.to != from)
             one(now, from, *message.to, message.bytes, deliveries);
@@ -55,7 +55,7 @@
 }
 
 void MessageNetwork::one(Millis now, std::uint32_t from, std::uint32_t to, const std::string& bytes,
-                     std::vector<Delivery>& deliveries) {
+                         std::vector<Delivery>& deliveries) {
     const std::uint64_t nth = ++numbers_[(std::uint64_t{from} << 32) | to];
     for (const fault_proxy::Rules::Delivery& d :
          rules_.datagram({names_[from], names_[to]}, nth, bytes.size(), now))
--- a/src/simulation/models/random_streams.hpp
+++ b/src/simulation/models/random_streams.hpp
@@ -1,5 +1,5 @@
-// Chance for simulations: every draw is keyed by what it is for, not by when it is made, so that the same file
-// and seed give the same work to the same request whatever else happened before.
+// Chance for simulations: every draw is keyed by what it is for, not by when it is made, so that the same
+// file and seed give the same work to the same request whatever else happened before.
 #pragma once
 
 #include <cmath>
--- a/src/simulation/models/server_model.hpp
+++ b/src/simulation/models/server_model.hpp
@@ -1,5 +1,5 @@
-// One service_model server, without sockets and clock: the client gives `now` (milliseconds, never going back) and
-// asks when to come again.
+// One service_model server, without sockets and clock: the client gives `now` (milliseconds, never going
+// back) and asks when to come again.
 //
 // Requests in slots share the cores evenly (processor sharing): k of them get min(1, cores / k) of a core
 // each, times what the machine can do at the moment: its speed, its warmth, what a neighbour leaves, what
--- a/src/simulation/reports/latency_histogram.cpp
+++ b/src/simulation/reports/latency_histogram.cpp
@@ -8,8 +8,8 @@
 namespace {
 
 int bins_needed() {
-    return static_cast<int>(
-        std::ceil(std::log(LatencyHistogram::kMost / LatencyHistogram::kLeast) / std::log(LatencyHistogram::kPrecision)));
+    return static_cast<int>(std::ceil(std::log(LatencyHistogram::kMost / LatencyHistogram::kLeast) /
+                                      std::log(LatencyHistogram::kPrecision)));
 }
 
 }  // namespace
--- a/src/simulation/reports/report.hpp
+++ b/src/simulation/reports/report.hpp
@@ -7,8 +7,8 @@
 #include <vector>
 
 #include "simulation/checking/invariant_checker.hpp"
-#include "simulation/reports/service_metrics.hpp"
 #include "simulation/checking/sidecar_log.hpp"
+#include "simulation/reports/service_metrics.hpp"
 
 namespace elmbay::simulation {
 
--- a/src/simulation/reports/service_metrics.hpp
+++ b/src/simulation/reports/service_metrics.hpp
@@ -71,7 +71,7 @@
     std::vector<SecondReport> seconds_;
     std::vector<std::vector<ServerSecond>> servers_;
     std::vector<LatencyHistogram> by_class_, by_second_;  // of served requests
-    std::vector<Worth> tenths_;                  // of seconds
+    std::vector<Worth> tenths_;                           // of seconds
 };
 
 }  // namespace elmbay::simulation
--- a/src/simulation/reports/sweep.cpp
+++ b/src/simulation/reports/sweep.cpp
@@ -13,9 +13,9 @@
 #include <sstream>
 #include <thread>
 
+#include "schema/toml.hpp"
 #include "simulation/baselines/baseline_policies.hpp"
 #include "simulation/drivers/virtual/virtual_run.hpp"
-#include "schema/toml.hpp"
 
 namespace elmbay::simulation {
 
--- a/src/simulation/scenario/random_fault_schedule.hpp
+++ b/src/simulation/scenario/random_fault_schedule.hpp
@@ -28,6 +28,7 @@
 RandomFaultSchedule draw_random_faults(std::uint64_t seed, const RandomFaultOptions& options);
 
 // With the fewest faults that still fail.
-RandomFaultSchedule shrunk(RandomFaultSchedule schedule, const std::function<bool(const RandomFaultSchedule&)>& fails);
+RandomFaultSchedule shrunk(RandomFaultSchedule schedule,
+                           const std::function<bool(const RandomFaultSchedule&)>& fails);
 
 }  // namespace elmbay::simulation
--- a/src/simulation/scenario/scenario.hpp
+++ b/src/simulation/scenario/scenario.hpp
@@ -1,4 +1,5 @@
-// An scenario: the service_model, its clients, the sidecars between them, and what goes wrong when. One TOML file.
+// An scenario: the service_model, its clients, the sidecars between them, and what goes wrong when. One TOML
+// file.
 //
 // parse_scenario() checks the file as a whole before anything starts: every problem is named with line, key
 // and what is allowed, also what only shows when faults are laid over each other (a server that dies twice).
--- a/src/simulator/wire.cpp
+++ b/src/simulator/wire.cpp
@@ -255,8 +255,8 @@
             const ServerId id = instance.server(e.server);
             instance.servers[id].listed = e.state != EndpointState::removed;
             list.servers.push_back({id, number_of(instance.deployment.zones, e.zone),
-                                    number_of(instance.deployment.machine_types, e.machine_type), e.cell, e.state, e.online_since,
-                                    e.weight});
+                                    number_of(instance.deployment.machine_types, e.machine_type), e.cell,
+                                    e.state, e.online_since, e.weight});
         }
     }
     give(instance, list);
--- a/src/state/snapshot_encoder.cpp
+++ b/src/state/snapshot_encoder.cpp
@@ -14,9 +14,7 @@
 using layout::RecordKind;
 using nlohmann::json;
 
-json body_of(const balancer::DecayedMean& mean) {
-    return json::array({mean.value, mean.weight, mean.since});
-}
+json body_of(const balancer::DecayedMean& mean) { return json::array({mean.value, mean.weight, mean.since}); }
 
 json body_of(const std::string& uid, const LearnedServerState& server) {
     json body{{"uid", uid},
--- a/src/websocket/front.cpp
+++ b/src/websocket/front.cpp
@@ -149,7 +149,7 @@
     return true;
 }
 
-bool Front::has_place(RequestId id) const {
+bool Front::has_capacity(RequestId id) const {
     const auto at = upgrades_.find(id);
     return at != upgrades_.end() && at->second->counted;
 }
@@ -160,7 +160,7 @@
     const auto client = at->second;
     upgrades_.erase(at);
     forget_client(client->address);
-    handlers_.gone(id);
+    handlers_.on_client_disconnected(id);
     tell_if_empty();
 }
 
@@ -205,7 +205,7 @@
     sessions_.erase(at);
     budget_.give_back(Side::sessions);
     budget_.give_back(Side::sessions);
-    handlers_.ended(id, broken);
+    handlers_.on_session_ended(id, broken);
     tell_if_empty();
 }
 
@@ -275,7 +275,7 @@
         client.server = std::move(attempt->stream);
         client.at = attempt->server;
     }
-    handlers_.attempt_ended(attempt->key, outcome, clock_.now() - attempt->started);
+    handlers_.on_attempt_ended(attempt->key, outcome, clock_.now() - attempt->started);
     // Whatever no session has taken over: also an upgrade that came through for a client that has gone.
     const auto unused = client.server ? std::move(client.server) : std::move(attempt->stream);
     if (!unused) return;
--- a/src/websocket/front.hpp
+++ b/src/websocket/front.hpp
@@ -29,9 +29,10 @@
 class Front {
 public:
     struct Handlers {
-        std::function<void(AttemptKey, Outcome, Millis duration)> attempt_ended;
-        std::function<void(RequestId)> gone;                // the client left while its upgrade was in work
-        std::function<void(RequestId, bool broken)> ended;  // Session::Ended
+        std::function<void(AttemptKey, Outcome, Millis duration)> on_attempt_ended;
+        std::function<void(RequestId)>
+            on_client_disconnected;  // the client left while its upgrade was in work
+        std::function<void(RequestId, bool broken)> on_session_ended;  // Session::Ended
     };
 
     // Sockets of clients and servers come out of the budget's part for sessions.
@@ -45,7 +46,7 @@
     // `most_of_client` already; it has been told so (403), and the engine must not hear of it.
     bool take(RequestId id, asio::ip::tcp::socket client, HttpRequest head);
     // Whether take() could count the client's socket; false: the engine is to be told that there is no place.
-    bool has_place(RequestId id) const;
+    bool has_capacity(RequestId id) const;
     bool has(RequestId id) const { return upgrades_.contains(id); }
 
     // Begins an upgrade at a server, to end as overdue at `until` at the latest.
--- a/src/websocket/handshake.cpp
+++ b/src/websocket/handshake.cpp
@@ -57,8 +57,9 @@
                        [](const auto& f) { return http::token_list(f.value()).exists("websocket"); });
 }
 
-std::optional<RequestProblem> validate_upgrade(const RequestHead& head, const balancer::DeploymentSettings& deployment,
-                                       const std::vector<std::string>& origins) {
+std::optional<RequestProblem> validate_upgrade(const RequestHead& head,
+                                               const balancer::DeploymentSettings& deployment,
+                                               const std::vector<std::string>& origins) {
     const auto bad = [](const char* words) { return RequestProblem{http::status::bad_request, words}; };
     if (head.method() != http::verb::get) return bad("an upgrade is a GET\n");
     if (head.version() != 11) return bad("an upgrade is HTTP/1.1\n");
--- a/src/websocket/handshake.hpp
+++ b/src/websocket/handshake.hpp
@@ -26,8 +26,9 @@
 // 426 where another version would do (4.4), 403 for an origin that the operator does not list, else 400.
 // origins: as a browser writes them ("https://archive.example"), compared without case; empty: any. A client
 // that names no origin is no browser, and not what such a list protects from: it may come.
-std::optional<RequestProblem> validate_upgrade(const RequestHead& head, const balancer::DeploymentSettings& deployment,
-                                       const std::vector<std::string>& origins);
+std::optional<RequestProblem> validate_upgrade(const RequestHead& head,
+                                               const balancer::DeploymentSettings& deployment,
+                                               const std::vector<std::string>& origins);
 
 // The subprotocols that a client without problem offers, in its order of preference.
 std::vector<std::string> offered_by(const RequestHead& head);
--- a/tests/balancer/cold_budget_test.cpp
+++ b/tests/balancer/cold_budget_test.cpp
@@ -111,7 +111,8 @@
     double capacity(const ServerState& server) const {
         if (server.started == 0) return scenario_.capacity;
         const double age = std::min(1.0, (now_ - server.started) / settings_.slow_start_duration);
-        return scenario_.capacity * (settings_.slow_start_min_share + (1 - settings_.slow_start_min_share) * age);
+        return scenario_.capacity *
+               (settings_.slow_start_min_share + (1 - settings_.slow_start_min_share) * age);
     }
 
     void run_until(Millis until) {
--- a/tests/balancer/composition_test.cpp
+++ b/tests/balancer/composition_test.cpp
@@ -190,11 +190,11 @@
     Settings settings_;
     Random random_{1};
     LatencyEstimate pace_;
-    Memory memory_;
+    LearnedStateRestorer restorer_;
     ColdStart cold_{settings_};
     Aperture aperture_{1, cold_};
     ServerAges ages_;
-    ServerTable servers_{random_, pace_, memory_, aperture_, ages_};
+    ServerTable servers_{random_, pace_, restorer_, aperture_, ages_};
 };
 
 TEST_F(ServerTableTest, AWholeListReplacesAndAnIncrementalOneAdds) {
--- a/tests/balancer/learned_state_restorer_test.cpp
+++ b/tests/balancer/learned_state_restorer_test.cpp
@@ -249,8 +249,8 @@
         Rig rig(make_settings({make_class(Idempotency::idempotent), make_class(Idempotency::non_idempotent)}),
                 random.next());
         rig.give(Started{});
-        rig.give(
-            StateRestored{any_knowledge(random), random.below(2) ? any_figure(random) : random.unit() * 20000});
+        rig.give(StateRestored{any_knowledge(random),
+                               random.below(2) ? any_figure(random) : random.unit() * 20000});
         rig.list(ListKind::snapshot, make_servers(8));
         std::set<ServerId> asked;
         const Millis until = rig.now + 10000 + 500;
--- a/tests/balancer/parts_test.cpp
+++ b/tests/balancer/parts_test.cpp
@@ -556,7 +556,8 @@
         settings.my_zone = 0;
         for (ServerId i = 1; i <= count; ++i) servers.push_back(server_of(i));
         for (Server& s : servers)
-            s.info.zone = (s.info.id - 1) % 2, s.info.machine_type = s.info.id, pace.learn(s), pool.push_back(&s);
+            s.info.zone = (s.info.id - 1) % 2, s.info.machine_type = s.info.id, pace.learn(s),
+            pool.push_back(&s);
     }
     std::map<ServerId, int> of(int times, const Request& r = {}, Pick::LoadLevel crowd = {0.1, false, 1}) {
         Pick pick(settings, random, pace);
--- a/tests/balancer/property_test.cpp
+++ b/tests/balancer/property_test.cpp
@@ -106,7 +106,8 @@
             RC_ASSERT(!::testing::Test::HasFailure());
             RC_ASSERT(rig.balancer.resource_usage().sessions == rig.sessions.size());
             RC_ASSERT(rig.balancer.resource_usage().sessions <= rig.settings.max_sessions);
-            RC_ASSERT(rig.balancer.resource_usage().waiting <= 2 * rig.balancer.resource_usage().requests + 64);
+            RC_ASSERT(rig.balancer.resource_usage().waiting <=
+                      2 * rig.balancer.resource_usage().requests + 64);
         }
         events += static_cast<std::size_t>(steps);
         rig.settle();
--- a/tests/balancer/rig.hpp
+++ b/tests/balancer/rig.hpp
@@ -231,7 +231,8 @@
         if (first && r.kind.idempotency == Idempotency::idempotency_key) {
             EXPECT_LT(now, first->at + r.kind.dedup_window) << "rule 2: after the window";
         }
-        r.sent.push_back({send.server, now, send.attempt_deadline > 0 ? send.attempt_deadline : r.deadline, true, true});
+        r.sent.push_back(
+            {send.server, now, send.attempt_deadline > 0 ? send.attempt_deadline : r.deadline, true, true});
     }
 
     // Everything taken must have been answered once.
--- a/tests/cluster/refutation_test.cpp
+++ b/tests/cluster/refutation_test.cpp
@@ -67,7 +67,8 @@
     EXPECT_TRUE(fleet.right());
 }
 
-// As tests/process_testbed has it on processes: a third of all is lost, some repeated and late, and 1 never hears 0.
+// As tests/process_testbed has it on processes: a third of all is lost, some repeated and late, and 1 never
+// hears 0.
 TEST(Refutation, LossAndAOneWayLinkFromTheStartFailNobody) {
     std::uint64_t failures = 0;
     for (std::uint64_t seed = 1; seed <= kLossyFleets; ++seed) {
--- a/tests/endings_test.cpp
+++ b/tests/endings_test.cpp
@@ -604,8 +604,8 @@
     while (rig.server.requests() == 0) ASSERT_GT(rig.io.run_one_for(std::chrono::seconds(60)), 0U);
     rig.server.last().respond("200 OK", "answer");
     stand_still(rig.clock, until + 1);
-    rig.upstream.cancel({1, 0});
-    rig.upstream.cancel({1, 0});
+    rig.upstream.cancel_attempt({1, 0});
+    rig.upstream.cancel_attempt({1, 0});
     rig.run_until_ended();
     rig.io.poll();
     EXPECT_EQ(rig.ended, std::vector<Outcome>{Outcome::cancelled});
--- a/tests/engine/engine_test.cpp
+++ b/tests/engine/engine_test.cpp
@@ -14,7 +14,7 @@
 using namespace elmbay::balancer;
 
 // Notes what the engine wants; a test may hang something on a call.
-struct TestPort : Port {
+struct TestPort : ActionHandler {
     struct Started {
         AttemptKey key;
         ServerId server;
@@ -27,7 +27,7 @@
         cancelled.push_back(key);
         if (on_cancel) on_cancel(key);
     }
-    void finish(RequestId id, const Final& outcome) override {
+    void finish(RequestId id, const FinalOutcome& outcome) override {
         outcomes[id].push_back(outcome);
         if (on_finish) on_finish(id);
     }
@@ -37,7 +37,7 @@
 
     std::vector<Started> started;
     std::vector<AttemptKey> cancelled;
-    std::map<RequestId, std::vector<Final>> outcomes;
+    std::map<RequestId, std::vector<FinalOutcome>> outcomes;
     std::multiset<RequestId> forgotten;
     std::multimap<Millis, TimerToken> timers;
     bool subscribed = false;
@@ -65,24 +65,24 @@
         engine.begin(now);
         ServerList list{ListKind::snapshot, {}};
         for (ServerId id = 1; id <= 4; ++id) list.servers.push_back({id, 0, 0, 0, EndpointState::active, 0});
-        engine.listed(now, list);
+        engine.on_endpoint_list(now, list);
     }
     void take(RequestId id, std::uint32_t class_index = 0, Millis left = 1000) {
         RequestArrived e;
         e.id = id;
         e.class_index = class_index;
         e.time_left = left;
-        engine.take(now, e);
+        engine.on_request(now, e);
     }
     void end(std::size_t nth, Outcome outcome) {
-        engine.attempt_ended(now += 10, port.started.at(nth).key, outcome, 10);
+        engine.on_attempt_ended(now += 10, port.started.at(nth).key, outcome, 10);
     }
     void pass(Millis span) {
         now += span;
         while (!port.timers.empty() && port.timers.begin()->first <= now) {
             const TimerToken token = port.timers.begin()->second;
             port.timers.erase(port.timers.begin());
-            engine.timer_fired(now, token);
+            engine.on_timer(now, token);
         }
     }
 };
@@ -93,7 +93,7 @@
     EXPECT_EQ(engine.requests(), 1U);
     end(0, Outcome::success);
     ASSERT_EQ(port.outcomes[1].size(), 1U);
-    EXPECT_EQ(port.outcomes[1][0].kind, Final::Kind::served);
+    EXPECT_EQ(port.outcomes[1][0].kind, FinalOutcome::Kind::success);
     EXPECT_EQ(engine.requests(), 0U);
     EXPECT_EQ(port.forgotten.count(1), 1U);
     end(0, Outcome::success);  // told twice
@@ -109,26 +109,26 @@
     TestPort own;
     Engine sessions(one, 1, own);
     sessions.begin(now);
-    sessions.listed(now, {ListKind::snapshot, {{1, 0, 0, 0, EndpointState::active, 0}}});
+    sessions.on_endpoint_list(now, {ListKind::snapshot, {{1, 0, 0, 0, EndpointState::active, 0}}});
     const auto upgrade = [&](RequestId id) {
         RequestArrived e;
         e.id = id, e.time_left = 1000, e.session = true;
-        sessions.take(now, e);
+        sessions.on_request(now, e);
     };
     upgrade(1);
     ASSERT_EQ(own.started.size(), 1U);
-    sessions.attempt_ended(now, own.started[0].key, Outcome::success, 5);
-    EXPECT_EQ(own.outcomes[1].at(0).kind, Final::Kind::served);
+    sessions.on_attempt_ended(now, own.started[0].key, Outcome::success, 5);
+    EXPECT_EQ(own.outcomes[1].at(0).kind, FinalOutcome::Kind::success);
     EXPECT_EQ(own.forgotten.count(1), 1U);
     EXPECT_EQ(sessions.requests(), 0U);
     upgrade(2);
-    EXPECT_EQ(own.outcomes[2].at(0).kind, Final::Kind::refused);
-    sessions.session_ended(now, 1, false);
-    sessions.session_ended(now, 1, false);
+    EXPECT_EQ(own.outcomes[2].at(0).kind, FinalOutcome::Kind::rejected);
+    sessions.on_session_ended(now, 1, false);
+    sessions.on_session_ended(now, 1, false);
     upgrade(3);
     upgrade(4);
     EXPECT_EQ(own.started.size(), 2U) << "one place, however often the end is told";
-    EXPECT_EQ(own.outcomes[4].at(0).kind, Final::Kind::refused);
+    EXPECT_EQ(own.outcomes[4].at(0).kind, FinalOutcome::Kind::rejected);
 }
 
 TEST_F(EngineTest, TheSameIdAgainChangesNothing) {
@@ -141,21 +141,21 @@
 
 TEST_F(EngineTest, AnAnswerAfterTheCallerHasGoneIsNobodys) {
     take(1);
-    engine.client_gone(now, 1);
+    engine.on_client_disconnected(now, 1);
     EXPECT_EQ(port.cancelled.size(), 1U);
     EXPECT_EQ(port.forgotten.count(1), 0U);  // its attempt is still out
     end(0, Outcome::success);
     EXPECT_TRUE(port.outcomes[1].empty());
     EXPECT_EQ(port.forgotten.count(1), 1U);
-    engine.client_gone(now, 1);
-    engine.client_gone(now, 99);
+    engine.on_client_disconnected(now, 1);
+    engine.on_client_disconnected(now, 99);
 }
 
 TEST_F(EngineTest, TimeOutsAreToldApartFromOtherFailures) {
     take(1, 1);
     end(0, Outcome::error_response);
     ASSERT_EQ(port.outcomes[1].size(), 1U);
-    EXPECT_EQ(port.outcomes[1][0].kind, Final::Kind::failed);
+    EXPECT_EQ(port.outcomes[1][0].kind, FinalOutcome::Kind::failed);
     EXPECT_FALSE(port.outcomes[1][0].timed_out);
     take(2, 1);
     pass(1000);
@@ -167,7 +167,7 @@
 }
 
 TEST_F(EngineTest, WhatACancelBringsAboutComesAfterTheOtherActions) {
-    port.on_cancel = [this](AttemptKey key) { engine.attempt_ended(now, key, Outcome::cancelled, 10); };
+    port.on_cancel = [this](AttemptKey key) { engine.on_attempt_ended(now, key, Outcome::cancelled, 10); };
     take(1, 1);
     pass(1000);  // cancels, then gives up: the outcome must be there, once
     ASSERT_EQ(port.outcomes[1].size(), 1U);
@@ -188,7 +188,7 @@
 TEST_F(EngineTest, AThrowFromThePortLosesNoLaterEvent) {
     port.on_cancel = [](AttemptKey) { throw std::runtime_error("no"); };
     take(1);
-    EXPECT_THROW(engine.client_gone(now, 1), std::runtime_error);
+    EXPECT_THROW(engine.on_client_disconnected(now, 1), std::runtime_error);
     port.on_cancel = {};
     take(2);
     ASSERT_EQ(port.started.size(), 2U);
@@ -216,7 +216,7 @@
                 if (last > 0) {
                     const RequestId id = 1 + draw(last);
                     if (port.outcomes[id].empty()) gone.insert(id);
-                    engine.client_gone(now, id);
+                    engine.on_client_disconnected(now, id);
                 }
                 break;
             case 2:
--- a/tests/pool_rig.hpp
+++ b/tests/pool_rig.hpp
@@ -33,7 +33,8 @@
               Millis within = 50000) {
         auto request = std::make_shared<HttpRequest>(http::verb::post, "/api", 11);
         request->body().assign(body, 'x');
-        upstream.start({1, 0}, 1, clock.now() + within, clock.now() + write_within, std::move(request));
+        upstream.start_attempt({1, 0}, 1, clock.now() + within, clock.now() + write_within,
+                               std::move(request));
     }
     void run_until_ended() {
         while (ended.empty() && io.run_one_for(std::chrono::seconds(60)) > 0) continue;
--- a/tests/process_testbed/cluster_test.cpp
+++ b/tests/process_testbed/cluster_test.cpp
@@ -95,8 +95,9 @@
     testbed.context().put(split);
     ASSERT_TRUE(testbed.until([&] { return view(testbed, 0, "alone"); })) << testbed.explain();
     for (std::size_t i = 1; i < 5; ++i) {
-        ASSERT_TRUE(testbed.until([&] { return view(testbed, i, "part") && state(testbed, i, 0) == "failed"; }))
-            << i;
+        ASSERT_TRUE(testbed.until([&] {
+            return view(testbed, i, "part") && state(testbed, i, 0) == "failed";
+        })) << i;
     }
     for (std::size_t i = 0; i < 5; ++i) {
         serves(testbed, i);
@@ -116,7 +117,8 @@
     late.name = "late", late.act = Act::delay, late.span = 30, late.jitter = 30,
     late.law = fault_proxy::Law::uniform;
     twice.name = "twice", twice.act = Act::repeat, twice.chance = 0.2;
-    for (Rule* r : {&lost, &late, &twice}) r->medium = fault_proxy::Medium::datagram, testbed.context().put(*r);
+    for (Rule* r : {&lost, &late, &twice})
+        r->medium = fault_proxy::Medium::datagram, testbed.context().put(*r);
     testbed.context().put(cut({"n-0"}, {"n-1"}));
     testbed.start();
     ASSERT_TRUE(testbed.until([&] {
--- a/tests/process_testbed/failpoints_test.cpp
+++ b/tests/process_testbed/failpoints_test.cpp
@@ -15,7 +15,8 @@
 TEST_P(Failpoints, IsFoundAndTheSoundProgramIsNotBlamed) {
     Options options = few();
     options.patience = 3000, options.latency_objective = 2000;  // what is lost is waited for
-    options.program = "env ELMBAY_PLANT=" + std::string(GetParam().name) + " " + ELMBAY_PROGRAM_WITH_FAILPOINTS;
+    options.program =
+        "env ELMBAY_PLANT=" + std::string(GetParam().name) + " " + ELMBAY_PROGRAM_WITH_FAILPOINTS;
     {
         ProcessTestbed planted(options);
         planted.start();
--- a/tests/process_testbed/faults_test.cpp
+++ b/tests/process_testbed/faults_test.cpp
@@ -1,5 +1,5 @@
-// The program's processes with faults between them. Each test waits for events; the request_history is looked at after
-// every step, and its history is the message of a failure.
+// The program's processes with faults between them. Each test waits for events; the request_history is looked
+// at after every step, and its history is the message of a failure.
 #include <gtest/gtest.h>
 #include <sched.h>
 #include <signal.h>
@@ -88,7 +88,8 @@
     testbed.link("n-0", "s-1").reset_all();
     ASSERT_TRUE(testbed.quiet_for(1));
     testbed.list(0, "leaving");
-    ASSERT_TRUE(testbed.quiet_for(RequestHistory::kDrainGrace + 3 * RequestHistory::kSlack)) << testbed.explain();
+    ASSERT_TRUE(testbed.quiet_for(RequestHistory::kDrainGrace + 3 * RequestHistory::kSlack))
+        << testbed.explain();
     testbed.server(0).behavior = testbed.server(1).behavior = ServerBehavior::serve;
     testbed.server(0).release(), testbed.server(1).release();
     testbed.thaw(0);
@@ -174,7 +175,8 @@
     testbed.restart(0, "", "[proof]\nclock_ahead = \"5m\"\n");
     testbed.restart(1, ELMBAY_PROGRAM_WITH_FAILPOINTS, "[websocket]\non = true\n");
     ASSERT_TRUE(testbed.until([&] { return testbed.ready(0) && testbed.ready(1); })) << testbed.explain();
-    const double ahead = testbed.status(0)["now_ms"].get<double>() - testbed.status(2)["now_ms"].get<double>();
+    const double ahead =
+        testbed.status(0)["now_ms"].get<double>() - testbed.status(2)["now_ms"].get<double>();
     EXPECT_NEAR(ahead, 300000, 60000);
 #ifndef __SANITIZE_ADDRESS__  // UBSan looks at memory through a pipe of its own, and blames the program if it
                               // gets none
--- a/tests/process_testbed/scenarios.hpp
+++ b/tests/process_testbed/scenarios.hpp
@@ -24,10 +24,13 @@
     Server &s0 = testbed.server(0), &s1 = testbed.server(1);
     s0.behavior = s1.behavior = ServerBehavior::hold;
     std::vector<std::string> ids;
-    for (int i = 0; i < 20; ++i) ids.push_back(testbed.ask(0, ProcessTestbed::ClientRequest{"listen", 20000, 800}));
-    if (!testbed.until([&] { return s0.holding() + s1.holding() >= testbed.request_history().open(); })) return false;
+    for (int i = 0; i < 20; ++i)
+        ids.push_back(testbed.ask(0, ProcessTestbed::ClientRequest{"listen", 20000, 800}));
+    if (!testbed.until([&] { return s0.holding() + s1.holding() >= testbed.request_history().open(); }))
+        return false;
     testbed.freeze(0);
-    for (int i = 0; i < 20; ++i) ids.push_back(testbed.ask(0, ProcessTestbed::ClientRequest{"listen", 20000, 800}));
+    for (int i = 0; i < 20; ++i)
+        ids.push_back(testbed.ask(0, ProcessTestbed::ClientRequest{"listen", 20000, 800}));
     const auto all_ended = [&] {
         return std::all_of(ids.begin(), ids.end(), [&](const auto& id) { return testbed.ended(id); });
     };
--- a/tests/process_testbed/state_test.cpp
+++ b/tests/process_testbed/state_test.cpp
@@ -35,9 +35,11 @@
     void serve_some() {
         std::vector<std::string> ids;
         for (int i = 0; i < 10; ++i)
-            for (const char* request_class : {"listen", "deposit", "annotate"}) ids.push_back(testbed.ask(0, request_class));
+            for (const char* request_class : {"listen", "deposit", "annotate"})
+                ids.push_back(testbed.ask(0, request_class));
         ASSERT_TRUE(testbed.settle()) << testbed.explain() << log();
-        for (const std::string& id : ids) ASSERT_EQ(testbed.answer(id), Answer::served) << testbed.explain(id);
+        for (const std::string& id : ids)
+            ASSERT_EQ(testbed.answer(id), Answer::served) << testbed.explain(id);
     }
     // The files of the running program end at so many bytes; none: as they like.
     void limit_files(std::optional<rlim_t> bytes) {
--- a/tests/simulation/sidecars_test.cpp
+++ b/tests/simulation/sidecars_test.cpp
@@ -5,8 +5,8 @@
 #include <nlohmann/json.hpp>
 #include <sstream>
 
-#include "simulation/scenario/random_fault_schedule.hpp"
 #include "simulation/drivers/virtual/virtual_run.hpp"
+#include "simulation/scenario/random_fault_schedule.hpp"
 
 namespace elmbay::simulation {
 namespace {
--- a/tests/simulation/socket_run_test.cpp
+++ b/tests/simulation/socket_run_test.cpp
@@ -1,11 +1,12 @@
 // The real driver round real sidecar processes. Nothing here asserts speed: rules, order, and what was asked.
+#include "simulation/drivers/sockets/socket_run.hpp"
+
 #include <gtest/gtest.h>
 
 #include <fstream>
 #include <sstream>
 
 #include "process_testbed/process.hpp"
-#include "simulation/drivers/sockets/socket_run.hpp"
 #include "simulation/drivers/virtual/virtual_run.hpp"
 
 namespace elmbay::simulation {
@@ -94,7 +95,8 @@
 }
 
 TEST(Real, TheSameScriptTwiceAsksAndHappensTheSame) {
-    const std::string a = testing::TempDir() + "simulation-a.log", b = testing::TempDir() + "simulation-b.log";
+    const std::string a = testing::TempDir() + "simulation-a.log",
+                      b = testing::TempDir() + "simulation-b.log";
     const Report first = play(kShort, a), second = play(kShort, b);
     EXPECT_EQ(first.steps, second.steps);
     EXPECT_GT(first.steps.size(), 8U);
@@ -160,8 +162,8 @@
 }
 
 // On sockets: half of the sidecars come back together while a server is cold, one stands still while a server
-// drains, one has little of its core, one runs another build and one other settings. The checker of cold starts
-// and of drains holds all of it against the rules.
+// drains, one has little of its core, one runs another build and one other settings. The checker of cold
+// starts and of drains holds all of it against the rules.
 TEST(Real, SidecarsFailWhileServersDo) {
     const std::string text =
         std::string(kShort).substr(0, std::string(kShort).find("[[fault]]")) +
--- a/tests/simulation/virtual_run_test.cpp
+++ b/tests/simulation/virtual_run_test.cpp
@@ -1,4 +1,6 @@
 // The virtual driver: exactly the same twice, elmbay keeps all rules, and every bad balancer visibly fails.
+#include "simulation/drivers/virtual/virtual_run.hpp"
+
 #include <gtest/gtest.h>
 
 #include <nlohmann/json.hpp>
@@ -6,7 +8,6 @@
 
 #include "bundle.hpp"
 #include "simulation/baselines/baseline_policies.hpp"
-#include "simulation/drivers/virtual/virtual_run.hpp"
 
 namespace elmbay::simulation {
 namespace {
--- a/tests/simulator/wire_test.cpp
+++ b/tests/simulator/wire_test.cpp
@@ -133,7 +133,8 @@
 }
 
 TEST(Codec, SettingsArriveWhole) {
-    const DeploymentSettings deployment = read_deployment_settings(Message(std::string_view(start_line).substr(0, start_line.size() - 1), 1));
+    const DeploymentSettings deployment =
+        read_deployment_settings(Message(std::string_view(start_line).substr(0, start_line.size() - 1), 1));
     EXPECT_EQ(deployment.settings.classes.size(), 2U);
     EXPECT_EQ(deployment.settings.classes[1].idempotency, Idempotency::non_idempotent);
     EXPECT_EQ(deployment.settings.classes[0].latency_objective, 400);
--- a/tests/standing_terms_test.cpp
+++ b/tests/standing_terms_test.cpp
@@ -269,7 +269,7 @@
     }
     void send() {
         auto request = std::make_shared<HttpRequest>(http::verb::post, "/api", 11);
-        upstream.start({1, 0}, 1, clock.now() + 50000, kForever, std::move(request));
+        upstream.start_attempt({1, 0}, 1, clock.now() + 50000, kForever, std::move(request));
     }
 };
 
@@ -450,9 +450,9 @@
     std::size_t taken = 0, gone = 0;
     std::unique_ptr<Listener> listener;
     Listener::Handlers handlers{[](const RequestHead&) { return std::nullopt; },
-                                [&](RequestId id, const HttpRequest&, Arrival) {
+                                [&](RequestId id, const HttpRequest&, ReceivedRequest) {
                                     if (++taken == 1) throw std::runtime_error("no memory for its entry");
-                                    listener->answer(id, HttpResponse(http::status::ok, 11));
+                                    listener->respond(id, HttpResponse(http::status::ok, 11));
                                 },
                                 [&gone](RequestId) { ++gone; }, [] { return true; }};
     listener = std::make_unique<Listener>(io, loopback(), budget, bytes, timers, clock, 3000, handlers);
--- a/tests/syscall_faults/fleet_faults_test.cpp
+++ b/tests/syscall_faults/fleet_faults_test.cpp
@@ -1,5 +1,5 @@
 // The program's processes while their system calls fail as Linux documents. Every request has its final
-// answer in time, none runs twice: the ledger says so, and its history is the message of a failure.
+// answer in time, none runs twice: the request_history says so, and its history is the message of a failure.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -64,30 +64,32 @@
 
 // So many requests of each effect, `together` of them in work at a time. Whether no rule was broken: a
 // request that was sent on has its answer.
-bool ask_of_each_effect(Fleet& fleet, std::size_t each, std::size_t together) {
+bool ask_of_each_effect(ProcessTestbed& testbed, std::size_t each, std::size_t together) {
     std::vector<std::string> ids;
     for (std::size_t i = 0; i < each * kGrades.size(); ++i) {
-        ids.push_back(fleet.ask(i % fleet.sidecars(), kGrades[i % kGrades.size()]));
-        if (!fleet.until([&] { return fleet.ledger().open() < together; })) return false;
+        ids.push_back(testbed.ask(i % testbed.sidecars(), kGrades[i % kGrades.size()]));
+        if (!testbed.until([&] { return testbed.request_history().open() < together; })) return false;
     }
-    if (!fleet.settle()) return false;
+    if (!testbed.settle()) return false;
     for (const std::string& id : ids)
-        if (!fleet.answer(id)) std::cout << "closed with no answer:\n" << fleet.story(id) << std::endl;
+        if (!testbed.answer(id)) std::cout << "closed with no answer:\n" << testbed.explain(id) << std::endl;
     return true;
 }
 
-std::string answers(Fleet& fleet) {
-    RequestHistory& ledger = fleet.ledger();
-    return "served " + std::to_string(ledger.count(Answer::served)) + ", refused " +
-           std::to_string(ledger.count(Answer::refused)) + ", failed " +
-           std::to_string(ledger.count(Answer::failed)) + ", cut " +
-           std::to_string(ledger.count(Answer::cut)) + " of " + std::to_string(ledger.asked());
+std::string answers(ProcessTestbed& testbed) {
+    RequestHistory& request_history = testbed.request_history();
+    return "served " + std::to_string(request_history.count(Answer::served)) + ", refused " +
+           std::to_string(request_history.count(Answer::refused)) + ", failed " +
+           std::to_string(request_history.count(Answer::failed)) + ", cut " +
+           std::to_string(request_history.count(Answer::cut)) + " of " +
+           std::to_string(request_history.asked());
 }
 
-std::uint64_t without_answer(Fleet& fleet) {
-    RequestHistory& ledger = fleet.ledger();
-    return ledger.asked() - ledger.count(Answer::served) - ledger.count(Answer::refused) -
-           ledger.count(Answer::failed) - ledger.count(Answer::cut);
+std::uint64_t without_answer(ProcessTestbed& testbed) {
+    RequestHistory& request_history = testbed.request_history();
+    return request_history.asked() - request_history.count(Answer::served) -
+           request_history.count(Answer::refused) - request_history.count(Answer::failed) -
+           request_history.count(Answer::cut);
 }
 
 struct Case {
@@ -103,17 +105,19 @@
 TEST_P(EachFault, CostsNoRequestItsFinalAnswer) {
     constexpr std::size_t kEach = 200, kTogether = 12;
     const Faults faults(GetParam().specification);
-    Fleet fleet(options_for(faults));
-    fleet.start();
-    for (std::size_t i = 0; i < fleet.servers(); ++i) fleet.server(i).body = 20000;
-    ASSERT_TRUE(ask_of_each_effect(fleet, kEach, kTogether)) << answers(fleet) << "\n" << fleet.story();
+    ProcessTestbed testbed(options_for(faults));
+    testbed.start();
+    for (std::size_t i = 0; i < testbed.servers(); ++i) testbed.server(i).body = 20000;
+    ASSERT_TRUE(ask_of_each_effect(testbed, kEach, kTogether)) << answers(testbed) << "\n"
+                                                               << testbed.explain();
     EXPECT_GT(faults.struck(0), 0U);
-    EXPECT_EQ(fleet.ledger().count(Answer::cut), 0U);
-    EXPECT_LE(without_answer(fleet), GetParam().may_shed ? faults.struck(0) : 0U) << answers(fleet);
+    EXPECT_EQ(testbed.request_history().count(Answer::cut), 0U);
+    EXPECT_LE(without_answer(testbed), GetParam().may_shed ? faults.struck(0) : 0U) << answers(testbed);
     if (GetParam().all_served) {
-        EXPECT_EQ(fleet.ledger().count(Answer::served), fleet.ledger().asked()) << answers(fleet);
+        EXPECT_EQ(testbed.request_history().count(Answer::served), testbed.request_history().asked())
+            << answers(testbed);
     }
-    std::cout << GetParam().name << ": " << answers(fleet) << ", faults " << faults.struck(0) << std::endl;
+    std::cout << GetParam().name << ": " << answers(testbed) << ", faults " << faults.struck(0) << std::endl;
 }
 
 const Case kCases[] = {
@@ -152,10 +156,10 @@
 // What it believes is longer than one write may take, and is told whole.
 TEST(FaultsOnTheStatusSocket, LeaveItWhole) {
     const Faults faults("seed=31 send:SHORT=0.5 send:EINTR=0.2 accept:ENFILE=0.3 accept:ECONNABORTED=0.3");
-    Fleet fleet(options_for(faults, 1, 12));
-    fleet.start();
+    ProcessTestbed testbed(options_for(faults, 1, 12));
+    testbed.start();
     for (int i = 0; i < 20; ++i) {
-        const json status = fleet.status(0);
+        const json status = testbed.status(0);
         ASSERT_TRUE(status.is_object());
         EXPECT_EQ(status["name"], "n-0");
         EXPECT_EQ(status["servers"].size(), 12U);
@@ -181,31 +185,32 @@
 }
 
 // Nothing is open: whoever asks next comes on a new connection, and is sent on over one.
-void end_all_connections(Fleet& fleet) {
-    for (std::size_t i = 0; i < fleet.sidecars(); ++i) {
+void end_all_connections(ProcessTestbed& testbed) {
+    for (std::size_t i = 0; i < testbed.sidecars(); ++i) {
         const std::string sidecar = "n-" + std::to_string(i);
-        fleet.link("c-" + std::to_string(i), sidecar).reset_all();
-        for (std::size_t j = 0; j < fleet.servers(); ++j)
-            fleet.link(sidecar, "s-" + std::to_string(j)).reset_all();
+        testbed.link("c-" + std::to_string(i), sidecar).reset_all();
+        for (std::size_t j = 0; j < testbed.servers(); ++j)
+            testbed.link(sidecar, "s-" + std::to_string(j)).reset_all();
     }
 }
 
 TEST(AllFaultsTogether, NoRequestIsLostAndNoneRunsTwice) {
     constexpr std::size_t kRounds = 50, kEach = 200, kTogether = 32;
     const Faults faults("seed=41 " + std::string(kAllTogether));
-    Fleet fleet(options_for(faults, 2, 6));
-    fleet.start();
-    for (std::size_t i = 0; i < fleet.servers(); ++i) fleet.server(i).body = 4000;
+    ProcessTestbed testbed(options_for(faults, 2, 6));
+    testbed.start();
+    for (std::size_t i = 0; i < testbed.servers(); ++i) testbed.server(i).body = 4000;
     for (std::size_t round = 0; round < kRounds; ++round) {
-        ASSERT_TRUE(ask_of_each_effect(fleet, kEach, kTogether)) << answers(fleet) << "\n" << fleet.story();
-        end_all_connections(fleet);
+        ASSERT_TRUE(ask_of_each_effect(testbed, kEach, kTogether)) << answers(testbed) << "\n"
+                                                                   << testbed.explain();
+        end_all_connections(testbed);
     }
     expect_every_rule_struck(faults);
-    EXPECT_EQ(fleet.ledger().count(Answer::cut), 0U);
+    EXPECT_EQ(testbed.request_history().count(Answer::cut), 0U);
     // A resting connection that is closed for want of a descriptor may be crossed by a request, which is
     // never sent on: its client sends it again.
-    EXPECT_LE(without_answer(fleet), faults.struck(kRuleOfNoDescriptor)) << answers(fleet);
-    std::cout << answers(fleet) << std::endl;
+    EXPECT_LE(without_answer(testbed), faults.struck(kRuleOfNoDescriptor)) << answers(testbed);
+    std::cout << answers(testbed) << std::endl;
 }
 
 // The same while ways between them are cut, in turn, and open again.
@@ -214,21 +219,21 @@
     const Faults faults("seed=42 " + std::string(kAllTogether));
     Options options = options_for(faults, 3, 6);
     options.patience = 3000, options.latency_objective = 1500;  // what a cut way holds up ends in time
-    Fleet fleet(options);
-    fleet.start();
+    ProcessTestbed testbed(options);
+    testbed.start();
     for (std::size_t round = 0; round < kRounds; ++round) {
         fault_proxy::Rule cut;
         cut.name = "cut", cut.act = fault_proxy::Act::cut;
         cut.from = {"n-" + std::to_string(round % 3)};
         cut.to = round % 4 == 3 ? std::vector<std::string>{"list"}
                                 : std::vector<std::string>{"s-" + std::to_string(round % 6)};
-        fleet.ground().put(cut);
-        const bool kept = ask_of_each_effect(fleet, kEach, kTogether);
-        fleet.ground().take_away("cut");
-        ASSERT_TRUE(kept) << answers(fleet) << "\n" << fleet.story();
+        testbed.context().put(cut);
+        const bool kept = ask_of_each_effect(testbed, kEach, kTogether);
+        testbed.context().take_away("cut");
+        ASSERT_TRUE(kept) << answers(testbed) << "\n" << testbed.explain();
     }
-    EXPECT_EQ(fleet.ledger().count(Answer::cut), 0U);
-    std::cout << answers(fleet) << std::endl;
+    EXPECT_EQ(testbed.request_history().count(Answer::cut), 0U);
+    std::cout << answers(testbed) << std::endl;
 }
 
 }  // namespace
--- a/tests/syscall_faults/listener_faults_test.cpp
+++ b/tests/syscall_faults/listener_faults_test.cpp
@@ -29,7 +29,7 @@
     ListenerRig()
         : listener(io, loopback(), budget, bytes, timers, clock, kLongest,
                    {[](const RequestHead&) { return std::optional<RequestProblem>(); },
-                    [this](RequestId id, const HttpRequest&, Arrival) { arrived(id); },
+                    [this](RequestId id, const HttpRequest&, ReceivedRequest) { arrived(id); },
                     [this](RequestId id) { gone.push_back(id); }, [] { return true; }}) {
         arrived = [this](RequestId id) { answer(id); };
     }
@@ -37,7 +37,7 @@
     void answer(RequestId id) {
         HttpResponse response(http::status::ok, 11);
         response.body() = "served\n";
-        listener.answer(id, std::move(response));
+        listener.respond(id, std::move(response));
     }
     // Its own bytes are written before this returns.
     std::shared_ptr<Peer> client(const std::string& text) {
@@ -98,9 +98,11 @@
 TEST(ThrowingHandlers, AnExceptionFromAJudgementOfTheHeadIsAnsweredAtOnce) {
     ListenerRig rig;
     Listener::Handlers handlers;
-    handlers.problem = [](const RequestHead&) -> std::optional<RequestProblem> { throw std::bad_alloc(); };
-    handlers.arrived = [](RequestId, const HttpRequest&, Arrival) { ADD_FAILURE() << "not judged"; };
-    handlers.gone = [](RequestId) {};
+    handlers.validate = [](const RequestHead&) -> std::optional<RequestProblem> { throw std::bad_alloc(); };
+    handlers.on_request = [](RequestId, const HttpRequest&, ReceivedRequest) {
+        ADD_FAILURE() << "not judged";
+    };
+    handlers.on_client_disconnected = [](RequestId) {};
     handlers.ready = [] { return true; };
     Listener listener(rig.io, loopback(), rig.budget, rig.bytes, rig.timers, rig.clock, ListenerRig::kLongest,
                       handlers);
--- a/tests/websocket/handshake_test.cpp
+++ b/tests/websocket/handshake_test.cpp
@@ -11,9 +11,9 @@
 using balancer::Outcome;
 using test::answer;
 using test::ask;
+using test::deployment;
 using test::parsed_answer;
 using test::parsed_ask;
-using test::deployment;
 
 struct Case {
     const char* name;
--- a/tools/simulation/main.cpp
+++ b/tools/simulation/main.cpp
@@ -11,10 +11,10 @@
 #include "bundle.hpp"
 #include "simulation/baselines/baseline_policies.hpp"
 #include "simulation/drivers/sockets/socket_run.hpp"
+#include "simulation/drivers/virtual/virtual_run.hpp"
 #include "simulation/reports/report.hpp"
-#include "simulation/scenario/random_fault_schedule.hpp"
 #include "simulation/reports/sweep.hpp"
-#include "simulation/drivers/virtual/virtual_run.hpp"
+#include "simulation/scenario/random_fault_schedule.hpp"
 
 namespace {
 
@@ -32,7 +32,8 @@
     std::ostringstream text;
     text << file.rdbuf();
     if (!file)
-        throw UseError(path + ": can't be read; `elmbay_simulation list` names the incidents that come along");
+        throw UseError(path +
+                       ": can't be read; `elmbay_simulation list` names the incidents that come along");
     return text.str();
 }
 
