--- a/src/balancer/admission.hpp
+++ b/src/balancer/admission.hpp
@@ -16,7 +16,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "base/decaying.hpp"
+#include "balancer/decaying.hpp"
 #include "elmbay/learned_state.hpp"
 
 namespace elmbay::balancer {
--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -24,6 +24,7 @@
 #include "balancer/final_responder.hpp"
 #include "balancer/latency_estimate.hpp"
 #include "balancer/learned_state_restorer.hpp"
+#include "balancer/learned_state_validation.hpp"
 #include "balancer/outcome_accounting.hpp"
 #include "balancer/pick.hpp"
 #include "balancer/request_table.hpp"
@@ -33,12 +34,11 @@
 #include "balancer/server_pool.hpp"
 #include "balancer/server_table.hpp"
 #include "balancer/sessions.hpp"
+#include "balancer/settings_validation.hpp"
 #include "balancer/subscription_backoff.hpp"
 #include "balancer/timer_table.hpp"
 #include "balancer/wait_queue.hpp"
-#include "base/learned_state.hpp"
 #include "base/random.hpp"
-#include "base/settings.hpp"
 
 namespace elmbay::balancer {
 
--- a/src/balancer/fairness.hpp
+++ b/src/balancer/fairness.hpp
@@ -6,7 +6,7 @@
 #include <optional>
 #include <vector>
 
-#include "base/decaying.hpp"
+#include "balancer/decaying.hpp"
 
 namespace elmbay::balancer {
 
--- a/src/base/learned_state.cpp
+++ b/src/balancer/learned_state_validation.cpp
@@ -1,4 +1,4 @@
-#include "base/learned_state.hpp"
+#include "balancer/learned_state_validation.hpp"
 
 #include <algorithm>
 
--- a/src/balancer/server.hpp
+++ b/src/balancer/server.hpp
@@ -4,8 +4,8 @@
 #include <bit>
 #include <cstdint>
 
+#include "balancer/decaying.hpp"
 #include "balancer/server_age.hpp"
-#include "base/decaying.hpp"
 #include "elmbay/balancer.hpp"
 
 namespace elmbay::balancer {
--- a/src/base/settings.cpp
+++ b/src/balancer/settings_validation.cpp
@@ -1,4 +1,4 @@
-#include "base/settings.hpp"
+#include "balancer/settings_validation.hpp"
 
 #include <cmath>
 #include <stdexcept>
--- a/src/base/timing.hpp
+++ b/src/base/timing.hpp
@@ -10,12 +10,11 @@
 #include <memory>
 #include <utility>
 
-#include "elmbay/balancer.hpp"
-
 namespace elmbay {
 
 namespace asio = boost::asio;
-using balancer::Millis;
+/// Milliseconds, as in the decisions' interface (elmbay/balancer.hpp).
+using Millis = double;
 
 // The machine's two clocks, apart.
 //
--- a/src/base/config.cpp
+++ b/src/config/config.cpp
@@ -1,4 +1,4 @@
-#include "base/config.hpp"
+#include "config/config.hpp"
 
 #include <algorithm>
 #include <boost/asio/ip/address.hpp>
--- a/src/base/config.hpp
+++ b/src/config/config.hpp
@@ -11,7 +11,7 @@
 #include <string_view>
 #include <vector>
 
-#include "base/deployment_settings.hpp"
+#include "config/deployment_settings.hpp"
 
 namespace elmbay {
 
--- a/src/base/deployment_settings.cpp
+++ b/src/config/deployment_settings.cpp
@@ -1,4 +1,4 @@
-#include "base/deployment_settings.hpp"
+#include "config/deployment_settings.hpp"
 
 #include <algorithm>
 #include <charconv>
--- a/src/http/request_validation.hpp
+++ b/src/http/request_validation.hpp
@@ -4,7 +4,7 @@
 
 #include <optional>
 
-#include "base/deployment_settings.hpp"
+#include "config/deployment_settings.hpp"
 #include "http/message.hpp"
 
 namespace elmbay {
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -13,7 +13,7 @@
 #include <optional>
 #include <string>
 
-#include "base/config.hpp"
+#include "config/config.hpp"
 #include "operator/operator_file.hpp"
 #include "sidecar/sidecar.hpp"
 #include "state/command.hpp"
--- a/src/net/discovery.hpp
+++ b/src/net/discovery.hpp
@@ -8,9 +8,9 @@
 #include <optional>
 #include <random>
 
-#include "base/config.hpp"
 #include "base/sockets.hpp"
 #include "base/timing.hpp"
+#include "config/config.hpp"
 
 namespace elmbay {
 
--- a/src/net/listener.hpp
+++ b/src/net/listener.hpp
@@ -13,9 +13,9 @@
 #include <unordered_set>
 
 #include "base/byte_budget.hpp"
-#include "base/config.hpp"
 #include "base/sockets.hpp"
 #include "base/timing.hpp"
+#include "config/config.hpp"
 #include "http/message.hpp"
 #include "http/request_validation.hpp"
 
--- a/src/net/upstream.hpp
+++ b/src/net/upstream.hpp
@@ -9,9 +9,9 @@
 #include <memory>
 
 #include "base/byte_budget.hpp"
-#include "base/config.hpp"
 #include "base/sockets.hpp"
 #include "base/timing.hpp"
+#include "config/config.hpp"
 #include "engine/engine.hpp"
 #include "http/message.hpp"
 
--- a/src/sidecar/endpoint_registry.hpp
+++ b/src/sidecar/endpoint_registry.hpp
@@ -12,7 +12,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "base/config.hpp"
+#include "config/config.hpp"
 #include "elmbay/balancer.hpp"
 #include "sidecar/server_numbers.hpp"
 
--- a/src/sidecar/sidecar.hpp
+++ b/src/sidecar/sidecar.hpp
@@ -9,10 +9,10 @@
 #include <string>
 #include <unordered_map>
 
-#include "base/config.hpp"
 #include "base/sockets.hpp"
 #include "base/timing.hpp"
 #include "cluster/driver.hpp"
+#include "config/config.hpp"
 #include "engine/engine.hpp"
 #include "http/request_validation.hpp"
 #include "net/discovery.hpp"
--- a/src/simulator/wire.hpp
+++ b/src/simulator/wire.hpp
@@ -10,7 +10,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "base/deployment_settings.hpp"
+#include "config/deployment_settings.hpp"
 #include "elmbay/balancer.hpp"
 
 namespace elmbay::balancer::wire {
--- a/src/websocket/front.hpp
+++ b/src/websocket/front.hpp
@@ -12,9 +12,9 @@
 #include <set>
 #include <unordered_map>
 
-#include "base/config.hpp"
 #include "base/sockets.hpp"
 #include "base/timing.hpp"
+#include "config/config.hpp"
 #include "engine/engine.hpp"
 #include "websocket/session.hpp"
 #include "websocket/settings.hpp"
--- a/tests/sidecar/listing_test.cpp
+++ b/tests/sidecar/listing_test.cpp
@@ -3,7 +3,7 @@
 
 #include <nlohmann/json.hpp>
 
-#include "base/config.hpp"
+#include "config/config.hpp"
 
 namespace elmbay {
 namespace {
