--- a/src/balancer/admission.cpp
+++ b/src/balancer/admission.cpp
@@ -46,18 +46,19 @@
 }
 
 void Admission::know(LearnedState& k, Millis now) const {
-    k.crowd = LearnedStateRestorer::of(crowd_, now);
-    k.room = crowd_.count > 0 ? room(now) : 0;
-    k.learned = learned_ * std::exp((at_ - now) / kLearned);
-    k.taught_by = taught_by_;
+    k.load_ratio = LearnedStateRestorer::of(crowd_, now);
+    k.concurrency_limit = crowd_.count > 0 ? room(now) : 0;
+    k.learned_limit = learned_ * std::exp((at_ - now) / kLearned);
+    k.servers_behind_learned_limit = taught_by_;
 }
 
 // The ceiling fades as ever. The room is as good as the answers that it follows: once these weigh less than
 // one, a new sidecar's is better.
 void Admission::recall(const LearnedState& k, Millis taken_at, Millis now) {
-    learned_ = k.learned, taught_by_ = k.taught_by, at_ = taken_at;
-    const DecayingAverage crowd = LearnedStateRestorer::recalled(k.crowd, taken_at);
-    if (k.room > 0 && crowd.left(now, kMemory) >= 1) crowd_ = crowd, room_ = used_ = k.room;
+    learned_ = k.learned_limit, taught_by_ = k.servers_behind_learned_limit, at_ = taken_at;
+    const DecayingAverage crowd = LearnedStateRestorer::recalled(k.load_ratio, taken_at);
+    if (k.concurrency_limit > 0 && crowd.left(now, kMemory) >= 1)
+        crowd_ = crowd, room_ = used_ = k.concurrency_limit;
 }
 
 // Whether the answer opens or closes it. One that is late among quick ones is chance and closes nothing.
--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -104,7 +104,7 @@
         state_restorer.keep(learned_state, event.age, context.now());
         if (!state_restorer.believed()) return;
         admission.recall(learned_state, state_restorer.taken_at(), context.now());
-        aperture.recall(learned_state.carried, state_restorer.taken_at());
+        aperture.recall(learned_state.completion_rate, state_restorer.taken_at());
         retry_budget.at_most(learned_state.retries_left);
     }
 
@@ -122,7 +122,7 @@
             if (server.listed) learned_state.servers.push_back(LearnedStateRestorer::of(server, at));
         }
         admission.know(learned_state, at);
-        learned_state.carried = aperture.carried_rate(at);
+        learned_state.completion_rate = aperture.carried_rate(at);
         learned_state.retries_left = retry_budget.left();
         return sound(std::move(learned_state));
     }
--- a/src/balancer/cold_start.cpp
+++ b/src/balancer/cold_start.cpp
@@ -14,9 +14,9 @@
     // Never less than trials. But all that have it in sight together no more than so many in that time: a
     // floor for each sidecar adds up, with their number, to what fells it.
     const double trials = std::min(1.0, t.trials / std::max(1.0, t.sight)) / t.trial_every;
-    s.tokens = std::min(s.tokens + (now - s.tokens_at) * std::max(fed, trials), 1.0);
+    s.slow_start_tokens = std::min(s.slow_start_tokens + (now - s.tokens_at) * std::max(fed, trials), 1.0);
     s.tokens_at = now;
-    return s.tokens;
+    return s.slow_start_tokens;
 }
 
 }  // namespace elmbay::balancer
--- a/src/balancer/cold_start.hpp
+++ b/src/balancer/cold_start.hpp
@@ -34,10 +34,12 @@
     }
     // Another process under the same name, or a new one. depth (0 to 1, by chance): an empty bucket, at a
     // different depth for each sidecar, as first tokens must not fall together.
-    static void started(Server& s, double depth, Millis now) { s.tokens = -depth, s.tokens_at = now; }
+    static void started(Server& s, double depth, Millis now) {
+        s.slow_start_tokens = -depth, s.tokens_at = now;
+    }
     // Sends that it may take now. pace: what its answers take of their objective.
     double tokens(Server& s, const Traffic& t, double pace, Millis now) const;
-    static void sent(Server& s) { s.tokens -= 1; }
+    static void sent(Server& s) { s.slow_start_tokens -= 1; }
 
 private:
     double from_;
--- a/src/balancer/learned_state_restorer.cpp
+++ b/src/balancer/learned_state_restorer.cpp
@@ -18,23 +18,25 @@
     const LearnedServerState k = at->second;
     servers_.erase(at);
     const Millis age = now - taken_at_;
-    s.tokens = std::min(s.tokens, k.tokens);
+    s.slow_start_tokens = std::min(s.slow_start_tokens, k.slow_start_tokens);
     if (k.online_since != s.info.online_since) return;  // another process
-    if (k.out_ms) {
+    if (k.ejection_remaining_ms) {
         if (!may_remove) return;
         s.ejection_state = EjectionState::ejected;
-        s.backoff_until = now + std::max(0.0, *k.out_ms - age);
+        s.backoff_until = now + std::max(0.0, *k.ejection_remaining_ms - age);
         return;
     }
-    const auto believed = static_cast<std::uint32_t>(k.seen * std::exp(-age / kOutcomes));
-    for (std::uint32_t i = believed; i-- > 0;) s.window.add((k.outcomes >> i & 1U) != 0);
+    const auto believed = static_cast<std::uint32_t>(k.outcome_count * std::exp(-age / kOutcomes));
+    for (std::uint32_t i = believed; i-- > 0;) s.window.add((k.outcome_bits >> i & 1U) != 0);
 }
 
 LearnedServerState LearnedStateRestorer::of(const Server& s, Millis now) {
-    LearnedServerState k{s.info.id, s.info.online_since, s.window.bits(), s.window.filled(), {}, s.tokens};
-    if (s.ejection_state == EjectionState::ejected) k.out_ms = std::max(0.0, s.backoff_until - now);
+    LearnedServerState k{s.info.id, s.info.online_since, s.window.bits(), s.window.filled(),
+                         {},        s.slow_start_tokens};
+    if (s.ejection_state == EjectionState::ejected)
+        k.ejection_remaining_ms = std::max(0.0, s.backoff_until - now);
     if (s.ejection_state == EjectionState::probing)
-        k.out_ms = 0;  // undecided: the next life tries it at once
+        k.ejection_remaining_ms = 0;  // undecided: the next life tries it at once
     return k;
 }
 
--- a/src/balancer/learned_state_restorer.hpp
+++ b/src/balancer/learned_state_restorer.hpp
@@ -34,7 +34,7 @@
         return {mean.value, mean.count, now - mean.at};
     }
     static DecayingAverage recalled(const DecayedMean& known, Millis taken_at) {
-        return {{known.weight, taken_at - known.since}, known.value};
+        return {{known.weight, taken_at - known.last_sample_age_ms}, known.value};
     }
 
 private:
--- a/src/balancer/learned_state_validation.cpp
+++ b/src/balancer/learned_state_validation.cpp
@@ -1,7 +1,7 @@
-#include "balancer/learned_state_validation.hpp"
-
 #include <algorithm>
 
+#include "balancer/learned_state_validation.hpp"
+
 namespace elmbay::balancer {
 
 namespace {
@@ -18,7 +18,8 @@
 }
 
 void mend(DecayedMean& k) {
-    if (!within(k.value, 0, kMaxMean) || !within(k.weight, 0, kMaxSamples) || !within(k.since, 0, kDay))
+    if (!within(k.value, 0, kMaxMean) || !within(k.weight, 0, kMaxSamples) ||
+        !within(k.last_sample_age_ms, 0, kDay))
         k = {0, 0, kDay};
 }
 
@@ -28,15 +29,16 @@
     if (k.servers.size() > kMaxRememberedServers) k.servers.resize(kMaxRememberedServers);
     for (LearnedServerState& s : k.servers) {
         if (!within(s.online_since, 0, 1e15)) s.online_since = -1;  // of no process that there can be
-        if (s.seen > kMaxOutcomes) s.seen = s.outcomes = 0;
-        if (s.out_ms && !within(*s.out_ms, 0, kLongestOut)) s.out_ms.reset();
-        mend(s.tokens, -1, 1, 1);
+        if (s.outcome_count > kMaxOutcomes) s.outcome_count = s.outcome_bits = 0;
+        if (s.ejection_remaining_ms && !within(*s.ejection_remaining_ms, 0, kLongestOut))
+            s.ejection_remaining_ms.reset();
+        mend(s.slow_start_tokens, -1, 1, 1);
     }
-    mend(k.crowd);
-    mend(k.room, 0, kMaxPlaces, 0);
-    mend(k.learned, 0, kMaxPlaces, 0);
-    mend(k.taught_by, 0, kMaxPlaces, 0);
-    mend(k.carried, 0, kMaxCarried, 0);
+    mend(k.load_ratio);
+    mend(k.concurrency_limit, 0, kMaxPlaces, 0);
+    mend(k.learned_limit, 0, kMaxPlaces, 0);
+    mend(k.servers_behind_learned_limit, 0, kMaxPlaces, 0);
+    mend(k.completion_rate, 0, kMaxCarried, 0);
     mend(k.retries_left, 0, kMaxRetries, 0);
     return k;
 }
--- a/src/balancer/server.hpp
+++ b/src/balancer/server.hpp
@@ -41,7 +41,7 @@
     EjectionState ejection_state = EjectionState::healthy;  // OutlierEjection's, as the next two
     OutcomeWindow window;
     Millis backoff_until = 0;
-    double tokens = 0;  // ColdStart's: sends that a cold server may still take, as of tokens_at
+    double slow_start_tokens = 0;  // ColdStart's: sends that a cold server may still take, as of tokens_at
     Millis tokens_at = 0;
     DecayingAverage* kind = nullptr;  // LatencyEstimate's: of all warm servers of its kind
     DecayingAverage pace;             // LatencyEstimate's: of its own answers
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -208,8 +208,8 @@
         nlohmann::json server = {{"uid", uid}, {"state", state}, {"boot_ms", entry.info.online_since}};
         server["attempts"] = upstream_.attempts_at(entry.info.id);
         if (const auto at = learned.find(entry.info.id); at != learned.end()) {
-            server["removed"] = at->second->out_ms.has_value();
-            server["outcomes"] = at->second->seen;
+            server["removed"] = at->second->ejection_remaining_ms.has_value();
+            server["outcomes"] = at->second->outcome_count;
         }
         servers.push_back(std::move(server));
     }
@@ -230,8 +230,8 @@
                             {{"clients", budget_.used(elmbay::Side::clients)},
                              {"servers", budget_.used(elmbay::Side::servers)},
                              {"sessions", budget_.used(elmbay::Side::sessions)}}},
-                           {"room", learned_state.room},
-                           {"crowd", learned_state.crowd.value},
+                           {"room", learned_state.concurrency_limit},
+                           {"crowd", learned_state.load_ratio.value},
                            {"servers", std::move(servers)}};
     if (cluster_) told["cluster"] = cluster_->status();
     return told;
--- a/src/state/command.cpp
+++ b/src/state/command.cpp
@@ -62,8 +62,8 @@
 // A character each, the oldest first.
 std::string outcomes_of(const balancer::LearnedServerState& server) {
     std::string outcomes;
-    for (std::uint32_t bit = std::min(server.seen, kMaxOutcomes); bit-- > 0;)
-        outcomes += (server.outcomes >> bit & 1U) != 0 ? '+' : '-';
+    for (std::uint32_t bit = std::min(server.outcome_count, kMaxOutcomes); bit-- > 0;)
+        outcomes += (server.outcome_bits >> bit & 1U) != 0 ? '+' : '-';
     return outcomes;
 }
 
@@ -75,11 +75,11 @@
                                {"instance", snapshot.instance},
                                {"taken", text_of(snapshot.taken)},
                                {"taken_ms", snapshot.taken.wall_ms},
-                               {"room", learned_state.room},
-                               {"ceiling", learned_state.learned},
-                               {"taught_by", learned_state.taught_by},
-                               {"crowd", learned_state.crowd.value},
-                               {"carried_a_second", learned_state.carried * 1000},
+                               {"room", learned_state.concurrency_limit},
+                               {"ceiling", learned_state.learned_limit},
+                               {"taught_by", learned_state.servers_behind_learned_limit},
+                               {"crowd", learned_state.load_ratio.value},
+                               {"carried_a_second", learned_state.completion_rate * 1000},
                                {"retries_left", learned_state.retries_left}};
     out["servers"] = nlohmann::ordered_json::array();
     for (std::size_t i = 0; i < snapshot.uids.size(); ++i) {
@@ -87,7 +87,7 @@
         nlohmann::ordered_json server{{"uid", snapshot.uids[i]},
                                       {"online_since", known.online_since},
                                       {"outcomes", outcomes_of(known)}};
-        if (known.out_ms) server["removed_for_ms"] = *known.out_ms;
+        if (known.ejection_remaining_ms) server["removed_for_ms"] = *known.ejection_remaining_ms;
         out["servers"].push_back(server);
     }
     return out;
@@ -101,12 +101,15 @@
     fmt::print(
         "room {:.1f}, ceiling {:.1f} taught by {:.1f} servers, crowd {:.2f}, carried {:.1f}/s, retries "
         "{:.1f}\n",
-        learned_state.room, learned_state.learned, learned_state.taught_by, learned_state.crowd.value,
-        learned_state.carried * 1000, learned_state.retries_left);
+        learned_state.concurrency_limit, learned_state.learned_limit,
+        learned_state.servers_behind_learned_limit, learned_state.load_ratio.value,
+        learned_state.completion_rate * 1000, learned_state.retries_left);
     for (std::size_t i = 0; i < snapshot.uids.size(); ++i) {
         const balancer::LearnedServerState& server = learned_state.servers[i];
         const std::string removed =
-            server.out_ms ? fmt::format("removed, {:.1f}s left", *server.out_ms / 1000) : "";
+            server.ejection_remaining_ms
+                ? fmt::format("removed, {:.1f}s left", *server.ejection_remaining_ms / 1000)
+                : "";
         fmt::print("  {:<24} {:<20} {}\n", snapshot.uids[i], outcomes_of(server), removed);
     }
 }
--- a/src/state/snapshot_decoder.cpp
+++ b/src/state/snapshot_decoder.cpp
@@ -65,21 +65,21 @@
 LearnedServerState server_of(const json& body) {
     LearnedServerState server;
     server.online_since = number_field(body, "online_since", -1);
-    server.outcomes = count_field(body, "outcomes");
-    server.seen = count_field(body, "seen");
-    server.tokens = number_field(body, "tokens", 1);
-    if (body.contains("out_ms")) server.out_ms = number_field(body, "out_ms", 0);
+    server.outcome_bits = count_field(body, "outcomes");
+    server.outcome_count = count_field(body, "seen");
+    server.slow_start_tokens = number_field(body, "tokens", 1);
+    if (body.contains("out_ms")) server.ejection_remaining_ms = number_field(body, "out_ms", 0);
     return server;
 }
 
 // Everything but the servers.
 balancer::LearnedState means_of(const json& body) {
     balancer::LearnedState means;
-    means.crowd = mean_field(body, "crowd");
-    means.room = number_field(body, "room", 0);
-    means.learned = number_field(body, "learned", 0);
-    means.taught_by = number_field(body, "taught_by", 0);
-    means.carried = number_field(body, "carried", 0);
+    means.load_ratio = mean_field(body, "crowd");
+    means.concurrency_limit = number_field(body, "room", 0);
+    means.learned_limit = number_field(body, "learned", 0);
+    means.servers_behind_learned_limit = number_field(body, "taught_by", 0);
+    means.completion_rate = number_field(body, "carried", 0);
     means.retries_left = number_field(body, "retries_left", 0);
     return means;
 }
--- a/src/state/snapshot_encoder.cpp
+++ b/src/state/snapshot_encoder.cpp
@@ -14,22 +14,27 @@
 using layout::RecordKind;
 using nlohmann::json;
 
-json body_of(const balancer::DecayedMean& mean) { return json::array({mean.value, mean.weight, mean.since}); }
+json body_of(const balancer::DecayedMean& mean) {
+    return json::array({mean.value, mean.weight, mean.last_sample_age_ms});
+}
 
 json body_of(const std::string& uid, const LearnedServerState& server) {
     json body{{"uid", uid},
               {"online_since", server.online_since},
-              {"outcomes", server.outcomes},
-              {"seen", server.seen},
-              {"tokens", server.tokens}};
-    if (server.out_ms) body["out_ms"] = *server.out_ms;
+              {"outcomes", server.outcome_bits},
+              {"seen", server.outcome_count},
+              {"tokens", server.slow_start_tokens}};
+    if (server.ejection_remaining_ms) body["out_ms"] = *server.ejection_remaining_ms;
     return body;
 }
 
 json body_of(const balancer::LearnedState& learned_state) {
-    return {{"crowd", body_of(learned_state.crowd)}, {"room", learned_state.room},
-            {"learned", learned_state.learned},      {"taught_by", learned_state.taught_by},
-            {"carried", learned_state.carried},      {"retries_left", learned_state.retries_left}};
+    return {{"crowd", body_of(learned_state.load_ratio)},
+            {"room", learned_state.concurrency_limit},
+            {"learned", learned_state.learned_limit},
+            {"taught_by", learned_state.servers_behind_learned_limit},
+            {"carried", learned_state.completion_rate},
+            {"retries_left", learned_state.retries_left}};
 }
 
 json body_of(const Timestamp& taken) {
@@ -39,8 +44,9 @@
 }
 
 bool same(const LearnedServerState& a, const LearnedServerState& b) {
-    return a.online_since == b.online_since && a.outcomes == b.outcomes && a.seen == b.seen &&
-           a.out_ms == b.out_ms && a.tokens == b.tokens;
+    return a.online_since == b.online_since && a.outcome_bits == b.outcome_bits &&
+           a.outcome_count == b.outcome_count && a.ejection_remaining_ms == b.ejection_remaining_ms &&
+           a.slow_start_tokens == b.slow_start_tokens;
 }
 
 // Appends numbered records.
--- a/tests/balancer/learned_state_restorer_test.cpp
+++ b/tests/balancer/learned_state_restorer_test.cpp
@@ -85,8 +85,8 @@
         Rig rig = next_life(known, age, make_servers(6));
         EXPECT_NE(rig.where(rig.request()), 0U);
         const auto k = rig.balancer.learned_state(rig.now);
-        for (const LearnedServerState& s : k.servers) EXPECT_FALSE(s.out_ms) << age;
-        EXPECT_EQ(k.learned, 0) << age;
+        for (const LearnedServerState& s : k.servers) EXPECT_FALSE(s.ejection_remaining_ms) << age;
+        EXPECT_EQ(k.learned_limit, 0) << age;
     }
 }
 
@@ -178,8 +178,8 @@
 
 TEST(StateRestored, ARestartInARushKeepsTheRoomForAsLongAsItsAnswersCount) {
     LearnedState known;
-    known.crowd = {0.6, 10, 0};
-    known.room = 6;
+    known.load_ratio = {0.6, 10, 0};
+    known.concurrency_limit = 6;
     const auto admitted = [&](Millis age) {
         Rig rig = next_life(known, age, make_servers(12));
         return rig.still_out(rig.burst(200));
@@ -206,12 +206,14 @@
     const LearnedState again = next_life(known, 0, make_servers(6)).balancer.learned_state(rig.now);
     ASSERT_EQ(again.servers.size(), known.servers.size());
     for (std::size_t i = 0; i < known.servers.size(); ++i) {
-        EXPECT_EQ(again.servers[i].seen, known.servers[i].out_ms ? 0 : known.servers[i].seen);
-        EXPECT_EQ(again.servers[i].out_ms.has_value(), known.servers[i].out_ms.has_value());
+        EXPECT_EQ(again.servers[i].outcome_count,
+                  known.servers[i].ejection_remaining_ms ? 0 : known.servers[i].outcome_count);
+        EXPECT_EQ(again.servers[i].ejection_remaining_ms.has_value(),
+                  known.servers[i].ejection_remaining_ms.has_value());
     }
-    EXPECT_GT(known.learned, 0);
-    EXPECT_LE(again.learned, known.learned);
-    EXPECT_GE(again.learned, 0.9 * known.learned);
+    EXPECT_GT(known.learned_limit, 0);
+    EXPECT_LE(again.learned_limit, known.learned_limit);
+    EXPECT_GE(again.learned_limit, 0.9 * known.learned_limit);
 }
 
 double any_figure(Random& random) {
@@ -228,15 +230,16 @@
         LearnedServerState s;
         s.server = static_cast<std::uint32_t>(random.below(12));
         s.online_since = random.below(2) ? 0 : any_figure(random);
-        s.outcomes = static_cast<std::uint32_t>(random.next());
-        s.seen = static_cast<std::uint32_t>(random.below(24));
-        if (random.below(2)) s.out_ms = any_figure(random);
-        s.tokens = any_figure(random);
+        s.outcome_bits = static_cast<std::uint32_t>(random.next());
+        s.outcome_count = static_cast<std::uint32_t>(random.below(24));
+        if (random.below(2)) s.ejection_remaining_ms = any_figure(random);
+        s.slow_start_tokens = any_figure(random);
         k.servers.push_back(s);
     }
-    k.crowd = fading();
-    k.room = any_figure(random), k.learned = any_figure(random), k.taught_by = any_figure(random);
-    k.carried = any_figure(random), k.retries_left = any_figure(random);
+    k.load_ratio = fading();
+    k.concurrency_limit = any_figure(random), k.learned_limit = any_figure(random),
+    k.servers_behind_learned_limit = any_figure(random);
+    k.completion_rate = any_figure(random), k.retries_left = any_figure(random);
     return k;
 }
 
@@ -266,7 +269,8 @@
         }
         RC_ASSERT(asked.size() == 8U);
         const LearnedState k = rig.balancer.learned_state(rig.now);
-        RC_ASSERT(std::isfinite(k.room + k.learned + k.taught_by + k.carried + k.crowd.value));
+        RC_ASSERT(std::isfinite(k.concurrency_limit + k.learned_limit + k.servers_behind_learned_limit +
+                                k.completion_rate + k.load_ratio.value));
         rig.settle();
         RC_ASSERT(!::testing::Test::HasFailure());
     }));
--- a/tests/balancer/parts_test.cpp
+++ b/tests/balancer/parts_test.cpp
@@ -233,7 +233,7 @@
     Server s = server_of(1);
     s.process.started_at = kNow;
     ColdStart::started(s, 0.7, kNow);
-    EXPECT_LT(s.tokens, 0);
+    EXPECT_LT(s.slow_start_tokens, 0);
     const ColdStart::Traffic traffic{10, 1, 10000, 4};
     EXPECT_DOUBLE_EQ(cold.tokens(s, traffic, 0, kNow + 9000), 1.0);
     ColdStart::sent(s);
--- a/tests/balancer/session_test.cpp
+++ b/tests/balancer/session_test.cpp
@@ -47,10 +47,10 @@
 TEST(Session, QuickUpgradesDoNotTeachThatWorkIsQuick) {
     Sessions rig;
     for (int i = 0; i < 40; ++i) rig.end(rig.request(), Outcome::success, 390);
-    const Millis room = rig.balancer.learned_state(rig.now).crowd.value;
+    const Millis room = rig.balancer.learned_state(rig.now).load_ratio.value;
     ASSERT_GT(room, 0.9);
     for (int i = 0; i < 200; ++i) rig.session();
-    EXPECT_EQ(rig.balancer.learned_state(rig.now).crowd.value, room);
+    EXPECT_EQ(rig.balancer.learned_state(rig.now).load_ratio.value, room);
 }
 
 TEST(Session, NewOnesAreSpreadByThoseHeld) {
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -741,7 +741,7 @@
     const auto removed = [](const NetRig& rig) {
         const state::Snapshot s = rig.sidecar->snapshot();
         for (std::size_t i = 0; i < s.uids.size(); ++i)
-            if (s.uids[i] == "s-4" && s.learned_state.servers[i].out_ms) return true;
+            if (s.uids[i] == "s-4" && s.learned_state.servers[i].ejection_remaining_ms) return true;
         return false;
     };
     ASSERT_GT(ask(first, 400, first.servers.back(), [&] { return removed(first); }), 0);
--- a/tests/state/old_snapshot_test.cpp
+++ b/tests/state/old_snapshot_test.cpp
@@ -28,14 +28,14 @@
         EXPECT_EQ(snapshot.taken.wall_ms, 1700000000003);
         EXPECT_EQ(snapshot.taken.since_boot_ms, 5003);
         for (std::size_t i = 0; i < snapshot.taken.boot.size(); ++i) EXPECT_EQ(snapshot.taken.boot[i], i + 1);
-        EXPECT_EQ(snapshot.learned_state.room, 43.5);
-        EXPECT_EQ(snapshot.learned_state.learned, 83.25);
-        EXPECT_EQ(snapshot.learned_state.taught_by, 7);
-        EXPECT_EQ(snapshot.learned_state.carried, 0.125);
+        EXPECT_EQ(snapshot.learned_state.concurrency_limit, 43.5);
+        EXPECT_EQ(snapshot.learned_state.learned_limit, 83.25);
+        EXPECT_EQ(snapshot.learned_state.servers_behind_learned_limit, 7);
+        EXPECT_EQ(snapshot.learned_state.completion_rate, 0.125);
         EXPECT_EQ(snapshot.learned_state.retries_left, 6.5);
-        EXPECT_EQ(snapshot.learned_state.crowd.value, 0.75);
-        EXPECT_EQ(snapshot.learned_state.crowd.weight, 3);
-        EXPECT_EQ(snapshot.learned_state.crowd.since, 250);
+        EXPECT_EQ(snapshot.learned_state.load_ratio.value, 0.75);
+        EXPECT_EQ(snapshot.learned_state.load_ratio.weight, 3);
+        EXPECT_EQ(snapshot.learned_state.load_ratio.last_sample_age_ms, 250);
         EXPECT_EQ(snapshot.uids, (std::vector<std::string>{"s-0", "s-2", "s-3", "s-4"}));
         ASSERT_EQ(snapshot.learned_state.servers.size(), 4U);
         for (std::size_t i = 0; i < 4; ++i) {
@@ -43,10 +43,10 @@
             const auto number = static_cast<unsigned>(snapshot.uids[i][2] - '0');
             EXPECT_EQ(server.server, i);
             EXPECT_EQ(server.online_since, 1699999990000.0 + number);
-            EXPECT_EQ(server.outcomes, 0xF0F0U >> number);
-            EXPECT_EQ(server.seen, 16 + number);
-            EXPECT_EQ(server.tokens, 0.5);
-            EXPECT_EQ(server.out_ms, number == 4 ? std::optional<double>(2503) : std::nullopt);
+            EXPECT_EQ(server.outcome_bits, 0xF0F0U >> number);
+            EXPECT_EQ(server.outcome_count, 16 + number);
+            EXPECT_EQ(server.slow_start_tokens, 0.5);
+            EXPECT_EQ(server.ejection_remaining_ms, number == 4 ? std::optional<double>(2503) : std::nullopt);
         }
         ASSERT_FALSE(store.save(snapshot)) << "and the next generation goes beside it";
         EXPECT_EQ(store.generation(), 2U);
