--- a/src/balancer/admission.cpp
+++ b/src/balancer/admission.cpp
@@ -11,64 +11,77 @@
 }
 
 // Where slow service alone takes that long, refusing more does not help and idles the servers: one attempt
-// for each warm live server is always allowed, and with many sidecars our part of kFloor.
-void Admission::pool_is(std::size_t warm) {
-    warm_ = static_cast<double>(warm);
-    floor_ = our_part() * warm_;
-    least_ceiling_ = std::max(kOpen, kBelieved * each_ * warm_);
-    room_ = std::max(room_, std::min(floor_, kOpen));
-    if (crowd_.count == 0) room_ = std::max(kOpen, kFirst * each_ * warm_);
+// for each warm live server is always allowed, and with many sidecars our part of kMinAttemptsPerServer.
+void Admission::set_warm_servers(std::size_t warm) {
+    warm_servers_ = static_cast<double>(warm);
+    min_limit_ = sidecar_share() * warm_servers_;
+    min_ceiling_ =
+        std::max(kCircuitClosedLimit, kMinCeilingMultiple * min_attempts_per_server_ * warm_servers_);
+    limit_ = std::max(limit_, std::min(min_limit_, kCircuitClosedLimit));
+    if (load_ratio_.count == 0)
+        limit_ =
+            std::max(kCircuitClosedLimit, kInitialLimitMultiple * min_attempts_per_server_ * warm_servers_);
 }
 
-void Admission::answered(double ratio, int out, Millis now) {
-    room_ = room(now);
-    learned_ *= std::exp((at_ - now) / kLearned);
-    at_ = now;
-    crowd_.add(ratio, now, kMemory);
-    answers_.add(now, kMemory);
-    load_ += (out + 1 - load_) / answers_.count;
-    carriers_ += (warm_ - carriers_) / answers_.count;
-    const double could = load_ * kAimShare / std::max(kLeastShare, crowd_.value);
-    if (crowd_.value <= kAimShare && could >= learned_) learned_ = could, taught_by_ = carriers_;
-    used_ = std::max<double>(used_ + (out - used_) * 2 / kUsedOver, out);
-    if (light() && room_ <= kOpen && breaker(ratio, out)) return;
-    const double step = kGain * (kAimShare - crowd_.value);
-    const bool wanted = !crowded() && out + 2 >= room_;
+void Admission::record_latency(double latency_ratio, int in_flight, Millis now) {
+    limit_ = concurrency_limit(now);
+    learned_limit_ *= std::exp((updated_at_ - now) / kLearnedLimitDecay);
+    updated_at_ = now;
+    load_ratio_.add(latency_ratio, now, kAnswerDecay);
+    recent_answers_.add(now, kAnswerDecay);
+    mean_in_flight_ += (in_flight + 1 - mean_in_flight_) / recent_answers_.count;
+    mean_warm_servers_ += (warm_servers_ - mean_warm_servers_) / recent_answers_.count;
+    const double sustainable_concurrency =
+        mean_in_flight_ * kTargetLoadRatio / std::max(kMinLoadRatio, load_ratio_.value);
+    if (load_ratio_.value <= kTargetLoadRatio && sustainable_concurrency >= learned_limit_)
+        learned_limit_ = sustainable_concurrency, servers_behind_learned_limit_ = mean_warm_servers_;
+    recent_peak_in_flight_ = std::max<double>(
+        recent_peak_in_flight_ + (in_flight - recent_peak_in_flight_) * 2 / kPeakAnswers, in_flight);
+    if (uses_circuit_breaker() && limit_ <= kCircuitClosedLimit &&
+        update_circuit_breaker(latency_ratio, in_flight))
+        return;
+    const double step = kLimitGain * (kTargetLoadRatio - load_ratio_.value);
+    const bool grows_quickly = !is_busy() && in_flight + 2 >= limit_;
     if (step < 0)
-        room_ = std::max(floor_, std::min(room_, used_ + 1.0) + step * std::min(1.0, room_));
+        limit_ = std::max(min_limit_,
+                          std::min(limit_, recent_peak_in_flight_ + 1.0) + step * std::min(1.0, limit_));
     else
-        room_ = std::min(ceiling(), room_ + (wanted ? kWanted : step));
+        limit_ = std::min(limit_ceiling(), limit_ + (grows_quickly ? kQuickGrowth : step));
 }
 
 // Fewer servers than taught it carry no more than their part of it.
-double Admission::ceiling() const {
-    return std::max(least_ceiling_, learned_ * std::min(1.0, warm_ / std::max(1.0, taught_by_)));
+double Admission::limit_ceiling() const {
+    return std::max(
+        min_ceiling_,
+        learned_limit_ * std::min(1.0, warm_servers_ / std::max(1.0, servers_behind_learned_limit_)));
 }
 
-void Admission::know(LearnedState& k, Millis now) const {
-    k.load_ratio = LearnedStateRestorer::of(crowd_, now);
-    k.concurrency_limit = crowd_.count > 0 ? room(now) : 0;
-    k.learned_limit = learned_ * std::exp((at_ - now) / kLearned);
-    k.servers_behind_learned_limit = taught_by_;
+void Admission::save_to(LearnedState& k, Millis now) const {
+    k.load_ratio = LearnedStateRestorer::saved(load_ratio_, now);
+    k.concurrency_limit = load_ratio_.count > 0 ? concurrency_limit(now) : 0;
+    k.learned_limit = learned_limit_ * std::exp((updated_at_ - now) / kLearnedLimitDecay);
+    k.servers_behind_learned_limit = servers_behind_learned_limit_;
 }
 
 // The ceiling fades as ever. The room is as good as the answers that it follows: once these weigh less than
 // one, a new sidecar's is better.
-void Admission::recall(const LearnedState& k, Millis taken_at, Millis now) {
-    learned_ = k.learned_limit, taught_by_ = k.servers_behind_learned_limit, at_ = taken_at;
-    const DecayingAverage crowd = LearnedStateRestorer::recalled(k.load_ratio, taken_at);
-    if (k.concurrency_limit > 0 && crowd.left(now, kMemory) >= 1)
-        crowd_ = crowd, room_ = used_ = k.concurrency_limit;
+void Admission::restore(const LearnedState& k, Millis taken_at, Millis now) {
+    learned_limit_ = k.learned_limit, servers_behind_learned_limit_ = k.servers_behind_learned_limit,
+    updated_at_ = taken_at;
+    const DecayingAverage load_ratio = LearnedStateRestorer::restored(k.load_ratio, taken_at);
+    if (k.concurrency_limit > 0 && load_ratio.value_at(now, kAnswerDecay) >= 1)
+        load_ratio_ = load_ratio, limit_ = recent_peak_in_flight_ = k.concurrency_limit;
 }
 
 // Whether the answer opens or closes it. One that is late among quick ones is chance and closes nothing.
-bool Admission::breaker(double ratio, int out) {
-    if (ratio >= 1 && crowd_.value > kAimShare)
-        room_ = kProbe;
-    else if (ratio <= kAimShare && room_ < kOpen)
-        room_ = room_ < kHalfOpen ? kHalfOpen : kOpen;
+bool Admission::update_circuit_breaker(double latency_ratio, int in_flight) {
+    if (latency_ratio >= 1 && load_ratio_.value > kTargetLoadRatio)
+        limit_ = kCircuitOpenLimit;
+    else if (latency_ratio <= kTargetLoadRatio && limit_ < kCircuitClosedLimit)
+        limit_ = limit_ < kCircuitHalfOpenLimit ? kCircuitHalfOpenLimit : kCircuitClosedLimit;
     else
-        return crowd_.value <= kAimShare && out + 1 < kOpen;  // open, and not all of it is used
+        return load_ratio_.value <= kTargetLoadRatio &&
+               in_flight + 1 < kCircuitClosedLimit;  // open, and not all of it is used
     return true;
 }
 
--- a/src/balancer/aperture.cpp
+++ b/src/balancer/aperture.cpp
@@ -5,22 +5,22 @@
 void Aperture::set_servers(const std::vector<Server*>& all) {
     for (Server* s : all) s->in_pool = false;
     pool_.clear();
-    out_.clear();
+    ejected_.clear();
     ranked_.clear();
-    listed_ = 0;
+    listed_count_ = 0;
     for (Server* s : all) add(s);
 }
 
 void Aperture::add(Server* s) {
     if (!ranked_.insert(s).second) return;
-    listed_ += s->listed;
-    set_out(s, s->ejection_state != EjectionState::healthy);
+    listed_count_ += s->listed;
+    set_ejected(s, s->ejection_state != EjectionState::healthy);
 }
 
 void Aperture::remove(Server* s) {
     if (ranked_.erase(s) == 0) return;
-    listed_ -= s->listed;
-    set_out(s, false);
+    listed_count_ -= s->listed;
+    set_ejected(s, false);
     if (s->in_pool) empty_pool();
 }
 
@@ -29,61 +29,64 @@
     pool_.clear();
 }
 
-void Aperture::set_out(Server* s, bool out) {
-    const auto at = std::lower_bound(out_.begin(), out_.end(), s, ByRank());
-    const bool there = at != out_.end() && *at == s;
-    if (out && !there && s->open()) out_.insert(at, s);
-    if (!out && there) out_.erase(at);
+void Aperture::set_ejected(Server* s, bool ejected) {
+    const auto at = std::lower_bound(ejected_.begin(), ejected_.end(), s, ByRank());
+    const bool there = at != ejected_.end() && *at == s;
+    if (ejected && !there && s->accepts_requests()) ejected_.insert(at, s);
+    if (!ejected && there) ejected_.erase(at);
 }
 
-double Aperture::wide_enough_to_be_seen(Millis now) const {
+double Aperture::coverage_width(Millis now) const {
     const double share = static_cast<double>(ranked_.size()) / siblings_;  // servers for each sidecar
-    return std::min(kSeen * share, std::max({kWide, carried_rate(now) * kRevisit, kLeastSeen * share}));
+    return std::min(kSidecarsPerServer * share,
+                    std::max({kMaxCoverageWidth, completion_rate(now) * kMaxRevisitInterval,
+                              kMinSidecarsPerServer * share}));
 }
 
-void Aperture::draw(Millis now, int outstanding) {
-    const double filled = carried_rate(now) * OutlierEjection::kBackoff / OutcomeWindow::kSize;
-    width_ = std::max({kNarrow, wide_enough_to_be_seen(now), filled, 2.0 * outstanding});
+void Aperture::draw_pool(Millis now, int in_flight) {
+    const double filled = completion_rate(now) * OutlierEjection::kEjectionTime / OutcomeWindow::kSize;
+    width_ = std::max({kMinWidth, coverage_width(now), filled, 2.0 * in_flight});
     empty_pool();
-    warm_ = 0;
-    alike_.clear();
-    until_ = now + kPoolAge;
+    warm_count_ = 0;
+    warm_by_type_.clear();
+    redraw_at_ = now + kMaxPoolAge;
     for (Server* s : ranked_) {
-        if (static_cast<double>(warm_) >= width_) break;
-        if (!s->open() || s->ejection_state != EjectionState::healthy) continue;
+        if (static_cast<double>(warm_count_) >= width_) break;
+        if (!s->accepts_requests() || s->ejection_state != EjectionState::healthy) continue;
         pool_.push_back(s);
         s->in_pool = true;
-        if (!cold_->is_cold(*s, now)) ++warm_, ++alike_[s->info.machine_type];
+        if (!slow_start_->is_warming_up(*s, now)) ++warm_count_, ++warm_by_type_[s->info.machine_type];
     }
-    count_carriers(now);
-    for (const auto& [machine_type, warm] : alike_)
-        each_[machine_type] =
-            of_[machine_type].rate(now, kRateMemory) / carriers_of_[machine_type].count(now, kRateMemory);
+    count_contributors(now);
+    for (const auto& [machine_type, warm] : warm_by_type_)
+        last_rate_per_server_[machine_type] = completions_by_type_[machine_type].rate(now, kRateDecay) /
+                                              contributors_by_type_[machine_type].count(now, kRateDecay);
 }
 
 // Divided by those that are left alone, what servers carried that have just gone would look like the work of
 // one, and cold ones would be sent a share of that.
-void Aperture::count_carriers(Millis now) {
-    if (recalled_ && listed_ > 0) {
-        recalled_ = false;
-        carriers_.set(std::min(width_, static_cast<double>(listed_)), now, kRateMemory);
+void Aperture::count_contributors(Millis now) {
+    if (restored_ && listed_count_ > 0) {
+        restored_ = false;
+        contributors_.set(std::min(width_, static_cast<double>(listed_count_)), now, kRateDecay);
     }
-    carriers_.set(static_cast<double>(warm_), now, kRateMemory);
-    for (const auto& [machine_type, warm] : alike_) carriers_of_.try_emplace(machine_type);
-    for (auto& [machine_type, carriers] : carriers_of_) {
-        const auto warm = alike_.find(machine_type);
-        carriers.set(warm == alike_.end() ? 0 : warm->second, now, kRateMemory);
+    contributors_.set(static_cast<double>(warm_count_), now, kRateDecay);
+    for (const auto& [machine_type, warm] : warm_by_type_) contributors_by_type_.try_emplace(machine_type);
+    for (auto& [machine_type, contributors] : contributors_by_type_) {
+        const auto warm = warm_by_type_.find(machine_type);
+        contributors.set(warm == warm_by_type_.end() ? 0 : warm->second, now, kRateDecay);
     }
 }
 
-double Aperture::each(std::uint32_t machine_type, Millis now) const {
-    const auto alike = alike_.find(machine_type), last = each_.find(machine_type);
-    const auto all = static_cast<double>(warm_);
-    const double mean = carried_rate(now) / std::max(1.0, carriers_.count(now, kRateMemory));
-    if (alike == alike_.end()) return last == each_.end() ? mean * (all > 0 ? kUnlike : 1) : last->second;
-    if (alike->second == all) return mean;
-    return of_.at(machine_type).rate(now, kRateMemory) /
-           carriers_of_.at(machine_type).count(now, kRateMemory);
+double Aperture::completion_rate_per_server(std::uint32_t machine_type, Millis now) const {
+    const auto same_type = warm_by_type_.find(machine_type), last = last_rate_per_server_.find(machine_type);
+    const auto all = static_cast<double>(warm_count_);
+    const double mean = completion_rate(now) / std::max(1.0, contributors_.count(now, kRateDecay));
+    if (same_type == warm_by_type_.end())
+        return last == last_rate_per_server_.end() ? mean * (all > 0 ? kUnknownTypeShare : 1) : last->second;
+    if (same_type->second == all) return mean;
+    return completions_by_type_.at(machine_type).rate(now, kRateDecay) /
+           contributors_by_type_.at(machine_type).count(now, kRateDecay);
 }
 
 }  // namespace elmbay::balancer
--- a/src/balancer/aperture.hpp
+++ b/src/balancer/aperture.hpp
@@ -11,31 +11,31 @@
 #include <set>
 #include <vector>
 
-#include "balancer/cold_start.hpp"
 #include "balancer/ejection.hpp"
+#include "balancer/slow_start.hpp"
 
 namespace elmbay::balancer {
 
 class Aperture {
 public:
-    // Never fewer warm servers than kNarrow, two to choose from when two are lost, and so many that each is
-    // in the sight of kSeen sidecars.
-    static constexpr double kNarrow = 4, kSeen = 16;
-    // But where there are many more servers than sidecars, no more for that than kWide, or than have an
-    // answer to give every kRevisit, or than leave each server in the sight of kLeastSeen. A light sidecar
-    // would come back to a server of a wider pool only after its connection has been closed as idle, and open
-    // one for nearly each request. With kLeastSeen the load of servers still differs by half at most, in the
-    // mean.
-    static constexpr double kWide = 48, kLeastSeen = 4;
-    static constexpr Millis kRevisit = 2000;
-    static constexpr Millis kPoolAge = 1000;     // the pool is drawn anew after this at the latest
-    static constexpr Millis kRateMemory = 5000;  // of what servers complete: short against a warm-up
+    // Never fewer warm servers than kMinWidth, two to choose from when two are lost, and so many that each is
+    // in the sight of kSidecarsPerServer sidecars.
+    static constexpr double kMinWidth = 4, kSidecarsPerServer = 16;
+    // But where there are many more servers than sidecars, no more for that than kMaxCoverageWidth, or than
+    // have an answer to give every kMaxRevisitInterval, or than leave each server in the sight of
+    // kMinSidecarsPerServer. A light sidecar would come back to a server of a wider pool only after its
+    // connection has been closed as idle, and open one for nearly each request. With kMinSidecarsPerServer
+    // the load of servers still differs by half at most, in the mean.
+    static constexpr double kMaxCoverageWidth = 48, kMinSidecarsPerServer = 4;
+    static constexpr Millis kMaxRevisitInterval = 2000;
+    static constexpr Millis kMaxPoolAge = 1000;  // the pool is drawn anew after this at the latest
+    static constexpr Millis kRateDecay = 5000;   // of what servers complete: short against a warm-up
 
-    static constexpr double kUnlike =
+    static constexpr double kUnknownTypeShare =
         0.5;  // of the mean: a kind that was never seen warm may be the smallest
 
-    Aperture(std::uint32_t siblings, const ColdStart& cold)
-        : siblings_(std::max(1U, siblings)), cold_(&cold) {}
+    Aperture(std::uint32_t siblings, const SlowStart& slow_start)
+        : siblings_(std::max(1U, siblings)), slow_start_(&slow_start) {}
 
     void set_siblings(std::uint32_t siblings) { siblings_ = std::max(1U, siblings); }
     // A whole list: all servers there are, in any order. Linear in the fleet; nothing else here is.
@@ -45,60 +45,62 @@
     void add(Server* s);
     void remove(Server* s);
     // A verdict has taken it out of the pool or put it back: draw() comes next.
-    void set_out(Server* s, bool out);
+    void set_ejected(Server* s, bool ejected);
 
     // An earlier life had it at so many a ms at that time.
-    void recall(double rate, Millis at) {
-        carried_ = {rate * kRateMemory, at};
-        recalled_ = true;
+    void restore(double rate, Millis at) {
+        completions_ = {rate * kRateDecay, at};
+        restored_ = true;
     }
     // A warm server of that kind has completed a request.
-    void completed(std::uint32_t machine_type, Millis now) {
-        for (DecayingCounter* t : {&carried_, &of_[machine_type]}) t->add(now, kRateMemory);
+    void record_completion(std::uint32_t machine_type, Millis now) {
+        for (DecayingCounter* t : {&completions_, &completions_by_type_[machine_type]})
+            t->add(now, kRateDecay);
     }
-    double carried_rate(Millis now) const { return carried_.rate(now, kRateMemory); }
+    double completion_rate(Millis now) const { return completions_.rate(now, kRateDecay); }
     // What one warm server of this kind carries of that, or carried when the pool last had one.
-    double each(std::uint32_t machine_type, Millis now) const;
+    double completion_rate_per_server(std::uint32_t machine_type, Millis now) const;
 
-    bool stale(Millis now, int outstanding) const { return now >= until_ || outstanding > width_; }
+    bool is_stale(Millis now, int in_flight) const { return now >= redraw_at_ || in_flight > width_; }
     // outstanding: attempts at warm servers.
-    void draw(Millis now, int outstanding);
+    void draw_pool(Millis now, int in_flight);
 
-    const std::vector<Server*>& pool() const { return pool_; }  // live servers, cold ones on top
-    const std::vector<Server*>& out() const { return out_; }    // removed, or on trial
-    std::size_t listed() const { return listed_; }
-    std::size_t warm() const { return warm_; }  // of the pool
-    bool narrow() const { return width_ < static_cast<double>(ranked_.size()); }
+    const std::vector<Server*>& pool() const { return pool_; }        // live servers, cold ones on top
+    const std::vector<Server*>& ejected() const { return ejected_; }  // removed, or on trial
+    std::size_t listed_count() const { return listed_count_; }
+    std::size_t warm_count() const { return warm_count_; }  // of the pool
+    bool is_subset() const { return width_ < static_cast<double>(ranked_.size()); }
     // Sidecars that have one server in their pool: all of them where the pool is the whole fleet.
-    double sight() const {
+    double sidecars_per_server() const {
         return siblings_ * std::min(1.0, width_ / std::max<double>(1, static_cast<double>(ranked_.size())));
     }
 
 private:
-    void count_carriers(Millis now);
+    void count_contributors(Millis now);
 
     double siblings_;
-    const ColdStart* cold_;
-    DecayingCounter carried_;
-    Carriers carriers_;      // warm servers that did
-    bool recalled_ = false;  // by an earlier life: its servers are not among the carriers yet
-    std::map<std::uint32_t, DecayingCounter> of_;  // carried, by kind: a deployment has a handful
-    std::map<std::uint32_t, Carriers> carriers_of_;
-    std::map<std::uint32_t, double> alike_,
-        each_;  // warm ones of the pool, and what one carries, as of draw()
+    const SlowStart* slow_start_;
+    DecayingCounter completions_;
+    DecayingServerCount contributors_;  // warm servers that did
+    bool restored_ = false;             // by an earlier life: its servers are not among the contributors yet
+    std::map<std::uint32_t, DecayingCounter>
+        completions_by_type_;  // carried, by kind: a deployment has a handful
+    std::map<std::uint32_t, DecayingServerCount> contributors_by_type_;
+    std::map<std::uint32_t, double> warm_by_type_,
+        last_rate_per_server_;  // warm ones of the pool, and what one carries, as of draw()
     struct ByRank {
         bool operator()(const Server* a, const Server* b) const {
             return a->rank != b->rank ? a->rank < b->rank : a->info.id < b->info.id;
         }
     };
     void empty_pool();
-    double wide_enough_to_be_seen(Millis now) const;
+    double coverage_width(Millis now) const;
 
     std::set<Server*, ByRank> ranked_;
-    std::vector<Server*> pool_, out_;
-    std::size_t warm_ = 0, listed_ = 0;
-    double width_ = 0;  // how many warm ones there should be
-    Millis until_ = 0;  // when the pool has to be drawn anew
+    std::vector<Server*> pool_, ejected_;
+    std::size_t warm_count_ = 0, listed_count_ = 0;
+    double width_ = 0;      // how many warm ones there should be
+    Millis redraw_at_ = 0;  // when the pool has to be drawn anew
 };
 
 }  // namespace elmbay::balancer
--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -6,7 +6,8 @@
 // Pick, and sends it, to run to the client's deadline at the longest. If nobody may have it now it waits
 // briefly (WaitQueue). on(AttemptEnded) has the outcome booked (OutcomeAccounting) and the request placed
 // again or answered. FinalResponder::finish() is the only final answer; SendGate::may_send() and
-// Request::may_refuse() are the only gates: no send and no refusal leaves the module without passing them.
+// Request::may_be_rejected() are the only gates: no send and no refusal leaves the module without passing
+// them.
 #include "elmbay/balancer.hpp"
 
 #include <algorithm>
@@ -16,7 +17,6 @@
 
 #include "balancer/admission.hpp"
 #include "balancer/aperture.hpp"
-#include "balancer/cold_start.hpp"
 #include "balancer/dispatcher.hpp"
 #include "balancer/ejection.hpp"
 #include "balancer/event_context.hpp"
@@ -35,6 +35,7 @@
 #include "balancer/server_table.hpp"
 #include "balancer/sessions.hpp"
 #include "balancer/settings_validation.hpp"
+#include "balancer/slow_start.hpp"
 #include "balancer/subscription_backoff.hpp"
 #include "balancer/timer_table.hpp"
 #include "balancer/wait_queue.hpp"
@@ -65,30 +66,30 @@
     EventContext context;
 
     // What decides.
-    ColdStart cold{settings};
+    SlowStart slow_start{settings};
     ServerAges ages;
-    Aperture aperture{settings.siblings, cold};
+    Aperture aperture{settings.siblings, slow_start};
     OutlierEjection ejection;
-    LatencyEstimate pace;
+    LatencyEstimate latency;
     Admission admission{settings};
     Fairness fairness{settings.tenants};
     RetryBudget retry_budget;
     LearnedStateRestorer state_restorer;
     Sessions sessions{settings};
-    Pick pick{settings, random, pace};
+    Pick pick{settings, random, latency};
 
     // What holds requests, servers and timers.
     RequestTable requests;
     WaitQueue queue;
     TimerTable timers{context};
     SubscriptionBackoff subscription_backoff;
-    ServerTable servers{random, pace, state_restorer, aperture, ages};
+    ServerTable servers{random, latency, state_restorer, aperture, ages};
     ServerPool pool{aperture, ejection, admission, sessions};
 
     // What acts.
-    SendGate gate{settings, cold, aperture, pace, sessions};
+    SendGate gate{settings, slow_start, aperture, latency, sessions};
     FinalResponder responder{settings, context, admission, requests};
-    OutcomeAccounting accounting{{context, cold, pace, admission, aperture, ejection, pool}};
+    OutcomeAccounting accounting{{context, slow_start, latency, admission, aperture, ejection, pool}};
     Dispatcher dispatcher{{settings, context, random, admission, aperture, ejection, pick, retry_budget, gate,
                            pool, requests, timers, queue, responder}};
 
@@ -100,12 +101,12 @@
 
     void on(const StateRestored& event) {
         if (!servers.empty()) return;  // too late: what we see ourselves is better
-        const LearnedState learned_state = sound(event.learned_state);
-        state_restorer.keep(learned_state, event.age, context.now());
-        if (!state_restorer.believed()) return;
-        admission.recall(learned_state, state_restorer.taken_at(), context.now());
-        aperture.recall(learned_state.completion_rate, state_restorer.taken_at());
-        retry_budget.at_most(learned_state.retries_left);
+        const LearnedState learned_state = sanitize(event.learned_state);
+        state_restorer.load(learned_state, event.age, context.now());
+        if (!state_restorer.is_trusted()) return;
+        admission.restore(learned_state, state_restorer.taken_at(), context.now());
+        aperture.restore(learned_state.completion_rate, state_restorer.taken_at());
+        retry_budget.limit_to(learned_state.retries_left);
     }
 
     // What was out, learned or saved up stays; only what it is a part of is another number.
@@ -119,12 +120,12 @@
     LearnedState known(Millis at) const {
         LearnedState learned_state;
         for (const auto& [id, server] : servers.servers()) {
-            if (server.listed) learned_state.servers.push_back(LearnedStateRestorer::of(server, at));
+            if (server.listed) learned_state.servers.push_back(LearnedStateRestorer::state_of(server, at));
         }
-        admission.know(learned_state, at);
-        learned_state.completion_rate = aperture.carried_rate(at);
-        learned_state.retries_left = retry_budget.left();
-        return sound(std::move(learned_state));
+        admission.save_to(learned_state, at);
+        learned_state.completion_rate = aperture.completion_rate(at);
+        learned_state.retries_left = retry_budget.retries_left();
+        return sanitize(std::move(learned_state));
     }
 
     void on(const ServerList& list) {
@@ -136,7 +137,7 @@
         if (list.kind != ListKind::cached) subscription_backoff.reset();
         servers.apply(list, context.now());
         pool.draw_pool(context.now());
-        dispatcher.release_waiting();
+        dispatcher.dispatch_waiting();
     }
 
     // ---- A request --------------------------------------------------------------------------------------
@@ -146,42 +147,43 @@
         if (!added) return;
         Request& request = *added;
         request.repeat = event.repeat;
-        request.kind = class_of(event);
+        request.request_class = class_of(event);
         set_limits(request, event.time_left);
-        retry_budget.arrived();
-        request.part = fairness.arrived(event.tenant, context.now());
-        request.session = event.session && sessions.has_place();
-        if (request.session) sessions.taken();
+        retry_budget.record_request();
+        request.tenant_share = fairness.record_arrival(event.tenant, context.now());
+        request.session = event.session && sessions.has_capacity();
+        if (request.session) sessions.begin_upgrade();
         if (event.table_full || request.session != event.session) return responder.finish(request);
         timers.set_timer(request.deadline, request.id);
-        dispatcher.place(request);
+        dispatcher.dispatch(request);
     }
 
     // An unknown class is handled with most care: at most one run, and its time left as its objective.
     RequestClass class_of(const RequestArrived& event) const {
-        RequestClass kind;
-        kind.latency_objective = std::max(1.0, event.time_left);
-        if (event.class_index < settings.classes.size()) kind = settings.classes[event.class_index];
-        kind.latency_objective += kind.objective_stretch * std::max(0.0, event.effort);
-        return kind;
+        RequestClass request_class;
+        request_class.latency_objective = std::max(1.0, event.time_left);
+        if (event.class_index < settings.classes.size()) request_class = settings.classes[event.class_index];
+        request_class.latency_objective += request_class.objective_stretch * std::max(0.0, event.effort);
+        return request_class;
     }
 
     void set_limits(Request& request, Millis time_left) const {
         const Millis now = context.now();
         request.deadline = now + (std::isfinite(time_left) ? std::max(0.0, time_left) : 0.0);
         request.cutoff = cutoff_of(request);
-        request.hold_until =
-            std::min(request.deadline, now + request.kind.latency_objective * FinalResponder::kWaitShare);
+        request.wait_until = std::min(
+            request.deadline, now + request.request_class.latency_objective * FinalResponder::kMaxWaitShare);
     }
 
     // Not the objective: that makes clients repeat what a server is still working on, while a late answer
     // keeps them quiet. But the objective where a late answer is worth nothing, a failure is never repeated,
     // and our count of what is out, lost for work that goes on, is a small part of any queue anyway.
     Millis cutoff_of(const Request& request) const {
-        const RequestClass& kind = request.kind;
-        const bool at_aim =
-            kind.late_weight == 0 && kind.idempotency == Idempotency::non_idempotent && aperture.narrow();
-        return at_aim ? std::min(request.deadline, context.now() + kind.latency_objective) : request.deadline;
+        const RequestClass& request_class = request.request_class;
+        const bool at_aim = request_class.late_weight == 0 &&
+                            request_class.idempotency == Idempotency::non_idempotent && aperture.is_subset();
+        return at_aim ? std::min(request.deadline, context.now() + request_class.latency_objective)
+                      : request.deadline;
     }
 
     void on(const FirstByte& event) {
@@ -193,12 +195,12 @@
         Request* request = requests.find(event.id);
         if (!request || event.attempt >= request->attempts.size()) return;
         Attempt& attempt = request->attempts[event.attempt];
-        if (!attempt.out) return;
+        if (!attempt.in_flight) return;
         settle(*request, attempt, event);
         if (event.request_ended) request->ended = true;
         if (request->ended) requests.mark_ended(request->id);
         retry_or_finish(*request);
-        dispatcher.release_waiting();
+        dispatcher.dispatch_waiting();
     }
 
     // Records the end of an attempt with its request, its server and, of an upgrade, with Sessions.
@@ -206,13 +208,13 @@
         // Our own timer and the attempt's end fall on the same moment. Whichever comes first, a server that
         // let the client's time run out has failed: else one that answers nothing is never found out.
         if (attempt.timed_out && event.outcome == Outcome::cancelled) event.outcome = Outcome::timed_out;
-        attempt.out = false;
+        attempt.in_flight = false;
         attempt.may_have_run = !proves_never_ran(event.outcome);
-        pool.attempt_ended(attempt.cold);
+        pool.attempt_ended(attempt.slow_start);
         // A client that has gone leaves no session behind, though its upgrade went well.
         const bool session_begins =
             request.session && !request.ended && event.request_ended && event.outcome == Outcome::success;
-        if (session_begins) sessions.holds(request.id, attempt.server);
+        if (session_begins) sessions.begin(request.id, attempt.server);
         Server* server = servers.find(attempt.server);
         if (!server) return;
         if (request.session && !session_begins) --server->sessions;
@@ -222,11 +224,11 @@
 
     // Without a retry budget each request asks a crowded pool as often as the limits allow.
     void retry_or_finish(Request& request) {
-        const bool idle = !request.any_out();
+        const bool idle = !request.any_in_flight();
         if (context.now() >= request.cutoff || (idle && !retry_budget.may_retry()))
             responder.finish(request);
         else if (!request.ended && idle)
-            dispatcher.place(request);
+            dispatcher.dispatch(request);
     }
 
     void on(const ClientDisconnected& event) {
@@ -240,11 +242,11 @@
     // One that its server broke counts against it, or a server that takes every upgrade and keeps none would
     // look like the least loaded. However else it ends, and after how long, says nothing.
     void on(const SessionEnded& event) {
-        const std::optional<ServerId> holder = sessions.ended(event.id);
+        const std::optional<ServerId> holder = sessions.end(event.id);
         Server* server = holder ? servers.find(*holder) : nullptr;
         if (!server) return;
         --server->sessions;
-        if (event.broken) accounting.judge(*server, Outcome::connection_reset, false, false);
+        if (event.broken) accounting.record_outcome(*server, Outcome::connection_reset, false, false);
         servers.drop_if_gone(*server);
     }
 
@@ -258,8 +260,8 @@
         if (!request || request->ended) return;
         if (context.now() >= request->deadline)
             responder.finish(*request);
-        else if (!request->any_out())
-            dispatcher.place(*request);
+        else if (!request->any_in_flight())
+            dispatcher.dispatch(*request);
     }
 };
 
@@ -282,7 +284,7 @@
 
 Balancer::ResourceUsage Balancer::resource_usage() const {
     return {impl_->requests.size(), impl_->servers.size(), impl_->timers.size(), impl_->queue.size(),
-            impl_->sessions.held()};
+            impl_->sessions.count()};
 }
 
 }  // namespace elmbay::balancer
--- a/src/balancer/dispatcher.hpp
+++ b/src/balancer/dispatcher.hpp
@@ -41,15 +41,15 @@
     explicit Dispatcher(const Parts& parts) : parts_(parts) {}
 
     /// Sends a request that has no attempt out: to a server whose trial is due, else to one of the pool.
-    void place(Request& request);
+    void dispatch(Request& request);
     /// Places those that wait, if there is room.
-    void release_waiting();
+    void dispatch_waiting();
 
 private:
     // The server that the request goes to now; nullptr: none may have it.
     Server* choose_server(const Request& request);
-    Server* due_trial(const Request& request);
-    void dispatch(Request& request, Server& server);
+    Server* due_probe(const Request& request);
+    void start_attempt(Request& request, Server& server);
     void wait_or_finish(Request& request);
 
     Parts parts_;
--- a/src/balancer/ejection.hpp
+++ b/src/balancer/ejection.hpp
@@ -14,43 +14,43 @@
 
 class OutlierEjection {
 public:
-    static constexpr double kThreshold = 0.9;  // success share below which a server goes
-    static constexpr Millis kBackoff = 10000;  // how long it is out
+    static constexpr double kMinSuccessRate = 0.9;  // success share below which a server goes
+    static constexpr Millis kEjectionTime = 10000;  // how long it is out
     // A window not yet full is judged as if it held this many successes more: the most with which a first
     // failure alone, at 9 of 10, is not below the threshold.
-    static constexpr double kBenefit = 9;
-    static constexpr double kDeviations = 3;  // of a window's chance, below the others' level
+    static constexpr double kPriorSuccesses = 9;
+    static constexpr double kStandardErrors = 3;  // of a window's chance, below the others' level
 
-    enum class Verdict { none, removed, removed_again, restored };
+    enum class Verdict { none, ejected, ejected_again, restored };
 
-    struct Case {
+    struct AttemptResult {
         Outcome outcome = Outcome::success;
-        bool trial = false;      // the attempt was this server's trial
-        bool late = false;       // it came past its objective: as good as timed out
-        std::size_t listed = 0;  // servers on the list
-        std::size_t out = 0;     // of them, those not in the pool by a verdict
+        bool probe = false;               // the attempt was this server's trial
+        bool late = false;                // it came past its objective: as good as timed out
+        std::size_t listed_servers = 0;   // servers on the list
+        std::size_t ejected_servers = 0;  // of them, those not in the pool by a verdict
     };
     // Books an attempt's end and says what follows from it; the caller draws its pool anew.
-    Verdict judge(Server& s, const Case& c, Millis now);
+    Verdict record_outcome(Server& s, const AttemptResult& c, Millis now);
 
     // Another process under the same name: its record starts anew.
-    static void forget(Server& s) { s.ejection_state = EjectionState::healthy, s.window.clear(); }
-    bool trial_due(const Server& s, Millis now) const {
+    static void reset(Server& s) { s.ejection_state = EjectionState::healthy, s.window.clear(); }
+    bool probe_due(const Server& s, Millis now) const {
         return s.ejection_state == EjectionState::ejected && now >= s.backoff_until;
     }
-    static void trial_begins(Server& s) { s.ejection_state = EjectionState::probing; }
+    static void begin_probe(Server& s) { s.ejection_state = EjectionState::probing; }
     // The pool is another one: those that a server is held against.
-    void compare_with(const std::vector<Server*>& pool);
+    void compare_with_pool(const std::vector<Server*>& pool);
 
 private:
-    void add(Server& s, bool success);
-    void forget_window(Server& s);
+    void add_outcome(Server& s, bool success);
+    void clear_window(Server& s);
     // alone: not held against the others of the pool.
     bool below_threshold(const Server& s, bool alone) const;
-    static bool may_remove(const Case& c, bool slow);
-    static Verdict remove(Server& s, Millis now);
+    static bool may_eject(const AttemptResult& c, bool slow);
+    static Verdict eject(Server& s, Millis now);
 
-    double good_ = 0, all_ = 0;  // outcomes in the windows of the pool
+    double pool_successes_ = 0, pool_outcomes_ = 0;  // outcomes in the windows of the pool
 };
 
 }  // namespace elmbay::balancer
--- a/src/balancer/final_responder.cpp
+++ b/src/balancer/final_responder.cpp
@@ -7,10 +7,11 @@
 void FinalResponder::finish(Request& request) {
     if (request.ended || request.streaming) return;
     const Millis now = context_->now();
-    for (Attempt& attempt : request.attempts) attempt.timed_out = attempt.out && now >= request.deadline;
+    for (Attempt& attempt : request.attempts)
+        attempt.timed_out = attempt.in_flight && now >= request.deadline;
     cancel_all(request);
     const Millis wait = retry_after(request);
-    if (request.may_refuse(now + wait))  // harmless when it comes back
+    if (request.may_be_rejected(now + wait))  // harmless when it comes back
         context_->emit(Reject{request.id, wait});
     else
         context_->emit(Fail{request.id});
@@ -21,13 +22,14 @@
 // When to come back: what is out now has half its time left in the mean, and then leaves its place. No
 // sooner than what the request might have waited here.
 Millis FinalResponder::retry_after(const Request& request) const {
-    return request.kind.latency_objective * std::max(kWaitShare, std::min(1.0, admission_->crowd()) / 2);
+    return request.request_class.latency_objective *
+           std::max(kMaxWaitShare, std::min(1.0, admission_->load_ratio()) / 2);
 }
 
 void FinalResponder::cancel_all(const Request& request) {
     if (!settings_->may_cancel) return;
     for (std::uint32_t index = 0; index < request.attempts.size(); ++index) {
-        if (request.attempts[index].out) context_->emit(Cancel{request.id, index});
+        if (request.attempts[index].in_flight) context_->emit(Cancel{request.id, index});
     }
 }
 
--- a/src/balancer/final_responder.hpp
+++ b/src/balancer/final_responder.hpp
@@ -13,7 +13,7 @@
 public:
     /// What a request may wait for room, as a share of its objective: what cannot go out by then had better
     /// be tried anew. It is told to come back no sooner either.
-    static constexpr double kWaitShare = 1.0 / 16;
+    static constexpr double kMaxWaitShare = 1.0 / 16;
 
     FinalResponder(const Settings& settings, EventContext& context, const Admission& admission,
                    RequestTable& requests)
--- a/src/balancer/learned_state_restorer.cpp
+++ b/src/balancer/learned_state_restorer.cpp
@@ -5,14 +5,14 @@
 
 namespace elmbay::balancer {
 
-void LearnedStateRestorer::keep(const LearnedState& learned_state, Millis age, Millis now) {
-    believed_ = age >= 0 && age <= kBelieved;
-    if (!believed_) return;
+void LearnedStateRestorer::load(const LearnedState& learned_state, Millis age, Millis now) {
+    trusted_ = age >= 0 && age <= kMaxAge;
+    if (!trusted_) return;
     taken_at_ = now - age;
     for (const LearnedServerState& s : learned_state.servers) servers_.try_emplace(s.server, s);
 }
 
-void LearnedStateRestorer::recall(Server& s, bool may_remove, Millis now) {
+void LearnedStateRestorer::restore(Server& s, bool may_eject, Millis now) {
     const auto at = servers_.find(s.info.id);
     if (at == servers_.end()) return;
     const LearnedServerState k = at->second;
@@ -21,16 +21,17 @@
     s.slow_start_tokens = std::min(s.slow_start_tokens, k.slow_start_tokens);
     if (k.online_since != s.info.online_since) return;  // another process
     if (k.ejection_remaining_ms) {
-        if (!may_remove) return;
+        if (!may_eject) return;
         s.ejection_state = EjectionState::ejected;
         s.backoff_until = now + std::max(0.0, *k.ejection_remaining_ms - age);
         return;
     }
-    const auto believed = static_cast<std::uint32_t>(k.outcome_count * std::exp(-age / kOutcomes));
-    for (std::uint32_t i = believed; i-- > 0;) s.window.add((k.outcome_bits >> i & 1U) != 0);
+    const auto trusted_outcomes =
+        static_cast<std::uint32_t>(k.outcome_count * std::exp(-age / kOutcomeDecay));
+    for (std::uint32_t i = trusted_outcomes; i-- > 0;) s.window.add((k.outcome_bits >> i & 1U) != 0);
 }
 
-LearnedServerState LearnedStateRestorer::of(const Server& s, Millis now) {
+LearnedServerState LearnedStateRestorer::state_of(const Server& s, Millis now) {
     LearnedServerState k{s.info.id, s.info.online_since, s.window.bits(), s.window.filled(),
                          {},        s.slow_start_tokens};
     if (s.ejection_state == EjectionState::ejected)
--- a/src/balancer/learned_state_restorer.hpp
+++ b/src/balancer/learned_state_restorer.hpp
@@ -16,31 +16,31 @@
 class LearnedStateRestorer {
 public:
     // A server's record older than this says nothing of now; the fading means forget by themselves.
-    static constexpr Millis kBelieved = 300000;
+    static constexpr Millis kMaxAge = 300000;
     // Outcomes of a window fade like this: the oldest go first.
-    static constexpr Millis kOutcomes = 60000;
+    static constexpr Millis kOutcomeDecay = 60000;
 
     // Sound learned_state. age: since it was taken; of less than 0 or none, nothing is believed.
-    void keep(const LearnedState& learned_state, Millis age, Millis now);
-    bool believed() const { return believed_; }
+    void load(const LearnedState& learned_state, Millis age, Millis now);
+    bool is_trusted() const { return trusted_; }
     Millis taken_at() const { return taken_at_; }
     // What is known of this process of a server that is new to us, once. may_remove: the pool can spare it.
-    void recall(Server& s, bool may_remove, Millis now);
+    void restore(Server& s, bool may_eject, Millis now);
     void forget_servers() { servers_.clear(); }
 
     // As of now.
-    static LearnedServerState of(const Server& s, Millis now);
-    static DecayedMean of(const DecayingAverage& mean, Millis now) {
-        return {mean.value, mean.count, now - mean.at};
+    static LearnedServerState state_of(const Server& s, Millis now);
+    static DecayedMean saved(const DecayingAverage& mean, Millis now) {
+        return {mean.value, mean.count, now - mean.updated_at};
     }
-    static DecayingAverage recalled(const DecayedMean& known, Millis taken_at) {
+    static DecayingAverage restored(const DecayedMean& known, Millis taken_at) {
         return {{known.weight, taken_at - known.last_sample_age_ms}, known.value};
     }
 
 private:
     std::map<ServerId, LearnedServerState> servers_;
     Millis taken_at_ = 0;
-    bool believed_ = false;
+    bool trusted_ = false;
 };
 
 }  // namespace elmbay::balancer
--- a/src/balancer/learned_state_validation.cpp
+++ b/src/balancer/learned_state_validation.cpp
@@ -1,7 +1,7 @@
-#include <algorithm>
-
 #include "balancer/learned_state_validation.hpp"
 
+#include <algorithm>
+
 namespace elmbay::balancer {
 
 namespace {
@@ -25,8 +25,8 @@
 
 }  // namespace
 
-LearnedState sound(LearnedState k) {
-    if (k.servers.size() > kMaxRememberedServers) k.servers.resize(kMaxRememberedServers);
+LearnedState sanitize(LearnedState k) {
+    if (k.servers.size() > kMaxSavedServers) k.servers.resize(kMaxSavedServers);
     for (LearnedServerState& s : k.servers) {
         if (!within(s.online_since, 0, 1e15)) s.online_since = -1;  // of no process that there can be
         if (s.outcome_count > kMaxOutcomes) s.outcome_count = s.outcome_bits = 0;
--- a/src/balancer/outcome_accounting.hpp
+++ b/src/balancer/outcome_accounting.hpp
@@ -19,8 +19,8 @@
     /// What it records with; all of it outlives the accounting.
     struct Parts {
         EventContext& context;
-        const ColdStart& cold;
-        LatencyEstimate& pace;
+        const SlowStart& slow_start;
+        LatencyEstimate& latency;
         Admission& admission;
         Aperture& aperture;
         OutlierEjection& ejection;
@@ -32,11 +32,11 @@
     void record(Server& server, const Request& request, const Attempt& attempt, const AttemptEnded& event);
     /// What an outcome says of the server as an outlier. late: it came past its objective. Draws the pool
     /// anew where the server leaves it or comes back.
-    void judge(Server& server, Outcome outcome, bool trial, bool late);
+    void record_outcome(Server& server, Outcome outcome, bool probe, bool late);
 
 private:
     // What an answer's time, as a share of the request's objective, says of the server and of the load.
-    void record_latency(Server& server, double ratio, bool cold);
+    void record_latency(Server& server, double latency_ratio, bool warming_up);
 
     Parts parts_;
 };
--- a/src/balancer/pick.hpp
+++ b/src/balancer/pick.hpp
@@ -19,39 +19,39 @@
 
 class Pick {
 public:
-    Pick(const Settings& settings, Random& random, const LatencyEstimate& pace)
-        : zone_(settings.costs.cross_zone > 0 ? settings.my_zone : std::nullopt),
+    Pick(const Settings& settings, Random& random, const LatencyEstimate& latency)
+        : preferred_zone_(settings.costs.cross_zone > 0 ? settings.my_zone : std::nullopt),
           cross_zone_cost_(settings.costs.cross_zone),
           random_(&random),
-          pace_(&pace) {}
+          latency_(&latency) {}
 
     struct LoadLevel {
-        double value = 0;  // answers' time against their objective
-        bool crowded = false;
-        double our_part = 1;  // of what all sidecars do at one server
+        double load_ratio = 0;  // answers' time against their objective
+        bool is_busy = false;
+        double sidecar_share = 1;  // of what all sidecars do at one server
     };
-    // One of the pool for which may(Server&) holds; before those that this request has tried come the others.
-    // None: nullptr. Linear in the pool; takes no memory once it has seen the largest pool.
-    template <class May>
-    Server* one_of(const std::vector<Server*>& pool, const Request& r, const LoadLevel& crowd, Millis now,
-                   May may) {
-        fresh_.clear();
-        again_.clear();
+    // One of the pool for which may_have_it(Server&) holds; before those that this request has tried come the
+    // others. None: nullptr. Linear in the pool; takes no memory once it has seen the largest pool.
+    template <class Predicate>
+    Server* choose(const std::vector<Server*>& pool, const Request& r, const LoadLevel& load_level,
+                   Millis now, Predicate may_have_it) {
+        untried_.clear();
+        tried_.clear();
         for (Server* s : pool)
-            if (may(*s)) (r.tried(s->info.id) ? again_ : fresh_).push_back(s);
-        if (fresh_.empty()) fresh_.swap(again_);
-        return fresh_.empty() ? nullptr : better_of_two(r.session, crowd, now);
+            if (may_have_it(*s)) (r.has_tried(s->info.id) ? tried_ : untried_).push_back(s);
+        if (untried_.empty()) untried_.swap(tried_);
+        return untried_.empty() ? nullptr : less_loaded_of_two(r.session, load_level, now);
     }
 
 private:
-    std::size_t draw(std::size_t count, std::size_t without);
-    Server* better_of_two(bool session, const LoadLevel& crowd, Millis now);
+    std::size_t draw_by_weight(std::size_t count, std::size_t without);
+    Server* less_loaded_of_two(bool session, const LoadLevel& load_level, Millis now);
 
-    std::optional<ZoneId> zone_;  // none where zones don't matter
+    std::optional<ZoneId> preferred_zone_;  // none where zones don't matter
     double cross_zone_cost_;
     Random* random_;
-    const LatencyEstimate* pace_;
-    std::vector<Server*> fresh_, again_;  // kept for their memory
+    const LatencyEstimate* latency_;
+    std::vector<Server*> untried_, tried_;  // kept for their memory
 };
 
 }  // namespace elmbay::balancer
--- a/src/balancer/request_table.cpp
+++ b/src/balancer/request_table.cpp
@@ -8,7 +8,7 @@
     const auto [entry, fresh] = requests_.try_emplace(id);
     if (!fresh) return nullptr;
     entry->second.id = id;
-    entry->second.order = next_order_++;
+    entry->second.arrival_order = next_order_++;
     return &entry->second;
 }
 
@@ -17,8 +17,8 @@
         const auto entry = requests_.find(id);
         if (entry == requests_.end()) continue;
         const Request& request = entry->second;
-        if (!request.ended || request.any_out()) continue;
-        if (request.session) sessions.left();
+        if (!request.ended || request.any_in_flight()) continue;
+        if (request.session) sessions.end_upgrade();
         requests_.erase(entry);
     }
     ended_.clear();
--- a/src/balancer/retry_budget.hpp
+++ b/src/balancer/retry_budget.hpp
@@ -9,16 +9,16 @@
 class RetryBudget {
 public:
     // A fifth more attempts than requests in the long run, and so many at a stretch.
-    static constexpr double kShare = 0.2, kBurst = 10;
+    static constexpr double kRetriesPerRequest = 0.2, kMaxRetries = 10;
 
-    void arrived() { left_ = std::min(left_ + kShare, kBurst); }
-    bool may_retry() const { return left_ >= 1; }
-    void retried() { left_ -= 1; }
-    double left() const { return left_; }
-    void at_most(double left) { left_ = std::min(left_, left); }
+    void record_request() { retries_left_ = std::min(retries_left_ + kRetriesPerRequest, kMaxRetries); }
+    bool may_retry() const { return retries_left_ >= 1; }
+    void take_retry() { retries_left_ -= 1; }
+    double retries_left() const { return retries_left_; }
+    void limit_to(double retries) { retries_left_ = std::min(retries_left_, retries); }
 
 private:
-    double left_ = kBurst;
+    double retries_left_ = kMaxRetries;
 };
 
 }  // namespace elmbay::balancer
--- a/src/balancer/send_gate.cpp
+++ b/src/balancer/send_gate.cpp
@@ -4,10 +4,11 @@
 
 namespace elmbay::balancer {
 
-double SendGate::cold_tokens(Server& server, Millis now) const {
-    const ColdStart::Traffic traffic{aperture_->each(server.info.machine_type, now), aperture_->sight(),
-                                     OutlierEjection::kBackoff, Admission::kFloor};
-    return cold_->tokens(server, traffic, pace_->of(server, now), now);
+double SendGate::slow_start_tokens(Server& server, Millis now) const {
+    const SlowStart::Traffic traffic{aperture_->completion_rate_per_server(server.info.machine_type, now),
+                                     aperture_->sidecars_per_server(), OutlierEjection::kEjectionTime,
+                                     Admission::kMinAttemptsPerServer};
+    return slow_start_->refill_tokens(server, traffic, latency_->latency_ratio(server, now), now);
 }
 
 }  // namespace elmbay::balancer
--- a/src/balancer/send_gate.hpp
+++ b/src/balancer/send_gate.hpp
@@ -1,10 +1,10 @@
 #pragma once
 
 #include "balancer/aperture.hpp"
-#include "balancer/cold_start.hpp"
 #include "balancer/latency_estimate.hpp"
 #include "balancer/request.hpp"
 #include "balancer/sessions.hpp"
+#include "balancer/slow_start.hpp"
 
 namespace elmbay::balancer {
 
@@ -13,26 +13,32 @@
 /// Owned by Balancer::Impl. Dispatcher asks it for each server that it considers, and sends to no other.
 class SendGate {
 public:
-    SendGate(const Settings& settings, const ColdStart& cold, const Aperture& aperture,
-             const LatencyEstimate& pace, const Sessions& sessions)
-        : settings_(&settings), cold_(&cold), aperture_(&aperture), pace_(&pace), sessions_(&sessions) {}
-
-    bool is_cold(const Server& server, Millis now) const { return cold_->is_cold(server, now); }
+    SendGate(const Settings& settings, const SlowStart& slow_start, const Aperture& aperture,
+             const LatencyEstimate& latency, const Sessions& sessions)
+        : settings_(&settings),
+          slow_start_(&slow_start),
+          aperture_(&aperture),
+          latency_(&latency),
+          sessions_(&sessions) {}
+
+    bool is_warming_up(const Server& server, Millis now) const {
+        return slow_start_->is_warming_up(server, now);
+    }
 
     /// Whether the request may go to that server. Brings a cold server's tokens up to date.
     bool may_send(const Request& request, Server& server, Millis now) const {
-        if (request.session && !sessions_->has_place_at(server)) return false;
-        return request.may_go_to(server, *settings_, now) &&              // rules 1 to 3
-               (!is_cold(server, now) || cold_tokens(server, now) >= 1);  // rule 4
+        if (request.session && !sessions_->has_capacity_at(server)) return false;
+        return request.may_be_sent_to(server, *settings_, now) &&                     // rules 1 to 3
+               (!is_warming_up(server, now) || slow_start_tokens(server, now) >= 1);  // rule 4
     }
 
 private:
-    double cold_tokens(Server& server, Millis now) const;
+    double slow_start_tokens(Server& server, Millis now) const;
 
     const Settings* settings_;
-    const ColdStart* cold_;
+    const SlowStart* slow_start_;
     const Aperture* aperture_;
-    const LatencyEstimate* pace_;
+    const LatencyEstimate* latency_;
     const Sessions* sessions_;
 };
 
--- a/src/balancer/server.hpp
+++ b/src/balancer/server.hpp
@@ -34,20 +34,21 @@
     ServerInfo info;
     ServerAges::Process process;  // ServerAges': which one it is, and when it started on our clock
     bool listed = true;
-    int outstanding = 0;       // attempts of this sidecar that are out there
+    int in_flight = 0;         // attempts of this sidecar that are out there
     std::size_t sessions = 0;  // Sessions': its sessions there, and the upgrades out there
     std::uint64_t rank = 0;    // Aperture's: drawn once, so that sidecars differ
     bool in_pool = false;      // Aperture's
     EjectionState ejection_state = EjectionState::healthy;  // OutlierEjection's, as the next two
     OutcomeWindow window;
     Millis backoff_until = 0;
-    double slow_start_tokens = 0;  // ColdStart's: sends that a cold server may still take, as of tokens_at
-    Millis tokens_at = 0;
-    DecayingAverage* kind = nullptr;  // LatencyEstimate's: of all warm servers of its kind
-    DecayingAverage pace;             // LatencyEstimate's: of its own answers
+    double slow_start_tokens =
+        0;  // SlowStart's: sends that a cold server may still take, as of slow_start_tokens_at
+    Millis slow_start_tokens_at = 0;
+    DecayingAverage* machine_type_latency = nullptr;  // LatencyEstimate's: of all warm servers of its kind
+    DecayingAverage latency;                          // LatencyEstimate's: of its own answers
 
     // Whether anything new may go to it, as far as the list says (rule 3).
-    bool open() const { return listed && info.state == EndpointState::active; }
+    bool accepts_requests() const { return listed && info.state == EndpointState::active; }
 };
 
 }  // namespace elmbay::balancer
--- a/src/balancer/server_age.hpp
+++ b/src/balancer/server_age.hpp
@@ -34,13 +34,13 @@
 public:
     // Discovery's silence from which on a start may be clearly older than its hearing: what discovery has to
     // tell counts as told 6 s later. Up to that an age of 0 is a little too cold at worst.
-    static constexpr Millis kOutage = 6000;
+    static constexpr Millis kMaxTrustedListAge = 6000;
     // The part of the list whose claimed age is doubted. Half a fleet that has just been replaced must not be
     // cold for each sidecar that restarts, so the youngest are doubted and the rest is left to our wall
     // clock.
-    static constexpr double kDoubted = 0.25;
+    static constexpr double kDoubtedShare = 0.25;
     // Processes remembered of one server: a list that lags behind names an earlier one again.
-    static constexpr std::size_t kProcesses = 4;
+    static constexpr std::size_t kMaxProcesses = 4;
     // Servers remembered that have left the list, the latest ones: one that is named again with the same
     // start is the same process and has not become cold. As many as the longest list that there can be.
     static constexpr std::size_t kMaxDeparted = 4096;
@@ -53,15 +53,15 @@
     };
 
     // A list has come. Linear in its entries; in all servers only for whole lists and after an outage.
-    void hear(const ServerList& list, Millis now);
+    void record_list(const ServerList& list, Millis now);
     Process process_of(ServerId id) const;
     // The caller has forgotten the server.
-    void departed(ServerId id);
+    void forget(ServerId id);
 
 private:
     struct Record {
         Process process;
-        std::array<Millis, kProcesses> starts{};  // as told; the last one told first is at `newest`
+        std::array<Millis, kMaxProcesses> starts{};  // as claimed; the last one told first is at `newest`
         std::size_t newest = 0;
         Millis heard_at = 0;  // when the start at `newest` was first told
         bool listed = false;
@@ -69,27 +69,27 @@
         bool knows(Millis start) const;
         void add(Millis start, Millis now);
         // What this start proves of the wall clock's time: it can't be earlier now.
-        Millis least_wall_time(Millis now) const { return starts[newest] + (now - heard_at); }
+        Millis earliest_wall_time(Millis now) const { return starts[newest] + (now - heard_at); }
     };
     struct Start {
         ServerId server = 0;
-        Millis told = 0;
+        Millis claimed = 0;
     };
     // The two latest times that servers' starts prove, each of another server.
-    struct LeastTimes {
+    struct EarliestPossibleTimes {
         Millis first = kLongAgo, second = kLongAgo;
         ServerId first_of = 0;
 
         Millis without(ServerId server) const { return server == first_of ? second : first; }
     };
 
-    void hear_exact(const ServerInfo& info);
+    void record_exact_start(const ServerInfo& info);
     // Whether the entry tells of a process that was not known.
-    bool hear_start(const ServerInfo& info, Millis now);
-    void place(std::vector<Start> starts, const ServerList& list, Millis now);
-    void place_by_claims(std::vector<Start> starts, const ServerList& list, Millis now);
-    std::size_t doubted() const;
-    LeastTimes least_times(Millis now) const;
+    bool record_start(const ServerInfo& info, Millis now);
+    void date_starts(std::vector<Start> starts, const ServerList& list, Millis now);
+    void date_by_claims(std::vector<Start> starts, const ServerList& list, Millis now);
+    std::size_t doubted_count() const;
+    EarliestPossibleTimes earliest_possible_times(Millis now) const;
     void begin_process(ServerId id, Millis started_at);
 
     std::unordered_map<ServerId, Record> records_;
--- a/src/balancer/server_pool.cpp
+++ b/src/balancer/server_pool.cpp
@@ -3,9 +3,9 @@
 namespace elmbay::balancer {
 
 void ServerPool::draw_pool(Millis now) {
-    aperture_->draw(now, load());
-    ejection_->compare_with(aperture_->pool());
-    admission_->pool_is(aperture_->warm());
+    aperture_->draw_pool(now, load());
+    ejection_->compare_with_pool(aperture_->pool());
+    admission_->set_warm_servers(aperture_->warm_count());
 }
 
 }  // namespace elmbay::balancer
--- a/src/balancer/server_pool.hpp
+++ b/src/balancer/server_pool.hpp
@@ -18,22 +18,24 @@
 
     /// The list, the siblings or a server's ejection_state has changed, or the pool is stale().
     void draw_pool(Millis now);
-    bool stale(Millis now) const { return aperture_->stale(now, load()); }
+    bool is_stale(Millis now) const { return aperture_->is_stale(now, load()); }
 
     /// Attempts that are out at servers that were warm when they were sent.
-    int outstanding() const { return outstanding_; }
-    void attempt_sent(bool cold) { outstanding_ += cold ? 0 : 1; }
-    void attempt_ended(bool cold) { outstanding_ -= cold ? 0 : 1; }
+    int in_flight() const { return in_flight_; }
+    void attempt_sent(bool warming_up) { in_flight_ += warming_up ? 0 : 1; }
+    void attempt_ended(bool warming_up) { in_flight_ -= warming_up ? 0 : 1; }
 
 private:
     // What the pool must be wide enough for.
-    int load() const { return std::max(outstanding_, static_cast<int>(sessions_->held() / Sessions::kEach)); }
+    int load() const {
+        return std::max(in_flight_, static_cast<int>(sessions_->count() / Sessions::kSessionsPerServer));
+    }
 
     Aperture* aperture_;
     OutlierEjection* ejection_;
     Admission* admission_;
     const Sessions* sessions_;
-    int outstanding_ = 0;
+    int in_flight_ = 0;
 };
 
 }  // namespace elmbay::balancer
--- a/src/balancer/server_table.cpp
+++ b/src/balancer/server_table.cpp
@@ -2,14 +2,14 @@
 
 #include <algorithm>
 
-#include "balancer/cold_start.hpp"
 #include "balancer/ejection.hpp"
+#include "balancer/slow_start.hpp"
 
 namespace elmbay::balancer {
 
 void ServerTable::apply(const ServerList& list, Millis now) {
     listed_ = std::max(list.servers.size(), servers_.size());
-    ages_->hear(list, now);
+    ages_->record_list(list, now);
     if (list.kind == ListKind::incremental)
         change(list.servers, now);
     else
@@ -22,7 +22,7 @@
     for (const ServerInfo& info : list) learn(info, now);
     std::erase_if(servers_, [this](const auto& entry) {
         if (!is_gone(entry.second)) return false;
-        ages_->departed(entry.first);
+        ages_->forget(entry.first);
         return true;
     });
     std::vector<Server*> all;
@@ -42,7 +42,7 @@
 
 void ServerTable::drop_if_gone(Server& server) {
     if (!is_gone(server)) return;
-    ages_->departed(server.info.id);
+    ages_->forget(server.info.id);
     aperture_->remove(&server);
     servers_.erase(server.info.id);
 }
@@ -53,17 +53,17 @@
     if (fresh) server.rank = random_->next();
     const ServerAges::Process process = ages_->process_of(info.id);
     if (fresh || process.number != server.process.number) {
-        ColdStart::started(server, random_->unit(), now);
-        OutlierEjection::forget(server);
+        SlowStart::begin(server, random_->unit(), now);
+        OutlierEjection::reset(server);
     }
     server.process = process;
     server.info = info;
-    pace_->learn(server);
+    latency_->set_machine_type(server);
     server.listed = info.state != EndpointState::removed;
     if (!fresh) return server;
     // Half of the list stays in the pool, whatever the restored state says of it.
-    restorer_->recall(server, 2 * (recalled_out_ + 1) <= listed_, now);
-    recalled_out_ += server.ejection_state == EjectionState::ejected;
+    restorer_->restore(server, 2 * (restored_ejected_ + 1) <= listed_, now);
+    restored_ejected_ += server.ejection_state == EjectionState::ejected;
     return server;
 }
 
--- a/src/balancer/server_table.hpp
+++ b/src/balancer/server_table.hpp
@@ -18,9 +18,9 @@
 /// one goes. Bound: the list's length (the driver's limit) and what is outstanding at servers that left it.
 class ServerTable {
 public:
-    ServerTable(Random& random, LatencyEstimate& pace, LearnedStateRestorer& restorer, Aperture& aperture,
+    ServerTable(Random& random, LatencyEstimate& latency, LearnedStateRestorer& restorer, Aperture& aperture,
                 ServerAges& ages)
-        : random_(&random), pace_(&pace), restorer_(&restorer), aperture_(&aperture), ages_(&ages) {}
+        : random_(&random), latency_(&latency), restorer_(&restorer), aperture_(&aperture), ages_(&ages) {}
 
     /// Takes in a list of any kind but failed. The pool has to be drawn anew next.
     void apply(const ServerList& list, Millis now);
@@ -35,7 +35,7 @@
 
 private:
     static bool is_gone(const Server& server) {
-        return !server.listed && server.outstanding == 0 && server.sessions == 0;
+        return !server.listed && server.in_flight == 0 && server.sessions == 0;
     }
     /// A whole list: what it does not name has left. Linear in the fleet.
     void replace(const std::vector<ServerInfo>& list, Millis now);
@@ -44,13 +44,13 @@
     Server& learn(const ServerInfo& info, Millis now);
 
     Random* random_;
-    LatencyEstimate* pace_;
+    LatencyEstimate* latency_;
     LearnedStateRestorer* restorer_;
     Aperture* aperture_;
     ServerAges* ages_;
     std::map<ServerId, Server> servers_;
-    std::size_t listed_ = 0;        // servers of the list at hand
-    std::size_t recalled_out_ = 0;  // servers that the restored state had as ejected
+    std::size_t listed_ = 0;            // servers of the list at hand
+    std::size_t restored_ejected_ = 0;  // servers that the restored state had as ejected
 };
 
 }  // namespace elmbay::balancer
--- a/src/balancer/sessions.hpp
+++ b/src/balancer/sessions.hpp
@@ -16,27 +16,28 @@
 public:
     // The pool is at least so wide that it holds this many of ours at each server, as if each had one attempt
     // out: a sidecar with few requests and many sessions must not keep them all at the narrowest pool.
-    static constexpr std::size_t kEach = 32;
+    static constexpr std::size_t kSessionsPerServer = 32;
 
-    explicit Sessions(const Settings& s) : most_(s.max_sessions), most_at_one_(s.max_sessions_per_server) {}
+    explicit Sessions(const Settings& s)
+        : max_sessions_(s.max_sessions), max_sessions_per_server_(s.max_sessions_per_server) {}
 
     // Bounds: of all that are held or upgrading, and of those at one server (Server::sessions).
-    bool has_place() const { return held_.size() + upgrading_ < most_; }
-    bool has_place_at(const Server& s) const { return s.sessions < most_at_one_; }
+    bool has_capacity() const { return sessions_.size() + upgrading_ < max_sessions_; }
+    bool has_capacity_at(const Server& s) const { return s.sessions < max_sessions_per_server_; }
     // Requests for one that are in the table: each that was taken leaves it once.
-    void taken() { ++upgrading_; }
-    void left() { --upgrading_; }
-    void holds(RequestId id, ServerId server) { held_.emplace(id, server); }
+    void begin_upgrade() { ++upgrading_; }
+    void end_upgrade() { --upgrading_; }
+    void begin(RequestId id, ServerId server) { sessions_.emplace(id, server); }
     // Where it was held; an unknown one, or one that had ended before: nowhere.
-    std::optional<ServerId> ended(RequestId id) {
-        const auto node = held_.extract(id);
+    std::optional<ServerId> end(RequestId id) {
+        const auto node = sessions_.extract(id);
         return node ? std::optional(node.mapped()) : std::nullopt;
     }
-    std::size_t held() const { return held_.size(); }
+    std::size_t count() const { return sessions_.size(); }
 
 private:
-    std::size_t most_, most_at_one_, upgrading_ = 0;
-    std::unordered_map<RequestId, ServerId> held_;  // never iterated
+    std::size_t max_sessions_, max_sessions_per_server_, upgrading_ = 0;
+    std::unordered_map<RequestId, ServerId> sessions_;  // never iterated
 };
 
 }  // namespace elmbay::balancer
--- a/src/balancer/wait_queue.cpp
+++ b/src/balancer/wait_queue.cpp
@@ -9,14 +9,14 @@
     waiting.swap(waiting_);
     std::erase_if(waiting, [&](RequestId id) {
         const Request* request = requests.find(id);
-        return !request || request->ended || request->any_out();
+        return !request || request->ended || request->any_in_flight();
     });
     std::sort(waiting.begin(), waiting.end(), [&](RequestId left_id, RequestId right_id) {
         const Request& left = requests.at(left_id);
         const Request& right = requests.at(right_id);
-        if (left.kind.priority_weight != right.kind.priority_weight)
-            return left.kind.priority_weight > right.kind.priority_weight;
-        return left.order > right.order;
+        if (left.request_class.priority_weight != right.request_class.priority_weight)
+            return left.request_class.priority_weight > right.request_class.priority_weight;
+        return left.arrival_order > right.arrival_order;
     });
     return waiting;
 }
--- a/src/cluster/sibling_estimate.hpp
+++ b/src/cluster/sibling_estimate.hpp
@@ -26,7 +26,7 @@
     /// Nobody takes over more than this part of the whole beyond the shares of those who have ended, for
     /// these may be back at any moment and act on the settings' number until they have heard of the others.
     /// So whatever happens at once, all together act on 1.4 of the whole at most; the module keeps 1.43 free
-    /// where a rule depends on it (ColdStart::kFeed).
+    /// where a rule depends on it (SlowStart::kOverloadMargin).
     static constexpr double kMaxTakeover = 0.4;
     /// Milliseconds. It falls no faster than by half in this time.
     static constexpr Millis kHalfLife = 5000;
--- a/tests/balancer/composition_test.cpp
+++ b/tests/balancer/composition_test.cpp
@@ -102,7 +102,7 @@
     const Request* second = requests.add(4);
     ASSERT_NE(second, nullptr);
     EXPECT_EQ(first->id, 9U);
-    EXPECT_LT(first->order, second->order);
+    EXPECT_LT(first->arrival_order, second->arrival_order);
     EXPECT_EQ(requests.find(5), nullptr);
     EXPECT_EQ(requests.size(), 2U);
 }
@@ -115,7 +115,7 @@
     Request& ended_session = *requests.add(3);
     still_out.ended = true;
     still_out.attempts.push_back(attempt_out());
-    sessions.taken();
+    sessions.begin_upgrade();
     ended_session.session = true;
     ended_session.ended = true;
     for (const RequestId id : {1, 2, 3, 3, 77}) requests.mark_ended(id);
@@ -124,9 +124,9 @@
     EXPECT_EQ(requests.find(1), &open);
     EXPECT_EQ(requests.find(2), &still_out);
     EXPECT_EQ(requests.find(3), nullptr);
-    EXPECT_TRUE(sessions.has_place()) << "its place is free again, and freed once";
+    EXPECT_TRUE(sessions.has_capacity()) << "its place is free again, and freed once";
 
-    still_out.attempts.front().out = false;
+    still_out.attempts.front().in_flight = false;
     requests.mark_ended(2);
     requests.forget_ended(sessions);
     EXPECT_EQ(requests.find(2), nullptr);
@@ -139,7 +139,7 @@
     RequestTable requests;
     WaitQueue queue;
     for (RequestId id = 1; id <= 4; ++id) {
-        requests.add(id)->kind.priority_weight = id == 2 ? 5 : 1;
+        requests.add(id)->request_class.priority_weight = id == 2 ? 5 : 1;
         queue.push(id);
     }
     EXPECT_EQ(queue.take(requests), (std::vector<RequestId>{2, 4, 3, 1}));
@@ -189,12 +189,12 @@
 
     Settings settings_;
     Random random_{1};
-    LatencyEstimate pace_;
+    LatencyEstimate latency_;
     LearnedStateRestorer restorer_;
-    ColdStart cold_{settings_};
+    SlowStart cold_{settings_};
     Aperture aperture_{1, cold_};
     ServerAges ages_;
-    ServerTable servers_{random_, pace_, restorer_, aperture_, ages_};
+    ServerTable servers_{random_, latency_, restorer_, aperture_, ages_};
 };
 
 TEST_F(ServerTableTest, AWholeListReplacesAndAnIncrementalOneAdds) {
@@ -208,14 +208,14 @@
 
 TEST_F(ServerTableTest, AServerThatLeftTheListStaysUntilNothingIsOutstandingThere) {
     servers_.apply(list_of(ListKind::snapshot, {1}), kNow);
-    servers_.find(1)->outstanding = 1;
+    servers_.find(1)->in_flight = 1;
     servers_.apply(list_of(ListKind::snapshot, {}), kNow);
     Server* server = servers_.find(1);
     ASSERT_NE(server, nullptr);
-    EXPECT_FALSE(server->open());
+    EXPECT_FALSE(server->accepts_requests());
     servers_.drop_if_gone(*server);
     ASSERT_EQ(servers_.find(1), server);
-    server->outstanding = 0;
+    server->in_flight = 0;
     servers_.drop_if_gone(*server);
     EXPECT_TRUE(servers_.empty());
 }
@@ -228,8 +228,8 @@
 
     Request& add(Idempotency idempotency) {
         Request& request = *requests_.add(next_id_++);
-        request.kind.idempotency = idempotency;
-        request.kind.latency_objective = 400;
+        request.request_class.idempotency = idempotency;
+        request.request_class.latency_objective = 400;
         request.deadline = kNow + 1000;
         return request;
     }
@@ -250,7 +250,7 @@
     ASSERT_EQ(actions_.size(), 1U);
     const auto& refusal = std::get<Reject>(actions_.front());
     EXPECT_EQ(refusal.id, request.id);
-    EXPECT_GE(refusal.retry_after, 400 * FinalResponder::kWaitShare);
+    EXPECT_GE(refusal.retry_after, 400 * FinalResponder::kMaxWaitShare);
     EXPECT_TRUE(request.ended);
 }
 
--- a/tests/balancer/fleet_change_test.cpp
+++ b/tests/balancer/fleet_change_test.cpp
@@ -58,7 +58,7 @@
 
 TEST(FleetChange, TheApertureIsWhatAWholeListWouldHaveMadeIt) {
     const Settings settings = test::settings();
-    const ColdStart cold(settings);
+    const SlowStart cold(settings);
     std::mt19937_64 random(7);
     std::vector<Server> servers(300);
     std::vector<Server*> there;
@@ -69,7 +69,7 @@
     }
     Aperture changed(16, cold);
     changed.set_servers(there);
-    changed.draw(kNow, 0);
+    changed.draw_pool(kNow, 0);
     for (int round = 0; round < 300; ++round) {
         for (std::size_t n = random() % 4; n > 0; --n) {
             Server& s = servers[random() % servers.size()];
@@ -82,25 +82,25 @@
             changed.add(&s);
             there.push_back(&s);
         }
-        changed.draw(kNow, 0);
+        changed.draw_pool(kNow, 0);
         const std::vector<Server*> pool = changed.pool();
         for (const Server& s : servers)
             ASSERT_EQ(s.in_pool, std::find(pool.begin(), pool.end(), &s) != pool.end());
         Aperture whole(16, cold);
         whole.set_servers(there);
-        whole.draw(kNow, 0);
+        whole.draw_pool(kNow, 0);
         ASSERT_EQ(pool, whole.pool()) << round;
-        ASSERT_EQ(changed.out(), whole.out()) << round;
-        ASSERT_EQ(changed.listed(), whole.listed()) << round;
-        ASSERT_EQ(changed.warm(), whole.warm()) << round;
-        ASSERT_EQ(changed.sight(), whole.sight()) << round;
+        ASSERT_EQ(changed.ejected(), whole.ejected()) << round;
+        ASSERT_EQ(changed.listed_count(), whole.listed_count()) << round;
+        ASSERT_EQ(changed.warm_count(), whole.warm_count()) << round;
+        ASSERT_EQ(changed.sidecars_per_server(), whole.sidecars_per_server()) << round;
     }
 }
 
 // The pool of a sidecar among so many, after it has had so many answers at once.
 std::size_t pool_of(std::size_t fleet, std::uint32_t sidecars, int answers = 0) {
     const Settings settings = test::settings();
-    const ColdStart cold(settings);
+    const SlowStart cold(settings);
     std::vector<Server> servers(fleet);
     std::vector<Server*> all;
     for (std::size_t i = 0; i < fleet; ++i) {
@@ -110,8 +110,8 @@
     }
     Aperture aperture(sidecars, cold);
     aperture.set_servers(all);
-    for (int i = 0; i < answers; ++i) aperture.completed(0, kNow);
-    aperture.draw(kNow, 0);
+    for (int i = 0; i < answers; ++i) aperture.record_completion(0, kNow);
+    aperture.draw_pool(kNow, 0);
     return aperture.pool().size();
 }
 
--- a/tests/balancer/server_age_test.cpp
+++ b/tests/balancer/server_age_test.cpp
@@ -42,7 +42,7 @@
     Millis wall_off = 0;
 
     void hear(ListKind kind, std::vector<ServerInfo> servers, Millis list_age_bound = 0) {
-        ages.hear({kind, std::move(servers), kUnix + now + wall_off, list_age_bound}, now);
+        ages.record_list({kind, std::move(servers), kUnix + now + wall_off, list_age_bound}, now);
     }
     Millis age(ServerId id) const { return now - ages.process_of(id).started_at; }
     std::uint32_t process(ServerId id) const { return ages.process_of(id).number; }
@@ -158,7 +158,7 @@
     Ages a;
     a.hear(ListKind::cached, {old(1), old(2), started(3, kNow - kHour), started(4, kNow - kHour - 1)}, kEver);
     a.hear(ListKind::snapshot, {old(1), old(2)});
-    a.ages.departed(3);
+    a.ages.forget(3);
     a.now += kHour;
     a.hear(ListKind::incremental, {started(3, kNow - kHour)});
     EXPECT_GE(a.age(3), kHour);
@@ -173,7 +173,7 @@
         ServerInfo off = started(id, a.now);
         off.state = EndpointState::removed;
         a.hear(ListKind::incremental, {off});
-        a.ages.departed(id);
+        a.ages.forget(id);
     };
     for (ServerId id = 10; id <= 10 + ServerAges::kMaxDeparted; ++id) come_and_go(id);
     EXPECT_EQ(a.process(10), 0U) << "the oldest is forgotten";
@@ -210,7 +210,7 @@
     ServerInfo one;
     one.id = 1;
     one.online_since = kNow - 3000;
-    ages.hear({ListKind::snapshot, {one, old(2)}}, kNow);
+    ages.record_list({ListKind::snapshot, {one, old(2)}}, kNow);
     EXPECT_EQ(ages.process_of(1).started_at, kNow - 3000);
     EXPECT_EQ(ages.process_of(2).started_at, ServerAges::kLongAgo);
 }
--- a/tests/balancer/cold_budget_test.cpp
+++ b/tests/balancer/slow_start_budget_test.cpp
@@ -23,7 +23,7 @@
 constexpr double kPerSecond = 1000;
 constexpr double kBusy = 60;  // requests a second: so many that a cold server's part of them shows
 
-double with_chance(double n) {
+double upper_confidence_bound(double n) {
     const double roots = n < 30 ? 3 : 2;
     return n + roots * std::sqrt(n) + roots;
 }
@@ -37,9 +37,9 @@
 };
 
 // Servers work off one request after another; sidecars ask them as their modules decide. Virtual time.
-class SlowStart {
+class SlowStartRun {
 public:
-    SlowStart(const Scenario& scenario, std::uint64_t seed) : scenario_(scenario), random_(seed) {
+    SlowStartRun(const Scenario& scenario, std::uint64_t seed) : scenario_(scenario), random_(seed) {
         settings_.classes = {RequestClass{Idempotency::idempotent, DedupScope::all, 3000, 400}};
         settings_.siblings = scenario.sidecars;
         settings_.max_attempts = 4;
@@ -176,7 +176,7 @@
         server.got.push_back(now_);
         while (server.got.front() <= now_ - kSpan) server.got.pop_front();
         const double allowed = settings_.overload_multiple * capacity(server) * kSpan / kPerSecond;
-        worst_ = std::max(worst_, static_cast<double>(server.got.size()) / with_chance(allowed));
+        worst_ = std::max(worst_, static_cast<double>(server.got.size()) / upper_confidence_bound(allowed));
     }
 
     Scenario scenario_;
@@ -197,7 +197,7 @@
 void expect_within_budget(const Scenario& scenario) {
     std::size_t sent_to_cold = 0;
     for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-        SlowStart run(scenario, seed);
+        SlowStartRun run(scenario, seed);
         const double worst = run.worst();
         EXPECT_LE(worst, 1) << scenario.sidecars << " sidecars, " << scenario.restarted << " of "
                             << scenario.servers << " servers restarted, capacity " << scenario.capacity
