--- a/src/balancer/aperture.cpp
+++ b/src/balancer/aperture.cpp
@@ -3,68 +3,77 @@
 namespace elmbay::balancer {
 
 void Aperture::set_servers(const std::vector<Server*>& all) {
-    for (Server* s : all) s->in_pool = false;
+    for (Server* server : all) server->in_pool = false;
     pool_.clear();
     ejected_.clear();
     ranked_.clear();
     listed_count_ = 0;
-    for (Server* s : all) add(s);
+    for (Server* server : all) add(server);
 }
 
-void Aperture::add(Server* s) {
-    if (!ranked_.insert(s).second) return;
-    listed_count_ += s->listed;
-    set_ejected(s, s->ejection_state != EjectionState::healthy);
+void Aperture::add(Server* server) {
+    const bool is_new = ranked_.insert(server).second;
+    if (!is_new) return;
+    listed_count_ += server->listed;
+    set_ejected(server, server->ejection_state != EjectionState::healthy);
 }
 
-void Aperture::remove(Server* s) {
-    if (ranked_.erase(s) == 0) return;
-    listed_count_ -= s->listed;
-    set_ejected(s, false);
-    if (s->in_pool) empty_pool();
+void Aperture::remove(Server* server) {
+    if (ranked_.erase(server) == 0) return;
+    listed_count_ -= server->listed;
+    set_ejected(server, false);
+    if (server->in_pool) empty_pool();
 }
 
 void Aperture::empty_pool() {
-    for (Server* s : pool_) s->in_pool = false;
+    for (Server* server : pool_) server->in_pool = false;
     pool_.clear();
 }
 
-void Aperture::set_ejected(Server* s, bool ejected) {
-    const auto at = std::lower_bound(ejected_.begin(), ejected_.end(), s, ByRank());
-    const bool there = at != ejected_.end() && *at == s;
-    if (ejected && !there && s->accepts_requests()) ejected_.insert(at, s);
-    if (!ejected && there) ejected_.erase(at);
+void Aperture::set_ejected(Server* server, bool ejected) {
+    const auto position = std::lower_bound(ejected_.begin(), ejected_.end(), server, ByRank());
+    const bool is_present = position != ejected_.end() && *position == server;
+    if (ejected && !is_present && server->accepts_requests()) ejected_.insert(position, server);
+    if (!ejected && is_present) ejected_.erase(position);
 }
 
 double Aperture::coverage_width(Millis now) const {
-    const double share = static_cast<double>(ranked_.size()) / siblings_;  // servers for each sidecar
-    return std::min(kSidecarsPerServer * share,
-                    std::max({kMaxCoverageWidth, completion_rate(now) * kMaxRevisitInterval,
-                              kMinSidecarsPerServer * share}));
+    const double servers_per_sidecar = static_cast<double>(ranked_.size()) / siblings_;
+    const double most = std::max({kMaxCoverageWidth, completion_rate(now) * kMaxRevisitInterval,
+                                  kMinSidecarsPerServer * servers_per_sidecar});
+    return std::min(kSidecarsPerServer * servers_per_sidecar, most);
 }
 
 void Aperture::draw_pool(Millis now, int in_flight) {
-    const double filled = completion_rate(now) * OutlierEjection::kEjectionTime / OutcomeWindow::kSize;
-    width_ = std::max({kMinWidth, coverage_width(now), filled, 2.0 * in_flight});
+    const double filled_windows =
+        completion_rate(now) * OutlierEjection::kEjectionTime / OutcomeWindow::kSize;
+    width_ = std::max({kMinWidth, coverage_width(now), filled_windows, 2.0 * in_flight});
+    redraw_at_ = now + kMaxPoolAge;
+    fill_pool(now);
+    count_contributors(now);
+    for (const auto& [machine_type, warm] : warm_by_type_) {
+        last_rate_per_server_[machine_type] = completions_by_type_[machine_type].rate(now, kRateDecay) /
+                                              contributors_by_type_[machine_type].count(now, kRateDecay);
+    }
+}
+
+void Aperture::fill_pool(Millis now) {
     empty_pool();
     warm_count_ = 0;
     warm_by_type_.clear();
-    redraw_at_ = now + kMaxPoolAge;
-    for (Server* s : ranked_) {
+    for (Server* server : ranked_) {
         if (static_cast<double>(warm_count_) >= width_) break;
-        if (!s->accepts_requests() || s->ejection_state != EjectionState::healthy) continue;
-        pool_.push_back(s);
-        s->in_pool = true;
-        if (!slow_start_->is_warming_up(*s, now)) ++warm_count_, ++warm_by_type_[s->info.machine_type];
+        if (!server->accepts_requests() || server->ejection_state != EjectionState::healthy) continue;
+        pool_.push_back(server);
+        server->in_pool = true;
+        if (slow_start_->is_warming_up(*server, now)) continue;
+        ++warm_count_;
+        ++warm_by_type_[server->info.machine_type];
     }
-    count_contributors(now);
-    for (const auto& [machine_type, warm] : warm_by_type_)
-        last_rate_per_server_[machine_type] = completions_by_type_[machine_type].rate(now, kRateDecay) /
-                                              contributors_by_type_[machine_type].count(now, kRateDecay);
 }
 
-// Divided by those that are left alone, what servers carried that have just gone would look like the work of
-// one, and cold ones would be sent a share of that.
+// Divided by the servers that are left, the work of those that have just gone would look like the work of
+// one, and servers in slow start would be sent a share of that.
 void Aperture::count_contributors(Millis now) {
     if (restored_ && listed_count_ > 0) {
         restored_ = false;
@@ -79,12 +88,15 @@
 }
 
 double Aperture::completion_rate_per_server(std::uint32_t machine_type, Millis now) const {
-    const auto same_type = warm_by_type_.find(machine_type), last = last_rate_per_server_.find(machine_type);
-    const auto all = static_cast<double>(warm_count_);
-    const double mean = completion_rate(now) / std::max(1.0, contributors_.count(now, kRateDecay));
-    if (same_type == warm_by_type_.end())
-        return last == last_rate_per_server_.end() ? mean * (all > 0 ? kUnknownTypeShare : 1) : last->second;
-    if (same_type->second == all) return mean;
+    const auto all_warm = static_cast<double>(warm_count_);
+    const double mean_rate = completion_rate(now) / std::max(1.0, contributors_.count(now, kRateDecay));
+    const auto warm_of_type = warm_by_type_.find(machine_type);
+    if (warm_of_type == warm_by_type_.end()) {
+        const auto last_rate = last_rate_per_server_.find(machine_type);
+        if (last_rate != last_rate_per_server_.end()) return last_rate->second;
+        return mean_rate * (all_warm > 0 ? kUnknownTypeShare : 1);
+    }
+    if (warm_of_type->second == all_warm) return mean_rate;
     return completions_by_type_.at(machine_type).rate(now, kRateDecay) /
            contributors_by_type_.at(machine_type).count(now, kRateDecay);
 }
--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -1,13 +1,15 @@
-// The Balancer: composes the parts of the module and passes each event to those that it concerns. The
-// interface is include/elmbay/balancer.hpp.
-//
-// The path of a request: on(RequestArrived) takes it into the RequestTable and sets its timer; Dispatcher
-// finds a server: one whose trial is due (OutlierEjection), else one of the pool (ServerPool, Aperture) by
-// Pick, and sends it, to run to the client's deadline at the longest. If nobody may have it now it waits
-// briefly (WaitQueue). on(AttemptEnded) has the outcome booked (OutcomeAccounting) and the request placed
-// again or answered. FinalResponder::finish() is the only final answer; SendGate::may_send() and
-// Request::may_be_rejected() are the only gates: no send and no refusal leaves the module without passing
-// them.
+/// @file
+/// The Balancer: composes the parts of the module and passes each event to those that it concerns. The
+/// interface is include/elmbay/balancer.hpp.
+///
+/// The path of a request: on(RequestArrived) takes it into RequestTable and sets its timer. Dispatcher finds
+/// a server: an ejected one whose probe is due (OutlierEjection), else one of the pool (ServerPool, Aperture)
+/// by Pick. It sends the request there, to run to the client's deadline at the longest. If no server may have
+/// it now, it waits briefly (WaitQueue). on(AttemptEnded) has the outcome recorded (OutcomeAccounting), and
+/// the request dispatched again or answered.
+///
+/// No attempt leaves the module without passing SendGate::may_send(), and no rejection without passing
+/// Request::may_be_rejected(). FinalResponder::finish() gives the only final response.
 #include "elmbay/balancer.hpp"
 
 #include <algorithm>
@@ -49,23 +51,23 @@
     return outcome == Outcome::rejected || outcome == Outcome::connect_failed || outcome == Outcome::not_sent;
 }
 
-Settings checked(Settings settings) {
+Settings validated(Settings settings) {
     validate(settings);
     return settings;
 }
 
 }  // namespace
 
-/// Owns every part and hands events on. Parts know each other by reference, in the order of their
-/// construction: none knows one below it.
+/// Owns every part and passes events on. Parts refer to each other in the order of their construction: none
+/// knows one below it.
 struct Balancer::Impl {
-    Impl(Settings given, std::uint64_t seed) : settings(checked(std::move(given))), random(seed) {}
+    Impl(Settings given, std::uint64_t seed) : settings(validated(std::move(given))), random(seed) {}
 
     Settings settings;
     Random random;
     EventContext context;
 
-    // What decides.
+    // Parts that decide.
     SlowStart slow_start{settings};
     ServerAges ages;
     Aperture aperture{settings.siblings, slow_start};
@@ -78,7 +80,7 @@
     Sessions sessions{settings};
     Pick pick{settings, random, latency};
 
-    // What holds requests, servers and timers.
+    // Parts that hold requests, servers and timers.
     RequestTable requests;
     WaitQueue queue;
     TimerTable timers{context};
@@ -86,21 +88,18 @@
     ServerTable servers{random, latency, state_restorer, aperture, ages};
     ServerPool pool{aperture, ejection, admission, sessions};
 
-    // What acts.
+    // Parts that act.
     SendGate gate{settings, slow_start, aperture, latency, sessions};
     FinalResponder responder{settings, context, admission, requests};
     OutcomeAccounting accounting{{context, slow_start, latency, admission, aperture, ejection, pool}};
     Dispatcher dispatcher{{settings, context, random, admission, aperture, ejection, pick, retry_budget, gate,
                            pool, requests, timers, queue, responder}};
 
-    // ---- Membership -------------------------------------------------------------------------------------
-
-    void on(const Started&) {
-        if (settings.list_on_request) context.emit(Subscribe{true});
-    }
+    // ---- Learned state ----------------------------------------------------------------------------------
 
     void on(const StateRestored& event) {
-        if (!servers.empty()) return;  // too late: what we see ourselves is better
+        const bool is_too_late = !servers.empty();  // what this run has seen itself is better
+        if (is_too_late) return;
         const LearnedState learned_state = sanitize(event.learned_state);
         state_restorer.load(learned_state, event.age, context.now());
         if (!state_restorer.is_trusted()) return;
@@ -109,7 +108,25 @@
         retry_budget.limit_to(learned_state.retries_left);
     }
 
-    // What was out, learned or saved up stays; only what it is a part of is another number.
+    LearnedState learned_state(Millis now) const {
+        LearnedState state;
+        for (const auto& [id, server] : servers.servers()) {
+            if (server.listed) state.servers.push_back(LearnedStateRestorer::state_of(server, now));
+        }
+        admission.save_to(state, now);
+        state.completion_rate = aperture.completion_rate(now);
+        state.retries_left = retry_budget.retries_left();
+        return sanitize(std::move(state));
+    }
+
+    // ---- Servers and sidecars ---------------------------------------------------------------------------
+
+    void on(const Started&) {
+        if (settings.list_on_request) context.emit(Subscribe{true});
+    }
+
+    // Attempts in flight and all that was learned stay. Only the number that they are divided by is another
+    // one.
     void on(const SiblingsKnown& event) {
         if (event.count == 0) return;
         aperture.set_siblings(event.count);
@@ -117,20 +134,8 @@
         pool.draw_pool(context.now());
     }
 
-    LearnedState known(Millis at) const {
-        LearnedState learned_state;
-        for (const auto& [id, server] : servers.servers()) {
-            if (server.listed) learned_state.servers.push_back(LearnedStateRestorer::state_of(server, at));
-        }
-        admission.save_to(learned_state, at);
-        learned_state.completion_rate = aperture.completion_rate(at);
-        learned_state.retries_left = retry_budget.retries_left();
-        return sanitize(std::move(learned_state));
-    }
-
     void on(const ServerList& list) {
         if (list.kind == ListKind::failed) {
-            // The list is one service for all: come back later and not in step with the others.
             timers.set_timer(context.now() + subscription_backoff.next(random), std::nullopt);
             return;
         }
@@ -140,7 +145,7 @@
         dispatcher.dispatch_waiting();
     }
 
-    // ---- A request --------------------------------------------------------------------------------------
+    // ---- Requests ---------------------------------------------------------------------------------------
 
     void on(const RequestArrived& event) {
         Request* added = requests.add(event.id);
@@ -148,17 +153,18 @@
         Request& request = *added;
         request.repeat = event.repeat;
         request.request_class = class_of(event);
-        set_limits(request, event.time_left);
+        set_time_limits(request, event.time_left);
         retry_budget.record_request();
         request.tenant_share = fairness.record_arrival(event.tenant, context.now());
         request.session = event.session && sessions.has_capacity();
         if (request.session) sessions.begin_upgrade();
-        if (event.table_full || request.session != event.session) return responder.finish(request);
+        const bool session_without_place = event.session && !request.session;
+        if (event.table_full || session_without_place) return responder.finish(request);
         timers.set_timer(request.deadline, request.id);
         dispatcher.dispatch(request);
     }
 
-    // An unknown class is handled with most care: at most one run, and its time left as its objective.
+    // An unknown class is handled with most care: non-idempotent, with its time left as its objective.
     RequestClass class_of(const RequestArrived& event) const {
         RequestClass request_class;
         request_class.latency_objective = std::max(1.0, event.time_left);
@@ -167,23 +173,25 @@
         return request_class;
     }
 
-    void set_limits(Request& request, Millis time_left) const {
+    void set_time_limits(Request& request, Millis time_left) const {
         const Millis now = context.now();
-        request.deadline = now + (std::isfinite(time_left) ? std::max(0.0, time_left) : 0.0);
+        const Millis sound_time_left = std::isfinite(time_left) ? std::max(0.0, time_left) : 0.0;
+        const Millis max_wait = request.request_class.latency_objective * FinalResponder::kMaxWaitShare;
+        request.deadline = now + sound_time_left;
         request.cutoff = cutoff_of(request);
-        request.wait_until = std::min(
-            request.deadline, now + request.request_class.latency_objective * FinalResponder::kMaxWaitShare);
+        request.wait_until = std::min(request.deadline, now + max_wait);
     }
 
-    // Not the objective: that makes clients repeat what a server is still working on, while a late answer
-    // keeps them quiet. But the objective where a late answer is worth nothing, a failure is never repeated,
-    // and our count of what is out, lost for work that goes on, is a small part of any queue anyway.
+    // Not the objective: an attempt that ends there makes its client retry what a server is still working on,
+    // while a late response keeps the client quiet. It is the objective where a late response is worth
+    // nothing, a failure is never retried, and this sidecar's count of attempts in flight, which misses work
+    // that goes on after a cutoff, is a small part of any queue anyway.
     Millis cutoff_of(const Request& request) const {
         const RequestClass& request_class = request.request_class;
-        const bool at_aim = request_class.late_weight == 0 &&
-                            request_class.idempotency == Idempotency::non_idempotent && aperture.is_subset();
-        return at_aim ? std::min(request.deadline, context.now() + request_class.latency_objective)
-                      : request.deadline;
+        const bool late_is_worthless = request_class.late_weight == 0;
+        const bool is_never_retried = request_class.idempotency == Idempotency::non_idempotent;
+        if (!late_is_worthless || !is_never_retried || !aperture.is_subset()) return request.deadline;
+        return std::min(request.deadline, context.now() + request_class.latency_objective);
     }
 
     void on(const FirstByte& event) {
@@ -196,24 +204,25 @@
         if (!request || event.attempt >= request->attempts.size()) return;
         Attempt& attempt = request->attempts[event.attempt];
         if (!attempt.in_flight) return;
-        settle(*request, attempt, event);
+        end_attempt(*request, attempt, event);
         if (event.request_ended) request->ended = true;
         if (request->ended) requests.mark_ended(request->id);
         retry_or_finish(*request);
         dispatcher.dispatch_waiting();
     }
 
-    // Records the end of an attempt with its request, its server and, of an upgrade, with Sessions.
-    void settle(Request& request, Attempt& attempt, AttemptEnded event) {
-        // Our own timer and the attempt's end fall on the same moment. Whichever comes first, a server that
-        // let the client's time run out has failed: else one that answers nothing is never found out.
+    // Records the end of an attempt with its request, its server and, if it was an upgrade, with Sessions.
+    void end_attempt(Request& request, Attempt& attempt, AttemptEnded event) {
+        // Our own timer and the end of the attempt are due at the same moment. Whichever comes first, a
+        // server that lets the client's time run out has failed; else one that never responds would not be
+        // found out.
         if (attempt.timed_out && event.outcome == Outcome::cancelled) event.outcome = Outcome::timed_out;
         attempt.in_flight = false;
         attempt.may_have_run = !proves_never_ran(event.outcome);
         pool.attempt_ended(attempt.slow_start);
-        // A client that has gone leaves no session behind, though its upgrade went well.
-        const bool session_begins =
-            request.session && !request.ended && event.request_ended && event.outcome == Outcome::success;
+        // A client that has gone leaves no session behind, though its upgrade has succeeded.
+        const bool has_succeeded = event.request_ended && event.outcome == Outcome::success;
+        const bool session_begins = request.session && !request.ended && has_succeeded;
         if (session_begins) sessions.begin(request.id, attempt.server);
         Server* server = servers.find(attempt.server);
         if (!server) return;
@@ -222,13 +231,14 @@
         servers.drop_if_gone(*server);
     }
 
-    // Without a retry budget each request asks a crowded pool as often as the limits allow.
     void retry_or_finish(Request& request) {
-        const bool idle = !request.any_in_flight();
-        if (context.now() >= request.cutoff || (idle && !retry_budget.may_retry()))
+        const bool is_idle = !request.any_in_flight();
+        const bool has_no_budget = is_idle && !retry_budget.may_retry();
+        if (context.now() >= request.cutoff || has_no_budget) {
             responder.finish(request);
-        else if (!request.ended && idle)
+        } else if (!request.ended && is_idle) {
             dispatcher.dispatch(request);
+        }
     }
 
     void on(const ClientDisconnected& event) {
@@ -239,8 +249,8 @@
         requests.mark_ended(event.id);
     }
 
-    // One that its server broke counts against it, or a server that takes every upgrade and keeps none would
-    // look like the least loaded. However else it ends, and after how long, says nothing.
+    // A session that its server broke counts against the server: one that takes every upgrade and keeps none
+    // would look like the least loaded. Any other end, and the duration, say nothing.
     void on(const SessionEnded& event) {
         const std::optional<ServerId> holder = sessions.end(event.id);
         Server* server = holder ? servers.find(*holder) : nullptr;
@@ -250,18 +260,17 @@
         servers.drop_if_gone(*server);
     }
 
-    // ---- Timers -----------------------------------------------------------------------------------------
-
     void on(const TimerFired& event) {
         const std::optional<TimerTable::Timer> timer = timers.take(event.token);
         if (!timer) return;
         if (!timer->request) return context.emit(Subscribe{true});
         Request* request = requests.find(*timer->request);
         if (!request || request->ended) return;
-        if (context.now() >= request->deadline)
+        if (context.now() >= request->deadline) {
             responder.finish(*request);
-        else if (!request->any_in_flight())
+        } else if (!request->any_in_flight()) {
             dispatcher.dispatch(*request);
+        }
     }
 };
 
@@ -273,13 +282,13 @@
 
 void Balancer::handle(Millis now, const Event& event, std::vector<Action>& actions) {
     impl_->context.begin(now, actions);
-    std::visit([this](const auto& e) { impl_->on(e); }, event);
+    std::visit([this](const auto& specific_event) { impl_->on(specific_event); }, event);
     impl_->requests.forget_ended(impl_->sessions);
     impl_->queue.purge_ended(impl_->requests);
 }
 
 LearnedState Balancer::learned_state(Millis now) const {
-    return impl_->known(std::max(impl_->context.now(), now));
+    return impl_->learned_state(std::max(impl_->context.now(), now));
 }
 
 Balancer::ResourceUsage Balancer::resource_usage() const {
--- a/src/balancer/dispatcher.hpp
+++ b/src/balancer/dispatcher.hpp
@@ -16,12 +16,16 @@
 
 namespace elmbay::balancer {
 
-/// Finds a server for a request and sends it there, else lets it wait, else has it answered.
+/// Decides where a request goes: to a server, into the wait queue, or to its final response.
 ///
-/// Owned by Balancer::Impl, as all that it works with. Holds nothing itself. Each attempt passes SendGate.
+/// An ejected server whose probe is due comes first, else Pick chooses one of the pool. Admission limits the
+/// attempts at warm servers; a server in slow start is limited by its tokens alone. Each attempt passes
+/// SendGate.
+///
+/// Owned by Balancer::Impl, as all that it works with; not thread-safe. Holds no state of its own.
 class Dispatcher {
 public:
-    /// What it works with; all of it outlives the dispatcher.
+    /// What it works with. All of it outlives the dispatcher.
     struct Parts {
         const Settings& settings;
         EventContext& context;
@@ -40,14 +44,17 @@
     };
     explicit Dispatcher(const Parts& parts) : parts_(parts) {}
 
-    /// Sends a request that has no attempt out: to a server whose trial is due, else to one of the pool.
+    /// Sends a request that has no attempt in flight. Where no server may have it, it waits, or is answered
+    /// if it has waited for long enough or has used its attempts.
     void dispatch(Request& request);
-    /// Places those that wait, if there is room.
+    /// Dispatches the requests that wait, if there is capacity.
     void dispatch_waiting();
 
 private:
     // The server that the request goes to now; nullptr: none may have it.
     Server* choose_server(const Request& request);
+    bool may_start_attempt(const Request& request) const;
+    // An ejected server whose probe is due and which may have the request; nullptr: none.
     Server* due_probe(const Request& request);
     void start_attempt(Request& request, Server& server);
     void wait_or_finish(Request& request);
--- a/src/balancer/ejection.cpp
+++ b/src/balancer/ejection.cpp
@@ -5,70 +5,90 @@
 
 namespace elmbay::balancer {
 
-OutlierEjection::Verdict OutlierEjection::record_outcome(Server& s, const AttemptResult& c, Millis now) {
-    const bool success = c.outcome == Outcome::success && !c.late;
-    const bool says_something = c.outcome != Outcome::cancelled && c.outcome != Outcome::not_sent;
-    if (s.ejection_state == EjectionState::probing && c.probe) {
-        if (!says_something) {
-            s.ejection_state = EjectionState::ejected;  // undecided: the next request is the trial
-            return Verdict::none;
-        }
-        if (!success) return eject(s, now);
-        s.ejection_state = EjectionState::healthy;
-        s.window.clear();
-        return Verdict::restored;
+OutlierEjection::Verdict OutlierEjection::record_outcome(Server& server, const AttemptResult& result,
+                                                         Millis now) {
+    const bool success = result.outcome == Outcome::success && !result.late;
+    const bool is_conclusive = result.outcome != Outcome::cancelled && result.outcome != Outcome::not_sent;
+    if (server.ejection_state == EjectionState::probing && result.probe) {
+        return end_probe(server, is_conclusive, success, now);
     }
-    if (!says_something || s.ejection_state != EjectionState::healthy) return Verdict::none;
-    // A connection that does not come up is another matter than the answers before it: the process, or the
-    // way there, is no longer what gave them. What others do is no excuse for it either; the cap alone is.
-    const bool unreached = c.outcome == Outcome::connect_failed;
-    if (unreached && s.window.successes() > 0) clear_window(s);
-    add_outcome(s, success);
-    const bool slow = c.late || c.outcome == Outcome::timed_out;
-    return !success && below_threshold(s, unreached) && may_eject(c, slow) ? eject(s, now) : Verdict::none;
+    if (!is_conclusive || server.ejection_state != EjectionState::healthy) return Verdict::none;
+
+    // A failed connection is another matter than the responses before it: the process, or the way there, is
+    // no longer what gave them. So they do not excuse it, nor does what other servers do; only may_eject()
+    // limits it.
+    const bool connect_failed = result.outcome == Outcome::connect_failed;
+    if (connect_failed && server.window.successes() > 0) clear_window(server);
+    add_outcome(server, success);
+    if (success || !is_below_threshold(server, !connect_failed)) return Verdict::none;
+    const bool is_for_slowness = result.late || result.outcome == Outcome::timed_out;
+    return may_eject(result, is_for_slowness) ? eject(server, now) : Verdict::none;
+}
+
+OutlierEjection::Verdict OutlierEjection::end_probe(Server& server, bool is_conclusive, bool success,
+                                                    Millis now) {
+    if (!is_conclusive) {
+        server.ejection_state = EjectionState::ejected;  // the next request is the probe
+        return Verdict::none;
+    }
+    if (!success) return eject(server, now);
+    server.ejection_state = EjectionState::healthy;
+    server.window.clear();
+    return Verdict::restored;
+}
+
+OutlierEjection::Verdict OutlierEjection::eject(Server& server, Millis now) {
+    const bool was_healthy = server.ejection_state == EjectionState::healthy;
+    server.ejection_state = EjectionState::ejected;
+    server.backoff_until = now + kEjectionTime;
+    return was_healthy ? Verdict::ejected : Verdict::ejected_again;
+}
+
+void OutlierEjection::add_outcome(Server& server, bool success) {
+    if (server.in_pool) subtract_from_pool_sums(server);
+    server.window.add(success);
+    if (server.in_pool) add_to_pool_sums(server);
 }
 
-OutlierEjection::Verdict OutlierEjection::eject(Server& s, Millis now) {
-    const bool again = s.ejection_state != EjectionState::healthy;
-    s.ejection_state = EjectionState::ejected;
-    s.backoff_until = now + kEjectionTime;
-    return again ? Verdict::ejected_again : Verdict::ejected;
+void OutlierEjection::clear_window(Server& server) {
+    if (server.in_pool) subtract_from_pool_sums(server);
+    server.window.clear();
 }
 
-void OutlierEjection::add_outcome(Server& s, bool success) {
-    if (s.in_pool) pool_successes_ -= s.window.successes(), pool_outcomes_ -= s.window.filled();
-    s.window.add(success);
-    if (s.in_pool) pool_successes_ += s.window.successes(), pool_outcomes_ += s.window.filled();
+void OutlierEjection::add_to_pool_sums(const Server& server) {
+    pool_successes_ += server.window.successes();
+    pool_outcomes_ += server.window.filled();
 }
 
-void OutlierEjection::clear_window(Server& s) {
-    if (s.in_pool) pool_successes_ -= s.window.successes(), pool_outcomes_ -= s.window.filled();
-    s.window.clear();
+void OutlierEjection::subtract_from_pool_sums(const Server& server) {
+    pool_successes_ -= server.window.successes();
+    pool_outcomes_ -= server.window.filled();
 }
 
 void OutlierEjection::compare_with_pool(const std::vector<Server*>& pool) {
-    pool_successes_ = pool_outcomes_ = 0;
-    for (const Server* s : pool)
-        pool_successes_ += s->window.successes(), pool_outcomes_ += s->window.filled();
+    pool_successes_ = 0;
+    pool_outcomes_ = 0;
+    for (const Server* server : pool) add_to_pool_sums(*server);
 }
 
-// 0.9 of the others' success share, less three standard errors of a window of that share. While the others
-// don't fail, this is 0.9 and nothing else.
-bool OutlierEjection::below_threshold(const Server& s, bool alone) const {
-    const double good = pool_successes_ - (s.in_pool ? s.window.successes() : 0);
-    const double all = pool_outcomes_ - (s.in_pool ? s.window.filled() : 0);
-    const double level = all > 0 && !alone ? good / all : 1;
-    const double noise = std::sqrt(level * (1 - level) / static_cast<double>(OutcomeWindow::kSize));
-    const double filled = s.window.filled();
-    const double benefit = std::min(kPriorSuccesses, OutcomeWindow::kSize - filled);
-    return (s.window.successes() + benefit) / (filled + benefit) <
-           kMinSuccessRate * level - kStandardErrors * noise;
+bool OutlierEjection::is_below_threshold(const Server& server, bool compares_with_pool) const {
+    const double others_successes = pool_successes_ - (server.in_pool ? server.window.successes() : 0);
+    const double others_outcomes = pool_outcomes_ - (server.in_pool ? server.window.filled() : 0);
+    const bool has_others = compares_with_pool && others_outcomes > 0;
+    const double others_rate = has_others ? others_successes / others_outcomes : 1;
+    const double standard_error =
+        std::sqrt(others_rate * (1 - others_rate) / static_cast<double>(OutcomeWindow::kSize));
+    const double filled = server.window.filled();
+    const double prior = std::min(kPriorSuccesses, OutcomeWindow::kSize - filled);
+    const double success_rate = (server.window.successes() + prior) / (filled + prior);
+    return success_rate < kMinSuccessRate * others_rate - kStandardErrors * standard_error;
 }
 
-// Panic threshold: half of the listed servers stay in the pool, whatever their windows say, and three
-// quarters if it is for slow answers: in a crowd the slow machines are still needed.
-bool OutlierEjection::may_eject(const AttemptResult& c, bool slow) {
-    return (slow ? 4 : 2) * (c.ejected_servers + 1) <= c.listed_servers;
+// Envoy's panic threshold: half of the listed servers stay in the pool, whatever their windows say. Three
+// quarters stay if the failure is slowness: in an overload the slow machines are still needed.
+bool OutlierEjection::may_eject(const AttemptResult& result, bool is_for_slowness) {
+    const std::size_t min_servers_per_ejected = is_for_slowness ? 4 : 2;
+    return min_servers_per_ejected * (result.ejected_servers + 1) <= result.listed_servers;
 }
 
 }  // namespace elmbay::balancer
--- a/src/balancer/ejection.hpp
+++ b/src/balancer/ejection.hpp
@@ -1,9 +1,3 @@
-// Outlier ejection: io.l5d.successRate as its authors demonstrated it (DESIGN, PAPER). Each server's last
-// outcomes are kept; one whose success share is low leaves this sidecar's pool for a time. After that one
-// real request is its trial: success restores it, failure starts another backoff.
-//
-// Shared slowness makes every server fail, and removing them all makes it an outage. So a server is held
-// against the others of the pool, and most of the fleet stays whatever the windows say.
 #pragma once
 
 #include <vector>
@@ -12,45 +6,81 @@
 
 namespace elmbay::balancer {
 
+/// Decides when a server is ejected from the pool and when it comes back.
+///
+/// It is Linkerd's io.l5d.successRate failure accrual (DESIGN, PAPER), what Envoy calls outlier detection by
+/// success rate. A server is ejected when the success rate of its last outcomes is too low. After
+/// kEjectionTime one real request is its probe: success restores the server, failure ejects it again.
+///
+/// Slowness that servers share makes each of them fail, and ejecting them all turns it into an outage. So a
+/// server is compared with the rest of the pool, and most of the fleet stays whatever the windows say. With k
+/// successes among w outcomes in the server's window, g the success rate of the other servers of the pool,
+/// and prior = min(kPriorSuccesses, OutcomeWindow::kSize - w), it fails the comparison if
+///
+///     (k + prior) / (w + prior) < kMinSuccessRate * g - kStandardErrors * sqrt(g * (1 - g) / kSize)
+///
+/// While the others do not fail, the right side is kMinSuccessRate.
+///
+/// Owned by Balancer::Impl; not thread-safe. The windows and states stand in Server; the sums over the pool
+/// that are held here make each decision independent of the pool's size.
 class OutlierEjection {
 public:
-    static constexpr double kMinSuccessRate = 0.9;  // success share below which a server goes
-    static constexpr Millis kEjectionTime = 10000;  // how long it is out
-    // A window not yet full is judged as if it held this many successes more: the most with which a first
-    // failure alone, at 9 of 10, is not below the threshold.
+    /// The success rate below which a server is ejected.
+    static constexpr double kMinSuccessRate = 0.9;
+    /// Milliseconds from an ejection to the probe.
+    static constexpr Millis kEjectionTime = 10000;
+    /// A window that is not full is judged as if it held this many successes more. It is the most with which
+    /// a first failure alone, 9 successes of 10, is not below kMinSuccessRate.
     static constexpr double kPriorSuccesses = 9;
-    static constexpr double kStandardErrors = 3;  // of a window's chance, below the others' level
+    /// Standard errors of a full window that a server must be below the rate of the others.
+    static constexpr double kStandardErrors = 3;
 
-    enum class Verdict { none, ejected, ejected_again, restored };
+    /// What follows from an outcome.
+    enum class Verdict {
+        none,           ///< nothing changes
+        ejected,        ///< the server leaves the pool
+        ejected_again,  ///< its probe has failed
+        restored        ///< its probe has succeeded: it is back in the pool
+    };
 
+    /// How an attempt ended, and what the fleet is like.
     struct AttemptResult {
         Outcome outcome = Outcome::success;
-        bool probe = false;               // the attempt was this server's trial
-        bool late = false;                // it came past its objective: as good as timed out
-        std::size_t listed_servers = 0;   // servers on the list
-        std::size_t ejected_servers = 0;  // of them, those not in the pool by a verdict
+        bool probe = false;               ///< the attempt was the server's probe
+        bool late = false;                ///< it ended past its objective, which counts as a failure
+        std::size_t listed_servers = 0;   ///< servers that the endpoint list names
+        std::size_t ejected_servers = 0;  ///< those of them that are ejected or probed
     };
-    // Books an attempt's end and says what follows from it; the caller draws its pool anew.
-    Verdict record_outcome(Server& s, const AttemptResult& c, Millis now);
+    /// Records the end of an attempt. On any verdict but none the pool has to be drawn anew.
+    Verdict record_outcome(Server& server, const AttemptResult& result, Millis now);
 
-    // Another process under the same name: its record starts anew.
-    static void reset(Server& s) { s.ejection_state = EjectionState::healthy, s.window.clear(); }
-    bool probe_due(const Server& s, Millis now) const {
-        return s.ejection_state == EjectionState::ejected && now >= s.backoff_until;
+    /// Forgets the record of a server that has restarted.
+    static void reset(Server& server) {
+        server.ejection_state = EjectionState::healthy;
+        server.window.clear();
+    }
+    /// Whether the next request may go to this ejected server as its probe.
+    bool probe_due(const Server& server, Millis now) const {
+        return server.ejection_state == EjectionState::ejected && now >= server.backoff_until;
     }
-    static void begin_probe(Server& s) { s.ejection_state = EjectionState::probing; }
-    // The pool is another one: those that a server is held against.
+    /// The probe is sent.
+    static void begin_probe(Server& server) { server.ejection_state = EjectionState::probing; }
+    /// The pool has been drawn anew: servers are compared with it from now on. Linear in the pool.
     void compare_with_pool(const std::vector<Server*>& pool);
 
 private:
-    void add_outcome(Server& s, bool success);
-    void clear_window(Server& s);
-    // alone: not held against the others of the pool.
-    bool below_threshold(const Server& s, bool alone) const;
-    static bool may_eject(const AttemptResult& c, bool slow);
-    static Verdict eject(Server& s, Millis now);
-
-    double pool_successes_ = 0, pool_outcomes_ = 0;  // outcomes in the windows of the pool
+    Verdict end_probe(Server& server, bool is_conclusive, bool success, Millis now);
+    void add_outcome(Server& server, bool success);
+    void clear_window(Server& server);
+    void add_to_pool_sums(const Server& server);
+    void subtract_from_pool_sums(const Server& server);
+    // compares_with_pool: else the rate of the others counts as 1.
+    bool is_below_threshold(const Server& server, bool compares_with_pool) const;
+    static bool may_eject(const AttemptResult& result, bool is_for_slowness);
+    static Verdict eject(Server& server, Millis now);
+
+    double pool_successes_ = 0;  // in the windows of the pool
+    double pool_outcomes_ = 0;   // in the windows of the pool
 };
 
 }  // namespace elmbay::balancer
--- a/src/balancer/fairness.hpp
+++ b/src/balancer/fairness.hpp
@@ -1,7 +1,6 @@
-// Fairness: each tenant's part of the traffic that this sidecar sees against its part of all quotas. What it
-// sees is a sample of the whole, so who sends most beyond its share is known here, though not how much of it.
 #pragma once
 
+#include <algorithm>
 #include <cstdint>
 #include <optional>
 #include <vector>
@@ -10,24 +9,40 @@
 
 namespace elmbay::balancer {
 
+/// Decides which share of the concurrency limit a tenant may use while the pool is busy: its fair share by
+/// quota.
+///
+/// With f the tenant's part of all quotas, m its recent arrivals and t those of all tenants:
+///
+///     share = min(1, f * (t + kPriorArrivals) / (m + f * kPriorArrivals))
+///
+/// A tenant that keeps to its part has the whole limit; one that sends k times its part has 1/k of it. A
+/// sidecar sees a sample of the whole traffic. So it knows who sends most beyond its quota, but not how much
+/// that is.
+///
+/// Owned by Balancer::Impl; not thread-safe. Holds one counter for each tenant of the settings.
 class Fairness {
 public:
-    static constexpr Millis kTrafficDecay = 10000;  // of a tenant's traffic
-    static constexpr double kPriorArrivals = 15;    // believed by so many arrivals
+    /// Decay time of a tenant's arrivals, in milliseconds.
+    static constexpr Millis kTrafficDecay = 10000;
+    /// Arrivals, spread by quota, that count as seen before: few real ones say little.
+    static constexpr double kPriorArrivals = 15;
 
+    /// @param tenants as in the settings; requests name them by index
     explicit Fairness(const std::vector<Tenant>& tenants) : tenants_(tenants), usage_(tenants.size()) {
-        for (const Tenant& t : tenants_) total_quota_ += t.quota;
+        for (const Tenant& tenant : tenants_) total_quota_ += tenant.quota;
     }
 
-    // Counts an arrival. The part of the room that is there for its tenant, above 0 to 1; nobody's: 1.
+    /// Counts an arrival and returns its tenant's share of the concurrency limit, above 0 to 1. Without a
+    /// tenant, with one out of range, or without any quota it is 1.
     double record_arrival(std::optional<std::uint32_t> tenant, Millis now) {
         if (!tenant || *tenant >= usage_.size() || total_quota_ == 0) return 1;
-        const double fair = tenants_[*tenant].quota / total_quota_;
-        DecayingCounter& mine = usage_[*tenant];
+        const double quota_share = tenants_[*tenant].quota / total_quota_;
+        DecayingCounter& usage = usage_[*tenant];
         total_usage_.add(now, kTrafficDecay);
-        mine.add(now, kTrafficDecay);
-        return std::min(1.0,
-                        fair * (total_usage_.count + kPriorArrivals) / (mine.count + fair * kPriorArrivals));
+        usage.add(now, kTrafficDecay);
+        return std::min(1.0, quota_share * (total_usage_.count + kPriorArrivals) /
+                                 (usage.count + quota_share * kPriorArrivals));
     }
 
 private:
--- a/src/balancer/final_responder.cpp
+++ b/src/balancer/final_responder.cpp
@@ -7,23 +7,25 @@
 void FinalResponder::finish(Request& request) {
     if (request.ended || request.streaming) return;
     const Millis now = context_->now();
-    for (Attempt& attempt : request.attempts)
+    for (Attempt& attempt : request.attempts) {
         attempt.timed_out = attempt.in_flight && now >= request.deadline;
+    }
     cancel_all(request);
-    const Millis wait = retry_after(request);
-    if (request.may_be_rejected(now + wait))  // harmless when it comes back
-        context_->emit(Reject{request.id, wait});
-    else
+    const Millis delay = retry_after(request);
+    if (request.may_be_rejected(now + delay)) {
+        context_->emit(Reject{request.id, delay});
+    } else {
         context_->emit(Fail{request.id});
+    }
     request.ended = true;
     requests_->mark_ended(request.id);
 }
 
-// When to come back: what is out now has half its time left in the mean, and then leaves its place. No
-// sooner than what the request might have waited here.
+// What is in flight now has half its time left in the mean, and then leaves its place. No sooner than what
+// the request might have waited for capacity.
 Millis FinalResponder::retry_after(const Request& request) const {
-    return request.request_class.latency_objective *
-           std::max(kMaxWaitShare, std::min(1.0, admission_->load_ratio()) / 2);
+    const double remaining_share = std::min(1.0, admission_->load_ratio()) / 2;
+    return request.request_class.latency_objective * std::max(kMaxWaitShare, remaining_share);
 }
 
 void FinalResponder::cancel_all(const Request& request) {
--- a/src/balancer/final_responder.hpp
+++ b/src/balancer/final_responder.hpp
@@ -6,25 +6,30 @@
 
 namespace elmbay::balancer {
 
-/// Gives the module's final answers: a refusal where that is true, else a failure. The only place of both.
+/// Gives the module's final responses: a rejection where that is true (Request::may_be_rejected), else a
+/// failure. It is the only place of both.
 ///
-/// Owned by Balancer::Impl. At most one final answer for each request, as Request::ended tells.
+/// Owned by Balancer::Impl; not thread-safe. Holds no state: Request::ended says that a request has its final
+/// response, so each has one at most (rule 1).
 class FinalResponder {
 public:
-    /// What a request may wait for room, as a share of its objective: what cannot go out by then had better
-    /// be tried anew. It is told to come back no sooner either.
+    /// How long a request may wait for capacity, as a share of its objective. What cannot be sent by then had
+    /// better be tried anew. A rejected client is told to come back no sooner either.
     static constexpr double kMaxWaitShare = 1.0 / 16;
 
+    /// All arguments must outlive the responder.
     FinalResponder(const Settings& settings, EventContext& context, const Admission& admission,
                    RequestTable& requests)
         : settings_(&settings), context_(&context), admission_(&admission), requests_(&requests) {}
 
-    /// The only final answer. No effect on a request that has one, or whose answer has begun.
+    /// Gives the final response and cancels what is in flight. No effect on a request that has one, or whose
+    /// response has begun.
     void finish(Request& request);
-    /// Cancels all attempts that are out, where the driver permits it.
+    /// Cancels all attempts in flight, where the settings permit it.
     void cancel_all(const Request& request);
 
 private:
+    // When the client should come back, in milliseconds from now.
     Millis retry_after(const Request& request) const;
 
     const Settings* settings_;
--- a/src/balancer/latency_estimate.hpp
+++ b/src/balancer/latency_estimate.hpp
@@ -1,7 +1,3 @@
-// Which of two equals is quicker: what answers take of their objective, by server and by machine_type of
-// machine.
-//
-// A server's own answers of late; while they are few, those of all warm servers of its machine_type stand in.
 #pragma once
 
 #include <cstdint>
@@ -11,30 +7,45 @@
 
 namespace elmbay::balancer {
 
+/// Estimates how quick a server is: its response time as a share of the latency objective.
+///
+/// It is the mean of the server's own recent responses. While there are few of them, those of all warm
+/// servers of its machine type stand in: with w the weight of its own responses,
+///
+///     estimate = (w * own mean + kMachineTypeWeight * type mean) / (w + kMachineTypeWeight)
+///
+/// Pick and SlowStart use it. Owned by Balancer::Impl; not thread-safe. Holds one mean for each machine type
+/// that was ever listed; the means of single servers stand in Server.
 class LatencyEstimate {
 public:
-    static constexpr Millis kServerDecay = 10000, kMachineTypeDecay = 60000;
-    static constexpr double kMachineTypeWeight =
-        2;  // the machine_type counts as much as this many answers of the server's own
+    /// Decay time of a server's own mean, in milliseconds.
+    static constexpr Millis kServerDecay = 10000;
+    /// Decay time of a machine type's mean, in milliseconds.
+    static constexpr Millis kMachineTypeDecay = 60000;
+    /// The machine type counts as much as this many responses of the server's own.
+    static constexpr double kMachineTypeWeight = 2;
 
-    // A server that the list tells of, for the first time or as another machine_type.
-    void set_machine_type(Server& s) { s.machine_type_latency = &machine_types_[s.info.machine_type]; }
-    // ratio: an answer's time over its objective. A cold server is slow by nature and says nothing of its
-    // machine_type.
-    void record(Server& s, double latency_ratio, bool cold, Millis now) const {
-        s.latency.add(latency_ratio, now, kServerDecay);
-        if (!cold) s.machine_type_latency->add(latency_ratio, now, kMachineTypeDecay);
+    /// Points the server at the mean of its machine type. Called whenever the list tells of a server.
+    void set_machine_type(Server& server) {
+        server.machine_type_latency = &machine_types_[server.info.machine_type];
     }
-    // 0: at once; 1: answers take all of their objective.
-    double latency_ratio(const Server& s, Millis now) const {
-        const double own = s.latency.value_at(now, kServerDecay),
-                     machine_type = s.machine_type_latency->value;
-        return (own * s.latency.value + kMachineTypeWeight * machine_type) / (own + kMachineTypeWeight);
+    /// Records a response.
+    /// @param latency_ratio the response time over the latency objective
+    /// @param warming_up    the server is in slow start: slow by nature, it says nothing of its machine type
+    void record(Server& server, double latency_ratio, bool warming_up, Millis now) const {
+        server.latency.add(latency_ratio, now, kServerDecay);
+        if (!warming_up) server.machine_type_latency->add(latency_ratio, now, kMachineTypeDecay);
+    }
+    /// The estimate; 0: at once, 1: responses take all of their objective.
+    double latency_ratio(const Server& server, Millis now) const {
+        const double own_weight = server.latency.value_at(now, kServerDecay);
+        const double type_mean = server.machine_type_latency->value;
+        return (own_weight * server.latency.value + kMachineTypeWeight * type_mean) /
+               (own_weight + kMachineTypeWeight);
     }
 
 private:
-    std::map<std::uint32_t, DecayingAverage>
-        machine_types_;  // nodes stay where they are: servers point at them
+    std::map<std::uint32_t, DecayingAverage> machine_types_;  // servers point at the means: a node container
 };
 
 }  // namespace elmbay::balancer
--- a/src/balancer/learned_state_restorer.cpp
+++ b/src/balancer/learned_state_restorer.cpp
@@ -9,36 +9,48 @@
     trusted_ = age >= 0 && age <= kMaxAge;
     if (!trusted_) return;
     taken_at_ = now - age;
-    for (const LearnedServerState& s : learned_state.servers) servers_.try_emplace(s.server, s);
+    for (const LearnedServerState& saved : learned_state.servers) servers_.try_emplace(saved.server, saved);
 }
 
-void LearnedStateRestorer::restore(Server& s, bool may_eject, Millis now) {
-    const auto at = servers_.find(s.info.id);
-    if (at == servers_.end()) return;
-    const LearnedServerState k = at->second;
-    servers_.erase(at);
+void LearnedStateRestorer::restore(Server& server, bool may_eject, Millis now) {
+    const auto entry = servers_.find(server.info.id);
+    if (entry == servers_.end()) return;
+    const LearnedServerState saved = entry->second;
+    servers_.erase(entry);
+    server.slow_start_tokens = std::min(server.slow_start_tokens, saved.slow_start_tokens);
+    const bool is_same_process = saved.online_since == server.info.online_since;
+    if (!is_same_process) return;
     const Millis age = now - taken_at_;
-    s.slow_start_tokens = std::min(s.slow_start_tokens, k.slow_start_tokens);
-    if (k.online_since != s.info.online_since) return;  // another process
-    if (k.ejection_remaining_ms) {
+    if (saved.ejection_remaining_ms) {
         if (!may_eject) return;
-        s.ejection_state = EjectionState::ejected;
-        s.backoff_until = now + std::max(0.0, *k.ejection_remaining_ms - age);
+        server.ejection_state = EjectionState::ejected;
+        server.backoff_until = now + std::max(0.0, *saved.ejection_remaining_ms - age);
         return;
     }
-    const auto trusted_outcomes =
-        static_cast<std::uint32_t>(k.outcome_count * std::exp(-age / kOutcomeDecay));
-    for (std::uint32_t i = trusted_outcomes; i-- > 0;) s.window.add((k.outcome_bits >> i & 1U) != 0);
+    const double trusted_outcomes = saved.outcome_count * std::exp(-age / kOutcomeDecay);
+    for (auto bit = static_cast<std::uint32_t>(trusted_outcomes); bit-- > 0;) {
+        server.window.add((saved.outcome_bits >> bit & 1U) != 0);
+    }
 }
 
-LearnedServerState LearnedStateRestorer::state_of(const Server& s, Millis now) {
-    LearnedServerState k{s.info.id, s.info.online_since, s.window.bits(), s.window.filled(),
-                         {},        s.slow_start_tokens};
-    if (s.ejection_state == EjectionState::ejected)
-        k.ejection_remaining_ms = std::max(0.0, s.backoff_until - now);
-    if (s.ejection_state == EjectionState::probing)
-        k.ejection_remaining_ms = 0;  // undecided: the next life tries it at once
-    return k;
+LearnedServerState LearnedStateRestorer::state_of(const Server& server, Millis now) {
+    LearnedServerState state;
+    state.server = server.info.id;
+    state.online_since = server.info.online_since;
+    state.outcome_bits = server.window.bits();
+    state.outcome_count = server.window.filled();
+    state.slow_start_tokens = server.slow_start_tokens;
+    switch (server.ejection_state) {
+        case EjectionState::healthy:
+            break;
+        case EjectionState::ejected:
+            state.ejection_remaining_ms = std::max(0.0, server.backoff_until - now);
+            break;
+        case EjectionState::probing:
+            state.ejection_remaining_ms = 0;  // undecided: the next run probes it at once
+            break;
+    }
+    return state;
 }
 
 }  // namespace elmbay::balancer
--- a/src/balancer/learned_state_restorer.hpp
+++ b/src/balancer/learned_state_restorer.hpp
@@ -1,9 +1,3 @@
-// Memory: what an earlier life had learned, believed less the older it is (docs/design/state.md).
-//
-// It may make a server be tried with care, never shun it: what was removed is on trial as soon as its
-// backoff, counted on while we were away, is over; a process that has restarted since is another one; what
-// the first whole list does not name is forgotten. No budget is given anew: tokens of cold servers and
-// retries are the lesser of the remembered and the fresh.
 #pragma once
 
 #include <map>
@@ -13,28 +7,48 @@
 
 namespace elmbay::balancer {
 
+/// Restores what an earlier run of the sidecar had learned of its servers, trusted less the older it is
+/// (docs/design/state.md). Also converts between the decaying means of the module and their saved form.
+///
+/// Restored state may make a server be tried with care, never keep requests from it:
+/// - An ejected server is probed as soon as its ejection time is over, counted on while the sidecar was down.
+/// - A server that has restarted since is another process: nothing but its tokens is restored.
+/// - What the first whole list does not name is forgotten.
+/// - No budget is given anew: tokens of servers in slow start and retries are the lesser of saved and fresh.
+///
+/// Owned by Balancer::Impl; not thread-safe. Holds kMaxSavedServers servers at most, each until it is listed.
 class LearnedStateRestorer {
 public:
-    // A server's record older than this says nothing of now; the fading means forget by themselves.
+    /// Milliseconds. The record of a server that is older says nothing of now. Means decay by themselves.
     static constexpr Millis kMaxAge = 300000;
-    // Outcomes of a window fade like this: the oldest go first.
+    /// Decay time of a saved outcome window, in milliseconds: the oldest outcomes go first.
     static constexpr Millis kOutcomeDecay = 60000;
 
-    // Sound learned_state. age: since it was taken; of less than 0 or none, nothing is believed.
+    /// Takes in a saved state.
+    /// @param learned_state a sanitized one (learned_state_validation.hpp)
+    /// @param age           milliseconds since it was taken. Below 0, above kMaxAge, or not a number: it is
+    /// not
+    ///                      trusted and nothing of it is used.
     void load(const LearnedState& learned_state, Millis age, Millis now);
+    /// Whether a state has been loaded that is recent enough to be used.
     bool is_trusted() const { return trusted_; }
+    /// When the loaded state was taken: milliseconds on the module's clock.
     Millis taken_at() const { return taken_at_; }
-    // What is known of this process of a server that is new to us, once. may_remove: the pool can spare it.
-    void restore(Server& s, bool may_eject, Millis now);
+    /// Gives a server that is new to this run what is known of it, once.
+    /// @param may_eject whether the pool can do without it
+    void restore(Server& server, bool may_eject, Millis now);
+    /// Forgets the servers that have not been listed.
     void forget_servers() { servers_.clear(); }
 
-    // As of now.
-    static LearnedServerState state_of(const Server& s, Millis now);
+    /// What is known of a server as of `now`, to be saved.
+    static LearnedServerState state_of(const Server& server, Millis now);
+    /// A mean as of `now`, to be saved.
     static DecayedMean saved(const DecayingAverage& mean, Millis now) {
         return {mean.value, mean.count, now - mean.updated_at};
     }
-    static DecayingAverage restored(const DecayedMean& known, Millis taken_at) {
-        return {{known.weight, taken_at - known.last_sample_age_ms}, known.value};
+    /// A saved mean. It goes on decaying from `taken_at`.
+    static DecayingAverage restored(const DecayedMean& mean, Millis taken_at) {
+        return {{mean.weight, taken_at - mean.last_sample_age_ms}, mean.value};
     }
 
 private:
--- a/src/balancer/learned_state_validation.cpp
+++ b/src/balancer/learned_state_validation.cpp
@@ -1,46 +1,65 @@
 #include "balancer/learned_state_validation.hpp"
 
 #include <algorithm>
+#include <cstdint>
 
 namespace elmbay::balancer {
 
 namespace {
 
-constexpr double kDay = 24 * 3600 * 1000.0, kMaxMean = 100, kMaxSamples = 10, kMaxPlaces = 100000;
-constexpr double kMaxCarried = 10000, kMaxRetries = 10, kLongestOut = 10000;
+// The ranges that learned_state.hpp states.
+constexpr double kMaxSampleAge = 24 * 3600 * 1000.0;  // a day in milliseconds
+constexpr double kMaxMean = 100;
+constexpr double kMaxWeight = 10;
+constexpr double kMaxAttempts = 100000;
+constexpr double kMaxCompletionRate = 10000;  // requests per millisecond
+constexpr double kMaxRetries = 10;
+constexpr double kMaxEjection = 10000;  // milliseconds
+constexpr double kMaxTokens = 1;
+constexpr double kMaxStart = 1e15;  // Unix milliseconds
 constexpr std::uint32_t kMaxOutcomes = 20;
 
-// Not a number compares false: it is out of every range.
-bool within(double figure, double least, double most) { return figure >= least && figure <= most; }
+// No server can have started then, so nothing is restored but its tokens.
+constexpr double kNoStart = -1;
 
-void mend(double& figure, double least, double most, double unknown) {
-    if (!within(figure, least, most)) figure = unknown;
+// False for what is not a number.
+bool is_within(double value, double least, double most) { return value >= least && value <= most; }
+
+void sanitize(double& value, double least, double most, double unknown) {
+    if (!is_within(value, least, most)) value = unknown;
+}
+
+void sanitize(DecayedMean& mean) {
+    const bool is_sound = is_within(mean.value, 0, kMaxMean) && is_within(mean.weight, 0, kMaxWeight) &&
+                          is_within(mean.last_sample_age_ms, 0, kMaxSampleAge);
+    if (!is_sound) mean = {0, 0, kMaxSampleAge};
 }
 
-void mend(DecayedMean& k) {
-    if (!within(k.value, 0, kMaxMean) || !within(k.weight, 0, kMaxSamples) ||
-        !within(k.last_sample_age_ms, 0, kDay))
-        k = {0, 0, kDay};
+void sanitize(LearnedServerState& server) {
+    sanitize(server.online_since, 0, kMaxStart, kNoStart);
+    if (server.outcome_count > kMaxOutcomes) {
+        server.outcome_count = 0;
+        server.outcome_bits = 0;
+    }
+    const bool has_ejection = server.ejection_remaining_ms.has_value();
+    if (has_ejection && !is_within(*server.ejection_remaining_ms, 0, kMaxEjection)) {
+        server.ejection_remaining_ms.reset();
+    }
+    sanitize(server.slow_start_tokens, -kMaxTokens, kMaxTokens, kMaxTokens);
 }
 
 }  // namespace
 
-LearnedState sanitize(LearnedState k) {
-    if (k.servers.size() > kMaxSavedServers) k.servers.resize(kMaxSavedServers);
-    for (LearnedServerState& s : k.servers) {
-        if (!within(s.online_since, 0, 1e15)) s.online_since = -1;  // of no process that there can be
-        if (s.outcome_count > kMaxOutcomes) s.outcome_count = s.outcome_bits = 0;
-        if (s.ejection_remaining_ms && !within(*s.ejection_remaining_ms, 0, kLongestOut))
-            s.ejection_remaining_ms.reset();
-        mend(s.slow_start_tokens, -1, 1, 1);
-    }
-    mend(k.load_ratio);
-    mend(k.concurrency_limit, 0, kMaxPlaces, 0);
-    mend(k.learned_limit, 0, kMaxPlaces, 0);
-    mend(k.servers_behind_learned_limit, 0, kMaxPlaces, 0);
-    mend(k.completion_rate, 0, kMaxCarried, 0);
-    mend(k.retries_left, 0, kMaxRetries, 0);
-    return k;
+LearnedState sanitize(LearnedState learned_state) {
+    if (learned_state.servers.size() > kMaxSavedServers) learned_state.servers.resize(kMaxSavedServers);
+    for (LearnedServerState& server : learned_state.servers) sanitize(server);
+    sanitize(learned_state.load_ratio);
+    sanitize(learned_state.concurrency_limit, 0, kMaxAttempts, 0);
+    sanitize(learned_state.learned_limit, 0, kMaxAttempts, 0);
+    sanitize(learned_state.servers_behind_learned_limit, 0, kMaxAttempts, 0);
+    sanitize(learned_state.completion_rate, 0, kMaxCompletionRate, 0);
+    sanitize(learned_state.retries_left, 0, kMaxRetries, 0);
+    return learned_state;
 }
 
 }  // namespace elmbay::balancer
--- a/src/balancer/pick.cpp
+++ b/src/balancer/pick.cpp
@@ -2,51 +2,66 @@
 
 namespace elmbay::balancer {
 
-// An index below count other than `without`, by chance: each as likely as its server is large.
-std::size_t Pick::draw_by_weight(std::size_t count, std::size_t without) {
-    double all = 0;
-    for (std::size_t i = 0; i < count; ++i)
-        if (i != without) all += untried_[i]->info.weight;
-    double left = random_->unit() * all;
+std::size_t Pick::draw_by_weight(std::size_t count, std::size_t excluded) {
+    double total_weight = 0;
+    for (std::size_t i = 0; i < count; ++i) {
+        if (i != excluded) total_weight += candidates_[i]->info.weight;
+    }
+    double remaining = random_->unit() * total_weight;
     std::size_t drawn = 0;
     for (std::size_t i = 0; i < count; ++i) {
-        if (i == without) continue;
+        if (i == excluded) continue;
         drawn = i;
-        left -= untried_[i]->info.weight;
-        if (left < 0) break;
+        remaining -= candidates_[i]->info.weight;
+        if (remaining < 0) break;
     }
     return drawn;
 }
 
-// The first is of our zone, if any is: it wins ties, and with one request more where our part of the fee
-// exceeds the chance of a late answer.
-Server* Pick::less_loaded_of_two(bool session, const LoadLevel& load_level, Millis now) {
-    const auto in_my_zone = [this](const Server* s) { return s->info.zone == *preferred_zone_; };
-    // In place: the order within each half is that of the pool.
-    std::size_t near_count = 0;
-    if (preferred_zone_ && !load_level.is_busy) {
-        tried_.clear();
-        for (Server* s : untried_)
-            if (!in_my_zone(s))
-                tried_.push_back(s);
-            else
-                untried_[near_count++] = s;
-        std::copy(tried_.begin(), tried_.end(), untried_.begin() + static_cast<std::ptrdiff_t>(near_count));
+std::size_t Pick::move_preferred_zone_first() {
+    spare_.clear();
+    std::size_t preferred_count = 0;
+    for (Server* server : candidates_) {
+        if (server->info.zone == *preferred_zone_) {
+            candidates_[preferred_count++] = server;
+        } else {
+            spare_.push_back(server);
+        }
     }
-    const std::size_t first = draw_by_weight(near_count > 0 ? near_count : untried_.size(), untried_.size());
-    if (untried_.size() == 1) return untried_[first];
-    const std::size_t second = draw_by_weight(untried_.size(), first);
-    const Server &a = *untried_[first], &b = *untried_[second];
-    const bool nearer = near_count > 0 && second >= near_count;
-    const int grace =
-        nearer && load_level.sidecar_share * cross_zone_cost_ > std::exp(-1 / load_level.load_ratio);
-    const auto load = [&](const Server& s, int more) {
-        return ((session ? static_cast<int>(s.sessions) : s.in_flight) + more) / s.info.weight;
+    const auto others = candidates_.begin() + static_cast<std::ptrdiff_t>(preferred_count);
+    std::copy(spare_.begin(), spare_.end(), others);
+    return preferred_count;
+}
+
+bool Pick::crossing_costs_more_than_delay(const LoadLevel& load_level) const {
+    const double late_probability = std::exp(-1 / load_level.load_ratio);
+    return load_level.sidecar_share * cross_zone_cost_ > late_probability;
+}
+
+Server* Pick::less_loaded_of_two(bool session, const LoadLevel& load_level, Millis now) {
+    const bool zone_matters = preferred_zone_ && !load_level.is_busy;
+    const std::size_t preferred_count = zone_matters ? move_preferred_zone_first() : 0;
+    const std::size_t nothing_excluded = candidates_.size();
+    const std::size_t first =
+        draw_by_weight(preferred_count > 0 ? preferred_count : candidates_.size(), nothing_excluded);
+    if (candidates_.size() == 1) return candidates_[first];
+    const std::size_t second = draw_by_weight(candidates_.size(), first);
+    const Server& a = *candidates_[first];
+    const Server& b = *candidates_[second];
+
+    // How many requests more the first may have in flight and still win.
+    const bool only_first_is_near = preferred_count > 0 && second >= preferred_count;
+    const int allowance = only_first_is_near && crossing_costs_more_than_delay(load_level) ? 1 : 0;
+
+    const auto load = [&](const Server& server, int more) {
+        const int held = session ? static_cast<int>(server.sessions) : server.in_flight;
+        return (held + more) / server.info.weight;
     };
-    const bool other =
-        load(b, grace) < load(a, 0) || (load(b, 0) == load(a, 0) && !nearer &&
-                                        latency_->latency_ratio(b, now) < latency_->latency_ratio(a, now));
-    return untried_[other ? second : first];
+    if (load(b, allowance) < load(a, 0)) return candidates_[second];
+    const bool latency_decides = load(b, 0) == load(a, 0) && !only_first_is_near;
+    const bool second_is_quicker =
+        latency_decides && latency_->latency_ratio(b, now) < latency_->latency_ratio(a, now);
+    return candidates_[second_is_quicker ? second : first];
 }
 
 }  // namespace elmbay::balancer
--- a/src/balancer/pick.hpp
+++ b/src/balancer/pick.hpp
@@ -1,14 +1,8 @@
-// Pick: of two servers drawn by chance, the one with fewer of our outstanding requests (DESIGN) for its size,
-// or for a session of our sessions. Where they are equal the quicker one; where crossing zones costs and
-// there is no crowd, the nearer.
-//
-// They are drawn by size: with thin traffic most servers have none of our requests, and what is drawn
-// decides. Drawn alike, small servers would get more than their part, and their late answers would close the
-// room that large ones still have.
 #pragma once
 
 #include <algorithm>
 #include <cmath>
+#include <optional>
 #include <vector>
 
 #include "balancer/latency_estimate.hpp"
@@ -17,41 +11,74 @@
 
 namespace elmbay::balancer {
 
+/// Chooses a server of the pool by the power of two choices (DESIGN).
+///
+/// Draws two candidates at random, in proportion to their weight, and returns the one with fewer requests of
+/// this sidecar in flight per unit of weight; for a session, the one with fewer sessions per unit. Ties go to
+/// the lower latency estimate.
+///
+/// Where crossing zones costs something and the pool is not busy, the first candidate is of the sidecar's own
+/// zone if one is. It wins ties against a server of another zone. It also wins with one request more while
+///
+///     sidecar_share * cross_zone_cost > exp(-1 / load_ratio)
+///
+/// that is, while this sidecar's share of the cost exceeds the probability of a late response.
+///
+/// Drawing by weight matters under light traffic, when most servers have nothing in flight and the draw alone
+/// decides. Drawn alike, small servers would get more than their share, and their late responses would lower
+/// the concurrency limit that large servers can still carry.
+///
+/// Owned by Balancer::Impl; not thread-safe. Linear in the size of the pool; allocates only when the pool is
+/// larger than ever before.
 class Pick {
 public:
+    /// The load on the pool, as Admission tells it.
+    struct LoadLevel {
+        double load_ratio = 0;     ///< Admission::load_ratio()
+        bool is_busy = false;      ///< Admission::is_busy()
+        double sidecar_share = 1;  ///< Admission::sidecar_share()
+    };
+
+    /// @param random  must outlive this, as `latency` must
     Pick(const Settings& settings, Random& random, const LatencyEstimate& latency)
         : preferred_zone_(settings.costs.cross_zone > 0 ? settings.my_zone : std::nullopt),
           cross_zone_cost_(settings.costs.cross_zone),
           random_(&random),
           latency_(&latency) {}
 
-    struct LoadLevel {
-        double load_ratio = 0;  // answers' time against their objective
-        bool is_busy = false;
-        double sidecar_share = 1;  // of what all sidecars do at one server
-    };
-    // One of the pool for which may_have_it(Server&) holds; before those that this request has tried come the
-    // others. None: nullptr. Linear in the pool; takes no memory once it has seen the largest pool.
+    /// Chooses one of the servers of the pool that `is_allowed(Server&)` holds for. Servers that the request
+    /// has tried before are considered only where there are no others. nullptr: no server is allowed.
     template <class Predicate>
-    Server* choose(const std::vector<Server*>& pool, const Request& r, const LoadLevel& load_level,
-                   Millis now, Predicate may_have_it) {
-        untried_.clear();
-        tried_.clear();
-        for (Server* s : pool)
-            if (may_have_it(*s)) (r.has_tried(s->info.id) ? tried_ : untried_).push_back(s);
-        if (untried_.empty()) untried_.swap(tried_);
-        return untried_.empty() ? nullptr : less_loaded_of_two(r.session, load_level, now);
+    Server* choose(const std::vector<Server*>& pool, const Request& request, const LoadLevel& load_level,
+                   Millis now, Predicate is_allowed) {
+        candidates_.clear();
+        spare_.clear();
+        for (Server* server : pool) {
+            if (!is_allowed(*server)) continue;
+            const bool tried = request.has_tried(server->info.id);
+            (tried ? spare_ : candidates_).push_back(server);
+        }
+        if (candidates_.empty()) candidates_.swap(spare_);
+        if (candidates_.empty()) return nullptr;
+        return less_loaded_of_two(request.session, load_level, now);
     }
 
 private:
-    std::size_t draw_by_weight(std::size_t count, std::size_t without);
+    // An index below `count` other than `excluded`, at random, in proportion to the weight of the candidate.
+    std::size_t draw_by_weight(std::size_t count, std::size_t excluded);
+    // Moves the candidates of the preferred zone to the front, in the order of the pool. Returns their
+    // number.
+    std::size_t move_preferred_zone_first();
+    bool crossing_costs_more_than_delay(const LoadLevel& load_level) const;
     Server* less_loaded_of_two(bool session, const LoadLevel& load_level, Millis now);
 
-    std::optional<ZoneId> preferred_zone_;  // none where zones don't matter
+    std::optional<ZoneId> preferred_zone_;  // none where zones do not matter
     double cross_zone_cost_;
     Random* random_;
     const LatencyEstimate* latency_;
-    std::vector<Server*> untried_, tried_;  // kept for their memory
+    // Members only to keep their memory between calls.
+    std::vector<Server*> candidates_;
+    std::vector<Server*> spare_;  // servers that were tried before, then scratch space
 };
 
 }  // namespace elmbay::balancer
--- a/src/balancer/request_table.cpp
+++ b/src/balancer/request_table.cpp
@@ -5,8 +5,8 @@
 namespace elmbay::balancer {
 
 Request* RequestTable::add(RequestId id) {
-    const auto [entry, fresh] = requests_.try_emplace(id);
-    if (!fresh) return nullptr;
+    const auto [entry, is_new] = requests_.try_emplace(id);
+    if (!is_new) return nullptr;
     entry->second.id = id;
     entry->second.arrival_order = next_order_++;
     return &entry->second;
--- a/src/balancer/send_gate.hpp
+++ b/src/balancer/send_gate.hpp
@@ -8,11 +8,16 @@
 
 namespace elmbay::balancer {
 
-/// The gate that each attempt passes: whether the four rules let a request go to a server now.
+/// Decides whether the four rules let a request go to a server now. Every attempt passes it.
 ///
-/// Owned by Balancer::Impl. Dispatcher asks it for each server that it considers, and sends to no other.
+/// Rules 1 to 3 (one final response, no effect twice, no request to a draining server) are
+/// Request::may_be_sent_to(); rule 4 (no server in slow start is overloaded) is SlowStart.
+///
+/// Owned by Balancer::Impl, as all that it refers to. Dispatcher asks it for each server that it considers,
+/// and sends to no other. Holds no state.
 class SendGate {
 public:
+    /// All arguments must outlive the gate.
     SendGate(const Settings& settings, const SlowStart& slow_start, const Aperture& aperture,
              const LatencyEstimate& latency, const Sessions& sessions)
         : settings_(&settings),
@@ -21,19 +26,20 @@
           latency_(&latency),
           sessions_(&sessions) {}
 
+    /// Whether the server is in slow start.
     bool is_warming_up(const Server& server, Millis now) const {
         return slow_start_->is_warming_up(server, now);
     }
 
-    /// Whether the request may go to that server. Brings a cold server's tokens up to date.
+    /// Whether the request may go to that server. Brings the tokens of a server in slow start up to date.
     bool may_send(const Request& request, Server& server, Millis now) const {
         if (request.session && !sessions_->has_capacity_at(server)) return false;
-        return request.may_be_sent_to(server, *settings_, now) &&                     // rules 1 to 3
-               (!is_warming_up(server, now) || slow_start_tokens(server, now) >= 1);  // rule 4
+        if (!request.may_be_sent_to(server, *settings_, now)) return false;                // rules 1 to 3
+        return !is_warming_up(server, now) || refill_slow_start_tokens(server, now) >= 1;  // rule 4
     }
 
 private:
-    double slow_start_tokens(Server& server, Millis now) const;
+    double refill_slow_start_tokens(Server& server, Millis now) const;
 
     const Settings* settings_;
     const SlowStart* slow_start_;
--- a/src/balancer/server_age.cpp
+++ b/src/balancer/server_age.cpp
@@ -18,86 +18,93 @@
 
 void ServerAges::record_list(const ServerList& list, Millis now) {
     if (list.kind == ListKind::failed) return;
-    if (list.kind != ListKind::incremental) {
+    const bool is_whole = list.kind != ListKind::incremental;
+    if (is_whole) {
         for (auto& [id, record] : records_) record.listed = false;
-        listed_ = 0;
+        listed_count_ = 0;
     }
     std::vector<Start> starts;
     for (const ServerInfo& info : list.servers) {
-        const bool here = info.state != EndpointState::removed;
-        const auto at = here ? records_.try_emplace(info.id).first : records_.find(info.id);
-        if (at == records_.end()) continue;  // never known, and already gone
-        listed_ += here;
-        listed_ -= std::exchange(at->second.listed, here);
-        if (!list.wall_time)
+        const bool is_listed = info.state != EndpointState::removed;
+        const auto entry = is_listed ? records_.try_emplace(info.id).first : records_.find(info.id);
+        if (entry == records_.end()) continue;  // never known, and already gone
+        const bool was_listed = std::exchange(entry->second.listed, is_listed);
+        listed_count_ += is_listed;
+        listed_count_ -= was_listed;
+        if (!list.wall_time) {
             record_exact_start(info);
-        else if (here && record_start(info, now))
+        } else if (is_listed && record_start(info, now)) {
             starts.push_back({info.id, info.online_since});
+        }
     }
-    if (!starts.empty()) date_starts(std::move(starts), list, now);
+    if (!starts.empty()) place_starts(std::move(starts), list, now);
 }
 
 void ServerAges::record_exact_start(const ServerInfo& info) {
     Record& record = records_.at(info.id);
-    if (record.process.number == 0 || info.online_since > record.starts[record.newest])
-        ++record.process.number;
+    const bool is_first = record.process.number == 0;
+    if (is_first || info.online_since > record.starts[record.newest]) ++record.process.number;
     record.starts[record.newest] = info.online_since;
     record.process.started_at = info.online_since > 0 ? info.online_since : kLongAgo;
 }
 
 bool ServerAges::record_start(const ServerInfo& info, Millis now) {
     Record& record = records_.at(info.id);
-    // 0 says nothing new of one that is known: the process stays the one that was heard of.
     if (record.process.number == 0) record.process.number = 1;
-    if (!(info.online_since > 0) || record.knows(info.online_since)) return false;
+    // A start of 0 says nothing new of a server that is known: its process stays the one that was heard of.
+    const bool has_start = info.online_since > 0;
+    if (!has_start || record.knows(info.online_since)) return false;
     record.add(info.online_since, now);
     return true;
 }
 
-void ServerAges::date_starts(std::vector<Start> starts, const ServerList& list, Millis now) {
-    const bool first_list = std::isinf(list.list_age_bound);
+void ServerAges::place_starts(std::vector<Start> starts, const ServerList& list, Millis now) {
+    const bool is_first_list = std::isinf(list.list_age_bound);
     const bool may_be_older = list.list_age_bound > kMaxTrustedListAge;
-    // Few starts in an outage cost little as cold ones. Then nothing needs to be believed.
-    if (may_be_older && (first_list || starts.size() > doubted_count()))
-        return date_by_claims(std::move(starts), list, now);
+    // Few starts in an outage cost little as cold ones. Then no claim needs to be believed.
+    const bool are_many = is_first_list || starts.size() > doubted_count();
+    if (may_be_older && are_many) return place_starts_by_claims(std::move(starts), list, now);
     for (const Start& start : starts) begin_process(start.server, now);
 }
 
-void ServerAges::date_by_claims(std::vector<Start> starts, const ServerList& list, Millis now) {
-    const EarliestPossibleTimes least = earliest_possible_times(now);
+void ServerAges::place_starts_by_claims(std::vector<Start> starts, const ServerList& list, Millis now) {
+    const EarliestWallTimes earliest = earliest_wall_times(now);
     // Two servers whose clocks agree that it is later are not both wrong: then our clock is behind.
-    const Millis wall_time = std::max(*list.wall_time, least.second);
+    const Millis wall_time = std::max(*list.wall_time, earliest.second);
     std::sort(starts.begin(), starts.end(),
               [](const Start& a, const Start& b) { return a.claimed > b.claimed; });
-    std::size_t may_doubt = doubted_count();
+    std::size_t left_to_doubt = doubted_count();
     for (const Start& start : starts) {
         Millis age = std::min(wall_time - start.claimed, list.list_age_bound);
-        if (may_doubt > 0) {
-            --may_doubt;
-            age = std::min(age, least.without(start.server) - start.claimed);
+        if (left_to_doubt > 0) {
+            --left_to_doubt;
+            age = std::min(age, earliest.without(start.server) - start.claimed);
         }
         begin_process(start.server, now - std::max(0.0, age));
     }
 }
 
-// One at least, as the just started one may be one of two or three; none where it is the only one, as then
-// nobody else could serve.
+// At least one, as the server that has just started may be one of two or three. None where it is the only
+// one, as then nobody else could serve.
 std::size_t ServerAges::doubted_count() const {
-    if (listed_ < 2) return 0;
-    return std::max<std::size_t>(1, static_cast<std::size_t>(kDoubtedShare * static_cast<double>(listed_)));
+    if (listed_count_ < 2) return 0;
+    const double doubted = kDoubtedShare * static_cast<double>(listed_count_);
+    return std::max<std::size_t>(1, static_cast<std::size_t>(doubted));
 }
 
-ServerAges::EarliestPossibleTimes ServerAges::earliest_possible_times(Millis now) const {
-    EarliestPossibleTimes least;
+ServerAges::EarliestWallTimes ServerAges::earliest_wall_times(Millis now) const {
+    EarliestWallTimes earliest;
     for (const auto& [id, record] : records_) {
-        if (record.starts[record.newest] <= 0) continue;
+        const bool has_start = record.starts[record.newest] > 0;
+        if (!has_start) continue;
         const Millis time = record.earliest_wall_time(now);
-        if (time > least.first)
-            least = {time, least.first, id};
-        else
-            least.second = std::max(least.second, time);
+        if (time > earliest.first) {
+            earliest = {time, earliest.first, id};
+        } else {
+            earliest.second = std::max(earliest.second, time);
+        }
     }
-    return least;
+    return earliest;
 }
 
 // Never before an earlier process of the same server.
@@ -107,14 +114,15 @@
 }
 
 ServerAges::Process ServerAges::process_of(ServerId id) const {
-    const auto at = records_.find(id);
-    return at == records_.end() ? Process{} : at->second.process;
+    const auto entry = records_.find(id);
+    return entry == records_.end() ? Process{} : entry->second.process;
 }
 
 void ServerAges::forget(ServerId id) {
-    const auto at = records_.find(id);
-    if (at == records_.end()) return;
-    listed_ -= std::exchange(at->second.listed, false);
+    const auto entry = records_.find(id);
+    if (entry == records_.end()) return;
+    const bool was_listed = std::exchange(entry->second.listed, false);
+    listed_count_ -= was_listed;
     departed_.push_back(id);
     if (departed_.size() <= kMaxDeparted) return;
     const auto oldest = records_.find(departed_.front());
--- a/src/balancer/server_pool.hpp
+++ b/src/balancer/server_pool.hpp
@@ -1,5 +1,7 @@
 #pragma once
 
+#include <algorithm>
+
 #include "balancer/admission.hpp"
 #include "balancer/aperture.hpp"
 #include "balancer/ejection.hpp"
@@ -7,26 +9,33 @@
 
 namespace elmbay::balancer {
 
-/// Draws the pool and keeps those in step that depend on it: outlier ejection compares a server with the
-/// others of the pool, admission counts its warm servers. Counts what is out at warm servers.
+/// Draws the pool and keeps in step what depends on it: OutlierEjection compares a server with the rest of
+/// the pool, Admission counts its warm servers. Counts the attempts in flight at warm servers.
 ///
-/// Owned by Balancer::Impl; the classes that it draws with are too. Holds one counter.
+/// Owned by Balancer::Impl, as all that it refers to; not thread-safe. Holds one counter.
 class ServerPool {
 public:
+    /// All arguments must outlive the pool.
     ServerPool(Aperture& aperture, OutlierEjection& ejection, Admission& admission, const Sessions& sessions)
         : aperture_(&aperture), ejection_(&ejection), admission_(&admission), sessions_(&sessions) {}
 
-    /// The list, the siblings or a server's ejection_state has changed, or the pool is stale().
+    /// Draws the pool anew. Called when the endpoint list, the number of sidecars or the ejection state of a
+    /// server has changed, and when the pool is_stale().
     void draw_pool(Millis now);
+    /// Whether the pool is old, or too narrow for what is in flight.
     bool is_stale(Millis now) const { return aperture_->is_stale(now, load()); }
 
-    /// Attempts that are out at servers that were warm when they were sent.
+    /// Attempts in flight at servers that were warm when they were sent.
     int in_flight() const { return in_flight_; }
-    void attempt_sent(bool warming_up) { in_flight_ += warming_up ? 0 : 1; }
-    void attempt_ended(bool warming_up) { in_flight_ -= warming_up ? 0 : 1; }
+    /// An attempt has been sent.
+    /// @param slow_start its server is in slow start
+    void attempt_sent(bool slow_start) { in_flight_ += slow_start ? 0 : 1; }
+    /// An attempt has ended.
+    /// @param slow_start its server was in slow start when it was sent
+    void attempt_ended(bool slow_start) { in_flight_ -= slow_start ? 0 : 1; }
 
 private:
-    // What the pool must be wide enough for.
+    // The number of attempts that the pool must be wide enough for.
     int load() const {
         return std::max(in_flight_, static_cast<int>(sessions_->count() / Sessions::kSessionsPerServer));
     }
--- a/src/balancer/server_table.cpp
+++ b/src/balancer/server_table.cpp
@@ -8,18 +8,19 @@
 namespace elmbay::balancer {
 
 void ServerTable::apply(const ServerList& list, Millis now) {
-    listed_ = std::max(list.servers.size(), servers_.size());
+    list_size_ = std::max(list.servers.size(), servers_.size());
     ages_->record_list(list, now);
-    if (list.kind == ListKind::incremental)
+    if (list.kind == ListKind::incremental) {
         change(list.servers, now);
-    else
+    } else {
         replace(list.servers, now);
+    }
     if (list.kind == ListKind::snapshot) restorer_->forget_servers();
 }
 
 void ServerTable::replace(const std::vector<ServerInfo>& list, Millis now) {
     for (auto& [id, server] : servers_) server.listed = false;
-    for (const ServerInfo& info : list) learn(info, now);
+    for (const ServerInfo& info : list) update_server(info, now);
     std::erase_if(servers_, [this](const auto& entry) {
         if (!is_gone(entry.second)) return false;
         ages_->forget(entry.first);
@@ -33,7 +34,7 @@
 void ServerTable::change(const std::vector<ServerInfo>& list, Millis now) {
     for (const ServerInfo& info : list) {
         if (Server* known = find(info.id)) aperture_->remove(known);
-        aperture_->add(&learn(info, now));
+        aperture_->add(&update_server(info, now));
     }
     for (const ServerInfo& info : list) {
         if (Server* server = find(info.id)) drop_if_gone(*server);
@@ -47,12 +48,13 @@
     servers_.erase(server.info.id);
 }
 
-Server& ServerTable::learn(const ServerInfo& info, Millis now) {
-    const auto [entry, fresh] = servers_.try_emplace(info.id);
+Server& ServerTable::update_server(const ServerInfo& info, Millis now) {
+    const auto [entry, is_new] = servers_.try_emplace(info.id);
     Server& server = entry->second;
-    if (fresh) server.rank = random_->next();
+    if (is_new) server.rank = random_->next();
     const ServerAges::Process process = ages_->process_of(info.id);
-    if (fresh || process.number != server.process.number) {
+    const bool has_restarted = process.number != server.process.number;
+    if (is_new || has_restarted) {
         SlowStart::begin(server, random_->unit(), now);
         OutlierEjection::reset(server);
     }
@@ -60,13 +62,17 @@
     server.info = info;
     latency_->set_machine_type(server);
     server.listed = info.state != EndpointState::removed;
-    if (!fresh) return server;
-    // Half of the list stays in the pool, whatever the restored state says of it.
-    restorer_->restore(server, 2 * (restored_ejected_ + 1) <= listed_, now);
-    restored_ejected_ += server.ejection_state == EjectionState::ejected;
+    if (is_new) restore(server, now);
     return server;
 }
 
+// Half of the list stays in the pool, whatever the restored state says of it.
+void ServerTable::restore(Server& server, Millis now) {
+    const bool may_eject = 2 * (restored_ejected_ + 1) <= list_size_;
+    restorer_->restore(server, may_eject, now);
+    if (server.ejection_state == EjectionState::ejected) ++restored_ejected_;
+}
+
 Server* ServerTable::find(ServerId id) {
     const auto entry = servers_.find(id);
     return entry == servers_.end() ? nullptr : &entry->second;
--- a/src/balancer/settings_validation.cpp
+++ b/src/balancer/settings_validation.cpp
@@ -1,37 +1,55 @@
 #include "balancer/settings_validation.hpp"
 
 #include <cmath>
-#include <stdexcept>
+#include <string>
 
 namespace elmbay::balancer {
 
 namespace {
 
-void check(bool sound, const std::string& setting) {
-    if (!sound) throw std::invalid_argument("elmbay: setting makes no sense: " + setting);
+// Settings are named by the keys that operators know them by.
+void require(bool is_sound, const std::string& setting) {
+    if (!is_sound) throw InvalidSetting(setting);
+}
+
+void require_not_negative(double value, const std::string& setting) {
+    require(std::isfinite(value) && value >= 0, setting);
+}
+
+void require_share(double value, const std::string& setting) { require(value >= 0 && value <= 1, setting); }
+
+void validate(const RequestClass& request_class, const std::string& prefix) {
+    const double objective = request_class.latency_objective;
+    require(std::isfinite(objective) && objective > 0, prefix + "aim");
+    require_not_negative(request_class.dedup_window, prefix + "dedup_window");
+    require_not_negative(request_class.objective_stretch, prefix + "aim_stretch");
+    require_not_negative(request_class.priority_weight, prefix + "worth");
+    require_share(request_class.late_weight, prefix + "late_worth");
+}
+
+std::string element(const char* list, std::size_t index) {
+    return std::string(list) + "[" + std::to_string(index) + "].";
 }
-void check_time(Millis value, const std::string& name) { check(std::isfinite(value) && value >= 0, name); }
 
 }  // namespace
 
-void validate(const Settings& s) {
-    check(!s.classes.empty(), "classes (none given)");
-    for (std::size_t i = 0; i < s.classes.size(); ++i) {
-        const std::string prefix = "classes[" + std::to_string(i) + "].";
-        const RequestClass& c = s.classes[i];
-        check(std::isfinite(c.latency_objective) && c.latency_objective > 0, prefix + "aim");
-        check_time(c.dedup_window, prefix + "dedup_window");
-        check_time(c.objective_stretch, prefix + "aim_stretch");
-        check_time(c.priority_weight, prefix + "worth");
-        check(c.late_weight >= 0 && c.late_weight <= 1, prefix + "late_worth");
+InvalidSetting::InvalidSetting(const std::string& setting)
+    : std::invalid_argument("elmbay: setting makes no sense: " + setting), setting_(setting) {}
+
+void validate(const Settings& settings) {
+    require(!settings.classes.empty(), "classes (none given)");
+    for (std::size_t i = 0; i < settings.classes.size(); ++i) {
+        validate(settings.classes[i], element("classes", i));
+    }
+    for (std::size_t i = 0; i < settings.tenants.size(); ++i) {
+        require_not_negative(settings.tenants[i].quota, element("tenants", i) + "quota");
     }
-    for (std::size_t i = 0; i < s.tenants.size(); ++i)
-        check_time(s.tenants[i].quota, "tenants[" + std::to_string(i) + "].quota");
-    check(s.max_attempts >= 1, "max_attempts");
-    check_time(s.slow_start_duration, "warm_within");
-    check(std::isfinite(s.overload_multiple) && s.overload_multiple >= 1, "fall_multiple");
-    check(s.slow_start_min_share >= 0 && s.slow_start_min_share <= 1, "cold_from");
-    check_time(s.costs.cross_zone, "fees.cross_zone");
+    require(settings.max_attempts >= 1, "max_attempts");
+    require_not_negative(settings.slow_start_duration, "warm_within");
+    const double multiple = settings.overload_multiple;
+    require(std::isfinite(multiple) && multiple >= 1, "fall_multiple");
+    require_share(settings.slow_start_min_share, "cold_from");
+    require_not_negative(settings.costs.cross_zone, "fees.cross_zone");
 }
 
 }  // namespace elmbay::balancer
--- a/src/balancer/settings_validation.hpp
+++ b/src/balancer/settings_validation.hpp
@@ -1,11 +1,13 @@
-// Whether settings make sense at all; what follows from them is decided in balance.cpp.
+/// @file
+/// Checks whether settings make sense at all. What follows from them is decided elsewhere.
 #pragma once
 
 #include "elmbay/balancer.hpp"
 
 namespace elmbay::balancer {
 
-// Throws std::invalid_argument naming the first setting that makes no sense.
+/// Checks each field against the range that balancer.hpp states.
+/// @throws InvalidSetting for the first one out of range.
 void validate(const Settings& settings);
 
 }  // namespace elmbay::balancer
--- a/src/balancer/subscription_backoff.hpp
+++ b/src/balancer/subscription_backoff.hpp
@@ -9,14 +9,17 @@
 
 /// Exponential backoff with jitter between failed calls for the endpoint list.
 ///
-/// Owned by Balancer::Impl. The list is one service for all sidecars, so each comes back later and not in
-/// step with the others.
+/// The list is one service for all sidecars, so each comes back later and not in step with the others.
+/// Owned by Balancer::Impl; not thread-safe. Of fixed size.
 class SubscriptionBackoff {
 public:
-    static constexpr Millis kFirst = 1000;       ///< mean wait after the first failure
-    static constexpr Millis kMost = 8 * kFirst;  ///< mean wait after many
+    /// Mean wait after the first failure, in milliseconds.
+    static constexpr Millis kFirst = 1000;
+    /// Mean wait after many failures, in milliseconds.
+    static constexpr Millis kMost = 8 * kFirst;
 
-    /// The wait after a failed call: half to one and a half of the mean, which doubles up to kMost.
+    /// The wait after a failed call, in milliseconds: half to one and a half of the mean. The mean then
+    /// doubles, up to kMost.
     Millis next(Random& random) {
         const Millis wait = mean_ * (0.5 + random.unit());
         mean_ = std::min(mean_ * 2, kMost);
--- a/src/balancer/wait_queue.cpp
+++ b/src/balancer/wait_queue.cpp
@@ -4,6 +4,17 @@
 
 namespace elmbay::balancer {
 
+namespace {
+
+bool goes_first(const Request& left, const Request& right) {
+    const double left_weight = left.request_class.priority_weight;
+    const double right_weight = right.request_class.priority_weight;
+    if (left_weight != right_weight) return left_weight > right_weight;
+    return left.arrival_order > right.arrival_order;
+}
+
+}  // namespace
+
 std::vector<RequestId> WaitQueue::take(const RequestTable& requests) {
     std::vector<RequestId> waiting;
     waiting.swap(waiting_);
@@ -11,12 +22,8 @@
         const Request* request = requests.find(id);
         return !request || request->ended || request->any_in_flight();
     });
-    std::sort(waiting.begin(), waiting.end(), [&](RequestId left_id, RequestId right_id) {
-        const Request& left = requests.at(left_id);
-        const Request& right = requests.at(right_id);
-        if (left.request_class.priority_weight != right.request_class.priority_weight)
-            return left.request_class.priority_weight > right.request_class.priority_weight;
-        return left.arrival_order > right.arrival_order;
+    std::sort(waiting.begin(), waiting.end(), [&](RequestId left, RequestId right) {
+        return goes_first(requests.at(left), requests.at(right));
     });
     return waiting;
 }
--- a/src/balancer/wait_queue.hpp
+++ b/src/balancer/wait_queue.hpp
@@ -7,25 +7,29 @@
 
 namespace elmbay::balancer {
 
-/// The requests that wait for room or for a server, by id.
+/// The requests that wait for capacity or for a server, by id.
 ///
-/// Owned by Balancer::Impl. It may name requests that have ended or gone out since; purge_ended() bounds
-/// those: never more than twice the requests in the table and kSlack, after each event.
+/// Owned by Balancer::Impl; not thread-safe. It may name requests that have ended or have been sent since.
+/// purge_ended() bounds those: after each event the queue has at most twice the requests of the table and
+/// kSlack entries.
 class WaitQueue {
 public:
-    static constexpr std::size_t kSlack = 64;  ///< ended ones that it may always name
+    /// Entries that the queue may always have, whatever the table holds.
+    static constexpr std::size_t kSlack = 64;
 
+    /// Adds a request. It may be in the queue already.
     void push(RequestId id) { waiting_.push_back(id); }
     bool empty() const { return waiting_.empty(); }
+    /// Entries, those of ended requests among them.
     std::size_t size() const { return waiting_.size(); }
 
-    /// Empties the queue and gives those that still wait. What is worth most goes first, then what came last:
-    /// under a crowd the oldest has least use left.
+    /// Empties the queue and returns the requests that still wait: the highest priority weight first, and of
+    /// one weight the newest first. In an overload the oldest is of least use to its client.
     std::vector<RequestId> take(const RequestTable& requests);
 
-    /// With no server at all, or a light sidecar's breaker closed, nothing is released and finished ones
-    /// would stay listed for as long. They go once they could be half of the list: a step an event in the
-    /// mean.
+    /// Removes entries of ended requests, once they could be half of the queue; that is one step for each
+    /// event in the mean. With no server, or with an open circuit, take() is not called and they would pile
+    /// up.
     void purge_ended(const RequestTable& requests);
 
 private:
