--- a/tests/balancer/balancer_test.cpp
+++ b/tests/balancer/balancer_test.cpp
@@ -1,4 +1,4 @@
-// The mechanism and its exceptions, one decision a test: each fails when that decision is broken.
+// The decisions of the whole module, one a test: each test fails when its decision is broken.
 #include <limits>
 #include <set>
 #include <stdexcept>
@@ -8,372 +8,393 @@
 namespace elmbay::balancer::test {
 namespace {
 
-// Answers the request, whatever server has it, until it fails at `bad` as asked for.
+// Sends requests one after the other. Server `bad` ends each attempt with `outcome`, the others with a
+// success.
 void run(Rig& rig, int requests, ServerId bad, Outcome outcome, std::set<ServerId>* used = nullptr) {
     for (int i = 0; i < requests; ++i) {
         const RequestId id = rig.request();
-        ASSERT_TRUE(rig.out(id));
-        if (used) used->insert(rig.where(id));
-        while (rig.out(id)) rig.end(id, rig.where(id) == bad ? outcome : Outcome::success, 20);
+        ASSERT_TRUE(rig.is_in_flight(id));
+        if (used) used->insert(rig.last_server(id));
+        while (rig.is_in_flight(id)) rig.end(id, rig.last_server(id) == bad ? outcome : Outcome::success, 20);
     }
 }
 
-Rig fleet(ServerId servers, RequestClass kind = make_class(Idempotency::idempotent), std::uint64_t seed = 1) {
-    Rig rig(make_settings({kind}), seed);
-    rig.give(Started{});
-    rig.list(ListKind::snapshot, make_servers(servers));
+// A sidecar that knows servers 1 to `servers`.
+Rig fleet(ServerId servers, RequestClass request_class = make_class(Idempotency::idempotent),
+          std::uint64_t seed = 1) {
+    Rig rig(make_settings({request_class}), seed);
+    rig.handle(Started{});
+    rig.apply_list(ListKind::snapshot, make_servers(servers));
     return rig;
 }
 
-TEST(Ejection, AServerBelowTheThresholdLeavesThePoolForTheBackoff) {
+TEST(BalancerEjection, EjectsServerBelowMinSuccessRateForEjectionTime) {
     Rig rig = fleet(6);
     run(rig, 120, 2, Outcome::error_response);
-    EXPECT_EQ(rig.removals(), 1);
+    EXPECT_EQ(rig.ejection_count(), 1);
     std::set<ServerId> used;
     const Millis until = rig.now + 7000;
     while (rig.now < until) run(rig, 1, 2, Outcome::error_response, &used);
-    EXPECT_EQ(used.count(2), 0U) << "it is out for the whole backoff";
+    EXPECT_EQ(used.count(2), 0U) << "it is ejected for the whole time";
     EXPECT_EQ(used.size(), 5U);
 }
 
-TEST(Ejection, OneFailureInAWindowIsNotEnough) {
+TEST(BalancerEjection, KeepsServerWithTwoFailuresInAFullWindow) {
     Rig rig = fleet(4);
     run(rig, 200, 0, Outcome::success);
     int failed = 0;
     for (int i = 0; i < 40; ++i) {
         const RequestId id = rig.request();
-        const bool fails = rig.where(id) == 2 && failed < 2;  // 18 of 20 is 0.9: not below it
+        const bool fails = rig.last_server(id) == 2 && failed < 2;  // 18 of 20 is 0.9: not below it
         failed += fails;
         rig.end(id, fails ? Outcome::error_response : Outcome::success, 20);
-        while (rig.out(id)) rig.end(id, Outcome::success, 20);
+        while (rig.is_in_flight(id)) rig.end(id, Outcome::success, 20);
     }
     EXPECT_EQ(failed, 2);
-    EXPECT_EQ(rig.removals(), 0);
+    EXPECT_EQ(rig.ejection_count(), 0);
 }
 
-TEST(Ejection, RefusalsAsFullAndFailedConnectionsCountAsFailures) {
+TEST(BalancerEjection, CountsRejectionsAndConnectionFailuresAsFailures) {
     for (const Outcome outcome : {Outcome::rejected, Outcome::connect_failed, Outcome::connection_reset}) {
         Rig rig = fleet(6);
         for (int i = 0; i < 40; ++i) {
             const std::vector<RequestId> ids = rig.burst(6);
             rig.now += 20;
-            for (const RequestId id : ids)
-                while (rig.out(id)) rig.end(id, rig.where(id) == 3 ? outcome : Outcome::success, 0);
+            for (const RequestId id : ids) {
+                while (rig.is_in_flight(id)) {
+                    rig.end(id, rig.last_server(id) == 3 ? outcome : Outcome::success, 0);
+                }
+            }
         }
-        EXPECT_EQ(rig.removals(), 1) << static_cast<int>(outcome);
+        EXPECT_EQ(rig.ejection_count(), 1) << static_cast<int>(outcome);
     }
 }
 
-TEST(Ejection, WhatSaysNothingOfTheServerIsNotCounted) {
+TEST(BalancerEjection, DoesNotCountAttemptsOfClientsThatLeft) {
     Rig rig = fleet(4);
     for (int i = 0; i < 100; ++i) {
         const RequestId id = rig.request();
-        rig.requests.at(id).gone = true;
-        rig.give(ClientDisconnected{id});
+        rig.requests.at(id).client_gone = true;
+        rig.handle(ClientDisconnected{id});
         rig.end(id, Outcome::cancelled, 20);
     }
-    EXPECT_EQ(rig.removals(), 0);
+    EXPECT_EQ(rig.ejection_count(), 0);
 }
 
-TEST(Trial, OneRealRequestGoesThroughAndItsSuccessRestores) {
+TEST(BalancerEjection, RestoresServerAfterOneSuccessfulProbe) {
     Rig rig = fleet(4);
     run(rig, 100, 2, Outcome::error_response);
-    ASSERT_EQ(rig.removals(), 1);
+    ASSERT_EQ(rig.ejection_count(), 1);
     rig.now += 15000;
     const std::vector<RequestId> ids = rig.burst(8);
-    int trials = 0;
-    for (const RequestId id : ids) trials += rig.where(id) == 2;
-    EXPECT_EQ(trials, 1) << "half open: one at a time";
-    rig.serve(ids, 20);
+    int probes = 0;
+    for (const RequestId id : ids) probes += rig.last_server(id) == 2;
+    EXPECT_EQ(probes, 1) << "half-open: one probe at a time";
+    rig.complete_all(ids, 20);
     EXPECT_EQ(rig.logs.back(), "restored after a trial");
     run(rig, 30, 2, Outcome::success);
-    EXPECT_EQ(rig.removals(), 1) << "it returned with a fresh window";
+    EXPECT_EQ(rig.ejection_count(), 1) << "it returned with a fresh window";
 }
 
-TEST(Trial, ItsFailureStartsAnotherBackoff) {
+TEST(BalancerEjection, EjectsAgainAfterFailedProbe) {
     Rig rig = fleet(4);
     run(rig, 100, 2, Outcome::error_response);
     rig.now += 15000;
-    run(rig, 20, 2, Outcome::error_response);  // the trial is among them
+    run(rig, 20, 2, Outcome::error_response);  // the probe is among them
     std::set<ServerId> used;
     const Millis until = rig.now + 7000;
     while (rig.now < until) run(rig, 1, 2, Outcome::error_response, &used);
     EXPECT_EQ(used.count(2), 0U);
 }
 
-TEST(Panic, HalfOfThePoolStaysWhateverItsWindowsSay) {
+TEST(BalancerEjection, KeepsHalfOfTheServersWhateverFails) {
     Rig rig = fleet(6);
     run(rig, 200, 0, Outcome::success);
-    for (ServerId bad = 1; bad <= 4; ++bad)  // one after the other, so that each stands out from the rest
+    for (ServerId bad = 1; bad <= 4; ++bad) {  // one after the other, so that each stands out from the rest
         for (int i = 0; i < 100; ++i) {
             const RequestId id = rig.request();
-            while (rig.out(id))
-                rig.end(id, rig.where(id) <= bad ? Outcome::error_response : Outcome::success, 10);
+            while (rig.is_in_flight(id)) {
+                rig.end(id, rig.last_server(id) <= bad ? Outcome::error_response : Outcome::success, 10);
+            }
         }
-    EXPECT_EQ(rig.removals(), 3);
+    }
+    EXPECT_EQ(rig.ejection_count(), 3);
 }
 
-TEST(Panic, SlownessSharedByAllRemovesNobody) {
+TEST(BalancerEjection, EjectsNobodyWhenAllServersAreSlow) {
     Rig rig = fleet(6);
     run(rig, 200, 0, Outcome::success);
     for (int i = 0; i < 100; ++i) {
         const RequestId id = rig.request();
-        if (rig.out(id)) rig.end(id, Outcome::success, 600);  // past the objective of 400
+        if (rig.is_in_flight(id)) rig.end(id, Outcome::success, 600);  // past the objective of 400
     }
-    EXPECT_EQ(rig.removals(), 0);
+    EXPECT_EQ(rig.ejection_count(), 0);
 }
 
-TEST(Pick, OfTwoTheOneWithFewerOutstandingWins) {
+TEST(BalancerPick, PrefersServerWithFewerInFlight) {
     Rig rig = fleet(2);
     for (int i = 0; i < 20; ++i) {
         const std::vector<RequestId> pair = rig.burst(2);
-        EXPECT_NE(rig.where(pair[0]), rig.where(pair[1]));
-        rig.serve(pair, 20);
+        EXPECT_NE(rig.last_server(pair[0]), rig.last_server(pair[1]));
+        rig.complete_all(pair, 20);
     }
 }
 
-TEST(Pick, AmongEqualsTheQuickerWins) {
+TEST(BalancerPick, PrefersQuickerServerOnTies) {
     Rig rig = fleet(2);
     std::vector<int> taken(3);
     for (int i = 0; i < 200; ++i) {
         const RequestId id = rig.request();
-        ++taken[rig.where(id)];
-        rig.end(id, Outcome::success, rig.where(id) == 1 ? 200 : 40);
+        ++taken[rig.last_server(id)];
+        rig.end(id, Outcome::success, rig.last_server(id) == 1 ? 200 : 40);
     }
     EXPECT_GT(taken[2], 2 * taken[1]);
 }
 
-TEST(List, IncrementalAddsAndRemovesAndFullReplaces) {
+TEST(BalancerEndpointList, IncrementalListChangesAndSnapshotReplaces) {
     Rig rig = fleet(2);
-    rig.list(ListKind::incremental,
-             {{3, 0, 0, 0, EndpointState::active, 0}, {1, 0, 0, 0, EndpointState::removed, 0}});
+    rig.apply_list(ListKind::incremental,
+                   {{3, 0, 0, 0, EndpointState::active, 0}, {1, 0, 0, 0, EndpointState::removed, 0}});
     std::set<ServerId> used;
     run(rig, 60, 0, Outcome::success, &used);
     EXPECT_EQ(used, (std::set<ServerId>{2, 3}));
-    rig.list(ListKind::snapshot, {{4, 0, 0, 0, EndpointState::active, 0}});
+    rig.apply_list(ListKind::snapshot, {{4, 0, 0, 0, EndpointState::active, 0}});
     used.clear();
     run(rig, 10, 0, Outcome::success, &used);
     EXPECT_EQ(used, (std::set<ServerId>{4}));
 }
 
-TEST(List, AFailedCallLeavesTheListAndIsRepeatedLater) {
+TEST(BalancerEndpointList, FailedCallKeepsTheListAndIsRepeatedLater) {
     Settings s = make_settings();
     s.list_on_request = true;
     Rig rig(s);
-    rig.give(Started{});
+    rig.handle(Started{});
     EXPECT_EQ(rig.count<Subscribe>(), 1);
-    rig.list(ListKind::cached, make_servers(2));
-    rig.give(ServerList{ListKind::failed, {}});
+    rig.apply_list(ListKind::cached, make_servers(2));
+    rig.handle(ServerList{ListKind::failed, {}});
     ASSERT_EQ(rig.count<SetTimer>(), 1);
     const TimerToken token = rig.timers.begin()->second;
     EXPECT_GT(rig.timers.begin()->first, rig.now);
     rig.timers.clear();
     const RequestId id = rig.request();
-    EXPECT_TRUE(rig.out(id));
-    rig.give(TimerFired{token});
+    EXPECT_TRUE(rig.is_in_flight(id));
+    rig.handle(TimerFired{token});
     EXPECT_EQ(rig.count<Subscribe>(), 1);
 }
 
-TEST(List, ARestartedServerBeginsWithACleanRecord) {
+TEST(BalancerEndpointList, RestartedServerStartsWithEmptyWindow) {
     Rig rig = fleet(4);
     run(rig, 100, 2, Outcome::error_response);
-    ASSERT_EQ(rig.removals(), 1);
-    rig.list(ListKind::incremental, {{2, 2, 0, 0, EndpointState::active, rig.now - 40000}});
+    ASSERT_EQ(rig.ejection_count(), 1);
+    rig.apply_list(ListKind::incremental, {{2, 2, 0, 0, EndpointState::active, rig.now - 40000}});
     std::set<ServerId> used;
     run(rig, 40, 0, Outcome::success, &used);
     EXPECT_EQ(used.count(2), 1U);
 }
 
-// Rule 4: what one sidecar of many sends to a cold server must shrink with their number.
-TEST(SlowStart, AColdServerGetsLessThanItsEvenShare) {
+// Rule 4: a server in slow start is sent its share by age.
+TEST(BalancerSlowStart, SendsServerInSlowStartLessThanItsEvenShare) {
     Rig rig = fleet(4);
     run(rig, 400, 0, Outcome::success);
-    rig.list(ListKind::incremental, {{4, 1, 0, 0, EndpointState::active, rig.now - 1}});
-    int to_cold = 0;
+    rig.apply_list(ListKind::incremental, {{4, 1, 0, 0, EndpointState::active, rig.now - 1}});
+    int to_slow_start = 0;
     for (int i = 0; i < 200; ++i) {  // 4 s: a fifth of the capacity and rising
         const RequestId id = rig.request();
-        to_cold += rig.where(id) == 4;
+        to_slow_start += rig.last_server(id) == 4;
         rig.end(id, Outcome::success, 20);
     }
-    EXPECT_GT(to_cold, 0);
-    EXPECT_LT(to_cold, 45) << "an even share would be 50";
+    EXPECT_GT(to_slow_start, 0);
+    EXPECT_LT(to_slow_start, 45) << "an even share would be 50";
 }
 
-// ---- Exceptions at full size ----------------------------------------------------------------------------
+// ---- One sidecar of many --------------------------------------------------------------------------------
 
-Settings one_of_many(std::uint32_t siblings, RequestClass kind = make_class(Idempotency::idempotent)) {
-    Settings s = make_settings({kind});
+Settings one_of_many(std::uint32_t siblings,
+                     RequestClass request_class = make_class(Idempotency::idempotent)) {
+    Settings s = make_settings({request_class});
     s.siblings = siblings;
     return s;
 }
 
-TEST(Aperture, ALightSidecarOfManyKeepsToAFewServersAndReplacesThem) {
+TEST(BalancerAperture, LightSidecarKeepsToFewServersAndReplacesThem) {
     Rig rig(one_of_many(1000));
-    rig.list(ListKind::snapshot, make_servers(40));
+    rig.apply_list(ListKind::snapshot, make_servers(40));
     std::set<ServerId> used;
     for (int i = 0; i < 100; ++i, rig.now += 500) run(rig, 1, 0, Outcome::success, &used);
     EXPECT_LE(used.size(), 5U);
     EXPECT_GE(used.size(), 2U);
-    rig.list(ListKind::incremental, {{*used.begin(), 0, 0, 0, EndpointState::removed, 0}});
+    rig.apply_list(ListKind::incremental, {{*used.begin(), 0, 0, 0, EndpointState::removed, 0}});
     std::set<ServerId> after;
     for (int i = 0; i < 100; ++i, rig.now += 500) run(rig, 1, 0, Outcome::success, &after);
     EXPECT_EQ(after.count(*used.begin()), 0U);
-    EXPECT_GE(after.size(), used.size()) << "the next in rank has come in";
+    EXPECT_GE(after.size(), used.size()) << "the server of the next rank has come in";
 }
 
-TEST(Aperture, SidecarsDifferAndABusyOneSpreadsWide) {
-    std::set<ServerId> all, busy;
+TEST(BalancerAperture, SidecarsDrawDifferentPoolsAndBusyOneWidensIts) {
+    std::set<ServerId> all;
+    std::set<ServerId> busy;
     for (std::uint64_t seed = 1; seed <= 30; ++seed) {
         Rig rig(one_of_many(1000), seed);
-        rig.list(ListKind::snapshot, make_servers(40));
+        rig.apply_list(ListKind::snapshot, make_servers(40));
         for (int i = 0; i < 10; ++i, rig.now += 500) run(rig, 1, 0, Outcome::success, &all);
     }
-    EXPECT_GT(all.size(), 30U) << "the same few for all would be a crowd";
+    EXPECT_GT(all.size(), 30U) << "the same few servers for all sidecars would be overloaded";
     Rig rig(one_of_many(1000));
-    rig.list(ListKind::snapshot, make_servers(40));
+    rig.apply_list(ListKind::snapshot, make_servers(40));
     run(rig, 2000, 0, Outcome::success, &busy);
     EXPECT_GT(busy.size(), 15U);
 }
 
-TEST(Ejection, ThinTrafficNeedsTwoFailuresNotThree) {
+TEST(BalancerEjection, EjectsAfterTwoFailuresUnderLightTraffic) {
     Rig rig(one_of_many(1000));
-    rig.list(ListKind::snapshot, make_servers(40));
+    rig.apply_list(ListKind::snapshot, make_servers(40));
     const RequestId first = rig.request();
-    const ServerId bad = rig.where(first);
+    const ServerId bad = rig.last_server(first);
     rig.end(first, Outcome::error_response);
-    EXPECT_EQ(rig.removals(), 0) << "one alone is chance";
-    for (int i = 0; i < 300 && rig.removals() == 0; ++i, rig.now += 300)
+    EXPECT_EQ(rig.ejection_count(), 0) << "one failure may be chance";
+    for (int i = 0; i < 300 && rig.ejection_count() == 0; ++i, rig.now += 300) {
         run(rig, 1, bad, Outcome::error_response);
-    EXPECT_EQ(rig.removals(), 1);
+    }
+    EXPECT_EQ(rig.ejection_count(), 1);
 }
 
-// Rule 4: floors of a trial for each sidecar must not add up to a flood at a cold server.
-TEST(SlowStart, TheFloorShrinksWithTheNumberOfSidecars) {
+// Rule 4: a floor of probes for each sidecar must not add up to what overloads a server in slow start.
+TEST(BalancerSlowStart, SidecarsShareTheProbesOfAServerInSlowStart) {
     int sent = 0;
     const std::uint32_t siblings = 400;
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {  // a tenth of them
         Rig rig(one_of_many(siblings), seed);
-        rig.list(ListKind::snapshot, {{1, 0, 0, 0, EndpointState::active, rig.now - 1}});
+        rig.apply_list(ListKind::snapshot, {{1, 0, 0, 0, EndpointState::active, rig.now - 1}});
         for (int i = 0; i < 200; ++i, rig.now += 100) {  // 20 s of waiting traffic
             const RequestId id = rig.request(0, 90);
-            if (rig.out(id)) ++sent, rig.end(id, Outcome::success, 0);
+            if (!rig.is_in_flight(id)) continue;
+            ++sent;
+            rig.end(id, Outcome::success, 0);
         }
     }
-    EXPECT_LE(sent, 8) << "4 a backoff for all 400, so a tenth of that and chance";
+    EXPECT_LE(sent, 8) << "4 probes in 10 s for all 400, so a tenth of that and chance";
 }
 
-TEST(Admission, ALightSidecarInAJamAdmitsSomeNotAll) {
+TEST(BalancerAdmission, LightSidecarAdmitsSomeRequestsWhileServersAreSlow) {
     Rig rig(one_of_many(1000));
-    rig.list(ListKind::snapshot, make_servers(40));
+    rig.apply_list(ListKind::snapshot, make_servers(40));
     const auto sent = [&](int requests, Millis duration) {
         int count = 0;
         for (int i = 0; i < requests; ++i) {
             const RequestId id = rig.request(0, 2000);
-            rig.pass(30);  // it may have been held
-            if (rig.out(id)) ++count, rig.end(id, Outcome::success, duration);
-            rig.pass(300);
+            rig.advance(30);  // it may have waited
+            if (rig.is_in_flight(id)) {
+                ++count;
+                rig.end(id, Outcome::success, duration);
+            }
+            rig.advance(300);
         }
         return count;
     };
-    const int in_a_jam = sent(200, 700);  // far past the objective of 400
-    EXPECT_LT(in_a_jam, 150) << "a thousand sidecars with one attempt each are a jam";
-    EXPECT_GT(in_a_jam, 20) << "it goes on hearing from its servers";
+    const int under_overload = sent(200, 700);  // far past the objective of 400
+    EXPECT_LT(under_overload, 150) << "a thousand sidecars with one attempt each are an overload";
+    EXPECT_GT(under_overload, 20) << "probes go on";
     sent(150, 40);
-    EXPECT_EQ(sent(50, 40), 50) << "answers are quick again: nothing is refused";
+    EXPECT_EQ(sent(50, 40), 50) << "responses are quick again: nothing is rejected";
 }
 
-TEST(Admission, WhatTheDriverCantKeepIsRefusedAtOnce) {
+TEST(BalancerAdmission, RejectsAtOnceWhenTheRequestTableIsFull) {
     Rig rig = fleet(4);
     const RequestId id = rig.next_id++;
     rig.requests[id] = {rig.settings.classes[0], rig.now + 1000, {}, 0, false, false};
     RequestArrived event{id, 0, {}, 1000, 0, false};
     event.table_full = true;
-    rig.give(event);
-    EXPECT_TRUE(rig.requests.at(id).refused);
-    EXPECT_EQ(rig.sends(id), 0U) << "its answer is the last that the driver can give it";
+    rig.handle(event);
+    EXPECT_TRUE(rig.requests.at(id).rejected);
+    EXPECT_EQ(rig.attempt_count(id), 0U) << "its response is the last that the driver can give it";
     EXPECT_EQ(rig.count<SetTimer>(), 0) << "nothing is left to wait for";
-    rig.settle();
+    rig.finish_all();
 }
 
-TEST(Cutoff, AnAttemptEndsAtTheAimOnlyWhereNothingIsLostByIt) {
+TEST(BalancerCutoff, IsTheObjectiveOnlyWhereALateResponseIsWorthless) {
     const auto until = [](Idempotency idempotency, double late_weight, std::uint32_t siblings = 1000) {
         RequestClass c = make_class(idempotency);
         c.late_weight = late_weight;
         Rig rig(one_of_many(siblings, c));
-        rig.list(ListKind::snapshot, make_servers(20));
+        rig.apply_list(ListKind::snapshot, make_servers(20));
         const RequestId id = rig.request(0, 1000);
-        return rig.requests.at(id).sent.back().until - rig.now;
+        return rig.requests.at(id).attempts.back().deadline - rig.now;
     };
     EXPECT_EQ(until(Idempotency::non_idempotent, 0), 400);
-    EXPECT_EQ(until(Idempotency::non_idempotent, 0.3), 1000) << "late is worth something";
-    EXPECT_EQ(until(Idempotency::idempotent, 0), 1000) << "clients would repeat it";
+    EXPECT_EQ(until(Idempotency::non_idempotent, 0.3), 1000) << "a late response is worth something";
+    EXPECT_EQ(until(Idempotency::idempotent, 0), 1000) << "clients would retry it";
     EXPECT_EQ(until(Idempotency::non_idempotent, 0, 3), 1000)
-        << "of three sidecars each must keep count of what goes on";
+        << "with few sidecars each must count the work that goes on";
 }
 
-TEST(Pick, ASlowKindIsKnownBeforeEachOfItsServersIs) {
+TEST(BalancerPick, AvoidsSlowMachineTypeBeforeEachOfItsServersIsKnown) {
     Rig rig(make_settings());
     std::vector<ServerInfo> servers = make_servers(20);
     for (ServerInfo& s : servers) s.machine_type = s.id % 2;
-    rig.list(ListKind::snapshot, servers);
-    int slow = 0;
+    rig.apply_list(ListKind::snapshot, servers);
+    int slow_type = 0;
     for (int i = 0; i < 60; ++i) {
         const RequestId id = rig.request();
-        if (i >= 10) slow += rig.where(id) % 2;
-        rig.end(id, Outcome::success, rig.where(id) % 2 ? 160 : 40);
+        if (i >= 10) slow_type += rig.last_server(id) % 2;
+        rig.end(id, Outcome::success, rig.last_server(id) % 2 ? 160 : 40);
     }
-    EXPECT_LT(slow, 18) << "by chance it would be 25";
+    EXPECT_LT(slow_type, 18) << "by chance it would be 25";
 }
 
-// Thin traffic shows no queues: without their sizes a small machine would be asked for as much as a large
-// one.
-TEST(Pick, FewerForItsSizeWins) {
+// Under light traffic there are no queues to compare: without weights a small machine would be sent as much
+// as a large one.
+TEST(BalancerPick, SendsSmallServersTheirShareByWeight) {
     Rig rig(make_settings());
     std::vector<ServerInfo> servers = make_servers(12);
     for (ServerInfo& s : servers) s.weight = s.id <= 6 ? 1 : 16;
-    rig.list(ListKind::snapshot, servers);
-    int small = 0;
+    rig.apply_list(ListKind::snapshot, servers);
+    int small_server = 0;
     for (int i = 0; i < 400; ++i) {
         const RequestId id = rig.request();
-        small += rig.where(id) <= 6;
+        small_server += rig.last_server(id) <= 6;
         rig.end(id, Outcome::success, 40);
     }
-    EXPECT_GT(small, 0);
-    EXPECT_LT(small, 50) << "their part is 6 of 102; drawn alike and compared by size it would be 5 of 22";
+    EXPECT_GT(small_server, 0);
+    EXPECT_LT(small_server, 50)
+        << "their part is 6 of 102; drawn alike and compared by size it would be 5 of 22";
 }
 
-TEST(Fairness, InACrowdATenantFarBeyondItsShareGivesWay) {
+TEST(BalancerFairness, TenantFarBeyondItsQuotaGetsLessWhileServersAreBusy) {
     Settings s = one_of_many(1000);
     s.tenants = {{10}, {10}};
     Rig rig(s);
-    rig.list(ListKind::snapshot, make_servers(2));
-    std::vector<int> asked(2), taken(2);
+    rig.apply_list(ListKind::snapshot, make_servers(2));
+    std::vector<int> arrived(2);
+    std::vector<int> admitted(2);
     for (int i = 0; i < 600; ++i) {
         const std::uint32_t tenant = i % 6 == 0 ? 1 : 0;  // five sixths of the traffic, half of the quotas
         const RequestId id = rig.next_id++;
         rig.requests[id] = {s.classes[0], rig.now + 1500, {}, 0, false, false};
-        rig.give(RequestArrived{id, 0, tenant, 1500});
-        ++asked[tenant], taken[tenant] += rig.out(id);
-        if (rig.out(id)) rig.end(id, Outcome::success, 260);  // crowded: 0.65 of the objective
-        rig.pass(20);
+        rig.handle(RequestArrived{id, 0, tenant, 1500});
+        ++arrived[tenant];
+        admitted[tenant] += rig.is_in_flight(id);
+        if (rig.is_in_flight(id)) rig.end(id, Outcome::success, 260);  // busy: 0.65 of the objective
+        rig.advance(20);
     }
-    const double first = 1.0 * taken[0] / asked[0], second = 1.0 * taken[1] / asked[1];
+    const double first = 1.0 * admitted[0] / arrived[0];
+    const double second = 1.0 * admitted[1] / arrived[1];
     EXPECT_LT(first, 0.9 * second);
 }
 
 // ---- Bad input ------------------------------------------------------------------------------------------
 
-TEST(BadInput, TimesThatAreNotFiniteOrRunBackwardsDoNoHarm) {
+TEST(BalancerInput, IgnoresNonFiniteTimesAndTimesThatGoBack) {
     const double inf = std::numeric_limits<double>::infinity(),
                  nan = std::numeric_limits<double>::quiet_NaN();
     Rig rig = fleet(3);
     std::vector<Action> actions;
-    for (const double bad : {inf, -inf, nan, -5.0, 0.0})
+    for (const double bad : {inf, -inf, nan, -5.0, 0.0}) {
         rig.balancer.handle(bad, ClientDisconnected{77}, actions);
+    }
     EXPECT_TRUE(actions.empty());
     const RequestId id = rig.request();
-    ASSERT_TRUE(rig.out(id));
-    EXPECT_EQ(rig.requests.at(id).sent.back().until, rig.now + 1000);
+    ASSERT_TRUE(rig.is_in_flight(id));
+    EXPECT_EQ(rig.requests.at(id).attempts.back().deadline, rig.now + 1000);
     rig.end(id, Outcome::success);
     for (const double bad : {inf, nan, -7.0}) {
         actions.clear();
@@ -387,7 +408,7 @@
     EXPECT_EQ(rig.balancer.resource_usage().requests, 0U);
 }
 
-TEST(BadInput, EventsAboutUnknownOrRepeatedThingsHaveNoEffect) {
+TEST(BalancerInput, IgnoresEventsAboutUnknownRequestsAndAttempts) {
     Rig rig = fleet(3);
     std::vector<Action> actions;
     rig.balancer.handle(rig.now, AttemptEnded{55, 0}, actions);
@@ -397,47 +418,48 @@
     const RequestId id = rig.request();
     rig.balancer.handle(rig.now, RequestArrived{id, 0, 9, 1000}, actions);
     rig.balancer.handle(rig.now, AttemptEnded{id, 7}, actions);
-    EXPECT_TRUE(actions.empty()) << "an id given twice, an attempt never made";
+    EXPECT_TRUE(actions.empty()) << "an id used twice, an attempt never made";
     rig.end(id, Outcome::success);
     rig.balancer.handle(rig.now, AttemptEnded{id, 0}, actions);
     EXPECT_TRUE(actions.empty());
 }
 
-TEST(BadInput, EmptyAndDoubledListsAreSurvived) {
+TEST(BalancerInput, AcceptsEmptyListsAndDuplicateServers) {
     Rig rig = fleet(2);
-    rig.list(ListKind::snapshot, {});
+    rig.apply_list(ListKind::snapshot, {});
     const RequestId id = rig.request(0, 300);
-    EXPECT_FALSE(rig.out(id));
-    rig.list(ListKind::snapshot,
-             {{5, 0, 0, 0, EndpointState::active, 0}, {5, 0, 0, 0, EndpointState::active, 0}});
+    EXPECT_FALSE(rig.is_in_flight(id));
+    rig.apply_list(ListKind::snapshot,
+                   {{5, 0, 0, 0, EndpointState::active, 0}, {5, 0, 0, 0, EndpointState::active, 0}});
     EXPECT_EQ(rig.balancer.resource_usage().servers, 1U);
     run(rig, 5, 0, Outcome::success);
-    rig.settle();
+    rig.finish_all();
 }
 
-// Without purge_held() the list grows by one a request until a server comes.
-TEST(BadInput, WithNoServerForLongTheListOfWaitingStaysShort) {
+// Without purge_ended() the queue grows by one entry a request until a server comes.
+TEST(BalancerInput, WaitQueueStaysBoundedWithoutServers) {
     Rig rig = fleet(2);
-    rig.list(ListKind::snapshot, {});
+    rig.apply_list(ListKind::snapshot, {});
     for (int i = 0; i < 5000; ++i) {
         rig.request(0, 300);
-        rig.pass(5);
+        rig.advance(5);
         ASSERT_LE(rig.balancer.resource_usage().waiting, 2 * rig.balancer.resource_usage().requests + 64);
     }
     const RequestId last = rig.request(0, 300);
-    rig.list(ListKind::snapshot, make_servers(1));
-    EXPECT_TRUE(rig.out(last)) << "the one that waits is still there";
+    rig.apply_list(ListKind::snapshot, make_servers(1));
+    EXPECT_TRUE(rig.is_in_flight(last)) << "the request that waits is still there";
     rig.end(last, Outcome::success);
-    rig.settle();
+    rig.finish_all();
 }
 
-TEST(Settings, SenselessOnesAreNamed) {
+TEST(BalancerSettings, ThrowsInvalidSettingWithItsName) {
     const auto complaint = [](auto change) {
         Settings s = make_settings();
         change(s);
         try {
             Balancer(s, 1);
-        } catch (const std::invalid_argument& error) {
+        } catch (const InvalidSetting& error) {
+            EXPECT_EQ(error.what(), "elmbay: setting makes no sense: " + error.setting());
             return std::string(error.what());
         }
         return std::string("accepted");
@@ -462,59 +484,59 @@
     EXPECT_EQ(complaint([](Settings&) {}), "accepted");
 }
 
-// The module's own timer for the client's deadline may come before the driver's for the attempt: both are due
+// The module's own timer for the client's deadline may fire before the driver's for the attempt: both are due
 // at the same moment. The server has failed either way.
-TEST(Removal, AServerThatLetsTheClientsTimeRunOutIsRemovedThoughWeWithdrewItFirst) {
+TEST(BalancerEjection, EjectsServerWhoseAttemptsAreCancelledAtTheDeadline) {
     Rig rig(make_settings());
-    rig.list(ListKind::snapshot, make_servers(4));
-    // Whenever it is drawn the one is to be asked: the others have their hands full.
+    rig.apply_list(ListKind::snapshot, make_servers(4));
+    // The other servers are busy, so server 1 is chosen whenever it is drawn.
     for (int i = 0; i < 40; ++i) {
         const RequestId id = rig.request(0, 1e6);
-        if (rig.where(id) == 1) rig.end(id, Outcome::success, 0);
+        if (rig.last_server(id) == 1) rig.end(id, Outcome::success, 0);
     }
-    for (int i = 0; i < 100 && rig.removals() == 0; ++i) {
+    for (int i = 0; i < 100 && rig.ejection_count() == 0; ++i) {
         const RequestId id = rig.request(0, 500);
-        if (rig.where(id) != 1) {  // it was not among the two drawn
+        if (rig.last_server(id) != 1) {  // it was not drawn
             rig.end(id, Outcome::success, 0);
             continue;
         }
         rig.now += 500;
-        int withdrawn = 0;
+        int cancelled = 0;
         while (!rig.timers.empty() && rig.timers.begin()->first <= rig.now) {
             const TimerToken token = rig.timers.begin()->second;
             rig.timers.erase(rig.timers.begin());
-            rig.give(TimerFired{token});
-            withdrawn += rig.count<Cancel>();
+            rig.handle(TimerFired{token});
+            cancelled += rig.count<Cancel>();
         }
-        ASSERT_EQ(withdrawn, 1);
+        ASSERT_EQ(cancelled, 1);
         rig.end(id, Outcome::cancelled, 0);
     }
-    EXPECT_EQ(rig.removals(), 1);
+    EXPECT_EQ(rig.ejection_count(), 1);
 }
 
-// The number of sidecars may become another one: fewer keep more servers in sight, and 0 says nothing.
-TEST(Siblings, AreWhatTheSightOfServersFollows) {
+// With fewer sidecars each keeps more servers in its pool. A count of 0 has no effect.
+TEST(BalancerAperture, PoolFollowsTheNumberOfSidecars) {
     Settings settings = make_settings();
     settings.siblings = 1000;
     Rig rig(settings);
-    rig.list(ListKind::snapshot, make_servers(60));
-    const auto in_sight = [&] {
+    rig.apply_list(ListKind::snapshot, make_servers(60));
+    const auto pool_size = [&] {
         std::set<ServerId> asked;
         for (int i = 0; i < 200; ++i) {
             const RequestId id = rig.request();
-            asked.insert(rig.where(id));
+            asked.insert(rig.last_server(id));
             rig.end(id, Outcome::success);
-            rig.pass(450);  // two requests a second: traffic alone widens nothing
+            rig.advance(450);  // two requests a second: traffic alone widens nothing
         }
         return asked.size();
     };
-    EXPECT_LE(in_sight(), 6U);
-    rig.give(SiblingsKnown{2});
-    EXPECT_GT(in_sight(), 40U);
-    rig.give(SiblingsKnown{0});
-    EXPECT_GT(in_sight(), 40U);
-    rig.give(SiblingsKnown{1000});
-    EXPECT_LE(in_sight(), 6U);
+    EXPECT_LE(pool_size(), 6U);
+    rig.handle(SiblingsKnown{2});
+    EXPECT_GT(pool_size(), 40U);
+    rig.handle(SiblingsKnown{0});
+    EXPECT_GT(pool_size(), 40U);
+    rig.handle(SiblingsKnown{1000});
+    EXPECT_LE(pool_size(), 6U);
 }
 
 }  // namespace
--- a/tests/balancer/composition_test.cpp
+++ b/tests/balancer/composition_test.cpp
@@ -1,4 +1,4 @@
-// The parts that Balancer composes, each alone against its header's contract.
+// The parts of the module that hold requests, servers and timers, each alone against its header's contract.
 #include <gtest/gtest.h>
 
 #include <limits>
@@ -26,7 +26,7 @@
     return settings;
 }
 
-Attempt attempt_out() {
+Attempt attempt_in_flight() {
     Attempt attempt;
     attempt.server = 1;
     return attempt;
@@ -34,7 +34,7 @@
 
 // ---- EventContext ---------------------------------------------------------------------------------------
 
-TEST(EventContextTest, TimeNeverGoesBackAndIgnoresWhatIsNotFinite) {
+TEST(EventContextTest, TimeNeverGoesBackAndIgnoresNonFiniteReadings) {
     EventContext context;
     std::vector<Action> actions;
     context.begin(kNow, actions);
@@ -48,7 +48,7 @@
 
 // ---- TimerTable -----------------------------------------------------------------------------------------
 
-TEST(TimerTableTest, EachTokenIsNewAndFiresOnce) {
+TEST(TimerTableTest, GivesNewTokensThatFireOnce) {
     EventContext context;
     std::vector<Action> actions;
     context.begin(kNow, actions);
@@ -75,7 +75,7 @@
 
 // ---- SubscriptionBackoff --------------------------------------------------------------------------------
 
-TEST(SubscriptionBackoffTest, DoublesUpToItsBoundAndStartsAnewAfterAnAnswer) {
+TEST(SubscriptionBackoffTest, DoublesUpToBoundAndResetsAfterAnAnswer) {
     Random random(1);
     SubscriptionBackoff backoff;
     for (Millis mean = SubscriptionBackoff::kFirst; mean < SubscriptionBackoff::kMost; mean *= 2) {
@@ -94,7 +94,7 @@
 
 // ---- RequestTable ---------------------------------------------------------------------------------------
 
-TEST(RequestTableTest, KnowsEachIdOnceAndInOrderOfArrival) {
+TEST(RequestTableTest, AddsEachIdOnceInOrderOfArrival) {
     RequestTable requests;
     const Request* first = requests.add(9);
     ASSERT_NE(first, nullptr);
@@ -107,14 +107,14 @@
     EXPECT_EQ(requests.size(), 2U);
 }
 
-TEST(RequestTableTest, ForgetsWhatHasEndedOnceNothingIsOut) {
+TEST(RequestTableTest, ForgetsEndedRequestOnceNothingIsInFlight) {
     Sessions sessions(settings_with_sessions(1));
     RequestTable requests;
     Request& open = *requests.add(1);
-    Request& still_out = *requests.add(2);
+    Request& with_attempt = *requests.add(2);
     Request& ended_session = *requests.add(3);
-    still_out.ended = true;
-    still_out.attempts.push_back(attempt_out());
+    with_attempt.ended = true;
+    with_attempt.attempts.push_back(attempt_in_flight());
     sessions.begin_upgrade();
     ended_session.session = true;
     ended_session.ended = true;
@@ -122,11 +122,11 @@
 
     requests.forget_ended(sessions);
     EXPECT_EQ(requests.find(1), &open);
-    EXPECT_EQ(requests.find(2), &still_out);
+    EXPECT_EQ(requests.find(2), &with_attempt);
     EXPECT_EQ(requests.find(3), nullptr);
-    EXPECT_TRUE(sessions.has_capacity()) << "its place is free again, and freed once";
+    EXPECT_TRUE(sessions.has_capacity()) << "the place is given back, and only once";
 
-    still_out.attempts.front().in_flight = false;
+    with_attempt.attempts.front().in_flight = false;
     requests.mark_ended(2);
     requests.forget_ended(sessions);
     EXPECT_EQ(requests.find(2), nullptr);
@@ -135,7 +135,7 @@
 
 // ---- WaitQueue ------------------------------------------------------------------------------------------
 
-TEST(WaitQueueTest, GivesWhatIsWorthMostFirstThenTheNewest) {
+TEST(WaitQueueTest, TakesHighestWeightFirstThenNewest) {
     RequestTable requests;
     WaitQueue queue;
     for (RequestId id = 1; id <= 4; ++id) {
@@ -146,7 +146,7 @@
     EXPECT_TRUE(queue.empty());
 }
 
-TEST(WaitQueueTest, LeavesOutWhatHasEndedOrIsOut) {
+TEST(WaitQueueTest, LeavesOutEndedAndInFlightRequests) {
     RequestTable requests;
     WaitQueue queue;
     for (RequestId id = 1; id <= 3; ++id) {
@@ -155,11 +155,11 @@
     }
     queue.push(99);  // unknown
     requests.at(1).ended = true;
-    requests.at(2).attempts.push_back(attempt_out());
+    requests.at(2).attempts.push_back(attempt_in_flight());
     EXPECT_EQ(queue.take(requests), std::vector<RequestId>{3});
 }
 
-TEST(WaitQueueTest, ItsLengthIsBoundedByTheRequests) {
+TEST(WaitQueueTest, LengthIsBoundedByTheRequestTable) {
     RequestTable requests;
     WaitQueue queue;
     requests.add(1);
@@ -191,13 +191,13 @@
     Random random_{1};
     LatencyEstimate latency_;
     LearnedStateRestorer restorer_;
-    SlowStart cold_{settings_};
-    Aperture aperture_{1, cold_};
+    SlowStart slow_start_{settings_};
+    Aperture aperture_{1, slow_start_};
     ServerAges ages_;
     ServerTable servers_{random_, latency_, restorer_, aperture_, ages_};
 };
 
-TEST_F(ServerTableTest, AWholeListReplacesAndAnIncrementalOneAdds) {
+TEST_F(ServerTableTest, SnapshotReplacesAndIncrementalListAdds) {
     servers_.apply(list_of(ListKind::snapshot, {1, 2}), kNow);
     servers_.apply(list_of(ListKind::incremental, {3}), kNow);
     EXPECT_EQ(servers_.size(), 3U);
@@ -206,7 +206,7 @@
     EXPECT_NE(servers_.find(2), nullptr);
 }
 
-TEST_F(ServerTableTest, AServerThatLeftTheListStaysUntilNothingIsOutstandingThere) {
+TEST_F(ServerTableTest, KeepsUnlistedServerUntilNothingIsInFlightThere) {
     servers_.apply(list_of(ListKind::snapshot, {1}), kNow);
     servers_.find(1)->in_flight = 1;
     servers_.apply(list_of(ListKind::snapshot, {}), kNow);
@@ -243,20 +243,20 @@
     RequestId next_id_ = 1;
 };
 
-TEST_F(FinalResponderTest, GivesOneFinalAnswer) {
+TEST_F(FinalResponderTest, GivesOneFinalResponse) {
     Request& request = add(Idempotency::idempotent);
     responder_.finish(request);
     responder_.finish(request);
     ASSERT_EQ(actions_.size(), 1U);
-    const auto& refusal = std::get<Reject>(actions_.front());
-    EXPECT_EQ(refusal.id, request.id);
-    EXPECT_GE(refusal.retry_after, 400 * FinalResponder::kMaxWaitShare);
+    const auto& rejection = std::get<Reject>(actions_.front());
+    EXPECT_EQ(rejection.id, request.id);
+    EXPECT_GE(rejection.retry_after, 400 * FinalResponder::kMaxWaitShare);
     EXPECT_TRUE(request.ended);
 }
 
-TEST_F(FinalResponderTest, FailsWhatMayHaveTakenEffectAndCancelsWhatIsOut) {
+TEST_F(FinalResponderTest, FailsRequestThatMayHaveRunAndCancelsItsAttempts) {
     Request& request = add(Idempotency::non_idempotent);
-    request.attempts.push_back(attempt_out());
+    request.attempts.push_back(attempt_in_flight());
     responder_.finish(request);
     ASSERT_EQ(actions_.size(), 2U);
     EXPECT_TRUE(std::holds_alternative<Cancel>(actions_[0]));
@@ -264,7 +264,7 @@
     EXPECT_FALSE(request.attempts.front().timed_out) << "its client's time was not up";
 }
 
-TEST_F(FinalResponderTest, LeavesAnAnswerAloneThatHasBegun) {
+TEST_F(FinalResponderTest, LeavesStreamingRequestAlone) {
     Request& request = add(Idempotency::idempotent);
     request.streaming = true;
     responder_.finish(request);
--- a/tests/balancer/fleet_change_test.cpp
+++ b/tests/balancer/fleet_change_test.cpp
@@ -1,4 +1,4 @@
-// Incremental lists in large fleets: the pool is what a whole list would have made it, and nothing is made
+// Incremental lists in large fleets: the pool is the same as after a whole list, and nothing is allocated
 // that is as large as the fleet.
 #include <gtest/gtest.h>
 
@@ -38,17 +38,18 @@
     return s;
 }
 
-TEST(FleetChange, AnIncrementalListMakesNothingAsLargeAsTheFleet) {
+TEST(FleetChangeTest, IncrementalListAllocatesNothingAsLargeAsTheFleet) {
     const auto bytes_of_a_change = [](ServerId fleet) {
         Balancer balancer(settings(), 1);
         std::vector<Action> actions;
         ServerList whole;
-        for (ServerId id = 1; id <= fleet; ++id)
+        for (ServerId id = 1; id <= fleet; ++id) {
             whole.servers.push_back({id, 0, 0, 0, EndpointState::active, 0});
+        }
         balancer.handle(kNow, whole, actions);
         const ServerInfo leaving{fleet, 0, 0, 0, EndpointState::draining, 0};
         const Event event = ServerList{ListKind::incremental, {leaving}};
-        balancer.handle(kNow + 1, event, actions);  // whatever is made once has been made
+        balancer.handle(kNow + 1, event, actions);  // whatever is allocated only once has been
         const std::size_t before = allocated_bytes;
         balancer.handle(kNow + 2, event, actions);
         return allocated_bytes - before;
@@ -56,9 +57,9 @@
     EXPECT_LE(bytes_of_a_change(3200), bytes_of_a_change(200) + 1024);
 }
 
-TEST(FleetChange, TheApertureIsWhatAWholeListWouldHaveMadeIt) {
+TEST(FleetChangeTest, IncrementalListsGiveTheSamePoolAsAWholeList) {
     const Settings settings = test::settings();
-    const SlowStart cold(settings);
+    const SlowStart slow_start(settings);
     std::mt19937_64 random(7);
     std::vector<Server> servers(300);
     std::vector<Server*> there;
@@ -67,7 +68,7 @@
         servers[i].rank = random();
         there.push_back(&servers[i]);
     }
-    Aperture changed(16, cold);
+    Aperture changed(16, slow_start);
     changed.set_servers(there);
     changed.draw_pool(kNow, 0);
     for (int round = 0; round < 300; ++round) {
@@ -84,9 +85,10 @@
         }
         changed.draw_pool(kNow, 0);
         const std::vector<Server*> pool = changed.pool();
-        for (const Server& s : servers)
+        for (const Server& s : servers) {
             ASSERT_EQ(s.in_pool, std::find(pool.begin(), pool.end(), &s) != pool.end());
-        Aperture whole(16, cold);
+        }
+        Aperture whole(16, slow_start);
         whole.set_servers(there);
         whole.draw_pool(kNow, 0);
         ASSERT_EQ(pool, whole.pool()) << round;
@@ -97,10 +99,10 @@
     }
 }
 
-// The pool of a sidecar among so many, after it has had so many answers at once.
-std::size_t pool_of(std::size_t fleet, std::uint32_t sidecars, int answers = 0) {
+// The size of the pool of one of so many sidecars, after so many completions at once.
+std::size_t pool_size_of(std::size_t fleet, std::uint32_t sidecars, int completions = 0) {
     const Settings settings = test::settings();
-    const SlowStart cold(settings);
+    const SlowStart slow_start(settings);
     std::vector<Server> servers(fleet);
     std::vector<Server*> all;
     for (std::size_t i = 0; i < fleet; ++i) {
@@ -108,22 +110,22 @@
         servers[i].rank = i;
         all.push_back(&servers[i]);
     }
-    Aperture aperture(sidecars, cold);
+    Aperture aperture(sidecars, slow_start);
     aperture.set_servers(all);
-    for (int i = 0; i < answers; ++i) aperture.record_completion(0, kNow);
+    for (int i = 0; i < completions; ++i) aperture.record_completion(0, kNow);
     aperture.draw_pool(kNow, 0);
     return aperture.pool().size();
 }
 
-// A wider pool costs a light sidecar a new connection for nearly each request.
-TEST(FleetChange, ALightSidecarOfALargeFleetKeepsToWhatItUses) {
-    EXPECT_EQ(pool_of(3200, 300), 48U) << "sixteen of 300 sidecars would see each server with 171";
-    EXPECT_EQ(pool_of(3200, 900), 48U) << "with 57";
-    EXPECT_EQ(pool_of(3200, 300, 300), 120U) << "60 a second come back to as many within 2 s";
-    EXPECT_EQ(pool_of(3200, 300, 3000), 300U) << "windows of a pool that wide are filled: more than 171";
-    EXPECT_EQ(pool_of(200, 10), 80U) << "four sidecars see each";
-    EXPECT_EQ(pool_of(48, 1), 48U) << "the whole fleet";
-    EXPECT_EQ(pool_of(240, 300), 13U) << "as ever";
+// In a wider pool a light sidecar would open a connection for nearly each request.
+TEST(FleetChangeTest, LightSidecarOfALargeFleetKeepsANarrowPool) {
+    EXPECT_EQ(pool_size_of(3200, 300), 48U) << "sixteen of 300 sidecars would see each server with 171";
+    EXPECT_EQ(pool_size_of(3200, 900), 48U) << "with 57";
+    EXPECT_EQ(pool_size_of(3200, 300, 300), 120U) << "60 a second come back to as many within 2 s";
+    EXPECT_EQ(pool_size_of(3200, 300, 3000), 300U) << "windows of a pool that wide are filled: more than 171";
+    EXPECT_EQ(pool_size_of(200, 10), 80U) << "four sidecars see each";
+    EXPECT_EQ(pool_size_of(48, 1), 48U) << "the whole fleet";
+    EXPECT_EQ(pool_size_of(240, 300), 13U) << "as ever";
 }
 
 }  // namespace
--- a/tests/balancer/quiet_test.cpp
+++ b/tests/balancer/quiet_test.cpp
@@ -1,5 +1,5 @@
-// Trouble that begins after a long quiet time, or while the list has been out of reach for long: the rules
-// hold from the first request on, and whoever is healthy is found.
+// Failures that begin after a long quiet period, or while the list has been unreachable for long. The rules
+// hold from the first request on, and healthy servers are found.
 #include "base/random.hpp"
 #include "rig.hpp"
 
@@ -8,18 +8,18 @@
 
 constexpr Millis kHour = 3600000;
 
-// Each request is asked and its attempts end as `outcome` says of their servers.
+// Sends requests whose attempts end as `outcome_of` says of their servers. Returns how many succeeded.
 template <class OutcomeOf>
-int served_of(Rig& rig, int requests, std::uint32_t class_index, OutcomeOf outcome_of) {
+int count_served(Rig& rig, int requests, std::uint32_t class_index, OutcomeOf outcome_of) {
     int served = 0;
     for (int i = 0; i < requests; ++i) {
         const RequestId id = rig.request(class_index);
-        for (int attempt = 0; attempt < 4 && rig.out(id); ++attempt) {
-            const Outcome outcome = outcome_of(rig.where(id));
+        for (int attempt = 0; attempt < 4 && rig.is_in_flight(id); ++attempt) {
+            const Outcome outcome = outcome_of(rig.last_server(id));
             served += outcome == Outcome::success;
             rig.end(id, outcome, 20);
         }
-        rig.pass(20);
+        rig.advance(20);
     }
     return served;
 }
@@ -35,41 +35,46 @@
             make_class(Idempotency::non_idempotent)};
 }
 
-TEST(AfterAQuietTime, HalfOfTheServersFailAndTheRestServe) {
-    for (const std::uint32_t siblings : {1U, 300U})
-        for (const auto& trouble : {half_broken, half_unreachable}) {
+TEST(AfterQuietPeriod, ServesWhileHalfOfTheServersFail) {
+    for (const std::uint32_t siblings : {1U, 300U}) {
+        for (const auto& failures : {half_broken, half_unreachable}) {
             Settings settings = make_settings(every_class());
             settings.siblings = siblings;
             Rig rig(settings);
-            rig.list(ListKind::snapshot, make_servers(10));
+            rig.apply_list(ListKind::snapshot, make_servers(10));
             for (const Millis quiet : {kHour / 60, kHour, 48 * kHour}) {
-                served_of(rig, 200, 0, healthy);
-                rig.pass(quiet);
-                for (std::uint32_t kind = 0; kind < 3; ++kind) served_of(rig, 100, kind, trouble);
-                EXPECT_GT(served_of(rig, 100, 0, trouble), 90) << siblings << " sidecars, " << quiet;
+                count_served(rig, 200, 0, healthy);
+                rig.advance(quiet);
+                for (std::uint32_t class_index = 0; class_index < 3; ++class_index) {
+                    count_served(rig, 100, class_index, failures);
+                }
+                EXPECT_GT(count_served(rig, 100, 0, failures), 90) << siblings << " sidecars, " << quiet;
             }
-            rig.settle();
+            rig.finish_all();
         }
+    }
 }
 
-// The list was out of reach for hours and most servers have been replaced when it comes back.
-TEST(AfterALongOutageOfTheList, WhatItSaysThenIsKeptToAtOnce) {
+// The list is unreachable for hours. When it comes back, most servers have been replaced.
+TEST(AfterListOutage, FollowsTheNewListAtOnce) {
     Rig rig(make_settings(every_class()));
-    rig.list(ListKind::snapshot, make_servers(10));
-    served_of(rig, 200, 0, healthy);
+    rig.apply_list(ListKind::snapshot, make_servers(10));
+    count_served(rig, 200, 0, healthy);
     for (int i = 0; i < 200; ++i) {
-        rig.list(ListKind::failed, {});
-        rig.pass(kHour / 100);
+        rig.apply_list(ListKind::failed, {});
+        rig.advance(kHour / 100);
     }
-    served_of(rig, 50, 0, half_unreachable);
+    count_served(rig, 50, 0, half_unreachable);
     std::vector<ServerInfo> now = make_servers(4);
     for (ServerInfo& s : now) s.id += 100;
     now[0].state = EndpointState::draining;
     now.push_back({1, 1, 0, 1, EndpointState::active, 0});
-    rig.list(ListKind::snapshot, now);
-    EXPECT_GT(served_of(rig, 100, 0, healthy), 95);
-    for (std::uint32_t kind = 0; kind < 3; ++kind) served_of(rig, 100, kind, half_broken);
-    rig.settle();
+    rig.apply_list(ListKind::snapshot, now);
+    EXPECT_GT(count_served(rig, 100, 0, healthy), 95);
+    for (std::uint32_t class_index = 0; class_index < 3; ++class_index) {
+        count_served(rig, 100, class_index, half_broken);
+    }
+    rig.finish_all();
 }
 
 }  // namespace
--- a/tests/balancer/rig.hpp
+++ b/tests/balancer/rig.hpp
@@ -1,5 +1,7 @@
-// What the tests share: a balancer with a clock, its open requests and timers, and a checker that watches
-// every action against rules 1 to 3, written from the rules and not from the module.
+/// @file
+/// What the tests of the whole module share: a balancer with a clock, its open requests and timers, and a
+/// checker that holds every action against rules 1 to 3. The checker is written from the rules, not from the
+/// module.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -7,241 +9,298 @@
 #include <algorithm>
 #include <map>
 #include <set>
+#include <string>
+#include <utility>
 #include <vector>
 
 #include "elmbay/balancer.hpp"
 
 namespace elmbay::balancer::test {
 
+/// A class with an objective of 400 ms.
 inline RequestClass make_class(Idempotency idempotency, DedupScope scope = DedupScope::all,
                                Millis window = 3000) {
-    RequestClass c;
-    c.idempotency = idempotency;
-    c.dedup_scope = scope;
-    c.dedup_window = window;
-    c.latency_objective = 400;
-    return c;
+    RequestClass request_class;
+    request_class.idempotency = idempotency;
+    request_class.dedup_scope = scope;
+    request_class.dedup_window = window;
+    request_class.latency_objective = 400;
+    return request_class;
 }
 
+/// Settings of a single sidecar with four attempts a request and a slow start of 20 s.
 inline Settings make_settings(std::vector<RequestClass> classes = {make_class(Idempotency::idempotent)}) {
-    Settings s;
-    s.classes = std::move(classes);
-    s.max_attempts = 4;
-    s.slow_start_min_share = 0.2;
-    s.slow_start_duration = 20000;
-    return s;
+    Settings settings;
+    settings.classes = std::move(classes);
+    settings.max_attempts = 4;
+    settings.slow_start_min_share = 0.2;
+    settings.slow_start_duration = 20000;
+    return settings;
 }
 
+/// Servers 1 to `count`, in three zones and two cells.
 inline std::vector<ServerInfo> make_servers(ServerId count, Millis online_since = 0) {
     std::vector<ServerInfo> servers;
-    for (ServerId i = 1; i <= count; ++i)
-        servers.push_back({i, i % 3, 0, i % 2, EndpointState::active, online_since});
+    for (ServerId id = 1; id <= count; ++id) {
+        servers.push_back({id, id % 3, 0, id % 2, EndpointState::active, online_since});
+    }
     return servers;
 }
 
+/// A sidecar in virtual time. Events go in by handle() and what builds on it; each action is checked and
+/// carried out. Time moves by advance(), and by those functions that say so.
 struct Rig {
-    struct Sent {
+    /// An attempt that the balancer has asked for.
+    struct SentAttempt {
         ServerId server;
-        Millis at;
-        Millis until;
-        bool out = true;
+        Millis sent_at;
+        Millis deadline;
+        bool in_flight = true;
         bool may_have_run = true;
     };
-    struct Open {
-        RequestClass kind;
+    /// A request, as its client and its servers see it.
+    struct OpenRequest {
+        RequestClass request_class;
         Millis deadline;
-        std::vector<Sent> sent;
-        int answers = 0;
-        bool gone = false;
-        bool refused = false;
-        bool session = false;
+        std::vector<SentAttempt> attempts;
+        int responses = 0;  ///< final ones
+        bool client_gone = false;
+        bool rejected = false;
+        bool session = false;  ///< its attempts are upgrades
     };
 
     Settings settings;
     Balancer balancer;
     Millis now = 100000;
-    std::map<RequestId, Open> requests;
-    std::map<ServerId, ServerInfo> servers;  // as last told
+    std::map<RequestId, OpenRequest> requests;
+    std::map<ServerId, ServerInfo> servers;  ///< as last listed
     std::multimap<Millis, TimerToken> timers;
-    std::vector<Action> last;      // actions of the last event
-    std::set<RequestId> sessions;  // that stand
+    std::vector<Action> last_actions;  ///< of the last event
+    std::set<RequestId> sessions;      ///< that stand
     RequestId next_id = 1;
     std::vector<std::string> logs;
 
-    explicit Rig(Settings s, std::uint64_t seed = 1) : settings(s), balancer(std::move(s), seed) {}
+    explicit Rig(Settings given, std::uint64_t seed = 1)
+        : settings(given), balancer(std::move(given), seed) {}
 
-    void give(const Event& event) {
-        last.clear();
-        balancer.handle(now, event, last);
-        for (const Action& a : last) watch(a);
+    // ---- Events -----------------------------------------------------------------------------------------
+
+    /// Feeds an event, then checks and carries out its actions.
+    void handle(const Event& event) {
+        last_actions.clear();
+        balancer.handle(now, event, last_actions);
+        for (const Action& action : last_actions) carry_out(action);
     }
 
-    void list(ListKind kind, const std::vector<ServerInfo>& infos) {
-        if (kind != ListKind::incremental && kind != ListKind::failed)
-            for (auto& [id, s] : servers) s.state = EndpointState::removed;
-        for (const ServerInfo& s : infos) servers[s.id] = s;
-        give(ServerList{kind, infos});
+    /// Feeds an endpoint list.
+    void apply_list(ListKind kind, const std::vector<ServerInfo>& infos) {
+        const bool is_whole = kind != ListKind::incremental && kind != ListKind::failed;
+        if (is_whole) {
+            for (auto& [id, server] : servers) server.state = EndpointState::removed;
+        }
+        for (const ServerInfo& info : infos) servers[info.id] = info;
+        handle(ServerList{kind, infos});
     }
 
+    /// A request arrives.
     RequestId request(std::uint32_t class_index = 0, Millis time_left = 1000, bool repeat = false,
                       bool session = false) {
         const RequestId id = next_id++;
-        RequestClass kind = make_class(Idempotency::non_idempotent);
-        if (class_index < settings.classes.size()) kind = settings.classes[class_index];
-        requests[id] = {kind, now + time_left, {}, 0, false, false, session};
-        give(RequestArrived{id, class_index, {}, time_left, 0, repeat, false, session});
+        RequestClass request_class =
+            make_class(Idempotency::non_idempotent);  // what an unknown class counts as
+        if (class_index < settings.classes.size()) request_class = settings.classes[class_index];
+        requests[id] = {request_class, now + time_left, {}, 0, false, false, session};
+        handle(RequestArrived{id, class_index, {}, time_left, 0, repeat, false, session});
         return id;
     }
 
+    /// Many requests arrive at once.
     std::vector<RequestId> burst(int count, Millis time_left = 1000, bool repeat = false) {
         std::vector<RequestId> ids;
         for (int i = 0; i < count; ++i) ids.push_back(request(0, time_left, repeat));
         return ids;
     }
-    int still_out(const std::vector<RequestId>& ids) const {
-        return static_cast<int>(std::count_if(ids.begin(), ids.end(), [&](RequestId id) { return out(id); }));
-    }
-    // Later, all of them that are still out are answered at once.
-    void serve(const std::vector<RequestId>& ids, Millis after) {
+
+    /// `after` milliseconds later, all of the requests that are in flight succeed at once.
+    void complete_all(const std::vector<RequestId>& ids, Millis after) {
         now += after;
-        for (const RequestId id : ids)
-            if (out(id)) end(id, Outcome::success, 0);
+        for (const RequestId id : ids) {
+            if (is_in_flight(id)) end(id, Outcome::success, 0);
+        }
     }
 
-    // Ends the last attempt of a request that is out.
+    /// `after` milliseconds later, the first attempt of the request that is in flight ends.
     void end(RequestId id, Outcome outcome, Millis after = 50) {
         now += after;
-        Open& r = requests.at(id);
-        for (std::uint32_t i = 0; i < r.sent.size(); ++i)
-            if (r.sent[i].out) return end_attempt(id, i, outcome);
-        FAIL() << "nothing out for request " << id;
-    }
-
-    void end_attempt(RequestId id, std::uint32_t attempt, Outcome outcome) {
-        Open& r = requests.at(id);
-        Sent& s = r.sent.at(attempt);
-        s.out = false;
-        s.may_have_run = outcome != Outcome::rejected && outcome != Outcome::connect_failed &&
-                         outcome != Outcome::not_sent;
-        if (outcome == Outcome::success && !closed(r)) {
-            ++r.answers;
-            if (r.session) sessions.insert(id);
+        const OpenRequest& request = requests.at(id);
+        for (std::uint32_t i = 0; i < request.attempts.size(); ++i) {
+            if (request.attempts[i].in_flight) return end_attempt(id, i, outcome);
+        }
+        FAIL() << "nothing is in flight for request " << id;
+    }
+
+    /// An attempt ends now.
+    void end_attempt(RequestId id, std::uint32_t index, Outcome outcome) {
+        OpenRequest& request = requests.at(id);
+        SentAttempt& attempt = request.attempts.at(index);
+        attempt.in_flight = false;
+        attempt.may_have_run = outcome != Outcome::rejected && outcome != Outcome::connect_failed &&
+                               outcome != Outcome::not_sent;
+        if (outcome == Outcome::success && !is_closed(request)) {
+            ++request.responses;
+            if (request.session) sessions.insert(id);
         }
-        AttemptEnded e{id, attempt, outcome, now - s.at, closed(r)};
-        give(e);
+        handle(AttemptEnded{id, index, outcome, now - attempt.sent_at, is_closed(request)});
     }
 
+    /// A session is over.
     void end_session(RequestId id, bool broken = false) {
         sessions.erase(id);
-        give(SessionEnded{id, broken});
+        handle(SessionEnded{id, broken});
     }
 
-    // Lets time pass, firing timers and ending attempts that run out.
-    void pass(Millis span) {
+    /// Lets time pass: fires timers, and ends attempts that reach their deadline.
+    void advance(Millis span) {
         const Millis until = now + span;
         for (;;) {
             Millis next = until;
             if (!timers.empty()) next = std::min(next, timers.begin()->first);
-            std::pair<RequestId, std::uint32_t> late{0, 0};
-            for (auto& [id, r] : requests)
-                for (std::uint32_t i = 0; i < r.sent.size(); ++i)
-                    if (r.sent[i].out && std::max(now, r.sent[i].until) < next) {
-                        next = std::max(now, r.sent[i].until);
-                        late = {id, i};
-                    }
+            const auto [timed_out_id, timed_out_attempt] = first_timeout(next);
             now = std::max(now, next);
-            if (late.first) {
-                end_attempt(late.first, late.second, Outcome::timed_out);
+            if (timed_out_id != 0) {
+                end_attempt(timed_out_id, timed_out_attempt, Outcome::timed_out);
             } else if (!timers.empty() && timers.begin()->first <= now && now <= until) {
                 const TimerToken token = timers.begin()->second;
                 timers.erase(timers.begin());
-                give(TimerFired{token});
+                handle(TimerFired{token});
             } else {
                 return;
             }
         }
     }
 
-    bool closed(const Open& r) const { return r.answers > 0 || r.gone; }
-    bool out(RequestId id) const {
-        const auto& sent = requests.at(id).sent;
-        return std::any_of(sent.begin(), sent.end(), [](const Sent& s) { return s.out; });
+    /// Lets a minute pass. Then every request must have been answered, and nothing of any may be left.
+    void finish_all() {
+        advance(60000);
+        for (const auto& [id, request] : requests) {
+            EXPECT_TRUE(is_closed(request)) << "rule 1: request " << id << " unanswered";
+        }
+        EXPECT_EQ(balancer.resource_usage().requests, 0U);
+        EXPECT_EQ(balancer.resource_usage().sessions, sessions.size());
     }
-    ServerId where(RequestId id) const { return requests.at(id).sent.back().server; }
-    std::size_t sends(RequestId id) const { return requests.at(id).sent.size(); }
-    auto removals() const { return std::count(logs.begin(), logs.end(), "removed from the pool"); }
-    template <class T>
-    int count() const {
+
+    // ---- Questions --------------------------------------------------------------------------------------
+
+    /// Whether the request has its final response, or its client has gone.
+    bool is_closed(const OpenRequest& request) const { return request.responses > 0 || request.client_gone; }
+    /// Whether an attempt of the request is in flight.
+    bool is_in_flight(RequestId id) const {
+        const std::vector<SentAttempt>& attempts = requests.at(id).attempts;
+        return std::any_of(attempts.begin(), attempts.end(),
+                           [](const SentAttempt& attempt) { return attempt.in_flight; });
+    }
+    /// How many of the requests have an attempt in flight.
+    int count_in_flight(const std::vector<RequestId>& ids) const {
         return static_cast<int>(
-            std::count_if(last.begin(), last.end(), [](const Action& a) { return std::get_if<T>(&a); }));
-    }
-
-    void watch(const Action& action) {
-        if (const auto* send = std::get_if<StartAttempt>(&action)) on_send(*send);
-        if (const auto* refuse = std::get_if<Reject>(&action)) {
-            Open& r = requests.at(refuse->id);
-            const Sent* first = nullptr;
-            for (const Sent& s : r.sent)
-                if (s.may_have_run && !first) first = &s;
-            if (first) {
-                EXPECT_TRUE(r.kind.idempotency == Idempotency::idempotent ||
-                            (r.kind.idempotency == Idempotency::idempotency_key &&
-                             r.kind.dedup_scope == DedupScope::all))
-                    << "rule 2: refused after a possible run";
+            std::count_if(ids.begin(), ids.end(), [&](RequestId id) { return is_in_flight(id); }));
+    }
+    /// Where the last attempt of the request went.
+    ServerId last_server(RequestId id) const { return requests.at(id).attempts.back().server; }
+    /// Attempts of the request so far.
+    std::size_t attempt_count(RequestId id) const { return requests.at(id).attempts.size(); }
+    /// Servers that have been ejected so far, by the log.
+    auto ejection_count() const { return std::count(logs.begin(), logs.end(), "removed from the pool"); }
+    /// Actions of that type that followed from the last event.
+    template <class ActionType>
+    int count() const {
+        return static_cast<int>(std::count_if(last_actions.begin(), last_actions.end(), [](const Action& a) {
+            return std::holds_alternative<ActionType>(a);
+        }));
+    }
+
+private:
+    // The first attempt whose deadline is before `next`, which is then set to its time. Request 0: none.
+    std::pair<RequestId, std::uint32_t> first_timeout(Millis& next) const {
+        std::pair<RequestId, std::uint32_t> first{0, 0};
+        for (const auto& [id, request] : requests) {
+            for (std::uint32_t i = 0; i < request.attempts.size(); ++i) {
+                const SentAttempt& attempt = request.attempts[i];
+                const Millis due = std::max(now, attempt.deadline);
+                if (!attempt.in_flight || !(due < next)) continue;
+                next = due;
+                first = {id, i};
             }
-            r.refused = true;
-            answer(r);
         }
-        if (const auto* failed = std::get_if<Fail>(&action)) answer(requests.at(failed->id));
+        return first;
+    }
+
+    void carry_out(const Action& action) {
+        if (const auto* send = std::get_if<StartAttempt>(&action)) start_attempt(*send);
+        if (const auto* reject = std::get_if<Reject>(&action)) this->reject(requests.at(reject->id));
+        if (const auto* failed = std::get_if<Fail>(&action)) respond(requests.at(failed->id));
         if (const auto* timer = std::get_if<SetTimer>(&action)) timers.emplace(timer->at, timer->token);
         if (const auto* log = std::get_if<Log>(&action)) logs.push_back(log->text);
     }
 
-    void answer(Open& r) {
-        EXPECT_FALSE(closed(r)) << "rule 1: a second final answer";
-        EXPECT_LE(now, r.deadline) << "rule 1: too late an answer";
-        ++r.answers;
+    static const SentAttempt* first_possible_execution(const OpenRequest& request) {
+        for (const SentAttempt& attempt : request.attempts) {
+            if (attempt.may_have_run) return &attempt;
+        }
+        return nullptr;
+    }
+
+    void reject(OpenRequest& request) {
+        if (first_possible_execution(request)) {
+            const RequestClass& request_class = request.request_class;
+            const bool deduplicated_everywhere = request_class.idempotency == Idempotency::idempotency_key &&
+                                                 request_class.dedup_scope == DedupScope::all;
+            EXPECT_TRUE(request_class.idempotency == Idempotency::idempotent || deduplicated_everywhere)
+                << "rule 2: rejected after a possible run";
+        }
+        request.rejected = true;
+        respond(request);
+    }
+
+    void respond(OpenRequest& request) {
+        EXPECT_FALSE(is_closed(request)) << "rule 1: a second final response";
+        EXPECT_LE(now, request.deadline) << "rule 1: too late a response";
+        ++request.responses;
     }
 
-    void on_send(const StartAttempt& send) {
-        Open& r = requests.at(send.id);
-        EXPECT_FALSE(closed(r)) << "rule 1: sent after the final answer";
-        EXPECT_LT(r.sent.size(), settings.max_attempts) << "too many attempts";
+    void start_attempt(const StartAttempt& send) {
+        OpenRequest& request = requests.at(send.id);
+        EXPECT_FALSE(is_closed(request)) << "rule 1: sent after the final response";
+        EXPECT_LT(request.attempts.size(), settings.max_attempts) << "too many attempts";
         EXPECT_EQ(servers.at(send.server).state, EndpointState::active)
-            << "rule 3: sent to a draining or gone server";
-        const ServerInfo& to = servers.at(send.server);
-        const Sent* first = nullptr;
-        for (const Sent& s : r.sent) {
-            if (s.out) {
-                EXPECT_TRUE(settings.allow_hedging) << "two attempts out";
-            }
-            if (!s.may_have_run) continue;
-            if (!first) first = &s;
-            EXPECT_NE(r.kind.idempotency, Idempotency::non_idempotent)
-                << "rule 2: sent again after a possible run";
-            if (r.kind.idempotency != Idempotency::idempotency_key) continue;
-            const ServerInfo& before = servers.at(s.server);
-            if (r.kind.dedup_scope == DedupScope::zone) {
-                EXPECT_EQ(to.zone, before.zone) << "rule 2: zone";
-            }
-            if (r.kind.dedup_scope == DedupScope::cell) {
-                EXPECT_EQ(to.cell, before.cell) << "rule 2: cell";
+            << "rule 3: sent to a draining or removed server";
+        for (const SentAttempt& earlier : request.attempts) {
+            if (earlier.in_flight) {
+                EXPECT_TRUE(settings.allow_hedging) << "two attempts in flight";
             }
+            if (earlier.may_have_run) check_rule_2(request, earlier, servers.at(send.server));
         }
-        if (first && r.kind.idempotency == Idempotency::idempotency_key) {
-            EXPECT_LT(now, first->at + r.kind.dedup_window) << "rule 2: after the window";
+        const SentAttempt* first = first_possible_execution(request);
+        if (first && request.request_class.idempotency == Idempotency::idempotency_key) {
+            EXPECT_LT(now, first->sent_at + request.request_class.dedup_window) << "rule 2: after the window";
         }
-        r.sent.push_back(
-            {send.server, now, send.attempt_deadline > 0 ? send.attempt_deadline : r.deadline, true, true});
+        const Millis deadline = send.attempt_deadline > 0 ? send.attempt_deadline : request.deadline;
+        request.attempts.push_back({send.server, now, deadline, true, true});
     }
 
-    // Everything taken must have been answered once.
-    void settle() {
-        pass(60000);
-        for (const auto& [id, r] : requests)
-            EXPECT_TRUE(closed(r)) << "rule 1: request " << id << " unanswered";
-        EXPECT_EQ(balancer.resource_usage().requests, 0U);
-        EXPECT_EQ(balancer.resource_usage().sessions, sessions.size());
+    // The request is sent to `target` though `earlier` may have run.
+    void check_rule_2(const OpenRequest& request, const SentAttempt& earlier,
+                      const ServerInfo& target) const {
+        const RequestClass& request_class = request.request_class;
+        EXPECT_NE(request_class.idempotency, Idempotency::non_idempotent)
+            << "rule 2: sent again after a possible run";
+        if (request_class.idempotency != Idempotency::idempotency_key) return;
+        const ServerInfo& before = servers.at(earlier.server);
+        if (request_class.dedup_scope == DedupScope::zone) {
+            EXPECT_EQ(target.zone, before.zone) << "rule 2: zone";
+        }
+        if (request_class.dedup_scope == DedupScope::cell) {
+            EXPECT_EQ(target.cell, before.cell) << "rule 2: cell";
+        }
     }
 };
 
--- a/tests/balancer/rules_test.cpp
+++ b/tests/balancer/rules_test.cpp
@@ -1,5 +1,5 @@
-// Rules 1 to 3 on every action, over seeded random but legal event sequences, and each rule's temptation.
-// The sequences pick outcomes at random; no server is modelled here.
+// Rules 1 to 3: on every action of seeded random event sequences that are legal, and where breaking each rule
+// would pay. Outcomes are drawn at random; no server is modelled.
 #include <cmath>
 
 #include "rig.hpp"
@@ -7,6 +7,7 @@
 namespace elmbay::balancer::test {
 namespace {
 
+// A small random generator, other than the module's own.
 class Dice {
 public:
     explicit Dice(std::uint64_t seed) : state_(seed * 2654435761u + 1) {}
@@ -19,26 +20,28 @@
     std::uint64_t state_;
 };
 
-Settings mixed(bool parallel) {
+Settings mixed_settings(bool allow_hedging) {
     Settings s = make_settings({make_class(Idempotency::idempotent), make_class(Idempotency::non_idempotent),
                                 make_class(Idempotency::idempotency_key, DedupScope::all, 700),
                                 make_class(Idempotency::idempotency_key, DedupScope::zone, 700),
                                 make_class(Idempotency::idempotency_key, DedupScope::cell, 700)});
-    s.allow_hedging = parallel;
+    s.allow_hedging = allow_hedging;
     return s;
 }
 
 void end_random(Rig& rig, Dice& dice) {
     std::vector<std::pair<RequestId, std::uint32_t>> out;
-    for (const auto& [id, r] : rig.requests)
-        for (std::uint32_t i = 0; i < r.sent.size(); ++i)
-            if (r.sent[i].out) out.emplace_back(id, i);
+    for (const auto& [id, r] : rig.requests) {
+        for (std::uint32_t i = 0; i < r.attempts.size(); ++i) {
+            if (r.attempts[i].in_flight) out.emplace_back(id, i);
+        }
+    }
     if (out.empty()) return;
     const auto [id, attempt] = out[dice.below(static_cast<std::uint32_t>(out.size()))];
     static const Outcome outcomes[] = {Outcome::success,          Outcome::success,        Outcome::success,
                                        Outcome::error_response,   Outcome::rejected,       Outcome::timed_out,
                                        Outcome::connection_reset, Outcome::connect_failed, Outcome::not_sent};
-    const bool closed = rig.closed(rig.requests.at(id));
+    const bool closed = rig.is_closed(rig.requests.at(id));
     rig.end_attempt(id, attempt, closed ? Outcome::cancelled : outcomes[dice.below(9)]);
 }
 
@@ -48,18 +51,19 @@
                                     EndpointState::removed};
     const Millis since = dice.below(2) ? rig.now - dice.below(5000) : 0;
     if (dice.below(5)) {
-        rig.list(ListKind::incremental, {{id, id % 3, 0, id % 2, states[dice.below(4)], since}});
+        rig.apply_list(ListKind::incremental, {{id, id % 3, 0, id % 2, states[dice.below(4)], since}});
     } else {
         std::vector<ServerInfo> infos;
-        for (ServerId s = 1; s <= 10; ++s)
+        for (ServerId s = 1; s <= 10; ++s) {
             if (dice.below(3)) infos.push_back({s, s % 3, 0, s % 2, EndpointState::active, 0});
-        rig.list(dice.below(4) ? ListKind::snapshot : ListKind::failed, infos);
+        }
+        rig.apply_list(dice.below(4) ? ListKind::snapshot : ListKind::failed, infos);
     }
 }
 
-void random_life(Rig& rig, Dice& dice, int steps) {
-    rig.give(Started{});
-    rig.list(ListKind::cached, make_servers(6));
+void feed_random_events(Rig& rig, Dice& dice, int steps) {
+    rig.handle(Started{});
+    rig.apply_list(ListKind::cached, make_servers(6));
     for (int i = 0; i < steps; ++i) {
         const std::uint32_t what = dice.below(100);
         if (what < 45) {
@@ -71,25 +75,27 @@
         } else if (what < 90 && !rig.requests.empty()) {
             auto at = rig.requests.begin();
             std::advance(at, dice.below(static_cast<std::uint32_t>(rig.requests.size())));
-            if (!rig.closed(at->second)) {
-                at->second.gone = true;
-                rig.give(ClientDisconnected{at->first});
+            if (!rig.is_closed(at->second)) {
+                at->second.client_gone = true;
+                rig.handle(ClientDisconnected{at->first});
             }
         } else {
-            rig.pass(dice.below(what == 99 ? 4000 : 60));
+            rig.advance(dice.below(what == 99 ? 4000 : 60));
+        }
+        for (auto at = rig.requests.begin(); at != rig.requests.end();) {  // keeps the rig quick
+            at = rig.is_closed(at->second) && !rig.is_in_flight(at->first) ? rig.requests.erase(at)
+                                                                           : std::next(at);
         }
-        for (auto at = rig.requests.begin(); at != rig.requests.end();)  // keeps the rig quick
-            at = rig.closed(at->second) && !rig.out(at->first) ? rig.requests.erase(at) : std::next(at);
     }
 }
 
-TEST(Rules, HoldOverRandomLegalLives) {
+TEST(Rules, HoldOverRandomLegalEvents) {
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
         SCOPED_TRACE(seed);
-        Rig rig(mixed(seed % 2), seed);
+        Rig rig(mixed_settings(seed % 2), seed);
         Dice dice(seed);
-        random_life(rig, dice, 1500);
-        rig.settle();
+        feed_random_events(rig, dice, 1500);
+        rig.finish_all();
         if (::testing::Test::HasFailure()) return;
     }
 }
@@ -97,13 +103,13 @@
 TEST(Rules, SameEventsGiveTheSameActions) {
     std::vector<std::string> traces;
     for (int run = 0; run < 2; ++run) {
-        Rig rig(mixed(false), 5);
+        Rig rig(mixed_settings(false), 5);
         Dice dice(5);
         std::string trace;
-        rig.list(ListKind::snapshot, make_servers(6));
+        rig.apply_list(ListKind::snapshot, make_servers(6));
         for (int i = 0; i < 500; ++i) {
             const RequestId id = rig.request(dice.below(5));
-            trace += rig.out(id) ? std::to_string(rig.where(id)) + "," : "-,";
+            trace += rig.is_in_flight(id) ? std::to_string(rig.last_server(id)) + "," : "-,";
             end_random(rig, dice);
             rig.now += 1;
         }
@@ -112,145 +118,146 @@
     EXPECT_EQ(traces[0], traces[1]);
 }
 
-TEST(Rules, MemoryStaysBoundedOverALongLife) {
-    Rig rig(mixed(false), 3);
+TEST(Rules, MemoryStaysBoundedOverALongRun) {
+    Rig rig(mixed_settings(false), 3);
     Dice dice(3);
     ServerId fresh = 100;
     for (int round = 0; round < 60; ++round) {
-        random_life(rig, dice, 300);
-        rig.list(ListKind::snapshot, {{fresh, 0, 0, 0, EndpointState::active, 0},
-                                      {fresh + 1, 1, 0, 1, EndpointState::active, 0}});
+        feed_random_events(rig, dice, 300);
+        rig.apply_list(ListKind::snapshot, {{fresh, 0, 0, 0, EndpointState::active, 0},
+                                            {fresh + 1, 1, 0, 1, EndpointState::active, 0}});
         fresh += 2;
-        rig.pass(10000);
+        rig.advance(10000);
     }
-    rig.settle();
+    rig.finish_all();
     EXPECT_EQ(rig.balancer.resource_usage().requests, 0U);
     EXPECT_LE(rig.balancer.resource_usage().servers, 2U);
     EXPECT_LE(rig.balancer.resource_usage().timers, 1U);
 }
 
-// ---- One temptation each --------------------------------------------------------------------------------
+// ---- Each rule where breaking it would pay --------------------------------------------------------------
 
-Rig three(RequestClass kind, std::uint64_t seed = 1) {
-    Rig rig(make_settings({kind}), seed);
-    rig.list(ListKind::snapshot, make_servers(3));
+Rig three_servers(RequestClass request_class, std::uint64_t seed = 1) {
+    Rig rig(make_settings({request_class}), seed);
+    rig.apply_list(ListKind::snapshot, make_servers(3));
     return rig;
 }
 
-TEST(Rule2, OnceIsNeverSentAgainNorRefusedAfterAPossibleRun) {
+TEST(Rule2, NeitherRetriesNorRejectsNonIdempotentRequestThatMayHaveRun) {
     for (const Outcome outcome : {Outcome::error_response, Outcome::timed_out, Outcome::connection_reset}) {
-        Rig rig = three(make_class(Idempotency::non_idempotent));
+        Rig rig = three_servers(make_class(Idempotency::non_idempotent));
         const RequestId id = rig.request();
         rig.end(id, outcome);
-        EXPECT_EQ(rig.sends(id), 1U);
-        EXPECT_EQ(rig.requests.at(id).answers, 1);
-        EXPECT_FALSE(rig.requests.at(id).refused);
+        EXPECT_EQ(rig.attempt_count(id), 1U);
+        EXPECT_EQ(rig.requests.at(id).responses, 1);
+        EXPECT_FALSE(rig.requests.at(id).rejected);
     }
 }
 
-TEST(Rule2, UnknownClassIsTreatedAsOnce) {
-    Rig rig = three(make_class(Idempotency::idempotent));
+TEST(Rule2, TreatsUnknownClassAsNonIdempotent) {
+    Rig rig = three_servers(make_class(Idempotency::idempotent));
     const RequestId id = rig.request(9);
     rig.end(id, Outcome::error_response);
-    EXPECT_EQ(rig.sends(id), 1U);
-    EXPECT_FALSE(rig.requests.at(id).refused);
+    EXPECT_EQ(rig.attempt_count(id), 1U);
+    EXPECT_FALSE(rig.requests.at(id).rejected);
 }
 
-TEST(Rule2, RepeatableIsSentAgainAfterAnything) {
+TEST(Rule2, RetriesIdempotentRequestAfterAnyFailure) {
     for (const Outcome outcome : {Outcome::error_response, Outcome::connection_reset, Outcome::rejected}) {
-        Rig rig = three(make_class(Idempotency::idempotent));
+        Rig rig = three_servers(make_class(Idempotency::idempotent));
         const RequestId id = rig.request();
         rig.end(id, outcome);
-        EXPECT_EQ(rig.sends(id), 2U);
+        EXPECT_EQ(rig.attempt_count(id), 2U);
     }
 }
 
-TEST(Rule2, ByKeyStaysInItsZoneAndWindow) {
+TEST(Rule2, RetriesWithIdempotencyKeyWithinZoneAndWindow) {
     Rig rig(make_settings({make_class(Idempotency::idempotency_key, DedupScope::zone, 300)}));
-    rig.list(ListKind::snapshot, make_servers(9));
+    rig.apply_list(ListKind::snapshot, make_servers(9));
     for (int i = 0; i < 30; ++i) {
         const RequestId id = rig.request();
-        const ServerId first = rig.where(id);
+        const ServerId first = rig.last_server(id);
         rig.end(id, i % 2 ? Outcome::error_response : Outcome::connection_reset, i % 3 ? 10 : 400);
         if (i % 3) {
-            EXPECT_EQ(rig.where(id) % 3, first % 3);
+            EXPECT_EQ(rig.last_server(id) % 3, first % 3);
         } else {
-            EXPECT_EQ(rig.sends(id), 1U) << "the window has passed";
+            EXPECT_EQ(rig.attempt_count(id), 1U) << "the window has passed";
         }
-        while (rig.out(id)) rig.end(id, Outcome::success, 1);
+        while (rig.is_in_flight(id)) rig.end(id, Outcome::success, 1);
     }
 }
 
-TEST(Rule2, ByKeyZoneIsNotRefusedAfterAPossibleRunButByKeyAllIs) {
+TEST(Rule2, RejectsAfterAPossibleRunOnlyWhenAllServersDeduplicate) {
     for (const DedupScope scope : {DedupScope::zone, DedupScope::all}) {
         Rig rig(make_settings({make_class(Idempotency::idempotency_key, scope)}));
-        rig.list(ListKind::snapshot, make_servers(1));
+        rig.apply_list(ListKind::snapshot, make_servers(1));
         const RequestId id = rig.request(0, 300);
         rig.end(id, Outcome::error_response, 10);
-        while (rig.out(id)) rig.end(id, Outcome::error_response, 10);
-        rig.settle();
-        EXPECT_EQ(rig.requests.at(id).refused, scope == DedupScope::all);
+        while (rig.is_in_flight(id)) rig.end(id, Outcome::error_response, 10);
+        rig.finish_all();
+        EXPECT_EQ(rig.requests.at(id).rejected, scope == DedupScope::all);
     }
 }
 
-// The driver may be held up between the word and the write; it is told how long the write is worth it.
-TEST(Rule2, ARepeatIsToBeWrittenWhileTheFirstIsRemembered) {
+// The driver may be held up between the decision and the write. It is told until when the write may happen.
+TEST(Rule2, RetryHasAWriteDeadlineWithinTheDeduplicationWindow) {
     for (const Idempotency idempotency : {Idempotency::idempotency_key, Idempotency::idempotent}) {
         Rig rig(make_settings({make_class(idempotency, DedupScope::all, 300)}));
-        rig.list(ListKind::snapshot, make_servers(3));
+        rig.apply_list(ListKind::snapshot, make_servers(3));
         const Millis first = rig.now;
         const RequestId id = rig.request();
         const auto write_by = [&rig] {
-            for (const Action& a : rig.last)
+            for (const Action& a : rig.last_actions) {
                 if (const auto* send = std::get_if<StartAttempt>(&a)) return send->write_by;
+            }
             return 0.0;
         };
-        EXPECT_TRUE(std::isinf(write_by())) << "nothing came before it";
+        EXPECT_TRUE(std::isinf(write_by())) << "no attempt came before it";
         rig.end(id, Outcome::error_response, 100);
-        ASSERT_EQ(rig.sends(id), 2U);
+        ASSERT_EQ(rig.attempt_count(id), 2U);
         EXPECT_EQ(std::isinf(write_by()), idempotency == Idempotency::idempotent);
         if (idempotency == Idempotency::idempotency_key) {
-            EXPECT_LE(write_by(), first + 300 - 150) << "held up for 0.15 s before the write, it is in time";
+            EXPECT_LE(write_by(), first + 300 - 150) << "a write that is held up for 150 ms is in time";
             EXPECT_GT(write_by(), first + 300 - 200);
         }
-        // It was not written in time, and nothing else may be either: the answer does not wait.
+        // It was not written in time, and nothing else may be either: the final response does not wait.
         if (idempotency != Idempotency::idempotency_key) continue;
         rig.end(id, Outcome::not_sent, 190);
-        EXPECT_EQ(rig.requests.at(id).answers, 1);
-        EXPECT_FALSE(rig.requests.at(id).refused) << "the client's next one could run as well";
+        EXPECT_EQ(rig.requests.at(id).responses, 1);
+        EXPECT_FALSE(rig.requests.at(id).rejected) << "the client's next try could run as well";
     }
 }
 
-// A refusal says that the next try is harmless: also when it comes.
-TEST(Rule2, ByKeyIsNotRefusedSoLateThatTheNextTryMissesTheWindow) {
+// A rejection says that the next try is harmless. It has to be when it comes.
+TEST(Rule2, DoesNotRejectWhenTheClientsRetryWouldMissTheWindow) {
     for (const Millis after : {20.0, 200.0}) {
         Rig rig(make_settings({make_class(Idempotency::idempotency_key, DedupScope::all, 400)}));
-        rig.list(ListKind::snapshot, make_servers(1));
+        rig.apply_list(ListKind::snapshot, make_servers(1));
         const RequestId id = rig.request(0, 1000);
         rig.end(id, Outcome::error_response, after - 3);
         for (int i = 0; i < 3; ++i) rig.end(id, Outcome::rejected, 1);  // no attempt is left
-        EXPECT_EQ(rig.requests.at(id).answers, 1);
-        EXPECT_EQ(rig.requests.at(id).refused, after == 20) << after;
+        EXPECT_EQ(rig.requests.at(id).responses, 1);
+        EXPECT_EQ(rig.requests.at(id).rejected, after == 20) << after;
     }
 }
 
-TEST(Rule3, NothingIsSentToADrainingServer) {
-    Rig rig = three(make_class(Idempotency::idempotent));
-    rig.list(ListKind::incremental, {{1, 0, 0, 0, EndpointState::draining, 0}});
+TEST(Rule3, SendsNothingToADrainingServer) {
+    Rig rig = three_servers(make_class(Idempotency::idempotent));
+    rig.apply_list(ListKind::incremental, {{1, 0, 0, 0, EndpointState::draining, 0}});
     for (int i = 0; i < 50; ++i) {
         const RequestId id = rig.request();
-        EXPECT_NE(rig.where(id), 1U);
+        EXPECT_NE(rig.last_server(id), 1U);
         rig.end(id, Outcome::success);
     }
 }
 
-TEST(Rule1, AHeldRequestIsAnsweredInTime) {
+TEST(Rule1, AnswersWaitingRequestInTime) {
     Rig rig(make_settings({make_class(Idempotency::non_idempotent)}));
     const RequestId id = rig.request(0, 50);
-    EXPECT_EQ(rig.requests.at(id).answers, 0);
-    rig.settle();
-    EXPECT_EQ(rig.requests.at(id).answers, 1);
-    EXPECT_TRUE(rig.requests.at(id).refused) << "it never went out, so trying again is harmless";
+    EXPECT_EQ(rig.requests.at(id).responses, 0);
+    rig.finish_all();
+    EXPECT_EQ(rig.requests.at(id).responses, 1);
+    EXPECT_TRUE(rig.requests.at(id).rejected) << "it was never sent, so trying again is harmless";
 }
 
 }  // namespace
--- /dev/null
+++ b/tests/balancer/samples.hpp
@@ -0,0 +1,52 @@
+/// @file
+/// What the tests of single classes share: settings, servers and attempts with the figures that they build
+/// on.
+#pragma once
+
+#include <vector>
+
+#include "balancer/request.hpp"
+#include "balancer/server.hpp"
+
+namespace elmbay::balancer::test {
+
+/// The time of the tests, in milliseconds on the module's clock.
+constexpr Millis kNow = 1e6;
+
+/// One idempotent class with an objective of 400 ms for each weight; a slow start of 10 s.
+inline Settings settings_of(std::uint32_t siblings, const std::vector<double>& priority_weights = {1}) {
+    Settings settings;
+    for (const double priority_weight : priority_weights) {
+        RequestClass request_class;
+        request_class.idempotency = Idempotency::idempotent;
+        request_class.latency_objective = 400;
+        request_class.priority_weight = priority_weight;
+        settings.classes.push_back(request_class);
+    }
+    settings.siblings = siblings;
+    settings.max_attempts = 4;
+    settings.slow_start_min_share = 0.2;
+    settings.slow_start_duration = 10000;
+    settings.overload_multiple = 2.5;
+    return settings;
+}
+
+/// A warm server without a record.
+inline Server server_of(ServerId id, std::uint64_t rank = 0) {
+    Server server;
+    server.info.id = id;
+    server.rank = rank;
+    return server;
+}
+
+/// An attempt that was sent 100 ms ago.
+inline Attempt attempt_at(ServerId server, bool in_flight, bool may_have_run) {
+    Attempt attempt;
+    attempt.server = server;
+    attempt.sent_at = kNow - 100;
+    attempt.in_flight = in_flight;
+    attempt.may_have_run = may_have_run;
+    return attempt;
+}
+
+}  // namespace elmbay::balancer::test
--- a/tests/balancer/server_age_test.cpp
+++ b/tests/balancer/server_age_test.cpp
@@ -1,4 +1,4 @@
-// When servers started, as ServerAges places it, with wall clocks that are wrong or stepped.
+// When servers started (ServerAges), with wall clocks that are wrong or stepped.
 #include "balancer/server_age.hpp"
 
 #include <gtest/gtest.h>
@@ -17,7 +17,8 @@
 constexpr Millis kEver = std::numeric_limits<Millis>::infinity();
 constexpr Millis kSteps[] = {-kHour, -5 * kSecond, 5 * kSecond, kHour};
 
-// A server whose process started at that time of the module's clock, told by a clock that is off by so much.
+// A server whose process started at that time of the module's clock, as its own wall clock, off by so much,
+// has it.
 ServerInfo started(ServerId id, Millis at, Millis off = 0) {
     ServerInfo info;
     info.id = id;
@@ -29,60 +30,61 @@
     info.id = id;
     return info;
 }
-std::vector<ServerInfo> old_ones(ServerId from, ServerId to) {
+std::vector<ServerInfo> old_servers(ServerId from, ServerId to) {
     std::vector<ServerInfo> servers;
     for (ServerId id = from; id <= to; ++id) servers.push_back(old(id));
     return servers;
 }
 
-// The ages, and our wall clock.
+// ServerAges with a clock and this machine's wall clock, which is off by wall_off.
 struct Ages {
     ServerAges ages;
     Millis now = kNow;
     Millis wall_off = 0;
 
-    void hear(ListKind kind, std::vector<ServerInfo> servers, Millis list_age_bound = 0) {
+    void record_list(ListKind kind, std::vector<ServerInfo> servers, Millis list_age_bound = 0) {
         ages.record_list({kind, std::move(servers), kUnix + now + wall_off, list_age_bound}, now);
     }
     Millis age(ServerId id) const { return now - ages.process_of(id).started_at; }
     std::uint32_t process(ServerId id) const { return ages.process_of(id).number; }
 };
 
-TEST(ServerAges, AStartHeardOfLiveHasItsAgeFromTheHearingWhateverTheClocksSay) {
-    for (const Millis ours : kSteps)
+TEST(ServerAgesTest, StartOnALiveListCountsFromItsHearingWhateverTheClocks) {
+    for (const Millis ours : kSteps) {
         for (const Millis its : kSteps) {
             Ages a;
             a.wall_off = ours;
-            a.hear(ListKind::cached, old_ones(1, 4), kEver);
+            a.record_list(ListKind::cached, old_servers(1, 4), kEver);
             a.now += kHour;
-            a.hear(ListKind::incremental, {started(5, a.now - 300, its)});
+            a.record_list(ListKind::incremental, {started(5, a.now - 300, its)});
             EXPECT_EQ(a.age(5), 0) << ours << " " << its;
             a.wall_off = -ours;  // stepped while it warms up
             a.now += 4 * kSecond;
-            a.hear(ListKind::incremental, {started(5, a.now - 4300, its)});
-            a.hear(ListKind::snapshot, {old(1), started(5, a.now - 4300, its)});
+            a.record_list(ListKind::incremental, {started(5, a.now - 4300, its)});
+            a.record_list(ListKind::snapshot, {old(1), started(5, a.now - 4300, its)});
             EXPECT_EQ(a.age(5), 4 * kSecond) << ours << " " << its;
             EXPECT_EQ(a.age(1), kEver);
         }
+    }
 }
 
-TEST(ServerAges, TheFirstListsYoungestIsNotWarmerThanItIsUnderOurSteppedClock) {
+TEST(ServerAgesTest, YoungestOfFirstListIsNotTooWarmWithSteppedOwnClock) {
     for (const Millis ours : kSteps) {
         Ages a;
         a.wall_off = ours;
-        auto servers = old_ones(1, 3);
+        auto servers = old_servers(1, 3);
         servers.push_back(started(4, kNow - 2 * kSecond));
-        a.hear(ListKind::cached, servers, kEver);
+        a.record_list(ListKind::cached, servers, kEver);
         EXPECT_LE(a.age(4), 2 * kSecond) << ours;
         EXPECT_GE(a.age(4), 0) << ours;
         EXPECT_EQ(a.age(1), kEver) << ours;
-        // Also where the others' starts are told.
+        // Also where the starts of the others are known.
         Ages b;
         b.wall_off = ours;
-        b.hear(ListKind::cached,
-               {started(1, kNow - 60 * kSecond), started(2, kNow - kHour), started(3, kNow - 2 * kHour),
-                started(4, kNow - 2 * kSecond)},
-               kEver);
+        b.record_list(ListKind::cached,
+                      {started(1, kNow - 60 * kSecond), started(2, kNow - kHour),
+                       started(3, kNow - 2 * kHour), started(4, kNow - 2 * kSecond)},
+                      kEver);
         EXPECT_LE(b.age(4), 2 * kSecond) << ours;
         if (ours > 0) {
             EXPECT_GE(b.age(1), 58 * kSecond) << "the youngest proves that this one is older";
@@ -91,88 +93,89 @@
     }
 }
 
-TEST(ServerAges, WithoutAStepTheFirstListTellsAges) {
+TEST(ServerAgesTest, FirstListGivesAgesWithCorrectClocks) {
     Ages a;
     std::vector<ServerInfo> servers;  // one start every half second, the last one now
     for (ServerId id = 1; id <= 40; ++id) servers.push_back(started(id, kNow - 500.0 * (40 - id)));
-    a.hear(ListKind::cached, servers, kEver);
+    a.record_list(ListKind::cached, servers, kEver);
     for (ServerId id = 1; id <= 40; ++id) EXPECT_NEAR(a.age(id), 500.0 * (40 - id), 1) << id;
 }
 
-// Half of a fleet was replaced at once, some time ago. A sidecar that starts may take a part of it for cold,
-// never most of it.
-TEST(ServerAges, AFleetThatWasReplacedAtOnceIsNotColdForASidecarThatStarts) {
+// A fleet was replaced at once, some time ago. A sidecar that starts may take a part of it for servers in
+// slow start, never most of it.
+TEST(ServerAgesTest, OnlyAQuarterOfAReplacedFleetIsInSlowStartForANewSidecar) {
     Ages a;
     std::vector<ServerInfo> servers;
     for (ServerId id = 1; id <= 40; ++id) servers.push_back(started(id, kNow - kHour + id));
-    a.hear(ListKind::cached, servers, kEver);
-    int cold = 0;
-    for (ServerId id = 1; id <= 40; ++id) cold += a.age(id) < 20 * kSecond;
-    EXPECT_EQ(cold, 10);
+    a.record_list(ListKind::cached, servers, kEver);
+    int in_slow_start = 0;
+    for (ServerId id = 1; id <= 40; ++id) in_slow_start += a.age(id) < 20 * kSecond;
+    EXPECT_EQ(in_slow_start, 10);
     Ages alone;
-    alone.hear(ListKind::cached, {started(1, kNow - kHour)}, kEver);
+    alone.record_list(ListKind::cached, {started(1, kNow - kHour)}, kEver);
     EXPECT_NEAR(alone.age(1), kHour, 1) << "nobody else could serve";
 }
 
-TEST(ServerAges, TwoServersThatAgreeCorrectAClockThatIsBehind) {
+TEST(ServerAgesTest, TwoServersThatAgreeCorrectAnOwnClockThatIsBehind) {
     Ages a;
     a.wall_off = -kHour;
     std::vector<ServerInfo> servers;
     for (ServerId id = 1; id <= 40; ++id) servers.push_back(started(id, kNow - 60.0 * kSecond * (41 - id)));
-    a.hear(ListKind::cached, servers, kEver);
+    a.record_list(ListKind::cached, servers, kEver);
     for (ServerId id = 1; id <= 38; ++id) EXPECT_GE(a.age(id), 60 * kSecond) << id;
     EXPECT_EQ(a.age(40), 0);
     // One alone may be wrong itself.
     Ages b;
-    b.hear(ListKind::cached,
-           {old(1), started(2, kNow - 3 * kSecond), started(3, kNow - 2 * kHour, 4 * kHour)}, kEver);
+    b.record_list(ListKind::cached,
+                  {old(1), started(2, kNow - 3 * kSecond), started(3, kNow - 2 * kHour, 4 * kHour)}, kEver);
     EXPECT_NEAR(b.age(2), 3 * kSecond, 1);
     EXPECT_EQ(b.age(3), 0) << "its start is in our future";
 }
 
-TEST(ServerAges, AStartThatGoesBackIsAnotherProcess) {
+TEST(ServerAgesTest, EarlierStartIsAnotherProcess) {
     Ages a;
-    a.hear(ListKind::cached, {old(1), old(2), started(3, kNow - kHour)}, kEver);
+    a.record_list(ListKind::cached, {old(1), old(2), started(3, kNow - kHour)}, kEver);
     const auto before = a.process(3);
     a.now += kHour;
     const ServerInfo again = started(3, a.now, -3 * kHour);
-    a.hear(ListKind::incremental, {again});
+    a.record_list(ListKind::incremental, {again});
     EXPECT_NE(a.process(3), before);
     EXPECT_EQ(a.age(3), 0);
     // A list that lags behind names the earlier one: what runs there is as young as before.
     const auto now = a.process(3);
     a.now += 2 * kSecond;
-    a.hear(ListKind::snapshot, {old(1), old(2), started(3, kNow - kHour)});
+    a.record_list(ListKind::snapshot, {old(1), old(2), started(3, kNow - kHour)});
     EXPECT_EQ(a.process(3), now);
     EXPECT_EQ(a.age(3), 2 * kSecond);
     a.now += 2 * kSecond;
-    a.hear(ListKind::snapshot, {old(1), old(2), again});
+    a.record_list(ListKind::snapshot, {old(1), old(2), again});
     EXPECT_EQ(a.process(3), now);
     EXPECT_EQ(a.age(3), 4 * kSecond);
     // One that says nothing of its start says nothing new.
-    a.hear(ListKind::incremental, {old(3)});
+    a.record_list(ListKind::incremental, {old(3)});
     EXPECT_EQ(a.age(3), 4 * kSecond);
 }
 
-TEST(ServerAges, OneThatLeavesTheListAndIsBackIsTheSameProcess) {
+TEST(ServerAgesTest, ServerThatReturnsWithTheSameStartIsTheSameProcess) {
     Ages a;
-    a.hear(ListKind::cached, {old(1), old(2), started(3, kNow - kHour), started(4, kNow - kHour - 1)}, kEver);
-    a.hear(ListKind::snapshot, {old(1), old(2)});
+    a.record_list(ListKind::cached, {old(1), old(2), started(3, kNow - kHour), started(4, kNow - kHour - 1)},
+                  kEver);
+    a.record_list(ListKind::snapshot, {old(1), old(2)});
     a.ages.forget(3);
     a.now += kHour;
-    a.hear(ListKind::incremental, {started(3, kNow - kHour)});
+    a.record_list(ListKind::incremental, {started(3, kNow - kHour)});
     EXPECT_GE(a.age(3), kHour);
     EXPECT_EQ(a.process(3), 2U);
 }
 
-TEST(ServerAges, ThoseThatHaveLeftAreRememberedUpToABound) {
+TEST(ServerAgesTest, RemembersDepartedServersUpToABound) {
     Ages a;
-    a.hear(ListKind::cached, old_ones(1, 4), kEver);
+    a.record_list(ListKind::cached, old_servers(1, 4), kEver);
     const auto come_and_go = [&](ServerId id) {
-        a.hear(ListKind::incremental, {started(id, a.now)});
+        a.record_list(ListKind::incremental, {started(id, a.now)});
         ServerInfo off = started(id, a.now);
         off.state = EndpointState::removed;
-        a.hear(ListKind::incremental, {off});
+        a.record_list(ListKind::incremental, {off});
         a.ages.forget(id);
     };
     for (ServerId id = 10; id <= 10 + ServerAges::kMaxDeparted; ++id) come_and_go(id);
@@ -181,21 +184,21 @@
     EXPECT_EQ(a.process(1), 1U);
 }
 
-TEST(ServerAges, AfterAnOutageFewStartsAreHeardNowAndManyAreBelievedUpToItsLength) {
+TEST(ServerAgesTest, AfterOutageFewStartsCountAsNewAndManyAsClaimedUpToItsLength) {
     const Millis outage = 60 * kSecond;
     for (const Millis ours : {0.0, -kHour, kHour}) {
         Ages a;
-        a.hear(ListKind::snapshot, old_ones(1, 40), kEver);
+        a.record_list(ListKind::snapshot, old_servers(1, 40), kEver);
         a.now += kHour;
         a.wall_off = ours;
         std::vector<ServerInfo> few;
         for (ServerId id = 41; id <= 50; ++id) few.push_back(started(id, a.now - 50 * kSecond, -kHour));
-        a.hear(ListKind::incremental, few, outage);
+        a.record_list(ListKind::incremental, few, outage);
         for (ServerId id = 41; id <= 50; ++id) EXPECT_EQ(a.age(id), 0) << id;
         std::vector<ServerInfo> many;
         for (ServerId id = 101; id <= 140; ++id) many.push_back(started(id, a.now - 1000.0 * (id - 100)));
         a.now += outage;
-        a.hear(ListKind::snapshot, many, outage);
+        a.record_list(ListKind::snapshot, many, outage);
         for (ServerId id = 101; id <= 110; ++id) EXPECT_LE(a.age(id), a.now - kNow) << id;
         for (ServerId id = 101; id <= 140; ++id) EXPECT_LE(a.age(id), outage) << id;
         EXPECT_EQ(a.age(101), 0) << "the youngest has no witness";
@@ -205,7 +208,7 @@
     }
 }
 
-TEST(ServerAges, WithoutAWallClockStartsAreOnTheClockOfTheModule) {
+TEST(ServerAgesTest, WithoutWallClockStartsAreOnTheModulesClock) {
     ServerAges ages;
     ServerInfo one;
     one.id = 1;
@@ -217,11 +220,11 @@
 
 // ---- Properties -----------------------------------------------------------------------------------------
 
-// One clock at most is wrong: ours, or one server's. What is heard of live, and the youngest part of a first
-// list, are never warmer than they are; nothing is cold for longer than a warm-up after its first hearing.
-TEST(ServerAges, NeverWarmerThanTheTruthWhileOneClockIsWrong) {
+// One clock at most is wrong: ours, or that of one server. Servers on a live list, and the youngest part of a
+// first list, never count as older than they are. No age is below 0, so slow start ends in time.
+TEST(ServerAgesTest, IsNeverTooWarmWhileOneClockIsWrong) {
     ::setenv("RC_PARAMS", "seed=20261202 max_success=2000", 0);
-    const bool held = rc::check("no server is warmer than it is", [] {
+    const bool holds = rc::check("no server counts as older than it is", [] {
         Ages a;
         const auto count = *rc::gen::inRange<ServerId>(2, 40);
         const auto wrong = *rc::gen::inRange<ServerId>(0, count + 1);  // 0: our own clock
@@ -236,7 +239,7 @@
                 kNow - (is_young ? *rc::gen::inRange(0, 20000) : *rc::gen::inRange(30000, 20 * 3600 * 1000));
             servers.push_back(started(id, starts[id], id == wrong ? its : 0));
         }
-        a.hear(ListKind::cached, servers, kEver);
+        a.record_list(ListKind::cached, servers, kEver);
         for (ServerId id = 1; id <= count; ++id) {
             RC_ASSERT(a.age(id) >= 0);
             // Nothing but its own clock tells when one in a first list started.
@@ -254,12 +257,12 @@
             const Millis off = what == 1 ? -kHour : what == 2 ? kHour : 0;
             const Millis before = a.age(id);
             starts[id] = a.now - 200;
-            a.hear(ListKind::incremental, {started(id, starts[id], off)}, 500);
+            a.record_list(ListKind::incremental, {started(id, starts[id], off)}, 500);
             RC_ASSERT(a.age(id) == 0 && before >= 0);
         }
         for (ServerId id = 1; id <= count; ++id) RC_ASSERT(a.age(id) >= 0);
     });
-    EXPECT_TRUE(held);
+    EXPECT_TRUE(holds);
 }
 
 }  // namespace
--- a/tests/balancer/slow_start_budget_test.cpp
+++ b/tests/balancer/slow_start_budget_test.cpp
@@ -17,12 +17,16 @@
 namespace elmbay::balancer::test {
 namespace {
 
-constexpr Millis kSpan = 1000;  // the settings' own
-constexpr Millis kWarmRun = 20000, kColdRun = 12000;
+constexpr Millis kSpan = 1000;      // the settings' own
+constexpr Millis kWarmRun = 20000;  // until the servers restart
+constexpr Millis kSlowStartRun = 12000;
 constexpr std::uint64_t kSeeds = 4;
 constexpr double kPerSecond = 1000;
-constexpr double kBusy = 60;  // requests a second: so many that a cold server's part of them shows
+// Requests a second of a server, from which on one in slow start must get some for the test to prove
+// anything.
+constexpr double kMinCapacityToCount = 60;
 
+// The most that chance makes of a mean of n requests.
 double upper_confidence_bound(double n) {
     const double roots = n < 30 ? 3 : 2;
     return n + roots * std::sqrt(n) + roots;
@@ -31,12 +35,13 @@
 struct Scenario {
     std::uint32_t sidecars = 1;
     ServerId servers = 10, restarted = 1;
-    double capacity = 60;    // requests a second of one warm server
-    double load = 0.6;       // of all of them together
-    bool remembers = false;  // the sidecars are new, too, and know what their earlier lives carried
+    double capacity = 60;            // requests a second of one warm server
+    double load = 0.6;               // of all of them together
+    bool restarts_sidecars = false;  // with the learned state of their earlier runs
 };
 
-// Servers work off one request after another; sidecars ask them as their modules decide. Virtual time.
+// Sidecars and servers in virtual time. Servers work off one request after another; sidecars send as their
+// balancers decide.
 class SlowStartRun {
 public:
     SlowStartRun(const Scenario& scenario, std::uint64_t seed) : scenario_(scenario), random_(seed) {
@@ -47,15 +52,20 @@
         settings_.slow_start_duration = 20000;
         settings_.overload_multiple = 2.5;
         servers_.resize(scenario.servers + 1);
-        for (std::uint32_t i = 0; i < scenario.sidecars; ++i) sidecars_.push_back(new_life(seed * 1000 + i));
+        for (std::uint32_t i = 0; i < scenario.sidecars; ++i) {
+            sidecars_.push_back(start_balancer(seed * 1000 + i));
+        }
     }
 
-    // The most that a cold server got, as a share of what it may get.
+    // The most that a server in slow start got within kSpan, as a share of what it may get.
     double worst() {
         std::vector<ServerInfo> infos;
-        for (ServerId id = 1; id <= scenario_.servers; ++id)
+        for (ServerId id = 1; id <= scenario_.servers; ++id) {
             infos.push_back({id, 0, 0, 0, EndpointState::active, 0});
-        for (std::uint32_t i = 0; i < scenario_.sidecars; ++i) give(i, ServerList{ListKind::snapshot, infos});
+        }
+        for (std::uint32_t i = 0; i < scenario_.sidecars; ++i) {
+            handle(i, ServerList{ListKind::snapshot, infos});
+        }
         now_ = start_;
         run_until(start_ + kWarmRun);
         std::vector<LearnedState> known;
@@ -66,26 +76,27 @@
             fresh.push_back({id, 0, 0, 0, EndpointState::active, now_});
             infos[id - 1] = fresh.back();
         }
-        if (scenario_.remembers) {
+        if (scenario_.restarts_sidecars) {
             for (std::uint32_t i = 0; i < scenario_.sidecars; ++i) {
-                sidecars_[i] = new_life(77000 + i);
-                give(i, StateRestored{known[i], 500});
-                give(i, ServerList{ListKind::snapshot, infos});
+                sidecars_[i] = start_balancer(77000 + i);
+                handle(i, StateRestored{known[i], 500});
+                handle(i, ServerList{ListKind::snapshot, infos});
             }
             calls_.clear();
         } else {
-            for (std::uint32_t i = 0; i < scenario_.sidecars; ++i)
-                give(i, ServerList{ListKind::incremental, fresh});
+            for (std::uint32_t i = 0; i < scenario_.sidecars; ++i) {
+                handle(i, ServerList{ListKind::incremental, fresh});
+            }
         }
-        run_until(now_ + kColdRun);
+        run_until(now_ + kSlowStartRun);
         return worst_;
     }
-    std::size_t sent_to_cold() const { return sent_to_cold_; }
+    std::size_t sent_in_slow_start() const { return sent_in_slow_start_; }
 
 private:
     struct ServerState {
         Millis started = 0, busy_until = 0;
-        std::deque<Millis> got;
+        std::deque<Millis> received;
     };
     struct Due {
         Millis at = 0;
@@ -101,7 +112,7 @@
         bool ended = false;
     };
 
-    std::unique_ptr<Balancer> new_life(std::uint64_t seed) {
+    std::unique_ptr<Balancer> start_balancer(std::uint64_t seed) {
         auto balancer = std::make_unique<Balancer>(settings_, seed);
         std::vector<Action> ignored;
         balancer->handle(now_, Started{}, ignored);
@@ -128,7 +139,7 @@
                 now_ = next;
                 next += interval(rate);
                 const auto to = static_cast<std::uint32_t>(random_.below(scenario_.sidecars));
-                give(to, RequestArrived{++last_request_, 0, {}, 1000});
+                handle(to, RequestArrived{++last_request_, 0, {}, 1000});
             } else {
                 now_ = until;
                 return;
@@ -145,16 +156,17 @@
             call->second.ended |= end->outcome == Outcome::success;
             end->request_ended = call->second.ended;
         }
-        give(due.sidecar, event);
+        handle(due.sidecar, event);
     }
 
-    void give(std::uint32_t sidecar, const Event& event) {
+    void handle(std::uint32_t sidecar, const Event& event) {
         std::vector<Action> actions;
         sidecars_[sidecar]->handle(now_, event, actions);
         for (const Action& action : actions) {
             if (const auto* send = std::get_if<StartAttempt>(&action)) serve(sidecar, *send);
-            if (const auto* timer = std::get_if<SetTimer>(&action))
+            if (const auto* timer = std::get_if<SetTimer>(&action)) {
                 due_.push({timer->at, ++order_, sidecar, TimerFired{timer->token}});
+            }
             if (const auto* refuse = std::get_if<Reject>(&action)) calls_[refuse->id].ended = true;
             if (const auto* failed = std::get_if<Fail>(&action)) calls_[failed->id].ended = true;
         }
@@ -172,11 +184,12 @@
     }
 
     void count(ServerState& server) {
-        ++sent_to_cold_;
-        server.got.push_back(now_);
-        while (server.got.front() <= now_ - kSpan) server.got.pop_front();
+        ++sent_in_slow_start_;
+        server.received.push_back(now_);
+        while (server.received.front() <= now_ - kSpan) server.received.pop_front();
         const double allowed = settings_.overload_multiple * capacity(server) * kSpan / kPerSecond;
-        worst_ = std::max(worst_, static_cast<double>(server.got.size()) / upper_confidence_bound(allowed));
+        worst_ =
+            std::max(worst_, static_cast<double>(server.received.size()) / upper_confidence_bound(allowed));
     }
 
     Scenario scenario_;
@@ -191,21 +204,21 @@
     RequestId last_request_ = 0;
     std::uint64_t order_ = 0;
     double worst_ = 0;
-    std::size_t sent_to_cold_ = 0;
+    std::size_t sent_in_slow_start_ = 0;
 };
 
 void expect_within_budget(const Scenario& scenario) {
-    std::size_t sent_to_cold = 0;
+    std::size_t sent_in_slow_start = 0;
     for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
         SlowStartRun run(scenario, seed);
         const double worst = run.worst();
         EXPECT_LE(worst, 1) << scenario.sidecars << " sidecars, " << scenario.restarted << " of "
                             << scenario.servers << " servers restarted, capacity " << scenario.capacity
                             << "/s, load " << scenario.load << ", seed " << seed;
-        sent_to_cold += run.sent_to_cold();
+        sent_in_slow_start += run.sent_in_slow_start();
     }
-    if (scenario.capacity >= kBusy) {
-        EXPECT_GT(sent_to_cold, 0U) << "a server that gets nothing proves nothing";
+    if (scenario.capacity >= kMinCapacityToCount) {
+        EXPECT_GT(sent_in_slow_start, 0U) << "a server that gets nothing proves nothing";
     }
 }
 
@@ -216,9 +229,11 @@
     for (const double capacity : {4.0, 60.0, 300.0}) expect_within_budget({GetParam(), 10, 1, capacity});
 }
 TEST_P(SlowStartBudget, IsKeptWhenMostServersRestartTogether) {
-    for (const ServerId restarted : {5U, 9U, 10U})
-        for (const double capacity : {4.0, 60.0, 300.0})
+    for (const ServerId restarted : {5U, 9U, 10U}) {
+        for (const double capacity : {4.0, 60.0, 300.0}) {
             expect_within_budget({GetParam(), 10, restarted, capacity});
+        }
+    }
 }
 TEST_P(SlowStartBudget, IsKeptWhenAThirdOfManyServersRestartTogether) {
     expect_within_budget({GetParam(), 90, 30, 60});
@@ -227,8 +242,9 @@
     for (const ServerId restarted : {3U, 9U}) expect_within_budget({GetParam(), 10, restarted, 60, 0.95});
 }
 TEST_P(SlowStartBudget, IsKeptWhenTheSidecarsRestartWithTheServers) {
-    for (const ServerId restarted : {1U, 9U, 10U})
+    for (const ServerId restarted : {1U, 9U, 10U}) {
         expect_within_budget({GetParam(), 10, restarted, 60, 0.6, true});
+    }
 }
 
 INSTANTIATE_TEST_SUITE_P(Fleet, SlowStartBudget, testing::Values(1U, 3U, 30U, 300U),
