--- a/bench/balancer_cost.cpp
+++ b/bench/balancer_cost.cpp
@@ -1,13 +1,17 @@
-// What one request costs in the decision module: nanoseconds and allocations, by servers and by requests out
-// at once. Usage: policy_cost [--benchmark_filter=...]   (Google Benchmark; built with -DELMBAY_BENCH=ON)
-//
-// Each turn ends the oldest request with a completed answer and takes a new one, so that `out` stay out. Time
-// passes as if each took 40 ms. Only the public interface is used: the same file measures an older module.
+/// @file
+/// What one request costs in the decision module: nanoseconds and allocations, by the number of servers and
+/// of requests in flight. Usage: balancer_cost [--benchmark_filter=...]   (Google Benchmark; built with
+/// -DELMBAY_BENCH=ON)
+///
+/// Each turn completes the oldest request and adds a new one, so that `in_flight` of them stay in flight.
+/// Time passes as if each took 40 ms. Only the public interface is used, so the same file measures other
+/// versions of the module.
 #include <benchmark/benchmark.h>
 
 #include <cstdlib>
 #include <deque>
 #include <new>
+#include <vector>
 
 #include "elmbay/balancer.hpp"
 
@@ -27,64 +31,104 @@
 
 namespace {
 
-using namespace elmbay::balancer;
+namespace balancer = elmbay::balancer;
+using balancer::Millis;
 
-constexpr Millis kAnswer = 40, kLeft = 1000;
+constexpr Millis kResponseTime = 40;
+constexpr Millis kTimeLeft = 1000;
 
-void one_request(benchmark::State& state) {
-    const auto servers = static_cast<ServerId>(state.range(0));
-    const auto out = static_cast<std::size_t>(state.range(1));
-    Settings settings;
-    settings.classes = {RequestClass{Idempotency::idempotent, DedupScope::all, 0, 400}};
+balancer::Settings make_settings() {
+    balancer::Settings settings;
+    settings.classes = {
+        balancer::RequestClass{balancer::Idempotency::idempotent, balancer::DedupScope::all, 0, 400}};
     settings.slow_start_duration = 15000;
-    settings.siblings = 1000;  // else the pool is the fleet
-    Balancer balancer(settings, 1);
-    std::vector<Action> actions;
-    Millis now = 1e9;
-    struct Open {
-        RequestId id;
-        Millis since;
-    };
-    std::deque<Open> open;
-    std::deque<SetTimer> holds, deadlines;  // each in order of time
-    RequestId next = 1;
-    std::uint64_t refused = 0;
-    const auto give = [&](const Event& event) {
-        actions.clear();
-        balancer.handle(now, event, actions);
-        for (const Action& a : actions) {
-            if (const auto* send = std::get_if<StartAttempt>(&a)) open.push_back({send->id, now});
-            if (const auto* t = std::get_if<SetTimer>(&a))
-                (t->at - now < kLeft / 2 ? holds : deadlines).push_back(*t);
-            refused += std::holds_alternative<Reject>(a);
+    settings.siblings = 1000;  // with fewer the pool would be the whole fleet
+    return settings;
+}
+
+/// A sidecar in virtual time whose attempts all succeed after kResponseTime.
+class Sidecar {
+public:
+    Sidecar(balancer::ServerId servers, std::size_t in_flight)
+        : interval_(kResponseTime / static_cast<double>(in_flight)), balancer_(make_settings(), 1) {
+        handle(balancer::Started{});
+        balancer::ServerList list;
+        for (balancer::ServerId id = 1; id <= servers; ++id) {
+            list.servers.push_back({id, id % 3, 0, 0, balancer::EndpointState::active, 0});
         }
+        handle(list);
+    }
+
+    /// Fires the timers that are due, completes the attempts that are due, and adds one request.
+    void turn() {
+        now_ += interval_;
+        fire_timers(wait_timers_);
+        fire_timers(deadline_timers_);
+        while (!attempts_.empty() && now_ >= attempts_.front().sent_at + kResponseTime) {
+            const balancer::RequestId id = attempts_.front().request;
+            attempts_.pop_front();
+            handle(balancer::AttemptEnded{id, 0, balancer::Outcome::success, kResponseTime, true});
+        }
+        handle(balancer::RequestArrived{next_request_++, 0, {}, kTimeLeft});
+    }
+
+    /// Rejected requests, as a share of all.
+    double rejected_share() const {
+        return static_cast<double>(rejected_) / static_cast<double>(next_request_);
+    }
+
+private:
+    struct SentAttempt {
+        balancer::RequestId request;
+        Millis sent_at;
     };
-    give(Started{});
-    ServerList list;
-    for (ServerId i = 1; i <= servers; ++i)
-        list.servers.push_back({i, i % 3, 0, 0, EndpointState::active, 0});
-    give(list);
-    const auto turn = [&] {
-        now += kAnswer / static_cast<double>(out);
-        for (auto* timers : {&holds, &deadlines})
-            while (!timers->empty() && timers->front().at <= now) {
-                const TimerToken token = timers->front().token;
-                timers->pop_front();
-                give(TimerFired{token});
+
+    void fire_timers(std::deque<balancer::SetTimer>& timers) {
+        while (!timers.empty() && timers.front().at <= now_) {
+            const balancer::TimerToken token = timers.front().token;
+            timers.pop_front();
+            handle(balancer::TimerFired{token});
+        }
+    }
+
+    void handle(const balancer::Event& event) {
+        actions_.clear();
+        balancer_.handle(now_, event, actions_);
+        for (const balancer::Action& action : actions_) {
+            if (const auto* send = std::get_if<balancer::StartAttempt>(&action)) {
+                attempts_.push_back({send->id, now_});
+            }
+            if (const auto* timer = std::get_if<balancer::SetTimer>(&action)) {
+                const bool ends_a_wait = timer->at - now_ < kTimeLeft / 2;
+                (ends_a_wait ? wait_timers_ : deadline_timers_).push_back(*timer);
             }
-        while (!open.empty() && now >= open.front().since + kAnswer) {
-            const RequestId id = open.front().id;
-            open.pop_front();
-            give(AttemptEnded{id, 0, Outcome::success, kAnswer, true});
+            rejected_ += std::holds_alternative<balancer::Reject>(action);
         }
-        give(RequestArrived{next++, 0, {}, kLeft});
-    };
-    for (std::size_t i = 0; i < 20 * out + 2000; ++i) turn();  // learnt, and the pool at its width
+    }
+
+    Millis interval_;
+    balancer::Balancer balancer_;
+    std::vector<balancer::Action> actions_;
+    Millis now_ = 1e9;
+    // Each in order of time.
+    std::deque<SentAttempt> attempts_;
+    std::deque<balancer::SetTimer> wait_timers_;
+    std::deque<balancer::SetTimer> deadline_timers_;
+    balancer::RequestId next_request_ = 1;
+    std::uint64_t rejected_ = 0;
+};
+
+void one_request(benchmark::State& state) {
+    const auto servers = static_cast<balancer::ServerId>(state.range(0));
+    const auto in_flight = static_cast<std::size_t>(state.range(1));
+    Sidecar sidecar(servers, in_flight);
+    // Until the concurrency limit has settled and the pool has its width.
+    for (std::size_t i = 0; i < 20 * in_flight + 2000; ++i) sidecar.turn();
     allocations = 0;
-    for (auto _ : state) turn();
+    for (auto _ : state) sidecar.turn();
     state.counters["allocations"] =
         benchmark::Counter(static_cast<double>(allocations), benchmark::Counter::kAvgIterations);
-    state.counters["refused"] = static_cast<double>(refused) / static_cast<double>(next);
+    state.counters["refused"] = sidecar.rejected_share();
 }
 
 BENCHMARK(one_request)->ArgNames({"servers", "out"})->ArgsProduct({{10, 200, 2000}, {1, 100}});
--- a/tests/example.cpp
+++ b/tests/example.cpp
@@ -1,16 +1,32 @@
-// How a sidecar uses elmbay::balancer: feed events with their time, carry out the actions. Here one request
-// is taken, sent, fails before it ran, is sent elsewhere and served.
+/// @file
+/// How a sidecar uses elmbay::balancer: it feeds events with their time and carries out the actions. Here one
+/// request arrives, is sent, fails before it ran, is retried at another server and succeeds.
+#include <cstdint>
 #include <iostream>
+#include <variant>
+#include <vector>
 
 #include "elmbay/balancer.hpp"
 
-using namespace elmbay::balancer;
+using elmbay::balancer::Action;
+using elmbay::balancer::AttemptEnded;
+using elmbay::balancer::Balancer;
+using elmbay::balancer::Idempotency;
+using elmbay::balancer::ListKind;
+using elmbay::balancer::Outcome;
+using elmbay::balancer::RequestArrived;
+using elmbay::balancer::RequestClass;
+using elmbay::balancer::ServerList;
+using elmbay::balancer::SetTimer;
+using elmbay::balancer::Settings;
+using elmbay::balancer::StartAttempt;
+using elmbay::balancer::Started;
 
 int main() {
-    Settings settings;
     RequestClass read;
     read.idempotency = Idempotency::idempotent;
     read.latency_objective = 200;
+    Settings settings;
     settings.classes = {read};
     Balancer balancer(settings, /*seed=*/42);
 
@@ -30,8 +46,10 @@
             ended.request_ended = ended.outcome == Outcome::success;
             balancer.handle(1010 + 20 * attempt, ended, actions);
         } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
-            std::cout << "timer at " << timer->at << '\n';  // hand TimerFired{timer->token} back then
+            // A sidecar hands TimerFired{timer->token} back at that time.
+            std::cout << "timer at " << timer->at << '\n';
         }
     }
-    return attempt == 2 && balancer.resource_usage().requests == 0 ? 0 : 1;
+    const bool nothing_is_left = balancer.resource_usage().requests == 0;
+    return attempt == 2 && nothing_is_left ? 0 : 1;
 }
