--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -3,7 +3,10 @@
 namespace elmbay {
 
 bool says_unprocessed(const http::response_header<>& head) {
-    return (head.result_int() == 503 || head.result_int() == 504) && head["X-Unprocessed"] == "1";
+    const http::status status = head.result();
+    const bool is_unavailable =
+        status == http::status::service_unavailable || status == http::status::gateway_timeout;
+    return is_unavailable && head["X-Unprocessed"] == "1";
 }
 
 std::string_view field(const http::fields& fields, const char* name) {
@@ -13,9 +16,9 @@
 
 bool framing_is_clear(const http::fields& fields) {
     const std::size_t lengths = fields.count(http::field::content_length);
-    const std::size_t codings = fields.count(http::field::transfer_encoding);
-    if (lengths + codings > 1) return false;
-    return codings == 0 || boost::beast::iequals(fields[http::field::transfer_encoding], "chunked");
+    const std::size_t encodings = fields.count(http::field::transfer_encoding);
+    if (lengths + encodings > 1) return false;
+    return encodings == 0 || boost::beast::iequals(fields[http::field::transfer_encoding], "chunked");
 }
 
 }  // namespace elmbay
--- a/src/http/message.hpp
+++ b/src/http/message.hpp
@@ -1,33 +1,49 @@
-// What both sides of the sidecar hold about HTTP messages: their types, their bounds, and when framing is
-// clear.
+/// @file
+/// What both sides of the sidecar share about HTTP messages: their types, their bounds, and when framing is
+/// clear.
 #pragma once
 
 #include <boost/beast/http.hpp>
+#include <cstddef>
 #include <string>
 #include <string_view>
 
 namespace elmbay {
 
 namespace http = boost::beast::http;
+
+/// A request with its whole body in memory.
 using HttpRequest = http::request<http::string_body>;
+/// A response with its whole body in memory.
 using HttpResponse = http::response<http::string_body>;
 
-// PROTOCOL names 64 KiB for a body; the operators' acceptance has longer ones on some days (requests of 112,
-// answers of 223 KB were seen) and no figure. What is beyond the usual is held only with a grant of
-// ByteBudget.
+/// HTTP/1.1, as Beast numbers versions.
+constexpr unsigned kHttp11 = 11;
+
+/// Bytes of a body that any message may have. PROTOCOL names 64 KiB; the operators' acceptance has longer
+/// ones on some days (requests of 112 and responses of 223 KB were seen) and no figure. What is longer is
+/// held only with a grant of ByteBudget.
 constexpr std::size_t kUsualBody = 64 * 1024;
+/// Bytes of a request's body, with a grant.
 constexpr std::size_t kMaxRequestBody = 256 * 1024;
+/// Bytes of a response's body, with a grant.
 constexpr std::size_t kMaxResponseBody = 512 * 1024;
-constexpr std::size_t kMaxHeader = 16 * 1024;  // many times what the protocol's headers need
+/// Bytes of a head: many times what the protocol's headers need.
+constexpr std::size_t kMaxHeader = 16 * 1024;
 
-// Whether a server says that it turned a request away unseen: it never ran (PROTOCOL, Sidecars to servers).
+/// @return whether a server says that it rejected a request unprocessed: it never ran (PROTOCOL, Sidecars to
+///         servers).
 bool says_unprocessed(const http::response_header<>& head);
 
+/// @return the value of the first header with this name, whatever its case; empty if there is none. Valid as
+/// long
+///         as the fields are.
 std::string_view field(const http::fields& fields, const char* name);
 
-// Whether the head says once and without contradiction where its message ends. The parser takes what is left
-// of a mixture (a Transfer-Encoding other than chunked is passed over, for one), and a peer may take
-// something else: that is how one request hides in another's body.
+/// @return whether the head says once and without contradiction where its message ends. The parser takes what
+/// is
+///         left of a mixture (it passes over a Transfer-Encoding other than chunked, for one), and a peer may
+///         take something else: that is how one request hides in another's body.
 bool framing_is_clear(const http::fields& fields);
 
 }  // namespace elmbay
--- a/src/http/request_validation.cpp
+++ b/src/http/request_validation.cpp
@@ -1,8 +1,11 @@
 #include "http/request_validation.hpp"
 
 #include <algorithm>
+#include <array>
 #include <charconv>
 #include <cmath>
+#include <cstdint>
+#include <utility>
 
 namespace elmbay {
 
@@ -11,20 +14,39 @@
 using balancer::DeploymentSettings;
 using balancer::Idempotency;
 
-constexpr std::size_t kLongestId = 256;  // of an id or key; the protocol's have 16 and 32 characters
+// Bytes of a correlation id or an idempotency key; the protocol's have 16 and 32.
+constexpr std::size_t kMaxIdBytes = 256;
 // On a slow or shared core a short time must not go to the margin whole.
 constexpr double kMaxMarginShare = 0.1;
+// What the decisions are told at the least of the time that is left, in milliseconds.
+constexpr Millis kMinTimeLeft = 1;
+constexpr double kMicrosPerMilli = 1000;
 
-constexpr const char* kId = "X-Correlation-Id";
-constexpr const char* kClass = "X-Service-Class";
+constexpr const char* kCorrelationId = "X-Correlation-Id";
+constexpr const char* kServiceClass = "X-Service-Class";
 constexpr const char* kTimeLeft = "X-Time-Left";
-constexpr const char* kKey = "Idempotency-Key";
+constexpr const char* kIdempotencyKey = "Idempotency-Key";
+constexpr std::array kSingleHeaders{kCorrelationId, kServiceClass, kTimeLeft, kIdempotencyKey};
 // What else the protocol names: servers may use it, and need not.
-constexpr const char* kFurther[] = {kClass, "X-Account", "Cookie", "X-Repeat", "X-Weight-Hint", "X-Facts"};
+constexpr std::array kOptionalHeaders{kServiceClass, "X-Account",     "Cookie",
+                                      "X-Repeat",    "X-Weight-Hint", "X-Facts"};
 
-std::size_t class_of(const RequestHead& head, const DeploymentSettings& deployment) {
-    const auto at = std::find(deployment.classes.begin(), deployment.classes.end(), field(head, kClass));
-    return static_cast<std::size_t>(at - deployment.classes.begin());
+// The index of the request's class among the settings' classes; their number for an unknown class.
+std::size_t class_index_of(const RequestHead& head, const DeploymentSettings& deployment) {
+    const auto& classes = deployment.classes;
+    const auto found = std::find(classes.begin(), classes.end(), field(head, kServiceClass));
+    return static_cast<std::size_t>(found - classes.begin());
+}
+
+RequestProblem bad_request(const char* text) { return {http::status::bad_request, text}; }
+
+// The whole text as a finite number; none if it is anything else.
+std::optional<double> parse_finite(std::string_view text) {
+    double value = 0;
+    const char* const end = text.data() + text.size();
+    const auto [parsed_end, error] = std::from_chars(text.data(), end, value);
+    if (error != std::errc() || parsed_end != end || !std::isfinite(value)) return {};
+    return value;
 }
 
 }  // namespace
@@ -33,42 +55,45 @@
     if (text.empty()) return {};
     const char unit = text.back();
     if (unit != 'm' && unit != 'u') return {};
-    double value = 0;
-    const char* end = text.data() + text.size() - 1;
-    const auto [at, wrong] = std::from_chars(text.data(), end, value);
-    if (wrong != std::errc() || at != end || !std::isfinite(value) || value < 0) return {};
-    return unit == 'u' ? value / 1000 : value;
+    text.remove_suffix(1);
+    const std::optional<double> value = parse_finite(text);
+    if (!value || *value < 0) return {};
+    return unit == 'u' ? *value / kMicrosPerMilli : *value;
 }
 
 std::string time_left_text(Millis left) {
-    return std::to_string(static_cast<std::int64_t>(left * 1000)) + "u";
+    return std::to_string(static_cast<std::int64_t>(left * kMicrosPerMilli)) + "u";
 }
 
 std::optional<RequestProblem> validate_request(const RequestHead& head,
                                                const DeploymentSettings& deployment) {
-    const bool get = head.method() == http::verb::get;
-    if (!get && head.method() != http::verb::post)
+    const bool is_get = head.method() == http::verb::get;
+    if (!is_get && head.method() != http::verb::post)
         return RequestProblem{http::status::method_not_allowed, "GET or POST\n"};
     if (const auto problem = validate_headers(head, deployment)) return problem;
-    if (get !=
-        (deployment.settings.classes[class_of(head, deployment)].idempotency == Idempotency::idempotent))
-        return RequestProblem{http::status::bad_request, "the method is not that of the class\n"};
+    const auto& request_class = deployment.settings.classes[class_index_of(head, deployment)];
+    const bool is_idempotent = request_class.idempotency == Idempotency::idempotent;
+    if (is_get != is_idempotent) return bad_request("the method is not that of the class\n");
     return {};
 }
 
 std::optional<RequestProblem> validate_headers(const RequestHead& head,
                                                const DeploymentSettings& deployment) {
-    const auto bad = [](const char* words) { return RequestProblem{http::status::bad_request, words}; };
-    for (const char* name : {kId, kClass, kTimeLeft, kKey})
-        if (head.count(name) > 1) return bad("a header that may stand once is repeated\n");
-    const auto id = field(head, kId), key = field(head, kKey);
-    if (id.empty()) return bad("X-Correlation-Id is missing\n");
-    if (id.size() > kLongestId || key.size() > kLongestId) return bad("an id is too long\n");
-    const std::size_t index = class_of(head, deployment);
-    if (index == deployment.classes.size()) return bad("X-Service-Class is not a known class\n");
-    if (!parse_time_left(field(head, kTimeLeft))) return bad("X-Time-Left is not a number and a unit\n");
-    if ((deployment.settings.classes[index].idempotency == Idempotency::idempotency_key) == key.empty())
-        return bad("Idempotency-Key goes with a keyed class\n");
+    for (const char* name : kSingleHeaders) {
+        if (head.count(name) > 1) return bad_request("a header that may stand once is repeated\n");
+    }
+    const std::string_view id = field(head, kCorrelationId);
+    const std::string_view key = field(head, kIdempotencyKey);
+    if (id.empty()) return bad_request("X-Correlation-Id is missing\n");
+    if (id.size() > kMaxIdBytes || key.size() > kMaxIdBytes) return bad_request("an id is too long\n");
+    const std::size_t class_index = class_index_of(head, deployment);
+    if (class_index == deployment.classes.size())
+        return bad_request("X-Service-Class is not a known class\n");
+    if (!parse_time_left(field(head, kTimeLeft)))
+        return bad_request("X-Time-Left is not a number and a unit\n");
+    const bool needs_key =
+        deployment.settings.classes[class_index].idempotency == Idempotency::idempotency_key;
+    if (needs_key == key.empty()) return bad_request("Idempotency-Key goes with a keyed class\n");
     return {};
 }
 
@@ -76,35 +101,34 @@
                                   Millis margin, Millis kernel_queue_time) {
     balancer::RequestArrived event;
     event.id = id;
-    event.class_index = static_cast<std::uint32_t>(class_of(head, deployment));
+    event.class_index = static_cast<std::uint32_t>(class_index_of(head, deployment));
     // A client never waits longer than its class is worth waiting for; what it says is not trusted beyond
     // that.
     const Millis left = std::min(parse_time_left(field(head, kTimeLeft)).value_or(0),
                                  deployment.give_up.at(event.class_index));
-    event.time_left = std::max(1.0, left - std::min(margin, left * kMaxMarginShare) - kernel_queue_time);
-    if (const auto account = field(head, "X-Account"); !account.empty()) {
-        const auto tenant = std::find(deployment.tenants.begin(), deployment.tenants.end(), account);
-        if (tenant != deployment.tenants.end())
-            event.tenant = static_cast<std::uint32_t>(tenant - deployment.tenants.begin());
+    const Millis usable_margin = std::min(margin, left * kMaxMarginShare);
+    event.time_left = std::max(kMinTimeLeft, left - usable_margin - kernel_queue_time);
+    if (const std::string_view account = field(head, "X-Account"); !account.empty()) {
+        const auto& tenants = deployment.tenants;
+        const auto tenant = std::find(tenants.begin(), tenants.end(), account);
+        if (tenant != tenants.end()) event.tenant = static_cast<std::uint32_t>(tenant - tenants.begin());
     }
-    const auto hint = field(head, "X-Weight-Hint");
-    double micros = 0;
-    const auto [end, wrong] = std::from_chars(hint.data(), hint.data() + hint.size(), micros);
-    if (wrong == std::errc() && end == hint.data() + hint.size() && std::isfinite(micros))
-        event.effort = std::max(0.0, micros / 1000);
+    if (const auto micros = parse_finite(field(head, "X-Weight-Hint")))
+        event.effort = std::max(0.0, *micros / kMicrosPerMilli);
     event.repeat = field(head, "X-Repeat") == "1";
     return event;
 }
 
 HttpRequest forwarded_request(HttpRequest request) {
-    HttpRequest anew(request.method(), request.target(), 11);
-    anew.set(http::field::host, request[http::field::host]);
-    anew.set(kId, request[kId]);
-    for (const char* name : kFurther)
-        if (request.count(name) > 0) anew.set(name, request[name]);
-    if (request.count(kKey) > 0) anew.set(kKey, request[kKey]);
-    anew.body() = std::move(request.body());
-    return anew;
+    HttpRequest forwarded(request.method(), request.target(), kHttp11);
+    forwarded.set(http::field::host, request[http::field::host]);
+    forwarded.set(kCorrelationId, request[kCorrelationId]);
+    for (const char* name : kOptionalHeaders) {
+        if (request.count(name) > 0) forwarded.set(name, request[name]);
+    }
+    if (request.count(kIdempotencyKey) > 0) forwarded.set(kIdempotencyKey, request[kIdempotencyKey]);
+    forwarded.body() = std::move(request.body());
+    return forwarded;
 }
 
 }  // namespace elmbay
--- a/src/http/request_validation.hpp
+++ b/src/http/request_validation.hpp
@@ -1,8 +1,11 @@
-// What a request of the application must be to be used, what it tells the module, and what of it goes on to a
-// server.
+/// @file
+/// What a client's request must be to be used, what the decisions are told of it, and what of it goes on to a
+/// server.
 #pragma once
 
 #include <optional>
+#include <string>
+#include <string_view>
 
 #include "config/deployment_settings.hpp"
 #include "http/message.hpp"
@@ -13,33 +16,38 @@
 using balancer::RequestId;
 using RequestHead = http::request_header<>;
 
-// Why a request can't be used: answered here, never sent on.
+/// Why a request can't be used. It is answered by this and never sent on.
 struct RequestProblem {
     http::status status = http::status::bad_request;
-    const char* words = "";
+    const char* text = "";  ///< the response's body, with a line end; a literal
 };
 
-// Whether it can be passed on at all. What is unknown, missing, repeated or contradicts itself can't: whoever
-// sent it is not the application that the settings describe, and a guess at its meaning may run something
-// twice.
+/// Checks method and headers. What is unknown, missing, repeated or contradicts itself is a problem: whoever
+/// sent it is not the application that the settings describe, and a guess at its meaning may run something
+/// twice.
+/// @return none if the request can be used.
 std::optional<RequestProblem> validate_request(const RequestHead& head,
                                                const balancer::DeploymentSettings& deployment);
-// The part of it that holds for a request of any method: the headers that the protocol names.
+/// The part of validate_request() that holds for any method: the headers that the protocol names.
 std::optional<RequestProblem> validate_headers(const RequestHead& head,
                                                const balancer::DeploymentSettings& deployment);
 
-// What the module is told of a request that has no problem. margin: the answer leaves that much before the
-// client's time is up; waited: so much of that time is over already (both in ms).
+/// Describes a request without a problem to the decisions.
+/// @param margin            milliseconds by which the response is to be written before the client's time is
+/// over.
+/// @param kernel_queue_time milliseconds of that time that are over already.
 balancer::RequestArrived describe(RequestId id, const RequestHead& head,
                                   const balancer::DeploymentSettings& deployment, Millis margin,
                                   Millis kernel_queue_time = 0);
 
-// The request for a server, built anew from what the protocol names: nothing else that a client writes gets
-// there.
+/// Builds the request for a server anew from what the protocol names: nothing else that a client writes gets
+/// there.
 HttpRequest forwarded_request(HttpRequest request);
 
-// A number and a unit, m for milliseconds or u for microseconds; nothing if it can't be read.
+/// Reads X-Time-Left: a number and a unit, `m` for milliseconds or `u` for microseconds.
+/// @return milliseconds; none if it can't be read.
 std::optional<Millis> parse_time_left(std::string_view text);
+/// Writes X-Time-Left, in whole microseconds.
 std::string time_left_text(Millis left);
 
 }  // namespace elmbay
--- /dev/null
+++ b/src/net/client_acceptor.cpp
@@ -0,0 +1,132 @@
+#include "net/client_acceptor.hpp"
+
+#include <boost/asio/post.hpp>
+#include <chrono>
+#include <string>
+#include <thread>
+#include <utility>
+
+#include "base/socket_failures.hpp"
+
+namespace elmbay {
+
+namespace {
+
+using tcp = asio::ip::tcp;
+using Error = boost::system::error_code;
+
+constexpr int kListenBacklog = 4096;
+
+}  // namespace
+
+ClientAcceptor::ClientAcceptor(asio::io_context& io, const Endpoint& listen, SocketBudget& budget,
+                               TimerQueue& timers, const Clock& clock, Handlers handlers)
+    : io_(io),
+      acceptor_(io),
+      budget_(budget),
+      timers_(timers),
+      clock_(clock),
+      handlers_(std::move(handlers)) {
+    acceptor_.open(listen.protocol());
+    // After a restart the port's old connections are in TIME_WAIT; that must not keep us from listening.
+    acceptor_.set_option(tcp::acceptor::reuse_address(true));
+    bind(listen);
+    acceptor_.listen(kListenBacklog);
+    acceptor_.non_blocking(true);
+    // Otherwise Asio keeps ECONNABORTED and EPROTO to itself and waits for the next edge: whoever stands in
+    // the queue behind such a connection would wait for another client to come.
+    acceptor_.set_option(asio::socket_base::enable_connection_aborted(true));
+}
+
+// The process before may still be ending, or the kernel be clearing up behind it. Nothing else can be done
+// before we listen, so this blocks.
+void ClientAcceptor::bind(const Endpoint& listen) {
+    const auto deadline = std::chrono::steady_clock::now() + std::chrono::milliseconds(kBindTimeout);
+    for (;;) {
+        Error error;
+        acceptor_.bind(listen, error);
+        if (!error) return;
+        const bool may_retry =
+            error == asio::error::address_in_use && std::chrono::steady_clock::now() < deadline;
+        if (!may_retry) {
+            throw boost::system::system_error(
+                error, "listening on " + listen.address().to_string() + ":" + std::to_string(listen.port()));
+        }
+        std::this_thread::sleep_for(std::chrono::milliseconds(kBindRetryInterval));
+    }
+}
+
+void ClientAcceptor::accept() {
+    if (is_accepting_ || !acceptor_.is_open()) return;
+    if (!budget_.take(Side::clients)) {
+        is_waiting_for_socket_ = true;
+        retry_later();
+        return;
+    }
+    is_waiting_for_socket_ = false;
+    is_accepting_ = true;
+    acceptor_.async_accept([this](Error error, tcp::socket socket) {
+        is_accepting_ = false;
+        if (error) {
+            budget_.give_back(Side::clients);
+            if (acceptor_.is_open()) on_accept_failed(error);
+            return;
+        }
+        consecutive_failures_ = 0;
+        handlers_.on_accepted(std::move(socket));
+        accept();
+    });
+}
+
+// Closing a connection of our own helps only where this process lacks descriptors: not where the whole
+// machine lacks something, and not for a client that has left already.
+void ClientAcceptor::on_accept_failed(const Error& error) {
+    const SocketFailure failure = accept_failure(error);
+    if (failure == SocketFailure::connection) {
+        ++consecutive_failures_;
+        if (consecutive_failures_ < kMaxConsecutiveFailures) {
+            accept();
+            return;
+        }
+    }
+    consecutive_failures_ = 0;
+    if (failure == SocketFailure::own_descriptors) handlers_.on_out_of_descriptors();
+    retry_later();
+}
+
+void ClientAcceptor::retry_later() {
+    timers_.cancel(retry_timer_);
+    retry_timer_ = timers_.set(clock_.now() + kRetryInterval, [this] {
+        retry_timer_ = {};
+        accept();
+    });
+}
+
+// Posted, because the caller is a connection at work.
+void ClientAcceptor::on_socket_released() {
+    if (std::exchange(is_waiting_for_socket_, false)) asio::post(io_, [this] { accept(); });
+}
+
+bool ClientAcceptor::accept_pending() {
+    int failures = 0;
+    while (failures < kMaxConsecutiveFailures && budget_.take(Side::clients)) {
+        Error error;
+        tcp::socket socket = acceptor_.accept(error);
+        if (!error) {
+            handlers_.on_accepted(std::move(socket));
+            continue;
+        }
+        budget_.give_back(Side::clients);
+        if (error == asio::error::would_block) return true;
+        if (accept_failure(error) != SocketFailure::connection) return false;
+        ++failures;
+    }
+    return true;
+}
+
+void ClientAcceptor::close() {
+    Error ignored;
+    acceptor_.close(ignored);
+}
+
+}  // namespace elmbay
--- /dev/null
+++ b/src/net/client_connection.cpp
@@ -0,0 +1,308 @@
+#include "net/client_connection.hpp"
+
+#include <boost/asio/error.hpp>
+#include <cassert>
+#include <utility>
+
+#include "base/socket_state.hpp"
+#include "net/client_responses.hpp"
+#include "net/log_events.hpp"
+
+namespace elmbay {
+
+namespace {
+
+using tcp = asio::ip::tcp;
+
+}  // namespace
+
+ClientConnection::ClientConnection(const ClientConnectionContext& context, tcp::socket socket)
+    : context_(context), socket_(std::move(socket)), idle_since_(context.clock.now()) {}
+
+void ClientConnection::start() {
+    Error ignored;
+    socket_.set_option(tcp::no_delay(true), ignored);
+    set_timeout(kRequestReadTimeout);
+    await_readable();
+}
+
+void ClientConnection::respond(HttpResponse response) {
+    request_id_ = 0;
+    run_guarded([&] { write(std::move(response)); });
+}
+
+void ClientConnection::close() {
+    if (state_ == ConnectionState::closed) return;
+    enter(ConnectionState::closed);
+    Error ignored;
+    socket_.close(ignored);
+    context_.timers.cancel(timer_);
+    notify_client_disconnected();
+    context_.owner.on_closed(*this);
+}
+
+void ClientConnection::close_if_idle(Millis silent_since) {
+    if (state_ != ConnectionState::awaiting_request) return;
+    if (has_unread_data()) {
+        // A request that has come is read now, or there is no time for it.
+        if (std::exchange(reading_is_paused_, false)) await_next_request();
+        return;
+    }
+    if (has_sent_request_ || idle_since_ < silent_since) begin_lingering_close();
+}
+
+// Only cancels. Until the read's handler has run, the parser belongs to the read.
+void ClientConnection::stop_reading() {
+    if (state_ != ConnectionState::reading_request) return;
+    read_timed_out_ = true;
+    Error ignored;
+    socket_.cancel(ignored);
+}
+
+bool ClientConnection::is_evictable(Millis now) const {
+    const Millis age = now - idle_since_;
+    switch (state_) {
+        case ConnectionState::awaiting_request:
+            return (has_sent_request_ || age > kMinAgeWithoutBytes) && !has_unread_data();
+        case ConnectionState::reading_request:
+            return !has_sent_request_ && age > kMinAgeWithoutRequest && !has_unread_data();
+        case ConnectionState::lingering_close:
+            // What is read no more is not waited for: the response has gone out, or its client can't be told
+            // from a flood.
+            return discarded_bytes_ >= kMaxDiscardedBytes || !has_unread_data();
+        default:
+            return false;
+    }
+}
+
+bool ClientConnection::has_unread_data() const {
+    Error error;
+    return socket_.available(error) > 0;
+}
+
+bool ClientConnection::has_client_disconnected() {
+    const SocketState socket_state = state_of(socket_.native_handle());
+    return socket_state != SocketState::quiet && socket_state != SocketState::interrupted;
+}
+
+void ClientConnection::enter(ConnectionState state) {
+    assert(is_allowed_transition(state_, state));
+    state_ = state;
+}
+
+// ---- time and events of the socket
+
+void ClientConnection::set_timeout(Millis timeout) {
+    context_.timers.cancel(timer_);
+    timer_ = context_.timers.set(context_.clock.now() + timeout, [self = shared_from_this()] {
+        self->timer_ = {};
+        self->on_timeout();
+    });
+}
+
+void ClientConnection::on_timeout() {
+    if (std::exchange(reading_is_paused_, false)) {
+        await_next_request();
+        return;
+    }
+    switch (state_) {
+        case ConnectionState::awaiting_request:
+            if (has_unread_data()) {  // a request has just come, and its handler has not run
+                set_timeout(kMinAgeWithoutRequest);
+                read_request();
+            } else if (has_been_answered_) {
+                begin_lingering_close();
+            } else {
+                reject(kTooSlow, AfterResponse::close);
+            }
+            return;
+        case ConnectionState::reading_request:
+            stop_reading();  // on_read_timed_out() follows from the read's handler
+            return;
+        default:
+            close();  // the client does not read its response, or does not close
+    }
+}
+
+void ClientConnection::await_readable() {
+    if (is_waiting_readable_) return;
+    is_waiting_readable_ = true;
+    socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](Error error) {
+        self->is_waiting_readable_ = false;
+        if (self->state_ == ConnectionState::closed) return;
+        if (error == asio::error::operation_aborted) {
+            // stop_reading() cancelled this wait along with the read, whose handler goes on from here.
+            if (self->state_ != ConnectionState::reading_request) self->await_readable();
+            return;
+        }
+        if (error)
+            self->close();
+        else
+            self->on_readable();
+    });
+}
+
+void ClientConnection::on_readable() {
+    switch (state_) {
+        case ConnectionState::lingering_close:
+            discard_input();
+            return;
+        case ConnectionState::awaiting_request:
+            if (!reading_is_paused_) read_request();
+            return;
+        default:
+            on_readable_during_request();
+    }
+}
+
+void ClientConnection::on_readable_during_request() {
+    const SocketState socket_state = state_of(socket_.native_handle());
+    if (socket_state == SocketState::quiet || socket_state == SocketState::interrupted) {
+        await_readable();
+        return;
+    }
+    const bool has_left = socket_state != SocketState::readable;
+    if (has_left) {
+        if (state_ == ConnectionState::writing_response)
+            closes_after_response_ = true;
+        else
+            close();
+        return;
+    }
+    // While the response is being written its client may have read it already: the next request waits.
+    if (state_ != ConnectionState::request_in_progress) return;
+    // More bytes before the response has begun: nothing that the application does. What its client meant by
+    // the request in progress can't be known either.
+    notify_client_disconnected();
+    reject(kPipelined, AfterResponse::close);
+}
+
+void ClientConnection::notify_client_disconnected() {
+    if (request_id_ == 0) return;
+    context_.owner.on_client_disconnected(std::exchange(request_id_, 0));
+}
+
+// ---- responding
+
+void ClientConnection::reject(const RequestProblem& problem, AfterResponse after) {
+    if (after == AfterResponse::close) closes_after_response_ = true;
+    response_is_rejection_ = true;
+    write(text_response(problem.status, problem.text));
+}
+
+void ClientConnection::write(HttpResponse response) {
+    enter(ConnectionState::writing_response);
+    release_message_memory();
+    if (response.body().size() > kUsualBody) {
+        message_memory_ = context_.bytes.take(kMaxResponseBody);
+        if (!message_memory_)
+            response = text_response(http::status::bad_gateway, "no memory for so long an answer\n");
+    }
+    if (context_.owner.is_draining()) closes_after_response_ = true;
+    response.version(kHttp11);
+    response.keep_alive(!closes_after_response_);
+    response.prepare_payload();
+    response_.emplace(std::move(response));
+    set_timeout(context_.max_response_time + kResponseWriteMargin);
+    http::async_write(socket_, *response_,
+                      [self = shared_from_this()](Error error, std::size_t) { self->on_written(error); });
+}
+
+// The client may already be writing on a connection that it was told will stay: only a response that said
+// Connection: close is the last.
+void ClientConnection::on_written(Error error) {
+    if (state_ != ConnectionState::writing_response) return;
+    response_.reset();
+    message_memory_.reset();
+    if (error) {
+        close();
+        return;
+    }
+    if (closes_after_response_) {
+        begin_lingering_close();
+        return;
+    }
+    enter(ConnectionState::awaiting_request);
+    if (std::exchange(response_is_rejection_, false)) {
+        reading_is_paused_ = true;
+        set_timeout(kPauseAfterRejection);
+        return;
+    }
+    await_next_request();
+}
+
+void ClientConnection::await_next_request() {
+    has_been_answered_ = true;
+    idle_since_ = context_.clock.now();
+    context_.owner.on_idle(*this);
+    set_timeout(kIdleTimeout);
+    await_readable();
+}
+
+void ClientConnection::release_message_memory() {
+    parser_.reset();
+    buffer_.reset();
+    message_memory_.reset();
+}
+
+// ---- closing
+
+// The one way to end a connection whose client may still have something to read, or be sending (RFC 9112,
+// 9.6): closing over unread bytes would reset the connection and take the last response along. So our sending
+// ends, and what comes is read, for a while, until the client closes. None of it is looked at: a request
+// among it was written to a connection that was ending, and its client sends it once more elsewhere.
+void ClientConnection::begin_lingering_close() {
+    Error error;
+    socket_.shutdown(tcp::socket::shutdown_send, error);
+    if (error) {
+        close();
+        return;
+    }
+    enter(ConnectionState::lingering_close);
+    reading_is_paused_ = false;
+    release_message_memory();
+    socket_.non_blocking(true, error);
+    set_timeout(kLingerTimeout);
+    await_readable();
+}
+
+void ClientConnection::discard_input() {
+    while (discarded_bytes_ < kMaxDiscardedBytes) {
+        Error error;
+        const std::size_t size = socket_.read_some(context_.discard_buffer, error);
+        if (error == asio::error::would_block || error == asio::error::try_again) {
+            await_readable();
+            return;
+        }
+        if (error) {
+            close();
+            return;
+        }
+        discarded_bytes_ += size;
+    }
+    // The client goes on sending. Its response stays readable until kLingerTimeout; then the rest is reset.
+}
+
+// ---- exceptions
+
+void ClientConnection::on_exception(const std::exception& exception) {
+    log_event("listener", "request_failed", exception.what());
+    const auto self = shared_from_this();
+    try {
+        notify_client_disconnected();
+        const bool can_respond =
+            state_ == ConnectionState::reading_request || state_ == ConnectionState::request_in_progress;
+        if (can_respond) {
+            reject(kInternalError, AfterResponse::close);
+            return;
+        }
+    } catch (const std::exception& error) {
+        log_event("listener", "error_response_failed", error.what());
+        close();
+        return;
+    }
+    const bool response_has_begun = response_.has_value();
+    if (state_ == ConnectionState::writing_response && !response_has_begun) close();
+}
+
+}  // namespace elmbay
--- /dev/null
+++ b/src/net/client_connection_pool.cpp
@@ -0,0 +1,62 @@
+#include "net/client_connection_pool.hpp"
+
+namespace elmbay {
+
+namespace {
+
+bool close(const std::shared_ptr<ClientConnection>& connection) {
+    const auto keep_alive = connection;  // closing removes it from the list that the caller refers to
+    keep_alive->close();
+    return true;
+}
+
+}  // namespace
+
+void ClientConnectionPool::add(const std::shared_ptr<ClientConnection>& connection) {
+    connection->list_position = without_request_.insert(without_request_.end(), connection);
+}
+
+void ClientConnectionPool::on_first_request(ClientConnection& connection) {
+    with_request_.splice(with_request_.end(), without_request_, connection.list_position);
+}
+
+void ClientConnectionPool::on_idle(ClientConnection& connection) {
+    ClientConnection::List& list = list_of(connection);
+    list.splice(list.end(), list, connection.list_position);
+}
+
+void ClientConnectionPool::remove(ClientConnection& connection) {
+    list_of(connection).erase(connection.list_position);
+}
+
+bool ClientConnectionPool::close_one(Millis now) {
+    std::size_t too_young = 0;
+    for (const auto& connection : without_request_) {
+        if (connection->is_evictable(now)) return close(connection);
+        if (connection->is_idle() && !connection->has_unread_data()) ++too_young;
+    }
+    std::size_t evictable = 0;
+    std::shared_ptr<ClientConnection> longest_idle;
+    for (const auto& connection : with_request_) {
+        if (!connection->is_evictable(now)) continue;
+        const bool is_unused = now - connection->idle_since() > kUnusedAge;
+        if (!connection->is_idle() || is_unused) return close(connection);
+        if (!longest_idle) longest_idle = connection;
+        ++evictable;
+        if (evictable > too_young) break;
+    }
+    return longest_idle && evictable > too_young && close(longest_idle);
+}
+
+std::vector<std::shared_ptr<ClientConnection>> ClientConnectionPool::all() const {
+    std::vector<std::shared_ptr<ClientConnection>> connections(without_request_.begin(),
+                                                               without_request_.end());
+    connections.insert(connections.end(), with_request_.begin(), with_request_.end());
+    return connections;
+}
+
+ClientConnection::List& ClientConnectionPool::list_of(const ClientConnection& connection) {
+    return connection.has_sent_request() ? with_request_ : without_request_;
+}
+
+}  // namespace elmbay
--- /dev/null
+++ b/src/net/client_connection_reading.cpp
@@ -0,0 +1,208 @@
+// How a ClientConnection reads a request, from its first byte until it is given to the handlers.
+#include <netinet/in.h>
+#include <netinet/tcp.h>
+
+#include <boost/asio/error.hpp>
+#include <cstddef>
+#include <utility>
+
+#include "net/client_connection.hpp"
+#include "net/client_responses.hpp"
+
+namespace elmbay {
+
+namespace {
+
+using tcp = asio::ip::tcp;
+
+constexpr const char* kHealthCheckPath = "/up";
+
+// How long the last byte has been here, as the kernel counts it (tcp(7), tcp_info: in milliseconds, as coarse
+// as its tick). A connection that waited to be accepted, or whose bytes lay there while this process had no
+// core, has used up that much of its client's time.
+Millis kernel_queue_time(tcp::socket& socket) {
+    tcp_info info{};
+    socklen_t size = sizeof info;
+    constexpr std::size_t kNeeded = offsetof(tcp_info, tcpi_last_data_recv) + sizeof info.tcpi_last_data_recv;
+    const int result = ::getsockopt(socket.native_handle(), IPPROTO_TCP, TCP_INFO, &info, &size);
+    const bool is_known = result == 0 && size >= kNeeded;
+    return is_known ? info.tcpi_last_data_recv : 0;
+}
+
+std::string_view path_of(const HttpRequest& request) {
+    const std::string_view target(request.target().data(), request.target().size());
+    return target.substr(0, target.find('?'));
+}
+
+bool is_api_path(std::string_view path) { return path == "/api" || path.starts_with("/api/"); }
+
+// Whether the parser found something that is no HTTP, rather than an end of the connection.
+bool is_protocol_error(const boost::system::error_code& error) {
+    const auto& parser_errors = http::make_error_code(http::error::end_of_stream).category();
+    return error.category() == parser_errors && error != http::error::end_of_stream &&
+           error != http::error::partial_message;
+}
+
+}  // namespace
+
+void ClientConnection::read_request() {
+    enter(ConnectionState::reading_request);
+    read_timed_out_ = false;
+    if (has_been_answered_) set_timeout(kRequestReadTimeout);  // the first one's time runs from the accept
+    buffer_.emplace(kMaxReadAhead);
+    parser_.emplace();
+    parser_->body_limit(kMaxRequestBody);
+    parser_->header_limit(kMaxHeader);
+    http::async_read_header(socket_, *buffer_, *parser_,
+                            [self = shared_from_this()](Error error, std::size_t) {
+                                self->run_guarded([&] { self->on_head_read(error); });
+                            });
+}
+
+// What can't be used is rejected before its body is read, and what contradicts itself before it is decided
+// where its body ends.
+void ClientConnection::on_head_read(Error error) {
+    if (state_ != ConnectionState::reading_request) return;
+    if (error) {
+        on_read_failed(error);
+        return;
+    }
+    const bool is_complete = parser_->is_done();
+    if (read_timed_out_ && !is_complete) {
+        on_read_timed_out();
+        return;
+    }
+    if (!framing_is_clear(parser_->get())) {
+        reject(kUnclearFraming, AfterResponse::close);
+        return;
+    }
+    problem_ = find_problem(parser_->get());
+    if (is_complete) {
+        on_request_complete();
+    } else if (problem_) {
+        reject(*problem_, AfterResponse::close);
+    } else if (!reserve_body()) {
+        reject(kTooLarge, AfterResponse::close);
+    } else {
+        http::async_read(socket_, *buffer_, *parser_,
+                         [self = shared_from_this()](Error body_error, std::size_t) {
+                             self->run_guarded([&] { self->on_body_read(body_error); });
+                         });
+    }
+}
+
+void ClientConnection::on_body_read(Error error) {
+    if (state_ != ConnectionState::reading_request) return;
+    if (error)
+        on_read_failed(error);
+    else
+        on_request_complete();
+}
+
+void ClientConnection::on_read_failed(Error error) {
+    if (read_timed_out_ && error == asio::error::operation_aborted)
+        on_read_timed_out();
+    else if (!is_protocol_error(error))
+        close();
+    else if (error == http::error::body_limit)
+        reject(kTooLarge, AfterResponse::close);
+    else if (error == http::error::header_limit)
+        reject(kHeadTooLarge, AfterResponse::close);
+    else
+        reject(kMalformed, AfterResponse::close);
+}
+
+// In a shutdown, a client that has used the connection before sends its request once more on another one if
+// it gets no response.
+void ClientConnection::on_read_timed_out() {
+    if (context_.owner.has_stopped_accepting() && has_sent_request_)
+        begin_lingering_close();
+    else
+        reject(kTooSlow, AfterResponse::close);
+}
+
+std::optional<RequestProblem> ClientConnection::find_problem(const HttpRequest& head) const {
+    const std::string_view path = path_of(head);
+    const bool is_get = head.method() == http::verb::get;
+    std::optional<RequestProblem> problem;
+    if (path == kHealthCheckPath) {
+        if (!is_get) problem = kHealthCheckMethod;
+    } else if (!is_api_path(path)) {
+        problem = kUnknownPath;
+    } else {
+        problem = context_.handlers.validate(head);
+    }
+    const bool has_body = !parser_->is_done();
+    return is_get && has_body ? kGetWithBody : problem;
+}
+
+// A body that is long, or does not say how long it is, needs memory of its own.
+// @return false if it may not be read.
+bool ClientConnection::reserve_body() {
+    const auto length = parser_->content_length();
+    if (length && *length <= kUsualBody) return true;
+    message_memory_ = context_.bytes.take(kMaxRequestBody);
+    if (message_memory_) return true;
+    if (length) return false;
+    parser_->body_limit(kUsualBody);
+    return true;
+}
+
+void ClientConnection::on_request_complete() {
+    context_.timers.cancel(timer_);
+    closes_after_response_ = !parser_->keep_alive();
+    if (buffer_->size() > 0 || has_unread_data()) {
+        reject(kPipelined, AfterResponse::close);
+        return;
+    }
+    HttpRequest request = parser_->release();
+    parser_.reset();
+    buffer_.reset();
+    if (problem_) {
+        reject(*problem_, AfterResponse::keep);
+        return;
+    }
+    if (path_of(request) == kHealthCheckPath) {
+        answer_health_check();
+        return;
+    }
+    // A health check is no request: a client that sends nothing else is not the application at work.
+    if (!std::exchange(has_sent_request_, true)) context_.owner.on_first_request(*this);
+    // The same id again may be somebody else's open request: two with one id must not be in progress
+    // together.
+    if (!context_.owner.register_correlation_id(field(request, "X-Correlation-Id"))) {
+        reject(kCorrelationIdInUse, AfterResponse::keep);
+        return;
+    }
+    start_request(std::move(request));
+}
+
+void ClientConnection::answer_health_check() {
+    const bool is_ready = context_.handlers.ready() && !context_.owner.is_draining();
+    write(is_ready ? text_response(http::status::ok, "up\n")
+                   : text_response(http::status::service_unavailable, "not ready\n"));
+}
+
+void ClientConnection::start_request(HttpRequest request) {
+    const bool has_capacity = context_.owner.has_capacity_for_request();
+    const ReceivedRequest received{kernel_queue_time(socket_), has_capacity};
+    if (context_.handlers.is_upgrade && context_.handlers.is_upgrade(request)) {
+        hand_over(std::move(request), received);
+        return;
+    }
+    enter(ConnectionState::request_in_progress);
+    request_id_ = context_.owner.next_request_id();
+    context_.owner.on_request_started(request_id_, *this);
+    const auto self = shared_from_this();
+    await_readable();  // to see the client leave
+    context_.handlers.on_request(request_id_, std::move(request), received);
+}
+
+void ClientConnection::hand_over(HttpRequest request, const ReceivedRequest& received) {
+    enter(ConnectionState::closed);
+    context_.owner.on_closed(*this);
+    context_.handlers.on_upgrade(context_.owner.next_request_id(), std::move(socket_), std::move(request),
+                                 received);
+}
+
+}  // namespace elmbay
--- /dev/null
+++ b/src/net/client_responses.hpp
@@ -0,0 +1,28 @@
+/// @file
+/// Responses that the listener gives by itself, without asking for a server.
+#pragma once
+
+#include "http/message.hpp"
+#include "http/request_validation.hpp"
+
+namespace elmbay {
+
+// Why the listener rejects a request by itself. What the settings say of a request is in
+// http/request_validation.hpp.
+constexpr RequestProblem kTooLarge{http::status::payload_too_large, "body too large\n"};
+constexpr RequestProblem kTooSlow{http::status::request_timeout, "no request came in time\n"};
+constexpr RequestProblem kPipelined{http::status::bad_request,
+                                    "a request came before the answer to the last\n"};
+constexpr RequestProblem kUnclearFraming{http::status::bad_request, "framing that contradicts itself\n"};
+constexpr RequestProblem kHeadTooLarge{http::status::request_header_fields_too_large, "head too large\n"};
+constexpr RequestProblem kMalformed{http::status::bad_request, "malformed request\n"};
+constexpr RequestProblem kGetWithBody{http::status::bad_request, "GET with a body\n"};
+constexpr RequestProblem kUnknownPath{http::status::not_found, "no such path\n"};
+constexpr RequestProblem kHealthCheckMethod{http::status::method_not_allowed, "GET\n"};
+constexpr RequestProblem kCorrelationIdInUse{http::status::conflict, "X-Correlation-Id has been used\n"};
+constexpr RequestProblem kInternalError{http::status::internal_server_error, "failed\n"};
+
+/// @return a response with a body in plain text and without framing headers.
+HttpResponse text_response(http::status status, const char* text);
+
+}  // namespace elmbay
--- a/src/net/discovery.hpp
+++ b/src/net/discovery.hpp
@@ -1,12 +1,16 @@
-// The list of servers: fetched, watched, and watched again after every break.
+/// @file
+/// The endpoint list: fetched, watched, and watched again after every break.
 #pragma once
 
+#include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
+#include <cstdint>
 #include <functional>
 #include <limits>
 #include <memory>
 #include <optional>
 #include <random>
+#include <system_error>
 
 #include "base/sockets.hpp"
 #include "base/timing.hpp"
@@ -14,81 +18,113 @@
 
 namespace elmbay {
 
+/// Keeps a watch on the discovery service and hands on each list or change that it sends.
+///
+/// One call at a time, on one connection: the whole list first, if none is held, then the watch. After each
+/// end of a call another follows, after a delay with jitter. What can't be read is dropped whole and the
+/// whole list asked for again; the list that is held stays in force meanwhile.
+///
+/// Not thread-safe: everything runs on the event loop's thread. Holds at most one descriptor of Side::servers
+/// and one line of a list.
 class Discovery {
 public:
-    // From the last word of a call or a watch to the next one's first. What is missed counts as told 6 s
-    // after a watch fell silent, whether lists are pushed or asked for, and 6 s after discovery can be
-    // reached again (STANDING); the drains among it have their own grace after that.
-    static constexpr Millis kCountsAsTold = 6000;
-    //   An empty line comes every 2 s; one that is a second late is not coming.
-    static constexpr Millis kSilence = 3000;
-    //   A pushed list has its agent on this machine. What takes longer to be there, or to begin its answer,
-    //   is not coming; while discovery is down the agent takes calls, is silent, and answers at the return.
-    static constexpr Millis kConnect = 500, kAnswer = 1500;
-    //   A list that is asked for is one service's for all. A call has its answer in its turn; one for which
-    //   that would be later than this is refused at once (measured, docs/design/endings.md). One that has
-    //   heard nothing for as long as kSilence was cut off like a watch.
-    static constexpr Millis kTurn = 2000;
-    static_assert(kTurn < kSilence);
-    //   Between two tries, each by up to half more or less: not in step with the other sidecars. What an
-    //   agent that is back has been sent counts at once, so none of these waits is long; they double only
-    //   where it refuses us, up to the second figure. The one service for all is asked less often.
-    struct Waits {
-        Millis first, most;
+    /// What is missed counts as told so long after a watch fell silent, whether lists are pushed or asked
+    /// for, and so long after the service can be reached again (STANDING). The drains among it have their own
+    /// grace after that. All times below must leave room for a new call within it, which the assertions
+    /// check.
+    static constexpr Millis kReconnectDeadline = 6000;
+    /// A call that is silent for longer has been cut off: an empty line comes every 2 s, and one that is a
+    /// second late is not coming.
+    static constexpr Millis kMaxSilence = 3000;
+    /// A pushed list has its agent on this machine: what takes longer to be connected, or to begin its
+    /// response, is not coming. While discovery is down the agent accepts calls, is silent, and answers at
+    /// the return.
+    static constexpr Millis kConnectTimeout = 500;
+    static constexpr Millis kPushedResponseTimeout = 1500;
+    /// A list that is asked for is one service's for all. It answers calls in turn; one whose turn would come
+    /// later than this is refused at once (measured, docs/design/endings.md).
+    static constexpr Millis kMaxTurn = 2000;
+    static_assert(kMaxTurn < kMaxSilence);
+
+    /// Between two calls. What an agent that is back has been sent counts at once, so no delay is long. It
+    /// doubles only where the service refuses us.
+    struct Backoff {
+        Millis initial;
+        Millis max;
+    };
+    static constexpr Backoff kPushedBackoff{50, 250};
+    /// The one service for all is asked less often.
+    static constexpr Backoff kAskedBackoff{250, 400};
+    /// A delay is longer or shorter by up to this share: not in step with the other sidecars.
+    static constexpr double kJitter = 0.5;
+    static constexpr double kMaxJitterFactor = 1 + kJitter;
+
+    // One more call may fail: of a pushed list a whole one, or two that do not connect; of a list that is
+    // asked for one that is refused, and after an outage one that waited for its turn.
+    static_assert(kMaxSilence + kMaxJitterFactor * kPushedBackoff.initial + kConnectTimeout +
+                      kPushedResponseTimeout + kMaxJitterFactor * kPushedBackoff.initial + kConnectTimeout <
+                  kReconnectDeadline);
+    static_assert(kMaxSilence + kMaxJitterFactor * kAskedBackoff.initial +
+                      kMaxJitterFactor * kAskedBackoff.max + kMaxTurn <
+                  kReconnectDeadline);
+    static_assert(2 * (kMaxJitterFactor * kAskedBackoff.max + kMaxTurn) < kReconnectDeadline);
+
+    /// Who begins the talk about a change.
+    enum class Mode {
+        pushed,  ///< an agent on this machine pushes it
+        asked,   ///< a service is asked for it
+    };
+
+    struct Setup {
+        Endpoint endpoint;
+        /// Of the list that is held. None: no list is held, and the whole one is fetched first.
+        std::optional<std::uint64_t> held_version;
+        std::uint64_t seed = 0;  ///< of the jitter
+        Mode mode = Mode::pushed;
     };
-    static constexpr Waits kPushed{50, 250}, kAsked{250, 400};
-    static constexpr double kJitter = 0.5, kLongest = 1 + kJitter;  // shares of it
-    //   So one more try may be in vain: a whole one, or two that do not connect; of an asked-for list one
-    //   that is refused, and after an outage one that waited for its turn.
-    static_assert(kSilence + kLongest * kPushed.first + kConnect + kAnswer + kLongest * kPushed.first +
-                      kConnect <
-                  kCountsAsTold);
-    static_assert(kSilence + kLongest * kAsked.first + kLongest * kAsked.most + kTurn < kCountsAsTold);
-    static_assert(2 * (kLongest * kAsked.most + kTurn) < kCountsAsTold);
 
-    // Pushed by an agent on this machine, or asked for at a service.
-    enum class Mode { pushed, asked };
-    // rev: of the list that is held; none: no list is held, and the whole one is asked for first.
-    Discovery(asio::io_context& io, const Endpoint& endpoint, SocketBudget& budget, TimerQueue& timers,
-              const Clock& clock, std::optional<std::uint64_t> rev, std::uint64_t seed, Mode mode,
-              std::function<void(Listing)> listed);
+    /// Does nothing before watch(). The references must outlive it.
+    /// @param on_listing called with each list or change that could be read, in order.
+    Discovery(asio::io_context& io, const Setup& setup, SocketBudget& budget, TimerQueue& timers,
+              const Clock& clock, std::function<void(Listing)> on_listing);
     ~Discovery();
     Discovery(const Discovery&) = delete;
     Discovery& operator=(const Discovery&) = delete;
+    Discovery(Discovery&&) = delete;
+    Discovery& operator=(Discovery&&) = delete;
 
-    // From then on, until stop(): a watch that breaks is opened anew, and the old list stays in force
-    // meanwhile.
+    /// Watches from now on, until stop().
     void watch();
     void stop();
-    // Bytes of it lie in the kernel that have not been read.
+    /// @return whether bytes of a list lie in the kernel that were not read.
     bool unread() const;
-    // Goes to another address at once, asks it for the whole list and starts with the shortest wait. What was
-    // told so far stays in force until then.
+    /// Goes to another address at once, fetches the whole list there, and starts with the shortest delay.
+    /// What the old address has already sent is handed on first.
     void move_to(const Endpoint& endpoint);
 
 private:
     class Call;
 
-    void begin();
-    void ended(const char* why, bool refused);
+    void begin_call();
+    void on_call_ended(std::error_code error);
 
     asio::io_context& io_;
     Endpoint endpoint_;
     SocketBudget& budget_;
     TimerQueue& timers_;
     const Clock& clock_;
-    std::uint64_t rev_;
-    bool whole_;  // ask for the whole list before the next watch
+    std::uint64_t version_;  // of the list that is held
+    bool needs_whole_list_;  // before the next watch
     const Mode mode_;
-    const Waits waits_;
+    const Backoff backoff_;
     std::mt19937_64 random_;
-    std::function<void(Listing)> listed_;
-    std::shared_ptr<Call> call_;
-    TimerQueue::Key again_{};
-    Millis wait_;
-    // Of the list or of a watch, also that nothing has changed; never: none in this life.
-    Millis last_word_ = -std::numeric_limits<Millis>::infinity();
-    bool watching_ = false;
+    std::function<void(Listing)> on_listing_;
+    std::shared_ptr<Call> call_;  // none between two calls
+    TimerQueue::Key retry_timer_{};
+    Millis next_delay_;  // before jitter
+    // When the service last said what the list is, or that it has not changed; never: not in this run.
+    Millis last_heard_at_ = -std::numeric_limits<Millis>::infinity();
+    bool is_watching_ = false;
 };
 
 }  // namespace elmbay
--- /dev/null
+++ b/src/net/discovery_error.cpp
@@ -0,0 +1,46 @@
+#include "net/discovery_error.hpp"
+
+#include <string>
+
+namespace elmbay {
+
+namespace {
+
+class DiscoveryCategory final : public std::error_category {
+public:
+    const char* name() const noexcept override { return "discovery"; }
+    std::string message(int condition) const override {
+        switch (static_cast<DiscoveryError>(condition)) {
+            case DiscoveryError::no_socket:
+                return "no descriptor left for the call";
+            case DiscoveryError::connect_failed:
+                return "the service cannot be reached";
+            case DiscoveryError::connection_broken:
+                return "the connection broke";
+            case DiscoveryError::connection_closed:
+                return "the service closed the connection";
+            case DiscoveryError::unexpected_status:
+                return "the service answered with a status other than 200";
+            case DiscoveryError::line_too_long:
+                return "the service sent a line of more than 4 MiB";
+            case DiscoveryError::unreadable_list:
+                return "the service sent a list that cannot be read";
+            case DiscoveryError::timed_out:
+                return "the service is silent";
+        }
+        return "unknown error";
+    }
+};
+
+}  // namespace
+
+const std::error_category& discovery_category() noexcept {
+    static const DiscoveryCategory category;
+    return category;
+}
+
+std::error_code make_error_code(DiscoveryError error) noexcept {
+    return {static_cast<int>(error), discovery_category()};
+}
+
+}  // namespace elmbay
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -138,8 +138,10 @@
                                              engine_.on_session_ended(clock_.now(), id, broken);
                                          }})),
       discovery_(
-          io, config_.discovery, budget_, timers_, clock_, held_rev(config_.known), config_.seed,
-          config_.deployment.settings.list_on_request ? Discovery::Mode::asked : Discovery::Mode::pushed,
+          io,
+          {config_.discovery, held_rev(config_.known), config_.seed,
+           config_.deployment.settings.list_on_request ? Discovery::Mode::asked : Discovery::Mode::pushed},
+          budget_, timers_, clock_,
           [this](const Listing& listing) {
               listed(listing.all ? ListKind::snapshot : ListKind::incremental, listing);
           }),
--- a/tests/standing_terms_test.cpp
+++ b/tests/standing_terms_test.cpp
@@ -569,7 +569,7 @@
     server.last().respond("200 OK", body);
     ASSERT_TRUE(rig.until([&] { return client->socket.available() > 0; })) << "it is being written";
     rig.sidecar->drain([] {});
-    run_for(rig, milliseconds(static_cast<int>(Listener::kLastTaken) + 50));
+    run_for(rig, milliseconds(static_cast<int>(GracefulShutdown::kRequestCutoff) + 50));
     client->send(NetRig::request("unsafe"));
     client->read();
     ASSERT_TRUE(rig.until([&] { return client->closed || server.requests() == 2; }));
--- a/tests/syscall_faults/listener_faults_test.cpp
+++ b/tests/syscall_faults/listener_faults_test.cpp
@@ -149,7 +149,7 @@
         ListenerRig rig;
         std::shared_ptr<Peer> client;
         bool done = false;
-        const Millis shut = rig.clock.now() + Listener::kLinger;
+        const Millis shut = rig.clock.now() + GracefulShutdown::kAcceptingPeriod;
         // In the same turn as the listener's own timer, and before it: its pending accept has no turn
         // between.
         rig.timers.set(shut - 1, [&] {
--- a/tests/websocket/handshake_test.cpp
+++ b/tests/websocket/handshake_test.cpp
@@ -31,7 +31,7 @@
     const auto problem =
         validate_upgrade(*head, deployment(), {"https://archive.example", "https://other.example:8443"});
     EXPECT_EQ(problem ? static_cast<unsigned>(problem->status) : 0U, c.status)
-        << (problem ? problem->words : "");
+        << (problem ? problem->text : "");
 }
 
 const Case kAsks[] = {
