--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -228,7 +228,7 @@
         if (!server) return;
         if (request.session && !session_begins) --server->sessions;
         accounting.record(*server, request, attempt, event);
-        servers.drop_if_gone(*server);
+        servers.forget_if_unused(*server);
     }
 
     void retry_or_finish(Request& request) {
@@ -257,7 +257,7 @@
         if (!server) return;
         --server->sessions;
         if (event.broken) accounting.record_outcome(*server, Outcome::connection_reset, false, false);
-        servers.drop_if_gone(*server);
+        servers.forget_if_unused(*server);
     }
 
     void on(const TimerFired& event) {
--- a/src/balancer/server_age.cpp
+++ b/src/balancer/server_age.cpp
@@ -37,7 +37,7 @@
             starts.push_back({info.id, info.online_since});
         }
     }
-    if (!starts.empty()) place_starts(std::move(starts), list, now);
+    if (!starts.empty()) assign_start_times(std::move(starts), list, now);
 }
 
 void ServerAges::record_exact_start(const ServerInfo& info) {
@@ -58,16 +58,16 @@
     return true;
 }
 
-void ServerAges::place_starts(std::vector<Start> starts, const ServerList& list, Millis now) {
+void ServerAges::assign_start_times(std::vector<Start> starts, const ServerList& list, Millis now) {
     const bool is_first_list = std::isinf(list.list_age_bound);
     const bool may_be_older = list.list_age_bound > kMaxTrustedListAge;
     // Few starts in an outage cost little as cold ones. Then no claim needs to be believed.
     const bool are_many = is_first_list || starts.size() > doubted_count();
-    if (may_be_older && are_many) return place_starts_by_claims(std::move(starts), list, now);
+    if (may_be_older && are_many) return assign_start_times_by_claims(std::move(starts), list, now);
     for (const Start& start : starts) begin_process(start.server, now);
 }
 
-void ServerAges::place_starts_by_claims(std::vector<Start> starts, const ServerList& list, Millis now) {
+void ServerAges::assign_start_times_by_claims(std::vector<Start> starts, const ServerList& list, Millis now) {
     const EarliestWallTimes earliest = earliest_wall_times(now);
     // Two servers whose clocks agree that it is later are not both wrong: then our clock is behind.
     const Millis wall_time = std::max(*list.wall_time, earliest.second);
--- a/src/balancer/server_age.hpp
+++ b/src/balancer/server_age.hpp
@@ -99,8 +99,8 @@
     void record_exact_start(const ServerInfo& info);
     // Whether the entry names a process that was not known.
     bool record_start(const ServerInfo& info, Millis now);
-    void place_starts(std::vector<Start> starts, const ServerList& list, Millis now);
-    void place_starts_by_claims(std::vector<Start> starts, const ServerList& list, Millis now);
+    void assign_start_times(std::vector<Start> starts, const ServerList& list, Millis now);
+    void assign_start_times_by_claims(std::vector<Start> starts, const ServerList& list, Millis now);
     std::size_t doubted_count() const;
     EarliestWallTimes earliest_wall_times(Millis now) const;
     void begin_process(ServerId id, Millis started_at);
--- a/src/balancer/server_table.cpp
+++ b/src/balancer/server_table.cpp
@@ -22,7 +22,7 @@
     for (auto& [id, server] : servers_) server.listed = false;
     for (const ServerInfo& info : list) update_server(info, now);
     std::erase_if(servers_, [this](const auto& entry) {
-        if (!is_gone(entry.second)) return false;
+        if (!is_unused(entry.second)) return false;
         ages_->forget(entry.first);
         return true;
     });
@@ -37,12 +37,12 @@
         aperture_->add(&update_server(info, now));
     }
     for (const ServerInfo& info : list) {
-        if (Server* server = find(info.id)) drop_if_gone(*server);
+        if (Server* server = find(info.id)) forget_if_unused(*server);
     }
 }
 
-void ServerTable::drop_if_gone(Server& server) {
-    if (!is_gone(server)) return;
+void ServerTable::forget_if_unused(Server& server) {
+    if (!is_unused(server)) return;
     ages_->forget(server.info.id);
     aperture_->remove(&server);
     servers_.erase(server.info.id);
--- a/src/balancer/server_table.hpp
+++ b/src/balancer/server_table.hpp
@@ -29,7 +29,7 @@
     void apply(const ServerList& list, Millis now);
     /// Forgets a server that is not listed, once nothing of this sidecar is left there. `server` may dangle
     /// then.
-    void drop_if_gone(Server& server);
+    void forget_if_unused(Server& server);
 
     /// nullptr: unknown, or forgotten.
     Server* find(ServerId id);
@@ -39,7 +39,7 @@
     std::size_t size() const { return servers_.size(); }
 
 private:
-    static bool is_gone(const Server& server) {
+    static bool is_unused(const Server& server) {
         return !server.listed && server.in_flight == 0 && server.sessions == 0;
     }
     // Takes in a whole list: what it does not name has left. Linear in the fleet.
--- a/tests/balancer/balancer_test.cpp
+++ b/tests/balancer/balancer_test.cpp
@@ -74,7 +74,7 @@
     Rig rig = fleet(4);
     for (int i = 0; i < 100; ++i) {
         const RequestId id = rig.request();
-        rig.requests.at(id).client_gone = true;
+        rig.requests.at(id).client_disconnected = true;
         rig.handle(ClientDisconnected{id});
         rig.end(id, Outcome::cancelled, 20);
     }
@@ -165,9 +165,9 @@
 }
 
 TEST(BalancerEndpointList, FailedCallKeepsTheListAndIsRepeatedLater) {
-    Settings s = make_settings();
-    s.list_on_request = true;
-    Rig rig(s);
+    Settings settings = make_settings();
+    settings.list_on_request = true;
+    Rig rig(settings);
     rig.handle(Started{});
     EXPECT_EQ(rig.count<Subscribe>(), 1);
     rig.apply_list(ListKind::cached, make_servers(2));
@@ -211,9 +211,9 @@
 
 Settings one_of_many(std::uint32_t siblings,
                      RequestClass request_class = make_class(Idempotency::idempotent)) {
-    Settings s = make_settings({request_class});
-    s.siblings = siblings;
-    return s;
+    Settings settings = make_settings({request_class});
+    settings.siblings = siblings;
+    return settings;
 }
 
 TEST(BalancerAperture, LightSidecarKeepsToFewServersAndReplacesThem) {
@@ -313,9 +313,9 @@
 
 TEST(BalancerCutoff, IsTheObjectiveOnlyWhereALateResponseIsWorthless) {
     const auto until = [](Idempotency idempotency, double late_weight, std::uint32_t siblings = 1000) {
-        RequestClass c = make_class(idempotency);
-        c.late_weight = late_weight;
-        Rig rig(one_of_many(siblings, c));
+        RequestClass request_class = make_class(idempotency);
+        request_class.late_weight = late_weight;
+        Rig rig(one_of_many(siblings, request_class));
         rig.apply_list(ListKind::snapshot, make_servers(20));
         const RequestId id = rig.request(0, 1000);
         return rig.requests.at(id).attempts.back().deadline - rig.now;
@@ -330,7 +330,7 @@
 TEST(BalancerPick, AvoidsSlowMachineTypeBeforeEachOfItsServersIsKnown) {
     Rig rig(make_settings());
     std::vector<ServerInfo> servers = make_servers(20);
-    for (ServerInfo& s : servers) s.machine_type = s.id % 2;
+    for (ServerInfo& server : servers) server.machine_type = server.id % 2;
     rig.apply_list(ListKind::snapshot, servers);
     int slow_type = 0;
     for (int i = 0; i < 60; ++i) {
@@ -346,7 +346,7 @@
 TEST(BalancerPick, SendsSmallServersTheirShareByWeight) {
     Rig rig(make_settings());
     std::vector<ServerInfo> servers = make_servers(12);
-    for (ServerInfo& s : servers) s.weight = s.id <= 6 ? 1 : 16;
+    for (ServerInfo& server : servers) server.weight = server.id <= 6 ? 1 : 16;
     rig.apply_list(ListKind::snapshot, servers);
     int small_server = 0;
     for (int i = 0; i < 400; ++i) {
@@ -360,16 +360,16 @@
 }
 
 TEST(BalancerFairness, TenantFarBeyondItsQuotaGetsLessWhileServersAreBusy) {
-    Settings s = one_of_many(1000);
-    s.tenants = {{10}, {10}};
-    Rig rig(s);
+    Settings settings = one_of_many(1000);
+    settings.tenants = {{10}, {10}};
+    Rig rig(settings);
     rig.apply_list(ListKind::snapshot, make_servers(2));
     std::vector<int> arrived(2);
     std::vector<int> admitted(2);
     for (int i = 0; i < 600; ++i) {
         const std::uint32_t tenant = i % 6 == 0 ? 1 : 0;  // five sixths of the traffic, half of the quotas
         const RequestId id = rig.next_id++;
-        rig.requests[id] = {s.classes[0], rig.now + 1500, {}, 0, false, false};
+        rig.requests[id] = {settings.classes[0], rig.now + 1500, {}, 0, false, false};
         rig.handle(RequestArrived{id, 0, tenant, 1500});
         ++arrived[tenant];
         admitted[tenant] += rig.is_in_flight(id);
@@ -400,8 +400,8 @@
         actions.clear();
         rig.balancer.handle(rig.now, RequestArrived{static_cast<RequestId>(900), 0, {}, bad}, actions);
         ASSERT_FALSE(actions.empty());
-        for (const Action& a : actions) {
-            EXPECT_FALSE(std::holds_alternative<StartAttempt>(a)) << "no time left";
+        for (const Action& action : actions) {
+            EXPECT_FALSE(std::holds_alternative<StartAttempt>(action)) << "no time left";
         }
         rig.balancer.handle(rig.now, ClientDisconnected{900}, actions);
     }
@@ -454,10 +454,10 @@
 
 TEST(BalancerSettings, ThrowsInvalidSettingWithItsName) {
     const auto complaint = [](auto change) {
-        Settings s = make_settings();
-        change(s);
+        Settings settings = make_settings();
+        change(settings);
         try {
-            Balancer(s, 1);
+            Balancer(settings, 1);
         } catch (const InvalidSetting& error) {
             EXPECT_EQ(error.what(), "elmbay: setting makes no sense: " + error.setting());
             return std::string(error.what());
@@ -467,19 +467,22 @@
     const auto names = [&](auto change, const std::string& setting) {
         EXPECT_NE(complaint(change).find(setting), std::string::npos) << setting << ": " << complaint(change);
     };
-    names([](Settings& s) { s.classes.clear(); }, "classes");
-    names([](Settings& s) { s.classes[0].latency_objective = 0; }, "classes[0].aim");
-    names([](Settings& s) { s.classes[0].latency_objective = std::numeric_limits<double>::quiet_NaN(); },
-          "classes[0].aim");
-    names([](Settings& s) { s.classes[0].priority_weight = -1; }, "classes[0].worth");
-    names([](Settings& s) { s.classes[0].dedup_window = -1; }, "classes[0].dedup_window");
-    names([](Settings& s) { s.classes[0].late_weight = 2; }, "classes[0].late_worth");
-    names([](Settings& s) { s.tenants = {{1}, {-1}}; }, "tenants[1].quota");
-    names([](Settings& s) { s.max_attempts = 0; }, "max_attempts");
-    names([](Settings& s) { s.slow_start_min_share = 1.5; }, "cold_from");
-    names([](Settings& s) { s.overload_multiple = 0; }, "fall_multiple");
-    names([](Settings& s) { s.slow_start_duration = -5; }, "warm_within");
-    names([](Settings& s) { s.costs.cross_zone = std::numeric_limits<double>::quiet_NaN(); },
+    names([](Settings& settings) { settings.classes.clear(); }, "classes");
+    names([](Settings& settings) { settings.classes[0].latency_objective = 0; }, "classes[0].aim");
+    names(
+        [](Settings& settings) {
+            settings.classes[0].latency_objective = std::numeric_limits<double>::quiet_NaN();
+        },
+        "classes[0].aim");
+    names([](Settings& settings) { settings.classes[0].priority_weight = -1; }, "classes[0].worth");
+    names([](Settings& settings) { settings.classes[0].dedup_window = -1; }, "classes[0].dedup_window");
+    names([](Settings& settings) { settings.classes[0].late_weight = 2; }, "classes[0].late_worth");
+    names([](Settings& settings) { settings.tenants = {{1}, {-1}}; }, "tenants[1].quota");
+    names([](Settings& settings) { settings.max_attempts = 0; }, "max_attempts");
+    names([](Settings& settings) { settings.slow_start_min_share = 1.5; }, "cold_from");
+    names([](Settings& settings) { settings.overload_multiple = 0; }, "fall_multiple");
+    names([](Settings& settings) { settings.slow_start_duration = -5; }, "warm_within");
+    names([](Settings& settings) { settings.costs.cross_zone = std::numeric_limits<double>::quiet_NaN(); },
           "fees.cross_zone");
     EXPECT_EQ(complaint([](Settings&) {}), "accepted");
 }
--- a/tests/balancer/composition_test.cpp
+++ b/tests/balancer/composition_test.cpp
@@ -213,10 +213,10 @@
     Server* server = servers_.find(1);
     ASSERT_NE(server, nullptr);
     EXPECT_FALSE(server->accepts_requests());
-    servers_.drop_if_gone(*server);
+    servers_.forget_if_unused(*server);
     ASSERT_EQ(servers_.find(1), server);
     server->in_flight = 0;
-    servers_.drop_if_gone(*server);
+    servers_.forget_if_unused(*server);
     EXPECT_TRUE(servers_.empty());
 }
 
--- a/tests/balancer/ejection_test.cpp
+++ b/tests/balancer/ejection_test.cpp
@@ -97,17 +97,17 @@
 
 TEST(OutlierEjectionTest, ProbeRestoresOnSuccessAndEjectsAgainOnFailure) {
     Pool pool(8);
-    Server& s = pool.servers[0];
+    Server& server = pool.servers[0];
     const auto probe = [&](Outcome outcome) {
-        OutlierEjection::begin_probe(s);
-        return pool.ejection.record_outcome(s, {outcome, true, false, 8, 1}, kNow);
+        OutlierEjection::begin_probe(server);
+        return pool.ejection.record_outcome(server, {outcome, true, false, 8, 1}, kNow);
     };
-    s.ejection_state = EjectionState::ejected;
+    server.ejection_state = EjectionState::ejected;
     EXPECT_EQ(probe(Outcome::cancelled), Verdict::none);
-    EXPECT_EQ(s.ejection_state, EjectionState::ejected) << "undecided: the next request is the probe";
+    EXPECT_EQ(server.ejection_state, EjectionState::ejected) << "undecided: the next request is the probe";
     EXPECT_EQ(probe(Outcome::error_response), Verdict::ejected_again);
     EXPECT_EQ(probe(Outcome::success), Verdict::restored);
-    EXPECT_EQ(s.window.filled(), 0U);
+    EXPECT_EQ(server.window.filled(), 0U);
 }
 
 }  // namespace
--- a/tests/balancer/fleet_change_test.cpp
+++ b/tests/balancer/fleet_change_test.cpp
@@ -30,17 +30,17 @@
 constexpr Millis kNow = 1e6;
 constexpr std::uint32_t kSidecars = 900;
 
-Settings settings() {
-    Settings s;
-    s.classes.emplace_back();
-    s.siblings = kSidecars;
-    s.slow_start_duration = 10000;
-    return s;
+Settings make_settings() {
+    Settings settings;
+    settings.classes.emplace_back();
+    settings.siblings = kSidecars;
+    settings.slow_start_duration = 10000;
+    return settings;
 }
 
 TEST(FleetChangeTest, IncrementalListAllocatesNothingAsLargeAsTheFleet) {
     const auto bytes_of_a_change = [](ServerId fleet) {
-        Balancer balancer(settings(), 1);
+        Balancer balancer(make_settings(), 1);
         std::vector<Action> actions;
         ServerList whole;
         for (ServerId id = 1; id <= fleet; ++id) {
@@ -58,7 +58,7 @@
 }
 
 TEST(FleetChangeTest, IncrementalListsGiveTheSamePoolAsAWholeList) {
-    const Settings settings = test::settings();
+    const Settings settings = make_settings();
     const SlowStart slow_start(settings);
     std::mt19937_64 random(7);
     std::vector<Server> servers(300);
@@ -72,21 +72,21 @@
     changed.set_servers(there);
     changed.draw_pool(kNow, 0);
     for (int round = 0; round < 300; ++round) {
-        for (std::size_t n = random() % 4; n > 0; --n) {
-            Server& s = servers[random() % servers.size()];
-            changed.remove(&s);
-            std::erase(there, &s);
-            s.listed = random() % 4 != 0;
-            s.info.state = random() % 3 == 0 ? EndpointState::draining : EndpointState::active;
-            s.ejection_state = random() % 3 == 0 ? EjectionState::ejected : EjectionState::healthy;
+        for (std::size_t changes = random() % 4; changes > 0; --changes) {
+            Server& server = servers[random() % servers.size()];
+            changed.remove(&server);
+            std::erase(there, &server);
+            server.listed = random() % 4 != 0;
+            server.info.state = random() % 3 == 0 ? EndpointState::draining : EndpointState::active;
+            server.ejection_state = random() % 3 == 0 ? EjectionState::ejected : EjectionState::healthy;
             if (random() % 5 == 0) continue;  // gone for good
-            changed.add(&s);
-            there.push_back(&s);
+            changed.add(&server);
+            there.push_back(&server);
         }
         changed.draw_pool(kNow, 0);
         const std::vector<Server*> pool = changed.pool();
-        for (const Server& s : servers) {
-            ASSERT_EQ(s.in_pool, std::find(pool.begin(), pool.end(), &s) != pool.end());
+        for (const Server& server : servers) {
+            ASSERT_EQ(server.in_pool, std::find(pool.begin(), pool.end(), &server) != pool.end());
         }
         Aperture whole(16, slow_start);
         whole.set_servers(there);
@@ -101,7 +101,7 @@
 
 // The size of the pool of one of so many sidecars, after so many completions at once.
 std::size_t pool_size_of(std::size_t fleet, std::uint32_t sidecars, int completions = 0) {
-    const Settings settings = test::settings();
+    const Settings settings = make_settings();
     const SlowStart slow_start(settings);
     std::vector<Server> servers(fleet);
     std::vector<Server*> all;
--- a/tests/balancer/learned_state_restorer_test.cpp
+++ b/tests/balancer/learned_state_restorer_test.cpp
@@ -87,9 +87,10 @@
     for (const Millis age : {-1.0, -1e9, 300001.0, 5.0 * 24 * 3600 * 1000, kNan, kInf}) {
         Rig rig = next_run(known, age, make_servers(6));
         EXPECT_NE(rig.last_server(rig.request()), 0U);
-        const auto k = rig.balancer.learned_state(rig.now);
-        for (const LearnedServerState& s : k.servers) EXPECT_FALSE(s.ejection_remaining_ms) << age;
-        EXPECT_EQ(k.learned_limit, 0) << age;
+        const LearnedState state = rig.balancer.learned_state(rig.now);
+        for (const LearnedServerState& server : state.servers)
+            EXPECT_FALSE(server.ejection_remaining_ms) << age;
+        EXPECT_EQ(state.learned_limit, 0) << age;
     }
 }
 
@@ -148,12 +149,12 @@
     LearnedState known;
     known.servers.push_back({1, 99000, 0, 0, {}, -1});
     known.retries_left = 0;
-    const auto first_send = [&](const LearnedState& k, std::uint64_t seed) {
+    const auto first_send = [&](const LearnedState& state, std::uint64_t seed) {
         Settings settings = make_settings();
         settings.slow_start_duration = 200000;
         Rig rig(settings, seed);
         rig.handle(Started{});
-        rig.handle(StateRestored{k, 0});
+        rig.handle(StateRestored{state, 0});
         rig.apply_list(ListKind::snapshot, {{1, 0, 0, 0, EndpointState::active, 99000}});
         int tries = 0;
         for (; tries < 1900 && !rig.is_in_flight(rig.request(0, 100)); ++tries) {
@@ -172,8 +173,8 @@
     }
     EXPECT_GT(restored, 1.2 * fresh);
 
-    const auto sends_of_a_failing = [&](const LearnedState& k) {
-        Rig rig = next_run(k, 0, make_servers(6));
+    const auto sends_of_a_failing = [&](const LearnedState& state) {
+        Rig rig = next_run(state, 0, make_servers(6));
         const RequestId id = rig.request();
         while (rig.is_in_flight(id)) rig.end(id, Outcome::error_response);
         return rig.attempt_count(id);
@@ -228,27 +229,27 @@
 }
 
 LearnedState any_learned_state(Random& random) {
-    LearnedState k;
+    LearnedState state;
     const auto any_mean = [&] {
         return DecayedMean{any_number(random), any_number(random), any_number(random)};
     };
     for (std::size_t i = random.below(16); i > 0; --i) {
-        LearnedServerState s;
-        s.server = static_cast<std::uint32_t>(random.below(12));
-        s.online_since = random.below(2) ? 0 : any_number(random);
-        s.outcome_bits = static_cast<std::uint32_t>(random.next());
-        s.outcome_count = static_cast<std::uint32_t>(random.below(24));
-        if (random.below(2)) s.ejection_remaining_ms = any_number(random);
-        s.slow_start_tokens = any_number(random);
-        k.servers.push_back(s);
+        LearnedServerState server;
+        server.server = static_cast<std::uint32_t>(random.below(12));
+        server.online_since = random.below(2) ? 0 : any_number(random);
+        server.outcome_bits = static_cast<std::uint32_t>(random.next());
+        server.outcome_count = static_cast<std::uint32_t>(random.below(24));
+        if (random.below(2)) server.ejection_remaining_ms = any_number(random);
+        server.slow_start_tokens = any_number(random);
+        state.servers.push_back(server);
     }
-    k.load_ratio = any_mean();
-    k.concurrency_limit = any_number(random);
-    k.learned_limit = any_number(random);
-    k.servers_behind_learned_limit = any_number(random);
-    k.completion_rate = any_number(random);
-    k.retries_left = any_number(random);
-    return k;
+    state.load_ratio = any_mean();
+    state.concurrency_limit = any_number(random);
+    state.learned_limit = any_number(random);
+    state.servers_behind_learned_limit = any_number(random);
+    state.completion_rate = any_number(random);
+    state.retries_left = any_number(random);
+    return state;
 }
 
 // Whatever the state, the rules hold, every healthy server is sent a request within one ejection time, and
@@ -276,9 +277,10 @@
             }
         }
         RC_ASSERT(asked.size() == 8U);
-        const LearnedState k = rig.balancer.learned_state(rig.now);
-        RC_ASSERT(std::isfinite(k.concurrency_limit + k.learned_limit + k.servers_behind_learned_limit +
-                                k.completion_rate + k.load_ratio.value));
+        const LearnedState state = rig.balancer.learned_state(rig.now);
+        RC_ASSERT(std::isfinite(state.concurrency_limit + state.learned_limit +
+                                state.servers_behind_learned_limit + state.completion_rate +
+                                state.load_ratio.value));
         rig.finish_all();
         RC_ASSERT(!::testing::Test::HasFailure());
     }));
--- a/tests/balancer/property_test.cpp
+++ b/tests/balancer/property_test.cpp
@@ -19,25 +19,26 @@
 constexpr int kMaxSteps = 30000;
 
 Settings settings_of_all_classes(std::uint32_t siblings, bool allow_hedging) {
-    Settings s = make_settings({make_class(Idempotency::idempotent), make_class(Idempotency::non_idempotent),
-                                make_class(Idempotency::idempotency_key, DedupScope::all, 700),
-                                make_class(Idempotency::idempotency_key, DedupScope::zone, 700),
-                                make_class(Idempotency::idempotency_key, DedupScope::cell, 700)});
-    s.siblings = siblings;
-    s.allow_hedging = allow_hedging;
-    s.tenants = {{10}, {1}};
-    s.max_sessions = 30;
-    s.max_sessions_per_server = 7;
-    s.my_zone = 1;
-    s.costs.cross_zone = 0.02;
-    return s;
+    Settings settings =
+        make_settings({make_class(Idempotency::idempotent), make_class(Idempotency::non_idempotent),
+                       make_class(Idempotency::idempotency_key, DedupScope::all, 700),
+                       make_class(Idempotency::idempotency_key, DedupScope::zone, 700),
+                       make_class(Idempotency::idempotency_key, DedupScope::cell, 700)});
+    settings.siblings = siblings;
+    settings.allow_hedging = allow_hedging;
+    settings.tenants = {{10}, {1}};
+    settings.max_sessions = 30;
+    settings.max_sessions_per_server = 7;
+    settings.my_zone = 1;
+    settings.costs.cross_zone = 0.02;
+    return settings;
 }
 
 void end_one(Rig& rig, std::uint16_t which, std::uint16_t how) {
     std::vector<std::pair<RequestId, std::uint32_t>> out;
-    for (const auto& [id, r] : rig.requests) {
-        for (std::uint32_t i = 0; i < r.attempts.size(); ++i) {
-            if (r.attempts[i].in_flight) out.emplace_back(id, i);
+    for (const auto& [id, request] : rig.requests) {
+        for (std::uint32_t i = 0; i < request.attempts.size(); ++i) {
+            if (request.attempts[i].in_flight) out.emplace_back(id, i);
         }
     }
     if (out.empty()) return;
@@ -60,18 +61,18 @@
 
 void disconnect_client(Rig& rig, std::uint16_t which) {
     if (rig.requests.empty()) return;
-    auto at = rig.requests.begin();
-    std::advance(at, which % rig.requests.size());
-    if (rig.is_closed(at->second)) return;
-    at->second.client_gone = true;
-    rig.handle(ClientDisconnected{at->first});
+    auto entry = rig.requests.begin();
+    std::advance(entry, which % rig.requests.size());
+    if (rig.is_closed(entry->second)) return;
+    entry->second.client_disconnected = true;
+    rig.handle(ClientDisconnected{entry->first});
 }
 
 void end_session(Rig& rig, std::uint16_t which, std::uint16_t how) {
     if (rig.sessions.empty()) return;
-    auto at = rig.sessions.begin();
-    std::advance(at, which % rig.sessions.size());
-    rig.end_session(*at, how % 3 == 0);
+    auto entry = rig.sessions.begin();
+    std::advance(entry, which % rig.sessions.size());
+    rig.end_session(*entry, how % 3 == 0);
 }
 
 void feed(Rig& rig, const Step& step) {
@@ -89,8 +90,9 @@
     } else {
         rig.advance(what == 255 ? b % 8000 : b % 60);
     }
-    std::erase_if(rig.requests,
-                  [&](const auto& r) { return rig.is_closed(r.second) && !rig.is_in_flight(r.first); });
+    std::erase_if(rig.requests, [&](const auto& entry) {
+        return rig.is_closed(entry.second) && !rig.is_in_flight(entry.first);
+    });
 }
 
 TEST(Property, RulesHoldOverRandomEvents) {
--- a/tests/balancer/rig.hpp
+++ b/tests/balancer/rig.hpp
@@ -64,7 +64,7 @@
         Millis deadline;
         std::vector<SentAttempt> attempts;
         int responses = 0;  ///< final ones
-        bool client_gone = false;
+        bool client_disconnected = false;
         bool rejected = false;
         bool session = false;  ///< its attempts are upgrades
     };
@@ -192,7 +192,9 @@
     // ---- Questions --------------------------------------------------------------------------------------
 
     /// Whether the request has its final response, or its client has gone.
-    bool is_closed(const OpenRequest& request) const { return request.responses > 0 || request.client_gone; }
+    bool is_closed(const OpenRequest& request) const {
+        return request.responses > 0 || request.client_disconnected;
+    }
     /// Whether an attempt of the request is in flight.
     bool is_in_flight(RequestId id) const {
         const std::vector<SentAttempt>& attempts = requests.at(id).attempts;
--- a/tests/balancer/rules_test.cpp
+++ b/tests/balancer/rules_test.cpp
@@ -21,19 +21,20 @@
 };
 
 Settings mixed_settings(bool allow_hedging) {
-    Settings s = make_settings({make_class(Idempotency::idempotent), make_class(Idempotency::non_idempotent),
-                                make_class(Idempotency::idempotency_key, DedupScope::all, 700),
-                                make_class(Idempotency::idempotency_key, DedupScope::zone, 700),
-                                make_class(Idempotency::idempotency_key, DedupScope::cell, 700)});
-    s.allow_hedging = allow_hedging;
-    return s;
+    Settings settings =
+        make_settings({make_class(Idempotency::idempotent), make_class(Idempotency::non_idempotent),
+                       make_class(Idempotency::idempotency_key, DedupScope::all, 700),
+                       make_class(Idempotency::idempotency_key, DedupScope::zone, 700),
+                       make_class(Idempotency::idempotency_key, DedupScope::cell, 700)});
+    settings.allow_hedging = allow_hedging;
+    return settings;
 }
 
 void end_random(Rig& rig, Dice& dice) {
     std::vector<std::pair<RequestId, std::uint32_t>> out;
-    for (const auto& [id, r] : rig.requests) {
-        for (std::uint32_t i = 0; i < r.attempts.size(); ++i) {
-            if (r.attempts[i].in_flight) out.emplace_back(id, i);
+    for (const auto& [id, request] : rig.requests) {
+        for (std::uint32_t i = 0; i < request.attempts.size(); ++i) {
+            if (request.attempts[i].in_flight) out.emplace_back(id, i);
         }
     }
     if (out.empty()) return;
@@ -54,8 +55,8 @@
         rig.apply_list(ListKind::incremental, {{id, id % 3, 0, id % 2, states[dice.below(4)], since}});
     } else {
         std::vector<ServerInfo> infos;
-        for (ServerId s = 1; s <= 10; ++s) {
-            if (dice.below(3)) infos.push_back({s, s % 3, 0, s % 2, EndpointState::active, 0});
+        for (ServerId server = 1; server <= 10; ++server) {
+            if (dice.below(3)) infos.push_back({server, server % 3, 0, server % 2, EndpointState::active, 0});
         }
         rig.apply_list(dice.below(4) ? ListKind::snapshot : ListKind::failed, infos);
     }
@@ -73,18 +74,19 @@
         } else if (what < 88) {
             change_list(rig, dice);
         } else if (what < 90 && !rig.requests.empty()) {
-            auto at = rig.requests.begin();
-            std::advance(at, dice.below(static_cast<std::uint32_t>(rig.requests.size())));
-            if (!rig.is_closed(at->second)) {
-                at->second.client_gone = true;
-                rig.handle(ClientDisconnected{at->first});
+            auto entry = rig.requests.begin();
+            std::advance(entry, dice.below(static_cast<std::uint32_t>(rig.requests.size())));
+            if (!rig.is_closed(entry->second)) {
+                entry->second.client_disconnected = true;
+                rig.handle(ClientDisconnected{entry->first});
             }
         } else {
             rig.advance(dice.below(what == 99 ? 4000 : 60));
         }
-        for (auto at = rig.requests.begin(); at != rig.requests.end();) {  // keeps the rig quick
-            at = rig.is_closed(at->second) && !rig.is_in_flight(at->first) ? rig.requests.erase(at)
-                                                                           : std::next(at);
+        for (auto entry = rig.requests.begin(); entry != rig.requests.end();) {  // keeps the rig quick
+            entry = rig.is_closed(entry->second) && !rig.is_in_flight(entry->first)
+                        ? rig.requests.erase(entry)
+                        : std::next(entry);
         }
     }
 }
--- a/tests/balancer/session_test.cpp
+++ b/tests/balancer/session_test.cpp
@@ -13,15 +13,17 @@
 
 Settings settings_with_sessions(std::uint32_t max_sessions = 100000,
                                 std::uint32_t max_per_server = UINT32_MAX) {
-    Settings s = make_settings({make_class(Idempotency::idempotent), make_class(Idempotency::non_idempotent),
-                                make_class(Idempotency::idempotency_key)});
-    s.max_sessions = max_sessions;
-    s.max_sessions_per_server = max_per_server;
-    return s;
+    Settings settings =
+        make_settings({make_class(Idempotency::idempotent), make_class(Idempotency::non_idempotent),
+                       make_class(Idempotency::idempotency_key)});
+    settings.max_sessions = max_sessions;
+    settings.max_sessions_per_server = max_per_server;
+    return settings;
 }
 
 struct SessionRig : Rig {
-    explicit SessionRig(Settings s = settings_with_sessions(), ServerId servers = 12) : Rig(std::move(s)) {
+    explicit SessionRig(Settings settings = settings_with_sessions(), ServerId servers = 12)
+        : Rig(std::move(settings)) {
         handle(Started{});
         apply_list(ListKind::snapshot, make_servers(servers));
     }
@@ -83,9 +85,9 @@
 }
 
 TEST(SessionTest, ManySessionsWidenThePool) {
-    Settings s = settings_with_sessions();
-    s.siblings = 1000;
-    SessionRig rig(s, 100);
+    Settings settings = settings_with_sessions();
+    settings.siblings = 1000;
+    SessionRig rig(settings, 100);
     for (int i = 0; i < 640; ++i) {
         rig.session();
         rig.advance(50);
@@ -152,7 +154,7 @@
 TEST(SessionTest, HoldsNoSessionForAClientThatHasGone) {
     SessionRig rig;
     const RequestId id = rig.upgrade();
-    rig.requests.at(id).client_gone = true;
+    rig.requests.at(id).client_disconnected = true;
     rig.handle(ClientDisconnected{id});
     rig.end(id, Outcome::success);  // its success and the cancellation have crossed
     EXPECT_EQ(rig.balancer.resource_usage().sessions, 0U);
--- a/tests/balancer/slow_start_budget_test.cpp
+++ b/tests/balancer/slow_start_budget_test.cpp
@@ -178,9 +178,10 @@
         if (server.started > 0) count(server);
         server.busy_until = std::max(now_, server.busy_until) + kPerSecond / capacity(server);
         const bool late = server.busy_until >= send.attempt_deadline;
-        const Millis at = late ? send.attempt_deadline : server.busy_until;
-        due_.push({at, ++order_, sidecar,
-                   AttemptEnded{send.id, number, late ? Outcome::timed_out : Outcome::success, at - now_}});
+        const Millis ends_at = late ? send.attempt_deadline : server.busy_until;
+        due_.push(
+            {ends_at, ++order_, sidecar,
+             AttemptEnded{send.id, number, late ? Outcome::timed_out : Outcome::success, ends_at - now_}});
     }
 
     void count(ServerState& server) {
