--- a/include/elmbay/balancer.hpp
+++ b/include/elmbay/balancer.hpp
@@ -352,7 +352,8 @@
     Balancer& operator=(Balancer&&) noexcept;
 
     /// Takes in an event and appends the actions that follow from it. Events about unknown requests, or about
-    /// things that are over, have no effect. A `now` before that of an earlier event counts as that one's.
+    /// things that are over, have no effect. A `now` that is not finite, or before that of an earlier event,
+    /// counts as that one's.
     void handle(Millis now, const Event& event, std::vector<Action>& actions);
 
     /// What a Balancer holds at present.
--- a/src/balancer/admission.hpp
+++ b/src/balancer/admission.hpp
@@ -24,10 +24,9 @@
 /// The limit stays between a floor (one attempt for each warm server, or this sidecar's share of
 /// kMinAttemptsPerServer if that is less) and a ceiling. The ceiling is known before anything is late:
 /// servers that share their cores slow down at most in proportion to what they hold, so with n in flight in
-/// the mean, n * T / r come in at the target. The largest such value, decaying over
-/// kLearnedLimitDecay and scaled by the warm servers left, is the ceiling. It is the idea of gradient limits
-/// (TCP Vegas, Netflix's concurrency-limits) with the objective in place of the best time ever seen. See
-/// docs/design/admission.md.
+/// the mean, n * T / r come in at the target. The largest such value, decaying over kLearnedLimitDecay and
+/// scaled by the warm servers left, is the ceiling. It is the idea of gradient limits (TCP Vegas, Netflix's
+/// concurrency-limits) with the objective in place of the best time ever seen. See docs/design/admission.md.
 ///
 /// A sidecar among so many that its share of the floor is less than one attempt cannot bound concurrency by a
 /// count. It admits a share of its requests instead, as a circuit breaker does: a late response opens the
@@ -99,11 +98,9 @@
 
     /// Whether a request may add an attempt at a warm server.
     /// @param is_retry     the request is its client's retry
-    /// @param tenant_share the share of the limit that its tenant may use while the pool is busy, above 0 to
-    /// 1
+    /// @param tenant_share the tenant's share of the limit while the pool is busy, above 0 to 1
     /// @param in_flight    attempts in flight at warm servers
-    /// @param random_unit  draws from 0 to 1, so that less than one attempt can be allowed; called at most
-    /// once
+    /// @param random_unit  draws from 0 to 1, for limits below one attempt; called at most once
     template <class RandomUnit>
     bool may_start_attempt(const RequestClass& request_class, bool is_retry, double tenant_share,
                            int in_flight, Millis now, RandomUnit random_unit) const {
--- a/src/balancer/final_responder.hpp
+++ b/src/balancer/final_responder.hpp
@@ -14,7 +14,7 @@
 class FinalResponder {
 public:
     /// How long a request may wait for capacity, as a share of its objective. What cannot be sent by then had
-    /// better be tried anew. A rejected client is told to come back no sooner either.
+    /// better be tried anew. Nor is a rejected client asked to come back sooner.
     static constexpr double kMaxWaitShare = 1.0 / 16;
 
     /// All arguments must outlive the responder.
--- a/src/balancer/learned_state_restorer.hpp
+++ b/src/balancer/learned_state_restorer.hpp
@@ -26,9 +26,8 @@
 
     /// Takes in a saved state.
     /// @param learned_state a sanitized one (learned_state_validation.hpp)
-    /// @param age           milliseconds since it was taken. Below 0, above kMaxAge, or not a number: it is
-    /// not
-    ///                      trusted and nothing of it is used.
+    /// @param age           milliseconds since it was taken. Below 0, above kMaxAge, or not a number: not
+    ///                      trusted, and nothing of it is used.
     void load(const LearnedState& learned_state, Millis age, Millis now);
     /// Whether a state has been loaded that is recent enough to be used.
     bool is_trusted() const { return trusted_; }
--- a/src/balancer/pick.hpp
+++ b/src/balancer/pick.hpp
@@ -39,7 +39,7 @@
         double sidecar_share = 1;  ///< Admission::sidecar_share()
     };
 
-    /// @param random  must outlive this, as `latency` must
+    /// @param random must outlive this, as must `latency`
     Pick(const Settings& settings, Random& random, const LatencyEstimate& latency)
         : preferred_zone_(settings.costs.cross_zone > 0 ? settings.my_zone : std::nullopt),
           cross_zone_cost_(settings.costs.cross_zone),
--- a/src/balancer/server.hpp
+++ b/src/balancer/server.hpp
@@ -21,6 +21,7 @@
         bits_ = ((bits_ << 1) | (success ? 1U : 0U)) & ((1U << kSize) - 1);
         filled_ = std::min(filled_ + 1, kSize);
     }
+    /// Removes all outcomes.
     void clear() {
         bits_ = 0;
         filled_ = 0;
--- a/src/balancer/server_age.cpp
+++ b/src/balancer/server_age.cpp
@@ -61,7 +61,7 @@
 void ServerAges::assign_start_times(std::vector<Start> starts, const ServerList& list, Millis now) {
     const bool is_first_list = std::isinf(list.list_age_bound);
     const bool may_be_older = list.list_age_bound > kMaxTrustedListAge;
-    // Few starts in an outage cost little as cold ones. Then no claim needs to be believed.
+    // Few servers in slow start cost little. Then no claimed start needs to be trusted.
     const bool are_many = is_first_list || starts.size() > doubted_count();
     if (may_be_older && are_many) return assign_start_times_by_claims(std::move(starts), list, now);
     for (const Start& start : starts) begin_process(start.server, now);
--- a/src/balancer/server_age.hpp
+++ b/src/balancer/server_age.hpp
@@ -19,18 +19,15 @@
 /// placed on it once, when it is first heard of, and stays there whatever the wall clocks do later.
 ///
 /// Contract, for lists that come with a reading of this machine's wall clock:
-/// - A server's age counts from the moment at which its youngest process was first heard of. It is warm at
-/// the
-///   latest slow_start_duration after that.
+/// - A server's age counts from the moment at which its youngest process was first heard of. Slow start ends
+///   at the latest slow_start_duration after that.
 /// - A start that is heard of while the list was being followed has age 0, whatever the wall clocks say.
 /// - A start that may be older than that (the first lists of a run, a list after an outage) has the age that
-/// our
-///   wall clock gives. But the youngest part of the list (kDoubtedShare) has no more than the starts of other
-///   servers prove. No single stepped clock, ours or another server's, makes a server of that part warmer
-///   than it is. What a server's own clock says of itself cannot be checked there.
+///   our wall clock gives. But the youngest part of the list (kDoubtedShare) has no more than the starts of
+///   other servers prove. No single stepped clock, ours or another server's, makes a server of that part
+///   count as older than it is. What a server's own clock says of itself cannot be checked there.
 /// - A start of 0 is long ago. A start that is not known of a server is another process, also if it is
-/// earlier:
-///   the server's clock may have been set back between its two processes.
+///   earlier: the server's clock may have been set back between its two processes.
 ///
 /// In lists without that reading, starts are on the module's clock, and exact.
 ///
@@ -38,17 +35,18 @@
 /// kMaxDeparted that have left it.
 class ServerAges {
 public:
-    /// Milliseconds. A list that was out of touch for longer may name starts that are clearly older than
-    /// their hearing: what discovery has to say counts as said up to 6 s later. In a younger list an age of 0
-    /// makes a server a little too cold at worst.
+    /// Milliseconds of a list's age bound, up to which its new starts count as having just happened.
+    /// Discovery may report a change up to 6 s late while all is well. An age of 0 then keeps a server in
+    /// slow start a little too long at worst. In an older list a start may be clearly older than the list.
     static constexpr Millis kMaxTrustedListAge = 6000;
     /// The part of the list whose claimed age is doubted: the youngest servers. It is not all of it, as half
-    /// a fleet that has just been replaced must not be cold for each sidecar that restarts.
+    /// a fleet that has just been replaced must not be in slow start for each sidecar that restarts.
     static constexpr double kDoubtedShare = 0.25;
     /// Processes remembered of one server: a list that lags behind may name an earlier one again.
     static constexpr std::size_t kMaxProcesses = 4;
     /// Servers remembered that have left the list, the latest ones. One that is named again with the same
-    /// start is the same process and has not become cold. As many as the longest list has entries.
+    /// start is the same process and does not go through slow start again. As many as the longest list has
+    /// entries.
     static constexpr std::size_t kMaxDeparted = 4096;
     /// The start of a process that has been warm for as long as matters.
     static constexpr Millis kLongAgo = -std::numeric_limits<Millis>::infinity();
--- a/src/balancer/server_table.hpp
+++ b/src/balancer/server_table.hpp
@@ -35,7 +35,9 @@
     Server* find(ServerId id);
     /// All servers, by id.
     const std::map<ServerId, Server>& servers() const { return servers_; }
+    /// Whether no server is known.
     bool empty() const { return servers_.empty(); }
+    /// Servers that are known.
     std::size_t size() const { return servers_.size(); }
 
 private:
--- a/src/balancer/slow_start.hpp
+++ b/src/balancer/slow_start.hpp
@@ -4,7 +4,8 @@
 
 namespace elmbay::balancer {
 
-/// Decides how many requests a server in slow start may be sent (rule 4: no cold server is overloaded).
+/// Decides how many requests a server in slow start may be sent (rule 4: no server in slow start is
+/// overloaded).
 ///
 /// A server of age a can do this share of the work of a warm one:
 ///
@@ -52,9 +53,8 @@
         return duration_ > 0 && now < server.process.started_at + duration_;
     }
     /// Empties the bucket of a server that is new or has restarted.
-    /// @param debt tokens that it starts below zero, 0 to 1, at random: the first requests of different
-    /// sidecars
-    ///             must not fall together.
+    /// @param debt tokens below zero that it starts with, 0 to 1. Drawn at random, as the first requests of
+    ///             different sidecars must not fall together.
     static void begin(Server& server, double debt, Millis now) {
         server.slow_start_tokens = -debt;
         server.slow_start_tokens_at = now;
--- a/src/balancer/subscription_backoff.hpp
+++ b/src/balancer/subscription_backoff.hpp
@@ -10,6 +10,7 @@
 /// Exponential backoff with jitter between failed calls for the endpoint list.
 ///
 /// The list is one service for all sidecars, so each comes back later and not in step with the others.
+///
 /// Owned by Balancer::Impl; not thread-safe. Of fixed size.
 class SubscriptionBackoff {
 public:
--- a/src/balancer/wait_queue.hpp
+++ b/src/balancer/wait_queue.hpp
@@ -19,6 +19,7 @@
 
     /// Adds a request. It may be in the queue already.
     void push(RequestId id) { waiting_.push_back(id); }
+    /// Whether the queue has no entries, not even those of ended requests.
     bool empty() const { return waiting_.empty(); }
     /// Entries, those of ended requests among them.
     std::size_t size() const { return waiting_.size(); }
--- a/tests/balancer/property_test.cpp
+++ b/tests/balancer/property_test.cpp
@@ -1,6 +1,6 @@
-// The whole module against a million random events. The rig checks every action against the rules.
-// A failing case is shrunk to its shortest; RC_PARAMS in the environment overrides the fixed seed (see
-// rapidcheck's docs).
+// The whole module against a million random events. The rig checks every action against the rules. A failing
+// case is shrunk to its shortest; RC_PARAMS in the environment overrides the fixed seed (see rapidcheck's
+// docs).
 #include <rapidcheck.h>
 
 #include <cstdlib>
