--- a/bench/state_cost.cpp
+++ b/bench/state_cost.cpp
@@ -8,10 +8,10 @@
 #include <random>
 #include <thread>
 
-#include "net_rig.hpp"
 #include "state/faulty_file_system.hpp"
 #include "state/snapshot_writer.hpp"
 #include "state/timestamp.hpp"
+#include "support/sidecar_fixture.hpp"
 
 namespace {
 
@@ -94,7 +94,7 @@
 
 // Requests one after another through one sidecar and one server, all in this thread; the writer is the other.
 void beside_a_slow_disk() {
-    test::NetRig rig;
+    test::SidecarFixture rig;
     rig.start();
     SlowFileSystem files;
     state::SnapshotWriter writer(files, "state", "n-1");
@@ -104,7 +104,7 @@
     std::size_t asked = 0;
     const auto ask = [&] {
         const auto from = Steady::now();
-        client->send(test::NetRig::request("safe"));
+        client->send(test::SidecarFixture::request("safe"));
         client->got.clear();
         ++asked;
         rig.until([&] {
--- /dev/null
+++ b/tests/base/socket_budget_test.cpp
@@ -0,0 +1,24 @@
+// SocketBudget: how descriptors are divided between clients and servers.
+#include <gtest/gtest.h>
+
+#include "base/sockets.hpp"
+
+namespace elmbay::test {
+namespace {
+
+// Clients may hold a third of the descriptors for requests. When the sidecar let more of them connect, idle
+// clients took the places of those that had requests to send.
+TEST(SocketBudget, GivesClientsLessThanAThirdOfTheSockets) {
+    constexpr std::size_t kSockets = 360;
+    SocketBudget budget(kSockets);
+    std::size_t clients = 0;
+    std::size_t servers = 0;
+    while (budget.take(Side::clients)) ++clients;
+    while (budget.take(Side::servers)) ++servers;
+    EXPECT_LT(clients, kSockets / 3);
+    EXPECT_GT(clients, kSockets / 4);
+    EXPECT_EQ(clients + servers, kSockets);
+}
+
+}  // namespace
+}  // namespace elmbay::test
--- /dev/null
+++ b/tests/config/config_test.cpp
@@ -0,0 +1,78 @@
+// Reading the platform's configuration: what an error names, where values come from, and the example of
+// README.
+#include "config/config.hpp"
+
+#include <gtest/gtest.h>
+#include <unistd.h>
+
+#include <cstdio>
+#include <fstream>
+#include <string>
+
+#include "support/sidecar_fixture.hpp"
+
+namespace elmbay::test {
+namespace {
+
+// What parse_config() says of a configuration; empty if it is valid.
+std::string error_of(const Json& config) {
+    try {
+        parse_config(config.dump());
+    } catch (const ConfigError& error) {
+        return error.what();
+    }
+    return "";
+}
+
+TEST(Config, NamesInvalidFieldInError) {
+    const Json valid = SidecarFixture().config;
+    EXPECT_EQ(error_of(valid), "");
+
+    Json invalid = valid;
+    invalid["listen"] = "nowhere";
+    EXPECT_NE(error_of(invalid).find("'listen'"), std::string::npos);
+
+    invalid = valid;
+    invalid.erase("discovery");
+    EXPECT_NE(error_of(invalid).find("'discovery'"), std::string::npos);
+
+    invalid = valid;
+    invalid["settings"]["classes"][0]["effect"] = "odd";
+    EXPECT_NE(error_of(invalid).find("'classes.0.effect'"), std::string::npos);
+
+    invalid = valid;
+    invalid["known"]["targets"][0]["state"] = "asleep";
+    EXPECT_NE(error_of(invalid).find("'known.targets.0.state'"), std::string::npos);
+
+    EXPECT_THROW(parse_config("{"), ConfigError);
+    EXPECT_THROW(load_config([](const char*) { return nullptr; }), ConfigError);
+}
+
+// The example with which README starts.
+TEST(Config, LoadsMinimalExample) {
+    const std::string path = EXAMPLES "/minimal/config.json";
+    const Config config = load_config(
+        [&](const char* name) { return std::string(name) == "RELAY_CONFIG" ? path.c_str() : nullptr; });
+    EXPECT_EQ(config.known.targets.size(), 1U);
+    EXPECT_EQ(config.deployment.classes.size(), 3U);
+}
+
+// The environment still names the discovery address of the start. On a reload the file's address counts.
+TEST(Config, ReloadPrefersFileOverEnvironmentAndRejectsInvalidFile) {
+    SidecarFixture fixture;
+    const std::string path = testing::TempDir() + "elmbay-reload-" + std::to_string(::getpid()) + ".json";
+    const auto write = [&](const std::string& text) { std::ofstream(path) << text; };
+    const auto get_environment = [&](const char* name) -> const char* {
+        if (name == std::string("RELAY_CONFIG")) return path.c_str();
+        return name == std::string("RELAY_DISCOVERY") ? "127.0.0.1:9" : nullptr;
+    };
+    write(fixture.config.dump());
+    EXPECT_EQ(text_of(load_config(get_environment).discovery), "127.0.0.1:9");
+    EXPECT_EQ(text_of(reload_config(get_environment).discovery), fixture.discovery.address());
+    write(fixture.config.dump().substr(0, 40));
+    EXPECT_THROW(reload_config(get_environment), ConfigError);
+    std::remove(path.c_str());
+}
+
+}  // namespace
+}  // namespace elmbay::test
--- /dev/null
+++ b/tests/end_to_end/deployment_settings_test.cpp
@@ -0,0 +1,138 @@
+// The sidecar under settings that are drawn at random: names, effects, windows, deadlines, limits and
+// tenants, far beyond those of the deployment that it was made for.
+#include <gtest/gtest.h>
+
+#include <random>
+#include <string>
+#include <vector>
+
+#include "support/sidecar_fixture.hpp"
+
+namespace elmbay::test {
+namespace {
+
+struct RandomSettings {
+    Json settings;
+    Json limits;
+    bool short_deadlines = false;  // a busy machine may miss them
+};
+
+// Draws one deployment's settings. The same seed gives the same settings.
+class SettingsGenerator {
+public:
+    explicit SettingsGenerator(std::uint64_t seed) : random_(seed), short_deadlines_(seed % 3 == 0) {}
+
+    RandomSettings generate() {
+        const Json classes = request_classes();
+        Json settings = {{"classes", classes}, {"limits", attempt_limits()}, {"rules", slow_start()}};
+        settings["membership-mode"] = one_of({"pushed", "on_request"});
+        settings["siblings"] = whole(1, 5000);
+        if (coin()) {
+            settings["azs"] = {"annex", "b", "hall-c"};
+            settings["my-zone"] = "annex";
+        }
+        const int tenants = whole(0, 3);
+        for (int i = 0; i < tenants; ++i) {
+            settings["tenants"].push_back(
+                {{"name", "tenant " + std::to_string(i)}, {"quota-per-s", between(0.5, 500)}});
+        }
+        const Json limits = {
+            {"cores", between(0.05, 1)}, {"memory_mb", whole(32, 192)}, {"sockets", whole(256, 1024)}};
+        return {settings, limits, short_deadlines_};
+    }
+
+private:
+    double between(double from, double to) { return std::uniform_real_distribution<>(from, to)(random_); }
+    int whole(int from, int to) { return std::uniform_int_distribution<>(from, to)(random_); }
+    bool coin() { return whole(0, 1) == 1; }
+    std::string one_of(const std::vector<std::string>& words) {
+        return words[static_cast<std::size_t>(whole(0, static_cast<int>(words.size()) - 1))];
+    }
+
+    Json request_classes() {
+        Json classes = Json::array();
+        const int count = whole(1, 7);
+        for (int i = 0; i < count; ++i) classes.push_back(request_class(i));
+        return classes;
+    }
+
+    Json request_class(int index) {
+        const Millis deadline = short_deadlines_ ? between(20, 400) : between(8000, 90000);
+        const std::string name = one_of({"read", "write", "pay", "x", "Seal-2", "long.name/with:signs"});
+        Json request_class = {{"name", name + std::to_string(index)},
+                              {"effect", one_of({"repeatable", "by_key", "once"})},
+                              {"on-time-ms", deadline * between(0.1, 1)},
+                              {"give-up-ms", deadline},
+                              {"credit", between(0.01, 100)}};
+        if (request_class["effect"] == "by_key") {
+            request_class["dedup-scope"] = one_of({"all", "zone", "cell"});
+            request_class["dedup-window-ms"] = deadline * between(0.01, 3);
+        }
+        if (coin()) request_class["late-value"] = between(0, 1);
+        return request_class;
+    }
+
+    Json attempt_limits() {
+        return {{"max-attempts", whole(1, 8)},
+                {"may-cancel", coin()},
+                {"parallel-tries", coin()},
+                {"connect-timeout-ms", short_deadlines_ ? between(20, 300) : between(8000, 9000)},
+                {"idle-close-ms", between(3000, 120000)}};
+    }
+
+    Json slow_start() {
+        return {{"cold-from", between(0.05, 1)},
+                {"warm-within-ms", between(0, 60000)},
+                {"fall-multiple", between(1.2, 6)}};
+    }
+
+    std::mt19937_64 random_;
+    bool short_deadlines_;
+};
+
+std::string request_of(const Json& request_class, std::size_t number) {
+    const bool idempotent = request_class["effect"] == "repeatable";
+    const int deadline = static_cast<int>(request_class["give-up-ms"].get<double>());
+    std::string text = idempotent ? "GET" : "POST";
+    text += " /api HTTP/1.1\r\nHost: h\r\n";
+    text += "X-Correlation-Id: d-" + std::to_string(number) + "\r\n";
+    text += "X-Service-Class: " + request_class["name"].get<std::string>() + "\r\n";
+    text += "X-Time-Left: " + std::to_string(deadline) + "m\r\n";
+    if (request_class["effect"] == "by_key") text += "Idempotency-Key: k\r\n";
+    text += idempotent ? "\r\n" : "Content-Length: 4\r\n\r\nbody";
+    return text;
+}
+
+TEST(DeploymentSettings, ServesEachRequestClassOfRandomSettings) {
+    for (std::uint64_t seed = 1; seed <= 45; ++seed) {
+        const RandomSettings drawn = SettingsGenerator(seed).generate();
+        SCOPED_TRACE("seed " + std::to_string(seed) + ": " + drawn.settings.dump());
+        SidecarFixture fixture;
+        fixture.config["settings"] = drawn.settings;
+        fixture.config["limits"] = drawn.limits;
+        fixture.start();
+        ASSERT_FALSE(HasFatalFailure());
+        const auto readiness_probe = fixture.client();
+        readiness_probe->send("GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
+        ASSERT_TRUE(fixture.until([&] { return readiness_probe->got.size() > 12; }));
+        EXPECT_EQ(status_of(*readiness_probe), "HTTP/1.1 200") << "ready by the list in its configuration";
+
+        FakeServer& server = fixture.servers.front();
+        std::size_t number = 0;
+        for (const Json& request_class : drawn.settings["classes"]) {
+            ++number;
+            const auto client = fixture.client();
+            client->send(request_of(request_class, number));
+            ASSERT_TRUE(fixture.until([&] {
+                server.respond_to_all();
+                return client->got.find("\r\n\r\n") != std::string::npos;
+            }));
+            if (drawn.short_deadlines) continue;  // any final response will do
+            EXPECT_EQ(status_of(*client), "HTTP/1.1 200") << request_class.dump();
+            EXPECT_TRUE(client->got.ends_with("answer"));
+        }
+    }
+}
+
+}  // namespace
+}  // namespace elmbay::test
--- /dev/null
+++ b/tests/end_to_end/reload_test.cpp
@@ -0,0 +1,137 @@
+// Reloading the configuration (SIGHUP) while requests and calls to discovery are in flight.
+#include <gtest/gtest.h>
+
+#include <list>
+#include <string>
+
+#include "support/sidecar_fixture.hpp"
+
+namespace elmbay::test {
+namespace {
+
+// A reload moves discovery while a request is in flight. The new address is asked for the whole list at once
+// and the call to the old one is closed. The old list and the request stay in force meanwhile.
+TEST(Reload, SwitchesDiscoveryAndKeepsOldListMeanwhile) {
+    SidecarFixture fixture;
+    fixture.start();
+    fixture.watch_begins();
+    FakeServer& server = fixture.servers.front();
+    const auto client = fixture.client();
+    client->send(SidecarFixture::request("unsafe"));
+    ASSERT_TRUE(fixture.until([&] { return server.requests() == 1; }));
+    FakeServer new_discovery(fixture.io);
+    FakeServer new_server(fixture.io);
+    fixture.config["discovery"] = new_discovery.address();
+    fixture.reload();
+    ASSERT_TRUE(
+        fixture.until([&] { return new_discovery.requests() == 1 && fixture.discovery.last().closed; }));
+    EXPECT_NE(new_discovery.last().got.find("GET /discovery/hosts "), std::string::npos) << "the whole list";
+
+    const auto second = fixture.client();
+    second->send(SidecarFixture::request("safe"));
+    ASSERT_TRUE(fixture.until([&] { return server.requests() == 2; })) << "by the old list";
+    for (const auto& peer : server.peers) peer->respond("200 OK", "answer");
+    for (const auto& served : {client, second}) {
+        ASSERT_TRUE(fixture.until([&] { return served->got.find("answer") != std::string::npos; }));
+    }
+
+    fixture.rev = 0;  // the new discovery numbers its lists from 1
+    const Json new_list = Json::array({SidecarFixture::target(7, new_server.address())});
+    new_discovery.last().respond("200 OK", fixture.line(new_list, true));
+    ASSERT_TRUE(fixture.until([&] { return new_discovery.requests() == 2; }));
+    EXPECT_NE(new_discovery.last().got.find("stream=1&index=1 "), std::string::npos);
+    client->got.clear();
+    client->send(SidecarFixture::request("unsafe"));
+    ASSERT_TRUE(fixture.until([&] { return new_server.requests() == 1; })) << "by the new list";
+}
+
+// How far the call to discovery gets before the next reload.
+enum class CallProgress { none, one_loop_step, connected, request_sent, response_begun };
+
+void run_call_until(SidecarFixture& fixture, FakeServer& discovery, CallProgress progress) {
+    switch (progress) {
+        case CallProgress::none:
+            break;
+        case CallProgress::one_loop_step:
+            fixture.io.poll_one();
+            break;
+        case CallProgress::connected:
+            ASSERT_TRUE(fixture.until([&] { return !discovery.peers.empty(); }));
+            break;
+        case CallProgress::request_sent:
+            ASSERT_TRUE(fixture.until([&] { return discovery.requests() == 1; }));
+            break;
+        case CallProgress::response_begun:
+            ASSERT_TRUE(fixture.until([&] { return discovery.requests() == 1; }));
+            discovery.last().send("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"rev\":9,");
+            fixture.settle();
+            break;
+    }
+}
+
+// Reloads come before a call to discovery is made, while it connects, while it waits for its response and
+// while that is being read. The last address counts, and the calls to the addresses before it are closed.
+TEST(Reload, UsesLastDiscoveryAddressWhateverCallIsInProgress) {
+    SidecarFixture fixture;
+    fixture.start();
+    std::list<FakeServer> new_discoveries;
+    FakeServer new_server(fixture.io);
+    for (const CallProgress progress :
+         {CallProgress::none, CallProgress::one_loop_step, CallProgress::connected,
+          CallProgress::request_sent, CallProgress::response_begun, CallProgress::none}) {
+        FakeServer& discovery = new_discoveries.emplace_back(fixture.io);
+        fixture.config["discovery"] = discovery.address();
+        fixture.reload();
+        ASSERT_NO_FATAL_FAILURE(run_call_until(fixture, discovery, progress));
+    }
+    FakeServer& last = new_discoveries.back();
+    ASSERT_TRUE(fixture.until([&] { return last.requests() == 1; }));
+    fixture.reload();  // the same configuration once more, with the response on its way
+    fixture.rev = 0;
+    ASSERT_TRUE(fixture.until([&] { return last.requests() == 2; }));
+    EXPECT_NE(last.last().got.find("GET /discovery/hosts "), std::string::npos) << "the whole list";
+    const Json new_list = Json::array({SidecarFixture::target(7, new_server.address())});
+    last.last().respond("200 OK", fixture.line(new_list, true));
+    ASSERT_TRUE(fixture.until([&] { return last.requests() == 3; })) << "the watch";
+    fixture.settle();
+    for (FakeServer& discovery : new_discoveries) {
+        if (&discovery == &last) continue;
+        for (const auto& peer : discovery.peers) {
+            EXPECT_TRUE(fixture.until([&] { return peer->closed; }));
+        }
+    }
+    const auto client = fixture.client();
+    client->send(SidecarFixture::request("unsafe"));
+    ASSERT_TRUE(
+        fixture.until([&] { return new_server.requests() + fixture.servers.front().requests() == 1; }));
+    EXPECT_EQ(new_server.requests(), 1U) << "by the last address's list";
+}
+
+// Reloads right before and during a shutdown: requests in flight are finished by the list that is held.
+TEST(Reload, LosesNoRequestBeforeShutdown) {
+    SidecarFixture fixture;
+    fixture.start();
+    FakeServer& server = fixture.servers.front();
+    const auto client = fixture.client();
+    client->send(SidecarFixture::request("unsafe"));
+    ASSERT_TRUE(fixture.until([&] { return server.requests() == 1; }));
+    FakeServer new_discovery(fixture.io);
+    fixture.config["discovery"] = new_discovery.address();
+    bool drained = false;
+    for (int i = 0; i < 3; ++i) fixture.reload();
+    fixture.sidecar->drain([&drained] { drained = true; });
+    fixture.reload();
+    const auto late = fixture.client();
+    late->send(SidecarFixture::request("unsafe"));
+    ASSERT_TRUE(fixture.until([&] { return server.requests() == 2; }));
+    for (const auto& peer : server.peers) peer->respond("200 OK", "answer");
+    for (const auto& served : {client, late}) {
+        ASSERT_TRUE(fixture.until([&] { return served->closed; }));
+        EXPECT_EQ(status_of(*served), "HTTP/1.1 200");
+        served->close();
+    }
+    EXPECT_TRUE(fixture.until([&] { return drained; }));
+}
+
+}  // namespace
+}  // namespace elmbay::test
--- /dev/null
+++ b/tests/end_to_end/restored_state_test.cpp
@@ -0,0 +1,100 @@
+// What a sidecar learned before a restart and takes over after it.
+#include <gtest/gtest.h>
+
+#include <algorithm>
+#include <functional>
+#include <optional>
+#include <string>
+#include <utility>
+
+#include "support/sidecar_fixture.hpp"
+
+namespace elmbay::test {
+namespace {
+
+constexpr std::size_t kServers = 5;
+
+// Answers what has arrived at the servers: `failing` with errors, the others with success. Returns how many
+// requests `failing` has got.
+int respond_with_one_failing(SidecarFixture& fixture, const FakeServer& failing) {
+    int failed = 0;
+    for (FakeServer& server : fixture.servers) {
+        for (const auto& peer : server.peers) {
+            while (!peer->closed && peer->answered < peer->requests()) {
+                ++peer->answered;
+                if (&server == &failing) {
+                    ++failed;
+                    peer->respond("500 Broken");
+                } else {
+                    peer->respond("200 OK", "answer");
+                }
+            }
+        }
+    }
+    return failed;
+}
+
+// Sends requests one after another, until `enough`. Returns how many attempts `failing` has got, -1 if a
+// request was not served.
+int attempts_at_failing_server(
+    SidecarFixture& fixture, int requests, const FakeServer& failing,
+    const std::function<bool()>& enough = [] { return false; }) {
+    int failed = 0;
+    for (int i = 0; i < requests && !enough(); ++i) {
+        const auto client = fixture.client();
+        client->send(SidecarFixture::request("safe"));
+        const bool served = fixture.until([&] {
+            failed += respond_with_one_failing(fixture, failing);
+            return client->got.find("answer") != std::string::npos;
+        });
+        if (!served) return -1;
+    }
+    return failed;
+}
+
+bool ejected(const SidecarFixture& fixture, const std::string& uid) {
+    const state::Snapshot snapshot = fixture.sidecar->snapshot();
+    for (std::size_t i = 0; i < snapshot.uids.size(); ++i) {
+        if (snapshot.uids[i] == uid && snapshot.learned_state.servers[i].ejection_remaining_ms) return true;
+    }
+    return false;
+}
+
+// A sidecar that starts with four of the servers and is then told of all five in reverse order. Its numbers
+// for them differ from those before the restart.
+struct RestartedSidecar : SidecarFixture {
+    explicit RestartedSidecar(std::optional<Sidecar::RestoredState> restored) : SidecarFixture(kServers) {
+        Json all = targets();
+        Json known = all;
+        known.erase(kServers - 1);
+        config["known"]["targets"] = known;
+        start(std::move(restored));
+        watch_begins();
+        std::reverse(all.begin(), all.end());
+        chunk(line(all, true));
+        EXPECT_TRUE(until([&] { return sidecar->snapshot().uids.size() == kServers; }));
+    }
+};
+
+// State belongs to servers by their names, not by their numbers.
+TEST(RestoredState, KeepsServerEjectedAfterRestart) {
+    const std::string failing_uid = "s-4";
+    SidecarFixture before(kServers);
+    before.start();
+    const int attempts_before = attempts_at_failing_server(before, 400, before.servers.back(),
+                                                           [&] { return ejected(before, failing_uid); });
+    ASSERT_GT(attempts_before, 0);
+    ASSERT_TRUE(ejected(before, failing_uid));
+    const state::Snapshot snapshot = before.sidecar->snapshot();
+    EXPECT_EQ(snapshot.instance, "n");
+    EXPECT_EQ(snapshot.uids.size(), kServers);
+
+    RestartedSidecar restored(Sidecar::RestoredState{snapshot, 100});
+    EXPECT_TRUE(ejected(restored, failing_uid));
+    EXPECT_EQ(attempts_at_failing_server(restored, 60, restored.servers.back()), 0);
+    RestartedSidecar without_state({});
+    EXPECT_GT(attempts_at_failing_server(without_state, 60, without_state.servers.back()), 0);
+}
+
+}  // namespace
+}  // namespace elmbay::test
--- /dev/null
+++ b/tests/end_to_end/retry_test.cpp
@@ -0,0 +1,132 @@
+// Which failed attempts are retried, by the request's class and by what is known of the attempt.
+#include <gtest/gtest.h>
+
+#include <chrono>
+#include <string>
+
+#include "support/sidecar_fixture.hpp"
+
+namespace elmbay::test {
+namespace {
+
+struct ServerReaction {
+    const char* response;  // nullptr: a reset
+    bool may_have_run;     // whether the request may have run at the server
+};
+
+// A non-idempotent request fails after an outcome that may have run it. It is sent again after one that
+// proves that it never ran: a 503 or 504 with X-Unprocessed.
+TEST(Retry, RetriesNonIdempotentRequestOnlyWhenMarkedUnprocessed) {
+    const ServerReaction reactions[] = {
+        {"HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", false},
+        {"HTTP/1.1 504 Over\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", false},
+        {"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", true},
+        {"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", true},
+        {"HTTP/1.1 418 Teapot\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", true},
+        {"nonsense\r\n\r\n", true},
+        {"HTTP/1.1 200 OK\r\nContent-Length: 600000\r\n\r\n", true},
+        {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nbody", true},
+        {"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", true},
+        {nullptr, true},
+    };
+    for (const ServerReaction& reaction : reactions) {
+        SCOPED_TRACE(reaction.response ? reaction.response : "reset");
+        SidecarFixture fixture;
+        fixture.start();
+        FakeServer& server = fixture.servers.front();
+        const auto client = fixture.client();
+        client->send(SidecarFixture::request("unsafe"));
+        ASSERT_TRUE(fixture.until([&] { return server.requests() == 1; }));
+        const auto first = server.peers.back();
+        if (reaction.response) {
+            first->send(reaction.response);
+        } else {
+            first->reset();
+        }
+        if (reaction.may_have_run) {
+            ASSERT_TRUE(fixture.until([&] { return client->got.size() > 12; }));
+            EXPECT_EQ(status_of(*client), "HTTP/1.1 502");
+            EXPECT_EQ(server.requests(), 1U);
+        } else {
+            ASSERT_TRUE(fixture.until([&] { return server.requests() == 2; }));
+            server.last().respond("200 OK", "answer");
+            ASSERT_TRUE(fixture.until([&] { return client->got.find("answer") != std::string::npos; }));
+        }
+    }
+}
+
+// A refused connection proves that the request never ran.
+TEST(Retry, RetriesNonIdempotentRequestAfterRefusedConnection) {
+    SidecarFixture fixture(2);
+    fixture.servers.front().acceptor.close();
+    fixture.start();
+    FakeServer& server = fixture.servers.back();
+    for (std::size_t i = 1; i <= 4; ++i) {  // several, as the first choice is random
+        const auto client = fixture.client();
+        client->send(SidecarFixture::request("unsafe"));
+        ASSERT_TRUE(fixture.until([&] { return server.requests() == i; }));
+        server.last().respond("200 OK", "answer");
+        ASSERT_TRUE(fixture.until([&] { return client->got.find("answer") != std::string::npos; }));
+    }
+}
+
+// Every attempt fails as soon as it begins. There is one response, after the attempts that the settings allow
+// at most, and never more than one attempt at a time.
+TEST(Retry, EndsInOneResponseWhenEveryAttemptFails) {
+    SidecarFixture fixture(3);
+    fixture.start();
+    for (int i = 0; i < 10; ++i) {
+        const auto client = fixture.client();
+        std::size_t attempts = 0;
+        client->send(SidecarFixture::request("safe"));
+        ASSERT_TRUE(fixture.until([&] {
+            std::size_t attempts_in_flight = 0;
+            for (FakeServer& server : fixture.servers) {
+                for (const auto& peer : server.peers) {
+                    if (peer->closed || peer->requests() == 0) continue;
+                    ++attempts_in_flight;
+                    ++attempts;
+                    peer->closed = true;
+                    peer->reset();
+                }
+            }
+            EXPECT_LE(attempts_in_flight, 1U);
+            return client->got.size() > 12;
+        }));
+        fixture.settle();
+        EXPECT_EQ(client->responses(), 1U) << client->got;
+        EXPECT_EQ(status_of(*client).substr(0, 10), "HTTP/1.1 5");
+        EXPECT_LE(attempts, 4U);
+    }
+    EXPECT_TRUE(fixture.until([&] { return fixture.sidecar->requests() == 0; }));
+}
+
+// Servers forget an idempotency key when its deduplication window ends. A retry whose connection opens later
+// would run a second time.
+TEST(Retry, DoesNotSendKeyedRetryWhoseConnectionOpensAfterDeduplicationWindow) {
+    constexpr Millis kWindow = 600;
+    SidecarFixture fixture;
+    fixture.config["settings"]["classes"][2]["dedup-window-ms"] = kWindow;
+    fixture.start();
+    FakeServer& server = fixture.servers.front();
+    const auto client = fixture.client();
+    const auto sent_at = std::chrono::steady_clock::now();
+    client->send(SidecarFixture::request("keyed"));
+    ASSERT_TRUE(fixture.until([&] { return server.requests() == 1; }));
+    FullAcceptQueue accept_queue(server);
+    server.peers.front()->respond("500 Internal Server Error", "no", "Connection: close\r\n");
+
+    // A retry that was still waiting would find its connection open once the window is over.
+    ASSERT_TRUE(fixture.until([&] {
+        return !client->got.empty() ||
+               std::chrono::steady_clock::now() > sent_at + std::chrono::milliseconds(int(kWindow));
+    }));
+    accept_queue.open();
+    ASSERT_TRUE(fixture.until([&] { return !client->got.empty() || server.requests() > 1; }));
+    EXPECT_EQ(server.requests(), 1U);
+    EXPECT_EQ(status_of(*client), "HTTP/1.1 502")
+        << "a failure, as the first attempt may have run and nobody knows its result";
+}
+
+}  // namespace
+}  // namespace elmbay::test
--- /dev/null
+++ b/tests/end_to_end/wall_clock_step_test.cpp
@@ -0,0 +1,266 @@
+// Steps of the wall clock, the sidecar's own or a server's, by seconds and by an hour: before the sidecar
+// starts, while servers are in slow start and while it drains. What is decided must stay the same, or be
+// safer. Shares are counted in requests, so the verdict does not depend on the machine's speed.
+#include <gtest/gtest.h>
+
+#include <chrono>
+#include <cmath>
+#include <map>
+#include <string>
+#include <vector>
+
+#include "state/timestamp.hpp"
+#include "support/sidecar_fixture.hpp"
+
+namespace elmbay::test {
+namespace {
+
+constexpr Millis kSecond = 1000;
+constexpr Millis kHour = 3600 * kSecond;
+constexpr std::size_t kServers = 4;
+constexpr std::size_t kStartingServer = kServers - 1;  // the index of the one in slow start
+constexpr std::size_t kConcurrentRequests = 8;
+
+Millis true_wall_time() {
+    const auto since_epoch = std::chrono::system_clock::now().time_since_epoch();
+    return std::chrono::duration<double, std::milli>(since_epoch).count();
+}
+
+// A sidecar with four servers, the last of them in slow start, under a wall clock that the test steps.
+struct WallClockFixture : SidecarFixture {
+    Millis clock_offset = 0;  // of the sidecar's wall clock from the true time
+
+    // By default slow start lasts so long that no server becomes warm within a test.
+    explicit WallClockFixture(Millis slow_start_duration = 600 * kSecond) : SidecarFixture(kServers) {
+        config["settings"]["rules"] = {
+            {"cold-from", 0.05}, {"warm-within-ms", slow_start_duration}, {"fall-multiple", 2.5}};
+    }
+
+    void start() {
+        const Clock clock([this] { return true_wall_time() + clock_offset; });
+        sidecar = std::make_unique<Sidecar>(io, parse_config(config.dump()), std::nullopt,
+                                            websocket::Settings{}, clock);
+        ASSERT_TRUE(until([&] { return discovery.requests() > 0; }));
+        watch_begins();
+    }
+
+    // The list's entry for the server in slow start, which started `age` ago by its own wall clock.
+    Json starting_server(Millis age, Millis server_clock_offset = 0) const {
+        Json entry = target(kStartingServer, servers.back().address());
+        entry["boot_ms"] = std::floor(true_wall_time() - age + server_clock_offset);
+        return entry;
+    }
+
+    Json& known_entry(std::size_t index) { return config["known"]["targets"][index]; }
+    void omit_starting_server_from_known_list() { config["known"]["targets"].erase(kStartingServer); }
+
+    // Sends a change of the list and waits until the sidecar has handled it.
+    void send_change(const Json& entry) {
+        chunk(line(Json::array({entry}), false));
+        settle();
+    }
+
+    void respond_to_all() {
+        for (FakeServer& server : servers) server.respond_to_all();
+    }
+
+    std::size_t requests_at_servers() const {
+        std::size_t count = 0;
+        for (const FakeServer& server : servers) count += server.requests();
+        return count;
+    }
+
+    // Several requests in flight together, so that a server gets the share that it may have. One after
+    // another they would go to the server that responds fastest.
+    void serve_concurrent_requests() {
+        while (clients_.size() < kConcurrentRequests) clients_.push_back(client());
+        const std::size_t requests_before = requests_at_servers();
+        for (const auto& client : clients_) {
+            client->got.clear();
+            client->send(request("safe"));
+        }
+        ASSERT_TRUE(until([&] { return requests_at_servers() == requests_before + kConcurrentRequests; }));
+        respond_to_all();
+        for (const auto& client : clients_) {
+            ASSERT_TRUE(until([&] { return client->got.find("answer") != std::string::npos; }));
+        }
+    }
+
+    // The share of requests that the server in slow start gets, over `rounds` of serve_concurrent_requests().
+    double share_of_starting_server(std::size_t rounds = 30) {
+        const std::size_t requests_before = servers.back().requests();
+        for (std::size_t i = 0; i < rounds && !testing::Test::HasFatalFailure(); ++i) {
+            serve_concurrent_requests();
+        }
+        return static_cast<double>(servers.back().requests() - requests_before) /
+               static_cast<double>(rounds * kConcurrentRequests);
+    }
+
+private:
+    std::vector<std::shared_ptr<Peer>> clients_;
+};
+
+// An even share is 0.25. A cold server may have 0.05 of a warm one's, times the 2.5 of fall-multiple: 0.03 of
+// all.
+constexpr double kMaxColdShare = 0.06;
+constexpr double kMinWarmShare = 0.15;
+
+// The parameter is the step of the wall clock.
+class WallClockStep : public testing::TestWithParam<Millis> {};
+
+TEST_P(WallClockStep, OfSidecarBeforeStartKeepsServerInSlowStart) {
+    WallClockFixture fixture;
+    fixture.clock_offset = GetParam();
+    fixture.known_entry(kStartingServer) = fixture.starting_server(kSecond);
+    fixture.start();
+    EXPECT_LT(fixture.share_of_starting_server(), kMaxColdShare);
+}
+
+// The sidecar starts under a wrong clock, which is set right before a server starts, and stepped again while
+// that server is in slow start and the list names it anew.
+TEST_P(WallClockStep, OfSidecarWhileRunningKeepsServerInSlowStart) {
+    WallClockFixture fixture;
+    fixture.clock_offset = GetParam();
+    fixture.omit_starting_server_from_known_list();
+    fixture.start();
+    fixture.chunk("\n");
+    fixture.clock_offset = 0;
+    fixture.send_change(fixture.starting_server(200));
+    EXPECT_LT(fixture.share_of_starting_server(15), kMaxColdShare);
+    fixture.clock_offset = GetParam();
+    fixture.send_change(fixture.starting_server(200 + kSecond));
+    EXPECT_LT(fixture.share_of_starting_server(15), kMaxColdShare);
+}
+
+// The server's clock is stepped between its two starts: the later start may look like the earlier one.
+TEST_P(WallClockStep, OfServerBeforeRestartPutsItInSlowStart) {
+    WallClockFixture fixture;
+    fixture.known_entry(kStartingServer) = fixture.starting_server(kHour / 2 * 3);
+    fixture.start();
+    fixture.chunk("\n");
+    fixture.share_of_starting_server(2);
+    fixture.send_change(fixture.starting_server(0, GetParam()));
+    EXPECT_LT(fixture.share_of_starting_server(), kMaxColdShare);
+}
+
+// Whatever the clocks say, a server is warm once slow start's duration has passed since the sidecar heard of
+// it.
+TEST_P(WallClockStep, OfSidecarOrServerDoesNotProlongSlowStart) {
+    constexpr int kSlowStartDuration = 1500;
+    for (const bool step_server : {false, true}) {
+        WallClockFixture fixture(kSlowStartDuration);
+        fixture.clock_offset = step_server ? 0 : GetParam();
+        fixture.known_entry(kStartingServer) = fixture.starting_server(kSecond, step_server ? GetParam() : 0);
+        fixture.start();
+        const auto warm_at = std::chrono::steady_clock::now() + std::chrono::milliseconds(kSlowStartDuration);
+        while (std::chrono::steady_clock::now() < warm_at) fixture.serve_concurrent_requests();
+        EXPECT_GT(fixture.share_of_starting_server(20), kMinWarmShare)
+            << "step of the server: " << step_server;
+    }
+}
+
+// A process that keeps running and its uid leaves the list and is named again: it has not become cold.
+TEST_P(WallClockStep, WhileServerIsUnlistedDoesNotPutItInSlowStart) {
+    WallClockFixture fixture;
+    const Json old_server = fixture.starting_server(kHour);
+    fixture.known_entry(kStartingServer) = old_server;
+    Json younger_server = SidecarFixture::target(0, fixture.servers.front().address());
+    // With a server that is younger, the age of the old one is not doubted.
+    younger_server["boot_ms"] = old_server["boot_ms"].get<double>() + kHour / 2;
+    fixture.known_entry(0) = younger_server;
+    fixture.start();
+    fixture.chunk("\n");
+    Json unlisted = old_server;
+    unlisted["state"] = "left";
+    fixture.send_change(unlisted);
+    fixture.clock_offset = GetParam();
+    fixture.send_change(old_server);
+    EXPECT_GT(fixture.share_of_starting_server(20), kMinWarmShare);
+}
+
+// Of two processes with one address, the one that the list named last has it, whatever its clock says of its
+// start.
+TEST_P(WallClockStep, OfServerDoesNotKeepAddressFromNewerServer) {
+    WallClockFixture fixture;
+    fixture.config["known"]["targets"] = Json::array({fixture.starting_server(60 * kSecond)});
+    fixture.start();
+    fixture.chunk("\n");
+    Json newer = fixture.starting_server(0, GetParam());
+    newer["uid"] = "fresh";
+    fixture.send_change(newer);
+    const Json status = fixture.sidecar->status();
+    std::map<std::string, std::string> states;
+    for (const Json& server : status["servers"]) states[server["uid"]] = server["state"];
+    EXPECT_EQ(states["fresh"], "active") << status.dump();
+    EXPECT_FALSE(states.contains("s-3") && states["s-3"] == "active") << status.dump();
+}
+
+// A server's drain and a request's deadline are spans of real time.
+TEST_P(WallClockStep, WhileServerDrainsChangesNeitherItsShareNorDeadlines) {
+    WallClockFixture fixture;
+    fixture.start();
+    const auto waiting = fixture.client();
+    const auto sent_at = std::chrono::steady_clock::now();
+    waiting->send(SidecarFixture::request("unsafe", "1500m"));
+    ASSERT_TRUE(fixture.until([&] { return fixture.requests_at_servers() == 1; }));
+    // Its server never responds: respond_to_all() takes the request for one that has its response.
+    for (FakeServer& server : fixture.servers) {
+        for (const auto& peer : server.peers) peer->answered = peer->requests();
+    }
+    FakeServer& draining = fixture.servers.front();
+    fixture.send_change(SidecarFixture::target(0, draining.address(), "leaving"));
+    fixture.clock_offset = GetParam();
+    const std::size_t requests_before = draining.requests();
+    fixture.share_of_starting_server(10);
+    EXPECT_EQ(draining.requests(), requests_before) << "a draining server gets nothing new";
+    ASSERT_TRUE(fixture.until([&] { return !waiting->got.empty(); }));
+    EXPECT_EQ(status_of(*waiting), "HTTP/1.1 504");
+    EXPECT_GE(std::chrono::steady_clock::now() - sent_at, std::chrono::milliseconds(1400));
+}
+
+// The sidecar's own drain ends when its last request has its response, and not before.
+TEST_P(WallClockStep, WhileSidecarDrainsLosesNoRequest) {
+    WallClockFixture fixture;
+    fixture.start();
+    const auto client = fixture.client();
+    client->send(SidecarFixture::request("unsafe"));
+    ASSERT_TRUE(fixture.until([&] { return fixture.requests_at_servers() == 1; }));
+    bool drained = false;
+    fixture.sidecar->drain([&] { drained = true; });
+    fixture.clock_offset = GetParam();
+    for (int i = 0; i < 20; ++i) fixture.io.run_one_for(std::chrono::milliseconds(10));
+    EXPECT_FALSE(drained);
+    fixture.respond_to_all();
+    ASSERT_TRUE(fixture.until([&] { return drained; }));
+    EXPECT_NE(client->got.find("answer"), std::string::npos);
+}
+
+INSTANTIATE_TEST_SUITE_P(By, WallClockStep, testing::Values(-kHour, -5 * kSecond, 5 * kSecond, kHour),
+                         [](const testing::TestParamInfo<Millis>& info) {
+                             const auto seconds = static_cast<long>(std::abs(info.param) / kSecond);
+                             return std::to_string(seconds) + (info.param < 0 ? "sBack" : "sAhead");
+                         });
+
+// The age of a snapshot from an earlier boot. The machine has been up since, so the snapshot is at least that
+// old: a wall clock by which it is younger has been set back and is not believed.
+TEST(SnapshotAge, IsAtLeastUptimeAfterRebootWhateverTheWallClockSays) {
+    using state::age_of;
+    constexpr std::int64_t kUptime = 40000;
+    constexpr std::int64_t kTrueAge = 60000;
+    const state::Timestamp taken{1'000'000'000, 5000, {1}};
+    for (const std::int64_t step : {-3'600'000, -25000, -20001}) {
+        EXPECT_LT(age_of(taken, {taken.wall_ms + kTrueAge + step, kUptime, {2}}), 0) << step;
+    }
+    EXPECT_EQ(age_of(taken, {taken.wall_ms + kTrueAge, kUptime, {2}}), kTrueAge);
+    EXPECT_EQ(age_of(taken, {taken.wall_ms + kTrueAge - 5000, kUptime, {2}}), kTrueAge - 5000)
+        << "wrong by the step at most";
+    EXPECT_EQ(age_of(taken, {taken.wall_ms + kTrueAge + 5000, kUptime, {2}}), kTrueAge + 5000)
+        << "older than it is: believed less";
+    // Within one boot no step of the wall clock counts.
+    for (const std::int64_t step : {-3'600'000, -5000, 5000, 3'600'000}) {
+        EXPECT_EQ(age_of(taken, {taken.wall_ms + step, 9000, {1}}), 4000) << step;
+    }
+}
+
+}  // namespace
+}  // namespace elmbay::test
--- /dev/null
+++ b/tests/net/client_disconnect_test.cpp
@@ -0,0 +1,198 @@
+// Clients that leave while their request is in flight, waits for capacity or a server, or waits for its
+// connection. Nothing may be sent to a server for them afterwards.
+#include <gtest/gtest.h>
+
+#include <algorithm>
+#include <functional>
+#include <memory>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "support/sidecar_fixture.hpp"
+
+namespace elmbay::test {
+namespace {
+
+struct WayToLeave {
+    const char* name;
+    std::function<void(Peer&)> leave;
+};
+
+// To the sidecar all of these are the same: the client no longer waits for a response.
+const std::vector<WayToLeave>& ways_to_leave() {
+    static const std::vector<WayToLeave> ways{
+        {"close", [](Peer& client) { client.close(); }},
+        {"half-close", [](Peer& client) { client.socket.shutdown(tcp::socket::shutdown_send); }},
+        {"reset", [](Peer& client) { client.reset(); }}};
+    return ways;
+}
+
+TEST(ClientDisconnect, CancelsAttemptInFlight) {
+    SidecarFixture fixture;
+    fixture.start();
+    FakeServer& server = fixture.servers.front();
+    const auto client = fixture.client();
+    client->send(SidecarFixture::request("unsafe"));
+    ASSERT_TRUE(fixture.until([&] { return server.requests() == 1; }));
+    client->close();
+    ASSERT_TRUE(fixture.until([&] { return server.last().closed && fixture.sidecar->requests() == 0; }));
+}
+
+// ---- While the connection to the server opens -------------------------------------------------------------
+
+// The connection opens, and right after that the client leaves. The loop stands still between the two, as for
+// a process without a core, and hears of the connection first.
+void expect_nothing_sent_after_leaving_during_connect(const std::function<void(Peer&)>& leave) {
+    SidecarFixture fixture;
+    fixture.start();
+    FakeServer& server = fixture.servers.front();
+    FullAcceptQueue accept_queue(server);
+    const auto client = fixture.client();
+    client->send(SidecarFixture::request("safe"));
+    EXPECT_TRUE(fixture.until([&] { return fixture.sidecar->requests() == 1; }));
+    fixture.settle();
+    const tcp::socket filler = server.acceptor.accept();
+    // There is room now: the kernel's second try, a second after the first, succeeds.
+    server.peers.push_back(std::make_shared<Peer>(server.acceptor.accept()));
+    server.peers.back()->read();
+    leave(*client);
+    EXPECT_TRUE(fixture.until([&] { return fixture.sidecar->requests() == 0; }));
+    fixture.settle();
+    EXPECT_EQ(server.requests(), 0U);
+}
+
+TEST(ClientDisconnectDuringConnect, SendsNothingAfterClose) {
+    expect_nothing_sent_after_leaving_during_connect([](Peer& client) { client.close(); });
+}
+
+TEST(ClientDisconnectDuringConnect, SendsNothingAfterHalfClose) {
+    expect_nothing_sent_after_leaving_during_connect(
+        [](Peer& client) { client.socket.shutdown(tcp::socket::shutdown_send); });
+}
+
+TEST(ClientDisconnectDuringConnect, SendsNothingAfterReset) {
+    expect_nothing_sent_after_leaving_during_connect([](Peer& client) { client.reset(); });
+}
+
+TEST(ClientDisconnectDuringConnect, SendsNothingAfterCloseBehindUnreadBytes) {
+    expect_nothing_sent_after_leaving_during_connect([](Peer& client) {
+        client.send("more, and gone");
+        client.close();
+    });
+}
+
+// ---- While the request waits for a server or for capacity -------------------------------------------------
+
+// A server has rejected the first attempt and none is left, so the retry waits. When the loop goes on, the
+// list that names a server again and the client's end are both there, the list first.
+TEST(ClientDisconnect, SendsNothingMoreWhileRetryWaitsForServer) {
+    for (const WayToLeave& way : ways_to_leave()) {
+        SCOPED_TRACE(way.name);
+        SidecarFixture fixture;
+        // A request waits for a sixteenth of its latency objective.
+        fixture.config["settings"]["classes"][1]["on-time-ms"] = 60000.0;
+        fixture.start();
+        fixture.watch_begins();
+        FakeServer& server = fixture.servers.front();
+        const auto client = fixture.client();
+        client->send(SidecarFixture::request("unsafe"));
+        ASSERT_TRUE(fixture.until([&] { return server.requests() == 1; }));
+        fixture.chunk(fixture.line(fixture.targets("leaving"), false));
+        fixture.settle();
+        server.last().respond("503 Draining", "", "X-Unprocessed: 1\r\n");
+        ASSERT_TRUE(fixture.until([&] { return server.last().closed; }));
+        fixture.settle();
+        ASSERT_EQ(fixture.sidecar->requests(), 1U) << "not waiting: " << client->got;
+
+        fixture.chunk(fixture.line(fixture.targets(), false));
+        way.leave(*client);
+        ASSERT_TRUE(fixture.until([&] { return fixture.sidecar->requests() == 0; }));
+        fixture.settle();
+        EXPECT_EQ(server.requests(), 1U);
+    }
+}
+
+// More requests at once than there is capacity for. The one that came last is the first to be sent when
+// another has its response, on the connection that is free then.
+struct RequestWaitingForCapacity {
+    static constexpr std::size_t kClients = 60;
+    SidecarFixture fixture;
+    FakeServer& server = fixture.servers.front();
+    std::vector<std::shared_ptr<Peer>> clients;
+    std::string last_id_header;
+    std::size_t requests_sent = 0;
+
+    RequestWaitingForCapacity() {
+        // A request waits for a sixteenth of its latency objective.
+        fixture.config["settings"]["classes"][1]["on-time-ms"] = 60000.0;
+        fixture.start();
+        for (std::size_t i = 0; i < kClients; ++i) {
+            clients.push_back(fixture.client());
+            const std::string request = SidecarFixture::request("unsafe");
+            const std::size_t begin = request.find("X-Correlation-Id: ");
+            const std::size_t end = request.find("\r\n", begin) + 2;
+            last_id_header = request.substr(begin, end - begin);
+            clients.back()->send(request);
+        }
+        EXPECT_TRUE(fixture.until([&] { return fixture.sidecar->requests() == kClients; }));
+        run_ready_handlers(fixture.io);
+        requests_sent = server.requests();
+        EXPECT_GT(requests_sent, 0U);
+        EXPECT_FALSE(last_request_arrived()) << "it waits";
+    }
+
+    bool last_request_arrived() const {
+        return std::any_of(server.peers.begin(), server.peers.end(), [&](const auto& peer) {
+            return peer->got.find(last_id_header) != std::string::npos;
+        });
+    }
+
+    bool another_request_written() const {
+        const bool unread_bytes = std::any_of(server.peers.begin(), server.peers.end(),
+                                              [](const auto& peer) { return peer->socket.available() > 0; });
+        return server.requests() > requests_sent || unread_bytes;
+    }
+};
+
+// The client leaves after each single step of the loop in turn, up to the step that writes its request.
+TEST(ClientDisconnect, SendsNothingWhileRequestWaitsForCapacity) {
+    for (const WayToLeave& way : ways_to_leave()) {
+        bool written = false;
+        for (int steps = 0; !written; ++steps) {
+            SCOPED_TRACE(std::string(way.name) + " after " + std::to_string(steps) + " steps");
+            RequestWaitingForCapacity waiting;
+            waiting.server.peers.front()->respond("200 OK", "answer");
+            for (int step = 0; step < steps; ++step) waiting.fixture.io.poll_one();
+            written = waiting.another_request_written();
+            if (written) break;
+            way.leave(*waiting.clients.back());
+            ASSERT_TRUE(waiting.fixture.until([&] {
+                return waiting.server.requests() > waiting.requests_sent;
+            })) << "another request is sent in its place";
+            waiting.fixture.settle();
+            EXPECT_FALSE(waiting.last_request_arrived());
+            ASSERT_LT(steps, 100) << "it is never written";
+        }
+    }
+}
+
+// The request and the client's end are both there as the loop goes on.
+TEST(ClientDisconnect, SendsNothingWhenClientLeavesRightAfterRequest) {
+    for (const WayToLeave& way : ways_to_leave()) {
+        SCOPED_TRACE(way.name);
+        SidecarFixture fixture;
+        fixture.start();
+        const auto earlier_client = fixture.served_client();  // leaves an idle connection to the server
+        const auto client = fixture.client();
+        client->send(SidecarFixture::request("unsafe"));
+        way.leave(*client);
+        fixture.settle();
+        ASSERT_TRUE(fixture.until([&] { return fixture.sidecar->requests() == 0; }));
+        fixture.settle();
+        EXPECT_EQ(fixture.servers.front().requests(), 1U);
+    }
+}
+
+}  // namespace
+}  // namespace elmbay::test
--- /dev/null
+++ b/tests/net/connection_pool_test.cpp
@@ -0,0 +1,125 @@
+// When a pooled connection to a server may carry another request: closed, reset and unsolicited bytes while
+// it is idle, and a reset under a request.
+#include <gtest/gtest.h>
+
+#include <string>
+
+#include "support/sidecar_fixture.hpp"
+
+namespace elmbay::test {
+namespace {
+
+// Bytes on an idle connection must not be taken for the response to the next request, whether or not the loop
+// has seen them when that request comes.
+TEST(ConnectionPool, DoesNotReuseConnectionWithUnsolicitedBytes) {
+    SidecarFixture fixture;
+    fixture.start();
+    FakeServer& server = fixture.servers.front();
+    for (const bool seen_by_loop : {true, false}) {
+        const std::size_t requests_before = server.requests();
+        const auto client = fixture.client();
+        client->send(SidecarFixture::request("unsafe"));
+        ASSERT_TRUE(fixture.until([&] { return server.requests() == requests_before + 1; }));
+        server.last().respond("200 OK", "mine");
+        ASSERT_TRUE(fixture.until([&] { return client->got.find("mine") != std::string::npos; }));
+        client->got.clear();
+        if (seen_by_loop) {
+            server.last().respond("200 OK", "a late copy");
+            fixture.settle();
+            client->send(SidecarFixture::request("unsafe"));
+        } else {
+            // The loop handles the request first, and the copy in the same turn.
+            client->send(SidecarFixture::request("unsafe"));
+            server.last().respond("200 OK", "a late copy");
+        }
+        ASSERT_TRUE(fixture.until([&] { return server.requests() == requests_before + 2; }));
+        server.last().respond("200 OK", "the next");
+        ASSERT_TRUE(fixture.until([&] { return client->got.find("the next") != std::string::npos; }));
+        EXPECT_EQ(client->got.find("a late copy"), std::string::npos);
+    }
+}
+
+// A request on a connection that the server has closed would be reset, and a non-idempotent one would fail
+// without need.
+TEST(ConnectionPool, DoesNotReuseConnectionClosedByServer) {
+    SidecarFixture fixture;
+    fixture.start();
+    FakeServer& server = fixture.servers.front();
+    for (const bool seen_by_loop : {true, false}) {
+        const auto client = fixture.client();
+        const std::size_t requests_before = server.requests();
+        client->send(SidecarFixture::request("unsafe"));
+        ASSERT_TRUE(fixture.until([&] { return server.requests() == requests_before + 1; }));
+        server.last().respond("200 OK", "first");
+        ASSERT_TRUE(fixture.until([&] { return client->got.find("first") != std::string::npos; }));
+        server.peers.back()->close();
+        if (seen_by_loop) fixture.settle();
+        client->got.clear();
+        client->send(SidecarFixture::request("unsafe"));
+        ASSERT_TRUE(fixture.until([&] { return server.requests() == requests_before + 2; }));
+        server.last().respond("200 OK", "second");
+        ASSERT_TRUE(fixture.until([&] { return client->got.find("second") != std::string::npos; }));
+        server.peers.back()->close();
+        fixture.settle();
+    }
+}
+
+TEST(ConnectionPool, DoesNotReuseConnectionResetByServerWhileIdle) {
+    for (const bool seen_by_loop : {true, false}) {
+        SidecarFixture fixture;
+        fixture.start();
+        FakeServer& server = fixture.servers.front();
+        const auto client = fixture.served_client();
+        server.last().reset();
+        if (seen_by_loop) fixture.settle();
+        client->send(SidecarFixture::request("unsafe"));
+        ASSERT_TRUE(fixture.until([&] { return server.requests() == 2; }));
+        EXPECT_EQ(server.peers.size(), 2U);
+        server.last().respond("200 OK", "answer");
+        ASSERT_TRUE(fixture.until([&] { return client->got.find("answer") != std::string::npos; }));
+        EXPECT_EQ(status_of(*client), "HTTP/1.1 200");
+    }
+}
+
+// A request that was written whole may have run, on a reused connection as on a new one: only an idempotent
+// one is sent again.
+TEST(ConnectionPool, RetriesOnlyIdempotentRequestAfterResetOfReusedConnection) {
+    for (const bool idempotent : {true, false}) {
+        SidecarFixture fixture;
+        fixture.start();
+        FakeServer& server = fixture.servers.front();
+        const auto client = fixture.served_client();
+        client->send(SidecarFixture::request(idempotent ? "safe" : "unsafe"));
+        ASSERT_TRUE(fixture.until([&] { return server.requests() == 2; }));
+        ASSERT_EQ(server.peers.size(), 1U) << "the connection was reused";
+        server.last().reset();
+        if (idempotent) {
+            ASSERT_TRUE(fixture.until([&] { return server.requests() == 3; }));
+            server.last().respond("200 OK", "again");
+            ASSERT_TRUE(fixture.until([&] { return client->got.find("again") != std::string::npos; }));
+            continue;
+        }
+        ASSERT_TRUE(fixture.until([&] { return client->got.size() > 12; }));
+        EXPECT_EQ(status_of(*client), "HTTP/1.1 502");
+        fixture.settle();
+        EXPECT_EQ(server.requests(), 2U);
+    }
+}
+
+// Servers close connections that have been idle for long. A request that crosses such a close is reset.
+TEST(ConnectionPool, ClosesIdleConnectionBeforeTheServerDoes) {
+    SidecarFixture fixture;
+    fixture.config["settings"]["limits"]["idle-close-ms"] = 500.0;
+    fixture.start();
+    FakeServer& server = fixture.servers.front();
+    const auto client = fixture.client();
+    client->send(SidecarFixture::request("safe"));
+    ASSERT_TRUE(fixture.until([&] { return server.requests() == 1; }));
+    server.last().respond("200 OK", "answer");
+    ASSERT_TRUE(fixture.until([&] { return server.last().closed; }));
+    EXPECT_NE(client->got.find("answer"), std::string::npos);
+    EXPECT_FALSE(client->closed);
+}
+
+}  // namespace
+}  // namespace elmbay::test
--- /dev/null
+++ b/tests/net/message_size_limit_test.cpp
@@ -0,0 +1,98 @@
+// Long messages: each has a limit, and all of them together have a part of the memory.
+#include <gtest/gtest.h>
+
+#include <optional>
+#include <string>
+
+#include "support/sidecar_fixture.hpp"
+
+namespace elmbay::test {
+namespace {
+
+std::string request_with_body(std::size_t body_size) {
+    static int number = 0;
+    ++number;
+    return "POST /api HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: long-" + std::to_string(number) +
+           "\r\nX-Service-Class: unsafe\r\nX-Time-Left: 50000m\r\nContent-Length: " +
+           std::to_string(body_size) + "\r\n\r\n" + std::string(body_size, 'r');
+}
+
+TEST(MessageSizeLimit, ServesMessagesUpToTheirLimit) {
+    SidecarFixture fixture;
+    fixture.config["limits"]["memory_mb"] = 64;
+    fixture.start();
+    FakeServer& server = fixture.servers.front();
+    const auto client = fixture.client();
+    client->send(request_with_body(200000));
+    ASSERT_TRUE(fixture.until(
+        [&] { return !server.peers.empty() && server.last().got.ends_with(std::string(200000, 'r')); }));
+    const std::string body(400000, 'a');
+    server.last().respond("200 OK", body);
+    ASSERT_TRUE(fixture.until([&] { return client->got.size() > body.size(); }));
+    EXPECT_EQ(status_of(*client), "HTTP/1.1 200");
+    EXPECT_TRUE(client->got.ends_with("\r\n\r\n" + body));
+
+    const auto too_long = fixture.client();
+    too_long->send(request_with_body(300000).substr(0, 1000));
+    ASSERT_TRUE(fixture.until([&] { return too_long->got.size() > 12; }));
+    EXPECT_EQ(status_of(*too_long), "HTTP/1.1 413");
+}
+
+// One long request in flight takes the whole budget for long messages. The next long one is rejected,
+// requests of the usual size are served, and the budget is free again once the first has its response.
+TEST(MessageSizeLimit, LimitsLongMessagesTogether) {
+    SidecarFixture fixture;
+    fixture.config["limits"]["memory_mb"] = 1;
+    fixture.start();
+    FakeServer& server = fixture.servers.front();
+    const auto first = fixture.client();
+    const auto second = fixture.client();
+    first->send(request_with_body(200000));
+    ASSERT_TRUE(fixture.until(
+        [&] { return !server.peers.empty() && server.last().got.ends_with(std::string(200000, 'r')); }));
+    second->send(request_with_body(200000).substr(0, 1000));
+    ASSERT_TRUE(fixture.until([&] { return second->got.size() > 12; }));
+    EXPECT_EQ(status_of(*second), "HTTP/1.1 413");
+
+    const auto usual = fixture.client();
+    usual->send(request_with_body(60000));
+    ASSERT_TRUE(fixture.until([&] { return server.peers.size() == 2 && server.last().got.size() > 60000; }));
+    for (const auto& peer : server.peers) peer->respond("200 OK", "answer");
+    for (const auto& client : {first, usual}) {
+        ASSERT_TRUE(fixture.until([&] { return client->got.find("answer") != std::string::npos; }));
+    }
+    first->send(request_with_body(200000));
+    ASSERT_TRUE(fixture.until([&] { return server.requests() == 3; })) << "the budget is free again";
+
+    // Request and response together take more than the budget. Both connections get the response; only one of
+    // them has a request in flight.
+    for (const auto& peer : server.peers) peer->respond("200 OK", std::string(100000, 'a'));
+    ASSERT_TRUE(fixture.until([&] { return first->got.find("502") != std::string::npos; }));
+}
+
+// The sidecar is destroyed before the event loop, whose handlers still hold connections with long messages.
+// AddressSanitizer reports a grant that returns its bytes to a budget that is gone.
+TEST(MessageSizeLimit, LetsSidecarBeDestroyedWithLongMessagesInFlight) {
+    {
+        std::optional<ByteBudget::Grant> grant;
+        {
+            ByteBudget budget(10);
+            grant = budget.take(10);
+            EXPECT_FALSE(budget.take(1));
+        }
+    }
+    SidecarFixture fixture;
+    fixture.start();
+    FakeServer& server = fixture.servers.front();
+    const auto client = fixture.client();
+    const auto half_sent = fixture.client();
+    client->send(SidecarFixture::request("safe"));
+    half_sent->send(request_with_body(200000).substr(0, 1000));
+    ASSERT_TRUE(fixture.until([&] { return server.requests() == 1; }));
+    server.last().send("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nhalf");
+    fixture.settle();
+    fixture.sidecar.reset();
+}
+
+}  // namespace
+}  // namespace elmbay::test
--- /dev/null
+++ b/tests/net/response_reader_test.cpp
@@ -0,0 +1,198 @@
+// Which bytes of a server count as its response: interim and duplicate responses, malformed ones, and those
+// that end with their connection. Through the whole sidecar, as a client sees it.
+#include <gtest/gtest.h>
+
+#include <memory>
+#include <string>
+#include <vector>
+
+#include "support/sidecar_fixture.hpp"
+
+namespace elmbay::test {
+namespace {
+
+// A connection that breaks within a response ends the attempt, not the request. The client gets nothing of
+// the partial response.
+TEST(ResponseReader, DiscardsPartialResponseAndRetries) {
+    SidecarFixture fixture;
+    fixture.start();
+    FakeServer& server = fixture.servers.front();
+    const auto client = fixture.client();
+    client->send(SidecarFixture::request("safe"));
+    ASSERT_TRUE(fixture.until([&] { return server.requests() == 1; }));
+    const auto first = server.peers.back();
+    first->send("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf");
+    fixture.settle();
+    EXPECT_EQ(client->got, "");
+
+    first->close();
+    ASSERT_TRUE(fixture.until([&] { return server.requests() == 2; }));
+    server.last().respond("200 OK", "whole");
+    ASSERT_TRUE(fixture.until([&] { return client->got.find("whole") != std::string::npos; }));
+    EXPECT_EQ(client->got.find("half"), std::string::npos);
+}
+
+// Each of these is corrupt, or can't be told from one that is. The attempt fails at the first byte that shows
+// it, without waiting for the deadline, and nothing of it goes to the client.
+TEST(ResponseReader, FailsAttemptAtOnceOnMalformedResponse) {
+    const std::string ok = "HTTP/1.1 200 OK\r\n";
+    const std::string chunked = ok + "Transfer-Encoding: chunked\r\n\r\n";
+    const std::vector<std::string> malformed_responses{
+        "\x89\x8f\x06 noise \xa2\r\n\r\n",
+        "ICY 200 OK\r\nContent-Length: 4\r\n\r\nbody",
+        "HTTP/1.1 2x0 OK\r\nContent-Length: 4\r\n\r\nbody",
+        ok + "no colon here\r\nContent-Length: 4\r\n\r\nbody",
+        ok + "Content-Length: -1\r\nContent-Length: 4\r\n\r\nbody",
+        ok + "Content-Length: 4\r\nContent-Length: 4\r\n\r\nbody",
+        ok + "Content-Length: 2\r\nContent-Length: 4\r\n\r\nbody",
+        ok + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\nbody",
+        ok + "Transfer-Encoding: identity\r\nContent-Length: 4\r\n\r\nbody",
+        chunked + "4\r\nbody\r\nzz\r\nbody\r\n0\r\n\r\n",
+        chunked + std::string(200000, '1'),
+        chunked + "4\r\nbody\r\n0\r\n" + std::string(200000, 'x'),
+        ok + "X-Pad: " + std::string(200000, 'p'),
+        ok + "Content-Length: 3000000000\r\n\r\nbody",
+        ok + "Content-Length: 2\r\n\r\nbody",
+        ok + "Content-Length: 2\r\n\r\nboHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
+        "HTTP/1.1 101 Switching Protocols\r\n\r\n" + ok + "Content-Length: 4\r\n\r\nbody",
+    };
+    for (const std::string& malformed : malformed_responses) {
+        SCOPED_TRACE(malformed.substr(0, 120));
+        SidecarFixture fixture;
+        fixture.start();
+        FakeServer& server = fixture.servers.front();
+        const auto client = fixture.client();
+        client->send(SidecarFixture::request("unsafe"));
+        ASSERT_TRUE(fixture.until([&] { return server.requests() == 1; }));
+        server.last().send(malformed);
+        ASSERT_TRUE(fixture.until([&] { return client->got.size() > 12; }));
+        EXPECT_EQ(status_of(*client), "HTTP/1.1 502");
+        ASSERT_TRUE(fixture.until([&] { return server.last().closed; })) << "the connection is not reused";
+        EXPECT_EQ(client->got.find("body"), std::string::npos);
+    }
+}
+
+// Interim responses (1xx) may precede a response and a copy of it may follow. The copy must not be taken for
+// the response to the next request.
+TEST(ResponseReader, AcceptsInterimResponsesAndDuplicates) {
+    const auto response = [](const std::string& body) {
+        return "HTTP/1.1 200 OK\r\nX-Backend-Load: {\"\r\nContent-Length: " + std::to_string(body.size()) +
+               "\r\n\r\n" + body;
+    };
+    SidecarFixture fixture;
+    fixture.start();
+    FakeServer& server = fixture.servers.front();
+    const auto client = fixture.client();
+    const auto expect_served = [&](const std::string& server_sends, const std::string& expected_body) {
+        client->got.clear();
+        const std::size_t requests_before = server.requests();
+        client->send(SidecarFixture::request("unsafe"));
+        ASSERT_TRUE(fixture.until([&] { return server.requests() == requests_before + 1; }));
+        server.last().send(server_sends);
+        ASSERT_TRUE(
+            fixture.until([&] { return client->got.find("\r\n\r\n" + expected_body) != std::string::npos; }));
+        EXPECT_EQ(status_of(*client), "HTTP/1.1 200");
+    };
+    expect_served(
+        "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + response("first"),
+        "first");
+    EXPECT_EQ(server.peers.size(), 1U);
+    expect_served(response("second") + response("second"), "second");
+    expect_served(response("third"), "third");
+    EXPECT_EQ(server.peers.size(), 2U) << "a connection with bytes left over takes no request";
+
+    std::string many_interim_responses;
+    for (int i = 0; i < 20; ++i) many_interim_responses += "HTTP/1.1 102 Processing\r\n\r\n";
+    client->got.clear();
+    client->send(SidecarFixture::request("unsafe"));
+    ASSERT_TRUE(fixture.until([&] { return server.requests() == 4; }));
+    server.last().send(many_interim_responses + response("fourth"));
+    ASSERT_TRUE(fixture.until([&] { return client->got.size() > 12; }));
+    EXPECT_EQ(status_of(*client), "HTTP/1.1 502") << "twenty interim responses are too many";
+}
+
+enum class ConnectionEnd { clean_close, reset };
+
+// One non-idempotent request, to which the server sends `response` piece by piece and then ends its
+// connection.
+class Exchange {
+public:
+    Exchange(const std::string& response, ConnectionEnd end) {
+        fixture_.config["limits"]["memory_mb"] = 64;
+        fixture_.start();
+        FakeServer& server = fixture_.servers.front();
+        client_ = fixture_.client();
+        client_->send(SidecarFixture::request("unsafe"));
+        EXPECT_TRUE(fixture_.until([&] { return server.requests() == 1; }));
+        constexpr std::size_t kPieceSize = 4096;
+        for (std::size_t position = 0; position < response.size(); position += kPieceSize) {
+            server.last().send(response.substr(position, kPieceSize));
+            fixture_.settle();  // the sidecar has read this piece
+        }
+        if (end == ConnectionEnd::clean_close) {
+            boost::system::error_code
+                ignored;  // the sidecar has closed it already if the response is too long
+            server.last().socket.shutdown(tcp::socket::shutdown_send, ignored);
+        } else {
+            server.last().reset();
+        }
+        EXPECT_TRUE(fixture_.until([&] { return client_->got.find("\r\n\r\n") != std::string::npos; }));
+        fixture_.settle();
+        EXPECT_EQ(server.requests(), 1U) << "it may have run";
+    }
+
+    bool served(const std::string& body) {
+        return status_of(*client_) == "HTTP/1.1 200" &&
+               fixture_.until([&] { return client_->got.ends_with("\r\n\r\n" + body); });
+    }
+    bool failed() const { return status_of(*client_) == "HTTP/1.1 502"; }
+
+private:
+    SidecarFixture fixture_;
+    std::shared_ptr<Peer> client_;
+};
+
+// RFC 9112, 6.3: a response without a length ends with its connection.
+TEST(ResponseReader, AcceptsCleanCloseAsEndWhenLengthIsUnknown) {
+    constexpr ConnectionEnd kClose = ConnectionEnd::clean_close;
+    EXPECT_TRUE(Exchange("HTTP/1.1 200 OK\r\n\r\nthe whole answer", kClose).served("the whole answer"));
+    EXPECT_TRUE(Exchange("HTTP/1.0 200 OK\r\nConnection: close\r\n\r\nolder", kClose).served("older"));
+    const std::string longer(150000, 'l');
+    EXPECT_TRUE(Exchange("HTTP/1.1 200 OK\r\n\r\n" + longer, kClose).served(longer));
+}
+
+TEST(ResponseReader, TreatsResetAsFailureWhenLengthIsUnknown) {
+    EXPECT_TRUE(Exchange("HTTP/1.1 200 OK\r\n\r\nthe whole answer", ConnectionEnd::reset).failed());
+    EXPECT_TRUE(Exchange("HTTP/1.1 200 OK\r\n\r\n", ConnectionEnd::clean_close).failed())
+        << "a response that serves a request has a body";
+    EXPECT_TRUE(
+        Exchange("HTTP/1.1 200 OK\r\n\r\n" + std::string(600000, 'x'), ConnectionEnd::clean_close).failed())
+        << "longer than any response may be";
+}
+
+TEST(ResponseReader, TreatsConnectionEndWithinFramingAsFailure) {
+    const std::string ok = "HTTP/1.1 200 OK\r\n";
+    const std::string chunked = ok + "Transfer-Encoding: chunked\r\n\r\n";
+    const std::vector<std::string> truncated_responses{
+        "HTTP/1.1 20",
+        ok,
+        ok + "Content-Length: 1",
+        ok + "Content-Length: 6\r\n\r\nhalf",
+        chunked,
+        chunked + "1",
+        chunked + "4\r\nbo",
+        chunked + "4\r\nbody",
+        chunked + "4\r\nbody\r\n",
+        chunked + "4\r\nbody\r\n0\r\n",
+        chunked + "4\r\nbody\r\n0\r\nX-Trailer: 1",
+    };
+    for (const std::string& truncated : truncated_responses) {
+        for (const ConnectionEnd end : {ConnectionEnd::clean_close, ConnectionEnd::reset}) {
+            SCOPED_TRACE(truncated + (end == ConnectionEnd::clean_close ? " (close)" : " (reset)"));
+            EXPECT_TRUE(Exchange(truncated, end).failed());
+        }
+    }
+}
+
+}  // namespace
+}  // namespace elmbay::test
--- /dev/null
+++ b/tests/net/shutdown_test.cpp
@@ -0,0 +1,303 @@
+// Graceful shutdown: requests that were taken get their response, clients that stay do not keep the process,
+// and connections are closed without a reset that would destroy a response.
+#include <gtest/gtest.h>
+
+#include <chrono>
+#include <functional>
+#include <memory>
+#include <set>
+#include <string>
+#include <vector>
+
+#include "support/sidecar_fixture.hpp"
+
+namespace elmbay::test {
+namespace {
+
+using std::chrono::milliseconds;
+
+// The platform kills the process this long after SIGTERM, beyond the longest deadline of the settings.
+constexpr int kKillMargin = 700;
+
+// A sidecar that is told to drain, and the platform that kills it if it takes too long.
+struct ShutdownFixture : SidecarFixture {
+    bool drained = false;
+    bool killed = false;
+
+    explicit ShutdownFixture(Millis longest_deadline = 60000) {
+        for (Json& request_class : config["settings"]["classes"]) {
+            request_class["give-up-ms"] = longest_deadline;
+        }
+        start();
+    }
+
+    void drain() {
+        sidecar->drain([this] { drained = true; });
+    }
+
+    void drain_or_be_killed(Millis longest_deadline) {
+        drain();
+        kill_timer_.expires_after(milliseconds(static_cast<int>(longest_deadline) + kKillMargin));
+        kill_timer_.async_wait([this](boost::system::error_code error) { killed = !error; });
+    }
+
+private:
+    asio::steady_timer kill_timer_{io};
+};
+
+// On SIGTERM requests in flight are finished and new connections are served for a while. Then all are closed.
+TEST(Shutdown, FinishesRequestsInFlightAndServesLateClients) {
+    SidecarFixture fixture;
+    fixture.start();
+    FakeServer& server = fixture.servers.front();
+    const auto early = fixture.client();
+    const auto idle = fixture.client();
+    early->send(SidecarFixture::request("unsafe"));
+    ASSERT_TRUE(fixture.until([&] { return server.requests() == 1; }));
+    bool drained = false;
+    fixture.sidecar->drain([&] { drained = true; });
+
+    const auto late = fixture.client();
+    late->send(SidecarFixture::request("unsafe"));
+    ASSERT_TRUE(fixture.until([&] { return server.requests() == 2; }));
+    ASSERT_TRUE(fixture.until([&] { return idle->closed; }));
+    EXPECT_FALSE(drained);
+
+    for (const auto& peer : server.peers) peer->respond("200 OK", "answer");
+    for (const auto& client : {early, late}) {
+        ASSERT_TRUE(fixture.until([&] { return client->closed; }));
+        EXPECT_NE(client->got.find("answer"), std::string::npos);
+        EXPECT_NE(client->got.find("Connection: close"), std::string::npos);
+    }
+    EXPECT_TRUE(fixture.until([&] { return drained; }));
+}
+
+// ---- Lingering close --------------------------------------------------------------------------------------
+
+// A request crosses the close of its idle connection. It is not forwarded, and the close is a clean one,
+// which tells the client to send the request elsewhere. A reset would not.
+TEST(LingeringClose, DoesNotForwardRequestThatCrossesTheClose) {
+    ShutdownFixture fixture;
+    const auto client = fixture.served_client();
+    fixture.drain();
+    ASSERT_TRUE(fixture.until([&] { return client->closed; }));
+    EXPECT_EQ(client->close_error, asio::error::eof);
+    client->send(SidecarFixture::request("safe"));
+    boost::system::error_code error;
+    asio::write(client->socket, asio::buffer(std::string("and more")), error);
+    EXPECT_FALSE(error) << "not reset: " << error.message();
+    client->close();
+    ASSERT_TRUE(fixture.until([&] { return fixture.drained; }));
+    EXPECT_EQ(fixture.servers.front().requests(), 1U);
+}
+
+// The last response reaches a client that has sent more behind its request, also when the sidecar no longer
+// accepts connections.
+TEST(LingeringClose, DeliversLastResponseDespitePipelinedBytes) {
+    ShutdownFixture fixture;
+    FakeServer& server = fixture.servers.front();
+    tcp::socket socket(fixture.io);
+    socket.connect(fixture.sidecar->local_endpoint());
+    const auto client = std::make_shared<Peer>(std::move(socket));  // it does not read yet
+    client->send(SidecarFixture::request("safe"));
+    ASSERT_TRUE(fixture.until([&] { return server.requests() == 1; }));
+    fixture.drain();
+    const auto idle = fixture.client();
+    ASSERT_TRUE(fixture.until([&] { return idle->closed; })) << "no longer accepting";
+
+    const std::string body(400000, 'a');
+    server.last().respond("200 OK", body);
+    ASSERT_TRUE(fixture.until([&] { return client->socket.available() > 0; })) << "it is being written";
+    client->send(SidecarFixture::request("safe"));
+    client->read();
+    ASSERT_TRUE(fixture.until([&] { return client->closed; }));
+    EXPECT_EQ(client->close_error, asio::error::eof);
+    EXPECT_TRUE(client->got.ends_with("\r\n\r\n" + body));
+    client->close();
+    ASSERT_TRUE(fixture.until([&] { return fixture.drained; }));
+    EXPECT_EQ(server.requests(), 1U);
+}
+
+// ---- Clients that stay ------------------------------------------------------------------------------------
+
+// A request whose head comes slowly is not waited for: its response would come after the kill.
+TEST(Shutdown, DoesNotWaitForIncompleteRequests) {
+    constexpr Millis kLongestDeadline = 1000;
+    ShutdownFixture fixture(kLongestDeadline);
+    const auto kept = fixture.served_client();
+    const auto fresh = fixture.client();
+    const std::string request = SidecarFixture::request("safe");
+    for (const auto& client : {kept, fresh}) client->send(request.substr(0, 40));
+    fixture.settle();
+    fixture.drain_or_be_killed(kLongestDeadline);
+    ASSERT_TRUE(fixture.until([&] { return kept->closed && fresh->closed; }));
+    EXPECT_EQ(kept->got, "") << "the client sends the request once more elsewhere";
+    EXPECT_EQ(status_of(*fresh), "HTTP/1.1 408");
+    for (const auto& client : {kept, fresh}) client->close();
+    ASSERT_TRUE(fixture.until([&] { return fixture.drained || fixture.killed; }));
+    EXPECT_TRUE(fixture.drained);
+    EXPECT_EQ(fixture.servers.front().requests(), 1U);
+}
+
+// A client whose request was rejected, one that never sent anything, and one that was served.
+TEST(Shutdown, DoesNotWaitForIdleClients) {
+    constexpr Millis kLongestDeadline = 1000;
+    ShutdownFixture fixture(kLongestDeadline);
+    const auto rejected = fixture.client();
+    const auto silent = fixture.client();
+    const auto kept = fixture.served_client();
+    rejected->send("GET /elsewhere HTTP/1.1\r\nHost: h\r\n\r\n");
+    ASSERT_TRUE(fixture.until([&] { return rejected->got.size() > 12; }));
+    fixture.drain_or_be_killed(kLongestDeadline);
+    for (const auto& client : {rejected, silent, kept}) {
+        ASSERT_TRUE(fixture.until([&] { return client->closed; }));
+        EXPECT_EQ(client->close_error, asio::error::eof);
+        client->close();
+    }
+    ASSERT_TRUE(fixture.until([&] { return fixture.drained || fixture.killed; }));
+    EXPECT_TRUE(fixture.drained);
+}
+
+// ---- Shutdown under load ----------------------------------------------------------------------------------
+
+// Clients that send a request whenever their connection is open and has none in flight, and new ones that
+// come during the first 400 ms.
+class ClientsUnderLoad {
+public:
+    ClientsUnderLoad(SidecarFixture& fixture, std::size_t count)
+        : fixture_(fixture), tick_timer_(fixture.io) {
+        for (std::size_t i = 0; i < count; ++i) add(fixture_.served_client());
+    }
+
+    // Every client sends a request now, and then in turn every 10 ms until stop().
+    void start() {
+        started_at_ = clock_.now();
+        for (Client& client : clients_) send(client, "unsafe");
+        schedule_tick();
+    }
+
+    void stop() {
+        tick_timer_.cancel();
+        for (const Client& client : clients_) client.peer->read_available();
+    }
+
+    std::size_t responses() const {
+        std::size_t count = 0;
+        for (const Client& client : clients_) count += client.peer->responses();
+        return count;
+    }
+    std::size_t requests_without_response() const { return requests() - responses(); }
+
+    void expect_at_most_one_response_each() const {
+        for (const Client& client : clients_) EXPECT_LE(client.peer->responses(), client.requests);
+    }
+
+private:
+    struct Client {
+        std::shared_ptr<Peer> peer;
+        std::size_t requests = 0;
+    };
+    static constexpr std::size_t kTurns = 4;  // a quarter of the clients sends at each tick
+
+    void add(std::shared_ptr<Peer> peer) { clients_.push_back({std::move(peer)}); }
+
+    static void send(Client& client, const std::string& request_class) {
+        ++client.requests;
+        client.peer->send(SidecarFixture::request(request_class, "1000m"));
+    }
+
+    std::size_t requests() const {
+        std::size_t count = 0;
+        for (const Client& client : clients_) count += client.requests;
+        return count;
+    }
+
+    void schedule_tick() {
+        tick_timer_.expires_after(milliseconds(10));
+        tick_timer_.async_wait([this](boost::system::error_code error) {
+            if (!error) tick();
+        });
+    }
+
+    void tick() {
+        if (clock_.now() < started_at_ + 400) add(fixture_.client());
+        for (std::size_t i = ticks_ % kTurns; i < clients_.size(); i += kTurns) {
+            Client& client = clients_[i];
+            const bool idle = !client.peer->closed && client.requests == client.peer->responses();
+            if (idle) send(client, i % 3 == 0 ? "safe" : "unsafe");
+        }
+        for (const Client& client : clients_) {
+            if (client.peer->closed && client.peer->socket.is_open()) client.peer->close();
+        }
+        ++ticks_;
+        schedule_tick();
+    }
+
+    SidecarFixture& fixture_;
+    const Clock clock_;
+    asio::steady_timer tick_timer_;
+    std::vector<Client> clients_;
+    Millis started_at_ = 0;
+    std::size_t ticks_ = 0;
+};
+
+// The ids of the requests that a server got. A retry has the id of its first attempt.
+std::set<std::string> correlation_ids_at(const FakeServer& server) {
+    const std::string name = "X-Correlation-Id: ";
+    std::set<std::string> ids;
+    for (const auto& peer : server.peers) {
+        std::size_t begin = peer->got.find(name);
+        while (begin != std::string::npos) {
+            const std::size_t end = peer->got.find("\r\n", begin);
+            ids.insert(peer->got.substr(begin, end - begin));
+            begin = peer->got.find(name, begin + 1);
+        }
+    }
+    return ids;
+}
+
+// Servers hang and clients go on sending wherever a connection stays open. The platform kills the process at
+// the longest deadline and 0.7 s: every request that was forwarded must have its response by then.
+TEST(ShutdownUnderLoad, AnswersForwardedRequestsBeforeKillThoughServersHang) {
+    constexpr Millis kLongestDeadline = 1000;
+    ShutdownFixture fixture(kLongestDeadline);
+    ClientsUnderLoad clients(fixture, 20);
+    const std::size_t served_before = fixture.servers.front().requests();
+    fixture.drain_or_be_killed(kLongestDeadline);
+    clients.start();
+    ASSERT_TRUE(fixture.until([&] { return fixture.drained || fixture.killed; }));
+    clients.stop();
+    clients.expect_at_most_one_response_each();
+    const std::size_t forwarded = correlation_ids_at(fixture.servers.front()).size();
+    EXPECT_GT(forwarded, served_before) << "some requests come during the shutdown";
+    EXPECT_LE(forwarded - served_before, clients.responses())
+        << clients.requests_without_response() << " crossed the close of their connections";
+}
+
+// A client that reads its long response slowly keeps a connection without `Connection: close`. What it sends
+// after the last moment at which a response could come before the kill is rejected at once and not forwarded.
+TEST(ShutdownUnderLoad, RejectsRequestThatComesTooLateForItsResponse) {
+    SidecarFixture fixture;
+    fixture.config["limits"]["memory_mb"] = 64;
+    fixture.start();
+    FakeServer& server = fixture.servers.front();
+    const auto client = fixture.slow_client();
+    client->send(SidecarFixture::request("safe"));
+    ASSERT_TRUE(fixture.until([&] { return server.requests() == 1; }));
+    const std::string body(400000, 'a');
+    server.last().respond("200 OK", body);
+    ASSERT_TRUE(fixture.until([&] { return client->socket.available() > 0; })) << "it is being written";
+    fixture.sidecar->drain([] {});
+    fixture.run_for(milliseconds(static_cast<int>(GracefulShutdown::kRequestCutoff) + 50));
+    client->send(SidecarFixture::request("unsafe"));
+    client->read();
+    ASSERT_TRUE(fixture.until([&] { return client->closed || server.requests() == 2; }));
+    EXPECT_EQ(server.requests(), 1U);
+    const std::size_t second_response = client->got.find("HTTP/1.1 ", 10);
+    ASSERT_NE(second_response, std::string::npos) << "no response to a request that was read";
+    EXPECT_EQ(client->got.substr(second_response, 12), "HTTP/1.1 503");
+    EXPECT_EQ(client->close_error, asio::error::eof);
+}
+
+}  // namespace
+}  // namespace elmbay::test
--- /dev/null
+++ b/tests/net/socket_limit_test.cpp
@@ -0,0 +1,242 @@
+// The limit on descriptors: which connections are closed to make room, and what becomes of requests that come
+// while no socket is free.
+#include <gtest/gtest.h>
+
+#include <algorithm>
+#include <chrono>
+#include <memory>
+#include <string>
+#include <vector>
+
+#include "support/sidecar_fixture.hpp"
+
+namespace elmbay::test {
+namespace {
+
+using std::chrono::milliseconds;
+
+// The part of `limits.sockets` that the sidecar keeps for itself.
+constexpr std::size_t kReservedSockets = 24;
+
+TEST(SocketLimit, ClosesIdleConnectionsToAcceptNewOnes) {
+    SidecarFixture fixture;
+    fixture.config["limits"]["sockets"] = kReservedSockets + 12;
+    fixture.start();
+    FakeServer& server = fixture.servers.front();
+    std::vector<std::shared_ptr<Peer>> clients;
+    for (std::size_t i = 1; i <= 40; ++i) {
+        clients.push_back(fixture.client());
+        clients.back()->send(SidecarFixture::request("safe"));
+        ASSERT_TRUE(fixture.until([&] { return server.requests() == i; }));
+        server.last().respond("200 OK", "answer");
+        ASSERT_TRUE(fixture.until([&] { return clients.back()->got.find("answer") != std::string::npos; }));
+    }
+}
+
+// With all sockets in use, accepting waits. It goes on when a connection becomes idle, though none was
+// closed. Servers have sockets of their own, else every request would find itself without one.
+TEST(SocketLimit, ResumesAcceptingWhenConnectionBecomesIdle) {
+    SidecarFixture fixture;
+    fixture.config["limits"]["sockets"] = kReservedSockets + 16;
+    fixture.start();
+    FakeServer& server = fixture.servers.front();
+    std::vector<std::shared_ptr<Peer>> clients;
+    for (int i = 0; i < 30; ++i) {
+        clients.push_back(fixture.client());
+        clients.back()->send(SidecarFixture::request("safe"));
+    }
+    ASSERT_TRUE(fixture.until([&] {
+        server.respond_to_all();
+        return std::all_of(clients.begin(), clients.end(),
+                           [](const auto& client) { return client->got.size() > 12; });
+    }));
+    for (const auto& client : clients) {
+        const std::string status = status_of(*client);
+        EXPECT_TRUE(status == "HTTP/1.1 200" || status == "HTTP/1.1 503") << client->got;
+    }
+    EXPECT_GT(server.requests(), 4U);
+}
+
+// Requests that come when every socket is in use must not wait in the kernel's queue, where their time runs
+// out without a response.
+TEST(SocketLimit, RejectsAtOnceWhenAllSocketsAreInUse) {
+    SidecarFixture fixture;
+    fixture.config["limits"]["sockets"] = kReservedSockets + 20;
+    fixture.start();
+    FakeServer& server = fixture.servers.front();
+    std::vector<std::shared_ptr<Peer>> clients;
+    for (int i = 0; i < 60; ++i) {
+        clients.push_back(fixture.client());
+        clients.back()->send(SidecarFixture::request("unsafe"));
+    }
+    const auto responses = [&] {
+        return std::count_if(clients.begin(), clients.end(),
+                             [](const auto& client) { return !client->got.empty(); });
+    };
+    ASSERT_TRUE(fixture.until([&] { return responses() == 54 && server.requests() == 6; }))
+        << responses() << " responses, " << server.requests() << " in flight";
+    for (const auto& client : clients) {
+        if (!client->got.empty()) {
+            EXPECT_EQ(status_of(*client), "HTTP/1.1 503");
+        }
+    }
+}
+
+// A flood of silent clients takes neither the idle connections to servers nor the place of clients that send
+// requests.
+TEST(SocketLimit, ClosesSilentClientsFirstAndKeepsServerConnections) {
+    SidecarFixture fixture;
+    fixture.config["limits"]["sockets"] = kReservedSockets + 24;
+    fixture.start();
+    FakeServer& server = fixture.servers.front();
+    const auto kept = fixture.client();
+    const auto expect_served = [&](const std::shared_ptr<Peer>& client) {
+        client->got.clear();
+        const std::size_t requests_before = server.requests();
+        client->send(SidecarFixture::request("unsafe"));
+        ASSERT_TRUE(fixture.until([&] { return server.requests() == requests_before + 1; }));
+        server.last().respond("200 OK", "answer");
+        ASSERT_TRUE(fixture.until([&] { return client->got.find("answer") != std::string::npos; }));
+    };
+    expect_served(kept);
+    std::vector<std::shared_ptr<Peer>> silent;
+    for (int i = 0; i < 100; ++i) silent.push_back(fixture.client());
+    expect_served(fixture.client());
+    expect_served(kept);
+    EXPECT_FALSE(kept->closed);
+    EXPECT_EQ(server.peers.size(), 1U) << "one connection to the server carries all requests";
+}
+
+// Clients that send nothing, or only GET /up, and keep their connection must not delay the accepting of
+// others, whose time runs in the kernel's queue. They once limited it to some twenty connections a second.
+TEST(SocketLimit, AcceptsRequestsPromptlyBesideManyIdleClients) {
+    SidecarFixture fixture;
+    fixture.config["limits"]["sockets"] = kReservedSockets + 48;
+    fixture.start();
+    FakeServer& server = fixture.servers.front();
+    std::vector<std::shared_ptr<Peer>> clients;
+    std::size_t requests_sent = 0;
+    for (int i = 0; i < 400; ++i) {
+        clients.push_back(fixture.client());
+        if (i % 10 == 9) {
+            clients.back()->send(SidecarFixture::request("safe"));
+            ASSERT_TRUE(fixture.until([&] { return server.requests() == requests_sent + 1; })) << i;
+            ++requests_sent;
+            server.last().respond("200 OK", "answer");
+            ASSERT_TRUE(
+                fixture.until([&] { return clients.back()->got.find("answer") != std::string::npos; }));
+        } else if (i % 3 > 0) {
+            clients.back()->send("GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
+        }
+    }
+}
+
+// ---- Connections with unread bytes ------------------------------------------------------------------------
+
+constexpr std::size_t kSockets = 64;
+// 64 sockets leave clients 14, of which one is for the connection that is accepted next.
+constexpr std::size_t kClientSockets = 13;
+
+// Further clients come while no socket is free and every connection that could make room has a request
+// unread. The loop hears of the further clients first. Each request must get exactly one response.
+struct ClientsInEverySocket {
+    SidecarFixture fixture;
+    std::vector<std::shared_ptr<Peer>> clients;
+    std::vector<std::string> unsent;  // of each client's request: sent right after the further clients come
+
+    ClientsInEverySocket() {
+        fixture.config["limits"]["sockets"] = kSockets;
+        fixture.start();
+    }
+
+    void expect_one_response_each_when_more_clients_come() {
+        std::vector<std::shared_ptr<Peer>> further_clients;
+        for (int i = 0; i < 3; ++i) {
+            further_clients.push_back(fixture.client());
+            further_clients.back()->send(SidecarFixture::request("safe"));
+        }
+        for (std::size_t i = 0; i < clients.size(); ++i) clients[i]->send(unsent[i]);
+        clients.insert(clients.end(), further_clients.begin(), further_clients.end());
+        ASSERT_TRUE(fixture.until([&] {
+            fixture.servers.front().respond_to_all();
+            return std::all_of(clients.begin(), clients.end(),
+                               [](const auto& client) { return client->closed || client->responses() > 0; });
+        }));
+        for (const auto& client : clients) {
+            const std::string status = status_of(*client);
+            EXPECT_EQ(client->responses(), 1U) << client->got;
+            EXPECT_TRUE(status == "HTTP/1.1 200" || status == "HTTP/1.1 503") << client->got;
+        }
+    }
+};
+
+TEST(SocketLimit, KeepsIdleConnectionWithUnreadRequest) {
+    ClientsInEverySocket full;
+    for (std::size_t i = 0; i < kClientSockets; ++i) {
+        full.clients.push_back(full.fixture.served_client());
+        full.unsent.push_back(SidecarFixture::request("safe"));
+    }
+    full.expect_one_response_each_when_more_clients_come();
+}
+
+TEST(SocketLimit, KeepsNewConnectionWithUnreadRequest) {
+    ClientsInEverySocket full;
+    for (std::size_t i = 0; i < kClientSockets; ++i) {
+        full.clients.push_back(full.fixture.client());
+        full.unsent.push_back(SidecarFixture::request("safe"));
+    }
+    full.fixture.run_for(milliseconds(100));  // silent for long enough to be closed for another client
+    full.expect_one_response_each_when_more_clients_come();
+}
+
+TEST(SocketLimit, KeepsHalfReadRequestWhoseRestIsUnread) {
+    ClientsInEverySocket full;
+    for (std::size_t i = 0; i < kClientSockets; ++i) {
+        const std::string request = SidecarFixture::request("safe");
+        full.clients.push_back(full.fixture.client());
+        full.clients.back()->send(request.substr(0, 30));
+        full.unsent.push_back(request.substr(30));
+    }
+    full.fixture.run_for(milliseconds(600));  // slow enough to be closed for another client
+    full.expect_one_response_each_when_more_clients_come();
+}
+
+// A connection that has ended may still have its response on the way. If its client sends bytes in that
+// moment, closing the connection would be a reset, which destroys the response.
+TEST(SocketLimit, DoesNotCloseEndedConnectionWithUnreadBytes) {
+    SidecarFixture fixture;
+    fixture.config["limits"]["sockets"] = kSockets;
+    fixture.start();
+    FakeServer& server = fixture.servers.front();
+    std::vector<std::shared_ptr<Peer>> clients;
+    for (std::size_t i = 1; i <= kClientSockets; ++i) {
+        clients.push_back(fixture.client());
+        const std::string headers = i == kClientSockets ? "Connection: close\r\n" : "";
+        clients.back()->send(SidecarFixture::request("safe", "50000m", headers));
+        ASSERT_TRUE(fixture.until([&] { return server.requests() == i; }));
+        server.last().respond("200 OK", "answer");
+        ASSERT_TRUE(fixture.until([&] { return clients.back()->got.find("answer") != std::string::npos; }));
+    }
+    const auto ended = clients.back();
+    ASSERT_TRUE(fixture.until([&] { return ended->closed; }));
+    EXPECT_EQ(ended->close_error, asio::error::eof);
+    // Clients within a request keep their sockets.
+    for (const auto& client : clients) {
+        if (client != ended) client->send("GET /api HT");
+    }
+    while (fixture.io.poll_one() > 0) {
+    }
+    const auto next = fixture.client();  // the loop hears of it before the bytes below
+    ended->send("more");
+    while (fixture.io.poll_one() > 0) {
+    }
+    boost::system::error_code error;
+    asio::write(ended->socket, asio::buffer(std::string("and more")), error);
+    EXPECT_FALSE(error) << "not reset: " << error.message();
+    ended->close();
+    next->send(SidecarFixture::request("safe"));
+    ASSERT_TRUE(fixture.until([&] { return server.requests() == 14; })) << "it is accepted all the same";
+}
+
+}  // namespace
+}  // namespace elmbay::test
--- /dev/null
+++ b/tests/net/upstream_test.cpp
@@ -0,0 +1,188 @@
+// One attempt from its start to its outcome, on the pool of server connections alone: what is never written,
+// what is written in part, and events that come together in one turn of the loop.
+#include <gtest/gtest.h>
+
+#include <vector>
+
+#include "support/upstream_fixture.hpp"
+
+namespace elmbay::test {
+namespace {
+
+constexpr std::size_t kBodyBeyondSocketBuffers = std::size_t{64} << 20U;
+
+// ---- Attempts that are never written ----------------------------------------------------------------------
+
+// The endpoint list marks the server as draining after the attempt started and before its connection is up.
+TEST(Upstream, SendsNothingToServerThatDrainsDuringConnect) {
+    UpstreamFixture fixture;
+    fixture.start_attempt();
+    fixture.set_server(false);
+    fixture.run_until_ended();
+    EXPECT_EQ(fixture.outcomes, std::vector<Outcome>{Outcome::not_sent});
+    ASSERT_TRUE(fixture.until([&] { return !fixture.server.peers.empty() && fixture.server.last().closed; }));
+    EXPECT_EQ(fixture.server.last().got, "");
+}
+
+TEST(Upstream, EndsAttemptUnsentWithoutSocket) {
+    UpstreamFixture fixture(0);
+    fixture.start_attempt();
+    fixture.run_until_ended();
+    EXPECT_EQ(fixture.outcomes, std::vector<Outcome>{Outcome::not_sent});
+}
+
+// The client leaves while the attempt waits for the endpoint list to be read.
+TEST(Upstream, SendsNothingAfterClientDisconnectsWhileListIsRead) {
+    UpstreamFixture fixture;
+    fixture.list_unread = true;
+    fixture.start_attempt();
+    fixture.io.poll_one();
+    ASSERT_TRUE(fixture.outcomes.empty());
+    fixture.list_unread = false;
+    fixture.client_disconnected = true;
+    ASSERT_TRUE(fixture.until([&] { return !fixture.outcomes.empty(); }));
+    EXPECT_EQ(fixture.outcomes, std::vector<Outcome>{Outcome::not_sent});
+    fixture.io.poll();
+    EXPECT_EQ(fixture.server.requests(), 0U);
+}
+
+// The process is held up until the attempt's time is over. The loop hears of the connection before the timer.
+TEST(Upstream, SendsNothingAfterDeadlineWhenConnectionOpensLate) {
+    constexpr Millis kTimeLeft = 400;
+    UpstreamFixture fixture;
+    fixture.start_attempt(kForever, 0, kTimeLeft);
+    const Millis deadline = fixture.clock.now() + kTimeLeft;
+    block_event_loop_until(fixture.clock, deadline + 1);
+    fixture.run_until_ended();
+    fixture.io.poll();
+    ASSERT_EQ(fixture.outcomes.size(), 1U);
+    EXPECT_TRUE(fixture.outcomes.front() == Outcome::not_sent ||
+                fixture.outcomes.front() == Outcome::connect_failed)
+        << "it never ran";
+    EXPECT_EQ(fixture.server.requests(), 0U);
+}
+
+// ---- The deduplication window -----------------------------------------------------------------------------
+
+// Servers forget an idempotency key when its window ends. What is written later runs a second time.
+TEST(Upstream, SendsNothingAfterDeduplicationWindow) {
+    UpstreamFixture fixture;
+    fixture.start_attempt(0);
+    fixture.run_until_ended();
+    EXPECT_EQ(fixture.outcomes, std::vector<Outcome>{Outcome::not_sent});
+    fixture.outcomes.clear();
+    fixture.start_attempt();  // the connection that came up for the first attempt serves this one
+    ASSERT_TRUE(fixture.until([&] { return fixture.server.requests() != 0; }));
+    EXPECT_EQ(fixture.server.requests(), 1U);
+}
+
+// A server that stops reading holds up the request's last byte. Without that byte the request can't have run.
+TEST(Upstream, AbortsWriteWhenDeduplicationWindowEnds) {
+    UpstreamFixture fixture;
+    fixture.server.reads = false;
+    fixture.start_attempt(1000, kBodyBeyondSocketBuffers);
+    fixture.run_until_ended();
+    EXPECT_EQ(fixture.outcomes, std::vector<Outcome>{Outcome::not_sent});
+    ASSERT_EQ(fixture.server.peers.size(), 1U);
+    fixture.server.last().read();
+    ASSERT_TRUE(fixture.until([&] { return fixture.server.last().closed; }));
+    EXPECT_LT(fixture.server.last().got.size(), kBodyBeyondSocketBuffers);
+}
+
+TEST(Upstream, AwaitsResponsePastDeduplicationWindowOnceWritten) {
+    UpstreamFixture fixture;
+    fixture.start_attempt(1000);
+    ASSERT_TRUE(fixture.until([&] { return fixture.server.requests() != 0; }));
+    bool window_over = false;
+    fixture.timers.set(fixture.clock.now() + 1100, [&] { window_over = true; });
+    while (!window_over) fixture.io.run_one_for(kPatience);
+    EXPECT_TRUE(fixture.outcomes.empty());
+    fixture.server.last().respond("200 OK", "answer");
+    fixture.run_until_ended();
+    EXPECT_EQ(fixture.outcomes, std::vector<Outcome>{Outcome::success});
+}
+
+// ---- Requests that are written in part --------------------------------------------------------------------
+
+// What a server sends before it has the whole request can't be its response, and the request has not run.
+TEST(Upstream, TreatsResponseBeforeWholeRequestAsNeverRun) {
+    UpstreamFixture fixture;
+    fixture.server.reads = false;
+    fixture.start_attempt(kForever, kBodyBeyondSocketBuffers);
+    ASSERT_TRUE(fixture.until(
+        [&] { return !fixture.server.peers.empty() && fixture.server.last().socket.available() != 0; }));
+    fixture.server.last().respond("200 OK", "too early");
+    fixture.run_until_ended();
+    EXPECT_EQ(fixture.outcomes, std::vector<Outcome>{Outcome::connect_failed});
+}
+
+// After a clean close the kernel would go on sending what it still holds, once a path that was cut is open
+// again. A reset drops it.
+TEST(Upstream, ResetsConnectionOnTimeoutSoThatNothingArrivesLater) {
+    UpstreamFixture fixture;
+    fixture.server.reads = false;
+    fixture.start_attempt(kForever, std::size_t{8} << 20U, 300);
+    fixture.run_until_ended();
+    EXPECT_EQ(fixture.outcomes, std::vector<Outcome>{Outcome::timed_out});
+    fixture.server.last().read();
+    ASSERT_TRUE(fixture.until([&] { return fixture.server.last().closed; }));
+    EXPECT_EQ(fixture.server.last().close_error, asio::error::connection_reset);
+}
+
+// ---- Several events in one turn of the loop ---------------------------------------------------------------
+
+// Long enough that a quarter of it, which the connection may take, suffices on a busy machine.
+constexpr Millis kSimultaneousDeadline = 2000;
+
+TEST(SimultaneousEvents, ResponseAndTimeoutGiveOneOutcome) {
+    UpstreamFixture fixture;
+    fixture.start_attempt(kForever, 0, kSimultaneousDeadline);
+    const Millis deadline = fixture.clock.now() + kSimultaneousDeadline;
+    ASSERT_TRUE(fixture.until([&] { return fixture.server.requests() != 0; }));
+    fixture.server.last().respond("200 OK", "answer");
+    block_event_loop_until(fixture.clock, deadline + 1);
+    fixture.run_until_ended();
+    fixture.io.poll();
+    ASSERT_EQ(fixture.outcomes.size(), 1U);
+    EXPECT_TRUE(fixture.outcomes.front() == Outcome::success ||
+                fixture.outcomes.front() == Outcome::timed_out);
+    EXPECT_EQ(fixture.upstream.attempts_at(1), 0U);
+}
+
+TEST(SimultaneousEvents, CancelBeforeResponseAndTimeoutIsTheOutcome) {
+    UpstreamFixture fixture;
+    fixture.start_attempt(kForever, 0, kSimultaneousDeadline);
+    const Millis deadline = fixture.clock.now() + kSimultaneousDeadline;
+    ASSERT_TRUE(fixture.until([&] { return fixture.server.requests() != 0; }));
+    fixture.server.last().respond("200 OK", "answer");
+    block_event_loop_until(fixture.clock, deadline + 1);
+    fixture.upstream.cancel_attempt({1, 0});
+    fixture.upstream.cancel_attempt({1, 0});
+    fixture.run_until_ended();
+    fixture.io.poll();
+    EXPECT_EQ(fixture.outcomes, std::vector<Outcome>{Outcome::cancelled});
+    EXPECT_EQ(fixture.upstream.attempts_at(1), 0U);
+}
+
+// Only the write's own result tells whether the last byte was sent, and with it whether the request may have
+// run. The outcome waits for that result and is reported once.
+TEST(SimultaneousEvents, ResetAndWriteDeadlineGiveOneOutcome) {
+    UpstreamFixture fixture;
+    fixture.server.reads = false;
+    fixture.start_attempt(kSimultaneousDeadline, kBodyBeyondSocketBuffers);
+    const Millis write_deadline = fixture.clock.now() + kSimultaneousDeadline;
+    ASSERT_TRUE(fixture.until(
+        [&] { return !fixture.server.peers.empty() && fixture.server.last().socket.available() != 0; }));
+    fixture.server.last().reset();
+    block_event_loop_until(fixture.clock, write_deadline + 1);
+    fixture.run_until_ended();
+    fixture.io.poll();
+    ASSERT_EQ(fixture.outcomes.size(), 1U);
+    EXPECT_TRUE(fixture.outcomes.front() == Outcome::connect_failed ||
+                fixture.outcomes.front() == Outcome::not_sent)
+        << "its last byte was never sent";
+    EXPECT_EQ(fixture.upstream.attempts_at(1), 0U);
+}
+
+}  // namespace
+}  // namespace elmbay::test
--- a/tests/sidecar/fleet_size_test.cpp
+++ b/tests/sidecar/fleet_size_test.cpp
@@ -2,7 +2,7 @@
 // to be leaving, or lie at an address where nobody listens.
 #include <algorithm>
 
-#include "net_rig.hpp"
+#include "support/sidecar_fixture.hpp"
 
 namespace elmbay::test {
 namespace {
@@ -14,15 +14,15 @@
     Json targets = Json::array();
     for (std::size_t i = from; i < from + count; ++i) {
         const std::string host = "127.1." + std::to_string(i / 250) + "." + std::to_string(i % 250 + 1);
-        targets.push_back(NetRig::target(100000 + i, host + ":9", "leaving"));
+        targets.push_back(SidecarFixture::target(100000 + i, host + ":9", "leaving"));
     }
     return targets;
 }
 
-void expect_served_by(NetRig& rig, FakeServer& server) {
+void expect_served_by(SidecarFixture& rig, FakeServer& server) {
     const std::size_t before = server.requests();
     const auto client = rig.client();
-    client->send(NetRig::request("safe"));
+    client->send(SidecarFixture::request("safe"));
     ASSERT_TRUE(rig.until([&] { return server.requests() > before || !client->got.empty(); }));
     ASSERT_GT(server.requests(), before) << status_of(*client);
     server.last().respond("200 OK", "it");
@@ -37,9 +37,9 @@
 }
 
 TEST(FleetSize, TheLastOf3200IsTheOnlyOneThatAnswers) {
-    NetRig rig(2);
+    SidecarFixture rig(2);
     Json targets = leaving(kFleet - 1);
-    targets.push_back(NetRig::target(1, rig.servers.back().address()));
+    targets.push_back(SidecarFixture::target(1, rig.servers.back().address()));
     rig.start();
     rig.watch_begins();
     rig.chunk(rig.line(targets, true));
@@ -50,20 +50,20 @@
 }
 
 TEST(FleetSize, AListOf3200IsKnownAtTheStart) {
-    NetRig rig(1);
+    SidecarFixture rig(1);
     Json targets = leaving(kFleet - 1);
-    targets.push_back(NetRig::target(0, rig.servers.back().address()));
+    targets.push_back(SidecarFixture::target(0, rig.servers.back().address()));
     rig.config["known"]["targets"] = targets;
     rig.start();
     expect_served_by(rig, rig.servers.back());
 }
 
 TEST(FleetSize, AnIndentedListOf3200IsRead) {
-    NetRig rig(1);
+    SidecarFixture rig(1);
     rig.config.erase("known");  // so that the whole list is asked for
     rig.start();
     Json targets = leaving(kFleet - 1);
-    targets.push_back(NetRig::target(0, rig.servers.back().address()));
+    targets.push_back(SidecarFixture::target(0, rig.servers.back().address()));
     for (Json& target : targets) {
         target["capacity_hint"] = 1.0;
         target["uid"] = "s-0f9c2b7a-d4e8-4c1f-" + target["uid"].get<std::string>();
@@ -84,18 +84,18 @@
 }
 
 TEST(FleetSize, AWholeListMayReplaceEveryServer) {
-    NetRig rig(2);
+    SidecarFixture rig(2);
     Json targets = leaving(kFleet - 1);
-    targets.push_back(NetRig::target(0, rig.servers.front().address()));
+    targets.push_back(SidecarFixture::target(0, rig.servers.front().address()));
     rig.config["known"]["targets"] = targets;
     rig.start();
     expect_served_by(rig, rig.servers.front());
     Json others = leaving(kFleet - 1, kFleet);
-    others.push_back(NetRig::target(1, rig.servers.back().address()));
+    others.push_back(SidecarFixture::target(1, rig.servers.back().address()));
     rig.watch_begins();
     rig.chunk(rig.line(others, true));
     // The line that follows has been handled once the status has this server: so has the one before.
-    rig.chunk(rig.line(Json::array({NetRig::target(2, "127.2.0.1:9", "leaving")}), false));
+    rig.chunk(rig.line(Json::array({SidecarFixture::target(2, "127.2.0.1:9", "leaving")}), false));
     ASSERT_TRUE(rig.until([&] {
         const Json servers = rig.sidecar->status()["servers"];
         return std::any_of(servers.begin(), servers.end(), [](const Json& s) { return s["uid"] == "s-2"; });
@@ -104,15 +104,15 @@
 }
 
 TEST(FleetSize, WhatIsBeyondTheBoundIsSaidOnce) {
-    NetRig rig(2);
+    SidecarFixture rig(2);
     rig.start();
-    Json targets = Json::array({NetRig::target(1, rig.servers.back().address())});
+    Json targets = Json::array({SidecarFixture::target(1, rig.servers.back().address())});
     for (const Json& target : leaving(EndpointRegistry::kMaxListed + 9)) targets.push_back(target);
     testing::internal::CaptureStderr();
     rig.watch_begins();
     rig.chunk(rig.line(targets, true));
     rig.chunk(rig.line(targets, true));
-    rig.chunk(rig.line(Json::array({NetRig::target(1, rig.servers.back().address())}), true));
+    rig.chunk(rig.line(Json::array({SidecarFixture::target(1, rig.servers.back().address())}), true));
     const bool settled = rig.until([&] { return rig.sidecar->status()["servers"].size() == 1; });
     const std::string said = testing::internal::GetCapturedStderr();
     ASSERT_TRUE(settled);
--- /dev/null
+++ b/tests/support/peer.hpp
@@ -0,0 +1,104 @@
+// One end of a TCP connection as a test holds it: collects what arrives and sends what the test wants sent.
+#pragma once
+
+#include <array>
+#include <boost/asio/buffer.hpp>
+#include <boost/asio/ip/tcp.hpp>
+#include <boost/asio/write.hpp>
+#include <cstddef>
+#include <memory>
+#include <string>
+#include <utility>
+
+namespace elmbay::test {
+
+namespace asio = boost::asio;
+using tcp = asio::ip::tcp;
+
+/// A client's connection to the sidecar, or a stand-in server's connection from it.
+///
+/// Writes block until the kernel has taken all bytes. Reads run on the event loop, from read() until the
+/// other end closes. Always owned by a std::shared_ptr, which a pending read keeps alive.
+struct Peer : std::enable_shared_from_this<Peer> {
+    explicit Peer(tcp::socket connected) : socket(std::move(connected)) {
+        socket.set_option(tcp::no_delay(true));
+    }
+
+    /// Collects what arrives in `got`, until the connection ends.
+    void read() {
+        socket.async_read_some(asio::buffer(buffer), [self = shared_from_this()](
+                                                         boost::system::error_code error, std::size_t size) {
+            if (error) {
+                self->closed = true;
+                self->close_error = error;
+                return;
+            }
+            self->got.append(self->buffer.data(), size);
+            self->read();
+        });
+    }
+
+    /// Appends to `got` what lies in the kernel, without running the event loop.
+    void read_available() {
+        boost::system::error_code error;
+        while (socket.is_open() && socket.available(error) > 0 && !error) {
+            const std::size_t size = socket.read_some(asio::buffer(buffer), error);
+            got.append(buffer.data(), size);
+        }
+    }
+
+    /// Writes all of `text`. Errors are ignored: the other end may have closed.
+    void send(const std::string& text) {
+        boost::system::error_code error;
+        asio::write(socket, asio::buffer(text), error);
+    }
+
+    void close() {
+        boost::system::error_code error;
+        socket.close(error);
+    }
+
+    /// Resets the connection, as the kernel does for a process that dies.
+    void reset() {
+        socket.set_option(asio::socket_base::linger(true, 0));
+        close();
+    }
+
+    /// How many requests have arrived whole. No test sends a body with a blank line in it.
+    std::size_t requests() const { return occurrences("\r\n\r\n"); }
+
+    /// How many responses have begun to arrive.
+    std::size_t responses() const { return occurrences("HTTP/1.1 "); }
+
+    /// Sends a response with a Content-Length.
+    void respond(const std::string& status, const std::string& body = "", const std::string& headers = "") {
+        const std::string length = "Content-Length: " + std::to_string(body.size());
+        send("HTTP/1.1 " + status + "\r\n" + headers + length + "\r\n\r\n" + body);
+    }
+
+    tcp::socket socket;
+    std::array<char, 4096> buffer{};
+    std::string got;  // every byte that has arrived
+    bool closed = false;
+    boost::system::error_code close_error;  // asio::error::eof for a clean close
+    std::size_t answered = 0;               // requests that respond_to_all() has answered
+
+private:
+    std::size_t occurrences(const std::string& text) const {
+        std::size_t count = 0;
+        std::size_t position = got.find(text);
+        while (position != std::string::npos) {
+            ++count;
+            position = got.find(text, position + text.size());
+        }
+        return count;
+    }
+};
+
+/// "HTTP/1.1 200": the start of the status line of the first response that `peer` has got.
+inline std::string status_of(const Peer& peer) {
+    constexpr std::size_t kStatusLength = 12;
+    return peer.got.substr(0, kStatusLength);
+}
+
+}  // namespace elmbay::test
--- /dev/null
+++ b/tests/support/sidecar_fixture.hpp
@@ -0,0 +1,205 @@
+// A whole sidecar on loopback, with scripted servers, discovery and clients around it in one event loop.
+#pragma once
+
+#include <gtest/gtest.h>
+#include <netinet/tcp.h>
+#include <sys/socket.h>
+
+#include <boost/asio/ip/tcp.hpp>
+#include <boost/asio/steady_timer.hpp>
+#include <chrono>
+#include <cstdio>
+#include <functional>
+#include <list>
+#include <memory>
+#include <nlohmann/json.hpp>
+#include <optional>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "sidecar/sidecar.hpp"
+#include "support/event_loop.hpp"
+#include "support/fake_server.hpp"
+#include "support/peer.hpp"
+
+namespace elmbay::test {
+
+using Json = nlohmann::json;
+
+/// Runs one sidecar against servers, discovery and clients that the test plays.
+///
+/// Usage: construct it with the number of servers, change `config` where the test needs other settings, call
+/// start(), then script the peers. Every address has an ephemeral port. Everything runs on the caller's
+/// thread, inside until() and the functions that call it.
+///
+/// The settings know three request classes: "safe" (idempotent), "unsafe" (non-idempotent) and "keyed"
+/// (idempotent by key). All times are far beyond what a test takes, unless the test sets others.
+struct SidecarFixture {
+    asio::io_context io{1};
+    FakeServer discovery{io};
+    std::list<FakeServer> servers;
+    Json config;
+    std::unique_ptr<Sidecar> sidecar;
+    std::uint64_t rev = 1;  // of the endpoint list that was sent last
+
+    explicit SidecarFixture(std::size_t server_count = 1) {
+        for (std::size_t i = 0; i < server_count; ++i) servers.emplace_back(io);
+        config = {{"name", "n"},
+                  {"listen", "127.0.0.1:0"},
+                  {"discovery", discovery.address()},
+                  {"seed", "1f"},
+                  {"limits", {{"sockets", 1024}}},
+                  {"settings",
+                   {{"classes", request_classes()},
+                    {"limits",
+                     {{"max-attempts", 4},
+                      {"may-cancel", true},
+                      {"connect-timeout-ms", 10000.0},
+                      {"idle-close-ms", 15000.0}}},
+                    {"membership-mode", "pushed"},
+                    {"siblings", 1}}},
+                  {"known", {{"rev", 1}, {"all", true}, {"targets", targets()}}}};
+    }
+
+    // ---- Endpoint lists -----------------------------------------------------------------------------------
+
+    /// An entry of the endpoint list for server number `index`.
+    static Json target(std::size_t index, const std::string& endpoint, const std::string& state = "active") {
+        return {{"uid", "s-" + std::to_string(index)},
+                {"endpoint", endpoint},
+                {"az", "a"},
+                {"model", "m"},
+                {"pod_group", 1},
+                {"state", state},
+                {"boot_ms", 0}};
+    }
+
+    /// Entries for all of `servers`.
+    Json targets(const std::string& state = "active") const {
+        Json entries = Json::array();
+        for (const FakeServer& server : servers) {
+            entries.push_back(target(entries.size(), server.address(), state));
+        }
+        return entries;
+    }
+
+    /// A line of the watch with the next version. `all`: the whole list; else the entries that have changed.
+    std::string line(const Json& entries, bool all) {
+        ++rev;
+        return Json{{"rev", rev}, {"all", all}, {"targets", entries}}.dump() + "\n";
+    }
+
+    /// Discovery accepts the call that it got last as a watch.
+    void watch_begins() { discovery.last().send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"); }
+
+    /// Discovery sends one chunk of the watch.
+    void chunk(const std::string& text) {
+        char size_line[16];
+        std::snprintf(size_line, sizeof size_line, "%zx\r\n", text.size());
+        discovery.last().send(size_line + text + "\r\n");
+    }
+
+    // ---- The sidecar --------------------------------------------------------------------------------------
+
+    /// Starts the sidecar by `config` and waits for its first call to discovery.
+    void start(std::optional<Sidecar::RestoredState> restored = {},
+               const websocket::Settings& websocket = {}) {
+        sidecar = std::make_unique<Sidecar>(io, parse_config(config.dump()), std::move(restored), websocket);
+        ASSERT_TRUE(until([&] { return discovery.requests() > 0; }));
+    }
+
+    /// Reloads the sidecar's configuration from `config`.
+    void reload() { sidecar->reload(parse_config(config.dump())); }
+
+    /// Runs the event loop until `happened` is true. Returns false if it has not happened after kPatience.
+    template <class Condition>
+    bool until(Condition happened) {
+        return run_until(io, happened);
+    }
+
+    /// Runs the event loop for `span` of real time.
+    void run_for(std::chrono::milliseconds span) {
+        bool over = false;
+        asio::steady_timer timer(io, span);
+        timer.async_wait([&over](boost::system::error_code) { over = true; });
+        ASSERT_TRUE(until([&over] { return over; }));
+    }
+
+    /// Sends a request through the whole event loop, so that whatever was pending before has been handled.
+    void settle() {
+        const auto probe = client();
+        probe->send("GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
+        ASSERT_TRUE(until([&] { return !probe->got.empty(); }));
+    }
+
+    // ---- Clients ------------------------------------------------------------------------------------------
+
+    /// A request of the class, with an id of its own. `time_left` is the value of X-Time-Left.
+    static std::string request(const std::string& request_class, const std::string& time_left = "50000m",
+                               const std::string& headers = "") {
+        static int number = 0;
+        ++number;
+        const bool idempotent = request_class == "safe";
+        std::string text = idempotent ? "GET" : "POST";
+        text += " /api?a=b HTTP/1.1\r\nHost: app.svc\r\n";
+        text += "X-Correlation-Id: id-" + std::to_string(number) + "\r\n";
+        text += "X-Service-Class: " + request_class + "\r\n";
+        text += "X-Time-Left: " + time_left + "\r\n";
+        if (request_class == "keyed") text += "Idempotency-Key: k\r\n";
+        text += headers;
+        text += idempotent ? "\r\n" : "Content-Length: 4\r\n\r\nbody";
+        return text;
+    }
+
+    /// A client's new connection to the sidecar.
+    std::shared_ptr<Peer> client() {
+        tcp::socket socket(io);
+        socket.connect(sidecar->local_endpoint());
+        auto peer = std::make_shared<Peer>(std::move(socket));
+        peer->read();
+        return peer;
+    }
+
+    /// A client that the first server has served once, on a connection that it keeps.
+    std::shared_ptr<Peer> served_client() {
+        FakeServer& server = servers.front();
+        const std::size_t requests_before = server.requests();
+        auto peer = client();
+        peer->send(request("safe"));
+        EXPECT_TRUE(until([&] { return server.requests() == requests_before + 1; }));
+        server.last().respond("200 OK", "answer");
+        ++server.last().answered;
+        EXPECT_TRUE(until([&] { return peer->got.find("answer") != std::string::npos; }));
+        peer->got.clear();
+        return peer;
+    }
+
+    /// A client that does not read, on a connection with a small receive buffer and small segments: the
+    /// kernel can't hold a long response for it. Call read() on it to let it take what was sent.
+    std::shared_ptr<Peer> slow_client() {
+        constexpr int kSmallestSegment = 536;
+        tcp::socket socket(io);
+        socket.open(tcp::v4());
+        socket.set_option(asio::socket_base::receive_buffer_size(4096));
+        EXPECT_EQ(::setsockopt(socket.native_handle(), IPPROTO_TCP, TCP_MAXSEG, &kSmallestSegment,
+                               sizeof kSmallestSegment),
+                  0);
+        socket.connect(sidecar->local_endpoint());
+        return std::make_shared<Peer>(std::move(socket));
+    }
+
+private:
+    static Json request_classes() {
+        Json idempotent = {
+            {"name", "safe"}, {"effect", "repeatable"}, {"on-time-ms", 20000.0}, {"give-up-ms", 60000.0}};
+        Json non_idempotent = {
+            {"name", "unsafe"}, {"effect", "once"}, {"on-time-ms", 20000.0}, {"give-up-ms", 60000.0}};
+        Json keyed = {{"name", "keyed"},       {"effect", "by_key"},
+                      {"dedup-scope", "all"},  {"dedup-window-ms", 30000.0},
+                      {"on-time-ms", 20000.0}, {"give-up-ms", 60000.0}};
+        return Json::array({idempotent, non_idempotent, keyed});
+    }
+};
+
+}  // namespace elmbay::test
--- /dev/null
+++ b/tests/support/upstream_fixture.hpp
@@ -0,0 +1,70 @@
+// The pool of connections to servers without the rest of the sidecar, and one scripted server.
+#pragma once
+
+#include <gtest/gtest.h>
+
+#include <limits>
+#include <memory>
+#include <utility>
+#include <vector>
+
+#include "net/upstream.hpp"
+#include "support/event_loop.hpp"
+#include "support/fake_server.hpp"
+
+namespace elmbay::test {
+
+constexpr Millis kForever = std::numeric_limits<Millis>::infinity();
+
+/// An Upstream with one server. Collects the outcomes that it reports.
+///
+/// Usage: start_attempt(), script `server`, run the event loop, look at `outcomes`. What Upstream asks right
+/// before it writes a request is in the test's hands: `list_unread` and `client_disconnected`.
+struct UpstreamFixture {
+    asio::io_context io{1};
+    Clock clock;
+    TimerQueue timers{io, clock};
+    SocketBudget budget;
+    ByteBudget bytes{16U << 20U};
+    FakeServer server{io};
+    bool list_unread = false;
+    bool client_disconnected = false;
+    std::vector<Outcome> outcomes;
+    Upstream upstream;
+
+    explicit UpstreamFixture(std::size_t sockets = 10)
+        : budget(sockets),
+          upstream(io, budget, bytes, timers, clock, {10000, 15000},
+                   [this](AttemptKey, Outcome outcome, Millis, const HttpResponse&) {
+                       outcomes.push_back(outcome);
+                   },
+                   {[this] { return list_unread; }, [this](RequestId) { return client_disconnected; }}) {
+        set_server(true);
+    }
+
+    /// What the endpoint list says of the server: whether new attempts may be sent to it.
+    void set_server(bool may_send) { upstream.set_server(1, server.acceptor.local_endpoint(), may_send); }
+
+    /// Starts an attempt at the server. It times out after `time_left`, and its last byte is written within
+    /// `write_within` or not at all.
+    void start_attempt(Millis write_within = kForever, std::size_t body_size = 0, Millis time_left = 50000) {
+        auto request = std::make_shared<HttpRequest>(http::verb::post, "/api", 11);
+        request->body().assign(body_size, 'x');
+        const Millis now = clock.now();
+        upstream.start_attempt({1, 0}, 1, now + time_left, now + write_within, std::move(request));
+    }
+
+    /// Runs the event loop until an attempt has ended.
+    void run_until_ended() {
+        while (outcomes.empty() && io.run_one_for(kPatience) > 0) {
+        }
+    }
+
+    /// Runs the event loop until `happened` is true. Returns false if it has not happened after kPatience.
+    template <class Condition>
+    bool until(Condition happened) {
+        return run_until(io, happened);
+    }
+};
+
+}  // namespace elmbay::test
--- a/tests/syscall_faults/listener_faults_test.cpp
+++ b/tests/syscall_faults/listener_faults_test.cpp
@@ -9,7 +9,7 @@
 
 #include "faults.hpp"
 #include "net/listener.hpp"
-#include "net_rig.hpp"
+#include "support/sidecar_fixture.hpp"
 
 namespace elmbay::test {
 namespace {
@@ -67,14 +67,14 @@
 TEST(ThrowingHandlers, AnExceptionAsARequestArrivesIsAnsweredAtOnce) {
     ListenerRig rig;
     rig.arrived = [](RequestId) { throw std::bad_alloc(); };
-    const auto client = rig.client(NetRig::request("unsafe"));
+    const auto client = rig.client(SidecarFixture::request("unsafe"));
     ASSERT_TRUE(rig.until([&] { return client->closed; }));
     EXPECT_EQ(status_of(*client), "HTTP/1.1 500") << client->got;
-    EXPECT_EQ(client->why, asio::error::eof);
+    EXPECT_EQ(client->close_error, asio::error::eof);
     EXPECT_EQ(rig.gone.size(), 1U) << "what was taken of it is given up";
     // The next one is not concerned.
     rig.arrived = [&](RequestId id) { rig.answer(id); };
-    const auto next = rig.client(NetRig::request("unsafe"));
+    const auto next = rig.client(SidecarFixture::request("unsafe"));
     ASSERT_TRUE(rig.until([&] { return next->got.ends_with("served\n"); }));
 }
 
@@ -85,12 +85,12 @@
         rig.answer(id);
         throw std::runtime_error("too late");
     };
-    const auto client = rig.client(NetRig::request("unsafe"));
+    const auto client = rig.client(SidecarFixture::request("unsafe"));
     ASSERT_TRUE(rig.until([&] { return client->got.ends_with("served\n"); }));
     EXPECT_EQ(status_of(*client), "HTTP/1.1 200");
     EXPECT_TRUE(rig.gone.empty());
     const std::size_t first = client->got.size();
-    client->send(NetRig::request("unsafe"));
+    client->send(SidecarFixture::request("unsafe"));
     ASSERT_TRUE(rig.until([&] { return client->got.size() == 2 * first; }));
     EXPECT_FALSE(client->closed);
 }
@@ -110,7 +110,7 @@
     socket.connect(listener.local_endpoint());
     const auto client = std::make_shared<Peer>(std::move(socket));
     client->read();
-    client->send(NetRig::request("unsafe"));
+    client->send(SidecarFixture::request("unsafe"));
     ASSERT_TRUE(rig.until([&] { return client->closed; }));
     EXPECT_EQ(status_of(*client), "HTTP/1.1 500") << client->got;
 }
@@ -120,7 +120,7 @@
     for (const char* error : {"ECONNABORTED", "EPROTO", "ENETDOWN", "EPERM", "EINTR"}) {
         ListenerRig rig;
         syscall_faults::configure("accept:" + std::string(error) + "=x3");
-        const auto client = rig.client(NetRig::request("safe"));
+        const auto client = rig.client(SidecarFixture::request("safe"));
         ASSERT_TRUE(rig.until([&] { return client->got.ends_with("served\n"); })) << error;
         EXPECT_EQ(syscall_faults::failed(0), 3U) << error;
     }
@@ -130,12 +130,12 @@
 TEST(FailingAccepts, OnlyAShortageOfOurOwnClosesARestingConnection) {
     for (const std::string error : {"ENFILE", "ENOBUFS", "ENOMEM", "ECONNABORTED", "EMFILE"}) {
         ListenerRig rig;
-        const auto resting = rig.client(NetRig::request("safe"));
-        const auto other = rig.client(NetRig::request("safe"));
+        const auto resting = rig.client(SidecarFixture::request("safe"));
+        const auto other = rig.client(SidecarFixture::request("safe"));
         ASSERT_TRUE(rig.until(
             [&] { return resting->got.ends_with("served\n") && other->got.ends_with("served\n"); }));
         syscall_faults::configure("accept:" + error + "=x2");
-        const auto client = rig.client(NetRig::request("safe"));
+        const auto client = rig.client(SidecarFixture::request("safe"));
         ASSERT_TRUE(rig.until([&] { return client->got.ends_with("served\n"); })) << error;
         EXPECT_EQ(syscall_faults::failed(0), 2U) << error;
         EXPECT_EQ(rig.listener.connections() < 3, error == "EMFILE") << error;
@@ -154,7 +154,7 @@
         // between.
         rig.timers.set(shut - 1, [&] {
             syscall_faults::configure("accept:" + std::string(error) + "=x2");
-            client = rig.client(NetRig::request("safe"));
+            client = rig.client(SidecarFixture::request("safe"));
             while (rig.clock.now() < shut + 1) continue;
         });
         rig.listener.drain([&] { done = true; });
--- a/tests/websocket/front_test.cpp
+++ b/tests/websocket/front_test.cpp
@@ -6,7 +6,7 @@
 #include <boost/beast/core/flat_buffer.hpp>
 #include <map>
 
-#include "net_rig.hpp"
+#include "support/sidecar_fixture.hpp"
 #include "syscall_faults/faults.hpp"
 #include "websocket/session.hpp"
 
@@ -96,7 +96,7 @@
 };
 
 struct Sessions : testing::Test {
-    NetRig rig{0};
+    SidecarFixture rig{0};
     std::list<SessionServer> servers;
     websocket::Settings settings;
 
