--- a/tests/syscall_faults/faults.cpp
+++ b/tests/syscall_faults/faults.cpp
@@ -1,3 +1,4 @@
+// The C library's socket calls with faults, and the rules that say which calls fail (faults.hpp).
 #include "faults.hpp"
 
 #include <arpa/inet.h>
@@ -28,23 +29,25 @@
 
 namespace {
 
-constexpr std::size_t kMaxDescriptors = 65536, kMaxRules = 64;
+constexpr std::size_t kMaxDescriptors = 65536;
+constexpr std::size_t kMaxRules = 64;
 constexpr std::size_t kCountsSize = kMaxRules * sizeof(std::uint64_t);
-constexpr int kShort = -1;  // in place of an errno
+constexpr int kShortCall = -1;  // in place of an errno: the call transfers a part only
 
+// Who opened a connection: its peer (in) or this process (out). none: not a loopback stream.
 enum class Side : std::uint8_t { none, in, out, any };
 
 struct Rule {
     std::string call;
     int error = 0;
     Side side = Side::any;
-    double share = 0;         // of the calls, or
-    std::uint64_t first = 0;  // so many calls, from the first
+    double probability = 0;         // that a call fails, where first_calls is 0
+    std::uint64_t first_calls = 0;  // so many calls fail, from the first one on
 };
 
 struct Descriptor {
-    std::atomic<Side> side{Side::none};  // none: not a loopback stream
-    std::atomic<bool> broken{false};
+    std::atomic<Side> side{Side::none};
+    std::atomic<bool> broken{false};  // a fault has ended its connection
 };
 
 std::array<Descriptor, kMaxDescriptors>& descriptors() {
@@ -57,41 +60,44 @@
 }
 std::array<std::uint64_t, kMaxRules> own_counts{};
 std::uint64_t* counts = own_counts.data();
-std::atomic<std::uint64_t> state{0};
-std::atomic<bool> serving{false};
+std::atomic<std::uint64_t> random_state{0};
+std::atomic<bool> active{false};  // from the first listen() on, or from configure()
 
 Descriptor* descriptor(int fd) {
     return fd >= 0 && static_cast<std::size_t>(fd) < kMaxDescriptors ? &descriptors()[fd] : nullptr;
 }
 Side side_of(int fd) {
-    const Descriptor* d = descriptor(fd);
-    return d ? d->side.load() : Side::none;
+    const Descriptor* entry = descriptor(fd);
+    return entry ? entry->side.load() : Side::none;
 }
 void set_side(int fd, Side side) {
-    if (Descriptor* d = descriptor(fd)) {
-        d->side = side;
-        d->broken = false;
+    if (Descriptor* entry = descriptor(fd)) {
+        entry->side = side;
+        entry->broken = false;
     }
 }
 
-// splitmix64.
+// splitmix64, on a state that threads share.
 std::uint64_t draw() {
-    std::uint64_t z = state.fetch_add(0x9e3779b97f4a7c15U) + 0x9e3779b97f4a7c15U;
-    z = (z ^ (z >> 30U)) * 0xbf58476d1ce4e5b9U;
-    z = (z ^ (z >> 27U)) * 0x94d049bb133111ebU;
-    return z ^ (z >> 31U);
+    constexpr std::uint64_t kIncrement = 0x9e3779b97f4a7c15U;
+    std::uint64_t mixed = random_state.fetch_add(kIncrement) + kIncrement;
+    mixed = (mixed ^ (mixed >> 30U)) * 0xbf58476d1ce4e5b9U;
+    mixed = (mixed ^ (mixed >> 27U)) * 0x94d049bb133111ebU;
+    return mixed ^ (mixed >> 31U);
 }
 
-// What this call fails with; 0: it does not.
+// Uniform in [0, 1).
+double draw_unit() { return static_cast<double>(draw() >> 11U) * 0x1p-53; }
+
+// The errno with which this call fails, kShortCall, or 0 if it does not fail.
 int fault(const char* call, Side side) {
-    if (!serving) return 0;
+    if (!active) return 0;
     for (std::size_t i = 0; i < rules().size(); ++i) {
         const Rule& rule = rules()[i];
         if (rule.call != call || (rule.side != Side::any && rule.side != side)) continue;
         std::atomic_ref<std::uint64_t> count(counts[i]);
-        const bool hit =
-            rule.first > 0 ? count < rule.first : static_cast<double>(draw() >> 11U) * 0x1p-53 < rule.share;
-        if (!hit) continue;
+        const bool strikes = rule.first_calls > 0 ? count < rule.first_calls : draw_unit() < rule.probability;
+        if (!strikes) continue;
         ++count;
         return rule.error;
     }
@@ -102,6 +108,7 @@
     return error == ETIMEDOUT || error == EHOSTUNREACH || error == ECONNRESET || error == EPIPE;
 }
 
+// The C library's own function of this name.
 template <class Call>
 Call* real(const char* name) {
     return reinterpret_cast<Call*>(::dlsym(RTLD_NEXT, name));
@@ -120,12 +127,13 @@
            is_loopback(reinterpret_cast<const sockaddr*>(&address));
 }
 
-// Whether a read or write on `fd` fails: sets errno, or leaves in `short_call` that it may do a part only.
+// Whether a read or write on `fd` fails. Sets errno if it does. Sets `short_call` if it may transfer a part
+// only.
 bool fails(const char* call, int fd, bool& short_call) {
     const Side side = side_of(fd);
     if (side == Side::none) return false;
     const int error = fault(call, side);
-    short_call = error == kShort;
+    short_call = error == kShortCall;
     if (error == 0 || short_call) return false;
     if (ends_connection(error)) {
         ::shutdown(fd, SHUT_RDWR);
@@ -135,14 +143,15 @@
     return true;
 }
 bool broken(int fd) {
-    const Descriptor* d = descriptor(fd);
-    return d && d->side != Side::none && d->broken;
+    const Descriptor* entry = descriptor(fd);
+    return entry && entry->side != Side::none && entry->broken;
 }
-std::size_t a_part(std::size_t size) { return size < 2 ? size : 1 + draw() % (size - 1); }
+// A part of `size` bytes: at least one, and fewer than all where there is more than one.
+std::size_t random_part(std::size_t size) { return size < 2 ? size : 1 + draw() % (size - 1); }
 
-// The message with so much of its buffers that `size` bytes remain.
-struct Cut {
-    Cut(const msghdr& whole, std::size_t size) : message(whole) {
+// A copy of a message whose buffers have `size` bytes in all.
+struct ShortenedMessage {
+    ShortenedMessage(const msghdr& whole, std::size_t size) : message(whole) {
         for (std::size_t i = 0; i < whole.msg_iovlen && size > 0; ++i) {
             parts.push_back(whole.msg_iov[i]);
             parts.back().iov_len = std::min(parts.back().iov_len, size);
@@ -162,7 +171,7 @@
 
 const std::map<std::string, int>& faults_by_name() {
     static const std::map<std::string, int> names{
-        {"SHORT", kShort},
+        {"SHORT", kShortCall},
         {"EINTR", EINTR},
         {"EMFILE", EMFILE},
         {"ENFILE", ENFILE},
@@ -183,10 +192,13 @@
     return names;
 }
 
-Rule rule_of(const std::string& word) {
-    const auto colon = word.find(':'), equals = word.find('=');
-    if (colon == std::string::npos || equals == std::string::npos || colon > equals)
+// Parses one word of a specification. Throws std::invalid_argument.
+Rule parse_rule(const std::string& word) {
+    const std::size_t colon = word.find(':');
+    const std::size_t equals = word.find('=');
+    if (colon == std::string::npos || equals == std::string::npos || colon > equals) {
         throw std::invalid_argument("not CALL[@SIDE]:FAULT=HOW: " + word);
+    }
     Rule rule;
     rule.call = word.substr(0, colon);
     if (const auto at = rule.call.find('@'); at != std::string::npos) {
@@ -197,14 +209,15 @@
     if (name == faults_by_name().end()) throw std::invalid_argument("no such fault: " + word);
     rule.error = name->second;
     const std::string how = word.substr(equals + 1);
-    if (how.starts_with("x"))
-        rule.first = std::stoull(how.substr(1));
-    else
-        rule.share = std::stod(how);
+    if (how.starts_with("x")) {
+        rule.first_calls = std::stoull(how.substr(1));
+    } else {
+        rule.probability = std::stod(how);
+    }
     return rule;
 }
 
-// The counts are shared with the test, which reads them while this process runs or after it was killed.
+// Puts the counts in a file that the test reads while this process runs or after it was killed.
 void share_counts(const char* path) {
     const int file = ::open(path, O_RDWR | O_CREAT | O_CLOEXEC, 0600);
     if (file < 0 || ::ftruncate(file, kCountsSize) != 0) std::abort();
@@ -214,32 +227,33 @@
     ::close(file);
 }
 
-// Of a process into which this was preloaded.
-[[gnu::constructor]] void begin() {
+// Configures a process into which this library was preloaded.
+[[gnu::constructor]] void configure_from_environment() {
     const char* specification = std::getenv("SYSCALL_FAULTS");
     if (!specification) return;
     configure(specification);
-    serving = false;
+    active = false;
     if (const char* path = std::getenv("SYSCALL_FAULTS_COUNTS")) share_counts(path);
 }
 
 }  // namespace
 
 void configure(const std::string& specification) {
-    std::vector<Rule> read;
+    std::vector<Rule> parsed;
     std::uint64_t seed = 1;
     std::istringstream words(specification);
     for (std::string word; words >> word;) {
-        if (word.starts_with("seed="))
+        if (word.starts_with("seed=")) {
             seed = std::stoull(word.substr(5));
-        else
-            read.push_back(rule_of(word));
+        } else {
+            parsed.push_back(parse_rule(word));
+        }
     }
-    if (read.size() > kMaxRules) throw std::invalid_argument("too many rules");
-    rules() = std::move(read);
+    if (parsed.size() > kMaxRules) throw std::invalid_argument("too many rules");
+    rules() = std::move(parsed);
     own_counts = {};
-    state = seed;
-    serving = true;
+    random_state = seed;
+    active = true;
 }
 
 std::uint64_t failed(std::size_t rule) { return counts[rule]; }
@@ -255,7 +269,7 @@
 
 int listen(int fd, int backlog) noexcept {
     static auto* const next = faults::real<int(int, int)>("listen");
-    faults::serving = true;
+    faults::active = true;
     return next(fd, backlog);
 }
 
@@ -290,7 +304,7 @@
     }
     faults::set_side(fd, Side::out);
     const int result = next(fd, address, size);
-    // An interrupted one goes on without its caller (connect(2)).
+    // The kernel goes on connecting after an interrupted call (connect(2)).
     if (error == EINTR && (result == 0 || errno == EINPROGRESS)) {
         errno = EINTR;
         return -1;
@@ -301,8 +315,7 @@
 int accept(int fd, sockaddr* address, socklen_t* size) {
     static auto* const next = faults::real<int(int, sockaddr*, socklen_t*)>("accept");
     if (!faults::is_loopback(fd)) return next(fd, address, size);
-    // Whoever waits in the queue stays there, so an error is some other connection's, as if it had been
-    // first.
+    // The connection that waits in the queue stays there: the error is that of another one, ahead of it.
     if (const int error = faults::fault("accept", Side::in); error != 0) {
         errno = error;
         return -1;
@@ -317,7 +330,7 @@
     bool short_call = false;
     if (faults::broken(fd)) return 0;
     if (faults::fails("recv", fd, short_call)) return -1;
-    return next(fd, data, short_call ? faults::a_part(size) : size, flags);
+    return next(fd, data, short_call ? faults::random_part(size) : size, flags);
 }
 
 ssize_t recvmsg(int fd, msghdr* message, int flags) {
@@ -326,45 +339,55 @@
     if (faults::broken(fd)) return 0;
     if (faults::fails("recv", fd, short_call)) return -1;
     if (!short_call) return next(fd, message, flags);
-    faults::Cut cut(*message, faults::a_part(faults::size_of(*message)));
-    return next(fd, &cut.message, flags);
+    faults::ShortenedMessage shortened(*message, faults::random_part(faults::size_of(*message)));
+    return next(fd, &shortened.message, flags);
 }
 
 ssize_t send(int fd, const void* data, size_t size, int flags) {
     static auto* const next = faults::real<ssize_t(int, const void*, size_t, int)>("send");
     bool short_call = false;
-    if (faults::broken(fd)) return errno = EPIPE, -1;
+    if (faults::broken(fd)) {
+        errno = EPIPE;
+        return -1;
+    }
     if (faults::fails("send", fd, short_call)) return -1;
-    return next(fd, data, short_call ? faults::a_part(size) : size, flags);
+    return next(fd, data, short_call ? faults::random_part(size) : size, flags);
 }
 
 ssize_t sendmsg(int fd, const msghdr* message, int flags) {
     static auto* const next = faults::real<ssize_t(int, const msghdr*, int)>("sendmsg");
     bool short_call = false;
-    if (faults::broken(fd)) return errno = EPIPE, -1;
+    if (faults::broken(fd)) {
+        errno = EPIPE;
+        return -1;
+    }
     if (faults::fails("send", fd, short_call)) return -1;
     if (!short_call) return next(fd, message, flags);
-    faults::Cut cut(*message, faults::a_part(faults::size_of(*message)));
-    return next(fd, &cut.message, flags);
+    faults::ShortenedMessage shortened(*message, faults::random_part(faults::size_of(*message)));
+    return next(fd, &shortened.message, flags);
 }
 
 int setsockopt(int fd, int level, int name, const void* value, socklen_t size) noexcept {
     static auto* const next = faults::real<int(int, int, int, const void*, socklen_t)>("setsockopt");
-    if (level == IPPROTO_TCP && faults::side_of(fd) != Side::none)
-        if (const int error = faults::fault("setsockopt", faults::side_of(fd)); error != 0) {
+    const Side side = faults::side_of(fd);
+    if (level == IPPROTO_TCP && side != Side::none) {
+        if (const int error = faults::fault("setsockopt", side); error != 0) {
             errno = error;
             return -1;
         }
+    }
     return next(fd, level, name, value, size);
 }
 
 int getsockopt(int fd, int level, int name, void* value, socklen_t* size) noexcept {
     static auto* const next = faults::real<int(int, int, int, void*, socklen_t*)>("getsockopt");
-    if (level == IPPROTO_TCP && faults::side_of(fd) != Side::none)
-        if (const int error = faults::fault("getsockopt", faults::side_of(fd)); error != 0) {
+    const Side side = faults::side_of(fd);
+    if (level == IPPROTO_TCP && side != Side::none) {
+        if (const int error = faults::fault("getsockopt", side); error != 0) {
             errno = error;
             return -1;
         }
+    }
     return next(fd, level, name, value, size);
 }
 
--- a/tests/syscall_faults/faults.hpp
+++ b/tests/syscall_faults/faults.hpp
@@ -8,10 +8,11 @@
 //
 //     seed=7 send:SHORT=0.25 recv:EINTR=0.1 connect:ENETUNREACH=x20 recv@out:ETIMEDOUT=0.01
 //
-// A rule is CALL[@SIDE]:FAULT=HOW. HOW is a share of the calls, drawn by the seed, or xN: the first N calls.
-// SIDE is `in` for accepted connections and `out` for connections that this process opened; both if left out.
-// SHORT takes or gives a part only. An error that ends a connection (ETIMEDOUT, EHOSTUNREACH, ECONNRESET,
-// EPIPE) is told once, and the connection is over from then on. Before the process listens nothing fails.
+// A rule is CALL[@SIDE]:FAULT=HOW. HOW is the probability that a call fails, drawn by the seed, or xN: the
+// first N calls fail. SIDE is `in` for accepted connections and `out` for connections that this process
+// opened; without it the rule holds for both. SHORT transfers a part of the bytes only. An error that ends a
+// connection (ETIMEDOUT, EHOSTUNREACH, ECONNRESET, EPIPE) is reported once, and the connection has ended from
+// then on. Nothing fails before the process listens.
 #pragma once
 
 #include <cstdint>
@@ -19,9 +20,10 @@
 
 namespace elmbay::test::syscall_faults {
 
-// Replaces what fails in this process; empty: nothing does. Throws std::invalid_argument.
+/// Replaces the rules for this process. With an empty specification nothing fails. Throws
+/// std::invalid_argument.
 void configure(const std::string& specification);
-// How many calls rule number `rule` of the specification has failed in this process.
+/// How many calls of this process rule number `rule` of the specification, from 0, has made fail.
 std::uint64_t failed(std::size_t rule);
 
 }  // namespace elmbay::test::syscall_faults
--- a/tests/syscall_faults/fleet_faults_test.cpp
+++ b/tests/syscall_faults/fleet_faults_test.cpp
@@ -1,5 +1,6 @@
-// The program's processes while their system calls fail as Linux documents. Every request has its final
-// answer in time, none runs twice: the request_history says so, and its history is the message of a failure.
+// The program's processes while their system calls fail as Linux documents. Every request gets its final
+// response in time and none runs twice. RequestHistory checks it, and its history is the message of a
+// failure.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -7,6 +8,7 @@
 #include <array>
 #include <filesystem>
 #include <fstream>
+#include <iostream>
 #include <string>
 #include <vector>
 
@@ -16,9 +18,10 @@
 namespace {
 
 using Answer = RequestHistory::Answer;
-const std::array<std::string, 3> kGrades{"listen", "deposit", "annotate"};
+// One request class for each effect: idempotent, non-idempotent and idempotent by key.
+const std::array<std::string, 3> kRequestClasses{"listen", "deposit", "annotate"};
 
-// One specification of faults for the program's processes, and how often each of its rules struck.
+// A specification of faults (faults.hpp) for the program's processes, and how often each of its rules struck.
 class Faults {
 public:
     explicit Faults(const std::string& specification)
@@ -54,29 +57,35 @@
 
 Options options_for(const Faults& faults, std::size_t sidecars = 1, std::size_t servers = 4) {
     Options options;
-    options.sidecars = sidecars, options.servers = servers;
+    options.sidecars = sidecars;
+    options.servers = servers;
     options.program = faults.program();
     // Far beyond what a busy machine needs: nothing here is about speed.
-    options.patience = 10000, options.latency_objective = 5000;
+    options.patience = 10000;
+    options.latency_objective = 5000;
     options.settings = {{"limits", {{"connect-timeout-ms", 5000.0}}}};
     return options;
 }
 
-// So many requests of each effect, `together` of them in work at a time. Whether no rule was broken: a
-// request that was sent on has its answer.
-bool ask_of_each_effect(ProcessTestbed& testbed, std::size_t each, std::size_t together) {
+// Sends `each` requests of every request class, `together` of them in flight at a time. Returns whether every
+// request that was forwarded has its response.
+bool send_requests(ProcessTestbed& testbed, std::size_t each, std::size_t together) {
     std::vector<std::string> ids;
-    for (std::size_t i = 0; i < each * kGrades.size(); ++i) {
-        ids.push_back(testbed.ask(i % testbed.sidecars(), kGrades[i % kGrades.size()]));
+    for (std::size_t i = 0; i < each * kRequestClasses.size(); ++i) {
+        ids.push_back(testbed.ask(i % testbed.sidecars(), kRequestClasses[i % kRequestClasses.size()]));
         if (!testbed.until([&] { return testbed.request_history().open() < together; })) return false;
     }
     if (!testbed.settle()) return false;
-    for (const std::string& id : ids)
-        if (!testbed.answer(id)) std::cout << "closed with no answer:\n" << testbed.explain(id) << std::endl;
+    for (const std::string& id : ids) {
+        if (!testbed.answer(id)) {
+            std::cout << "closed with no response:\n" << testbed.explain(id) << std::endl;
+        }
+    }
     return true;
 }
 
-std::string answers(ProcessTestbed& testbed) {
+// The numbers of requests by their end, as the message of a failure.
+std::string summary(ProcessTestbed& testbed) {
     RequestHistory& request_history = testbed.request_history();
     return "served " + std::to_string(request_history.count(Answer::served)) + ", refused " +
            std::to_string(request_history.count(Answer::refused)) + ", failed " +
@@ -85,7 +94,7 @@
            std::to_string(request_history.asked());
 }
 
-std::uint64_t without_answer(ProcessTestbed& testbed) {
+std::uint64_t requests_without_response(ProcessTestbed& testbed) {
     RequestHistory& request_history = testbed.request_history();
     return request_history.asked() - request_history.count(Answer::served) -
            request_history.count(Answer::refused) - request_history.count(Answer::failed) -
@@ -95,29 +104,34 @@
 struct Case {
     const char* name;
     const char* specification;  // its first rule has to strike
-    bool all_served;            // nothing about it costs a request its answer
-    bool may_shed = false;      // closes resting connections: a request may cross the end of one
+    bool all_served;            // the fault costs no request anything
+    bool may_shed = false;      // the fault closes idle connections: a request may cross the close of one
 };
 
-class EachFault : public testing::TestWithParam<Case> {};
+// Without this GoogleTest prints the addresses in a Case, and the names that CTest shows differ from build to
+// build.
+std::ostream& operator<<(std::ostream& out, const Case& fault) { return out << fault.specification; }
+
+class SystemCallFault : public testing::TestWithParam<Case> {};
 
-// What only interrupts, cuts short or lasts for a moment costs no request anything.
-TEST_P(EachFault, CostsNoRequestItsFinalAnswer) {
-    constexpr std::size_t kEach = 200, kTogether = 12;
+// A fault that only interrupts a call, shortens it or passes after a moment costs no request anything.
+TEST_P(SystemCallFault, CostsNoRequestItsFinalResponse) {
+    constexpr std::size_t kEach = 200;
+    constexpr std::size_t kTogether = 12;
     const Faults faults(GetParam().specification);
     ProcessTestbed testbed(options_for(faults));
     testbed.start();
     for (std::size_t i = 0; i < testbed.servers(); ++i) testbed.server(i).body = 20000;
-    ASSERT_TRUE(ask_of_each_effect(testbed, kEach, kTogether)) << answers(testbed) << "\n"
-                                                               << testbed.explain();
+    ASSERT_TRUE(send_requests(testbed, kEach, kTogether)) << summary(testbed) << "\n" << testbed.explain();
     EXPECT_GT(faults.struck(0), 0U);
     EXPECT_EQ(testbed.request_history().count(Answer::cut), 0U);
-    EXPECT_LE(without_answer(testbed), GetParam().may_shed ? faults.struck(0) : 0U) << answers(testbed);
+    EXPECT_LE(requests_without_response(testbed), GetParam().may_shed ? faults.struck(0) : 0U)
+        << summary(testbed);
     if (GetParam().all_served) {
         EXPECT_EQ(testbed.request_history().count(Answer::served), testbed.request_history().asked())
-            << answers(testbed);
+            << summary(testbed);
     }
-    std::cout << GetParam().name << ": " << answers(testbed) << ", faults " << faults.struck(0) << std::endl;
+    std::cout << GetParam().name << ": " << summary(testbed) << ", faults " << faults.struck(0) << std::endl;
 }
 
 const Case kCases[] = {
@@ -150,11 +164,11 @@
     {"BrokenAsReset", "seed=27 recv@out:ECONNRESET=0.02 send@out:ECONNRESET=0.02", false},
     {"BrokenAsPipe", "seed=28 send@out:EPIPE=0.05", false},
 };
-INSTANTIATE_TEST_SUITE_P(SystemCalls, EachFault, testing::ValuesIn(kCases),
+INSTANTIATE_TEST_SUITE_P(SystemCalls, SystemCallFault, testing::ValuesIn(kCases),
                          [](const auto& info) { return std::string(info.param.name); });
 
-// What it believes is longer than one write may take, and is told whole.
-TEST(FaultsOnTheStatusSocket, LeaveItWhole) {
+// A status is longer than one write may take. Each reader gets it whole.
+TEST(StatusSocket, SendsWholeStatusDespiteFaults) {
     const Faults faults("seed=31 send:SHORT=0.5 send:EINTR=0.2 accept:ENFILE=0.3 accept:ECONNABORTED=0.3");
     ProcessTestbed testbed(options_for(faults, 1, 12));
     testbed.start();
@@ -167,8 +181,8 @@
     EXPECT_GT(faults.struck(0), 20U);
 }
 
-// All of them, about one call in ten of each kind. Connections to servers break as well; a client's own does
-// not, as nobody could answer it there.
+// Every fault, in about one call in ten of each kind. Connections to servers break as well. Clients' own
+// connections do not, as nobody could answer a client there.
 const char* const kAllTogether =
     "send:SHORT=0.05 send:EINTR=0.04 recv:SHORT=0.05 recv:EINTR=0.04 epoll_wait:EINTR=0.1 poll:EINTR=0.1 "
     "accept:ECONNABORTED=0.02 accept:EPROTO=0.01 accept:ENETDOWN=0.01 accept:EHOSTUNREACH=0.01 "
@@ -178,14 +192,15 @@
     "connect:ETIMEDOUT=0.01 connect:EHOSTUNREACH=0.01 setsockopt:ENOBUFS=0.1 getsockopt:ENOBUFS=0.1 "
     "send@out:ETIMEDOUT=0.004 send@out:EHOSTUNREACH=0.003 send@out:EPIPE=0.003 "
     "recv@out:ETIMEDOUT=0.004 recv@out:EHOSTUNREACH=0.003 recv@out:ECONNRESET=0.003";
-constexpr std::size_t kRules = 33, kRuleOfNoDescriptor = 14;
+constexpr std::size_t kRules = 33;
+constexpr std::size_t kAcceptNoDescriptorRule = 14;  // accept:EMFILE
 
 void expect_every_rule_struck(const Faults& faults) {
     for (std::size_t rule = 0; rule < kRules; ++rule) EXPECT_GT(faults.struck(rule), 0U) << "rule " << rule;
 }
 
-// Nothing is open: whoever asks next comes on a new connection, and is sent on over one.
-void end_all_connections(ProcessTestbed& testbed) {
+// Afterwards every request comes on a new connection and is forwarded over a new one.
+void reset_all_connections(ProcessTestbed& testbed) {
     for (std::size_t i = 0; i < testbed.sidecars(); ++i) {
         const std::string sidecar = "n-" + std::to_string(i);
         testbed.link("c-" + std::to_string(i), sidecar).reset_all();
@@ -194,46 +209,53 @@
     }
 }
 
-TEST(AllFaultsTogether, NoRequestIsLostAndNoneRunsTwice) {
-    constexpr std::size_t kRounds = 50, kEach = 200, kTogether = 32;
+TEST(AllFaultsTogether, LoseNoRequestAndRunNoneTwice) {
+    constexpr std::size_t kRounds = 50;
+    constexpr std::size_t kEach = 200;
+    constexpr std::size_t kTogether = 32;
     const Faults faults("seed=41 " + std::string(kAllTogether));
     ProcessTestbed testbed(options_for(faults, 2, 6));
     testbed.start();
     for (std::size_t i = 0; i < testbed.servers(); ++i) testbed.server(i).body = 4000;
     for (std::size_t round = 0; round < kRounds; ++round) {
-        ASSERT_TRUE(ask_of_each_effect(testbed, kEach, kTogether)) << answers(testbed) << "\n"
-                                                                   << testbed.explain();
-        end_all_connections(testbed);
+        ASSERT_TRUE(send_requests(testbed, kEach, kTogether)) << summary(testbed) << "\n"
+                                                              << testbed.explain();
+        reset_all_connections(testbed);
     }
     expect_every_rule_struck(faults);
     EXPECT_EQ(testbed.request_history().count(Answer::cut), 0U);
-    // A resting connection that is closed for want of a descriptor may be crossed by a request, which is
-    // never sent on: its client sends it again.
-    EXPECT_LE(without_answer(testbed), faults.struck(kRuleOfNoDescriptor)) << answers(testbed);
-    std::cout << answers(testbed) << std::endl;
+    // A request may cross the close of an idle connection for want of a descriptor. It is never forwarded,
+    // and its client sends it again.
+    EXPECT_LE(requests_without_response(testbed), faults.struck(kAcceptNoDescriptorRule)) << summary(testbed);
+    std::cout << summary(testbed) << std::endl;
 }
 
-// The same while ways between them are cut, in turn, and open again.
-TEST(AllFaultsTogether, NorWhileLinksAreCut) {
-    constexpr std::size_t kRounds = 8, kEach = 100, kTogether = 24;
+// The same while one link after another is cut and restored.
+TEST(AllFaultsTogether, LoseNoRequestWhileLinksAreCut) {
+    constexpr std::size_t kRounds = 8;
+    constexpr std::size_t kEach = 100;
+    constexpr std::size_t kTogether = 24;
     const Faults faults("seed=42 " + std::string(kAllTogether));
     Options options = options_for(faults, 3, 6);
-    options.patience = 3000, options.latency_objective = 1500;  // what a cut way holds up ends in time
+    // Attempts that a cut link holds up end in time.
+    options.patience = 3000;
+    options.latency_objective = 1500;
     ProcessTestbed testbed(options);
     testbed.start();
     for (std::size_t round = 0; round < kRounds; ++round) {
         fault_proxy::Rule cut;
-        cut.name = "cut", cut.act = fault_proxy::Act::cut;
+        cut.name = "cut";
+        cut.act = fault_proxy::Act::cut;
         cut.from = {"n-" + std::to_string(round % 3)};
         cut.to = round % 4 == 3 ? std::vector<std::string>{"list"}
                                 : std::vector<std::string>{"s-" + std::to_string(round % 6)};
         testbed.context().put(cut);
-        const bool kept = ask_of_each_effect(testbed, kEach, kTogether);
+        const bool all_answered = send_requests(testbed, kEach, kTogether);
         testbed.context().take_away("cut");
-        ASSERT_TRUE(kept) << answers(testbed) << "\n" << testbed.explain();
+        ASSERT_TRUE(all_answered) << summary(testbed) << "\n" << testbed.explain();
     }
     EXPECT_EQ(testbed.request_history().count(Answer::cut), 0U);
-    std::cout << answers(testbed) << std::endl;
+    std::cout << summary(testbed) << std::endl;
 }
 
 }  // namespace
--- a/tests/syscall_faults/listener_faults_test.cpp
+++ b/tests/syscall_faults/listener_faults_test.cpp
@@ -1,4 +1,5 @@
-// The listener alone: what it owes its clients while accept() fails, and while a handler throws.
+// The listener alone, while accept() fails and while a handler throws: each client gets its response all the
+// same.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -14,32 +15,33 @@
 namespace elmbay::test {
 namespace {
 
-struct ListenerRig {
-    static constexpr Millis kLongest = 3000;
+// A Listener whose handlers answer each request at once, unless a test sets `on_request`.
+struct ListenerFixture {
+    static constexpr Millis kLongestDeadline = 3000;
 
     asio::io_context io{1};
     Clock clock;
     TimerQueue timers{io, clock};
     SocketBudget budget{100};
     ByteBudget bytes{16U << 20U};
-    std::function<void(RequestId)> arrived;
-    std::vector<RequestId> gone;
+    std::function<void(RequestId)> on_request;
+    std::vector<RequestId> disconnected;
     Listener listener;
 
-    ListenerRig()
-        : listener(io, loopback(), budget, bytes, timers, clock, kLongest,
+    ListenerFixture()
+        : listener(io, loopback(), budget, bytes, timers, clock, kLongestDeadline,
                    {[](const RequestHead&) { return std::optional<RequestProblem>(); },
-                    [this](RequestId id, const HttpRequest&, ReceivedRequest) { arrived(id); },
-                    [this](RequestId id) { gone.push_back(id); }, [] { return true; }}) {
-        arrived = [this](RequestId id) { answer(id); };
+                    [this](RequestId id, const HttpRequest&, ReceivedRequest) { on_request(id); },
+                    [this](RequestId id) { disconnected.push_back(id); }, [] { return true; }}) {
+        on_request = [this](RequestId id) { respond(id); };
     }
-    ~ListenerRig() { syscall_faults::configure(""); }
-    void answer(RequestId id) {
+    ~ListenerFixture() { syscall_faults::configure(""); }
+    void respond(RequestId id) {
         HttpResponse response(http::status::ok, 11);
         response.body() = "served\n";
         listener.respond(id, std::move(response));
     }
-    // Its own bytes are written before this returns.
+    // A new connection that has sent `text`.
     std::shared_ptr<Peer> client(const std::string& text) {
         tcp::socket socket(io);
         socket.connect(listener.local_endpoint());
@@ -48,9 +50,10 @@
         peer->send(text);
         return peer;
     }
-    // As the program's own loop: an exception ends no more than the handler that it came from.
-    template <class Happened>
-    bool until(Happened happened) {
+    // Runs the event loop until `happened` is true. Returns false if it has not happened within 10 s. As in
+    // the program, an exception ends only the handler that it came from.
+    template <class Condition>
+    bool until(Condition happened) {
         const auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(10);
         while (!happened() && std::chrono::steady_clock::now() < limit) {
             try {
@@ -63,103 +66,104 @@
     }
 };
 
-// The module may not know of the request, so nobody else would ever answer it.
-TEST(ThrowingHandlers, AnExceptionAsARequestArrivesIsAnsweredAtOnce) {
-    ListenerRig rig;
-    rig.arrived = [](RequestId) { throw std::bad_alloc(); };
-    const auto client = rig.client(SidecarFixture::request("unsafe"));
-    ASSERT_TRUE(rig.until([&] { return client->closed; }));
+// The decision module may not know of the request, so nothing else would ever answer it.
+TEST(ThrowingHandler, Responds500WhenRequestHandlerThrows) {
+    ListenerFixture fixture;
+    fixture.on_request = [](RequestId) { throw std::bad_alloc(); };
+    const auto client = fixture.client(SidecarFixture::request("unsafe"));
+    ASSERT_TRUE(fixture.until([&] { return client->closed; }));
     EXPECT_EQ(status_of(*client), "HTTP/1.1 500") << client->got;
     EXPECT_EQ(client->close_error, asio::error::eof);
-    EXPECT_EQ(rig.gone.size(), 1U) << "what was taken of it is given up";
-    // The next one is not concerned.
-    rig.arrived = [&](RequestId id) { rig.answer(id); };
-    const auto next = rig.client(SidecarFixture::request("unsafe"));
-    ASSERT_TRUE(rig.until([&] { return next->got.ends_with("served\n"); }));
+    EXPECT_EQ(fixture.disconnected.size(), 1U) << "nothing of the request stays in flight";
+    // The next request is not affected.
+    fixture.on_request = [&](RequestId id) { fixture.respond(id); };
+    const auto next = fixture.client(SidecarFixture::request("unsafe"));
+    ASSERT_TRUE(fixture.until([&] { return next->got.ends_with("served\n"); }));
 }
 
-// One outcome: the answer that has begun stands.
-TEST(ThrowingHandlers, AnExceptionAfterTheAnswerChangesNothing) {
-    ListenerRig rig;
-    rig.arrived = [&](RequestId id) {
-        rig.answer(id);
+// A request has one outcome: the response that was given stands.
+TEST(ThrowingHandler, KeepsResponseWhenHandlerThrowsAfterResponding) {
+    ListenerFixture fixture;
+    fixture.on_request = [&](RequestId id) {
+        fixture.respond(id);
         throw std::runtime_error("too late");
     };
-    const auto client = rig.client(SidecarFixture::request("unsafe"));
-    ASSERT_TRUE(rig.until([&] { return client->got.ends_with("served\n"); }));
+    const auto client = fixture.client(SidecarFixture::request("unsafe"));
+    ASSERT_TRUE(fixture.until([&] { return client->got.ends_with("served\n"); }));
     EXPECT_EQ(status_of(*client), "HTTP/1.1 200");
-    EXPECT_TRUE(rig.gone.empty());
-    const std::size_t first = client->got.size();
+    EXPECT_TRUE(fixture.disconnected.empty());
+    const std::size_t response_size = client->got.size();
     client->send(SidecarFixture::request("unsafe"));
-    ASSERT_TRUE(rig.until([&] { return client->got.size() == 2 * first; }));
+    ASSERT_TRUE(fixture.until([&] { return client->got.size() == 2 * response_size; }));
     EXPECT_FALSE(client->closed);
 }
 
-TEST(ThrowingHandlers, AnExceptionFromAJudgementOfTheHeadIsAnsweredAtOnce) {
-    ListenerRig rig;
+TEST(ThrowingHandler, Responds500WhenValidationThrows) {
+    ListenerFixture fixture;
     Listener::Handlers handlers;
     handlers.validate = [](const RequestHead&) -> std::optional<RequestProblem> { throw std::bad_alloc(); };
     handlers.on_request = [](RequestId, const HttpRequest&, ReceivedRequest) {
-        ADD_FAILURE() << "not judged";
+        ADD_FAILURE() << "not validated";
     };
     handlers.on_client_disconnected = [](RequestId) {};
     handlers.ready = [] { return true; };
-    Listener listener(rig.io, loopback(), rig.budget, rig.bytes, rig.timers, rig.clock, ListenerRig::kLongest,
-                      handlers);
-    tcp::socket socket(rig.io);
+    Listener listener(fixture.io, loopback(), fixture.budget, fixture.bytes, fixture.timers, fixture.clock,
+                      ListenerFixture::kLongestDeadline, handlers);
+    tcp::socket socket(fixture.io);
     socket.connect(listener.local_endpoint());
     const auto client = std::make_shared<Peer>(std::move(socket));
     client->read();
     client->send(SidecarFixture::request("unsafe"));
-    ASSERT_TRUE(rig.until([&] { return client->closed; }));
+    ASSERT_TRUE(fixture.until([&] { return client->closed; }));
     EXPECT_EQ(status_of(*client), "HTTP/1.1 500") << client->got;
 }
 
-// Behind a connection that was given up stands one whose client waits: no further edge comes for it.
-TEST(FailingAccepts, WhoStandsBehindAnAbortedConnectionIsAccepted) {
+// A client waits behind a connection that was aborted. No further edge of EPOLLIN comes for it.
+TEST(FailingAccept, AcceptsConnectionQueuedBehindAbortedOne) {
     for (const char* error : {"ECONNABORTED", "EPROTO", "ENETDOWN", "EPERM", "EINTR"}) {
-        ListenerRig rig;
+        ListenerFixture fixture;
         syscall_faults::configure("accept:" + std::string(error) + "=x3");
-        const auto client = rig.client(SidecarFixture::request("safe"));
-        ASSERT_TRUE(rig.until([&] { return client->got.ends_with("served\n"); })) << error;
+        const auto client = fixture.client(SidecarFixture::request("safe"));
+        ASSERT_TRUE(fixture.until([&] { return client->got.ends_with("served\n"); })) << error;
         EXPECT_EQ(syscall_faults::failed(0), 3U) << error;
     }
 }
 
-// A resting connection makes room for a descriptor of this process, not for the machine's.
-TEST(FailingAccepts, OnlyAShortageOfOurOwnClosesARestingConnection) {
+// Closing an idle connection frees a descriptor of this process. It does not help when the machine's tables
+// are full.
+TEST(FailingAccept, ClosesIdleConnectionOnlyForLackOfOwnDescriptors) {
     for (const std::string error : {"ENFILE", "ENOBUFS", "ENOMEM", "ECONNABORTED", "EMFILE"}) {
-        ListenerRig rig;
-        const auto resting = rig.client(SidecarFixture::request("safe"));
-        const auto other = rig.client(SidecarFixture::request("safe"));
-        ASSERT_TRUE(rig.until(
-            [&] { return resting->got.ends_with("served\n") && other->got.ends_with("served\n"); }));
+        ListenerFixture fixture;
+        const auto idle = fixture.client(SidecarFixture::request("safe"));
+        const auto other = fixture.client(SidecarFixture::request("safe"));
+        ASSERT_TRUE(fixture.until(
+            [&] { return idle->got.ends_with("served\n") && other->got.ends_with("served\n"); }));
         syscall_faults::configure("accept:" + error + "=x2");
-        const auto client = rig.client(SidecarFixture::request("safe"));
-        ASSERT_TRUE(rig.until([&] { return client->got.ends_with("served\n"); })) << error;
+        const auto client = fixture.client(SidecarFixture::request("safe"));
+        ASSERT_TRUE(fixture.until([&] { return client->got.ends_with("served\n"); })) << error;
         EXPECT_EQ(syscall_faults::failed(0), 2U) << error;
-        EXPECT_EQ(rig.listener.connections() < 3, error == "EMFILE") << error;
+        EXPECT_EQ(fixture.listener.connections() < 3, error == "EMFILE") << error;
     }
 }
 
-// The process ends. Who came in the last instant stands in the kernel's queue as the door is shut: an error
-// that is another connection's, or passes, does not leave it there.
-TEST(FailingAccepts, WhoCameInTheLastInstantOfADrainIsAccepted) {
+// A client connects right before the listener stops accepting, and waits in the kernel's queue. An error that
+// belongs to another connection, or that passes, must not leave it there.
+TEST(FailingAccept, AcceptsConnectionQueuedAtTheEndOfDraining) {
     for (const char* error : {"ECONNABORTED", "EINTR", "ENFILE"}) {
-        ListenerRig rig;
+        ListenerFixture fixture;
         std::shared_ptr<Peer> client;
-        bool done = false;
-        const Millis shut = rig.clock.now() + GracefulShutdown::kAcceptingPeriod;
-        // In the same turn as the listener's own timer, and before it: its pending accept has no turn
-        // between.
-        rig.timers.set(shut - 1, [&] {
+        bool drained = false;
+        const Millis stops_accepting = fixture.clock.now() + GracefulShutdown::kAcceptingPeriod;
+        // In the same turn of the loop as the listener's own timer, and before it: its pending accept has no
+        // turn in between.
+        fixture.timers.set(stops_accepting - 1, [&] {
             syscall_faults::configure("accept:" + std::string(error) + "=x2");
-            client = rig.client(SidecarFixture::request("safe"));
-            while (rig.clock.now() < shut + 1) continue;
+            client = fixture.client(SidecarFixture::request("safe"));
+            while (fixture.clock.now() < stops_accepting + 1) continue;
         });
-        rig.listener.drain([&] { done = true; });
-        ASSERT_TRUE(rig.until([&] { return done; })) << error;
-        ASSERT_TRUE(rig.until([&] { return client->closed; })) << error;
+        fixture.listener.drain([&] { drained = true; });
+        ASSERT_TRUE(fixture.until([&] { return drained; })) << error;
+        ASSERT_TRUE(fixture.until([&] { return client->closed; })) << error;
         EXPECT_EQ(status_of(*client), "HTTP/1.1 200") << error;
     }
 }
--- a/tests/syscall_faults/stream_socket_test.cpp
+++ b/tests/syscall_faults/stream_socket_test.cpp
@@ -1,4 +1,4 @@
-// StreamSocket, the look at a connection and the sorting of errors, while this process's own calls fail.
+// StreamSocket, state_of() and the classification of errors, while this process's own system calls fail.
 #include "base/stream_socket.hpp"
 
 #include <gtest/gtest.h>
@@ -19,20 +19,28 @@
 using tcp = asio::ip::tcp;
 using Error = boost::system::error_code;
 
-struct StreamSockets : testing::Test {
+struct StreamSocketTest : testing::Test {
     asio::io_context io{1};
     tcp::acceptor acceptor{io, {asio::ip::address_v4::loopback(), 0}};
-    TcpSocket opened{io};
-    tcp::socket accepted{io};
+    TcpSocket opened{io};      // the socket under test
+    tcp::socket accepted{io};  // its peer
 
-    ~StreamSockets() override { syscall_faults::configure(""); }
+    ~StreamSocketTest() override { syscall_faults::configure(""); }
     void connect() {
         opened.connect(acceptor.local_endpoint());
         accepted = acceptor.accept();
         opened.non_blocking(true);
     }
-    template <class Happened>
-    bool until(Happened happened) {
+    // Runs the event loop until nothing has happened for 50 ms.
+    void run_until_idle() {
+        io.restart();
+        while (io.run_one_for(std::chrono::milliseconds(50)) > 0) {
+        }
+    }
+
+    // Runs the event loop until `happened` is true. Returns false if it has not happened within 10 s.
+    template <class Condition>
+    bool until(Condition happened) {
         const auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(10);
         while (!happened() && std::chrono::steady_clock::now() < limit) {
             io.restart();
@@ -42,15 +50,16 @@
     }
 };
 
-// The socket's buffer has room all the time, so no edge of EPOLLOUT ever comes.
-TEST_F(StreamSockets, ShortWritesAreContinued) {
+// Guards against waiting for EPOLLOUT after a short write: the socket's buffer has space all the time, so no
+// edge comes.
+TEST_F(StreamSocketTest, ContinuesAfterShortWrites) {
     connect();
     syscall_faults::configure("send@out:SHORT=1");
     const std::string text(20000, 't');
     bool written = false;
-    asio::async_write(opened, asio::buffer(text), [&](Error error, std::size_t n) {
+    asio::async_write(opened, asio::buffer(text), [&](Error error, std::size_t size) {
         EXPECT_FALSE(error);
-        EXPECT_EQ(n, text.size());
+        EXPECT_EQ(size, text.size());
         written = true;
     });
     ASSERT_TRUE(until([&] { return written; }));
@@ -60,8 +69,8 @@
     EXPECT_GT(syscall_faults::failed(0), 1U);
 }
 
-// A peer that reads nothing, then all: the socket is full meanwhile.
-TEST_F(StreamSockets, AWriteWaitsForRoomAndGoesOn) {
+// The peer reads nothing until the socket's buffer is full, and then everything.
+TEST_F(StreamSocketTest, WaitsForBufferSpaceAndContinuesWrite) {
     connect();
     syscall_faults::configure("send@out:SHORT=0.5 send@out:EINTR=0.5 recv@in:SHORT=0.5");
     const std::string text(16 << 20, 't');
@@ -70,8 +79,7 @@
         EXPECT_FALSE(error);
         written = true;
     });
-    io.restart();
-    while (io.run_one_for(std::chrono::milliseconds(50)) > 0) continue;
+    run_until_idle();
     EXPECT_FALSE(written);
     std::string got(text.size(), '\0');
     bool read = false;
@@ -80,50 +88,49 @@
     EXPECT_TRUE(got == text);
 }
 
-TEST_F(StreamSockets, AWriteOnAClosedSocketEndsWithAnError) {
+TEST_F(StreamSocketTest, AbortsWriteWhenSocketIsClosed) {
     connect();
     const std::string text(64 << 20, 't');
     Error result;
-    bool over = false;
+    bool ended = false;
     asio::async_write(opened, asio::buffer(text), [&](Error error, std::size_t) {
         result = error;
-        over = true;
+        ended = true;
     });
-    io.restart();
-    while (io.run_one_for(std::chrono::milliseconds(50)) > 0) continue;
-    EXPECT_FALSE(over);
+    run_until_idle();
+    EXPECT_FALSE(ended);
     opened.close();
-    ASSERT_TRUE(until([&] { return over; }));
+    ASSERT_TRUE(until([&] { return ended; }));
     EXPECT_EQ(result, asio::error::operation_aborted);
 }
 
-TEST_F(StreamSockets, AnInterruptedConnectIsWaitedFor) {
+TEST_F(StreamSocketTest, AwaitsInterruptedConnect) {
     syscall_faults::configure("connect:EINTR=x3");
-    bool over = false;
+    bool ended = false;
     opened.async_connect(acceptor.local_endpoint(), [&](Error error) {
         EXPECT_FALSE(error) << error.message();
-        over = true;
+        ended = true;
     });
-    ASSERT_TRUE(until([&] { return over; }));
+    ASSERT_TRUE(until([&] { return ended; }));
     EXPECT_GT(syscall_faults::failed(0), 0U);
     accepted = acceptor.accept();
     EXPECT_EQ(opened.remote_endpoint(), acceptor.local_endpoint());
 }
 
-TEST_F(StreamSockets, ARefusedConnectSaysSo) {
+TEST_F(StreamSocketTest, ReportsRefusedConnect) {
     const auto nobody = acceptor.local_endpoint();
     acceptor.close();
     Error result;
-    bool over = false;
+    bool ended = false;
     opened.async_connect(nobody, [&](Error error) {
         result = error;
-        over = true;
+        ended = true;
     });
-    ASSERT_TRUE(until([&] { return over; }));
+    ASSERT_TRUE(until([&] { return ended; }));
     EXPECT_EQ(result, asio::error::connection_refused);
 }
 
-TEST_F(StreamSockets, AnInterruptedReadOrWriteIsMadeAgain) {
+TEST_F(StreamSocketTest, RepeatsInterruptedReadAndWrite) {
     connect();
     syscall_faults::configure("recv@out:EINTR=x3 send@out:EINTR=x3");
     Error error;
@@ -138,8 +145,9 @@
     EXPECT_EQ(syscall_faults::failed(1), 3U);
 }
 
-// A bound for what no signal does: the socket counts as not ready, and the loop comes back to it.
-TEST_F(StreamSockets, EndlessInterruptionsLookLikeASocketThatIsNotReady) {
+// No signal interrupts a call this often. The bound keeps the loop from spinning: it comes back to the socket
+// later.
+TEST_F(StreamSocketTest, TreatsEndlessInterruptionsAsNotReady) {
     connect();
     syscall_faults::configure("recv@out:EINTR=1 send@out:EINTR=1");
     asio::write(accepted, asio::buffer("back", 4));
@@ -152,7 +160,7 @@
     EXPECT_EQ(state_of(opened.native_handle()), SocketState::interrupted);
 }
 
-TEST_F(StreamSockets, TheLookTellsAnEndFromAnInterruption) {
+TEST_F(StreamSocketTest, StateOfTellsEndFromInterruption) {
     connect();
     const int socket = opened.native_handle();
     syscall_faults::configure("recv@out:EINTR=x3");
@@ -163,11 +171,13 @@
     EXPECT_EQ(state_of(socket), SocketState::readable);
     char byte;
     opened.read_some(asio::buffer(&byte, 1));
+
     accepted.shutdown(tcp::socket::shutdown_send);
     ASSERT_TRUE(until([&] { return state_of(socket) != SocketState::quiet; }));
     syscall_faults::configure("recv@out:EINTR=x3");
     EXPECT_EQ(state_of(socket), SocketState::ended);
     EXPECT_EQ(syscall_faults::failed(0), 3U);
+
     for (const char* error : {"ETIMEDOUT", "EHOSTUNREACH", "ECONNRESET"}) {
         opened = TcpSocket(io);
         connect();
@@ -176,19 +186,23 @@
     }
 }
 
-TEST(SocketFailures, AreSortedByWhoseTheyAre) {
+TEST(SocketFailure, IsClassifiedByItsCause) {
     const auto error = [](int number) { return Error(number, boost::system::system_category()); };
     EXPECT_EQ(accept_failure(error(EMFILE)), SocketFailure::own_descriptors);
-    for (const int number : {ENFILE, ENOBUFS, ENOMEM})
+    for (const int number : {ENFILE, ENOBUFS, ENOMEM}) {
         EXPECT_EQ(accept_failure(error(number)), SocketFailure::machine) << number;
+    }
     for (const int number : {ECONNABORTED, EPROTO, ENETDOWN, ENOPROTOOPT, EHOSTDOWN, ENONET, EHOSTUNREACH,
-                             EOPNOTSUPP, ENETUNREACH, EPERM, EINTR})
+                             EOPNOTSUPP, ENETUNREACH, EPERM, EINTR}) {
         EXPECT_EQ(accept_failure(error(number)), SocketFailure::connection) << number;
+    }
     EXPECT_EQ(connect_failure(error(EMFILE)), SocketFailure::own_descriptors);
-    for (const int number : {ENFILE, ENOBUFS, ENOMEM, EADDRNOTAVAIL, EAGAIN, ENETUNREACH, ENETDOWN})
+    for (const int number : {ENFILE, ENOBUFS, ENOMEM, EADDRNOTAVAIL, EAGAIN, ENETUNREACH, ENETDOWN}) {
         EXPECT_EQ(connect_failure(error(number)), SocketFailure::machine) << number;
-    for (const int number : {ECONNREFUSED, ETIMEDOUT, EHOSTUNREACH, ECONNRESET})
+    }
+    for (const int number : {ECONNREFUSED, ETIMEDOUT, EHOSTUNREACH, ECONNRESET}) {
         EXPECT_EQ(connect_failure(error(number)), SocketFailure::connection) << number;
+    }
 }
 
 }  // namespace
