--- a/bench/fleet_size.cpp
+++ b/bench/fleet_size.cpp
@@ -1,6 +1,7 @@
 // What a sidecar costs by the size of the fleet: the real program with 200, 1,000 and 3,200 stand-in servers
-// on loopback addresses, a stand-in discovery that tells changes, and one client. Beside each figure is the
-// limit that the operators allow the growth from 200 servers (STANDING, "More than these days").
+// on loopback addresses, a stand-in discovery that sends changes of the endpoint list, and one client. Beside
+// each figure is the limit that the operators allow the growth from 200 servers (STANDING, "More than these
+// days").
 //
 //     build/fleet_size --sidecar build/elmbay
 #include <fmt/format.h>
@@ -36,47 +37,63 @@
 using Steady = std::chrono::steady_clock;
 using Error = boost::system::error_code;
 
-struct Day {
+// What one run plays.
+struct Workload {
     std::size_t servers = 200;
     std::uint32_t sidecars = 300;
     double seconds = 30;
-    double rate = 10;        // requests a second
-    double changes = 0.005;  // of the fleet that the list tells of in a second
-    bool known = false;      // the configuration has the whole list, as the platform gives it
-    std::chrono::milliseconds answer_after{20};
+    double rate = 10;                   // requests a second
+    double changes_per_server = 0.005;  // changes of the endpoint list a second, for each server
+    bool list_in_configuration = false;
+    std::chrono::milliseconds response_time{20};
 };
 
+// What one run measured.
 struct Figures {
     double processor_seconds = 0;
     double peak_memory_mb = 0;
     std::size_t descriptors = 0;
     std::uint64_t connections = 0;
     std::uint64_t list_bytes = 0;
-    std::uint64_t asked = 0, served = 0;
+    std::uint64_t requests = 0;
+    std::uint64_t served = 0;
 
     double share_served() const {
-        return asked == 0 ? 0 : static_cast<double>(served) / static_cast<double>(asked);
+        return requests == 0 ? 0 : static_cast<double>(served) / static_cast<double>(requests);
     }
 };
 
-// A connection of a stand-in: calls back with each whole head that has come.
+// A connection of a stand-in. Calls back with each whole head that has arrived.
 struct Connection : std::enable_shared_from_this<Connection> {
     using OnHead = std::function<void(const std::shared_ptr<Connection>&, const std::string& head)>;
 
-    Connection(tcp::socket s, OnHead h) : socket(std::move(s)), on_head(std::move(h)) {}
+    Connection(tcp::socket connected, OnHead handler)
+        : socket(std::move(connected)), on_head(std::move(handler)) {}
+
     void read() {
-        socket.async_read_some(
-            asio::buffer(piece), [self = shared_from_this()](Error error, std::size_t got) {
-                if (error) return self->socket.close(error), void();
-                self->text.append(self->piece.data(), got);
-                for (std::size_t end; (end = self->text.find("\r\n\r\n")) != std::string::npos;) {
-                    const std::string head = self->text.substr(0, end);
-                    self->text.erase(0, end + 4);
-                    self->on_head(self, head);
-                }
-                self->read();
-            });
+        socket.async_read_some(asio::buffer(buffer),
+                               [self = shared_from_this()](Error error, std::size_t size) {
+                                   if (error) {
+                                       self->socket.close(error);
+                                       return;
+                                   }
+                                   self->unread.append(self->buffer.data(), size);
+                                   self->handle_heads();
+                                   self->read();
+                               });
+    }
+
+    void handle_heads() {
+        const std::string head_end = "\r\n\r\n";
+        std::size_t size = unread.find(head_end);
+        while (size != std::string::npos) {
+            const std::string head = unread.substr(0, size);
+            unread.erase(0, size + head_end.size());
+            on_head(shared_from_this(), head);
+            size = unread.find(head_end);
+        }
     }
+
     void send(std::string message) {
         const auto kept = std::make_shared<std::string>(std::move(message));
         asio::async_write(socket, asio::buffer(*kept),
@@ -85,21 +102,21 @@
 
     tcp::socket socket;
     OnHead on_head;
-    std::array<char, 4096> piece{};
-    std::string text;
+    std::array<char, 4096> buffer{};
+    std::string unread;
 };
 
-// Accepts on one address.
+// Accepts connections on one address and counts them.
 class Acceptor {
 public:
-    Acceptor(asio::io_context& io, const tcp::endpoint& at, std::uint64_t& accepted,
+    Acceptor(asio::io_context& io, const tcp::endpoint& endpoint, std::uint64_t& accepted,
              Connection::OnHead on_head)
-        : acceptor_(io, at), accepted_(accepted), on_head_(std::move(on_head)) {
+        : acceptor_(io, endpoint), accepted_(accepted), on_head_(std::move(on_head)) {
         accept();
     }
     std::string address() const {
-        const tcp::endpoint at = acceptor_.local_endpoint();
-        return at.address().to_string() + ":" + std::to_string(at.port());
+        const tcp::endpoint endpoint = acceptor_.local_endpoint();
+        return endpoint.address().to_string() + ":" + std::to_string(endpoint.port());
     }
 
 private:
@@ -118,6 +135,7 @@
     Connection::OnHead on_head_;
 };
 
+// An ephemeral port on address number `host` of 127.0.0.0/8.
 tcp::endpoint loopback(std::size_t host = 1) {
     return {asio::ip::address_v4(static_cast<std::uint32_t>(0x7f000000U + host)), 0};
 }
@@ -125,30 +143,32 @@
 // One run: servers, discovery and the client in this process, the sidecar in one of its own.
 class Run {
 public:
-    Run(const Day& day, std::string sidecar) : day_(day), sidecar_(std::move(sidecar)) {
+    Run(const Workload& workload, std::string program) : workload_(workload), program_(std::move(program)) {
         constexpr std::size_t kFirstHost = 0x010001;  // 127.1.0.1
-        for (std::size_t i = 0; i < day_.servers; ++i)
-            servers_.emplace_back(io_, loopback(kFirstHost + i), connections_,
-                                  [this](const auto& connection, const std::string&) { answer(connection); });
-        states_.assign(day_.servers, "active");
+        for (std::size_t i = 0; i < workload_.servers; ++i) {
+            servers_.emplace_back(
+                io_, loopback(kFirstHost + i), connections_,
+                [this](const auto& connection, const std::string&) { respond(connection); });
+        }
+        states_.assign(workload_.servers, "active");
         discovery_.emplace_back(
             io_, loopback(), calls_,
-            [this](const auto& connection, const std::string& head) { list(connection, head); });
+            [this](const auto& connection, const std::string& head) { respond_with_list(connection, head); });
     }
 
     Figures play() {
         start();
         await_ready();
         begin_ = Steady::now();
-        ask();
-        change();
-        heartbeat();
-        look();
-        const auto length = std::chrono::duration<double>(day_.seconds);
+        send_requests();
+        send_changes();
+        send_heartbeats();
+        measure_repeatedly();
+        const auto length = std::chrono::duration<double>(workload_.seconds);
         io_.run_until(begin_ + std::chrono::duration_cast<Steady::duration>(length));
-        asking_ = false;
+        sending_ = false;
         io_.run_for(std::chrono::seconds(2));
-        look();
+        measure_memory_and_descriptors();
         stop();
         figures_.connections = connections_;
         return figures_;
@@ -157,8 +177,8 @@
 private:
     // ---- Servers --------------------------------------------------------------------------------------
 
-    void answer(const std::shared_ptr<Connection>& connection) {
-        const auto timer = std::make_shared<asio::steady_timer>(io_, day_.answer_after);
+    void respond(const std::shared_ptr<Connection>& connection) {
+        const auto timer = std::make_shared<asio::steady_timer>(io_, workload_.response_time);
         timer->async_wait([timer, connection](Error) {
             connection->send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
         });
@@ -166,60 +186,64 @@
 
     // ---- Discovery ------------------------------------------------------------------------------------
 
-    Json target(std::size_t i) {
-        return {{"uid", fmt::format("s-{:08x}", i * 2654435761U & 0xffffffffU)},
-                {"endpoint", servers_[i].address()},
-                {"az", i % 3 == 0   ? "a"
-                       : i % 3 == 1 ? "b"
-                                    : "c"},
-                {"model", "m" + std::to_string(i % 4)},
-                {"pod_group", i % 7},
-                {"state", states_[i]},
+    // An entry of the endpoint list. Uids are spread as the platform's are, so that no order by uid is one by
+    // address.
+    Json target(std::size_t index) {
+        constexpr std::array<const char*, 3> kZones{"a", "b", "c"};
+        return {{"uid", fmt::format("s-{:08x}", index * 2654435761U & 0xffffffffU)},
+                {"endpoint", servers_[index].address()},
+                {"az", kZones[index % kZones.size()]},
+                {"model", "m" + std::to_string(index % 4)},
+                {"pod_group", index % 7},
+                {"state", states_[index]},
                 {"capacity_hint", 1.0},
                 {"boot_ms", 0}};
     }
-    std::string told(bool all, const Json& targets) {
-        return Json{{"rev", rev_}, {"all", all}, {"targets", targets}}.dump();
+    std::string list_of(const Json& targets, bool all) {
+        return Json{{"rev", revision_}, {"all", all}, {"targets", targets}}.dump();
     }
     std::string whole_list() {
         Json targets = Json::array();
-        for (std::size_t i = 0; i < day_.servers; ++i) targets.push_back(target(i));
-        return told(true, targets);
+        for (std::size_t i = 0; i < workload_.servers; ++i) targets.push_back(target(i));
+        return list_of(targets, true);
     }
-    void list(const std::shared_ptr<Connection>& connection, const std::string& head) {
+    // Begins a watch, or sends the whole list.
+    void respond_with_list(const std::shared_ptr<Connection>& connection, const std::string& head) {
         if (head.find("stream=1") != std::string::npos) {
             watch_ = connection;
-            return connection->send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+            connection->send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+            return;
         }
         const std::string body = whole_list();
         figures_.list_bytes += body.size();
         connection->send(fmt::format("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}", body.size(), body));
     }
-    void say(const std::string& line) {
+    void send_line(const std::string& line) {
         if (!watch_) return;
         figures_.list_bytes += line.size() + 1;
         watch_->send(fmt::format("{:x}\r\n{}\n\r\n", line.size() + 1, line));
     }
-    // One server drains, or one that did is back.
-    void change() {
-        const std::size_t i = random_() % day_.servers;
-        states_[i] = states_[i] == "active" ? "leaving" : "active";
-        ++rev_;
-        say(told(false, Json::array({target(i)})));
-        const double a_second = day_.changes * static_cast<double>(day_.servers);
-        after(1 / a_second, [this] { change(); });
+    // One server after another starts to drain, or is active again.
+    void send_changes() {
+        const std::size_t index = random_() % workload_.servers;
+        states_[index] = states_[index] == "active" ? "leaving" : "active";
+        ++revision_;
+        send_line(list_of(Json::array({target(index)}), false));
+        const double changes_per_second =
+            workload_.changes_per_server * static_cast<double>(workload_.servers);
+        after(1 / changes_per_second, [this] { send_changes(); });
     }
-    void heartbeat() {
-        say("");
-        after(2, [this] { heartbeat(); });
+    void send_heartbeats() {
+        send_line("");
+        after(2, [this] { send_heartbeats(); });
     }
 
     // ---- The client -----------------------------------------------------------------------------------
 
-    std::shared_ptr<Connection> free_connection() {
-        while (!free_.empty()) {
-            const auto connection = free_.front();
-            free_.pop_front();
+    std::shared_ptr<Connection> idle_connection() {
+        while (!idle_.empty()) {
+            const auto connection = idle_.front();
+            idle_.pop_front();
             if (connection->socket.is_open()) return connection;  // the sidecar closes what is idle for long
         }
         tcp::socket socket(io_);
@@ -227,29 +251,28 @@
         socket.set_option(tcp::no_delay(true));
         // The body is read with the next head; a head alone tells how the request went.
         const auto connection = std::make_shared<Connection>(
-            std::move(socket), [this](const std::shared_ptr<Connection>& c, const std::string& head) {
-                figures_.served += head.find("HTTP/1.1 200") != std::string::npos;
-                free_.push_back(c);
+            std::move(socket), [this](const std::shared_ptr<Connection>& responded, const std::string& head) {
+                const bool served = head.find("HTTP/1.1 200") != std::string::npos;
+                if (served) ++figures_.served;
+                idle_.push_back(responded);
             });
         connection->read();
         return connection;
     }
-    void ask() {
-        if (!asking_) return;
-        ++figures_.asked;
-        free_connection()->send(fmt::format(
+    void send_requests() {
+        if (!sending_) return;
+        ++figures_.requests;
+        idle_connection()->send(fmt::format(
             "GET /api HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: id-{}\r\nX-Service-Class: safe\r\n"
             "X-Time-Left: 1000m\r\n\r\n",
-            figures_.asked));
-        after(std::exponential_distribution<>(day_.rate)(random_), [this] { ask(); });
+            figures_.requests));
+        after(std::exponential_distribution<>(workload_.rate)(random_), [this] { send_requests(); });
     }
 
     // ---- The sidecar ----------------------------------------------------------------------------------
 
-    void start() {
-        // A free port that the sidecar takes over.
-        listen_ = tcp::acceptor(io_, loopback()).local_endpoint();
-        const Json safe = {
+    Json configuration() {
+        const Json idempotent = {
             {"name", "safe"}, {"effect", "repeatable"}, {"on-time-ms", 400}, {"give-up-ms", 1000}};
         Json config = {{"name", "sidecar"},
                        {"listen", "127.0.0.1:" + std::to_string(listen_.port())},
@@ -257,19 +280,28 @@
                        {"seed", "1f"},
                        {"limits", {{"sockets", 4096}}},
                        {"settings",
-                        {{"classes", Json::array({safe})},
+                        {{"classes", Json::array({idempotent})},
                          {"limits", {{"max-attempts", 4}, {"may-cancel", true}, {"idle-close-ms", 15000}}},
                          {"membership-mode", "pushed"},
-                         {"siblings", day_.sidecars}}}};
-        if (day_.known) config["known"] = Json::parse(whole_list());
+                         {"siblings", workload_.sidecars}}}};
+        if (workload_.list_in_configuration) config["known"] = Json::parse(whole_list());
+        return config;
+    }
+
+    void start() {
+        // A free port, which the sidecar takes over.
+        listen_ = tcp::acceptor(io_, loopback()).local_endpoint();
         file_ = std::filesystem::temp_directory_path() / fmt::format("fleet_size.{}.json", ::getpid());
-        std::ofstream(file_) << config.dump();
+        std::ofstream(file_) << configuration().dump();
         process_ = ::fork();
         if (process_ != 0) return;
-        // Not one of this process's descriptors: the sidecar's are counted.
-        for (int fd = 3; fd < 20000; ++fd) ::close(fd);
+        // The sidecar must not inherit this process's descriptors: its own are counted.
+        constexpr int kFirstInherited = 3;
+        constexpr int kMaxDescriptors = 20000;
+        for (int descriptor = kFirstInherited; descriptor < kMaxDescriptors; ++descriptor)
+            ::close(descriptor);
         ::setenv("RELAY_CONFIG", file_.c_str(), 1);
-        ::execl(sidecar_.c_str(), sidecar_.c_str(), static_cast<char*>(nullptr));
+        ::execl(program_.c_str(), program_.c_str(), static_cast<char*>(nullptr));
         ::_exit(127);
     }
     void await_ready() {
@@ -278,40 +310,47 @@
             Error error;
             socket.connect(listen_, error);
             if (!error) {
-                const auto up = std::make_shared<Connection>(
+                const auto probe = std::make_shared<Connection>(
                     std::move(socket), [&ready](const auto&, const std::string& head) {
                         ready = head.find(" 200 ") != std::string::npos;
                     });
-                up->read();
-                up->send("GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
+                probe->read();
+                probe->send("GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
                 io_.run_for(std::chrono::milliseconds(50));
-                up->socket.close(error);
+                probe->socket.close(error);
             }
             io_.run_for(std::chrono::milliseconds(20));
         }
     }
-    void look() {
+    void measure_repeatedly() {
+        measure_memory_and_descriptors();
+        after(0.5, [this] { measure_repeatedly(); });
+    }
+    void measure_memory_and_descriptors() {
         const std::string process = "/proc/" + std::to_string(process_);
-        const std::filesystem::directory_iterator files(process + "/fd"), end;
-        const auto open = static_cast<std::size_t>(std::distance(begin(files), end));
+        const std::filesystem::directory_iterator files(process + "/fd");
+        const auto open = static_cast<std::size_t>(std::distance(begin(files), end(files)));
         figures_.descriptors = std::max(figures_.descriptors, open);
         std::ifstream status(process + "/status");
-        for (std::string line; std::getline(status, line);)
-            if (line.starts_with("VmHWM:")) figures_.peak_memory_mb = std::stod(line.substr(6)) / 1024;
-        after(0.5, [this] { look(); });
+        const std::string peak_memory_kb = "VmHWM:";
+        for (std::string line; std::getline(status, line);) {
+            if (!line.starts_with(peak_memory_kb)) continue;
+            figures_.peak_memory_mb = std::stod(line.substr(peak_memory_kb.size())) / 1024;
+        }
     }
     void stop() {
         ::kill(process_, SIGTERM);
         rusage used{};
         int status = 0;
         while (::wait4(process_, &status, WNOHANG, &used) == 0) io_.run_for(std::chrono::milliseconds(10));
-        const auto seconds = [](const timeval& t) {
-            return static_cast<double>(t.tv_sec) + static_cast<double>(t.tv_usec) / 1e6;
+        const auto seconds = [](const timeval& time) {
+            return static_cast<double>(time.tv_sec) + static_cast<double>(time.tv_usec) / 1e6;
         };
         figures_.processor_seconds = seconds(used.ru_utime) + seconds(used.ru_stime);
         std::filesystem::remove(file_);
     }
 
+    // Calls `then` on the event loop once.
     void after(double seconds, std::function<void()> then) {
         const auto timer = std::make_shared<asio::steady_timer>(io_);
         timer->expires_after(
@@ -319,70 +358,82 @@
         timer->async_wait([timer, then = std::move(then)](Error) { then(); });
     }
 
-    const Day day_;
-    const std::string sidecar_;
+    const Workload workload_;
+    const std::string program_;
     asio::io_context io_{1};
-    std::uint64_t connections_ = 0, calls_ = 0, rev_ = 1;
-    std::deque<Acceptor> servers_, discovery_;
+    std::uint64_t connections_ = 0;  // from the sidecar to servers
+    std::uint64_t calls_ = 0;        // from the sidecar to discovery
+    std::uint64_t revision_ = 1;     // of the endpoint list
+    std::deque<Acceptor> servers_;
+    std::deque<Acceptor> discovery_;
     std::vector<std::string> states_;
     std::shared_ptr<Connection> watch_;
-    std::deque<std::shared_ptr<Connection>> free_;
+    std::deque<std::shared_ptr<Connection>> idle_;  // the client's
     tcp::endpoint listen_;
     std::filesystem::path file_;
     pid_t process_ = 0;
     Steady::time_point begin_;
-    bool asking_ = true;
+    bool sending_ = true;
     std::mt19937_64 random_{1};
     Figures figures_;
 };
 
-// The operators' limits on the growth from `usual`.
-void print(const Figures& usual, const Figures& f, const Day& day) {
-    const double thousands = static_cast<double>(day.servers) / 1000;
-    const auto row = [&](const char* what, double value, double most, bool least = false) {
-        const bool within = least ? value >= most : value <= most;
-        fmt::print("| {} | {} | {} | {:.3f} | {:.3f} | {} |\n", day.servers, day.sidecars, what, value, most,
-                   within ? "within" : "NOT within");
+// Prints each figure beside the operators' limit on its growth from the `usual` fleet.
+void print(const Figures& usual, const Figures& figures, const Workload& workload) {
+    const double thousands = static_cast<double>(workload.servers) / 1000;
+    const auto print_row = [&](const char* name, double value, double limit, bool within) {
+        fmt::print("| {} | {} | {} | {:.3f} | {:.3f} | {} |\n", workload.servers, workload.sidecars, name,
+                   value, limit, within ? "within" : "NOT within");
+    };
+    const auto at_most = [&](const char* name, double value, double limit) {
+        print_row(name, value, limit, value <= limit);
     };
-    row("CPU seconds", f.processor_seconds, 1.4 * usual.processor_seconds + 0.02 + 0.03 * thousands);
-    row("peak memory, MB", f.peak_memory_mb, 1.5 * usual.peak_memory_mb + 8 + 4 * thousands);
-    row("descriptors", static_cast<double>(f.descriptors), 2.0 * static_cast<double>(usual.descriptors) + 40);
-    row("connections to servers", static_cast<double>(f.connections),
-        2.5 * static_cast<double>(usual.connections) + 40);
-    row("bytes of lists, KB", static_cast<double>(f.list_bytes) / 1000,
-        2 * static_cast<double>(usual.list_bytes) / 1000 + 64 + 500 * thousands);
-    row("share served", f.share_served(), 0.85 * usual.share_served(), true);
+    const auto at_least = [&](const char* name, double value, double limit) {
+        print_row(name, value, limit, value >= limit);
+    };
+    at_most("CPU seconds", figures.processor_seconds,
+            1.4 * usual.processor_seconds + 0.02 + 0.03 * thousands);
+    at_most("peak memory, MB", figures.peak_memory_mb, 1.5 * usual.peak_memory_mb + 8 + 4 * thousands);
+    at_most("descriptors", static_cast<double>(figures.descriptors),
+            2.0 * static_cast<double>(usual.descriptors) + 40);
+    at_most("connections to servers", static_cast<double>(figures.connections),
+            2.5 * static_cast<double>(usual.connections) + 40);
+    at_most("bytes of lists, KB", static_cast<double>(figures.list_bytes) / 1000,
+            2 * static_cast<double>(usual.list_bytes) / 1000 + 64 + 500 * thousands);
+    at_least("share served", figures.share_served(), 0.85 * usual.share_served());
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-    Day usual;
-    std::string sidecar = "build/elmbay";
+    Workload usual;
+    std::string program = "build/elmbay";
     std::vector<std::size_t> sizes{200, 1000, 3200};
-    std::vector<std::uint32_t> fleets{300, 900};
+    std::vector<std::uint32_t> sidecar_counts{300, 900};
     CLI::App app("what a sidecar costs by the size of the fleet");
-    app.add_option("--sidecar", sidecar, "the program")->capture_default_str();
+    app.add_option("--sidecar", program, "the program")->capture_default_str();
     app.add_option("--seconds", usual.seconds, "length of each run")->capture_default_str();
     app.add_option("--rate", usual.rate, "requests a second")->capture_default_str();
-    app.add_option("--changes", usual.changes, "of the fleet that the list tells of in a second")
+    app.add_option("--changes", usual.changes_per_server, "of the fleet that the list tells of in a second")
         ->capture_default_str();
-    app.add_flag("--known", usual.known, "the configuration has the whole list");
+    app.add_flag("--known", usual.list_in_configuration, "the configuration has the whole list");
     app.add_option("--servers", sizes, "sizes; the first is the usual one");
-    app.add_option("--sidecars", fleets, "numbers that the sidecar is told; the first is the usual one");
+    app.add_option("--sidecars", sidecar_counts,
+                   "numbers that the sidecar is told; the first is the usual one");
     CLI11_PARSE(app, argc, argv);
     fmt::print(
-        "| servers | sidecars | what | measured | at most (share: at least) | "
-        "|\n|---|---|---|---|---|---|\n");
-    std::optional<Figures> base;
-    for (const std::uint32_t sidecars : fleets)
+        "| servers | sidecars | what | measured | at most (share: at least) | |\n"
+        "|---|---|---|---|---|---|\n");
+    std::optional<Figures> usual_figures;
+    for (const std::uint32_t sidecars : sidecar_counts) {
         for (const std::size_t servers : sizes) {
-            Day day = usual;
-            day.servers = servers;
-            day.sidecars = sidecars;
-            const Figures figures = Run(day, sidecar).play();
-            if (!base) base = figures;
-            print(*base, figures, day);
+            Workload workload = usual;
+            workload.servers = servers;
+            workload.sidecars = sidecars;
+            const Figures figures = Run(workload, program).play();
+            if (!usual_figures) usual_figures = figures;
+            print(*usual_figures, figures, workload);
             std::fflush(stdout);
         }
+    }
 }
--- a/bench/state_cost.cpp
+++ b/bench/state_cost.cpp
@@ -1,12 +1,17 @@
-// What keeping state costs: microseconds on the event loop and bytes written an hour by size of the fleet,
-// and the time of requests beside a disk on which every operation takes 100 ms, against the same without a
-// writer.
+// What keeping state costs: microseconds on the event loop and bytes written an hour, by the size of the
+// fleet, and the time of requests beside a disk on which every operation takes 100 ms, against the same
+// without a writer.
 #include <algorithm>
 #include <chrono>
 #include <cstdio>
+#include <cstdlib>
 #include <filesystem>
+#include <memory>
 #include <random>
+#include <string>
 #include <thread>
+#include <variant>
+#include <vector>
 
 #include "state/faulty_file_system.hpp"
 #include "state/snapshot_writer.hpp"
@@ -19,131 +24,197 @@
 using namespace elmbay::balancer;
 using Steady = std::chrono::steady_clock;
 
-double micros(Steady::duration d) { return std::chrono::duration<double, std::micro>(d).count(); }
-double share(std::vector<double> v, double q) {
-    std::sort(v.begin(), v.end());
-    return v[static_cast<std::size_t>(q * static_cast<double>(v.size() - 1))];
+double microseconds(Steady::duration duration) {
+    return std::chrono::duration<double, std::micro>(duration).count();
 }
 
-// An hour of 250 requests a second, one in a hundred failing, looked at every 2 s.
-void an_hour(ServerId servers) {
-    Settings settings;
-    settings.classes.emplace_back();
-    Balancer balancer(settings, 1);
-    std::vector<Action> actions;
-    ServerList list;
-    for (ServerId id = 1; id <= servers; ++id)
-        list.servers.push_back({id, 0, 0, 0, EndpointState::active, 0});
-    Millis now = 1e9;
-    balancer.handle(now, list, actions);
-    std::mt19937_64 random(1);
+double quantile(std::vector<double> values, double fraction) {
+    std::sort(values.begin(), values.end());
+    return values[static_cast<std::size_t>(fraction * static_cast<double>(values.size() - 1))];
+}
+
+// ---- The event loop and the bytes written -----------------------------------------------------------------
+
+constexpr double kMillisPerRequest = 4;  // 250 requests a second
+constexpr RequestId kRequestsPerHour = 900000;
+constexpr RequestId kRequestsPerSnapshot = 500;    // a snapshot every 2 s
+constexpr RequestId kRequestsPerFullSave = 15000;  // written every minute, also if little has changed
+constexpr std::uint32_t kMaxAttempts = 3;
+
+// A balancer that serves requests in virtual time. One attempt in a hundred fails.
+class SimulatedTraffic {
+public:
+    explicit SimulatedTraffic(ServerId servers) : balancer_(settings(), 1) {
+        ServerList list;
+        for (ServerId id = 1; id <= servers; ++id) {
+            list.servers.push_back({id, 0, 0, 0, EndpointState::active, 0});
+        }
+        balancer_.handle(now_, list, actions_);
+    }
+
+    void serve(RequestId id) {
+        now_ += kMillisPerRequest;
+        actions_.clear();
+        balancer_.handle(now_, RequestArrived{id, 0, {}, 1000}, actions_);
+        for (std::uint32_t attempt = 0; attempt < kMaxAttempts && attempt_started(); ++attempt) {
+            actions_.clear();
+            const bool failed = random_() % 100 == 0;
+            const Outcome outcome = failed ? Outcome::error_response : Outcome::success;
+            balancer_.handle(now_, AttemptEnded{id, attempt, outcome, 20, !failed}, actions_);
+        }
+    }
+
+    // What has been learned so far. The servers are still named by their numbers.
+    state::Snapshot snapshot() const {
+        return {"n-1", {static_cast<std::int64_t>(now_), 0, {}}, balancer_.learned_state(now_), {}};
+    }
+
+private:
+    static Settings settings() {
+        Settings settings;
+        settings.classes.emplace_back();
+        return settings;
+    }
+
+    bool attempt_started() const {
+        return std::any_of(actions_.begin(), actions_.end(),
+                           [](const Action& action) { return std::holds_alternative<StartAttempt>(action); });
+    }
+
+    Balancer balancer_;
+    std::vector<Action> actions_;
+    Millis now_ = 1e9;
+    std::mt19937_64 random_{1};
+};
+
+// Names the servers by uids, as snapshots do.
+void name_servers(state::Snapshot& snapshot) {
+    for (LearnedServerState& server : snapshot.learned_state.servers) {
+        snapshot.uids.push_back("s-" + std::to_string(server.server));
+        server.server = static_cast<std::uint32_t>(snapshot.uids.size() - 1);
+    }
+}
+
+void measure_an_hour(ServerId servers) {
+    SimulatedTraffic traffic(servers);
     state::test::FaultyFileSystem files;
     state::SnapshotStore store(files, "state", "n-1");
     store.open();
-    std::vector<double> took;
+    std::vector<double> snapshot_times;
     std::uint64_t generations = 0;
-    for (RequestId id = 1; id <= 900000; ++id) {
-        now += 4;
-        actions.clear();
-        balancer.handle(now, RequestArrived{id, 0, {}, 1000}, actions);
-        const auto fails = [&] { return random() % 100 == 0; };
-        for (std::uint32_t attempt = 0; attempt < 3; ++attempt) {
-            bool sent = false;
-            for (const Action& a : actions) sent = sent || std::holds_alternative<StartAttempt>(a);
-            if (!sent) break;
-            actions.clear();
-            const bool failed = fails();
-            balancer.handle(
-                now,
-                AttemptEnded{id, attempt, failed ? Outcome::error_response : Outcome::success, 20, !failed},
-                actions);
-        }
-        if (id % 500 != 0) continue;
-        const auto from = Steady::now();
-        state::Snapshot snapshot{
-            "n-1", {static_cast<std::int64_t>(now), 0, {}}, balancer.learned_state(now), {}};
-        took.push_back(micros(Steady::now() - from));
-        for (LearnedServerState& s : snapshot.learned_state.servers) {
-            snapshot.uids.push_back("s-" + std::to_string(s.server));
-            s.server = static_cast<std::uint32_t>(snapshot.uids.size() - 1);
-        }
-        if (store.save(snapshot, id % 15000 == 0 ? state::SaveMode::always : state::SaveMode::if_changed))
+    for (RequestId id = 1; id <= kRequestsPerHour; ++id) {
+        traffic.serve(id);
+        if (id % kRequestsPerSnapshot != 0) continue;
+        const Steady::time_point begin = Steady::now();
+        state::Snapshot snapshot = traffic.snapshot();
+        snapshot_times.push_back(microseconds(Steady::now() - begin));
+        name_servers(snapshot);
+        const bool full_save = id % kRequestsPerFullSave == 0;
+        if (store.save(snapshot, full_save ? state::SaveMode::always : state::SaveMode::if_changed)) {
             std::exit(1);
+        }
         generations = store.generation();
     }
     std::printf(
         "%5u servers: knowledge taken in %.1f us (p99 %.1f); %.2f MB written an hour, %llu generations\n",
-        servers, share(took, 0.5), share(took, 0.99), static_cast<double>(store.bytes_written()) / 1e6,
-        static_cast<unsigned long long>(generations));
+        servers, quantile(snapshot_times, 0.5), quantile(snapshot_times, 0.99),
+        static_cast<double>(store.bytes_written()) / 1e6, static_cast<unsigned long long>(generations));
 }
 
+// ---- Requests beside a slow disk --------------------------------------------------------------------------
+
 class SlowFileSystem : public state::test::FaultyFileSystem {
 public:
     std::size_t write(Handle file, std::string_view bytes, std::error_code& error) override {
-        slow();
+        delay();
         return FaultyFileSystem::write(file, bytes, error);
     }
     void sync(Handle file, std::error_code& error) override {
-        slow();
+        delay();
         FaultyFileSystem::sync(file, error);
     }
 
 private:
-    static void slow() { std::this_thread::sleep_for(std::chrono::milliseconds(100)); }
+    static void delay() { std::this_thread::sleep_for(std::chrono::milliseconds(100)); }
 };
 
-// Requests one after another through one sidecar and one server, all in this thread; the writer is the other.
-void beside_a_slow_disk() {
-    test::SidecarFixture rig;
-    rig.start();
+// Requests one after another through one sidecar and one server, all on this thread.
+class SequentialRequests {
+public:
+    SequentialRequests() {
+        fixture_.start();
+        client_ = fixture_.client();
+    }
+
+    // Returns the time that one request takes, in microseconds.
+    double serve() {
+        const Steady::time_point begin = Steady::now();
+        client_->send(test::SidecarFixture::request("safe"));
+        client_->got.clear();
+        fixture_.until([&] {
+            fixture_.servers.front().respond_to_all();
+            return client_->got.find("answer") != std::string::npos;
+        });
+        return microseconds(Steady::now() - begin);
+    }
+
+    state::Snapshot snapshot() const {
+        state::Snapshot snapshot = fixture_.sidecar->snapshot();
+        snapshot.taken = state::current_timestamp();
+        return snapshot;
+    }
+
+    // Drops what the server has received. Counting its requests takes time in proportion to it.
+    void forget_received() {
+        for (const auto& peer : fixture_.servers.front().peers) {
+            peer->got.clear();
+            peer->answered = 0;
+        }
+    }
+
+private:
+    test::SidecarFixture fixture_;
+    std::shared_ptr<test::Peer> client_;
+};
+
+// Blocks of requests with and without a writer in turn, so that both see the same state of the machine.
+void measure_beside_slow_disk() {
+    constexpr int kWarmUpRequests = 500;
+    constexpr int kBlocks = 40;
+    constexpr int kRequestsPerBlock = 250;
+    constexpr int kRequestsPerSave = 25;
+    SequentialRequests requests;
     SlowFileSystem files;
     state::SnapshotWriter writer(files, "state", "n-1");
     writer.start();
-    const auto client = rig.client();
-    test::FakeServer& server = rig.servers.front();
-    std::size_t asked = 0;
-    const auto ask = [&] {
-        const auto from = Steady::now();
-        client->send(test::SidecarFixture::request("safe"));
-        client->got.clear();
-        ++asked;
-        rig.until([&] {
-            for (const auto& peer : server.peers)
-                while (peer->answered < peer->requests()) {
-                    ++peer->answered;
-                    peer->respond("200 OK", "answer");
-                }
-            return client->got.find("answer") != std::string::npos;
-        });
-        return micros(Steady::now() - from);
-    };
-    for (int i = 0; i < 500; ++i) ask();
-    std::vector<double> with, without;
-    for (int block = 0; block < 40; ++block) {
-        std::vector<double>& into = block % 2 ? with : without;
-        for (int i = 0; i < 250; ++i) {
-            if (block % 2 && i % 25 == 0) {
-                auto snapshot = rig.sidecar->snapshot();
-                snapshot.taken = state::current_timestamp();
-                writer.post(std::move(snapshot));
-            }
-            into.push_back(ask());
+    for (int i = 0; i < kWarmUpRequests; ++i) requests.serve();
+    std::vector<double> times_with_writer;
+    std::vector<double> times_without_writer;
+    for (int block = 0; block < kBlocks; ++block) {
+        const bool with_writer = block % 2 == 1;
+        std::vector<double>& times = with_writer ? times_with_writer : times_without_writer;
+        for (int i = 0; i < kRequestsPerBlock; ++i) {
+            if (with_writer && i % kRequestsPerSave == 0) writer.post(requests.snapshot());
+            times.push_back(requests.serve());
         }
-        for (const auto& peer : server.peers) peer->got.clear(), peer->answered = 0;
+        requests.forget_received();
     }
     const auto status = writer.status();
     std::printf("requests beside a writer on a slow disk (%llu saves, %llu replaced) against without:\n",
                 static_cast<unsigned long long>(status.saves),
                 static_cast<unsigned long long>(status.superseded));
-    for (const double q : {0.5, 0.9, 0.99})
-        std::printf("  p%-3.0f %.0f us against %.0f us: ratio %.2f\n", q * 100, share(with, q),
-                    share(without, q), share(with, q) / share(without, q));
+    for (const double fraction : {0.5, 0.9, 0.99}) {
+        const double with_writer = quantile(times_with_writer, fraction);
+        const double without_writer = quantile(times_without_writer, fraction);
+        std::printf("  p%-3.0f %.0f us against %.0f us: ratio %.2f\n", fraction * 100, with_writer,
+                    without_writer, with_writer / without_writer);
+    }
     writer.stop(std::chrono::seconds(5));
 }
 
 }  // namespace
 
 int main() {
-    for (const ServerId servers : {12U, 200U, 2000U}) an_hour(servers);
-    beside_a_slow_disk();
+    for (const ServerId servers : {12U, 200U, 2000U}) measure_an_hour(servers);
+    measure_beside_slow_disk();
 }
