--- a/tests/net/response_reader_test.cpp
+++ b/tests/net/response_reader_test.cpp
@@ -35,26 +35,26 @@
 // Each of these is corrupt, or can't be told from one that is. The attempt fails at the first byte that shows
 // it, without waiting for the deadline, and nothing of it goes to the client.
 TEST(ResponseReader, FailsAttemptAtOnceOnMalformedResponse) {
-    const std::string ok = "HTTP/1.1 200 OK\r\n";
-    const std::string chunked = ok + "Transfer-Encoding: chunked\r\n\r\n";
+    const std::string status_line = "HTTP/1.1 200 OK\r\n";
+    const std::string chunked = status_line + "Transfer-Encoding: chunked\r\n\r\n";
     const std::vector<std::string> malformed_responses{
         "\x89\x8f\x06 noise \xa2\r\n\r\n",
         "ICY 200 OK\r\nContent-Length: 4\r\n\r\nbody",
         "HTTP/1.1 2x0 OK\r\nContent-Length: 4\r\n\r\nbody",
-        ok + "no colon here\r\nContent-Length: 4\r\n\r\nbody",
-        ok + "Content-Length: -1\r\nContent-Length: 4\r\n\r\nbody",
-        ok + "Content-Length: 4\r\nContent-Length: 4\r\n\r\nbody",
-        ok + "Content-Length: 2\r\nContent-Length: 4\r\n\r\nbody",
-        ok + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\nbody",
-        ok + "Transfer-Encoding: identity\r\nContent-Length: 4\r\n\r\nbody",
+        status_line + "no colon here\r\nContent-Length: 4\r\n\r\nbody",
+        status_line + "Content-Length: -1\r\nContent-Length: 4\r\n\r\nbody",
+        status_line + "Content-Length: 4\r\nContent-Length: 4\r\n\r\nbody",
+        status_line + "Content-Length: 2\r\nContent-Length: 4\r\n\r\nbody",
+        status_line + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\nbody",
+        status_line + "Transfer-Encoding: identity\r\nContent-Length: 4\r\n\r\nbody",
         chunked + "4\r\nbody\r\nzz\r\nbody\r\n0\r\n\r\n",
         chunked + std::string(200000, '1'),
         chunked + "4\r\nbody\r\n0\r\n" + std::string(200000, 'x'),
-        ok + "X-Pad: " + std::string(200000, 'p'),
-        ok + "Content-Length: 3000000000\r\n\r\nbody",
-        ok + "Content-Length: 2\r\n\r\nbody",
-        ok + "Content-Length: 2\r\n\r\nboHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
-        "HTTP/1.1 101 Switching Protocols\r\n\r\n" + ok + "Content-Length: 4\r\n\r\nbody",
+        status_line + "X-Pad: " + std::string(200000, 'p'),
+        status_line + "Content-Length: 3000000000\r\n\r\nbody",
+        status_line + "Content-Length: 2\r\n\r\nbody",
+        status_line + "Content-Length: 2\r\n\r\nboHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
+        "HTTP/1.1 101 Switching Protocols\r\n\r\n" + status_line + "Content-Length: 4\r\n\r\nbody",
     };
     for (const std::string& malformed : malformed_responses) {
         SCOPED_TRACE(malformed.substr(0, 120));
@@ -171,13 +171,13 @@
 }
 
 TEST(ResponseReader, TreatsConnectionEndWithinFramingAsFailure) {
-    const std::string ok = "HTTP/1.1 200 OK\r\n";
-    const std::string chunked = ok + "Transfer-Encoding: chunked\r\n\r\n";
+    const std::string status_line = "HTTP/1.1 200 OK\r\n";
+    const std::string chunked = status_line + "Transfer-Encoding: chunked\r\n\r\n";
     const std::vector<std::string> truncated_responses{
         "HTTP/1.1 20",
-        ok,
-        ok + "Content-Length: 1",
-        ok + "Content-Length: 6\r\n\r\nhalf",
+        status_line,
+        status_line + "Content-Length: 1",
+        status_line + "Content-Length: 6\r\n\r\nhalf",
         chunked,
         chunked + "1",
         chunked + "4\r\nbo",
--- a/tests/net/upstream_test.cpp
+++ b/tests/net/upstream_test.cpp
@@ -95,7 +95,7 @@
     ASSERT_TRUE(fixture.until([&] { return fixture.server.requests() != 0; }));
     bool window_over = false;
     fixture.timers.set(fixture.clock.now() + 1100, [&] { window_over = true; });
-    while (!window_over) fixture.io.run_one_for(kPatience);
+    while (!window_over) fixture.io.run_one_for(kWaitLimit);
     EXPECT_TRUE(fixture.outcomes.empty());
     fixture.server.last().respond("200 OK", "answer");
     fixture.run_until_ended();
--- a/tests/support/event_loop.hpp
+++ b/tests/support/event_loop.hpp
@@ -10,7 +10,7 @@
 namespace elmbay::test {
 
 /// How long a test waits for what must happen. Far beyond what a busy machine needs: no test measures speed.
-constexpr std::chrono::seconds kPatience{60};
+constexpr std::chrono::seconds kWaitLimit{60};
 
 /// Holds the event loop up until `time`, as for a process that gets no core. Everything that becomes due or
 /// readable meanwhile is there in the loop's next turn.
@@ -18,10 +18,10 @@
     while (clock.now() < time) std::this_thread::sleep_for(std::chrono::milliseconds(1));
 }
 
-/// Runs handlers until `happened` is true or kPatience has passed. Returns whether it happened.
+/// Runs handlers until `happened` is true or kWaitLimit has passed. Returns whether it happened.
 template <class Condition>
 bool run_until(boost::asio::io_context& io, Condition happened) {
-    const auto limit = std::chrono::steady_clock::now() + kPatience;
+    const auto limit = std::chrono::steady_clock::now() + kWaitLimit;
     while (!happened()) {
         if (std::chrono::steady_clock::now() > limit) return false;
         io.run_one_for(std::chrono::milliseconds(100));
--- a/tests/support/sidecar_fixture.hpp
+++ b/tests/support/sidecar_fixture.hpp
@@ -112,7 +112,7 @@
     /// Reloads the sidecar's configuration from `config`.
     void reload() { sidecar->reload(parse_config(config.dump())); }
 
-    /// Runs the event loop until `happened` is true. Returns false if it has not happened after kPatience.
+    /// Runs the event loop until `happened` is true. Returns false if it has not happened after kWaitLimit.
     template <class Condition>
     bool until(Condition happened) {
         return run_until(io, happened);
--- a/tests/support/upstream_fixture.hpp
+++ b/tests/support/upstream_fixture.hpp
@@ -56,11 +56,11 @@
 
     /// Runs the event loop until an attempt has ended.
     void run_until_ended() {
-        while (outcomes.empty() && io.run_one_for(kPatience) > 0) {
+        while (outcomes.empty() && io.run_one_for(kWaitLimit) > 0) {
         }
     }
 
-    /// Runs the event loop until `happened` is true. Returns false if it has not happened after kPatience.
+    /// Runs the event loop until `happened` is true. Returns false if it has not happened after kWaitLimit.
     template <class Condition>
     bool until(Condition happened) {
         return run_until(io, happened);
