--- a/tests/end_to_end/retry_test.cpp
+++ b/tests/end_to_end/retry_test.cpp
@@ -3,6 +3,7 @@
 
 #include <chrono>
 #include <string>
+#include <vector>
 
 #include "support/sidecar_fixture.hpp"
 
@@ -17,7 +18,7 @@
 // A non-idempotent request fails after an outcome that may have run it. It is sent again after one that
 // proves that it never ran: a 503 or 504 with X-Unprocessed.
 TEST(Retry, RetriesNonIdempotentRequestOnlyWhenMarkedUnprocessed) {
-    const ServerReaction reactions[] = {
+    const std::vector<ServerReaction> reactions{
         {"HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", false},
         {"HTTP/1.1 504 Over\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", false},
         {"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", true},
--- a/tests/net/listener_test.cpp
+++ b/tests/net/listener_test.cpp
@@ -60,6 +60,7 @@
     fixture.start();
     const std::string request = SidecarFixture::request("unsafe");
     std::vector<std::shared_ptr<Peer>> clients;
+    clients.reserve(4);
     for (int i = 0; i < 3; ++i) clients.push_back(fixture.served_client());
     const auto rejected = fixture.client();
     rejected->send("GET /elsewhere HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -110,8 +111,8 @@
 
 // ---- Requests that come as a limit expires ----------------------------------------------------------------
 
-constexpr Millis kIdleTimeout = 2000;     // Listener's kIdle
-constexpr Millis kRequestTimeout = 2500;  // Listener's kStalled
+constexpr Millis kIdleTimeout = 2000;     // ClientConnection::kIdleTimeout
+constexpr Millis kRequestTimeout = 2500;  // ClientConnection::kRequestReadTimeout
 
 // Runs `act` as a timer that the sidecar has set just now for `span` expires, ahead of that timer's handler.
 // Both are due when the loop runs again, the test's first, and the loop collects in one turn all that is due.
--- a/tests/net/request_validation_test.cpp
+++ b/tests/net/request_validation_test.cpp
@@ -95,8 +95,9 @@
         SidecarFixture fixture;
         fixture.start();
         const auto client = fixture.client();
-        client->send(raw_request("POST", "X-Correlation-Id: 1\r\n" + kNonIdempotentHeaders + framing,
-                                 "0\r\n\r\n" + smuggled));
+        std::string headers = "X-Correlation-Id: 1\r\n" + kNonIdempotentHeaders;
+        headers += framing;
+        client->send(raw_request("POST", headers, "0\r\n\r\n" + smuggled));
         ASSERT_TRUE(fixture.until([&] { return client->closed; })) << framing;
         EXPECT_EQ(status_of(*client).substr(0, 10), "HTTP/1.1 4") << framing;
         EXPECT_EQ(client->got.find("HTTP/1.1", 1), std::string::npos) << "one response: " << framing;
--- a/tests/net/socket_limit_test.cpp
+++ b/tests/net/socket_limit_test.cpp
@@ -99,8 +99,10 @@
         ASSERT_TRUE(fixture.until([&] { return client->got.find("answer") != std::string::npos; }));
     };
     expect_served(kept);
+    constexpr std::size_t kSilentClients = 100;
     std::vector<std::shared_ptr<Peer>> silent;
-    for (int i = 0; i < 100; ++i) silent.push_back(fixture.client());
+    silent.reserve(kSilentClients);
+    for (std::size_t i = 0; i < kSilentClients; ++i) silent.push_back(fixture.client());
     expect_served(fixture.client());
     expect_served(kept);
     EXPECT_FALSE(kept->closed);
--- a/tests/support/sidecar_fixture.hpp
+++ b/tests/support/sidecar_fixture.hpp
@@ -8,12 +8,12 @@
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/steady_timer.hpp>
 #include <chrono>
-#include <cstdio>
 #include <functional>
 #include <list>
 #include <memory>
 #include <nlohmann/json.hpp>
 #include <optional>
+#include <sstream>
 #include <string>
 #include <utility>
 #include <vector>
@@ -95,9 +95,9 @@
 
     /// Discovery sends one chunk of the watch.
     void chunk(const std::string& text) {
-        char size_line[16];
-        std::snprintf(size_line, sizeof size_line, "%zx\r\n", text.size());
-        discovery.last().send(size_line + text + "\r\n");
+        std::ostringstream message;
+        message << std::hex << text.size() << "\r\n" << text << "\r\n";
+        discovery.last().send(message.str());
     }
 
     // ---- The sidecar --------------------------------------------------------------------------------------
--- a/tests/syscall_faults/faults.cpp
+++ b/tests/syscall_faults/faults.cpp
@@ -267,6 +267,9 @@
 
 extern "C" {
 
+// NOLINTBEGIN(readability-inconsistent-declaration-parameter-name): the C library declares them with reserved
+// names.
+
 int listen(int fd, int backlog) noexcept {
     static auto* const next = faults::real<int(int, int)>("listen");
     faults::active = true;
@@ -409,4 +412,6 @@
     return next(descriptors, count, timeout);
 }
 
+// NOLINTEND(readability-inconsistent-declaration-parameter-name)
+
 }  // extern "C"
--- a/tests/syscall_faults/fleet_faults_test.cpp
+++ b/tests/syscall_faults/fleet_faults_test.cpp
@@ -27,7 +27,7 @@
     explicit Faults(const std::string& specification)
         : specification_(specification),
           counts_(std::filesystem::temp_directory_path() /
-                  ("syscall-faults-" + std::to_string(::getpid()) + "-" + std::to_string(next_++))) {}
+                  ("syscall-faults-" + std::to_string(::getpid()) + "-" + std::to_string(instances++))) {}
     ~Faults() {
         std::error_code ignored;
         std::filesystem::remove(counts_, ignored);
@@ -50,7 +50,7 @@
     }
 
 private:
-    static inline int next_ = 0;
+    static inline int instances = 0;
     const std::string specification_;
     const std::filesystem::path counts_;
 };
@@ -134,7 +134,7 @@
     std::cout << GetParam().name << ": " << summary(testbed) << ", faults " << faults.struck(0) << std::endl;
 }
 
-const Case kCases[] = {
+const std::vector<Case> kCases{
     {"ShortWrites", "seed=1 send:SHORT=0.25", true},
     {"ShortReads", "seed=2 recv:SHORT=0.25", true},
     {"InterruptedReads", "seed=3 recv:EINTR=0.25", true},
--- a/tests/syscall_faults/stream_socket_test.cpp
+++ b/tests/syscall_faults/stream_socket_test.cpp
@@ -3,6 +3,7 @@
 
 #include <gtest/gtest.h>
 
+#include <array>
 #include <boost/asio/read.hpp>
 #include <boost/asio/write.hpp>
 #include <chrono>
@@ -138,7 +139,7 @@
     EXPECT_FALSE(error);
     asio::write(accepted, asio::buffer("back", 4));
     ASSERT_TRUE(until([&] { return opened.available() == 4; }));
-    char got[8];
+    std::array<char, 8> got{};
     EXPECT_EQ(opened.read_some(asio::buffer(got), error), 4U);
     EXPECT_FALSE(error) << error.message();
     EXPECT_EQ(syscall_faults::failed(0), 3U);
@@ -152,7 +153,7 @@
     syscall_faults::configure("recv@out:EINTR=1 send@out:EINTR=1");
     asio::write(accepted, asio::buffer("back", 4));
     Error error;
-    char got[8];
+    std::array<char, 8> got{};
     EXPECT_EQ(opened.read_some(asio::buffer(got), error), 0U);
     EXPECT_EQ(error, asio::error::would_block);
     EXPECT_EQ(opened.write_some(asio::buffer("there", 5), error), 0U);
@@ -169,7 +170,7 @@
     ASSERT_TRUE(until([&] { return opened.available() == 1; }));
     syscall_faults::configure("recv@out:EINTR=x3");
     EXPECT_EQ(state_of(socket), SocketState::readable);
-    char byte;
+    char byte = 0;
     opened.read_some(asio::buffer(&byte, 1));
 
     accepted.shutdown(tcp::socket::shutdown_send);
