--- a/src/status/members_command.cpp
+++ b/src/status/members_command.cpp
@@ -13,9 +13,10 @@
 
 namespace {
 
-constexpr std::size_t kMaxStatusBytes = 64 << 20;  // far above what thousands of members and servers take
+// Far more than the status of thousands of members and servers takes.
+constexpr std::size_t kMaxStatusBytes = 64U << 20U;
 
-std::string seconds(const nlohmann::json& value) {
+std::string seconds_or_never(const nlohmann::json& value) {
     return value.is_number() ? fmt::format("{:.1f}s", value.get<double>()) : "never";
 }
 
@@ -68,14 +69,14 @@
         const bool self = member.at("number") == cluster.at("self");
         const bool differs =
             !self && member.at("state") == "alive" && member.at("view") != cluster.at("view");
-        table +=
-            fmt::format("{:>7}  {:<9}{:>10}{:>10}  {:<8}{:>7}{:>12}{:>8}s{}{}\n",
-                        member.at("number").get<unsigned>(), member.at("state").get<std::string>(),
-                        seconds(member.at("since_s")), self ? "itself" : seconds(member.at("heard_s")),
-                        self ? cluster.at("view").get<std::string>() : member.at("view").get<std::string>(),
-                        member.at("hears").get<unsigned>(), member.at("incarnation").get<unsigned>(),
-                        member.at("uptime_s").get<unsigned>(),
-                        member.at("by_way").get<bool>() ? "  by way of others" : "", differs ? "  *" : "");
+        table += fmt::format(
+            "{:>7}  {:<9}{:>10}{:>10}  {:<8}{:>7}{:>12}{:>8}s{}{}\n", member.at("number").get<unsigned>(),
+            member.at("state").get<std::string>(), seconds_or_never(member.at("since_s")),
+            self ? "itself" : seconds_or_never(member.at("heard_s")),
+            self ? cluster.at("view").get<std::string>() : member.at("view").get<std::string>(),
+            member.at("hears").get<unsigned>(), member.at("incarnation").get<unsigned>(),
+            member.at("uptime_s").get<unsigned>(),
+            member.at("by_way").get<bool>() ? "  by way of others" : "", differs ? "  *" : "");
     }
     return table + "\n* its view is another than ours\n";
 }
--- a/src/status/members_command.hpp
+++ b/src/status/members_command.hpp
@@ -1,4 +1,5 @@
-// `members` on the command line: asks a running sidecar by its status socket who it holds to be there.
+/// @file
+/// The subcommand `members`: prints the cluster members that a running sidecar knows, by its status socket.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -9,24 +10,24 @@
 
 namespace elmbay {
 
-/// A status socket can't be read.
+/// What a socket has sent is no status.
 class StatusError : public std::runtime_error {
 public:
     using std::runtime_error::runtime_error;
 };
 
-/// Blocks until the sidecar has told its status.
+/// Blocks until the sidecar has sent its status.
 /// @param socket path of the Unix socket.
-/// @return the JSON object that it tells.
-/// @throws boost::system::system_error if nobody listens there, StatusError if it is no such socket.
+/// @return the JSON object that it has sent.
+/// @throws boost::system::system_error if nothing listens there, StatusError if it is no status socket.
 nlohmann::json read_status(const std::string& socket);
-/// @param cluster "cluster" of a status. Throws nlohmann::json::exception if a field is missing.
-/// @return a table for people; members whose view differs from the sidecar's own are marked.
+/// @param cluster the field "cluster" of a status.
+/// @return a table for people. Members whose view differs from the sidecar's own are marked.
+/// @throws nlohmann::json::exception if a field is missing.
 std::string members_table(const nlohmann::json& cluster);
 /// Adds the command `members`.
-/// @param run set when the command is parsed: what runs it and returns the exit status, 0 if all is well, 1
-/// if
-///            nobody listens there or [cluster] is off.
+/// @param run set when the command is parsed: a function that runs it and returns the exit code, 0 if all is
+/// well, 1 if nothing listens there or [cluster] is off.
 void add_members_command(CLI::App& app, std::function<int()>& run);
 
 }  // namespace elmbay
--- a/src/status/settings.hpp
+++ b/src/status/settings.hpp
@@ -1,4 +1,5 @@
-// [status] and [proof] of the operator's file.
+/// @file
+/// [status] and [proof] of the operator's file.
 #pragma once
 
 #include <string>
@@ -12,10 +13,10 @@
     std::string socket;  ///< path of a Unix socket; empty: nothing listens
 };
 
-/// The keys of [proof], for tests of many processes only.
+/// The keys of [proof]: clock skew, for tests of many processes only.
 struct ProofSettings {
-    Millis clock_ahead = 0;   ///< of this program's own clock against the machine's
-    Millis clock_behind = 0;  ///< the same, the other way
+    Millis clock_ahead = 0;   ///< milliseconds by which this process's clock is ahead of the machine's
+    Millis clock_behind = 0;  ///< milliseconds by which it is behind
     /// @return milliseconds to add to the machine's clock.
     Millis clock_off() const { return clock_ahead - clock_behind; }
 };
--- a/src/status/status_socket.cpp
+++ b/src/status/status_socket.cpp
@@ -17,26 +17,36 @@
 using LocalSocket = StreamSocket<local>;
 using Error = boost::system::error_code;
 
-// Where no descriptor is to be had, whoever asks waits in the kernel's queue for this long.
+// Without a free descriptor, connections wait this long in the kernel's queue until the next accept.
 constexpr std::chrono::milliseconds kAcceptPause{100};
-// Connections that were given up before they were accepted, in a row: after so many the process's other work
-// has its turn.
+// Connections in a row that were aborted before they were accepted. After these the loop's other work gets
+// its turn.
 constexpr int kMaxFailedAccepts = 16;
 
+namespace {
+
+// Removes the socket file that a dead process left. Any other file is kept: the path may be mistyped.
+void remove_stale_socket(const std::string& path) {
+    struct stat file_status {};
+    const bool is_socket = ::lstat(path.c_str(), &file_status) == 0 && S_ISSOCK(file_status.st_mode);
+    if (is_socket) ::unlink(path.c_str());
+}
+
+}  // namespace
+
 StatusSocket::StatusSocket(asio::io_context& io, const std::string& path, StatusSource source)
     : acceptor_(io), accept_again_(io), path_(path), source_(std::move(source)) {
     local::socket probe(io);
     Error error;
     probe.connect(local::endpoint(path), error);
     if (!error) throw boost::system::system_error(asio::error::address_in_use, "status socket " + path);
-    struct stat there {};
-    // Only a socket is ours to replace; a mistyped path must not cost a file.
-    if (::lstat(path.c_str(), &there) == 0 && S_ISSOCK(there.st_mode)) ::unlink(path.c_str());
+    remove_stale_socket(path);
     acceptor_.open();
     acceptor_.bind(local::endpoint(path));
     ::chmod(path.c_str(), S_IRUSR | S_IWUSR);
     acceptor_.listen(kMaxConnections);
-    acceptor_.set_option(asio::socket_base::enable_connection_aborted(true));  // else Asio waits for an edge
+    acceptor_.set_option(
+        asio::socket_base::enable_connection_aborted(true));  // otherwise Asio waits for the next event
     accept();
 }
 
@@ -45,23 +55,32 @@
 void StatusSocket::accept() {
     acceptor_.async_accept([this](Error error, local::socket socket) {
         if (error == asio::error::operation_aborted) return;
-        if (error) return accept_failed(error);
-        failed_accepts_ = 0;
-        if (*connections_ < kMaxConnections) {
-            ++*connections_;
-            const auto peer = std::make_shared<LocalSocket>(std::move(socket));
-            const auto text = std::make_shared<std::string>(source_().dump() + "\n");
-            asio::async_write(
-                *peer, asio::buffer(*text),
-                [peer, text, connections = connections_](Error, std::size_t) { --*connections; });
+        if (error) {
+            accept_failed(error);
+            return;
         }
+        failed_accepts_ = 0;
+        if (*connections_ < kMaxConnections) write_status(std::move(socket));
         accept();
     });
 }
 
+void StatusSocket::write_status(local::socket socket) {
+    ++*connections_;
+    const auto peer = std::make_shared<LocalSocket>(std::move(socket));
+    const auto text = std::make_shared<std::string>(source_().dump() + "\n");
+    asio::async_write(*peer, asio::buffer(*text),
+                      [peer, text, connections = connections_](Error, std::size_t) { --*connections; });
+}
+
 void StatusSocket::accept_failed(const Error& error) {
-    if (accept_failure(error) == SocketFailure::connection && ++failed_accepts_ < kMaxFailedAccepts)
-        return accept();
+    if (accept_failure(error) == SocketFailure::connection) {
+        ++failed_accepts_;
+        if (failed_accepts_ < kMaxFailedAccepts) {
+            accept();
+            return;
+        }
+    }
     failed_accepts_ = 0;
     accept_again_.expires_after(kAcceptPause);
     accept_again_.async_wait([this](Error stopped) {
