--- a/src/fault_proxy/datagram_net.cpp
+++ b/src/fault_proxy/datagram_net.cpp
@@ -1,163 +1,191 @@
 #include "fault_proxy/datagram_net.hpp"
 
+#include <algorithm>
+#include <utility>
+
 namespace elmbay::fault_proxy {
 
 using Error = boost::system::error_code;
 
 namespace {
 
-void open(udp::socket& socket, const udp::endpoint& at) {
-    socket.open(at.protocol());
-    socket.bind(at);
+void open(udp::socket& socket, const udp::endpoint& address) {
+    socket.open(address.protocol());
+    socket.bind(address);
     socket.non_blocking(true);
 }
 
+// Changes the last bytes of a datagram.
+void corrupt_end(std::string& bytes, std::uint64_t count) {
+    const std::size_t corrupted = std::min<std::uint64_t>(count, bytes.size());
+    for (std::size_t i = bytes.size() - corrupted; i < bytes.size(); ++i) {
+        bytes[i] = static_cast<char>(bytes[i] ^ kCorruption);
+    }
+}
+
 }  // namespace
 
-DatagramNet::DatagramNet(EventLoopContext& context, udp::endpoint everybody)
-    : context_(context), everybody_(context.io()) {
-    open(everybody_, everybody);
-    receive_all();
+DatagramNet::DatagramNet(EventLoopContext& context, const udp::endpoint& broadcast)
+    : context_(context), broadcast_(context.io()) {
+    open(broadcast_, broadcast);
+    receive_broadcasts();
 }
 
-DatagramNet::~DatagramNet() { *here_ = false; }
+DatagramNet::~DatagramNet() { *is_alive_ = false; }
 
-void DatagramNet::add(const std::string& name, udp::endpoint address, udp::endpoint target) {
+void DatagramNet::add(const std::string& name, const udp::endpoint& address, udp::endpoint target) {
     auto member = std::make_unique<Member>(context_.io());
     member->name = name;
     member->target = std::move(target);
     open(member->socket, address);
     member->address = member->socket.local_endpoint();
     by_target_[member->target] = member.get();
-    receive(*member);
+    receive_for(*member);
     members_[name] = std::move(member);
 }
 
 udp::endpoint DatagramNet::address_of(const std::string& name) const { return members_.at(name)->address; }
 
-void DatagramNet::listening(const std::string& name, bool listens) {
+void DatagramNet::set_listening(const std::string& name, bool is_listening) {
     Member& member = *members_.at(name);
-    if (member.socket.is_open() == listens) return;
-    if (!listens) {
+    if (member.socket.is_open() == is_listening) return;
+    if (!is_listening) {
         Error ignored;
         member.socket.close(ignored);
         return;
     }
     open(member.socket, member.address);
-    receive(member);
+    receive_for(member);
 }
 
 DatagramNet::Counts DatagramNet::counts(const Link& link) const {
-    const auto at = links_.find(link);
-    return at == links_.end() ? Counts{} : at->second.counts;
+    const auto found = links_.find(link);
+    return found == links_.end() ? Counts{} : found->second.counts;
 }
 
-DatagramNet::Counts DatagramNet::total() const {
-    Counts all;
+DatagramNet::Counts DatagramNet::total_counts() const {
+    Counts total;
     for (const auto& [link, state] : links_) {
-        all.sent += state.counts.sent;
-        all.delivered += state.counts.delivered;
-        all.bytes += state.counts.bytes;
-        all.too_long += state.counts.too_long;
+        total.sent += state.counts.sent;
+        total.delivered += state.counts.delivered;
+        total.bytes_delivered += state.counts.bytes_delivered;
+        total.oversized += state.counts.oversized;
     }
-    return all;
+    return total;
 }
 
-void DatagramNet::receive(Member& member) {
-    member.socket.async_wait(udp::socket::wait_read, [this, here = here_, &member](Error error) {
-        if (!*here || error) return;
+void DatagramNet::receive_for(Member& member) {
+    const auto on_readable = [this, is_alive = is_alive_, &member](Error wait_error) {
+        if (!*is_alive || wait_error) return;
         for (;;) {
-            Error none;
-            const std::size_t n =
-                member.socket.receive_from(asio::buffer(context_.scratch), member.from, 0, none);
-            if (none == asio::error::would_block) break;
-            // A member that does not listen: the kernel tells so with the next call. Nothing has come.
-            if (!none) sent(member.from, member, {context_.scratch.data(), n});
+            Error error;
+            udp::endpoint sender;
+            const std::size_t size =
+                member.socket.receive_from(asio::buffer(context_.read_buffer), sender, 0, error);
+            if (error == asio::error::would_block) break;
+            // An error says that a member does not listen, in reply to an earlier datagram. Nothing has come.
+            if (!error) on_datagram(sender, member, {context_.read_buffer.data(), size});
         }
-        receive(member);
-    });
+        receive_for(member);
+    };
+    member.socket.async_wait(udp::socket::wait_read, on_readable);
 }
 
-void DatagramNet::receive_all() {
-    everybody_.async_wait(udp::socket::wait_read, [this, here = here_](Error error) {
-        if (!*here || error) return;
+void DatagramNet::receive_broadcasts() {
+    const auto on_readable = [this, is_alive = is_alive_](Error wait_error) {
+        if (!*is_alive || wait_error) return;
         for (;;) {
-            Error none;
-            const std::size_t n = everybody_.receive_from(asio::buffer(context_.scratch), from_, 0, none);
-            if (none == asio::error::would_block) break;
-            if (none) continue;
-            const std::string bytes(context_.scratch.data(), n);
-            for (const auto& [name, member] : members_)
-                if (member->target != from_) sent(from_, *member, bytes);
+            Error error;
+            udp::endpoint sender;
+            const std::size_t size =
+                broadcast_.receive_from(asio::buffer(context_.read_buffer), sender, 0, error);
+            if (error == asio::error::would_block) break;
+            if (error) continue;
+            const std::string bytes(context_.read_buffer.data(), size);
+            for (const auto& [name, member] : members_) {
+                if (member->target != sender) on_datagram(sender, *member, bytes);
+            }
         }
-        receive_all();
-    });
+        receive_broadcasts();
+    };
+    broadcast_.async_wait(udp::socket::wait_read, on_readable);
 }
 
-void DatagramNet::sent(const udp::endpoint& from, Member& to, std::string_view bytes) {
-    const auto sender = by_target_.find(from);
-    if (sender == by_target_.end()) {
-        ++strangers_;
+void DatagramNet::on_datagram(const udp::endpoint& sender, const Member& receiver, std::string_view bytes) {
+    const auto sending_member = by_target_.find(sender);
+    if (sending_member == by_target_.end()) {
+        ++unknown_senders_;
         return;
     }
-    const Link link{sender->second->name, to.name};
-    State& state = links_[link];
+    const Link link{sending_member->second->name, receiver.name};
+    LinkState& state = links_[link];
     ++state.counts.sent;
-    if (bytes.size() > most_size_) ++state.counts.too_long;
-    if (tap_) tap_(link, bytes.size(), false);
+    if (bytes.size() > kMaxAllowedSize) ++state.counts.oversized;
+    if (observer_) observer_(link, bytes.size(), false);
     const auto deliveries =
-        context_.rules_for_datagrams().datagram(link, state.counts.sent, bytes.size(), context_.now());
-    for (const Rules::Delivery& d : deliveries) {
+        context_.rules_for_datagrams().deliver(link, state.counts.sent, bytes.size(), context_.now());
+    for (const Rules::Delivery& delivery : deliveries) {
         std::string copy(bytes);
-        for (std::size_t i = 0; i < copy.size() && i < d.garbled; ++i)
-            copy[copy.size() - 1 - i] = static_cast<char>(copy[copy.size() - 1 - i] ^ 0x55);
-        if (d.after <= 0 && d.behind == 0) {
-            pass(link, std::move(copy));
-            continue;
+        corrupt_end(copy, delivery.corrupted_bytes);
+        const bool is_immediate = delivery.delay <= 0 && delivery.overtaken_by == 0;
+        if (is_immediate) {
+            pass_on(link, copy);
+        } else {
+            delay(link, delivery, std::move(copy));
         }
-        const auto held = std::make_shared<HeldBack>();
-        held->after = d.behind > 0 ? state.passed + d.behind : UINT64_MAX;
-        held->bytes = std::move(copy);
-        // With nothing behind it a held one goes after its time; with no time either it would never.
-        held->timer = context_.at(context_.now() + std::max(d.after, d.behind > 0 ? 1.0 : 0.0),
-                                  [this, here = here_, link, weak = std::weak_ptr(held)] {
-                                      const auto late = weak.lock();
-                                      if (!*here || !late) return;
-                                      late->timer = {};
-                                      std::erase(links_[link].held, late);
-                                      pass(link, std::move(late->bytes));
-                                  });
-        state.held.push_back(held);
     }
-    release(link);
+    release_overtaken(link);
+}
+
+void DatagramNet::delay(const Link& link, const Rules::Delivery& delivery, std::string bytes) {
+    LinkState& state = links_[link];
+    const bool may_be_overtaken = delivery.overtaken_by > 0;
+    const auto datagram = std::make_shared<DelayedDatagram>();
+    datagram->delivered_after = may_be_overtaken ? state.passed + delivery.overtaken_by : UINT64_MAX;
+    datagram->bytes = std::move(bytes);
+    // With nothing to overtake it, it goes after its delay; without a delay either, it would never go.
+    const Millis wait = std::max(delivery.delay, may_be_overtaken ? 1.0 : 0.0);
+    const auto on_due = [this, is_alive = is_alive_, link, weak = std::weak_ptr(datagram)] {
+        const auto due = weak.lock();
+        if (!*is_alive || !due) return;
+        due->timer = {};
+        std::erase(links_[link].delayed, due);
+        pass_on(link, due->bytes);
+    };
+    datagram->timer = context_.schedule(context_.now() + wait, on_due);
+    state.delayed.push_back(datagram);
 }
 
-// Cut also those that were on their way when the link was cut.
-void DatagramNet::pass(const Link& link, std::string bytes) {
-    State& state = links_[link];
-    if (context_.rules().cut(link, Medium::datagram, context_.now())) return;
+// A cut also stops datagrams that were on their way when it began.
+void DatagramNet::pass_on(const Link& link, std::string_view bytes) {
+    LinkState& state = links_[link];
+    if (context_.rules().is_cut(link, Medium::datagram, context_.now())) return;
     Error ignored;
-    Member &from = *members_.at(link.from), &to = *members_.at(link.to);
-    // What a dead process had sent arrives as well.
-    if (!from.socket.is_open()) return;
-    from.socket.send_to(asio::buffer(bytes), to.target, 0, ignored);
+    Member& sender = *members_.at(link.from);
+    const Member& receiver = *members_.at(link.to);
+    // The sender's address is closed while its process does not run: what that had sent is gone.
+    if (!sender.socket.is_open()) return;
+    sender.socket.send_to(asio::buffer(bytes), receiver.target, 0, ignored);
     ++state.passed;
     ++state.counts.delivered;
-    state.counts.bytes += bytes.size();
-    if (tap_) tap_(link, bytes.size(), true);
+    state.counts.bytes_delivered += bytes.size();
+    if (observer_) observer_(link, bytes.size(), true);
 }
 
-void DatagramNet::release(const Link& link) {
-    State& state = links_[link];
+// Delivers what enough others have overtaken, and the oldest of too many.
+void DatagramNet::release_overtaken(const Link& link) {
+    LinkState& state = links_[link];
     for (;;) {
-        const auto due = std::find_if(state.held.begin(), state.held.end(),
-                                      [&](const auto& h) { return h->after <= state.passed; });
-        const bool too_many = state.held.size() > kMaxHeldBack;
-        if (due == state.held.end() && !too_many) return;
-        const auto held = due == state.held.end() ? state.held.front() : *due;
-        std::erase(state.held, held);
-        context_.cancel(held->timer);
-        pass(link, std::move(held->bytes));
+        const auto overtaken =
+            std::find_if(state.delayed.begin(), state.delayed.end(),
+                         [&](const auto& datagram) { return datagram->delivered_after <= state.passed; });
+        const bool has_overtaken = overtaken != state.delayed.end();
+        const bool are_too_many = state.delayed.size() > kMaxDelayed;
+        if (!has_overtaken && !are_too_many) return;
+        const auto datagram = has_overtaken ? *overtaken : state.delayed.front();
+        std::erase(state.delayed, datagram);
+        context_.cancel(datagram->timer);
+        pass_on(link, datagram->bytes);
     }
 }
 
--- a/src/fault_proxy/datagram_net.hpp
+++ b/src/fault_proxy/datagram_net.hpp
@@ -1,13 +1,14 @@
-// UDP between members on loopback, as PROTOCOL's "Between sidecars" has it: each member is reached under an
-// address of this net's, and its datagrams arrive from its own such address; one more address reaches all.
-// Between two members stands the link that is named after them, with the rules that hold on it.
+// UDP between members on loopback, with the rules of the link between each two of them.
 #pragma once
 
 #include <boost/asio/ip/udp.hpp>
+#include <cstdint>
 #include <deque>
+#include <functional>
 #include <map>
 #include <memory>
-#include <vector>
+#include <string>
+#include <string_view>
 
 #include "fault_proxy/event_loop_context.hpp"
 
@@ -15,72 +16,91 @@
 
 using udp = asio::ip::udp;
 
+/// A net of members, as PROTOCOL's "Between sidecars" has it.
+///
+/// Each member is reached under an address of the net, and its datagrams arrive at the others from that
+/// address. One more address, the broadcast address, reaches all but the sender. Between two members stands
+/// the link that is named after them.
+///
+/// Runs in the context's event loop; not thread-safe. Holds kMaxDelayed datagrams of a link at most.
 class DatagramNet {
 public:
-    static constexpr std::size_t kMaxSize = 2048;    // PROTOCOL has 256; a longer one must be seen to be told
-    static constexpr std::size_t kMaxHeldBack = 64;  // of one link, by reorder; the oldest goes then
+    /// Datagrams of one link that wait; the oldest is delivered when there are more.
+    static constexpr std::size_t kMaxDelayed = 64;
+    /// Bytes of the longest datagram that PROTOCOL allows; longer ones are counted, and passed on all the
+    /// same.
+    static constexpr std::size_t kMaxAllowedSize = 256;
 
-    // everybody: the address that reaches all but the sender; port 0 takes any.
-    DatagramNet(EventLoopContext& context, udp::endpoint everybody);
+    /// @param broadcast the broadcast address; port 0 takes any.
+    /// @throws boost::system::system_error if the address cannot be had.
+    DatagramNet(EventLoopContext& context, const udp::endpoint& broadcast);
     ~DatagramNet();
     DatagramNet(const DatagramNet&) = delete;
     DatagramNet& operator=(const DatagramNet&) = delete;
 
-    // address: where others reach it; target: where it listens, and sends from. Both fixed for its life.
-    void add(const std::string& name, udp::endpoint address, udp::endpoint target);
-    // Whether anybody listens at its target: if not, its machine says so to who sends (ICMP), as the kernel
-    // does for a closed port.
-    void listening(const std::string& name, bool listens);
+    /// Adds a member. Both addresses stay as they are.
+    /// @param address where others reach it; port 0 takes any.
+    /// @param target  where it listens, and sends from.
+    /// @throws boost::system::system_error if the address cannot be had.
+    void add(const std::string& name, const udp::endpoint& address, udp::endpoint target);
+    /// Says whether the member listens at its target. If not, a sender gets an ICMP error, as the kernel
+    /// sends it for a closed port.
+    /// @throws std::out_of_range if there is no such member.
+    void set_listening(const std::string& name, bool is_listening);
+    /// @return where others reach the member.
+    /// @throws std::out_of_range if there is no such member.
     udp::endpoint address_of(const std::string& name) const;
-    udp::endpoint everybody() const { return everybody_.local_endpoint(); }
+    udp::endpoint broadcast_address() const { return broadcast_.local_endpoint(); }
 
     struct Counts {
-        std::uint64_t sent = 0, delivered = 0, bytes = 0, too_long = 0;  // bytes: delivered
+        std::uint64_t sent = 0;             ///< by members
+        std::uint64_t delivered = 0;        ///< copies
+        std::uint64_t bytes_delivered = 0;  ///< of these
+        std::uint64_t oversized = 0;        ///< of those sent: longer than kMaxAllowedSize
     };
     Counts counts(const Link& link) const;
-    Counts total() const;
-    // Told of each datagram as it comes from its sender, and as it goes to its receiver.
-    using Tap = std::function<void(const Link& link, std::size_t bytes, bool delivered)>;
-    void tap(Tap tap) { tap_ = std::move(tap); }
-    std::uint64_t strangers() const { return strangers_; }  // from nobody's address
-    // Longer ones are counted as too long; they are passed on all the same.
-    void most_size(std::size_t bytes) { most_size_ = bytes; }
+    Counts total_counts() const;
+    /// @return how many datagrams came from an address that is no member's.
+    std::uint64_t unknown_senders() const { return unknown_senders_; }
+
+    /// Called for each datagram as it comes from its sender, and for each copy as it goes to its receiver.
+    using Observer = std::function<void(const Link& link, std::size_t bytes, bool is_delivery)>;
+    void observe(Observer observer) { observer_ = std::move(observer); }
 
 private:
     struct Member {
-        Member(asio::io_context& io) : socket(io) {}
+        explicit Member(asio::io_context& io) : socket(io) {}
         std::string name;
-        udp::endpoint address, target;
-        udp::socket socket;
-        udp::endpoint from;
+        udp::endpoint address;
+        udp::endpoint target;
+        udp::socket socket;  // at `address`
     };
-    struct HeldBack {
-        std::uint64_t after = 0;  // goes once so many have passed
+    struct DelayedDatagram {
+        std::uint64_t delivered_after = 0;  // it goes once so many of the link have been delivered
         std::string bytes;
-        EventLoopContext::Key timer{};
+        EventLoopContext::TimerKey timer{};
     };
-    struct State {
+    struct LinkState {
         Counts counts;
         std::uint64_t passed = 0;
-        std::deque<std::shared_ptr<HeldBack>> held;
+        std::deque<std::shared_ptr<DelayedDatagram>> delayed;
     };
 
-    void receive(Member& member);
-    void sent(const udp::endpoint& from, Member& to, std::string_view bytes);
-    void pass(const Link& link, std::string bytes);
-    void release(const Link& link);
+    void receive_for(Member& member);
+    void receive_broadcasts();
+    void on_datagram(const udp::endpoint& sender, const Member& receiver, std::string_view bytes);
+    void delay(const Link& link, const Rules::Delivery& delivery, std::string bytes);
+    void pass_on(const Link& link, std::string_view bytes);
+    void release_overtaken(const Link& link);
 
     EventLoopContext& context_;
-    udp::socket everybody_;
-    udp::endpoint from_;
-    std::map<std::string, std::unique_ptr<Member>> members_;
+    udp::socket broadcast_;
+    std::map<std::string, std::unique_ptr<Member>> members_;  // by name
     std::map<udp::endpoint, Member*> by_target_;
-    std::map<Link, State> links_;
-    std::uint64_t strangers_ = 0;
-    std::size_t most_size_ = 256;
-    Tap tap_;
-    std::shared_ptr<bool> here_ = std::make_shared<bool>(true);
-    void receive_all();
+    std::map<Link, LinkState> links_;
+    std::uint64_t unknown_senders_ = 0;
+    Observer observer_;
+    std::shared_ptr<bool> is_alive_ = std::make_shared<bool>(true);  // for handlers that outlive this object
 };
 
 }  // namespace elmbay::fault_proxy
--- a/src/fault_proxy/event_loop_context.hpp
+++ b/src/fault_proxy/event_loop_context.hpp
@@ -1,6 +1,4 @@
-// The driver's common ground: one loop, one clock that begins at 0, one set of rules, and all links that must
-// look again when a rule changes or a time comes. Not thread-safe: everything of one EventLoopContext runs in
-// its loop.
+// What all links of a process share: the event loop, one clock that begins at 0, and one set of rules.
 #pragma once
 
 #include <array>
@@ -8,16 +6,30 @@
 #include <csignal>
 #include <functional>
 #include <list>
+#include <string>
+#include <utility>
+#include <vector>
 
 #include "base/timing.hpp"
 #include "fault_proxy/rules.hpp"
 
 namespace elmbay::fault_proxy {
 
+/// Clock, timers and rules of the links and datagram nets in one event loop.
+///
+/// Must outlive all of them. Not thread-safe: everything that uses one context runs in its loop.
 class EventLoopContext {
 public:
-    // From now on the process ignores SIGPIPE: splice(2) has no flag against it, and who is written to may
-    // go.
+    using TimerKey = TimerQueue::Key;
+    /// Called after each change of what holds, from the loop or from within the call that changes the rules.
+    using RulesObserver = std::function<void()>;
+    using Subscription = std::list<RulesObserver>::iterator;
+
+    /// Bytes that a link reads at once.
+    static constexpr std::size_t kReadBytes = 256UL * 1024;
+
+    /// From now on the process ignores SIGPIPE: splice(2) has no flag against it, and a receiver may close.
+    /// @param seed of the rules' random choices.
     EventLoopContext(asio::io_context& io, std::uint64_t seed = 1)
         : io_(io), timers_(io, clock_), zero_(clock_.now()), rules_(seed) {
         std::signal(SIGPIPE, SIG_IGN);
@@ -25,53 +37,62 @@
     EventLoopContext(const EventLoopContext&) = delete;
     EventLoopContext& operator=(const EventLoopContext&) = delete;
 
+    /// @return milliseconds since time 0.
     Millis now() const { return clock_.now() - zero_; }
-    // Time 0 is now, or ahead; rules hold by the new count.
-    void begin(Millis from_now = 0) {
+    /// Sets time 0 to so many milliseconds from now. The times of rules count from it.
+    void restart_clock(Millis from_now = 0) {
         zero_ = clock_.now() + from_now;
-        changed();
+        notify();
     }
 
     const Rules& rules() const { return rules_; }
-    Rules& rules_for_datagrams() { return rules_; }  // a rate keeps its line there
-    void put(Rule rule) {
+    /// Rules::deliver() keeps count of the lines under a rate limit.
+    Rules& rules_for_datagrams() { return rules_; }
+    /// Adds a rule, or replaces the one of the same name.
+    void put_rule(Rule rule) {
         rules_.put(std::move(rule));
-        changed();
+        notify();
     }
-    bool take_away(const std::string& name) {
-        const bool there = rules_.take_away(name);
-        changed();
-        return there;
+    /// @return whether there was one of that name.
+    bool remove_rule(const std::string& name) {
+        const bool existed = rules_.remove(name);
+        notify();
+        return existed;
     }
-    void replace_all(std::vector<Rule> rules) {
+    void replace_rules(std::vector<Rule> rules) {
         rules_.replace_all(std::move(rules));
-        changed();
+        notify();
     }
 
     asio::io_context& io() { return io_; }
-    using Key = TimerQueue::Key;
-    Key at(Millis when, std::function<void()> run) { return timers_.set(zero_ + when, std::move(run)); }
-    void cancel(Key& key) { timers_.cancel(key); }
+    /// Calls `callback` at this time or later.
+    TimerKey schedule(Millis when, std::function<void()> callback) {
+        return timers_.set(zero_ + when, std::move(callback));
+    }
+    /// Takes a timer back, if its callback has not been called, and makes the key name none.
+    void cancel(TimerKey& key) { timers_.cancel(key); }
 
-    // Called after each change of what holds, from the loop or from within put() and its like.
-    using Look = std::function<void()>;
-    using Place = std::list<Look>::iterator;
-    Place watch(Look look) { return looks_.insert(looks_.end(), std::move(look)); }
-    void unwatch(Place place) { looks_.erase(place); }
+    Subscription subscribe(RulesObserver observer) {
+        return observers_.insert(observers_.end(), std::move(observer));
+    }
+    void unsubscribe(Subscription subscription) { observers_.erase(subscription); }
 
-    // What is being read, of one connection at a time.
-    std::array<char, 256 * 1024> scratch{};
+    /// Where links read to, one at a time: it is free again when a handler returns.
+    std::array<char, kReadBytes> read_buffer{};
 
 private:
-    void changed() {
-        for (auto it = looks_.begin(); it != looks_.end();) (*it++)();
-        timers_.cancel(next_);
+    void notify() {
+        for (auto next = observers_.begin(); next != observers_.end();) {
+            const auto observer = next++;  // it may unsubscribe
+            (*observer)();
+        }
+        timers_.cancel(next_change_);
         const Millis next = rules_.next_change(now());
-        if (next < kNever)
-            next_ = at(next, [this] {
-                next_ = {};
-                changed();
-            });
+        if (next >= kNever) return;
+        next_change_ = schedule(next, [this] {
+            next_change_ = {};
+            notify();
+        });
     }
 
     asio::io_context& io_;
@@ -79,8 +100,8 @@
     TimerQueue timers_;
     Millis zero_;
     Rules rules_;
-    std::list<Look> looks_;
-    Key next_{};
+    std::list<RulesObserver> observers_;
+    TimerKey next_change_{};
 };
 
 }  // namespace elmbay::fault_proxy
--- a/src/fault_proxy/rules.cpp
+++ b/src/fault_proxy/rules.cpp
@@ -4,170 +4,224 @@
 #include <xxhash.h>
 
 #include <algorithm>
+#include <array>
 #include <cmath>
+#include <string_view>
+#include <utility>
 
 namespace elmbay::fault_proxy {
 
 namespace {
 
-bool named(const std::vector<std::string>& patterns, const std::string& name) {
-    return std::any_of(patterns.begin(), patterns.end(), [&](const std::string& p) {
-        if (p.ends_with('*')) return name.starts_with(std::string_view(p).substr(0, p.size() - 1));
-        return p == name;
+constexpr double kMillisPerSecond = 1000;
+
+// In the order of FaultType.
+constexpr std::array<const char*, 13> kFaultTypeNames{"cut",     "lose",   "delay", "repeat", "reorder",
+                                                      "rate",    "refuse", "hold",  "reset",  "half-close",
+                                                      "silence", "stall",  "garble"};
+
+bool matches_any(const std::vector<std::string>& patterns, const std::string& name) {
+    return std::any_of(patterns.begin(), patterns.end(), [&](const std::string& pattern) {
+        const bool is_prefix = pattern.ends_with('*');
+        if (!is_prefix) return pattern == name;
+        return name.starts_with(std::string_view(pattern).substr(0, pattern.size() - 1));
     });
 }
 
-bool on_openings(const Rule& rule) { return rule.act == Act::refuse || rule.act == Act::hold; }
+bool is_of_openings(FaultType type) { return type == FaultType::refuse || type == FaultType::delay_open; }
 
 }  // namespace
 
-const char* name_of(Act act) {
-    constexpr const char* kNames[] = {"cut",  "lose",  "delay",      "repeat",  "reorder", "rate",  "refuse",
-                                      "hold", "reset", "half-close", "silence", "stall",   "garble"};
-    return kNames[static_cast<std::size_t>(act)];
+const char* name_of(FaultType type) { return kFaultTypeNames[static_cast<std::size_t>(type)]; }
+
+bool is_of_datagrams_only(FaultType type) {
+    return type == FaultType::drop || type == FaultType::duplicate || type == FaultType::reorder;
 }
 
 bool Rule::names(const Link& link) const {
-    if (groups.empty()) return named(from, link.from) && named(to, link.to);
-    // Cut only if both stand in groups, and in none together: who stands in two bridges them.
-    bool from_any = false, to_any = false, together = false;
+    if (groups.empty()) return matches_any(from, link.from) && matches_any(to, link.to);
+    bool sender_is_grouped = false;
+    bool receiver_is_grouped = false;
     for (const auto& group : groups) {
-        const bool f = named(group, link.from), t = named(group, link.to);
-        from_any |= f, to_any |= t, together |= f && t;
+        const bool has_sender = matches_any(group, link.from);
+        const bool has_receiver = matches_any(group, link.to);
+        if (has_sender && has_receiver) return false;  // a bridge between groups stands in several
+        sender_is_grouped = sender_is_grouped || has_sender;
+        receiver_is_grouped = receiver_is_grouped || has_receiver;
     }
-    return from_any && to_any && !together;
+    return sender_is_grouped && receiver_is_grouped;
 }
 
 bool Rule::holds_at(Millis now) const {
-    if (now < at) return false;
-    if (lasts <= 0) return true;
-    if (every > lasts) return std::fmod(now - at, every) < lasts;
-    return now < at + lasts;
+    if (now < starts_at) return false;
+    if (duration <= 0) return true;
+    if (period > duration) return std::fmod(now - starts_at, period) < duration;
+    return now < starts_at + duration;
 }
 
 Millis Rule::next_change(Millis now) const {
-    if (now < at) return at;
-    if (lasts <= 0) return kNever;
-    if (every <= lasts) return now < at + lasts ? at + lasts : kNever;
-    const double rounds = std::floor((now - at) / every);
-    const Millis begun = at + rounds * every;
+    if (now < starts_at) return starts_at;
+    if (duration <= 0) return kNever;
+    if (period <= duration) return now < starts_at + duration ? starts_at + duration : kNever;
+    const double past_periods = std::floor((now - starts_at) / period);
+    const Millis period_start = starts_at + past_periods * period;
     // Rounding may put a time of change a hair before now: then the one after it.
-    for (const Millis next : {begun + lasts, begun + every, begun + every + lasts})
-        if (next > now) return next;
-    return begun + 2 * every;
+    for (const Millis change :
+         {period_start + duration, period_start + period, period_start + period + duration}) {
+        if (change > now) return change;
+    }
+    return period_start + 2 * period;
 }
 
 void Rules::put(Rule rule) {
-    const auto at =
-        std::find_if(rules_.begin(), rules_.end(), [&](const Rule& r) { return r.name == rule.name; });
-    if (at != rules_.end())
-        *at = std::move(rule);
-    else
+    const auto same_name = std::find_if(rules_.begin(), rules_.end(),
+                                        [&](const Rule& other) { return other.name == rule.name; });
+    if (same_name != rules_.end()) {
+        *same_name = std::move(rule);
+    } else {
         rules_.push_back(std::move(rule));
+    }
 }
 
-bool Rules::take_away(const std::string& name) {
-    return std::erase_if(rules_, [&](const Rule& r) { return r.name == name; }) > 0;
+bool Rules::remove(const std::string& name) {
+    return std::erase_if(rules_, [&](const Rule& rule) { return rule.name == name; }) > 0;
 }
 
-Random Rules::chance(const Rule& rule, const Link& link, std::uint64_t nth, std::uint64_t piece) const {
+Random Rules::random_for(const Rule& rule, const Link& link, std::uint64_t number,
+                         std::uint64_t piece) const {
     std::uint64_t state = XXH64(rule.name.data(), rule.name.size(), seed_);
     state = XXH64(link.from.data(), link.from.size(), state);
     state = XXH64(link.to.data(), link.to.size(), state);
-    const std::uint64_t numbers[] = {nth, piece};
-    return Random(XXH64(numbers, sizeof numbers, state));
+    const std::array<std::uint64_t, 2> numbers{number, piece};
+    return Random(XXH64(numbers.data(), sizeof numbers, state));
 }
 
-bool Rules::meets(const Rule& rule, const Link& link, std::uint64_t nth) const {
-    if (nth < rule.first || nth > rule.last || !rule.names(link)) return false;
-    return rule.chance >= 1 || chance(rule, link, nth).unit() < rule.chance;
+bool Rules::matches(const Rule& rule, const Link& link, std::uint64_t number) const {
+    const bool is_in_range = number >= rule.first_number && number <= rule.last_number;
+    if (!is_in_range || !rule.names(link)) return false;
+    return rule.probability >= 1 || random_for(rule, link, number).unit() < rule.probability;
 }
 
-bool Rules::cut(const Link& link, Medium medium, Millis now) const {
-    return std::any_of(rules_.begin(), rules_.end(), [&](const Rule& r) {
-        return r.act == Act::cut && (r.medium == Medium::any || r.medium == medium) && r.holds_at(now) &&
-               r.names(link);
+bool Rules::is_cut(const Link& link, Medium medium, Millis now) const {
+    return std::any_of(rules_.begin(), rules_.end(), [&](const Rule& rule) {
+        const bool is_of_medium = rule.medium == Medium::any || rule.medium == medium;
+        return rule.type == FaultType::cut && is_of_medium && rule.holds_at(now) && rule.names(link);
     });
 }
 
 Millis Rules::next_change(Millis now) const {
     Millis next = kNever;
-    for (const Rule& r : rules_)
-        if (r.act == Act::cut || r.act == Act::refuse) next = std::min(next, r.next_change(now));
+    for (const Rule& rule : rules_) {
+        const bool counts = rule.type == FaultType::cut || rule.type == FaultType::refuse;
+        if (counts) next = std::min(next, rule.next_change(now));
+    }
     return next;
 }
 
 bool Rules::refuses_all(const Link& link, Millis now) const {
-    return std::any_of(rules_.begin(), rules_.end(), [&](const Rule& r) {
-        return r.act == Act::refuse && r.chance >= 1 && r.first <= 1 && r.last == UINT64_MAX &&
-               r.holds_at(now) && r.names(link);
+    return std::any_of(rules_.begin(), rules_.end(), [&](const Rule& rule) {
+        const bool is_of_all =
+            rule.probability >= 1 && rule.first_number <= 1 && rule.last_number == UINT64_MAX;
+        return rule.type == FaultType::refuse && is_of_all && rule.holds_at(now) && rule.names(link);
     });
 }
 
-Rules::Opening Rules::opening(const Link& link, std::uint64_t nth, Millis now) const {
-    Opening opening;
-    for (const Rule& r : rules_) {
-        if (!on_openings(r) || !r.holds_at(now) || !meets(r, link, nth)) continue;
-        if (r.act == Act::refuse) opening.refused = true;
-        if (r.act == Act::hold) opening.hold = std::max(opening.hold, drawn_delay(r, link, nth, 0));
+Rules::OpeningFault Rules::on_open(const Link& link, std::uint64_t connection, Millis now) const {
+    OpeningFault fault;
+    for (const Rule& rule : rules_) {
+        const bool applies =
+            is_of_openings(rule.type) && rule.holds_at(now) && matches(rule, link, connection);
+        if (!applies) continue;
+        if (rule.type == FaultType::refuse) {
+            fault.is_refused = true;
+        } else {
+            fault.delay = std::max(fault.delay, draw_delay(rule, link, connection, 0));
+        }
+    }
+    return fault;
+}
+
+Millis Rules::draw_delay(const Rule& rule, const Link& link, std::uint64_t number,
+                         std::uint64_t piece) const {
+    Random random = random_for(rule, link, number, piece + 1);
+    switch (rule.distribution) {
+        case DelayDistribution::fixed:
+            return rule.delay;
+        case DelayDistribution::uniform:
+            return std::max(0.0, rule.delay + rule.jitter * (2 * random.unit() - 1));
+        case DelayDistribution::exponential:
+            return -rule.delay * std::log1p(-random.unit());
     }
-    return opening;
-}
-
-Millis Rules::drawn_delay(const Rule& rule, const Link& link, std::uint64_t nth, std::uint64_t piece) const {
-    Random random = chance(rule, link, nth, piece + 1);
-    switch (rule.law) {
-        case Law::fixed:
-            return rule.span;
-        case Law::uniform:
-            return std::max(0.0, rule.span + rule.jitter * (2 * random.unit() - 1));
-        case Law::exponential:
-            return -rule.span * std::log1p(-random.unit());
+    return rule.delay;
+}
+
+// From now until the datagram has gone over the line, which others may occupy before it.
+Millis Rules::time_in_line(const Rule& rule, const Link& link, std::size_t size, Millis now) {
+    auto line =
+        std::find_if(lines_.begin(), lines_.end(), [&](const Line& other) { return other.link == link; });
+    if (line == lines_.end()) line = lines_.insert(lines_.end(), {link, now});
+    const Millis transmission = kMillisPerSecond * static_cast<double>(size) / rule.bytes_per_second;
+    line->free_at = std::max(line->free_at, now) + transmission;
+    return line->free_at - now;
+}
+
+void Rules::apply(const Rule& rule, const Link& link, std::uint64_t number, std::size_t size, Millis now,
+                  Delivery& delivery) {
+    switch (rule.type) {
+        case FaultType::delay:
+            delivery.delay += draw_delay(rule, link, number, 0);
+            break;
+        case FaultType::reorder:
+            delivery.delay += rule.delay;
+            delivery.overtaken_by = std::max(delivery.overtaken_by, rule.overtaken_by);
+            break;
+        case FaultType::corrupt:
+            delivery.corrupted_bytes += rule.corrupted_bytes;
+            break;
+        case FaultType::limit_rate:
+            if (rule.bytes_per_second > 0) delivery.delay += time_in_line(rule, link, size, now);
+            break;
+        default:
+            break;
     }
-    return rule.span;
 }
 
-std::vector<Rules::Delivery> Rules::datagram(const Link& link, std::uint64_t nth, std::size_t size,
-                                             Millis now) {
-    if (cut(link, Medium::datagram, now)) return {};
+std::vector<Rules::Delivery> Rules::deliver(const Link& link, std::uint64_t number, std::size_t size,
+                                            Millis now) {
+    if (is_cut(link, Medium::datagram, now)) return {};
+    const auto applies = [&](const Rule& rule) {
+        return rule.medium != Medium::stream && rule.holds_at(now) && matches(rule, link, number);
+    };
     Delivery first;
     std::uint64_t copies = 1;
-    for (const Rule& r : rules_) {
-        if (r.medium == Medium::stream || !r.holds_at(now) || !meets(r, link, nth)) continue;
-        if (r.act == Act::lose) return {};
-        if (r.act == Act::delay) first.after += drawn_delay(r, link, nth, 0);
-        if (r.act == Act::repeat) copies += r.copies;
-        if (r.act == Act::reorder) first.after += r.span, first.behind = std::max(first.behind, r.behind);
-        if (r.act == Act::garble) first.garbled += r.count;
-        if (r.act == Act::rate && r.rate > 0) {
-            auto line =
-                std::find_if(busy_.begin(), busy_.end(), [&](const Free& f) { return f.link == link; });
-            if (line == busy_.end()) line = busy_.insert(busy_.end(), {link, now});
-            line->at = std::max(line->at, now) + 1000 * static_cast<double>(size) / r.rate;
-            first.after += line->at - now;
-        }
+    for (const Rule& rule : rules_) {
+        if (!applies(rule)) continue;
+        if (rule.type == FaultType::drop) return {};
+        if (rule.type == FaultType::duplicate) copies += rule.extra_copies;
+        apply(rule, link, number, size, now, first);
     }
     std::vector<Delivery> deliveries{first};
-    // Each copy is on its way for itself.
-    for (std::uint64_t i = 1; i < copies; ++i) {
-        Delivery copy = first;
-        for (const Rule& r : rules_)
-            if (r.act == Act::delay && r.medium != Medium::stream && r.holds_at(now) && meets(r, link, nth))
-                copy.after += drawn_delay(r, link, nth, i) - drawn_delay(r, link, nth, 0);
-        deliveries.push_back(copy);
+    // Each further copy draws its own delays.
+    for (std::uint64_t copy = 1; copy < copies; ++copy) {
+        Delivery delivery = first;
+        for (const Rule& rule : rules_) {
+            if (rule.type != FaultType::delay || !applies(rule)) continue;
+            delivery.delay += draw_delay(rule, link, number, copy) - draw_delay(rule, link, number, 0);
+        }
+        deliveries.push_back(delivery);
     }
     return deliveries;
 }
 
-std::vector<std::size_t> Rules::on_stream(const Link& link, std::uint64_t nth) const {
-    std::vector<std::size_t> met;
+std::vector<std::size_t> Rules::stream_rules(const Link& link, std::uint64_t connection) const {
+    std::vector<std::size_t> indexes;
     for (std::size_t i = 0; i < rules_.size(); ++i) {
-        const Rule& r = rules_[i];
-        if (r.medium == Medium::datagram || r.act == Act::cut || on_openings(r)) continue;
-        if (r.act == Act::lose || r.act == Act::repeat || r.act == Act::reorder) continue;
-        if (meets(r, link, nth)) met.push_back(i);
+        const Rule& rule = rules_[i];
+        const bool acts_on_bytes = rule.medium != Medium::datagram && rule.type != FaultType::cut &&
+                                   !is_of_openings(rule.type) && !is_of_datagrams_only(rule.type);
+        if (acts_on_bytes && matches(rule, link, connection)) indexes.push_back(i);
     }
-    return met;
+    return indexes;
 }
 
 }  // namespace elmbay::fault_proxy
--- a/src/fault_proxy/script.cpp
+++ b/src/fault_proxy/script.cpp
@@ -4,7 +4,8 @@
 #include <charconv>
 #include <map>
 #include <set>
-#include <stdexcept>
+#include <string_view>
+#include <utility>
 
 namespace elmbay::fault_proxy {
 
@@ -14,23 +15,28 @@
 using schema::Problems;
 using schema::Unit;
 
-constexpr double kLongest = 3600000;  // ms
+// Milliseconds, an hour: the longest time in a file.
+constexpr Millis kMaxDuration = 3600000;
+// The highest number of a connection, datagram, byte or message: a double still counts so far exactly.
+constexpr double kMaxCount = 9e15;
 
-const std::map<std::string, Act> kActs{{"cut", Act::cut},         {"lose", Act::lose},
-                                       {"delay", Act::delay},     {"repeat", Act::repeat},
-                                       {"reorder", Act::reorder}, {"rate", Act::rate},
-                                       {"refuse", Act::refuse},   {"hold", Act::hold},
-                                       {"reset", Act::reset},     {"half-close", Act::half_close},
-                                       {"silence", Act::silence}, {"stall", Act::stall},
-                                       {"garble", Act::garble}};
+const std::map<std::string, FaultType> kFaultTypes{
+    {"cut", FaultType::cut},         {"lose", FaultType::drop},
+    {"delay", FaultType::delay},     {"repeat", FaultType::duplicate},
+    {"reorder", FaultType::reorder}, {"rate", FaultType::limit_rate},
+    {"refuse", FaultType::refuse},   {"hold", FaultType::delay_open},
+    {"reset", FaultType::reset},     {"half-close", FaultType::half_close},
+    {"silence", FaultType::silence}, {"stall", FaultType::stall},
+    {"garble", FaultType::corrupt}};
 
-std::vector<std::string> act_names() {
+std::vector<std::string> fault_type_names() {
     std::vector<std::string> names;
-    for (const auto& [name, act] : kActs) names.push_back(name);
+    names.reserve(kFaultTypes.size());
+    for (const auto& [name, type] : kFaultTypes) names.push_back(name);
     return names;
 }
 
-const std::vector<Key<LinkSpec>> kLink{
+const std::vector<Key<LinkSpec>> kLinkKeys{
     {"from", Unit::word, &LinkSpec::from, "", "who connects", 0, 0, {}, true},
     {"to", Unit::word, &LinkSpec::to, "", "whom it means to reach", 0, 0, {}, true},
     {"listen",
@@ -44,18 +50,20 @@
      true},
     {"target", Unit::word, &LinkSpec::target, "", "where `to` really listens, on loopback", 0, 0, {}, true}};
 
-const std::vector<Key<MemberSpec>> kMember{
+const std::vector<Key<MemberSpec>> kMemberKeys{
     {"name", Unit::word, &MemberSpec::name, "", "of one that sends and gets datagrams", 0, 0, {}, true},
     {"listen", Unit::word, &MemberSpec::listen, "", "where the others reach it, on loopback", 0, 0, {}, true},
     {"target", Unit::word, &MemberSpec::target, "", "where it listens, and sends from", 0, 0, {}, true}};
 
-struct Top {
+// What stands before the tables.
+struct TopSpec {
     std::uint64_t seed = 1;
     std::string everybody;
 };
-const std::vector<Key<Top>> kTop{
-    {"seed", Unit::count, &Top::seed, "1", "all chance comes from it", 0, 9e15},
-    {"everybody", Unit::word, &Top::everybody, "none", "an address that reaches all members but the sender"}};
+const std::vector<Key<TopSpec>> kTopKeys{
+    {"seed", Unit::count, &TopSpec::seed, "1", "all chance comes from it", 0, kMaxCount},
+    {"everybody", Unit::word, &TopSpec::everybody, "none",
+     "an address that reaches all members but the sender"}};
 
 std::vector<std::string> split_names(const std::string& text) {
     std::vector<std::string> names;
@@ -71,29 +79,115 @@
 void check_address(const std::string& text, const std::string& key, std::uint32_t line, Problems& problems) {
     try {
         loopback_endpoint(text);
-    } catch (const std::invalid_argument& error) {
+    } catch (const AddressError& error) {
         problems.push_back({line, key, error.what()});
     }
 }
 
+Medium medium_of(const RuleSpec& spec) {
+    if (spec.medium == "any") return Medium::any;
+    return spec.medium == "stream" ? Medium::stream : Medium::datagram;
+}
+
+Trigger trigger_of(const RuleSpec& spec) {
+    if (spec.where == "byte") return Trigger::at_byte;
+    return spec.where == "message" ? Trigger::at_message : Trigger::on_open;
+}
+
+MessagePoint trigger_point_of(const RuleSpec& spec) {
+    if (spec.part == "head") return MessagePoint::head_end;
+    return spec.part == "ends" ? MessagePoint::end : MessagePoint::begin;
+}
+
+DelayDistribution distribution_of(const RuleSpec& spec) {
+    if (spec.law == "uniform") return DelayDistribution::uniform;
+    return spec.law == "exponential" ? DelayDistribution::exponential : DelayDistribution::fixed;
+}
+
+// Reports values that do not fit one another, in the order of the keys.
+void check_rule(const RuleSpec& spec, const Rule& rule, const std::string& where, std::uint32_t line,
+                Problems& problems) {
+    const auto report = [&](const char* key, const char* what) {
+        problems.push_back({line, where + "." + key, what});
+    };
+    const FaultType type = rule.type;
+    const bool needs_span =
+        type == FaultType::delay || type == FaultType::delay_open || type == FaultType::stall;
+    if (spec.groups.size() == 1) report("groups", "takes two groups at least");
+    if (is_of_datagrams_only(type) && rule.medium == Medium::stream) {
+        report("medium", "this act is of datagrams; TCP loses and repeats nothing that its user could see");
+    }
+    if (spec.every > 0 && spec.every <= spec.lasts) report("every", "must be longer than lasts");
+    if (spec.every > 0 && spec.lasts <= 0) report("lasts", "is needed with every");
+    if (rule.last_number < rule.first_number) report("last", "is before first");
+    if (type == FaultType::limit_rate && spec.rate <= 0) report("rate", "is needed: bytes a second");
+    if (needs_span && spec.span <= 0) report("span", "is needed: for how long");
+}
+
+void read_top(const toml::table& table, Script& script, Problems& problems) {
+    TopSpec top;
+    schema::read_table(table, "", kTopKeys, top, problems, {"link", "member", "rule"});
+    script.seed = top.seed;
+    script.everybody = top.everybody;
+    if (!top.everybody.empty()) check_address(top.everybody, "everybody", 0, problems);
+}
+
+void read_links(const toml::table& table, Script& script, Problems& problems) {
+    std::set<std::pair<std::string, std::string>> ends;
+    const auto add = [&](LinkSpec spec, std::size_t number, std::uint32_t line) {
+        const std::string where = "link " + std::to_string(number);
+        check_address(spec.listen, where + ".listen", line, problems);
+        check_address(spec.target, where + ".target", line, problems);
+        const bool is_new = ends.emplace(spec.from, spec.to).second;
+        if (!is_new) problems.push_back({line, where, "is there twice"});
+        script.links.push_back(std::move(spec));
+    };
+    schema::read_sections(table, "link", Script::kMaxLinks, kLinkKeys, problems, add);
+}
+
+void read_members(const toml::table& table, Script& script, Problems& problems) {
+    std::set<std::string> names;
+    const auto add = [&](MemberSpec spec, std::size_t number, std::uint32_t line) {
+        const std::string where = "member " + std::to_string(number);
+        check_address(spec.listen, where + ".listen", line, problems);
+        check_address(spec.target, where + ".target", line, problems);
+        const bool is_new = names.insert(spec.name).second;
+        if (!is_new) problems.push_back({line, where + ".name", "is there twice"});
+        script.members.push_back(std::move(spec));
+    };
+    schema::read_sections(table, "member", Script::kMaxLinks, kMemberKeys, problems, add);
+}
+
+void read_rules(const toml::table& table, Script& script, Problems& problems) {
+    std::set<std::string> names;
+    const auto add = [&](const RuleSpec& spec, std::size_t number, std::uint32_t line) {
+        script.rules.push_back(rule_of(spec, number, line, problems));
+        const bool is_new = names.insert(script.rules.back().name).second;
+        if (!is_new)
+            problems.push_back({line, "rule " + std::to_string(number) + ".name", "is another rule's"});
+    };
+    schema::read_sections(table, "rule", Script::kMaxRules, rule_keys(), problems, add);
+}
+
 }  // namespace
 
 const std::vector<Key<RuleSpec>>& rule_keys() {
-    static const std::vector<Key<RuleSpec>> keys{
+    static const std::vector<Key<RuleSpec>> kKeys{
         {"name", Unit::word, &RuleSpec::name, "its number", "to change it, and for logs"},
-        {"act", Unit::word, &RuleSpec::act, "", "what happens", 0, 0, act_names(), true},
+        {"act", Unit::word, &RuleSpec::act, "", "what happens", 0, 0, fault_type_names(), true},
         {"from", Unit::words, &RuleSpec::from, "\"*\"", "who sends; a trailing * is any rest"},
         {"to", Unit::words, &RuleSpec::to, "\"*\"", "who should get it"},
         {"groups", Unit::words, &RuleSpec::groups, "none",
          "in place of from and to: links between two of them, each a text of names (\"n-0 n-1\"); who stands "
          "in several bridges them"},
         {"medium", Unit::word, &RuleSpec::medium, "\"any\"", "of what", 0, 0, {"any", "stream", "datagram"}},
-        {"at", Unit::duration, &RuleSpec::at, "\"0s\"", "when it begins to hold", 0, kLongest},
-        {"lasts", Unit::duration, &RuleSpec::lasts, "to the end", "for how long", 0, kLongest},
+        {"at", Unit::duration, &RuleSpec::at, "\"0s\"", "when it begins to hold", 0, kMaxDuration},
+        {"lasts", Unit::duration, &RuleSpec::lasts, "to the end", "for how long", 0, kMaxDuration},
         {"every", Unit::duration, &RuleSpec::every, "once", "comes on again so often; longer than lasts", 0,
-         kLongest},
-        {"first", Unit::count, &RuleSpec::first, "1", "of the connections or datagrams of a link", 1, 9e15},
-        {"last", Unit::count, &RuleSpec::last, "any", "and the last of them", 1, 9e15},
+         kMaxDuration},
+        {"first", Unit::count, &RuleSpec::first, "1", "of the connections or datagrams of a link", 1,
+         kMaxCount},
+        {"last", Unit::count, &RuleSpec::last, "any", "and the last of them", 1, kMaxCount},
         {"chance", Unit::share, &RuleSpec::chance, "100%", "of each connection or datagram", 0, 1},
         {"where",
          Unit::word,
@@ -103,8 +197,8 @@
          0,
          0,
          {"opening", "byte", "message"}},
-        {"before_byte", Unit::count, &RuleSpec::before_byte, "0", "of one direction, from 0", 0, 9e15},
-        {"message", Unit::count, &RuleSpec::message, "1", "of one direction, from 1", 1, 9e15},
+        {"before_byte", Unit::count, &RuleSpec::before_byte, "0", "of one direction, from 0", 0, kMaxCount},
+        {"message", Unit::count, &RuleSpec::message, "1", "of one direction, from 1", 1, kMaxCount},
         {"part",
          Unit::word,
          &RuleSpec::part,
@@ -113,9 +207,10 @@
          0,
          0,
          {"begins", "head", "ends"}},
-        {"span", Unit::duration, &RuleSpec::span, "\"0ms\"", "of delay, hold, stall, reorder", 0, kLongest},
+        {"span", Unit::duration, &RuleSpec::span, "\"0ms\"", "of delay, hold, stall, reorder", 0,
+         kMaxDuration},
         {"jitter", Unit::duration, &RuleSpec::jitter, "\"0ms\"", "law uniform: span by this more or less", 0,
-         kLongest},
+         kMaxDuration},
         {"law",
          Unit::word,
          &RuleSpec::law,
@@ -127,64 +222,55 @@
         {"rate", Unit::size, &RuleSpec::rate, "none", "of rate: bytes a second", 1, 1e12},
         {"copies", Unit::count, &RuleSpec::copies, "1", "of repeat: more of each", 1, 100},
         {"behind", Unit::count, &RuleSpec::behind, "1", "of reorder: how many later ones overtake it", 1, 64},
-        {"count", Unit::count, &RuleSpec::count, "1", "of garble: bytes", 1, 9e15}};
-    return keys;
+        {"count", Unit::count, &RuleSpec::count, "1", "of garble: bytes", 1, kMaxCount}};
+    return kKeys;
 }
 
 Rule rule_of(const RuleSpec& spec, std::size_t number, std::uint32_t line, Problems& problems) {
-    const std::string where = "rule " + std::to_string(number);
-    const auto wrong = [&](const char* key, const char* what) {
-        problems.push_back({line, where + "." + key, what});
-    };
+    const std::string default_name = "rule " + std::to_string(number);
     Rule rule;
-    rule.name = spec.name.empty() ? where : spec.name;
-    const auto act = kActs.find(spec.act);
-    if (act == kActs.end()) return rule;  // told by the schema
-    rule.act = act->second;
-    rule.from = spec.from, rule.to = spec.to;
+    rule.name = spec.name.empty() ? default_name : spec.name;
+    const auto type = kFaultTypes.find(spec.act);
+    if (type == kFaultTypes.end()) return rule;  // the schema has reported it
+    rule.type = type->second;
+    rule.from = spec.from;
+    rule.to = spec.to;
     for (const std::string& group : spec.groups) rule.groups.push_back(split_names(group));
-    if (spec.groups.size() == 1) wrong("groups", "takes two groups at least");
-    rule.medium = spec.medium == "any"      ? Medium::any
-                  : spec.medium == "stream" ? Medium::stream
-                                            : Medium::datagram;
-    const bool datagrams_only = rule.act == Act::lose || rule.act == Act::repeat || rule.act == Act::reorder;
-    if (datagrams_only && rule.medium == Medium::stream)
-        wrong("medium", "this act is of datagrams; TCP loses and repeats nothing that its user could see");
-    rule.at = spec.at, rule.lasts = spec.lasts, rule.every = spec.every;
-    if (spec.every > 0 && spec.every <= spec.lasts) wrong("every", "must be longer than lasts");
-    if (spec.every > 0 && spec.lasts <= 0) wrong("lasts", "is needed with every");
-    rule.first = spec.first, rule.last = spec.last == 0 ? UINT64_MAX : spec.last;
-    if (rule.last < rule.first) wrong("last", "is before first");
-    rule.chance = spec.chance;
-    rule.place = spec.where == "byte"      ? Place::byte
-                 : spec.where == "message" ? Place::message
-                                           : Place::opening;
-    rule.byte = spec.before_byte, rule.message = spec.message;
-    rule.part = spec.part == "head" ? Part::head : spec.part == "ends" ? Part::ends : Part::begins;
-    rule.span = spec.span, rule.jitter = spec.jitter;
-    rule.law = spec.law == "uniform"       ? Law::uniform
-               : spec.law == "exponential" ? Law::exponential
-                                           : Law::fixed;
-    if (rule.act == Act::rate && spec.rate <= 0) wrong("rate", "is needed: bytes a second");
-    const bool spans = rule.act == Act::delay || rule.act == Act::hold || rule.act == Act::stall;
-    if (spans && spec.span <= 0) wrong("span", "is needed: for how long");
-    rule.rate = spec.rate;
-    rule.copies = spec.copies, rule.behind = spec.behind, rule.count = spec.count;
+    rule.medium = medium_of(spec);
+    rule.starts_at = spec.at;
+    rule.duration = spec.lasts;
+    rule.period = spec.every;
+    rule.first_number = spec.first;
+    rule.last_number = spec.last == 0 ? UINT64_MAX : spec.last;
+    rule.probability = spec.chance;
+    rule.trigger = trigger_of(spec);
+    rule.trigger_byte = spec.before_byte;
+    rule.trigger_message = spec.message;
+    rule.trigger_point = trigger_point_of(spec);
+    rule.delay = spec.span;
+    rule.jitter = spec.jitter;
+    rule.distribution = distribution_of(spec);
+    rule.bytes_per_second = spec.rate;
+    rule.extra_copies = spec.copies;
+    rule.overtaken_by = spec.behind;
+    rule.corrupted_bytes = spec.count;
+    check_rule(spec, rule, default_name, line, problems);
     return rule;
 }
 
 boost::asio::ip::tcp::endpoint loopback_endpoint(const std::string& text) {
     const auto colon = text.rfind(':');
+    if (colon == std::string::npos) throw AddressError("'" + text + "' is not address:port");
     std::uint16_t port = 0;
-    const char* end = text.data() + text.size();
-    if (colon == std::string::npos) throw std::invalid_argument("'" + text + "' is not address:port");
-    const auto [at, wrong] = std::from_chars(text.data() + colon + 1, end, port);
+    const char* const end = text.data() + text.size();
+    const auto [port_end, port_error] = std::from_chars(text.data() + colon + 1, end, port);
     boost::system::error_code error;
     const auto address = boost::asio::ip::make_address(text.substr(0, colon), error);
-    if (error || wrong != std::errc() || at != end)
-        throw std::invalid_argument("'" + text + "' is not address:port");
-    if (!address.is_loopback())
-        throw std::invalid_argument("'" + text + "' is not on loopback (127.0.0.0/8)");
+    const bool has_port = port_error == std::errc() && port_end == end;
+    if (error || !has_port) throw AddressError("'" + text + "' is not address:port");
+    if (!address.is_loopback()) {
+        throw AddressError("'" + text + "' is not on loopback (127.0.0.0/8)");
+    }
     return {address, port};
 }
 
@@ -192,38 +278,10 @@
     Script script;
     try {
         const toml::table table = toml::parse(text, file);
-        Top top;
-        schema::read_table(table, "", kTop, top, problems, {"link", "member", "rule"});
-        script.seed = top.seed, script.everybody = top.everybody;
-        if (!top.everybody.empty()) check_address(top.everybody, "everybody", 0, problems);
-        std::set<std::pair<std::string, std::string>> ends;
-        schema::read_sections(table, "link", Script::kMaxLinks, kLink, problems,
-                              [&](LinkSpec spec, std::size_t number, std::uint32_t line) {
-                                  const std::string where = "link " + std::to_string(number);
-                                  check_address(spec.listen, where + ".listen", line, problems);
-                                  check_address(spec.target, where + ".target", line, problems);
-                                  if (!ends.emplace(spec.from, spec.to).second)
-                                      problems.push_back({line, where, "is there twice"});
-                                  script.links.push_back(std::move(spec));
-                              });
-        std::set<std::string> names;
-        schema::read_sections(table, "member", Script::kMaxLinks, kMember, problems,
-                              [&](MemberSpec spec, std::size_t number, std::uint32_t line) {
-                                  const std::string where = "member " + std::to_string(number);
-                                  check_address(spec.listen, where + ".listen", line, problems);
-                                  check_address(spec.target, where + ".target", line, problems);
-                                  if (!names.insert(spec.name).second)
-                                      problems.push_back({line, where + ".name", "is there twice"});
-                                  script.members.push_back(std::move(spec));
-                              });
-        std::set<std::string> rules;
-        schema::read_sections(table, "rule", Script::kMaxRules, rule_keys(), problems,
-                              [&](const RuleSpec& spec, std::size_t number, std::uint32_t line) {
-                                  script.rules.push_back(rule_of(spec, number, line, problems));
-                                  if (!rules.insert(script.rules.back().name).second)
-                                      problems.push_back({line, "rule " + std::to_string(number) + ".name",
-                                                          "is another rule's"});
-                              });
+        read_top(table, script, problems);
+        read_links(table, script, problems);
+        read_members(table, script, problems);
+        read_rules(table, script, problems);
     } catch (const toml::parse_error& error) {
         problems.push_back({error.source().begin.line, "", std::string(error.description())});
     }
@@ -231,9 +289,9 @@
 }
 
 std::string script_manual() {
-    return "At the top:\n" + schema::manual(kTop) + "\n[[link]] of streams\n" + schema::manual(kLink) +
-           "\n[[member]] of datagrams\n" + schema::manual(kMember) + "\n[[rule]]\n" +
-           schema::manual(rule_keys());
+    return "At the top:\n" + schema::manual(kTopKeys) + "\n[[link]] of streams\n" +
+           schema::manual(kLinkKeys) + "\n[[member]] of datagrams\n" + schema::manual(kMemberKeys) +
+           "\n[[rule]]\n" + schema::manual(rule_keys());
 }
 
 }  // namespace elmbay::fault_proxy
--- /dev/null
+++ b/src/fault_proxy/splice_pipe.hpp
@@ -0,0 +1,88 @@
+// A pipe by which bytes go from one socket to another without being copied into this process (splice(2),
+// Linux).
+#pragma once
+
+#include <fcntl.h>
+#include <unistd.h>
+
+#include <array>
+#include <cerrno>
+#include <cstddef>
+#include <utility>
+
+namespace elmbay::fault_proxy {
+
+/// Owns the two descriptors of a pipe, once open() has made it. Not thread-safe. Never blocks.
+class SplicePipe {
+public:
+    /// Bytes: as much as an unprivileged process may have (fs.pipe-max-size), so fewer turns for the same
+    /// bytes.
+    static constexpr int kCapacity = 1 << 20;
+
+    /// How a move of bytes ended.
+    enum class MoveResult {
+        moved,        ///< some bytes, see last_moved()
+        would_block,  ///< nothing has come, or there is no space
+        end,          ///< the sender has ended
+        failed
+    };
+
+    SplicePipe() = default;
+    ~SplicePipe() { close(); }
+    SplicePipe(const SplicePipe&) = delete;
+    SplicePipe& operator=(const SplicePipe&) = delete;
+
+    /// Makes the pipe, if it is not there yet.
+    /// @return whether it is there; not if the process has no descriptors left.
+    bool open() {
+        if (write_end_ >= 0) return true;
+        std::array<int, 2> ends{};
+        if (::pipe2(ends.data(), O_NONBLOCK | O_CLOEXEC) != 0) return false;
+        read_end_ = ends[0];
+        write_end_ = ends[1];
+        ::fcntl(write_end_, F_SETPIPE_SZ, kCapacity);  // a smaller one does as well
+        return true;
+    }
+    /// @return how many bytes are inside.
+    std::size_t size() const { return size_; }
+    /// Moves what has come at the socket into the pipe.
+    MoveResult fill_from(int socket) {
+        const MoveResult result = move(socket, write_end_, kCapacity);
+        size_ += last_moved_;
+        return result;
+    }
+    /// Moves what is inside to the socket.
+    MoveResult empty_to(int socket) {
+        const MoveResult result = move(read_end_, socket, size_);
+        size_ -= last_moved_;
+        return result;
+    }
+    /// @return how many bytes the last fill_from() or empty_to() has moved.
+    std::size_t last_moved() const { return last_moved_; }
+
+private:
+    MoveResult move(int from, int to, std::size_t max_bytes) {
+        last_moved_ = 0;
+        const ssize_t moved =
+            ::splice(from, nullptr, to, nullptr, max_bytes, SPLICE_F_NONBLOCK | SPLICE_F_MOVE);
+        if (moved == 0) return MoveResult::end;
+        if (moved < 0) {
+            const bool may_retry = errno == EAGAIN || errno == EINTR;
+            return may_retry ? MoveResult::would_block : MoveResult::failed;
+        }
+        last_moved_ = static_cast<std::size_t>(moved);
+        return MoveResult::moved;
+    }
+    void close() {
+        if (write_end_ < 0) return;
+        ::close(std::exchange(write_end_, -1));
+        ::close(std::exchange(read_end_, -1));
+    }
+
+    int read_end_ = -1;
+    int write_end_ = -1;
+    std::size_t size_ = 0;
+    std::size_t last_moved_ = 0;
+};
+
+}  // namespace elmbay::fault_proxy
--- /dev/null
+++ b/src/fault_proxy/stream_link_connection.hpp
@@ -0,0 +1,97 @@
+// One connection of a StreamLink: both sockets, and both directions with their faults. Private to StreamLink.
+#pragma once
+
+#include <deque>
+#include <memory>
+#include <string_view>
+#include <vector>
+
+#include "base/stream_socket.hpp"
+#include "fault_proxy/splice_pipe.hpp"
+#include "fault_proxy/stream_filter.hpp"
+#include "fault_proxy/stream_link.hpp"
+
+namespace elmbay::fault_proxy {
+
+/// Passes bytes between a client and the target.
+///
+/// Sockets are non-blocking: what can be passed on at once is, within the handler that read it. Handlers hold
+/// the connection by shared_ptr; after close() they do nothing.
+class StreamLink::Connection : public std::enable_shared_from_this<Connection> {
+public:
+    /// @param number of the connection on its link, from 1.
+    Connection(StreamLink& link, tcp::socket client, std::uint64_t number);
+
+    /// Connects to the target after so many milliseconds.
+    void start(Millis delay);
+    /// The rules, or what holds of them, have changed.
+    void on_rules_changed();
+    std::size_t queued_bytes() const { return to_target_.queued_bytes() + to_client_.queued_bytes(); }
+    /// Closes both sockets.
+    /// @param by_reset whether both ends see a reset.
+    void close(bool by_reset);
+
+private:
+    // The bytes from `source` to the source of the other direction.
+    struct Direction {
+        Direction(const Rules& rules, Link link, std::uint64_t connection,
+                  MessageBoundaryReader::MessageKind sender, tcp::socket socket)
+            : filter(rules, std::move(link), connection, sender), source(std::move(socket)) {}
+        std::size_t queued_bytes() const { return bytes_in_actions + pipe.size(); }
+
+        StreamFilter filter;
+        TcpSocket source;
+        SplicePipe pipe{};                 // what is inside goes before `actions`
+        std::deque<StreamAction> actions;  // in order
+        std::size_t bytes_in_actions = 0;  // not sent yet
+        std::size_t sent_of_first = 0;     // bytes of the first action
+        bool is_reading = false;           // waits for the source
+        bool is_writing = false;           // waits for space at the receiver
+        bool has_ended = false;            // the source has
+        bool end_passed_on = false;
+        bool last_read_was_bulk = false;     // the next may go by the pipe
+        EventLoopContext::TimerKey timer{};  // when the first action is due
+    };
+
+    Direction& opposite(const Direction& direction) {
+        return is_to_target(direction) ? to_client_ : to_target_;
+    }
+    bool is_to_target(const Direction& direction) const { return &direction == &to_target_; }
+    bool is_cut(const Direction& direction) const {
+        return is_to_target(direction) ? link_->is_cut_to_target_ : link_->is_cut_to_client_;
+    }
+    bool is_observed(const Direction& direction) const;
+    bool passes_unchanged(const Direction& direction) const;
+    void count_received(const Direction& direction, std::size_t bytes);
+
+    void connect();
+    void on_connected();
+    void read(Direction& direction);
+    void on_readable(Direction& direction);
+    bool splice(Direction& direction);
+    void on_bytes(Direction& direction, Millis now, std::string_view bytes);
+    std::size_t pass_at_once(Direction& direction, std::string_view bytes);
+    void on_source_ended(Direction& direction, Millis now, bool in_order);
+    void enqueue(Direction& direction, std::vector<StreamAction> actions);
+
+    // These return whether to go on; if not, something else comes back to deliver(), or all is closed.
+    bool empty_pipe(Direction& direction);
+    bool do_first_action(Direction& direction);
+    bool send_first_action(Direction& direction);
+
+    void deliver(Direction& direction);
+    void wait_until(Direction& direction, Millis time);
+    void wait_for_space(Direction& direction);
+    void pass_end_on(Direction& direction);
+    void report_client_ended();
+
+    StreamLink* link_;  // null once it is closed
+    const std::uint64_t number_;
+    Direction to_target_;
+    Direction to_client_;
+    bool client_end_reported_ = false;
+    bool is_connected_ = false;
+    EventLoopContext::TimerKey start_timer_{};
+};
+
+}  // namespace elmbay::fault_proxy
--- a/src/process_testbed/chaos.cpp
+++ b/src/process_testbed/chaos.cpp
@@ -1,215 +1,199 @@
 #include "process_testbed/chaos.hpp"
 
-#include <array>
-#include <map>
-#include <sstream>
-#include <stdexcept>
+#include <algorithm>
+#include <utility>
 
-#include "base/random.hpp"
+#include "process_testbed/process_testbed.hpp"
 
 namespace elmbay::process_testbed {
 
 namespace {
 
-using Kind = FaultStep::Kind;
-using fault_proxy::Act;
+using fault_proxy::FaultType;
 using fault_proxy::Rule;
+using fault_proxy::Trigger;
 
-constexpr std::array<const char*, 14> kNames{"ask",   "cut",     "split",   "heal", "reset",
-                                             "break", "freeze",  "thaw",    "kill", "starve",
-                                             "drain", "restore", "conduct", "wait"};
-constexpr std::array<const char*, 3> kGrades{"listen", "deposit", "annotate"};
-constexpr std::array<ServerBehavior, 4> kConducts{ServerBehavior::serve, ServerBehavior::fail,
-                                                  ServerBehavior::turn_away, ServerBehavior::mute};
-constexpr std::uint64_t kLongestWait = 400;  // ms: beyond the drain grace with the next one's
-constexpr std::uint64_t kAnswerBytes = 90;   // about the length of an answer's head and body
-
-// What a schedule is carried out on, with what has to be undone at its end.
-class Player {
+/// A testbed on which the steps of a schedule are carried out, and which is healed at its end.
+class SchedulePlayer {
 public:
-    Player(const Options& options) : testbed_(options) { testbed_.start(); }
-
-    bool carry_out(const FaultStep& d) {
-        const std::string sidecar = "n-" + std::to_string(d.a), server = "s-" + std::to_string(d.b);
-        switch (d.kind) {
-            case Kind::ask:
-                for (std::uint64_t i = 0; i < d.value && testbed_.running(d.a); ++i)
-                    testbed_.ask(d.a, kGrades[d.b % kGrades.size()]);
-                return true;
-            case Kind::cut: {
-                const std::string other = d.b < servers() ? server : "list";
-                if (d.value != 2) cut(sidecar, other);
-                if (d.value != 1) cut(other, sidecar);
-                return true;
-            }
-            case Kind::split: {
-                Rule r;
-                r.name = "cut " + std::to_string(++cuts_);
-                r.groups.resize(2);
-                for (std::size_t i = 0; i < sidecars(); ++i)
-                    r.groups[i >= d.a].push_back("n-" + std::to_string(i));
-                for (std::size_t j = 0; j < servers(); ++j)
-                    r.groups[j >= servers() / 2].push_back("s-" + std::to_string(j));
-                r.groups[d.b % 2].push_back("list");
-                testbed_.context().put(r);
-                return true;
-            }
-            case Kind::heal:
-                heal();
-                return true;
-            case Kind::reset:
-                testbed_.link(sidecar, server).reset_all();
-                return true;
-            case Kind::break_at: {
-                Rule r;
-                r.name = "cut " + std::to_string(++cuts_);
-                r.act = d.a % 2 ? Act::reset : Act::half_close;
-                r.from = {server}, r.to = {"n-*"}, r.place = fault_proxy::Place::byte, r.byte = d.value;
-                testbed_.context().put(r);
-                return true;
-            }
-            case Kind::freeze:
-                if (testbed_.running(d.a)) testbed_.freeze(d.a);
-                return true;
-            case Kind::thaw:
-                if (testbed_.process(d.a).frozen()) testbed_.thaw(d.a);
-                return true;
-            case Kind::kill:
-                testbed_.kill(d.a);
-                testbed_.restart(d.a);
-                return true;
-            case Kind::starve:
-                if (testbed_.running(d.a)) testbed_.starve(d.a, static_cast<double>(d.value) / 100);
-                return true;
-            case Kind::drain:
-                testbed_.list(d.b, "leaving");
-                return true;
-            case Kind::restore:
-                testbed_.list(d.b, "active");
-                return true;
-            case Kind::behavior:
-                testbed_.server(d.b).behavior = kConducts[d.value % kConducts.size()];
-                return true;
-            case Kind::wait:
-                return testbed_.quiet_for(static_cast<Millis>(d.value));
-        }
-        return true;
-    }
+    explicit SchedulePlayer(const Options& options) : testbed_(options) { testbed_.start(); }
 
-    Verdict verdict(bool kept) {
-        heal();
-        for (std::size_t i = 0; i < sidecars(); ++i) {
-            testbed_.starve(i, 1);
-            if (testbed_.process(i).frozen()) testbed_.thaw(i);
-        }
-        for (std::size_t j = 0; j < servers(); ++j) testbed_.server(j).behavior = ServerBehavior::serve;
-        kept = kept && testbed_.settle();
-        std::string leaks;
-        for (std::size_t i = 0; kept && i < sidecars(); ++i)
-            if (testbed_.running(i) && testbed_.until([&] { return testbed_.ready(i); }) &&
-                !testbed_.descriptors_accounted(i))
-                leaks += "n-" + std::to_string(i) + " holds more descriptors than it counts\n";
-        kept = kept && leaks.empty();
-        return {kept, kept ? "" : leaks + testbed_.explain(), testbed_.request_history().asked(),
-                testbed_.request_history().count(RequestHistory::Answer::served)};
-    }
-    std::size_t servers() const { return testbed_.servers(); }
-    std::size_t sidecars() const { return testbed_.sidecars(); }
+    /// @return whether no rule has been broken.
+    bool play(const FaultStep& step);
+    /// Undoes all faults and waits until every request has ended.
+    /// @param kept whether no rule has been broken so far.
+    Verdict finish(bool kept);
 
 private:
-    void cut(const std::string& from, const std::string& to) {
-        Rule r;
-        r.name = "cut " + std::to_string(++cuts_);
-        r.from = {from}, r.to = {to};
-        testbed_.context().put(r);
-    }
-    void heal() { testbed_.context().replace_all({}); }
+    void send_requests(const FaultStep& step);
+    void cut_link(const FaultStep& step);
+    void partition(const FaultStep& step);
+    void break_responses(const FaultStep& step);
+    void heal_links() { testbed_.context().replace_rules({}); }
+    void heal_everything();
+    // A line for each sidecar that holds descriptors which it does not count.
+    std::string find_descriptor_leaks();
+    void add_cut(const std::string& from, const std::string& to);
+    std::string next_rule_name();
 
     ProcessTestbed testbed_;
-    std::uint64_t cuts_ = 0;
+    std::uint64_t rules_added_ = 0;
 };
 
-}  // namespace
+bool SchedulePlayer::play(const FaultStep& step) {
+    const std::size_t sidecar = step.sidecar();
+    switch (step.kind()) {
+        case FaultStepKind::send_requests:
+            send_requests(step);
+            break;
+        case FaultStepKind::cut_link:
+            cut_link(step);
+            break;
+        case FaultStepKind::partition:
+            partition(step);
+            break;
+        case FaultStepKind::heal_links:
+            heal_links();
+            break;
+        case FaultStepKind::reset_connections:
+            testbed_.link(sidecar_name(sidecar), server_name(step.server())).reset_all();
+            break;
+        case FaultStepKind::break_responses:
+            break_responses(step);
+            break;
+        case FaultStepKind::freeze:
+            if (testbed_.is_running(sidecar)) testbed_.freeze(sidecar);
+            break;
+        case FaultStepKind::thaw:
+            if (testbed_.process(sidecar).is_frozen()) testbed_.thaw(sidecar);
+            break;
+        case FaultStepKind::kill:
+            testbed_.kill(sidecar);
+            testbed_.restart(sidecar);
+            break;
+        case FaultStepKind::limit_cpu:
+            if (testbed_.is_running(sidecar)) testbed_.limit_cpu(sidecar, step.cpu_share());
+            break;
+        case FaultStepKind::drain:
+            testbed_.set_endpoint_state(step.server(), EndpointState::leaving);
+            break;
+        case FaultStepKind::restore:
+            testbed_.set_endpoint_state(step.server(), EndpointState::active);
+            break;
+        case FaultStepKind::set_behavior:
+            testbed_.server(step.server()).behavior = step.behavior();
+            break;
+        case FaultStepKind::wait:
+            return testbed_.run_for(step.wait_duration());
+    }
+    return true;
+}
 
-Schedule draw_schedule(std::uint64_t seed, std::size_t sidecars, std::size_t servers, std::size_t deeds) {
-    balancer::Random random(seed);
-    Schedule schedule;
-    // What happens alone hardly ever shows: half of the deeds are requests, with little time between.
-    constexpr Kind kFaults[] = {Kind::cut,      Kind::cut,    Kind::split,   Kind::heal,    Kind::reset,
-                                Kind::break_at, Kind::freeze, Kind::thaw,    Kind::thaw,    Kind::kill,
-                                Kind::starve,   Kind::drain,  Kind::restore, Kind::behavior};
-    while (schedule.size() < deeds) {
-        FaultStep d;
-        const std::size_t which = random.below(10);
-        d.kind = which < 4 ? Kind::ask : which < 7 ? Kind::wait : kFaults[random.below(std::size(kFaults))];
-        d.a = random.below(sidecars);
-        d.b = random.below(servers);
-        switch (d.kind) {
-            case Kind::ask:
-                d.b = random.below(kGrades.size()), d.value = 1 + random.below(6);
-                break;
-            case Kind::wait:
-                d.value = 1 + random.below(random.below(3) == 0 ? kLongestWait : 40);
-                break;
-            case Kind::cut:
-                d.b = random.below(servers + 1), d.value = random.below(3);
-                break;
-            case Kind::split:
-                d.a = 1 + random.below(sidecars - 1);
-                break;
-            case Kind::break_at:
-                d.value = random.below(kAnswerBytes);
-                break;
-            case Kind::starve:
-                d.value = 10 + random.below(90);
-                break;
-            case Kind::behavior:
-                d.value = random.below(kConducts.size());
-                break;
-            default:
-                break;
+void SchedulePlayer::send_requests(const FaultStep& step) {
+    const char* const request_class = kRequestClasses[step.request_class() % kRequestClasses.size()];
+    for (std::uint64_t i = 0; i < step.request_count() && testbed_.is_running(step.sidecar()); ++i) {
+        testbed_.send_request(step.sidecar(), request_class);
+    }
+}
+
+void SchedulePlayer::cut_link(const FaultStep& step) {
+    const std::string sidecar = sidecar_name(step.sidecar());
+    const std::string other =
+        step.server() < testbed_.server_count() ? server_name(step.server()) : kDiscoveryName;
+    if (step.cut_direction() != CutDirection::to_sidecar) add_cut(sidecar, other);
+    if (step.cut_direction() != CutDirection::from_sidecar) add_cut(other, sidecar);
+}
+
+void SchedulePlayer::partition(const FaultStep& step) {
+    Rule rule;
+    rule.name = next_rule_name();
+    rule.groups.resize(2);
+    for (std::size_t i = 0; i < testbed_.sidecar_count(); ++i) {
+        const std::size_t half = i >= step.first_of_second_half() ? 1 : 0;
+        rule.groups[half].push_back(sidecar_name(i));
+    }
+    for (std::size_t j = 0; j < testbed_.server_count(); ++j) {
+        const std::size_t half = j >= testbed_.server_count() / 2 ? 1 : 0;
+        rule.groups[half].push_back(server_name(j));
+    }
+    rule.groups[step.half_of_discovery()].emplace_back(kDiscoveryName);
+    testbed_.context().put_rule(rule);
+}
+
+void SchedulePlayer::break_responses(const FaultStep& step) {
+    Rule rule;
+    rule.name = next_rule_name();
+    rule.type = step.breaks_by_reset() ? FaultType::reset : FaultType::half_close;
+    rule.from = {server_name(step.server())};
+    rule.to = {"n-*"};
+    rule.trigger = Trigger::at_byte;
+    rule.trigger_byte = step.before_byte();
+    testbed_.context().put_rule(rule);
+}
+
+void SchedulePlayer::add_cut(const std::string& from, const std::string& to) {
+    Rule rule;
+    rule.name = next_rule_name();
+    rule.from = {from};
+    rule.to = {to};
+    testbed_.context().put_rule(rule);
+}
+
+std::string SchedulePlayer::next_rule_name() {
+    ++rules_added_;
+    return "cut " + std::to_string(rules_added_);
+}
+
+void SchedulePlayer::heal_everything() {
+    heal_links();
+    for (std::size_t i = 0; i < testbed_.sidecar_count(); ++i) {
+        testbed_.limit_cpu(i, 1);
+        if (testbed_.process(i).is_frozen()) testbed_.thaw(i);
+    }
+    for (std::size_t j = 0; j < testbed_.server_count(); ++j) {
+        testbed_.server(j).behavior = ServerBehavior::serve;
+    }
+}
+
+std::string SchedulePlayer::find_descriptor_leaks() {
+    std::string leaks;
+    for (std::size_t i = 0; i < testbed_.sidecar_count(); ++i) {
+        if (!testbed_.is_running(i)) continue;
+        if (!testbed_.run_until([&] { return testbed_.is_ready(i); })) continue;
+        if (!testbed_.descriptors_are_accounted_for(i)) {
+            leaks += sidecar_name(i) + " holds more descriptors than it counts\n";
         }
-        schedule.push_back(d);
     }
-    return schedule;
+    return leaks;
 }
 
-std::string text_of(const Schedule& schedule) {
-    std::ostringstream text;
-    for (const FaultStep& d : schedule)
-        text << kNames[static_cast<std::size_t>(d.kind)] << " " << d.a << " " << d.b << " " << d.value
-             << "\n";
-    return text.str();
+Verdict SchedulePlayer::finish(bool kept) {
+    heal_everything();
+    kept = kept && testbed_.settle();
+    const std::string leaks = kept ? find_descriptor_leaks() : "";
+    kept = kept && leaks.empty();
+    const RequestHistory& history = testbed_.request_history();
+    return {kept, kept ? "" : leaks + testbed_.explain(), history.total_requests(),
+            history.count(RequestHistory::Outcome::served)};
 }
 
-Schedule parse_schedule(const std::string& text) {
-    Schedule schedule;
-    std::istringstream lines(text);
-    std::size_t number = 0;
-    for (std::string line; std::getline(lines, line);) {
-        ++number;
-        if (line.empty() || line[0] == '#') continue;
-        std::istringstream words(line);
-        std::string name;
-        FaultStep d;
-        words >> name >> d.a >> d.b >> d.value;
-        const auto at = std::find_if(kNames.begin(), kNames.end(), [&](const char* n) { return name == n; });
-        if (!words || at == kNames.end())
-            throw std::invalid_argument("line " + std::to_string(number) + ": '" + line + "' is no deed");
-        d.kind = static_cast<Kind>(at - kNames.begin());
-        schedule.push_back(d);
+void check_range(const Options& options, const Schedule& schedule) {
+    for (const FaultStep& step : schedule) {
+        const bool has_sidecar = step.sidecar() < options.sidecars;
+        const bool names_server = step.kind() != FaultStepKind::send_requests;
+        const bool has_server = !names_server || step.server() <= options.servers;
+        if (!has_sidecar || !has_server) throw ScheduleRangeError();
     }
-    return schedule;
 }
 
+}  // namespace
+
 Verdict play(const Options& options, const Schedule& schedule) {
-    for (const FaultStep& d : schedule)
-        if (d.a >= options.sidecars || (d.b > options.servers && d.kind != Kind::ask))
-            throw std::invalid_argument("the schedule names more than the fleet has");
-    Player player(options);
-    for (const FaultStep& d : schedule)
-        if (!player.carry_out(d)) return player.verdict(false);
-    return player.verdict(true);
+    check_range(options, schedule);
+    SchedulePlayer player(options);
+    const bool kept = std::all_of(schedule.begin(), schedule.end(),
+                                  [&](const FaultStep& step) { return player.play(step); });
+    return player.finish(kept);
 }
 
 }  // namespace elmbay::process_testbed
--- a/src/process_testbed/chaos.hpp
+++ b/src/process_testbed/chaos.hpp
@@ -1,53 +1,34 @@
-// Schedules of faults drawn from a seed, played on the program's processes, and the request_history looked at
-// after each. A schedule that fails is shrunk to a smallest one that still does, and written down to be kept
-// as a test.
+// Chaos runs: plays a schedule of faults on processes and says whether every rule was kept.
 #pragma once
 
+#include <cstdint>
+#include <stdexcept>
 #include <string>
-#include <vector>
 
-#include "process_testbed/process_testbed.hpp"
-#include "process_testbed/shrink.hpp"
+#include "process_testbed/fault_schedule.hpp"
+#include "process_testbed/testbed_options.hpp"
 
 namespace elmbay::process_testbed {
 
-struct FaultStep {
-    enum class Kind {
-        ask,  // a: sidecar; b: class; value: how many
-        cut,  // a: sidecar, b: server, or the number of servers for the list; value: 0 both ways, 1 there, 2
-              // back
-        split,     // a: the first sidecar of the second half, with half of the servers and the list
-        heal,      // every cut
-        reset,     // a: sidecar, b: server: its connections
-        break_at,  // answers of server b end before byte `value`, by reset or half-close
-        freeze,
-        thaw,
-        kill,      // and started again at once
-        starve,    // a: sidecar; value: percent of its core
-        drain,     // b: server
-        restore,   // b: server is active again
-        behavior,  // b: server; value: serve, fail, turn away, mute
-        wait       // value: ms
-    };
-    Kind kind = Kind::wait;
-    std::size_t a = 0, b = 0;
-    std::uint64_t value = 0;
-    bool operator==(const FaultStep&) const = default;
+/// A schedule names a sidecar or a server that the testbed does not have.
+class ScheduleRangeError : public std::invalid_argument {
+public:
+    ScheduleRangeError() : std::invalid_argument("the schedule names more than the fleet has") {}
 };
-using Schedule = std::vector<FaultStep>;
-
-// The same for the same seed, on every machine.
-Schedule draw_schedule(std::uint64_t seed, std::size_t sidecars, std::size_t servers, std::size_t deeds);
-// A line each: "cut 1 0 2". parse_schedule throws std::invalid_argument naming the line.
-std::string text_of(const Schedule& schedule);
-Schedule parse_schedule(const std::string& text);
 
+/// What a chaos run found.
 struct Verdict {
-    bool kept = true;
-    std::string explain;  // what was broken, and the history of whom it concerns
-    std::uint64_t asked = 0, served = 0;
+    bool kept = true;            ///< whether no rule was broken and no descriptor leaked
+    std::string explanation;     ///< if not kept: what was broken, and the events of whom it concerns
+    std::uint64_t requests = 0;  ///< how many clients sent
+    std::uint64_t served = 0;    ///< how many of them were served
 };
-// Starts a testbed, carries the schedule out, heals and thaws everything, waits for every end.
+
+/// Starts a testbed, carries the schedule out, heals and thaws everything and waits for all outcomes.
+///
+/// Blocks until then. All processes have ended when it returns.
+/// @throws ScheduleRangeError
+/// @throws SidecarNotReady if the program does not start.
 Verdict play(const Options& options, const Schedule& schedule);
 
 }  // namespace elmbay::process_testbed
--- a/src/process_testbed/process.hpp
+++ b/src/process_testbed/process.hpp
@@ -1,4 +1,4 @@
-// One sidecar as a process of its own, started by a command and told what PROTOCOL and DEPLOY say.
+// Runs one sidecar as a process of its own, with the files that it is configured by.
 #pragma once
 
 #include <sys/types.h>
@@ -6,53 +6,80 @@
 #include <filesystem>
 #include <nlohmann/json_fwd.hpp>
 #include <optional>
+#include <stdexcept>
 #include <string>
 
 namespace elmbay::process_testbed {
 
+/// A file of a process could not be written.
+class FileWriteError : public std::runtime_error {
+public:
+    explicit FileWriteError(const std::filesystem::path& path)
+        : std::runtime_error(path.string() + ": can't be written"), path_(path) {}
+    const std::filesystem::path& path() const { return path_; }
+
+private:
+    std::filesystem::path path_;
+};
+
+/// Owns a child process and its files NAME.json, NAME.toml and NAME.log in a folder.
+///
+/// The process is killed with this object, and by the kernel if the thread that started it ends
+/// (PR_SET_PDEATHSIG). Not thread-safe.
 class Process {
 public:
-    // command is given to /bin/sh and should replace the shell ("exec ..." is put before it where it is not
-    // there). folder holds the configuration and the log and must exist.
+    /// Times that freeze() yields while it waits for the process to come to rest.
+    static constexpr int kMaxYieldsBeforeFreeze = 20000;
+
+    /// @param command for /bin/sh. It should replace the shell: "exec " is put before it if it does not begin
+    /// so.
+    /// @param folder  must exist.
     Process(std::string name, const std::string& command, std::filesystem::path folder);
-    ~Process();  // SIGKILL, and waits
+    ~Process();
     Process(const Process&) = delete;
     Process& operator=(const Process&) = delete;
 
-    // The file is replaced as a whole, never half written.
+    /// Replaces the configuration as a whole: a process never reads half a file.
+    /// @throws FileWriteError
     void write_config(const nlohmann::json& config) const;
-    // An operator's file for its next start; empty: none.
+    /// Replaces the operator's file for the next start; empty: none.
+    /// @throws FileWriteError
     void write_operator_file(const std::string& toml);
-    // Another build for its next start.
+    /// Chooses the command of the next start.
     void set_command(const std::string& command);
+    /// @throws std::system_error if no process can be made.
     void start();
-    void signal(int number) const;  // nothing if it does not run
-    // SIGSTOP, in the wait of its loop if it comes there within kRestLooks: one that is stopped between a
-    // check and the write that it is for does that write first thing as it wakes, which no program can help.
-    // SIGCONT: it wakes with what it believed, and full buffers.
-    static constexpr int kRestLooks = 20000;
+    /// Sends a signal, if the process runs.
+    void signal(int number) const;
+    /// Stops the process (SIGSTOP), if possible while it waits in its event loop: one that is stopped between
+    /// a check and the write that follows writes first thing when it resumes, which no program can help.
     void freeze();
+    /// Resumes the process (SIGCONT) with the state it had, and full socket buffers.
     void thaw();
-    bool frozen() const { return frozen_; }
-    // How many descriptors it may hold from now on (setrlimit(2), the soft limit of the running process).
-    void limit_descriptors(std::size_t most) const;
+    bool is_frozen() const { return is_frozen_; }
+    /// Sets the soft limit of descriptors of the running process (setrlimit(2)).
+    void limit_descriptors(std::size_t max_descriptors) const;
+    /// @return the process id; negative while none runs.
     pid_t pid() const { return pid_; }
-    bool at_rest() const;  // waiting for something
-    // Whether it has ended, with its status as waitpid gives it.
-    std::optional<int> ended();
-    bool running() const { return pid_ > 0; }
+    /// @return whether the process sleeps in a system call.
+    bool is_waiting() const;
+    /// @return the status as of waitpid(2) if the process has ended since the last call.
+    std::optional<int> poll_exit();
+    bool is_running() const { return pid_ > 0; }
+    /// SIGKILL; returns when the process has ended.
     void kill();
-    std::filesystem::path log() const { return folder_ / (name_ + ".log"); }
+    std::filesystem::path log_path() const { return folder_ / (name_ + ".log"); }
 
 private:
-    std::filesystem::path config() const { return folder_ / (name_ + ".json"); }
-
-    std::filesystem::path operator_file() const { return folder_ / (name_ + ".toml"); }
+    std::filesystem::path config_path() const { return folder_ / (name_ + ".json"); }
+    std::filesystem::path operator_file_path() const { return folder_ / (name_ + ".toml"); }
+    std::string shell_command() const;
 
     const std::string name_;
     std::string command_;
     const std::filesystem::path folder_;
-    bool with_operator_file_ = false, frozen_ = false;
+    bool has_operator_file_ = false;
+    bool is_frozen_ = false;
     pid_t pid_ = -1;
 };
 
--- a/src/process_testbed/process_testbed.hpp
+++ b/src/process_testbed/process_testbed.hpp
@@ -1,218 +1,195 @@
-// A small language for tests of many processes: start so many sidecars, put rules on the links between them,
-// servers, the list and callers, freeze and kill, wait for events, ask each process what it believes. After
-// every step of the loop the request_history is looked at; what it holds against the testbed ends the wait.
+// A testbed of real sidecar processes, emulated clients, servers and discovery, with fault rules on all
+// links.
 //
 //     ProcessTestbed testbed({.sidecars = 3, .servers = 2, .program = ELMBAY_PROGRAM});
 //     testbed.start();
-//     const auto id = testbed.ask(0, "deposit");
-//     testbed.ground().put({.name = "cut", .from = {"s-*"}, .to = {"n-0"}, .act = Act::cut});
-//     ASSERT_TRUE(testbed.until([&] { return testbed.ended(id); })) << testbed.story(id);
+//     const auto id = testbed.send_request(0, "deposit");
+//     testbed.context().put_rule({.name = "cut", .from = {"s-*"}, .to = {"n-0"}, .act = FaultType::cut});
+//     ASSERT_TRUE(testbed.run_until([&] { return testbed.has_ended(id); })) << testbed.explain(id);
 //
-// Names: sidecars n-0 ..., servers s-0 ..., the list "list", callers of n-I c-I. Links: c-I -> n-I,
-// n-I -> s-J, n-I -> list; between sidecars datagrams. Everything runs in one loop and one thread; nothing
-// sleeps. The destructor ends every process that it started, and they end with this one whatever happens.
+// Names in rules: sidecars n-0 ..., servers s-0 ..., the discovery service "list", the clients of n-I c-I.
+// Links: c-I -> n-I, n-I -> s-J, n-I -> list; datagrams between sidecars.
 #pragma once
 
-#include <filesystem>
 #include <functional>
-#include <list>
+#include <map>
 #include <memory>
 #include <nlohmann/json.hpp>
 #include <optional>
+#include <stdexcept>
 #include <string>
 #include <vector>
 
 #include "fault_proxy/datagram_net.hpp"
 #include "fault_proxy/stream_link.hpp"
+#include "process_testbed/client_emulator.hpp"
+#include "process_testbed/discovery_emulator.hpp"
 #include "process_testbed/process.hpp"
 #include "process_testbed/request_history.hpp"
+#include "process_testbed/server_emulator.hpp"
+#include "process_testbed/sidecar_controller.hpp"
+#include "process_testbed/temporary_folder.hpp"
+#include "process_testbed/testbed_options.hpp"
 
 namespace elmbay::process_testbed {
 
-namespace asio = boost::asio;
-using fault_proxy::tcp;
-using fault_proxy::udp;
-using nlohmann::json;
-
-struct Options {
-    std::size_t sidecars = 3, servers = 2;  // 700 and 2,000 at most: addresses
-    std::string program;                    // the command that starts a sidecar
-    std::uint64_t seed = 1;                 // of the rules' chance, and of the sidecars
-    Millis patience = 3000;  // of a caller, unless it says otherwise; give-up of every class as well
-    Millis latency_objective = 1500;
-    std::size_t sockets = 256;
-    bool cluster = false;            // whether they know each other
-    bool status = true;              // each process tells what it believes on a Unix socket
-    json settings = json::object();  // merged over the usual ones
-};
-
-// What a server does with a request.
-enum class ServerBehavior {
-    serve,      // answers after `delay`
-    hold,       // does the work and answers once release() is called
-    fail,       // 500
-    turn_away,  // 503, unseen
-    mute        // does the work and never answers
+/// @return the name of a sidecar in rules and in the history.
+inline std::string sidecar_name(std::size_t sidecar) { return "n-" + std::to_string(sidecar); }
+/// @return the name of a server in rules and in the history; its uid in the endpoint list.
+inline std::string server_name(std::size_t server) { return "s-" + std::to_string(server); }
+/// @return the name of a sidecar's clients in rules.
+inline std::string clients_name(std::size_t sidecar) { return "c-" + std::to_string(sidecar); }
+/// The name of the discovery service in rules.
+constexpr const char* kDiscoveryName = "list";
+
+/// A sidecar did not become ready. The message has the end of its log.
+class SidecarNotReady : public std::runtime_error {
+public:
+    using std::runtime_error::runtime_error;
 };
 
-class Server;
-class ListService;
-class Client;
-
+/// Starts sidecars as processes and runs all that is around them in one event loop and one thread.
+///
+/// Nothing sleeps: a test waits with run_until(), and after every step of the loop the history is checked; a
+/// violation ends the wait. Not thread-safe. The destructor ends every process that was started, and the
+/// kernel does if this process ends. Sidecars and servers are numbered from 0; a number that there is not is
+/// undefined behavior.
 class ProcessTestbed {
 public:
-    static constexpr Millis kReadyWithin = 30000,
-                            kWaitWithin = 60000;  // far beyond what a busy machine needs
-
+    /// Milliseconds that a wait lasts at most: far beyond what a busy machine needs.
+    static constexpr Millis kMaxWait = 60000;
+    /// Milliseconds between two looks for processes that have ended.
+    static constexpr Millis kProcessCheckPeriod = 10;
+    /// Descriptors that a sidecar reserves for itself (src/sidecar).
+    static constexpr std::size_t kReservedDescriptors = 24;
+
+    /// Makes links, emulators and files; no process runs yet.
     explicit ProcessTestbed(Options options);
     ~ProcessTestbed();
     ProcessTestbed(const ProcessTestbed&) = delete;
     ProcessTestbed& operator=(const ProcessTestbed&) = delete;
 
-    // All sidecars, until each answers GET /up. Throws std::runtime_error with what one said if it does not.
+    /// Starts all sidecars and waits until each is ready.
+    /// @throws SidecarNotReady if one does not become so within kMaxWait.
     void start();
 
     fault_proxy::EventLoopContext& context() { return context_; }
     fault_proxy::DatagramNet& datagrams() { return *datagrams_; }
+    /// @throws std::out_of_range if there is no such link.
     fault_proxy::StreamLink& link(const std::string& from, const std::string& to);
+    /// @return milliseconds since the testbed was made.
     Millis now() const { return context_.now(); }
     RequestHistory& request_history() { return request_history_; }
-    std::size_t sidecars() const { return sidecars_.size(); }
-    std::size_t servers() const { return servers_.size(); }
-
-    // ---- processes
-    void freeze(std::size_t sidecar);
-    void thaw(std::size_t sidecar);
-    // On for `share` of every 20 ms from now on; 1: as usual again.
-    void starve(std::size_t sidecar, double share);
-    void kill(std::size_t sidecar);
-    void terminate(std::size_t sidecar);
-    // After kill(), or once it has ended. command: another build; operator_file: added to its own.
+    std::size_t sidecar_count() const { return sidecars_.size(); }
+    std::size_t server_count() const { return servers_.size(); }
+
+    /// @name Processes
+    /// @{
+
+    /// Stops a sidecar's process with all its state; its sockets stay open.
+    void freeze(std::size_t sidecar) { sidecars_[sidecar]->freeze(); }
+    /// Resumes a frozen sidecar.
+    void thaw(std::size_t sidecar) { sidecars_[sidecar]->thaw(); }
+    /// Lets it run for this share of every SidecarController::kCpuPeriod from now on; 1: without a limit.
+    void limit_cpu(std::size_t sidecar, double share) { sidecars_[sidecar]->limit_cpu(share); }
+    /// Ends it at once, without a graceful shutdown.
+    void kill(std::size_t sidecar) { sidecars_[sidecar]->kill(); }
+    /// Asks it to shut down gracefully (SIGTERM).
+    void terminate(std::size_t sidecar) { sidecars_[sidecar]->terminate(); }
+    /// Starts it again after it has ended.
+    /// @param command       another build from now on; empty: the same.
+    /// @param operator_file added to its operator's file from now on; empty: as before.
     void restart(std::size_t sidecar, const std::string& command = "", const std::string& operator_file = "");
-    bool running(std::size_t sidecar) const;
-    bool ready(std::size_t sidecar) const;
-    Process& process(std::size_t sidecar);
-    udp::endpoint peer_listen_of(std::size_t sidecar) const { return sidecars_.at(sidecar).peer_listen; }
-    tcp::endpoint listen_of(std::size_t sidecar) const { return sidecars_.at(sidecar).listen; }
-    // What it believes, within kWaitWithin; null if nothing listens.
+    bool is_running(std::size_t sidecar) const { return process(sidecar).is_running(); }
+    /// @return whether it has answered GET /up with 200 since its start.
+    bool is_ready(std::size_t sidecar) const { return sidecars_[sidecar]->is_ready(); }
+    Process& process(std::size_t sidecar) { return sidecars_[sidecar]->process(); }
+    const Process& process(std::size_t sidecar) const { return std::as_const(*sidecars_[sidecar]).process(); }
+    /// @return where it listens for datagrams of the other sidecars.
+    udp::endpoint cluster_endpoint(std::size_t sidecar) const;
+    /// @return where it listens for clients.
+    tcp::endpoint listen_endpoint(std::size_t sidecar) const;
+    /// @return what its status socket says; discarded JSON if nothing listens there within kMaxWait.
     json status(std::size_t sidecar);
-    // Whether it holds no more descriptors than it counts and kOwnDescriptors; waits a while for it to close.
-    static constexpr std::size_t kOwnDescriptors = 24;  // as many as it reserves for itself, src/sidecar
-    bool descriptors_accounted(std::size_t sidecar);
-    // Written for its next start.
-    void configure(std::size_t sidecar);
-
-    // ---- callers
-    struct ClientRequest {
-        std::string request_class = "listen";  // deposit, annotate
-        Millis patience = 0;                   // 0: that of the options
-        Millis leaves = 0;                     // closes its connection after so long; 0: stays
-        std::string key{};                     // of annotate; empty: its own
-    };
-    std::string ask(std::size_t sidecar, const std::string& request_class) {
-        return ask(sidecar, ClientRequest{request_class});
+    /// Waits a while for it to close what it no longer needs.
+    /// @return whether it holds no more descriptors than its status counts and kReservedDescriptors.
+    bool descriptors_are_accounted_for(std::size_t sidecar);
+    /// @}
+
+    /// @name Clients
+    /// @{
+
+    /// Sends a request of this class, with the deadline of the options.
+    /// @return its correlation id.
+    std::string send_request(std::size_t sidecar, const std::string& request_class) {
+        return send_request(sidecar, ClientRequest{request_class});
+    }
+    std::string send_request(std::size_t sidecar, ClientRequest request);
+    /// @return whether the request has its outcome, or its client has left.
+    bool has_ended(const std::string& id) const { return clients_.has_ended(id); }
+    /// @return how it ended; none while it is open, or if it ended without a response.
+    std::optional<RequestHistory::Outcome> outcome(const std::string& id) const {
+        return clients_.outcome(id);
     }
-    std::string ask(std::size_t sidecar, const ClientRequest& ask);
-    bool ended(const std::string& id) const;
-    std::optional<RequestHistory::Answer> answer(const std::string& id) const;
-
-    // ---- servers and their list
-    Server& server(std::size_t number);
-    std::size_t add_server();  // a new one, listed at once
-    // "active", "leaving" or "left", told to every sidecar that watches.
-    void list(std::size_t server, const std::string& state);
-
-    // ---- waiting
-    // Runs the loop until it holds; false after kWaitWithin, or at the first broken rule.
-    bool until(const std::function<bool()>& holds);
-    // Runs it for so long: only for what must not happen meanwhile.
-    bool quiet_for(Millis span);
-    // Everything asked has its end, and the request_history has nothing against the testbed.
+    /// @}
+
+    /// @name Servers and discovery
+    /// @{
+
+    ServerEmulator& server(std::size_t server) { return *servers_.at(server); }
+    /// Adds a server and lists it as active.
+    /// @return its number.
+    std::size_t add_server();
+    /// Lists the server with this state, for every sidecar that watches the list.
+    void set_endpoint_state(std::size_t server, EndpointState state);
+    /// @}
+
+    /// @name Waiting
+    /// @{
+
+    /// Runs the event loop until the condition holds.
+    /// @return whether it does; false at the first violation or crash, and after kMaxWait.
+    bool run_until(const std::function<bool()>& condition);
+    /// Runs the event loop for so many milliseconds: only for what must not happen meanwhile.
+    /// @return whether there was no violation and no crash.
+    bool run_for(Millis duration);
+    /// Waits until every request has ended, and for what is checked only after a slack.
+    /// @return whether there was no violation.
     bool settle();
+    /// @return the violations, a line each.
     std::string violations() const;
-    // For a failure's message: the broken rules and the interleaved history of whom it concerns.
+    /// Explains a failure: the violations and the events of the request, of the first violation's request if
+    /// none is named, of all if there is no violation.
     std::string explain(const std::string& id = "");
+    /// @}
 
 private:
-    friend class Client;
-    struct Sidecar {
-        std::unique_ptr<Process> process;
-        tcp::endpoint listen;
-        udp::endpoint peer_listen;
-        std::string operator_file;
-        std::vector<tcp::socket> kept;  // its callers' connections that no request is open on
-        double share = 1;
-        fault_proxy::EventLoopContext::Key duty{};
-        bool ready = false, may_end = false;
-        std::uint64_t life = 0;
-    };
-    struct Outcome {
-        bool ended = false;
-        std::optional<RequestHistory::Answer> answer;
-    };
-
-    static std::string sidecar_name(std::size_t i) { return "n-" + std::to_string(i); }
-    static std::string server_name(std::size_t i) { return "s-" + std::to_string(i); }
     asio::ip::address_v4 address(std::uint32_t host) const;
-    // listen: the address at which `from` finds it; the target's if left out.
-    void add_link(const std::string& from, const std::string& to, tcp::endpoint target,
-                  std::optional<asio::ip::address> listen = {});
-    void watch_attempts(fault_proxy::StreamLink& link, const std::string& sidecar, const std::string& server);
-    void watch_list(fault_proxy::StreamLink& link, const std::string& sidecar);
-    void keep_connection(std::size_t sidecar, tcp::socket socket);
-    std::optional<tcp::socket> kept_connection(std::size_t sidecar);
-    void look_ready(std::size_t sidecar);
-    void look_processes();
-    void note_ended();
-    void duty(std::size_t sidecar, bool on);
+    void add_sidecar(std::size_t sidecar);
+    // Listens at `listen_address`, or at the target's if there is none.
+    void add_link(const std::string& from, const std::string& to, const tcp::endpoint& target,
+                  const std::optional<asio::ip::address>& listen_address = {});
+    void write_files(std::size_t sidecar, const std::string& operator_file);
     std::string status_path(std::size_t sidecar) const;
-    bool step(Millis until);
+    std::size_t open_descriptors(std::size_t sidecar) const;
+    void schedule_process_check();
+    void note_crashes();
+    bool run_step(Millis limit);
 
     const Options options_;
-    const std::uint32_t run_;  // picks a part of loopback, so that nothing else answers there
-    std::filesystem::path folder_;
+    const std::uint32_t loopback_part_;  // of 127.0.0.0/8, so that testbeds side by side keep apart
+    const TemporaryFolder folder_{"fleet"};
     asio::io_context io_{1};
     fault_proxy::EventLoopContext context_;
     RequestHistory request_history_;
     std::map<fault_proxy::Link, std::unique_ptr<fault_proxy::StreamLink>> links_;
     std::unique_ptr<fault_proxy::DatagramNet> datagrams_;
-    std::vector<std::unique_ptr<Server>> servers_;
-    std::vector<std::unique_ptr<ListService>> lists_;  // by sidecar
-    std::vector<std::weak_ptr<Client>> clients_;
-    std::vector<Sidecar> sidecars_;
-    std::map<std::string, Outcome> outcomes_;
-    std::uint64_t next_id_ = 0;
-    bool broken_ = false;
-};
-
-// An archive server that does what it is told.
-class Server {
-public:
-    Server(ProcessTestbed& testbed, std::string name, tcp::endpoint listen);
-    ~Server();
-
-    ServerBehavior behavior = ServerBehavior::serve;
-    Millis delay = 0;
-    std::size_t body = 0;  // bytes of an answer beside its first line
-
-    tcp::endpoint endpoint() const { return acceptor_.local_endpoint(); }
-    const std::string& name() const { return name_; }
-    std::uint64_t requests() const { return requests_; }  // that came whole
-    std::size_t holding() const { return held_.size(); }
-    void release();  // answers what is held
-
-private:
-    class Connection;
-    friend class Connection;
-    void accept();
-    void arrived(const std::shared_ptr<Connection>& connection, const std::string& id);
-
-    ProcessTestbed& testbed_;
-    const std::string name_;
-    tcp::acceptor acceptor_;
-    std::set<std::shared_ptr<Connection>> connections_;
-    std::list<std::pair<std::shared_ptr<Connection>, std::string>> held_;
-    std::uint64_t requests_ = 0;
+    std::vector<std::unique_ptr<ServerEmulator>> servers_;
+    std::vector<std::unique_ptr<DiscoveryEmulator>> discoveries_;  // by sidecar
+    ClientEmulator clients_;
+    std::vector<std::unique_ptr<SidecarController>> sidecars_;
+    std::vector<std::string> operator_files_;  // by sidecar: what restart() was given
+    bool has_crash_ = false;
 };
 
 }  // namespace elmbay::process_testbed
--- a/src/process_testbed/request_history.cpp
+++ b/src/process_testbed/request_history.cpp
@@ -8,198 +8,244 @@
 
 namespace {
 
-const char* name_of(RequestHistory::Answer answer) {
-    constexpr const char* kNames[] = {"served", "refused", "failed", "cut"};
-    return kNames[static_cast<std::size_t>(answer)];
+// In the order of Outcome.
+constexpr std::array<const char*, RequestHistory::kOutcomes> kOutcomeNames{"served", "refused", "failed",
+                                                                           "cut"};
+
+const char* name_of(RequestHistory::Outcome outcome) {
+    return kOutcomeNames[static_cast<std::size_t>(outcome)];
 }
 
 }  // namespace
 
-void RequestHistory::event(Millis now, const std::string& who, const std::string& id, std::string text) {
-    events_.push_back({now, who, id, std::move(text)});
+void RequestHistory::record(Millis now, const std::string& process, const std::string& id, std::string text) {
+    events_.push_back({now, process, id, std::move(text)});
     if (events_.size() > kMaxEvents) events_.pop_front();
 }
 
-void RequestHistory::wrong(Millis now, const std::string& id, const std::string& what) {
-    violations_.push_back({now, what, id});
-    event(now, "ledger", id, "BROKEN: " + what);
-}
-
-void RequestHistory::note(Millis now, const std::string& who, const std::string& text) {
-    event(now, who, "", text);
-}
-
-void RequestHistory::asked(Millis now, const std::string& id, Idempotency idempotency,
-                           const std::string& sidecar, Millis patience) {
-    Request& r = requests_[id];
-    r.idempotency = idempotency, r.sidecar = sidecar, r.asked = now, r.until = now + patience;
-    r.excused = frozen_.contains(sidecar);
-    ++asked_, ++open_;
-    event(now, sidecar, id, fmt::format("asked, for {:.0f} ms", patience));
-}
-
-void RequestHistory::close(Request& request, Millis now) {
-    if (request.ended >= 0) return;
-    request.ended = now;
-    --open_;
-}
-
-void RequestHistory::answered(Millis now, const std::string& id, Answer answer, bool genuine) {
-    Request& r = requests_[id];
-    event(now, r.sidecar, id, std::string("answered: ") + name_of(answer));
-    if (r.answered) wrong(now, id, "one final outcome: it was answered twice");
-    r.answered = true;
-    close(r, now);
-    ++counts_[static_cast<std::size_t>(answer)];
-    if (answer == Answer::served && !genuine)
-        wrong(now, id, "one final outcome: it was served what no server made for it");
-    if (answer == Answer::served && r.done == 0)
-        wrong(now, id, "one final outcome: served, and no server did it");
-    // "Trying again is harmless" must be true.
-    if (answer == Answer::refused && r.idempotency == Idempotency::non_idempotent && r.done > 0)
-        wrong(now, id, "nothing twice: refused, though a server has done it");
-}
-
-void RequestHistory::silence(Millis now, const std::string& id) {
-    Request& r = requests_[id];
-    if (r.ended >= 0) return;
-    event(now, r.sidecar, id, "its caller has heard nothing in its time");
-    if (!r.excused) wrong(now, id, "one final outcome: none came in its time");
-    close(r, now);
-}
-
-void RequestHistory::left(Millis now, const std::string& id) {
-    Request& r = requests_[id];
-    if (r.ended >= 0) return;
-    event(now, r.sidecar, id, "its caller has gone");
-    close(r, now);
-}
-
-void RequestHistory::closed(Millis now, const std::string& id) {
-    Request& r = requests_[id];
-    event(now, r.sidecar, id, "its connection was closed with no answer");
-    // A caller whose request was never sent on may ask again; else its outcome is lost.
-    if (!r.excused && r.attempts > 0) wrong(now, id, "one final outcome: sent on, and closed with no answer");
-    close(r, now);
-}
-
-void RequestHistory::sent(Millis now, const std::string& id, const Attempt& attempt, Millis first_byte) {
-    const auto at = requests_.find(id);
-    event(now, attempt.sidecar, id,
-          fmt::format("sent to {}, connection {}", attempt.server, attempt.connection));
-    if (at == requests_.end())
-        return wrong(now, id, "a request that no caller sent went to " + attempt.server);
-    Request& r = at->second;
-    if (r.orphaned) return;
-    if (++r.attempts > kMaxAttempts) wrong(now, id, fmt::format("nothing twice: attempt {}", r.attempts));
-    if (r.ended >= 0 && first_byte > r.ended + kSlack)
-        wrong(
-            now, id,
-            fmt::format("sent {:.0f} ms after its caller had its answer or was gone", first_byte - r.ended));
-    const auto drained = drained_.find({attempt.sidecar, attempt.server});
-    if (drained != drained_.end() && first_byte > drained->second + kDrainGrace + kSlack)
-        wrong(now, id,
-              fmt::format("drains kept: sent to {} {:.0f} ms after {} was told", attempt.server,
-                          first_byte - drained->second, attempt.sidecar));
-    for (const auto& [other, since] : r.out) waiting_.push_back({now + kSlack, id, other, since});
-    r.out[attempt] = now;
-    at_[attempt] = id;
+void RequestHistory::report_violation(Millis now, const std::string& id, const std::string& description) {
+    violations_.push_back({now, description, id});
+    record(now, "ledger", id, "BROKEN: " + description);
+}
+
+void RequestHistory::note(Millis now, const std::string& process, const std::string& text) {
+    record(now, process, "", text);
+}
+
+void RequestHistory::on_request(Millis now, const std::string& id, Idempotency idempotency,
+                                const std::string& sidecar, Millis deadline) {
+    Request& request = requests_[id];
+    request.idempotency = idempotency;
+    request.sidecar = sidecar;
+    request.is_excused = frozen_.contains(sidecar);
+    ++total_requests_;
+    ++open_requests_;
+    record(now, sidecar, id, fmt::format("asked, for {:.0f} ms", deadline));
+}
+
+void RequestHistory::end_request(Request& request, Millis now) {
+    if (request.has_ended()) return;
+    request.ended_at = now;
+    --open_requests_;
+}
+
+void RequestHistory::on_response(Millis now, const std::string& id, Outcome outcome, bool is_genuine) {
+    Request& request = requests_[id];
+    record(now, request.sidecar, id, std::string("answered: ") + name_of(outcome));
+    if (request.has_response) report_violation(now, id, "one final outcome: it was answered twice");
+    request.has_response = true;
+    end_request(request, now);
+    ++counts_[static_cast<std::size_t>(outcome)];
+    const bool was_processed = request.times_processed > 0;
+    if (outcome == Outcome::served && !is_genuine) {
+        report_violation(now, id, "one final outcome: it was served what no server made for it");
+    }
+    if (outcome == Outcome::served && !was_processed) {
+        report_violation(now, id, "one final outcome: served, and no server did it");
+    }
+    // A rejection says that a retry is harmless, and it must be true.
+    const bool retry_is_harmful = request.idempotency == Idempotency::non_idempotent && was_processed;
+    if (outcome == Outcome::rejected && retry_is_harmful) {
+        report_violation(now, id, "nothing twice: refused, though a server has done it");
+    }
+}
+
+void RequestHistory::on_client_timeout(Millis now, const std::string& id) {
+    Request& request = requests_[id];
+    if (request.has_ended()) return;
+    record(now, request.sidecar, id, "its caller has heard nothing in its time");
+    if (!request.is_excused) report_violation(now, id, "one final outcome: none came in its time");
+    end_request(request, now);
 }
 
-void RequestHistory::over(Millis now, const Attempt& attempt) {
-    const auto at = at_.find(attempt);
-    if (at == at_.end()) return;
-    event(now, attempt.sidecar, at->second,
-          fmt::format("over at {}, connection {}", attempt.server, attempt.connection));
-    requests_[at->second].out.erase(attempt);
-    at_.erase(at);
+void RequestHistory::on_client_left(Millis now, const std::string& id) {
+    Request& request = requests_[id];
+    if (request.has_ended()) return;
+    record(now, request.sidecar, id, "its caller has gone");
+    end_request(request, now);
 }
 
-void RequestHistory::done(Millis now, const std::string& id, const std::string& server) {
-    const auto at = requests_.find(id);
-    if (at == requests_.end()) return;
-    Request& r = at->second;
-    event(now, server, id, "done");
-    if (++r.done == 1) {
-        r.first_done = now;
-    } else if (r.idempotency == Idempotency::non_idempotent) {
-        wrong(now, id, fmt::format("nothing twice: done {} times, and its class allows one", r.done));
+void RequestHistory::on_closed_without_response(Millis now, const std::string& id) {
+    Request& request = requests_[id];
+    record(now, request.sidecar, id, "its connection was closed with no answer");
+    // A client whose request was never sent on may retry it; else its outcome is lost.
+    if (!request.is_excused && request.attempts > 0) {
+        report_violation(now, id, "one final outcome: sent on, and closed with no answer");
     }
+    end_request(request, now);
 }
 
-void RequestHistory::turned_away(Millis now, const std::string& id, const std::string& server) {
-    event(now, server, id, "turned away unseen");
-    const auto at = requests_.find(id);
-    if (at != requests_.end()) ++at->second.away;
+void RequestHistory::on_attempt_sent(Millis now, const std::string& id, const Attempt& attempt,
+                                     Millis first_byte) {
+    const auto found = requests_.find(id);
+    record(now, attempt.sidecar, id,
+           fmt::format("sent to {}, connection {}", attempt.server, attempt.connection));
+    if (found == requests_.end()) {
+        return report_violation(now, id, "a request that no caller sent went to " + attempt.server);
+    }
+    Request& request = found->second;
+    if (request.is_orphaned) return;
+    if (++request.attempts > kMaxAttempts) {
+        report_violation(now, id, fmt::format("nothing twice: attempt {}", request.attempts));
+    }
+    check_sent_after_end(now, id, request, first_byte);
+    check_sent_to_draining(now, id, attempt, first_byte);
+    for (const auto& [earlier, since] : request.in_flight) {
+        overlaps_.push_back({now + kSlack, id, earlier, since});
+    }
+    request.in_flight[attempt] = now;
+    request_in_flight_[attempt] = id;
+}
+
+void RequestHistory::check_sent_after_end(Millis now, const std::string& id, const Request& request,
+                                          Millis first_byte) {
+    if (!request.has_ended() || first_byte <= request.ended_at + kSlack) return;
+    report_violation(now, id,
+                     fmt::format("sent {:.0f} ms after its caller had its answer or was gone",
+                                 first_byte - request.ended_at));
+}
+
+void RequestHistory::check_sent_to_draining(Millis now, const std::string& id, const Attempt& attempt,
+                                            Millis first_byte) {
+    const auto draining = draining_since_.find({attempt.sidecar, attempt.server});
+    if (draining == draining_since_.end()) return;
+    const Millis since = draining->second;
+    if (first_byte <= since + kDrainGrace + kSlack) return;
+    report_violation(now, id,
+                     fmt::format("drains kept: sent to {} {:.0f} ms after {} was told", attempt.server,
+                                 first_byte - since, attempt.sidecar));
+}
+
+void RequestHistory::on_attempt_ended(Millis now, const Attempt& attempt) {
+    const auto found = request_in_flight_.find(attempt);
+    if (found == request_in_flight_.end()) return;
+    const std::string& id = found->second;
+    record(now, attempt.sidecar, id,
+           fmt::format("over at {}, connection {}", attempt.server, attempt.connection));
+    requests_[id].in_flight.erase(attempt);
+    request_in_flight_.erase(found);
+}
+
+void RequestHistory::on_processed(Millis now, const std::string& id, const std::string& server) {
+    const auto found = requests_.find(id);
+    if (found == requests_.end()) return;
+    Request& request = found->second;
+    record(now, server, id, "done");
+    ++request.times_processed;
+    if (request.times_processed > 1 && request.idempotency == Idempotency::non_idempotent) {
+        report_violation(
+            now, id,
+            fmt::format("nothing twice: done {} times, and its class allows one", request.times_processed));
+    }
 }
 
-void RequestHistory::no_such_id(Millis now, const std::string& id, const std::string& server) {
-    wrong(now, id, server + " got a request that no caller sent");
+void RequestHistory::on_rejected_by_server(Millis now, const std::string& id, const std::string& server) {
+    record(now, server, id, "turned away unseen");
 }
 
-void RequestHistory::told(Millis now, const std::string& sidecar, const std::string& server, bool may_send) {
-    event(now, sidecar, "", fmt::format("told: {} {}", server, may_send ? "active" : "leaving or left"));
-    if (may_send)
-        drained_.erase({sidecar, server});
-    else
-        drained_.try_emplace({sidecar, server}, now);
+void RequestHistory::on_endpoint_listed(Millis now, const std::string& sidecar, const std::string& server,
+                                        bool may_send) {
+    record(now, sidecar, "", fmt::format("told: {} {}", server, may_send ? "active" : "leaving or left"));
+    if (may_send) {
+        draining_since_.erase({sidecar, server});
+    } else {
+        draining_since_.try_emplace({sidecar, server}, now);
+    }
 }
 
-void RequestHistory::died(Millis now, const std::string& sidecar) {
-    event(now, sidecar, "", "its process is gone");
-    for (auto& [id, r] : requests_) {
-        if (r.sidecar != sidecar) continue;
-        r.excused = r.excused || r.ended < 0;
-        r.orphaned = true;
-        r.out.clear();
+void RequestHistory::on_process_ended(Millis now, const std::string& sidecar) {
+    record(now, sidecar, "", "its process is gone");
+    for (auto& [id, request] : requests_) {
+        if (request.sidecar != sidecar) continue;
+        request.is_excused = request.is_excused || !request.has_ended();
+        request.is_orphaned = true;
+        request.in_flight.clear();
     }
-    std::erase_if(at_, [&](const auto& entry) { return entry.first.sidecar == sidecar; });
-    std::erase_if(waiting_, [&](const Waiting& w) { return w.earlier.sidecar == sidecar; });
-    std::erase_if(drained_, [&](const auto& entry) { return entry.first.first == sidecar; });
+    std::erase_if(request_in_flight_, [&](const auto& entry) { return entry.first.sidecar == sidecar; });
+    std::erase_if(overlaps_, [&](const Overlap& overlap) { return overlap.earlier.sidecar == sidecar; });
+    std::erase_if(draining_since_, [&](const auto& entry) { return entry.first.first == sidecar; });
 }
 
-void RequestHistory::froze(Millis now, const std::string& sidecar) {
-    event(now, sidecar, "", "frozen");
+void RequestHistory::on_process_frozen(Millis now, const std::string& sidecar) {
+    record(now, sidecar, "", "frozen");
     frozen_.insert(sidecar);
-    for (auto& [id, r] : requests_)
-        if (r.sidecar == sidecar && r.ended < 0) r.excused = true;
+    for (auto& [id, request] : requests_) {
+        if (request.sidecar == sidecar && !request.has_ended()) request.is_excused = true;
+    }
 }
 
-void RequestHistory::thawed(Millis now, const std::string& sidecar) {
-    event(now, sidecar, "", "thawed");
+void RequestHistory::on_process_thawed(Millis now, const std::string& sidecar) {
+    record(now, sidecar, "", "thawed");
     frozen_.erase(sidecar);
 }
 
-void RequestHistory::look(Millis now) {
-    while (!waiting_.empty() && waiting_.front().due <= now) {
-        const Waiting w = waiting_.front();
-        waiting_.pop_front();
-        const Request& r = requests_[w.id];
-        const auto at = r.out.find(w.earlier);
-        if (at != r.out.end() && at->second == w.since)
-            wrong(now, w.id, "nothing twice: two attempts out together, the earlier at " + w.earlier.server);
+void RequestHistory::check_due(Millis now) {
+    while (!overlaps_.empty() && overlaps_.front().due <= now) {
+        const Overlap overlap = overlaps_.front();
+        overlaps_.pop_front();
+        const Request& request = requests_[overlap.request_id];
+        const auto earlier = request.in_flight.find(overlap.earlier);
+        const bool still_overlaps =
+            earlier != request.in_flight.end() && earlier->second == overlap.earlier_since;
+        if (still_overlaps) {
+            report_violation(
+                now, overlap.request_id,
+                "nothing twice: two attempts out together, the earlier at " + overlap.earlier.server);
+        }
     }
 }
 
-void RequestHistory::finish(Millis now) {
-    look(now + kSlack);
-    for (auto& [id, r] : requests_)
-        if (r.ended < 0 && !r.excused) wrong(now, id, "one final outcome: it never came");
+void RequestHistory::check_all_ended(Millis now) {
+    check_due(now + kSlack);
+    for (const auto& [id, request] : requests_) {
+        const bool is_lost = !request.has_ended() && !request.is_excused;
+        if (is_lost) report_violation(now, id, "one final outcome: it never came");
+    }
 }
 
-std::string RequestHistory::history(const std::string& id, std::size_t most) const {
-    // Who touched it: events of that request, and all notes of those processes.
-    std::set<std::string> who;
-    for (const Event& e : events_)
-        if (e.id == id) who.insert(e.who);
+// All events if id is empty; else those of that request, and the notes of the processes that it touched.
+std::vector<const RequestHistory::Event*> RequestHistory::events_of(const std::string& id) const {
+    std::set<std::string> processes;
+    for (const Event& event : events_) {
+        if (event.request_id == id) processes.insert(event.process);
+    }
     std::vector<const Event*> chosen;
-    for (const Event& e : events_)
-        if (id.empty() || e.id == id || (e.id.empty() && who.contains(e.who))) chosen.push_back(&e);
-    const std::size_t from = chosen.size() > most ? chosen.size() - most : 0;
-    std::string text = from > 0 ? fmt::format("  ({} earlier events)\n", from) : "";
-    for (std::size_t i = from; i < chosen.size(); ++i)
-        text += fmt::format("  {:10.1f}  {:<8} {:<20} {}\n", chosen[i]->at, chosen[i]->who, chosen[i]->id,
-                            chosen[i]->text);
+    for (const Event& event : events_) {
+        const bool is_note_of_process = event.request_id.empty() && processes.contains(event.process);
+        if (id.empty() || event.request_id == id || is_note_of_process) chosen.push_back(&event);
+    }
+    return chosen;
+}
+
+std::string RequestHistory::history(const std::string& id, std::size_t max_events) const {
+    const std::vector<const Event*> events = events_of(id);
+    const std::size_t omitted = events.size() > max_events ? events.size() - max_events : 0;
+    std::string text = omitted > 0 ? fmt::format("  ({} earlier events)\n", omitted) : "";
+    for (std::size_t i = omitted; i < events.size(); ++i) {
+        const Event& event = *events[i];
+        text += fmt::format("  {:10.1f}  {:<8} {:<20} {}\n", event.at, event.process, event.request_id,
+                            event.text);
+    }
     return text;
 }
 
--- a/src/process_testbed/request_reader.hpp
+++ b/src/process_testbed/request_reader.hpp
@@ -1,4 +1,4 @@
-// Whose request passes on a connection, from the bytes as they go by.
+// Finds the requests in the bytes of one connection as they pass by.
 #pragma once
 
 #include <boost/asio/buffer.hpp>
@@ -13,27 +13,27 @@
 
 using balancer::Millis;
 
-// Ids of the requests that pass on one connection, each told once its last byte has.
+/// Bytes of the longest body that emulators and observers read; far more than any test sends.
+constexpr std::uint64_t kMaxBodyBytes = 4 << 20;
+
+/// Reads the HTTP/1.1 requests of one connection and reports the correlation id of each.
+///
+/// Not thread-safe. Holds at most one unfinished request. Bytes that are no HTTP yield no requests.
 class RequestReader {
 public:
-    static constexpr std::uint64_t kMaxBody = 4 << 20;
-
-    // whole(id, when its first byte came); what can't be read is no request any more.
-    template <class Whole>
-    void take(std::string_view bytes, Millis now, Whole whole) {
+    /// Takes the next bytes of the connection.
+    /// @param on_request called as `on_request(id, first_byte)` for each request whose last byte is among
+    ///                   them; `first_byte` is the time of the call that brought the request's first byte.
+    template <class OnRequest>
+    void feed(std::string_view bytes, Millis now, OnRequest on_request) {
         pending_ += bytes;
         while (!pending_.empty()) {
-            if (!parser_) {
-                parser_.emplace();
-                parser_->body_limit(kMaxBody);
-                parser_->eager(true);
-                first_byte_ = now;
-            }
+            if (!parser_) start_request(now);
             boost::system::error_code error;
             const std::size_t used = parser_->put(boost::asio::buffer(pending_), error);
             pending_.erase(0, used);
             if (parser_->is_done()) {
-                whole(std::string(parser_->get()["X-Correlation-Id"]), first_byte_);
+                on_request(std::string(parser_->get()["X-Correlation-Id"]), first_byte_);
                 parser_.reset();
                 continue;
             }
@@ -42,8 +42,15 @@
     }
 
 private:
-    std::string pending_;
-    Millis first_byte_ = 0;
+    void start_request(Millis now) {
+        parser_.emplace();
+        parser_->body_limit(kMaxBodyBytes);
+        parser_->eager(true);
+        first_byte_ = now;
+    }
+
+    std::string pending_;    // not yet accepted by the parser
+    Millis first_byte_ = 0;  // of the request that parser_ reads
     std::optional<boost::beast::http::request_parser<boost::beast::http::string_body>> parser_;
 };
 
--- /dev/null
+++ b/src/process_testbed/server_emulator.hpp
@@ -0,0 +1,72 @@
+// An emulated server behind the sidecars: answers HTTP/1.1 requests in the way that a test chooses.
+#pragma once
+
+#include <boost/asio/ip/tcp.hpp>
+#include <list>
+#include <memory>
+#include <set>
+#include <string>
+
+#include "fault_proxy/event_loop_context.hpp"
+#include "process_testbed/request_history.hpp"
+
+namespace elmbay::process_testbed {
+
+using tcp = asio::ip::tcp;
+
+/// What a server does with a request.
+enum class ServerBehavior {
+    serve,   ///< processes it and responds 200 after ServerEmulator::delay
+    hold,    ///< processes it and responds once ServerEmulator::release_held() is called
+    fail,    ///< responds 500 and does not process it
+    reject,  ///< responds 503 with X-Unprocessed and does not process it
+    mute     ///< processes it and never responds
+};
+
+/// One server on loopback. Reports to the history what it processed and what it rejected.
+///
+/// Owned by ProcessTestbed; runs in its event loop, not thread-safe. The destructor closes all connections.
+class ServerEmulator {
+public:
+    /// @throws boost::system::system_error if the address cannot be had.
+    ServerEmulator(fault_proxy::EventLoopContext& context, RequestHistory& history, std::string name,
+                   const tcp::endpoint& listen);
+    ~ServerEmulator();
+    ServerEmulator(const ServerEmulator&) = delete;
+    ServerEmulator& operator=(const ServerEmulator&) = delete;
+
+    ServerBehavior behavior = ServerBehavior::serve;  ///< for requests that come from now on
+    Millis delay = 0;                                 ///< milliseconds from a request to its response
+    std::size_t body_bytes = 0;                       ///< of a response, after its first line
+
+    tcp::endpoint endpoint() const { return acceptor_.local_endpoint(); }
+    const std::string& name() const { return name_; }
+    /// @return how many whole requests have come.
+    std::uint64_t received_requests() const { return received_requests_; }
+    /// @return how many of them wait for release_held().
+    std::size_t held_requests() const { return held_.size(); }
+    /// Responds to all requests that are held.
+    void release_held();
+
+private:
+    class Connection;
+    friend class Connection;
+    struct HeldResponse {
+        std::shared_ptr<Connection> connection;
+        std::string body;
+    };
+
+    void accept();
+    void on_request(const std::shared_ptr<Connection>& connection, const std::string& id);
+    void process(const std::shared_ptr<Connection>& connection, const std::string& id);
+
+    fault_proxy::EventLoopContext& context_;
+    RequestHistory& history_;
+    const std::string name_;
+    tcp::acceptor acceptor_;
+    std::set<std::shared_ptr<Connection>> connections_;
+    std::list<HeldResponse> held_;
+    std::uint64_t received_requests_ = 0;
+};
+
+}  // namespace elmbay::process_testbed
--- a/src/process_testbed/shrink.hpp
+++ b/src/process_testbed/shrink.hpp
@@ -1,5 +1,4 @@
-// A smallest list of things that still fails, by leaving some out: halves, quarters, down to single ones
-// (delta debugging, Zeller and Hildebrandt 2002, without the complements).
+// Shrinks a list that fails a test to a small one that still does, by leaving elements out.
 #pragma once
 
 #include <algorithm>
@@ -7,23 +6,30 @@
 
 namespace elmbay::process_testbed {
 
-// fails is asked of each shorter list; what is returned failed. rounds: of a whole pass, at most.
+/// Delta debugging (Zeller and Hildebrandt 2002) without its complements: leaves out halves, quarters, down
+/// to single elements, while the rest still fails.
+/// @param list       a list that fails.
+/// @param fails      called with each shorter list: whether it still fails.
+/// @param max_rounds of passes over the whole list; a pass that leaves nothing out is the last.
+/// @return a list that failed; never empty if `list` was not.
 template <class T, class Fails>
-std::vector<T> shrink(std::vector<T> list, const Fails& fails, int rounds = 3) {
-    for (int round = 0; round < rounds; ++round) {
-        const std::size_t before = list.size();
-        for (std::size_t part = std::max<std::size_t>(1, list.size() / 2); part > 0; part /= 2)
-            for (std::size_t from = 0; from < list.size();) {
-                std::vector<T> less = list;
-                const std::size_t to = std::min(list.size(), from + part);
-                less.erase(less.begin() + static_cast<std::ptrdiff_t>(from),
-                           less.begin() + static_cast<std::ptrdiff_t>(to));
-                if (!less.empty() && fails(less))
-                    list = std::move(less);
-                else
-                    from += part;
+std::vector<T> shrink(std::vector<T> list, const Fails& fails, int max_rounds = 3) {
+    for (int round = 0; round < max_rounds; ++round) {
+        const std::size_t size_before = list.size();
+        for (std::size_t chunk = std::max<std::size_t>(1, list.size() / 2); chunk > 0; chunk /= 2) {
+            for (std::size_t begin = 0; begin < list.size();) {
+                const std::size_t end = std::min(list.size(), begin + chunk);
+                std::vector<T> shorter = list;
+                shorter.erase(shorter.begin() + static_cast<std::ptrdiff_t>(begin),
+                              shorter.begin() + static_cast<std::ptrdiff_t>(end));
+                if (!shorter.empty() && fails(shorter)) {
+                    list = std::move(shorter);
+                } else {
+                    begin += chunk;
+                }
             }
-        if (list.size() == before) break;
+        }
+        if (list.size() == size_before) break;
     }
     return list;
 }
--- a/src/simulation/checking/sidecar_log.cpp
+++ b/src/simulation/checking/sidecar_log.cpp
@@ -19,7 +19,7 @@
     }
     constexpr std::size_t kMaxShown = 120;  // a split of hundreds would fill a page
     if (ends.size() > kMaxShown) ends.replace(kMaxShown, std::string::npos, "...");
-    return std::string(fault_proxy::name_of(rule.act)) + " " + ends;
+    return std::string(fault_proxy::name_of(rule.type)) + " " + ends;
 }
 
 }  // namespace
@@ -85,8 +85,9 @@
         for (SidecarSpan& span : *spans)
             if (span.end < 0) span.end = now;
     for (const fault_proxy::Rule& rule : scenario_.link_rules())
-        r.link_faults.push_back({rule.name, words_of(rule), rule.at,
-                                 rule.lasts > 0 ? rule.at + rule.lasts : scenario_.overview.duration});
+        r.link_faults.push_back(
+            {rule.name, words_of(rule), rule.starts_at,
+             rule.duration > 0 ? rule.starts_at + rule.duration : scenario_.overview.duration});
     if (first_tries > 0)
         r.goodput_cost =
             scenario_.messages.goodput_cost * static_cast<double>(r.message_bytes) /
--- a/src/simulation/drivers/sockets/socket_run.cpp
+++ b/src/simulation/drivers/sockets/socket_run.cpp
@@ -96,17 +96,17 @@
             log_.open(options.log);
             if (!log_) throw std::runtime_error(options.log + ": can't be written");
         }
-        context_.begin(kLongAhead);  // nothing of the file holds before time 0
+        context_.restart_clock(kLongAhead);  // nothing of the file holds before time 0
         auto rules = scenario.link_rules();
         linked_ = std::any_of(rules.begin(), rules.end(), [](const fault_proxy::Rule& rule) {
             return rule.medium != fault_proxy::Medium::datagram;
         });
         for (fault_proxy::Rule& rule : scenario.message_rules()) {
-            rule.at = -kLongAhead;  // from before the start
+            rule.starts_at = -kLongAhead;  // from before the start
             rules.push_back(std::move(rule));
         }
-        context_.replace_all(std::move(rules));
-        messages_.tap([this](const fault_proxy::Link& link, std::size_t bytes, bool delivered) {
+        context_.replace_rules(std::move(rules));
+        messages_.observe([this](const fault_proxy::Link& link, std::size_t bytes, bool delivered) {
             if (!delivered) return sidecars_.on_message_sent(testbed_.now(), bytes);
             sidecars_.on_message_delivered(testbed_.now(), number_of(link.from), number_of(link.to), bytes);
         });
@@ -123,7 +123,7 @@
         for (Side& side : sides_) side.process->start();
         wait_ready();
         testbed_.begin(kBeforeFirst);
-        context_.begin(kBeforeFirst);
+        context_.restart_clock(kBeforeFirst);
         for (Side& side : sides_) side.discovery->resume();
         begin();
         for (std::uint32_t i = 0; i < sides_.size(); ++i) sidecars_.on_started(0, i, "elmbay");
@@ -157,7 +157,8 @@
         link = std::make_unique<fault_proxy::StreamLink>(
             context_, fault_proxy::Link{"n-" + std::to_string(i), "s-" + std::to_string(s)},
             tcp::endpoint(servers_[s]->endpoint().address(), 0), servers_[s]->endpoint());
-        if (!service_model_.there_at_start(s)) link->target(fault_proxy::StreamLink::Target::down);
+        if (!service_model_.there_at_start(s))
+            link->set_target_state(fault_proxy::StreamLink::TargetState::down);
         watch(*link);
         servers_[s]->sent_at = [this](ClientRequestId id) {
             const auto at = sent_at_.find(id);
@@ -177,24 +178,24 @@
     }
     void watch(fault_proxy::StreamLink& link) {
         const auto readers = std::make_shared<std::map<std::uint64_t, process_testbed::RequestReader>>();
-        fault_proxy::StreamLink::Tap tap;
-        tap.sent = [this, readers](std::uint64_t nth, std::string_view bytes) {
-            (*readers)[nth].take(bytes, testbed_.now(), [this](const std::string& id, Millis first_byte) {
+        fault_proxy::StreamLink::Observer observer;
+        observer.on_client_sent = [this, readers](std::uint64_t nth, std::string_view bytes) {
+            (*readers)[nth].feed(bytes, testbed_.now(), [this](const std::string& id, Millis first_byte) {
                 if (const auto number = ServerEmulator::id_of(id)) sent_at_[*number] = first_byte;
             });
         };
-        tap.over = [readers](std::uint64_t nth) { readers->erase(nth); };
-        link.tap(std::move(tap));
+        observer.on_client_ended = [readers](std::uint64_t nth) { readers->erase(nth); };
+        link.observe(std::move(observer));
     }
     // What the kernel says for a server that has gone, its links must say.
     void tell_links(const TimelineStep& s) {
-        using Target = fault_proxy::StreamLink::Target;
+        using Target = fault_proxy::StreamLink::TargetState;
         if (s.kind != StepKind::stop && s.kind != StepKind::cut_off && s.kind != StepKind::start) return;
         const Target target = s.kind == StepKind::stop      ? Target::down
-                              : s.kind == StepKind::cut_off ? Target::deaf
+                              : s.kind == StepKind::cut_off ? Target::unreachable
                                                             : Target::up;
         for (auto& [ends, link] : links_)
-            if (ends.second == s.target) link->target(target);
+            if (ends.second == s.target) link->set_target_state(target);
     }
 
     // ---- before the start
@@ -270,7 +271,7 @@
             {"limits", {{"cores", 1.0}, {"memory_mb", 192}, {"sockets", scenario_.sidecars.max_sockets}}},
             {"peer_listen", text_of_peer(peer_listens_[i])},
             {"peers", peers()},
-            {"peers_all", text_of_peer(messages_.everybody())},
+            {"peers_all", text_of_peer(messages_.broadcast_address())},
             {"known", listing_of(side.discovery->entries(), side.discovery->rev(), true, testbed_)},
             {"settings",
              {{"azs", halls},
@@ -308,14 +309,14 @@
         while (!all()) {
             testbed_.io.run_one_for(std::chrono::milliseconds(50));
             for (Side& side : sides_)
-                if (side.process->ended()) not_ready(side, "ended at once");
+                if (side.process->poll_exit()) not_ready(side, "ended at once");
             if (testbed_.now() > kReadyWithin)
                 for (Side& side : sides_)
                     if (!side.ready) not_ready(side, "is not ready after 15 s");
         }
     }
     [[noreturn]] void not_ready(const Side& side, const std::string& what) {
-        std::ifstream file(side.process->log());
+        std::ifstream file(side.process->log_path());
         std::string text((std::istreambuf_iterator<char>(file)), {});
         if (text.size() > kLogShown) text = "..." + text.substr(text.size() - kLogShown);
         throw std::runtime_error("the sidecar '" + options_.sidecar + "' " + what + "; it said:\n" + text);
@@ -410,7 +411,7 @@
         Side& side = sides_[s.target];
         switch (s.kind) {
             case StepKind::sidecar_kill:
-                messages_.listening(name_of_sidecar(s.target), false);
+                messages_.set_listening(name_of_sidecar(s.target), false);
                 side.process->kill();
                 checker_.on_sidecar_killed(s.target);
                 sidecars_.on_ended(testbed_.now(), s.target, "killed");
@@ -459,7 +460,7 @@
         side.may_end = true;
         side.process->signal(SIGTERM);
         testbed_.at(testbed_.now() + kTermWithin, [this, who, life = side.life] {
-            if (sides_[who].life != life || !sides_[who].process->running()) return;
+            if (sides_[who].life != life || !sides_[who].process->is_running()) return;
             notes_.push_back("n-" + std::to_string(who) + " had not ended " +
                              std::to_string(static_cast<int>(kTermWithin)) + "ms after SIGTERM");
             sides_[who].process->kill();  // what it has not answered is lost
@@ -493,7 +494,7 @@
             else
                 build = f.build, command = options_.builds.at(f.build);
         }
-        messages_.listening(name_of_sidecar(who), true);
+        messages_.set_listening(name_of_sidecar(who), true);
         side.process->set_command(command);
         side.process->start();
         sidecars_.on_started(testbed_.now(), who, build);
@@ -501,7 +502,7 @@
     // A sidecar that ends without having been told to has crashed.
     void look_processes() {
         for (std::uint32_t i = 0; i < sides_.size(); ++i) {
-            const auto status = sides_[i].process->ended();
+            const auto status = sides_[i].process->poll_exit();
             if (!status) continue;
             const std::string how = WIFSIGNALED(*status) ? "by signal " + std::to_string(WTERMSIG(*status))
                                                          : "with " + std::to_string(WEXITSTATUS(*status));
--- a/src/simulation/drivers/virtual/virtual_run.cpp
+++ b/src/simulation/drivers/virtual/virtual_run.cpp
@@ -391,7 +391,7 @@
     static std::string sidecar_name(std::uint32_t who) { return "n-" + std::to_string(who); }
     static std::string server_name(std::uint32_t who) { return "s-" + std::to_string(who); }
     bool cut(const fault_proxy::Link& link) const {
-        return !links_.all().empty() && links_.cut(link, fault_proxy::Medium::stream, now_);
+        return !links_.all().empty() && links_.is_cut(link, fault_proxy::Medium::stream, now_);
     }
     // Whatever is on its way over a cut link waits, as for retransmission. Whether it does.
     bool waits(const fault_proxy::Link& link, const Happening& h) {
@@ -410,13 +410,13 @@
         const fault_proxy::Link forth{sidecar_name(a.sidecar), server_name(a.server)};
         if (h.what == What::arrive) {
             if (!a.fresh || a.connected) return waits(forth, h);
-            if (!cut(forth) && !cut(forth.back())) return false;
+            if (!cut(forth) && !cut(forth.reversed())) return false;
             // Its connection does not come up while the link is cut: tried until the sidecar gives it up.
             never_up(at->second, h.a, std::max(0.0, a.sent + scenario_.fleet.connect_timeout - now_));
             return true;
         }
         // What the sidecar finds out by itself needs no link.
-        return a.outcome != Outcome::connect_failed && waits(forth.back(), h);
+        return a.outcome != Outcome::connect_failed && waits(forth.reversed(), h);
     }
 
     // ---- clients
--- a/src/simulation/models/message_network.cpp
+++ b/src/simulation/models/message_network.cpp
@@ -33,7 +33,7 @@
     : sidecars_(static_cast<std::uint32_t>(scenario.sidecars.count)), rules_(scenario.overview.seed) {
     std::vector<fault_proxy::Rule> rules = scenario.message_rules();
     for (fault_proxy::Rule& rule : scenario.link_rules()) {
-        cuts_ = cuts_ || rule.act == fault_proxy::Act::cut;
+        cuts_ = cuts_ || rule.type == fault_proxy::FaultType::cut;
         rules.push_back(std::move(rule));
     }
     rules_.replace_all(std::move(rules));
@@ -41,7 +41,7 @@
 }
 
 bool MessageNetwork::cut(Millis now, std::uint32_t from, std::uint32_t to) const {
-    return cuts_ && rules_.cut({names_[from], names_[to]}, fault_proxy::Medium::datagram, now);
+    return cuts_ && rules_.is_cut({names_[from], names_[to]}, fault_proxy::Medium::datagram, now);
 }
 
 void MessageNetwork::send(Millis now, std::uint32_t from, const Outgoing& message,
@@ -59,8 +59,8 @@
                          std::vector<Delivery>& deliveries) {
     const std::uint64_t nth = ++numbers_[(std::uint64_t{from} << 32) | to];
     for (const fault_proxy::Rules::Delivery& d :
-         rules_.datagram({names_[from], names_[to]}, nth, bytes.size(), now))
-        deliveries.push_back({to, d.after, bytes});
+         rules_.deliver({names_[from], names_[to]}, nth, bytes.size(), now))
+        deliveries.push_back({to, d.delay, bytes});
 }
 
 }  // namespace elmbay::simulation
--- a/src/simulation/scenario/scenario.cpp
+++ b/src/simulation/scenario/scenario.cpp
@@ -555,13 +555,15 @@
         }
         if (f.kind != FaultKind::partition) rule.from = f.from, rule.to = f.to;
         if (hits_messages(f.kind)) rule.medium = fault_proxy::Medium::datagram;
-        if (f.kind == FaultKind::message_loss) rule.act = fault_proxy::Act::lose, rule.chance = f.share;
+        if (f.kind == FaultKind::message_loss)
+            rule.type = fault_proxy::FaultType::drop, rule.probability = f.share;
         if (f.kind == FaultKind::message_delay) {
-            rule.act = fault_proxy::Act::delay, rule.law = fault_proxy::Law::uniform;
-            rule.span = f.delay, rule.jitter = f.delay / 2;
+            rule.type = fault_proxy::FaultType::delay,
+            rule.distribution = fault_proxy::DelayDistribution::uniform;
+            rule.delay = f.delay, rule.jitter = f.delay / 2;
         }
-        rule.at = f.start;
-        rule.lasts = f.duration;  // 0: to the end, and while what is open then ends
+        rule.starts_at = f.start;
+        rule.duration = f.duration;  // 0: to the end, and while what is open then ends
         // One that flaps is a rule for each time that it is on: so it ends with its last.
         if (!f.intermittent) {
             rules.push_back(rule);
@@ -571,7 +573,7 @@
         for (Millis t = f.start; t < end; t += f.period) {
             fault_proxy::Rule once = rule;
             once.name += " at " + std::to_string(static_cast<long>(t));
-            once.at = t, once.lasts = std::min(f.pulse, end - t);
+            once.starts_at = t, once.duration = std::min(f.pulse, end - t);
             rules.push_back(std::move(once));
         }
     }
@@ -580,10 +582,12 @@
 
 std::vector<fault_proxy::Rule> Scenario::message_rules() const {
     fault_proxy::Rule late, lost;
-    late.name = "messages are late", late.act = fault_proxy::Act::delay, late.law = fault_proxy::Law::uniform;
-    late.span = (messages.min_delay + messages.max_delay) / 2;
+    late.name = "messages are late", late.type = fault_proxy::FaultType::delay,
+    late.distribution = fault_proxy::DelayDistribution::uniform;
+    late.delay = (messages.min_delay + messages.max_delay) / 2;
     late.jitter = (messages.max_delay - messages.min_delay) / 2;
-    lost.name = "messages are lost", lost.act = fault_proxy::Act::lose, lost.chance = messages.loss_rate;
+    lost.name = "messages are lost", lost.type = fault_proxy::FaultType::drop,
+    lost.probability = messages.loss_rate;
     late.medium = lost.medium = fault_proxy::Medium::datagram;
     return {late, lost};
 }
--- a/tests/fault_proxy/datagram_test.cpp
+++ b/tests/fault_proxy/datagram_test.cpp
@@ -99,7 +99,7 @@
     }
 };
 
-TEST(Splits, EveryDirectedPairIsAsTheScriptSaysAtEachStep) {
+TEST(FaultProxy, PassesDatagramsAndConnectionsOfEachPairAsThePartitionsSay) {
     Net n;
     // As numbers: 0 to 4 and 5 to 9 are two halves, 10 stands in both, 11 in none.
     const auto half = [](int i) { return i < 5 ? 1 : i < 10 ? 2 : 0; };
@@ -108,7 +108,7 @@
         std::function<bool(int, int)> hears;
         std::function<void()> put;
     };
-    const auto clear = [&] { n.context.replace_all({}); };
+    const auto clear = [&] { n.context.replace_rules({}); };
     const Stage script[] = {
         {"whole", [](int, int) { return true; }, clear},
         {"halves with a bridge",
@@ -118,7 +118,7 @@
              r.name = "halves";
              r.groups = {{"n-0", "n-1", "n-2", "n-3", "n-4", "n-10"},
                          {"n-5", "n-6", "n-7", "n-8", "n-9", "n-10"}};
-             n.context.put(r);
+             n.context.put_rule(r);
          }},
         {"and one way to n-11",
          [&](int i, int j) {
@@ -127,7 +127,7 @@
          [&] {
              Rule r;
              r.name = "one way", r.from = {"n-0", "n-1", "n-2"}, r.to = {"n-11"};
-             n.context.put(r);
+             n.context.put_rule(r);
          }},
         {"one alone", [](int i, int j) { return i != 7 && j != 7; },
          [&] {
@@ -138,7 +138,7 @@
              // Nobody is cut off from itself.
              out.to =
                  in.from = {"n-0", "n-1", "n-2", "n-3", "n-4", "n-5", "n-6", "n-8", "n-9", "n-10", "n-11"};
-             n.context.put(out), n.context.put(in);
+             n.context.put_rule(out), n.context.put_rule(in);
          }},
         {"healed", [](int, int) { return true; }, clear}};
     for (const Stage& stage : script) {
@@ -157,9 +157,9 @@
     }
 }
 
-TEST(Datagrams, ReachAllFromTheSendersAddressAndStrangersReachNobody) {
+TEST(DatagramNet, BroadcastsFromTheSendersAddressAndDropsUnknownSenders) {
     Net n;
-    n.probes[3]->socket.send_to(asio::buffer(std::string("all")), n.net.everybody());
+    n.probes[3]->socket.send_to(asio::buffer(std::string("all")), n.net.broadcast_address());
     Probe stranger(n.io);
     stranger.socket.send_to(asio::buffer(std::string("boo")), n.net.address_of("n-0"));
     const std::uint16_t address = n.net.address_of("n-3").port();
@@ -169,20 +169,21 @@
         return count;
     };
     const auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(60);
-    while ((got() < kMembers - 1 || n.net.strangers() == 0) && std::chrono::steady_clock::now() < limit)
+    while ((got() < kMembers - 1 || n.net.unknown_senders() == 0) && std::chrono::steady_clock::now() < limit)
         n.io.run_one_for(std::chrono::milliseconds(100));
     EXPECT_EQ(got(), static_cast<std::size_t>(kMembers - 1));
     EXPECT_FALSE(n.probes[3]->heard.contains({address, "all"}));
-    EXPECT_EQ(n.net.strangers(), 1U);
-    EXPECT_EQ(n.net.total().bytes, 3U * (kMembers - 1));
+    EXPECT_EQ(n.net.unknown_senders(), 1U);
+    EXPECT_EQ(n.net.total_counts().bytes_delivered, 3U * (kMembers - 1));
     EXPECT_EQ(n.probes[0]->heard.size(), 1U);
 }
 
-TEST(Datagrams, AreOvertakenByAsManyAsTheRuleSays) {
+TEST(DatagramNet, HoldsADatagramBackUntilTwoHaveOvertakenIt) {
     Net n;
     Rule r;
-    r.name = "back", r.act = Act::reorder, r.behind = 2, r.span = 30000, r.first = r.last = 1;
-    n.context.put(r);
+    r.name = "back", r.type = FaultType::reorder, r.overtaken_by = 2, r.delay = 30000,
+    r.first_number = r.last_number = 1;
+    n.context.put_rule(r);
     std::vector<std::string> order;
     const auto to = n.net.address_of("n-1");
     std::size_t seen = 0;
--- a/tests/fault_proxy/stream_test.cpp
+++ b/tests/fault_proxy/stream_test.cpp
@@ -66,10 +66,10 @@
     }
     // Only for what must not happen meanwhile.
     void quiet() { io.run_for(std::chrono::milliseconds(60)); }
-    void put(const char* name, Act act, const char* from, const char* to) {
+    void put(const char* name, FaultType type, const char* from, const char* to) {
         Rule r;
-        r.name = name, r.act = act, r.from = {from}, r.to = {to};
-        context.put(r);
+        r.name = name, r.type = type, r.from = {from}, r.to = {to};
+        context.put_rule(r);
     }
     std::shared_ptr<End> both_up() {
         const auto before = accepted.size();
@@ -79,7 +79,7 @@
     }
 };
 
-TEST(StreamLink, PassesAllBytesBothWaysAndEachEndOfSending) {
+TEST(StreamLink, PassesBytesAndHalfClosesInBothDirections) {
     Rig rig;
     const auto a = rig.both_up();
     const auto b = rig.accepted.back();
@@ -102,11 +102,11 @@
     b->socket.shutdown(tcp::socket::shutdown_send);
     ASSERT_TRUE(rig.until([&] { return a->ended; }));
     EXPECT_EQ(a->got, "and back");
-    ASSERT_TRUE(rig.until([&] { return rig.link.open() == 0; }));
+    ASSERT_TRUE(rig.until([&] { return rig.link.open_connections() == 0; }));
 }
 
 // A lot at once goes by splice(2); a cut on the way holds it back and loses nothing of it.
-TEST(StreamLink, ManyBytesPassWholeAcrossACutAndASlowReader) {
+TEST(StreamLink, PassesManyBytesUnchangedAcrossACutAndASlowReader) {
     Rig rig;
     const auto a = rig.both_up();
     const auto b = rig.accepted.back();
@@ -120,12 +120,12 @@
     b->reads = false;
     const auto full = [&, before = std::uint64_t{0}]() mutable {
         rig.quiet();
-        return std::exchange(before, rig.link.bytes_forth()) == rig.link.bytes_forth();
+        return std::exchange(before, rig.link.bytes_to_target()) == rig.link.bytes_to_target();
     };
     ASSERT_TRUE(rig.until(full));
-    rig.put("cut", Act::cut, "a", "b");
-    const std::size_t passed_on = rig.link.bytes_forth() - rig.link.held();
-    EXPECT_GT(rig.link.held(), 0U);
+    rig.put("cut", FaultType::cut, "a", "b");
+    const std::size_t passed_on = rig.link.bytes_to_target() - rig.link.queued_bytes();
+    EXPECT_GT(rig.link.queued_bytes(), 0U);
     b->reads = true;
     b->read();
     rig.quiet();
@@ -134,20 +134,20 @@
     EXPECT_EQ(b->got.size(), held);
     EXPECT_EQ(held, passed_on);
     EXPECT_FALSE(b->ended);
-    rig.context.take_away("cut");
+    rig.context.remove_rule("cut");
     ASSERT_TRUE(rig.until([&] { return b->got.size() > held + 4'000'000; }));
     // From here on a rule has a word: what is in the pipe still goes first.
-    rig.put("late", Act::delay, "a", "b");
+    rig.put("late", FaultType::delay, "a", "b");
     ASSERT_TRUE(rig.until([&] { return b->ended; }));
     EXPECT_TRUE(b->got == much);
-    EXPECT_EQ(rig.link.bytes_forth(), much.size());
+    EXPECT_EQ(rig.link.bytes_to_target(), much.size());
 }
 
-TEST(StreamLink, WhileCutNothingPassesAndNothingComesUpAndAfterItAllDoes) {
+TEST(StreamLink, HoldsBytesAndConnectsWhileCutAndPassesThemAfterwards) {
     Rig rig;
     const auto a = rig.both_up();
     const auto b = rig.accepted.back();
-    rig.put("cut", Act::cut, "b", "a");  // one way is enough to keep a connection from coming up
+    rig.put("cut", FaultType::cut, "b", "a");  // one way is enough to keep a connection from coming up
     a->send("there");
     b->send("back");
     const auto late = rig.connect();
@@ -155,31 +155,31 @@
     rig.quiet();
     EXPECT_EQ(a->got, "");
     EXPECT_FALSE(late->up || late->refused);
-    EXPECT_TRUE(rig.context.take_away("cut"));
+    EXPECT_TRUE(rig.context.remove_rule("cut"));
     ASSERT_TRUE(rig.until([&] { return a->got == "back" && late->up; }));
     ASSERT_TRUE(rig.until([&] { return rig.accepted.size() == 2; }));  // and no filler came through
     rig.quiet();
     EXPECT_EQ(rig.accepted.size(), 2U);
 }
 
-TEST(StreamLink, RefusesResetsAndHoldsAsToldAndFollowsItsTarget) {
+TEST(StreamLink, RefusesResetsAndDelaysConnectionsAndFollowsItsTarget) {
     Rig rig;
-    rig.put("no", Act::refuse, "a", "b");
+    rig.put("no", FaultType::refuse, "a", "b");
     const auto refused = rig.connect();
     ASSERT_TRUE(rig.until([&] { return refused->refused; }));
     Rule second;
-    second.name = "no", second.act = Act::refuse, second.first = second.last = 2;
-    rig.context.put(second);
+    second.name = "no", second.type = FaultType::refuse, second.first_number = second.last_number = 2;
+    rig.context.put_rule(second);
     const auto first = rig.both_up();
     const auto other = rig.connect();
     ASSERT_TRUE(rig.until([&] { return other->ended; }));
     EXPECT_TRUE(other->reset);
-    rig.context.take_away("no");
-    rig.link.target(StreamLink::Target::down);
+    rig.context.remove_rule("no");
+    rig.link.set_target_state(StreamLink::TargetState::down);
     const auto down = rig.connect();
     ASSERT_TRUE(rig.until([&] { return down->refused; }));
     EXPECT_FALSE(first->ended);  // what is open stays
-    rig.link.target(StreamLink::Target::up);
+    rig.link.set_target_state(StreamLink::TargetState::up);
     // A target that refuses by itself: a reset once, then refusals, until it is back.
     const auto at = rig.server.local_endpoint();
     rig.server.close();
@@ -195,8 +195,8 @@
         return back->up;
     }));
     Rule hold;
-    hold.name = "hold", hold.act = Act::hold, hold.span = 80;
-    rig.context.put(hold);
+    hold.name = "hold", hold.type = FaultType::delay_open, hold.delay = 80;
+    rig.context.put_rule(hold);
     const auto held = rig.connect();
     ASSERT_TRUE(rig.until([&] { return held->up; }));
     const auto before = rig.accepted.size();
@@ -207,19 +207,20 @@
 }
 
 // Both ends of each of these see what the rule says, at each of the first bytes.
-TEST(StreamLink, BothEndsSeeWhatARuleDoesAtAByte) {
+TEST(StreamLink, ShowsAResetOrHalfCloseAtAnyByteToBothEnds) {
     for (std::uint64_t byte = 0; byte < 8; ++byte) {
         Rig rig;
         Rule r;
-        r.name = "r", r.act = Act::reset, r.from = {"b"}, r.to = {"a"}, r.place = Place::byte, r.byte = byte;
-        rig.context.put(r);
+        r.name = "r", r.type = FaultType::reset, r.from = {"b"}, r.to = {"a"}, r.trigger = Trigger::at_byte,
+        r.trigger_byte = byte;
+        rig.context.put_rule(r);
         const auto a = rig.both_up();
         const auto b = rig.accepted.back();
         b->send("12345678");
         ASSERT_TRUE(rig.until([&] { return a->ended && b->ended; })) << byte;
         EXPECT_TRUE(a->reset && b->reset) << byte;
-        r.act = Act::half_close;
-        rig.context.put(r);
+        r.type = FaultType::half_close;
+        rig.context.put_rule(r);
         const auto c = rig.both_up();
         rig.accepted.back()->send("12345678");
         ASSERT_TRUE(rig.until([&] { return c->ended; })) << byte;
--- a/tests/process_testbed/chaos_test.cpp
+++ b/tests/process_testbed/chaos_test.cpp
@@ -1,6 +1,7 @@
 // A campaign in small: a fixed seed, for about twenty seconds, and that what it finds is shrunk.
 #include "process_testbed/chaos.hpp"
 
+#include "process_testbed/shrink.hpp"
 #include "scenarios.hpp"
 
 namespace elmbay::process_testbed {
@@ -8,11 +9,11 @@
 
 Options thin() {
     Options options = few(3, 3);
-    options.patience = 4000, options.latency_objective = 1500;
+    options.request_deadline = 4000, options.latency_objective = 1500;
     return options;
 }
 
-TEST(Chaos, SchedulesAreTheSameForTheSameSeedAndSurviveBeingWrittenDown) {
+TEST(Chaos, DrawsEqualSchedulesForOneSeedAndReadsBackWhatItWrote) {
     const Schedule one = draw_schedule(7, 3, 3, 200);
     EXPECT_EQ(one, draw_schedule(7, 3, 3, 200));
     EXPECT_NE(one, draw_schedule(8, 3, 3, 200));
@@ -20,17 +21,17 @@
     EXPECT_THROW(parse_schedule("ask 0 0 1\nfly 1 2 3\n"), std::invalid_argument);
 }
 
-TEST(Chaos, EverythingIsKeptUnderSchedulesOfAFixedSeed) {
+TEST(Chaos, KeepsEveryRuleUnderSchedulesOfFixedSeeds) {
     for (std::uint64_t seed = 501; seed < 511; ++seed) {
         const Schedule schedule = draw_schedule(seed, 3, 3, 40);
         const Verdict verdict = play(thin(), schedule);
-        ASSERT_TRUE(verdict.kept) << "seed " << seed << "\n" << verdict.explain << text_of(schedule);
-        EXPECT_GT(verdict.asked, 10U);
+        ASSERT_TRUE(verdict.kept) << "seed " << seed << "\n" << verdict.explanation << text_of(schedule);
+        EXPECT_GT(verdict.requests, 10U);
     }
 }
 
 // A planted fault in a long schedule comes down to the few deeds that show it.
-TEST(Chaos, AFailingScheduleIsShrunkToTheDeedsThatMatter) {
+TEST(Chaos, ShrinksAFailingScheduleToAtMostFourSteps) {
     Options options = thin();
     options.program = std::string("env ELMBAY_PLANT=resend ") + ELMBAY_PROGRAM_WITH_FAILPOINTS;
     const Schedule schedule = parse_schedule(
@@ -45,22 +46,22 @@
 }
 
 // One descriptor for each attempt that failed to connect or was reset: what is left over shows at the end.
-TEST(Chaos, ALeakIsFoundBySchedulesOfResets) {
+TEST(Chaos, FindsADescriptorLeakUnderRepeatedResets) {
     Options options = thin();
     options.program = std::string("env ELMBAY_PLANT=leak ") + ELMBAY_PROGRAM_WITH_FAILPOINTS;
     Schedule schedule;
     for (std::uint64_t i = 0; i < 20; ++i) {
-        schedule.push_back({FaultStep::Kind::ask, 0, 0, 3});
-        schedule.push_back({FaultStep::Kind::wait, 0, 0, 30});
+        schedule.push_back(FaultStep::send_requests(0, 0, 3));
+        schedule.push_back(FaultStep::wait(30));
         for (std::size_t server = 0; server < 3; ++server)
-            schedule.push_back({FaultStep::Kind::reset, 0, server, 0});
+            schedule.push_back(FaultStep::reset_connections(0, server));
     }
     const Verdict verdict = play(options, schedule);
     EXPECT_FALSE(verdict.kept);
-    EXPECT_NE(verdict.explain.find("holds more descriptors"), std::string::npos) << verdict.explain;
+    EXPECT_NE(verdict.explanation.find("holds more descriptors"), std::string::npos) << verdict.explanation;
     options.program = ELMBAY_PROGRAM;
     const Verdict sound = play(options, schedule);
-    EXPECT_TRUE(sound.kept) << sound.explain;
+    EXPECT_TRUE(sound.kept) << sound.explanation;
 }
 
 }  // namespace
--- a/tests/process_testbed/failpoints_test.cpp
+++ b/tests/process_testbed/failpoints_test.cpp
@@ -12,9 +12,9 @@
 
 class Failpoints : public testing::TestWithParam<Failpoint> {};
 
-TEST_P(Failpoints, IsFoundAndTheSoundProgramIsNotBlamed) {
+TEST_P(Failpoints, IsDetectedAndTheProgramWithoutItPasses) {
     Options options = few();
-    options.patience = 3000, options.latency_objective = 2000;  // what is lost is waited for
+    options.request_deadline = 3000, options.latency_objective = 2000;  // what is lost is waited for
     options.program =
         "env ELMBAY_PLANT=" + std::string(GetParam().name) + " " + ELMBAY_PROGRAM_WITH_FAILPOINTS;
     {
@@ -23,7 +23,7 @@
         EXPECT_FALSE(GetParam().scenario(planted)) << "the plant was not found";
     }
     options.program = ELMBAY_PROGRAM_WITH_FAILPOINTS;
-    options.patience = 20000, options.latency_objective = 10000;
+    options.request_deadline = 20000, options.latency_objective = 10000;
     ProcessTestbed sound(options);
     sound.start();
     EXPECT_TRUE(GetParam().scenario(sound)) << sound.explain();
--- a/tests/process_testbed/faults_test.cpp
+++ b/tests/process_testbed/faults_test.cpp
@@ -14,25 +14,25 @@
 namespace elmbay::process_testbed {
 namespace {
 
-using fault_proxy::Act;
-using fault_proxy::Place;
+using fault_proxy::FaultType;
 using fault_proxy::Rule;
-using Answer = RequestHistory::Answer;
+using fault_proxy::Trigger;
+using Outcome = RequestHistory::Outcome;
 
-Rule rule(const char* name, Act act, const char* from, const char* to) {
+Rule rule(const char* name, FaultType type, const char* from, const char* to) {
     Rule r;
-    r.name = name, r.act = act, r.from = {from}, r.to = {to};
+    r.name = name, r.type = type, r.from = {from}, r.to = {to};
     return r;
 }
 
-TEST(ProcessTestbed, ServesAndTellsWhatItBelieves) {
+TEST(ProcessTestbed, ServesEachClassAndReportsItsStatus) {
     ProcessTestbed testbed(few());
     testbed.start();
     std::vector<std::string> ids;
     for (const char* request_class : {"listen", "deposit", "annotate"})
-        for (std::size_t i = 0; i < 2; ++i) ids.push_back(testbed.ask(i, request_class));
+        for (std::size_t i = 0; i < 2; ++i) ids.push_back(testbed.send_request(i, request_class));
     ASSERT_TRUE(testbed.settle()) << testbed.explain();
-    for (const std::string& id : ids) EXPECT_EQ(testbed.answer(id), Answer::served) << testbed.explain(id);
+    for (const std::string& id : ids) EXPECT_EQ(testbed.outcome(id), Outcome::served) << testbed.explain(id);
     const json status = testbed.status(1);
     EXPECT_EQ(status["name"], "n-1");
     EXPECT_EQ(status["requests"]["served"], 3);
@@ -40,32 +40,32 @@
 }
 
 // The server has committed; its answer is cut before each of its bytes in turn. Never a second deposit.
-TEST(ProcessTestbed, ADepositWhoseReplyIsCutAtAnyByteIsDoneOnce) {
+TEST(ProcessTestbed, ProcessesADepositOnceWhenItsResponseIsCutAtAnyByte) {
     ProcessTestbed testbed(few(1, 2));
     testbed.start();
-    const std::string first = testbed.ask(0, "deposit");
-    ASSERT_TRUE(testbed.until([&] { return testbed.ended(first); })) << testbed.explain();
+    const std::string first = testbed.send_request(0, "deposit");
+    ASSERT_TRUE(testbed.run_until([&] { return testbed.has_ended(first); })) << testbed.explain();
     const std::uint64_t length =
-        testbed.link("n-0", "s-0").bytes_back() + testbed.link("n-0", "s-1").bytes_back();
+        testbed.link("n-0", "s-0").bytes_to_client() + testbed.link("n-0", "s-1").bytes_to_client();
     ASSERT_GT(length, 20U);
     for (std::uint64_t byte = 0; byte < length; ++byte) {
-        for (const Act act : {Act::reset, Act::half_close}) {
-            Rule cut = rule("cut", act, "s-*", "n-0");
-            cut.place = Place::byte, cut.byte = byte;
-            testbed.context().put(cut);
+        for (const FaultType type : {FaultType::reset, FaultType::half_close}) {
+            Rule cut = rule("cut", type, "s-*", "n-0");
+            cut.trigger = Trigger::at_byte, cut.trigger_byte = byte;
+            testbed.context().put_rule(cut);
             // Every connection is new: the byte counts from its first.
             for (const char* s : {"s-0", "s-1"}) testbed.link("n-0", s).reset_all();
-            const std::string id = testbed.ask(0, "deposit");
-            ASSERT_TRUE(testbed.until([&] { return testbed.ended(id); })) << testbed.explain(id);
-            EXPECT_EQ(testbed.answer(id), Answer::failed) << "byte " << byte << "\n" << testbed.explain(id);
+            const std::string id = testbed.send_request(0, "deposit");
+            ASSERT_TRUE(testbed.run_until([&] { return testbed.has_ended(id); })) << testbed.explain(id);
+            EXPECT_EQ(testbed.outcome(id), Outcome::failed) << "byte " << byte << "\n" << testbed.explain(id);
         }
     }
-    testbed.context().take_away("cut");
+    testbed.context().remove_rule("cut");
     ASSERT_TRUE(testbed.settle()) << testbed.explain();
 }
 
 // A sidecar is frozen with forty requests in hand, their callers go, and it wakes: nothing goes out for them.
-TEST(ProcessTestbed, AFrozenSidecarSendsNothingForCallersThatHaveGone) {
+TEST(ProcessTestbed, SendsNothingAfterAFreezeForClientsThatHaveLeft) {
     ProcessTestbed testbed(few(2, 2));
     testbed.start();
     EXPECT_TRUE(frozen_with_forty_requests(testbed)) << testbed.explain();
@@ -73,108 +73,111 @@
 
 // A sidecar is frozen while a server is told to drain, and while attempts elsewhere break. When it wakes, the
 // broken ones and the list lie unread beside each other: the list comes first.
-TEST(ProcessTestbed, AFrozenSidecarHearsOfADrainBeforeItTriesAgain) {
+TEST(ProcessTestbed, ReadsADrainBeforeItRetriesAfterAFreeze) {
     ProcessTestbed testbed(few(1, 2));
     testbed.start();
-    for (int i = 0; i < 20; ++i) testbed.ask(0, "listen");
-    ASSERT_TRUE(testbed.until([&] { return testbed.request_history().open() == 0; })) << testbed.explain();
+    for (int i = 0; i < 20; ++i) testbed.send_request(0, "listen");
+    ASSERT_TRUE(testbed.run_until([&] { return testbed.request_history().open_requests() == 0; }))
+        << testbed.explain();
     testbed.server(0).behavior = testbed.server(1).behavior = ServerBehavior::hold;
-    for (int i = 0; i < 20; ++i) testbed.ask(0, "listen");
-    ASSERT_TRUE(testbed.until([&] {
-        const std::size_t held = testbed.server(0).holding() + testbed.server(1).holding();
-        return testbed.server(1).holding() >= 3 && held >= testbed.request_history().open();
+    for (int i = 0; i < 20; ++i) testbed.send_request(0, "listen");
+    ASSERT_TRUE(testbed.run_until([&] {
+        const std::size_t held = testbed.server(0).held_requests() + testbed.server(1).held_requests();
+        return testbed.server(1).held_requests() >= 3 && held >= testbed.request_history().open_requests();
     })) << testbed.explain();
     testbed.freeze(0);
     testbed.link("n-0", "s-1").reset_all();
-    ASSERT_TRUE(testbed.quiet_for(1));
-    testbed.list(0, "leaving");
-    ASSERT_TRUE(testbed.quiet_for(RequestHistory::kDrainGrace + 3 * RequestHistory::kSlack))
+    ASSERT_TRUE(testbed.run_for(1));
+    testbed.set_endpoint_state(0, EndpointState::leaving);
+    ASSERT_TRUE(testbed.run_for(RequestHistory::kDrainGrace + 3 * RequestHistory::kSlack))
         << testbed.explain();
     testbed.server(0).behavior = testbed.server(1).behavior = ServerBehavior::serve;
-    testbed.server(0).release(), testbed.server(1).release();
+    testbed.server(0).release_held(), testbed.server(1).release_held();
     testbed.thaw(0);
     ASSERT_TRUE(testbed.settle()) << testbed.explain();
 }
 
 // No byte moves on a connection, either way, from its first or from after a head: each caller hears in its
 // time, and a deposit that may have run is not called refused, nor done again.
-TEST(ProcessTestbed, AConnectionOnWhichNoByteMovesCostsNobodyAnOutcome) {
+TEST(ProcessTestbed, GivesEachRequestAnOutcomeWhenItsConnectionGoesSilent) {
     Options options = few(1, 2);
-    options.patience = 1500, options.latency_objective = 700;
+    options.request_deadline = 1500, options.latency_objective = 700;
     ProcessTestbed testbed(options);
     testbed.start();
     struct Case {
         const char *from, *to;
-        fault_proxy::Place place;
-        fault_proxy::Part part;
+        fault_proxy::Trigger trigger;
+        fault_proxy::MessagePoint trigger_point;
     };
-    const Case cases[] = {{"s-*", "n-0", Place::opening, fault_proxy::Part::begins},
-                          {"s-*", "n-0", Place::message, fault_proxy::Part::head},
-                          {"n-0", "s-*", Place::opening, fault_proxy::Part::begins},
-                          {"n-0", "s-*", Place::message, fault_proxy::Part::head}};
+    const Case cases[] = {{"s-*", "n-0", Trigger::on_open, fault_proxy::MessagePoint::begin},
+                          {"s-*", "n-0", Trigger::at_message, fault_proxy::MessagePoint::head_end},
+                          {"n-0", "s-*", Trigger::on_open, fault_proxy::MessagePoint::begin},
+                          {"n-0", "s-*", Trigger::at_message, fault_proxy::MessagePoint::head_end}};
     for (const Case& c : cases) {
         for (const char* request_class : {"deposit", "annotate"}) {
-            Rule silent = rule("silent", Act::silence, c.from, c.to);
-            silent.place = c.place, silent.part = c.part;
-            testbed.context().put(silent);
+            Rule silent = rule("silent", FaultType::silence, c.from, c.to);
+            silent.trigger = c.trigger, silent.trigger_point = c.trigger_point;
+            testbed.context().put_rule(silent);
             for (const char* s : {"s-0", "s-1"}) testbed.link("n-0", s).reset_all();
-            const std::string id = testbed.ask(0, request_class);
-            ASSERT_TRUE(testbed.until([&] { return testbed.ended(id); })) << testbed.explain(id);
-            EXPECT_TRUE(testbed.answer(id).has_value()) << testbed.explain(id);
-            EXPECT_NE(testbed.answer(id), Answer::served) << testbed.explain(id);
+            const std::string id = testbed.send_request(0, request_class);
+            ASSERT_TRUE(testbed.run_until([&] { return testbed.has_ended(id); })) << testbed.explain(id);
+            EXPECT_TRUE(testbed.outcome(id).has_value()) << testbed.explain(id);
+            EXPECT_NE(testbed.outcome(id), Outcome::served) << testbed.explain(id);
         }
     }
     ASSERT_TRUE(testbed.settle()) << testbed.explain();
 }
 
 // The list reaches one side of a split only: that side keeps the drain, the other goes on until it is told.
-TEST(ProcessTestbed, ADrainIsKeptByTheSideThatHeardOfItAndByTheOtherOnceItDoes) {
+TEST(ProcessTestbed, KeepsADrainOnEachSideOfAPartitionOnceItIsDelivered) {
     ProcessTestbed testbed(few(2, 2));
     testbed.start();
-    testbed.context().put(rule("split", Act::cut, "list", "n-1"));
-    testbed.list(0, "leaving");
-    ASSERT_TRUE(testbed.until([&] { return testbed.status(0)["servers"][0]["state"] == "leaving"; }));
+    testbed.context().put_rule(rule("split", FaultType::cut, "list", "n-1"));
+    testbed.set_endpoint_state(0, EndpointState::leaving);
+    ASSERT_TRUE(testbed.run_until([&] { return testbed.status(0)["servers"][0]["state"] == "leaving"; }));
     const auto seen = [&](std::size_t n) {
-        return testbed.link("n-" + std::to_string(n), "s-0").bytes_forth();
+        return testbed.link("n-" + std::to_string(n), "s-0").bytes_to_target();
     };
     const auto before_0 = seen(0), before_1 = seen(1);
-    for (int i = 0; i < 40; ++i) testbed.ask(static_cast<std::size_t>(i % 2), "listen");
-    ASSERT_TRUE(testbed.until([&] { return testbed.request_history().open() == 0; })) << testbed.explain();
+    for (int i = 0; i < 40; ++i) testbed.send_request(static_cast<std::size_t>(i % 2), "listen");
+    ASSERT_TRUE(testbed.run_until([&] { return testbed.request_history().open_requests() == 0; }))
+        << testbed.explain();
     EXPECT_EQ(seen(0), before_0);
     EXPECT_GT(seen(1), before_1) << "n-1 has not been told";
-    testbed.context().take_away("split");
-    ASSERT_TRUE(testbed.until([&] { return testbed.status(1)["servers"][0]["state"] == "leaving"; }));
+    testbed.context().remove_rule("split");
+    ASSERT_TRUE(testbed.run_until([&] { return testbed.status(1)["servers"][0]["state"] == "leaving"; }));
     const auto told = seen(1);
-    for (int i = 0; i < 20; ++i) testbed.ask(1, "listen");
+    for (int i = 0; i < 20; ++i) testbed.send_request(1, "listen");
     ASSERT_TRUE(testbed.settle()) << testbed.explain();
     EXPECT_EQ(seen(1), told);
 }
 
 // The successor starts while the port is still taken: it waits, and serves once it is free.
-TEST(ProcessTestbed, APortThatIsStillTakenIsWaitedFor) {
+TEST(ProcessTestbed, WaitsForAPortThatIsStillInUse) {
     ProcessTestbed testbed(few(1, 1));
     testbed.start();
     testbed.kill(0);
-    const tcp::endpoint port = testbed.listen_of(0);
+    const tcp::endpoint port = testbed.listen_endpoint(0);
     auto taken = std::make_unique<tcp::acceptor>(testbed.context().io(), port);
     testbed.restart(0);
-    ASSERT_TRUE(testbed.quiet_for(200)) << "it did not give up at once";
-    ASSERT_FALSE(testbed.ready(0));
+    ASSERT_TRUE(testbed.run_for(200)) << "it did not give up at once";
+    ASSERT_FALSE(testbed.is_ready(0));
     taken.reset();
-    ASSERT_TRUE(testbed.until([&] { return testbed.ready(0); })) << testbed.explain();
-    testbed.ask(0, "deposit");
+    ASSERT_TRUE(testbed.run_until([&] { return testbed.is_ready(0); })) << testbed.explain();
+    testbed.send_request(0, "deposit");
     ASSERT_TRUE(testbed.settle()) << testbed.explain();
 }
 
 // Its clock is minutes off, its sibling is another build with another file, a third is out of descriptors and
 // a fourth has a tenth of its core: each serves, and what it can't it says.
-TEST(ProcessTestbed, SidecarsThatAreUnlikeServeSideBySide) {
+TEST(ProcessTestbed, ServesSideBySideWithOtherClocksBuildsAndLimits) {
     ProcessTestbed testbed(few(4, 2));
     testbed.start();
     testbed.kill(0), testbed.kill(1);
     testbed.restart(0, "", "[proof]\nclock_ahead = \"5m\"\n");
     testbed.restart(1, ELMBAY_PROGRAM_WITH_FAILPOINTS, "[websocket]\non = true\n");
-    ASSERT_TRUE(testbed.until([&] { return testbed.ready(0) && testbed.ready(1); })) << testbed.explain();
+    ASSERT_TRUE(testbed.run_until([&] { return testbed.is_ready(0) && testbed.is_ready(1); }))
+        << testbed.explain();
     const double ahead =
         testbed.status(0)["now_ms"].get<double>() - testbed.status(2)["now_ms"].get<double>();
     EXPECT_NEAR(ahead, 300000, 60000);
@@ -182,21 +185,23 @@
                               // gets none
     testbed.process(2).limit_descriptors(22);
 #endif
-    testbed.starve(3, 0.1);
+    testbed.limit_cpu(3, 0.1);
     std::vector<std::string> ids;
-    for (int i = 0; i < 80; ++i) ids.push_back(testbed.ask(static_cast<std::size_t>(i % 4), "listen"));
-    ASSERT_TRUE(testbed.until([&] { return testbed.request_history().open() == 0; })) << testbed.explain();
-    testbed.starve(3, 1);
+    for (int i = 0; i < 80; ++i)
+        ids.push_back(testbed.send_request(static_cast<std::size_t>(i % 4), "listen"));
+    ASSERT_TRUE(testbed.run_until([&] { return testbed.request_history().open_requests() == 0; }))
+        << testbed.explain();
+    testbed.limit_cpu(3, 1);
     for (std::size_t i = 0; i < ids.size(); ++i)
         if (i % 4 != 2) {
-            EXPECT_EQ(testbed.answer(ids[i]), Answer::served) << testbed.explain(ids[i]);
+            EXPECT_EQ(testbed.outcome(ids[i]), Outcome::served) << testbed.explain(ids[i]);
         }
     ASSERT_TRUE(testbed.settle()) << testbed.explain();
 }
 
 // Started under its name with a memory that is older than its last life's: what it says of a server that was
 // failing then does not keep the server out now, and nobody loses an outcome for it.
-TEST(ProcessTestbed, AnOlderMemoryUnderTheSameNameShunsNobodyForGood) {
+TEST(ProcessTestbed, RestoresAServerThatAnOlderSnapshotHasEjected) {
     namespace fs = std::filesystem;
     std::string folder = (fs::temp_directory_path() / "memory-XXXXXX").string();
     ASSERT_NE(::mkdtemp(folder.data()), nullptr);
@@ -206,7 +211,7 @@
     testbed.start();
     testbed.kill(0);
     testbed.restart(0, "", file);
-    ASSERT_TRUE(testbed.until([&] { return testbed.ready(0); })) << testbed.explain();
+    ASSERT_TRUE(testbed.run_until([&] { return testbed.is_ready(0); })) << testbed.explain();
     const auto removed = [&] {
         const json status = testbed.status(0);
         for (const json& s : status["servers"])
@@ -215,35 +220,36 @@
     };
     // Several at once, so that both servers are in its sight.
     const auto ask_eight = [&] {
-        for (int i = 0; i < 8; ++i) testbed.ask(0, "listen");
-        return testbed.until([&] { return testbed.request_history().open() == 0; });
+        for (int i = 0; i < 8; ++i) testbed.send_request(0, "listen");
+        return testbed.run_until([&] { return testbed.request_history().open_requests() == 0; });
     };
     testbed.server(1).delay = 5;
     testbed.server(0).behavior = ServerBehavior::fail;
-    ASSERT_TRUE(testbed.until([&] { return ask_eight() && removed(); })) << testbed.explain();
+    ASSERT_TRUE(testbed.run_until([&] { return ask_eight() && removed(); })) << testbed.explain();
     testbed.terminate(0);  // writes once more as it ends
-    ASSERT_TRUE(testbed.until([&] { return !testbed.running(0); })) << testbed.explain();
+    ASSERT_TRUE(testbed.run_until([&] { return !testbed.is_running(0); })) << testbed.explain();
     fs::copy(now, older, fs::copy_options::recursive);
     // A life in which all is well again, and one that starts from what was before it.
     testbed.server(0).behavior = ServerBehavior::serve;
     testbed.restart(0);
-    ASSERT_TRUE(testbed.until([&] { return testbed.ready(0); })) << testbed.explain();
+    ASSERT_TRUE(testbed.run_until([&] { return testbed.is_ready(0); })) << testbed.explain();
     testbed.kill(0);
     fs::remove_all(now);
     fs::copy(older, now, fs::copy_options::recursive);
     testbed.restart(0);
-    ASSERT_TRUE(testbed.until([&] { return testbed.ready(0); })) << testbed.explain();
-    const auto before = testbed.server(0).requests();
+    ASSERT_TRUE(testbed.run_until([&] { return testbed.is_ready(0); })) << testbed.explain();
+    const auto before = testbed.server(0).received_requests();
     EXPECT_TRUE(removed()) << "the memory was read";
-    ASSERT_TRUE(testbed.until([&] { return ask_eight() && testbed.server(0).requests() > before + 1; }))
-        << testbed.explain();
+    ASSERT_TRUE(testbed.run_until([&] {
+        return ask_eight() && testbed.server(0).received_requests() > before + 1;
+    })) << testbed.explain();
     EXPECT_FALSE(removed());
     ASSERT_TRUE(testbed.settle()) << testbed.explain();
     fs::remove_all(folder);
 }
 
 // A test that is killed leaves no process behind.
-TEST(ProcessTestbed, WhatATestStartedEndsWithIt) {
+TEST(ProcessTestbed, EndsItsProcessesWhenTheTestIsKilled) {
     int ends[2];
     ASSERT_EQ(::pipe(ends), 0);
     const pid_t child = ::fork();
--- a/tests/process_testbed/log_test.cpp
+++ b/tests/process_testbed/log_test.cpp
@@ -40,7 +40,7 @@
     int reader_ = -1;
 };
 
-TEST(Log, RequestsGoOnWhenItsReaderHasGone) {
+TEST(Log, ServesRequestsAfterTheReaderOfTheLogHasClosed) {
     LogPipe log;
     Options options = few(1, 2);
     options.program += " 2>" + log.path();
@@ -51,11 +51,11 @@
     testbed.process(0).write_config(nlohmann::json::array());
     for (int i = 0; i < 10; ++i) {
         testbed.process(0).signal(SIGHUP);
-        const std::string id = testbed.ask(0, "listen");
-        ASSERT_TRUE(testbed.until([&] { return testbed.ended(id); })) << testbed.explain(id);
-        EXPECT_EQ(testbed.answer(id), RequestHistory::Answer::served) << testbed.explain(id);
+        const std::string id = testbed.send_request(0, "listen");
+        ASSERT_TRUE(testbed.run_until([&] { return testbed.has_ended(id); })) << testbed.explain(id);
+        EXPECT_EQ(testbed.outcome(id), RequestHistory::Outcome::served) << testbed.explain(id);
     }
-    EXPECT_TRUE(testbed.process(0).running());
+    EXPECT_TRUE(testbed.process(0).is_running());
 }
 
 }  // namespace
--- a/tests/process_testbed/scenarios.hpp
+++ b/tests/process_testbed/scenarios.hpp
@@ -13,7 +13,7 @@
     o.sidecars = sidecars, o.servers = servers;
     o.program = ELMBAY_PROGRAM;
     // Far beyond what a busy machine needs: nothing here is about speed.
-    o.patience = 20000, o.latency_objective = 10000;
+    o.request_deadline = 20000, o.latency_objective = 10000;
     return o;
 }
 
@@ -21,41 +21,41 @@
 // the connections of what it had out are reset, so it wakes with reasons to try again and nobody to do it
 // for.
 inline bool frozen_with_forty_requests(ProcessTestbed& testbed) {
-    Server &s0 = testbed.server(0), &s1 = testbed.server(1);
+    ServerEmulator &s0 = testbed.server(0), &s1 = testbed.server(1);
     s0.behavior = s1.behavior = ServerBehavior::hold;
     std::vector<std::string> ids;
-    for (int i = 0; i < 20; ++i)
-        ids.push_back(testbed.ask(0, ProcessTestbed::ClientRequest{"listen", 20000, 800}));
-    if (!testbed.until([&] { return s0.holding() + s1.holding() >= testbed.request_history().open(); }))
+    for (int i = 0; i < 20; ++i) ids.push_back(testbed.send_request(0, ClientRequest{"listen", 20000, 800}));
+    if (!testbed.run_until([&] {
+            return s0.held_requests() + s1.held_requests() >= testbed.request_history().open_requests();
+        }))
         return false;
     testbed.freeze(0);
-    for (int i = 0; i < 20; ++i)
-        ids.push_back(testbed.ask(0, ProcessTestbed::ClientRequest{"listen", 20000, 800}));
+    for (int i = 0; i < 20; ++i) ids.push_back(testbed.send_request(0, ClientRequest{"listen", 20000, 800}));
     const auto all_ended = [&] {
-        return std::all_of(ids.begin(), ids.end(), [&](const auto& id) { return testbed.ended(id); });
+        return std::all_of(ids.begin(), ids.end(), [&](const auto& id) { return testbed.has_ended(id); });
     };
-    if (!testbed.until(all_ended)) return false;
+    if (!testbed.run_until(all_ended)) return false;
     testbed.link("n-0", "s-0").reset_all();
     testbed.link("n-0", "s-1").reset_all();
     // The request_history's slack runs from when they went.
-    if (!testbed.quiet_for(2 * RequestHistory::kSlack)) return false;
+    if (!testbed.run_for(2 * RequestHistory::kSlack)) return false;
     s0.behavior = s1.behavior = ServerBehavior::serve;
-    const auto before = s0.requests() + s1.requests();
+    const auto before = s0.received_requests() + s1.received_requests();
     testbed.thaw(0);
-    const std::string after = testbed.ask(0, "listen");
-    if (!testbed.until([&] { return testbed.ended(after); }) || !testbed.settle()) return false;
-    return s0.requests() + s1.requests() == before + 1;
+    const std::string after = testbed.send_request(0, "listen");
+    if (!testbed.run_until([&] { return testbed.has_ended(after); }) || !testbed.settle()) return false;
+    return s0.received_requests() + s1.received_requests() == before + 1;
 }
 
 // Deposits whose answer is cut after the server has done them.
 inline bool deposits_with_cut_answers(ProcessTestbed& testbed) {
     fault_proxy::Rule cut;
-    cut.name = "cut", cut.act = fault_proxy::Act::reset, cut.from = {"s-*"}, cut.to = {"n-0"};
-    cut.place = fault_proxy::Place::byte, cut.byte = 9;
-    testbed.context().put(cut);
+    cut.name = "cut", cut.type = fault_proxy::FaultType::reset, cut.from = {"s-*"}, cut.to = {"n-0"};
+    cut.trigger = fault_proxy::Trigger::at_byte, cut.trigger_byte = 9;
+    testbed.context().put_rule(cut);
     for (int i = 0; i < 5; ++i) {
-        const std::string id = testbed.ask(0, "deposit");
-        if (!testbed.until([&] { return testbed.ended(id); })) return false;
+        const std::string id = testbed.send_request(0, "deposit");
+        if (!testbed.run_until([&] { return testbed.has_ended(id); })) return false;
     }
     return testbed.settle();
 }
@@ -63,7 +63,7 @@
 // Servers that take longer than the slack, so that what is out together is seen to be.
 inline bool slow_answers(ProcessTestbed& testbed) {
     testbed.server(0).delay = testbed.server(1).delay = 3 * RequestHistory::kSlack;
-    for (int i = 0; i < 10; ++i) testbed.ask(0, i % 2 ? "listen" : "annotate");
+    for (int i = 0; i < 10; ++i) testbed.send_request(0, i % 2 ? "listen" : "annotate");
     return testbed.settle();
 }
 
@@ -71,12 +71,12 @@
 // besides.
 inline bool descriptors_are_those_counted(ProcessTestbed& testbed) {
     for (int i = 0; i < 60; ++i) {
-        const std::string id = testbed.ask(0, "listen");
-        if (!testbed.until([&] { return testbed.ended(id); })) return false;
+        const std::string id = testbed.send_request(0, "listen");
+        if (!testbed.run_until([&] { return testbed.has_ended(id); })) return false;
         testbed.link("n-0", "s-0").reset_all();
         testbed.link("n-0", "s-1").reset_all();
     }
-    return testbed.settle() && testbed.descriptors_accounted(0);
+    return testbed.settle() && testbed.descriptors_are_accounted_for(0);
 }
 
 }  // namespace elmbay::process_testbed
--- a/tests/process_testbed/state_test.cpp
+++ b/tests/process_testbed/state_test.cpp
@@ -11,7 +11,7 @@
 namespace elmbay::process_testbed {
 namespace {
 
-using Answer = RequestHistory::Answer;
+using Outcome = RequestHistory::Outcome;
 
 constexpr std::size_t kServers = 8;  // so that a snapshot is larger than the log
 
@@ -23,23 +23,23 @@
         testbed.kill(0);
         life();
         serve_some();
-        ASSERT_TRUE(testbed.until([&] { return newest() > 0; })) << log();
+        ASSERT_TRUE(testbed.run_until([&] { return newest() > 0; })) << log();
     }
     void TearDown() override { std::filesystem::remove_all(folder); }
 
     void life() {
         testbed.restart(0, "", "[state]\nfolder = \"" + folder + "\"\nevery = \"100ms\"\n");
-        ASSERT_TRUE(testbed.until([&] { return testbed.ready(0); })) << log();
+        ASSERT_TRUE(testbed.run_until([&] { return testbed.is_ready(0); })) << log();
     }
     // Thirty requests, all served.
     void serve_some() {
         std::vector<std::string> ids;
         for (int i = 0; i < 10; ++i)
             for (const char* request_class : {"listen", "deposit", "annotate"})
-                ids.push_back(testbed.ask(0, request_class));
+                ids.push_back(testbed.send_request(0, request_class));
         ASSERT_TRUE(testbed.settle()) << testbed.explain() << log();
         for (const std::string& id : ids)
-            ASSERT_EQ(testbed.answer(id), Answer::served) << testbed.explain(id);
+            ASSERT_EQ(testbed.outcome(id), Outcome::served) << testbed.explain(id);
     }
     // The files of the running program end at so many bytes; none: as they like.
     void limit_files(std::optional<rlim_t> bytes) {
@@ -50,7 +50,7 @@
         ASSERT_EQ(::prlimit(pid, RLIMIT_FSIZE, &limit, nullptr), 0);
     }
     std::string log() {
-        std::ifstream file(testbed.process(0).log());
+        std::ifstream file(testbed.process(0).log_path());
         return {std::istreambuf_iterator<char>(file), {}};
     }
     std::size_t told(const std::string& what) {
@@ -71,18 +71,18 @@
     ProcessTestbed testbed{few(1, kServers)};
 };
 
-TEST_F(StateFolder, ThatFailsForAWhileIsToldOnceRequestsAreServedAndItIsKeptAgain) {
-    limit_files(std::filesystem::file_size(testbed.process(0).log()) + 200);
+TEST_F(StateFolder, LogsAWriteFailureOnceServesMeanwhileAndRecovers) {
+    limit_files(std::filesystem::file_size(testbed.process(0).log_path()) + 200);
     for (int i = 0; i < 3; ++i) serve_some();
-    ASSERT_TRUE(testbed.until([&] { return told("event=write_failed") > 0; })) << log();
+    ASSERT_TRUE(testbed.run_until([&] { return told("event=write_failed") > 0; })) << log();
     const std::int64_t kept = newest();
     serve_some();
-    ASSERT_TRUE(testbed.quiet_for(1000)) << "ten more writes that fail";
+    ASSERT_TRUE(testbed.run_for(1000)) << "ten more writes that fail";
     EXPECT_EQ(told("event=write_failed"), 1U) << log();
     EXPECT_EQ(newest(), kept) << "no part of a write counts";
 
     limit_files({});
-    ASSERT_TRUE(testbed.until([&] { return told("event=write_recovered") > 0; })) << log();
+    ASSERT_TRUE(testbed.run_until([&] { return told("event=write_recovered") > 0; })) << log();
     EXPECT_GT(newest(), kept);
     serve_some();
     EXPECT_EQ(told("event=write_failed"), 1U) << log();
@@ -92,26 +92,26 @@
 
 // The log may be on the same disk: a line that could not be written is lost, not the program and not later
 // lines.
-TEST_F(StateFolder, AndTheLogWithItEndsNothing) {
+TEST_F(StateFolder, KeepsRunningWhenNeitherStateNorLogCanBeWritten) {
     limit_files(0);
     for (int i = 0; i < 3; ++i) serve_some();
-    ASSERT_TRUE(testbed.quiet_for(500)) << "five writes that fail";
-    EXPECT_TRUE(testbed.running(0));
+    ASSERT_TRUE(testbed.run_for(500)) << "five writes that fail";
+    EXPECT_TRUE(testbed.is_running(0));
     limit_files({});
-    ASSERT_TRUE(testbed.until([&] { return told("event=write_recovered") > 0; })) << log();
+    ASSERT_TRUE(testbed.run_until([&] { return told("event=write_recovered") > 0; })) << log();
     ASSERT_TRUE(testbed.settle()) << testbed.explain();
 }
 
-TEST_F(StateFolder, AKillWhileItFailsLeavesTheLastWholeState) {
-    limit_files(std::filesystem::file_size(testbed.process(0).log()) + 200);
+TEST_F(StateFolder, KeepsTheLastWholeSnapshotWhenKilledWhileWritesFail) {
+    limit_files(std::filesystem::file_size(testbed.process(0).log_path()) + 200);
     for (int i = 0; i < 3; ++i) serve_some();
-    ASSERT_TRUE(testbed.until([&] { return told("event=write_failed") > 0; })) << log();
+    ASSERT_TRUE(testbed.run_until([&] { return told("event=write_failed") > 0; })) << log();
     const std::int64_t kept = newest();
     testbed.kill(0);
     EXPECT_EQ(newest(), kept);
     life();
     serve_some();
-    ASSERT_TRUE(testbed.until([&] { return newest() > kept; })) << log();
+    ASSERT_TRUE(testbed.run_until([&] { return newest() > kept; })) << log();
     ASSERT_TRUE(testbed.settle()) << testbed.explain();
 }
 
