--- a/tests/syscall_faults/fleet_faults_test.cpp
+++ b/tests/syscall_faults/fleet_faults_test.cpp
@@ -15,7 +15,7 @@
 namespace elmbay::process_testbed {
 namespace {
 
-using Answer = RequestHistory::Answer;
+using Outcome = RequestHistory::Outcome;
 const std::array<std::string, 3> kGrades{"listen", "deposit", "annotate"};
 
 // One specification of faults for the program's processes, and how often each of its rules struck.
@@ -57,7 +57,7 @@
     options.sidecars = sidecars, options.servers = servers;
     options.program = faults.program();
     // Far beyond what a busy machine needs: nothing here is about speed.
-    options.patience = 10000, options.latency_objective = 5000;
+    options.request_deadline = 10000, options.latency_objective = 5000;
     options.settings = {{"limits", {{"connect-timeout-ms", 5000.0}}}};
     return options;
 }
@@ -67,29 +67,30 @@
 bool ask_of_each_effect(ProcessTestbed& testbed, std::size_t each, std::size_t together) {
     std::vector<std::string> ids;
     for (std::size_t i = 0; i < each * kGrades.size(); ++i) {
-        ids.push_back(testbed.ask(i % testbed.sidecars(), kGrades[i % kGrades.size()]));
-        if (!testbed.until([&] { return testbed.request_history().open() < together; })) return false;
+        ids.push_back(testbed.send_request(i % testbed.sidecar_count(), kGrades[i % kGrades.size()]));
+        if (!testbed.run_until([&] { return testbed.request_history().open_requests() < together; }))
+            return false;
     }
     if (!testbed.settle()) return false;
     for (const std::string& id : ids)
-        if (!testbed.answer(id)) std::cout << "closed with no answer:\n" << testbed.explain(id) << std::endl;
+        if (!testbed.outcome(id)) std::cout << "closed with no answer:\n" << testbed.explain(id) << std::endl;
     return true;
 }
 
 std::string answers(ProcessTestbed& testbed) {
     RequestHistory& request_history = testbed.request_history();
-    return "served " + std::to_string(request_history.count(Answer::served)) + ", refused " +
-           std::to_string(request_history.count(Answer::refused)) + ", failed " +
-           std::to_string(request_history.count(Answer::failed)) + ", cut " +
-           std::to_string(request_history.count(Answer::cut)) + " of " +
-           std::to_string(request_history.asked());
+    return "served " + std::to_string(request_history.count(Outcome::served)) + ", refused " +
+           std::to_string(request_history.count(Outcome::rejected)) + ", failed " +
+           std::to_string(request_history.count(Outcome::failed)) + ", cut " +
+           std::to_string(request_history.count(Outcome::truncated)) + " of " +
+           std::to_string(request_history.total_requests());
 }
 
 std::uint64_t without_answer(ProcessTestbed& testbed) {
     RequestHistory& request_history = testbed.request_history();
-    return request_history.asked() - request_history.count(Answer::served) -
-           request_history.count(Answer::refused) - request_history.count(Answer::failed) -
-           request_history.count(Answer::cut);
+    return request_history.total_requests() - request_history.count(Outcome::served) -
+           request_history.count(Outcome::rejected) - request_history.count(Outcome::failed) -
+           request_history.count(Outcome::truncated);
 }
 
 struct Case {
@@ -107,14 +108,15 @@
     const Faults faults(GetParam().specification);
     ProcessTestbed testbed(options_for(faults));
     testbed.start();
-    for (std::size_t i = 0; i < testbed.servers(); ++i) testbed.server(i).body = 20000;
+    for (std::size_t i = 0; i < testbed.server_count(); ++i) testbed.server(i).body_bytes = 20000;
     ASSERT_TRUE(ask_of_each_effect(testbed, kEach, kTogether)) << answers(testbed) << "\n"
                                                                << testbed.explain();
     EXPECT_GT(faults.struck(0), 0U);
-    EXPECT_EQ(testbed.request_history().count(Answer::cut), 0U);
+    EXPECT_EQ(testbed.request_history().count(Outcome::truncated), 0U);
     EXPECT_LE(without_answer(testbed), GetParam().may_shed ? faults.struck(0) : 0U) << answers(testbed);
     if (GetParam().all_served) {
-        EXPECT_EQ(testbed.request_history().count(Answer::served), testbed.request_history().asked())
+        EXPECT_EQ(testbed.request_history().count(Outcome::served),
+                  testbed.request_history().total_requests())
             << answers(testbed);
     }
     std::cout << GetParam().name << ": " << answers(testbed) << ", faults " << faults.struck(0) << std::endl;
@@ -186,10 +188,10 @@
 
 // Nothing is open: whoever asks next comes on a new connection, and is sent on over one.
 void end_all_connections(ProcessTestbed& testbed) {
-    for (std::size_t i = 0; i < testbed.sidecars(); ++i) {
+    for (std::size_t i = 0; i < testbed.sidecar_count(); ++i) {
         const std::string sidecar = "n-" + std::to_string(i);
         testbed.link("c-" + std::to_string(i), sidecar).reset_all();
-        for (std::size_t j = 0; j < testbed.servers(); ++j)
+        for (std::size_t j = 0; j < testbed.server_count(); ++j)
             testbed.link(sidecar, "s-" + std::to_string(j)).reset_all();
     }
 }
@@ -199,14 +201,14 @@
     const Faults faults("seed=41 " + std::string(kAllTogether));
     ProcessTestbed testbed(options_for(faults, 2, 6));
     testbed.start();
-    for (std::size_t i = 0; i < testbed.servers(); ++i) testbed.server(i).body = 4000;
+    for (std::size_t i = 0; i < testbed.server_count(); ++i) testbed.server(i).body_bytes = 4000;
     for (std::size_t round = 0; round < kRounds; ++round) {
         ASSERT_TRUE(ask_of_each_effect(testbed, kEach, kTogether)) << answers(testbed) << "\n"
                                                                    << testbed.explain();
         end_all_connections(testbed);
     }
     expect_every_rule_struck(faults);
-    EXPECT_EQ(testbed.request_history().count(Answer::cut), 0U);
+    EXPECT_EQ(testbed.request_history().count(Outcome::truncated), 0U);
     // A resting connection that is closed for want of a descriptor may be crossed by a request, which is
     // never sent on: its client sends it again.
     EXPECT_LE(without_answer(testbed), faults.struck(kRuleOfNoDescriptor)) << answers(testbed);
@@ -218,21 +220,22 @@
     constexpr std::size_t kRounds = 8, kEach = 100, kTogether = 24;
     const Faults faults("seed=42 " + std::string(kAllTogether));
     Options options = options_for(faults, 3, 6);
-    options.patience = 3000, options.latency_objective = 1500;  // what a cut way holds up ends in time
+    options.request_deadline = 3000,
+    options.latency_objective = 1500;  // what a cut way holds up ends in time
     ProcessTestbed testbed(options);
     testbed.start();
     for (std::size_t round = 0; round < kRounds; ++round) {
         fault_proxy::Rule cut;
-        cut.name = "cut", cut.act = fault_proxy::Act::cut;
+        cut.name = "cut", cut.type = fault_proxy::FaultType::cut;
         cut.from = {"n-" + std::to_string(round % 3)};
         cut.to = round % 4 == 3 ? std::vector<std::string>{"list"}
                                 : std::vector<std::string>{"s-" + std::to_string(round % 6)};
-        testbed.context().put(cut);
+        testbed.context().put_rule(cut);
         const bool kept = ask_of_each_effect(testbed, kEach, kTogether);
-        testbed.context().take_away("cut");
+        testbed.context().remove_rule("cut");
         ASSERT_TRUE(kept) << answers(testbed) << "\n" << testbed.explain();
     }
-    EXPECT_EQ(testbed.request_history().count(Answer::cut), 0U);
+    EXPECT_EQ(testbed.request_history().count(Outcome::truncated), 0U);
     std::cout << answers(testbed) << std::endl;
 }
 
--- a/tools/chaos/main.cpp
+++ b/tools/chaos/main.cpp
@@ -1,80 +1,173 @@
-// elmbay_chaos: schedules of faults on processes of a sidecar, until the time is over or one fails.
+// elmbay_chaos: plays schedules of faults on sidecar processes until the time is over or one breaks a rule.
 #include <CLI/CLI.hpp>
 #include <chrono>
+#include <cstdint>
 #include <filesystem>
 #include <fstream>
 #include <iostream>
+#include <optional>
 #include <sstream>
+#include <stdexcept>
+#include <string>
 
 #include "process_testbed/chaos.hpp"
+#include "process_testbed/shrink.hpp"
 
-int main(int argc, char** argv) {
-    using namespace elmbay::process_testbed;
+namespace {
+
+using elmbay::process_testbed::Options;
+using elmbay::process_testbed::Schedule;
+using elmbay::process_testbed::Verdict;
+
+constexpr int kAllKept = 0;
+constexpr int kFailed = 1;
+constexpr int kWrongUse = 2;
+
+/// The command line.
+struct Arguments {
+    Options testbed;
+    std::uint64_t first_seed = 1;
+    std::size_t steps = 40;  // of a schedule
+    double seconds = 60;
+    std::string failed_schedule_path = "failed.schedule";
+    std::string replay_path;  // empty: schedules are drawn
+};
+
+/// What was played of schedules that broke no rule.
+struct Totals {
+    std::uint64_t schedules = 0;
+    std::uint64_t requests = 0;
+    std::uint64_t served = 0;
+};
+
+/// A schedule that broke a rule.
+struct Failure {
+    std::uint64_t seed = 0;
+    Schedule schedule;
+    Verdict verdict;
+};
+
+Arguments default_arguments() {
+    Arguments arguments;
+    const std::filesystem::path folder = std::filesystem::read_symlink("/proc/self/exe").parent_path();
+    arguments.testbed.program = (folder / "../../elmbay").lexically_normal();
+    arguments.testbed.sidecars = 4;
+    arguments.testbed.servers = 4;
+    arguments.testbed.request_deadline = 1500;
+    arguments.testbed.latency_objective = 400;
+    return arguments;
+}
+
+/// Reads the command line.
+/// @return nothing to go on with: the exit code is set then, and what there is to say has been said.
+std::optional<Arguments> parse(int argc, char** argv, int& exit_code) {
+    Arguments arguments = default_arguments();
+    Options& testbed = arguments.testbed;
     CLI::App app{
         "Starts sidecars, puts faults between them, servers and the list as drawn from a seed, and holds "
         "what\n"
         "they did against the rules. A schedule that fails is shrunk and written to FILE."};
-    Options options;
-    options.sidecars = 4, options.servers = 4;
-    options.patience = 1500, options.latency_objective = 400;
-    options.program =
-        (std::filesystem::read_symlink("/proc/self/exe").parent_path() / "../../elmbay").lexically_normal();
-    std::uint64_t seed = 1;
-    std::size_t deeds = 40;
-    double seconds = 60;
-    std::string out = "failed.schedule", replay;
-    app.add_option("--sidecar", options.program, "the command that starts one")->capture_default_str();
-    app.add_option("--sidecars", options.sidecars)->check(CLI::Range(2, 300))->capture_default_str();
-    app.add_option("--servers", options.servers)->check(CLI::Range(2, 200))->capture_default_str();
-    app.add_option("--deeds", deeds, "of a schedule")->check(CLI::Range(1, 10000))->capture_default_str();
-    app.add_option("--seed", seed, "of the first schedule; each next one has the next")
+    app.add_option("--sidecar", testbed.program, "the command that starts one")->capture_default_str();
+    app.add_option("--sidecars", testbed.sidecars)->check(CLI::Range(2, 300))->capture_default_str();
+    app.add_option("--servers", testbed.servers)->check(CLI::Range(2, 200))->capture_default_str();
+    app.add_option("--deeds", arguments.steps, "of a schedule")
+        ->check(CLI::Range(1, 10000))
+        ->capture_default_str();
+    app.add_option("--seed", arguments.first_seed, "of the first schedule; each next one has the next")
         ->capture_default_str();
-    app.add_option("--seconds", seconds, "for how long")->capture_default_str();
-    app.add_option("--out", out, "where a failing schedule goes")->capture_default_str();
-    app.add_option("--replay", replay, "this schedule only");
+    app.add_option("--seconds", arguments.seconds, "for how long")->capture_default_str();
+    app.add_option("--out", arguments.failed_schedule_path, "where a failing schedule goes")
+        ->capture_default_str();
+    app.add_option("--replay", arguments.replay_path, "this schedule only");
     app.footer("Exit: 0 all kept, 1 a schedule failed, 2 wrong use.");
     try {
         app.parse(argc, argv);
     } catch (const CLI::ParseError& error) {
-        return app.exit(error) == 0 ? 0 : 2;
+        exit_code = app.exit(error) == 0 ? kAllKept : kWrongUse;
+        return {};
     }
+    return arguments;
+}
+
+/// @throws std::invalid_argument if the file cannot be read or is no schedule.
+Schedule read_schedule(const std::string& path) {
+    const std::ifstream file(path);
+    std::ostringstream text;
+    text << file.rdbuf();
+    if (!file) throw std::invalid_argument(path + ": can't be read");
+    return elmbay::process_testbed::parse_schedule(text.str());
+}
+
+int replay(const Arguments& arguments) {
+    const Schedule schedule = read_schedule(arguments.replay_path);
+    const Verdict verdict = elmbay::process_testbed::play(arguments.testbed, schedule);
+    std::cout << (verdict.kept ? "kept\n" : verdict.explanation);
+    return verdict.kept ? kAllKept : kFailed;
+}
+
+/// Draws and plays schedules until the time is over or one breaks a rule.
+std::optional<Failure> search(const Arguments& arguments, Totals& totals) {
+    const auto end = std::chrono::steady_clock::now() + std::chrono::duration<double>(arguments.seconds);
+    Options options = arguments.testbed;
+    for (options.seed = arguments.first_seed; std::chrono::steady_clock::now() < end; ++options.seed) {
+        const Schedule schedule = elmbay::process_testbed::draw_schedule(options.seed, options.sidecars,
+                                                                         options.servers, arguments.steps);
+        const Verdict verdict = elmbay::process_testbed::play(options, schedule);
+        if (!verdict.kept) return Failure{options.seed, schedule, verdict};
+        ++totals.schedules;
+        totals.requests += verdict.requests;
+        totals.served += verdict.served;
+    }
+    return {};
+}
+
+/// Prints the failure, shrinks its schedule and writes that down.
+void report_failure(const Arguments& arguments, const Failure& failure) {
+    std::cout << "seed " << failure.seed << " fails:\n"
+              << failure.verdict.explanation << "shrinking" << std::endl;
+    Options options = arguments.testbed;
+    options.seed = failure.seed;
+    const Schedule smallest = elmbay::process_testbed::shrink(failure.schedule, [&](const Schedule& shorter) {
+        return !elmbay::process_testbed::play(options, shorter).kept;
+    });
+    const std::string text = elmbay::process_testbed::text_of(smallest);
+    std::ofstream(arguments.failed_schedule_path) << "# seed " << failure.seed << ", " << options.sidecars
+                                                  << " sidecars, " << options.servers << " servers\n"
+                                                  << text;
+    std::cout << "down to " << smallest.size() << " deeds of " << failure.schedule.size() << ", in "
+              << arguments.failed_schedule_path << ":\n"
+              << text;
+}
+
+void report_success(const Arguments& arguments, const Totals& totals) {
+    std::cout << totals.schedules << " schedules of " << arguments.steps << " deeds, " << totals.requests
+              << " requests, " << totals.served << " served: all kept" << std::endl;
+}
+
+int run(const Arguments& arguments) {
+    if (!arguments.replay_path.empty()) return replay(arguments);
+    Totals totals;
+    if (const auto failure = search(arguments, totals)) {
+        report_failure(arguments, *failure);
+        return kFailed;
+    }
+    report_success(arguments, totals);
+    return kAllKept;
+}
+
+}  // namespace
+
+int main(int argc, char** argv) {
+    int exit_code = kAllKept;
+    const std::optional<Arguments> arguments = parse(argc, argv, exit_code);
+    if (!arguments) return exit_code;
     try {
-        if (!replay.empty()) {
-            std::ifstream file(replay);
-            std::ostringstream text;
-            text << file.rdbuf();
-            if (!file) throw std::invalid_argument(replay + ": can't be read");
-            const Verdict v = play(options, parse_schedule(text.str()));
-            std::cout << (v.kept ? "kept\n" : v.explain);
-            return v.kept ? 0 : 1;
-        }
-        const auto end = std::chrono::steady_clock::now() + std::chrono::duration<double>(seconds);
-        std::uint64_t played = 0, asked = 0, served = 0;
-        for (; std::chrono::steady_clock::now() < end; ++seed) {
-            options.seed = seed;
-            const Schedule schedule = draw_schedule(seed, options.sidecars, options.servers, deeds);
-            const Verdict v = play(options, schedule);
-            ++played, asked += v.asked, served += v.served;
-            if (v.kept) continue;
-            std::cout << "seed " << seed << " fails:\n" << v.explain << "shrinking" << std::endl;
-            const Schedule least =
-                shrink(schedule, [&](const Schedule& s) { return !play(options, s).kept; });
-            std::ofstream(out) << "# seed " << seed << ", " << options.sidecars << " sidecars, "
-                               << options.servers << " servers\n"
-                               << text_of(least);
-            std::cout << "down to " << least.size() << " deeds of " << schedule.size() << ", in " << out
-                      << ":\n"
-                      << text_of(least);
-            return 1;
-        }
-        std::cout << played << " schedules of " << deeds << " deeds, " << asked << " requests, " << served
-                  << " served: all kept" << std::endl;
-        return 0;
+        return run(*arguments);
     } catch (const std::invalid_argument& error) {
         std::cerr << "elmbay_chaos: " << error.what() << std::endl;
-        return 2;
+        return kWrongUse;
     } catch (const std::exception& error) {
         std::cerr << "elmbay_chaos: " << error.what() << std::endl;
-        return 1;
+        return kFailed;
     }
 }
--- a/tools/fault_proxy/main.cpp
+++ b/tools/fault_proxy/main.cpp
@@ -6,158 +6,222 @@
 #include <fstream>
 #include <iostream>
 #include <memory>
+#include <optional>
 #include <sstream>
+#include <stdexcept>
+#include <string>
+#include <utility>
+#include <vector>
 
 #include "fault_proxy/datagram_net.hpp"
+#include "fault_proxy/endpoint_text.hpp"
 #include "fault_proxy/script.hpp"
 #include "fault_proxy/stream_link.hpp"
 
 namespace {
 
-using namespace elmbay::fault_proxy;
 namespace asio = boost::asio;
+namespace fault_proxy = elmbay::fault_proxy;
+namespace schema = elmbay::schema;
 
-// Nothing, and every problem told, if the file can't be used.
-std::optional<Script> read_script(const std::string& path) {
+constexpr int kOk = 0;
+constexpr int kFailed = 1;
+constexpr int kWrongUse = 2;
+
+enum class Command { run, check, link, keys };
+
+/// The command line.
+struct Arguments {
+    Command command = Command::run;
+    std::string file;                                         // of run and check
+    fault_proxy::LinkSpec link{"a", "b", "127.0.0.1:0", ""};  // of link
+    std::vector<std::string> rules;                           // of link, as keys of TOML
+};
+
+/// Reads the command line.
+/// @return nothing to go on with: the exit code is set then, and what there is to say has been said.
+std::optional<Arguments> parse(int argc, char** argv, int& exit_code) {
+    Arguments arguments;
+    CLI::App app{
+        "Stands between two ends on loopback and does to their bytes and datagrams what its rules say.\n"
+        "SIGHUP reads the rules again; SIGTERM ends it and tells what went by."};
+    app.set_version_flag("--version", "elmbay_fault_proxy " ELMBAY_VERSION);
+    app.footer("Exit: 0 ended as told, 1 an address can't be had, 2 wrong use or a file that can't be used.");
+    auto* run = app.add_subcommand("run", "the links and rules of a file (docs/operate/fault-proxy.md)");
+    run->add_option("file", arguments.file)->required();
+    auto* check = app.add_subcommand("check", "says what is wrong with a file");
+    check->add_option("file", arguments.file)->required();
+    auto* link = app.add_subcommand("link", "one link, from a to b");
+    link->add_option("--listen", arguments.link.listen, "address:port; port 0 takes any")
+        ->capture_default_str();
+    link->add_option("--target", arguments.link.target, "address:port")->required();
+    link->add_option("--rule", arguments.rules,
+                     R"(a rule as keys of TOML: 'act = "delay", span = "20ms"'; again for more)");
+    auto* keys = app.add_subcommand("keys", "every key of a file");
+    app.require_subcommand(1);
+    try {
+        app.parse(argc, argv);
+    } catch (const CLI::ParseError& error) {
+        exit_code = app.exit(error) == 0 ? kOk : kWrongUse;
+        return {};
+    }
+    if (*check) arguments.command = Command::check;
+    if (*link) arguments.command = Command::link;
+    if (*keys) arguments.command = Command::keys;
+    return arguments;
+}
+
+/// Reads a script from a text and prints what is wrong with it.
+/// @return nothing if something is.
+std::optional<fault_proxy::Script> parse_script(const std::string& text, const std::string& name,
+                                                schema::Problems problems = {}) {
+    fault_proxy::Script script;
+    if (problems.empty()) script = fault_proxy::parse_script(text, name, problems);
+    std::cerr << schema::text_of(name, problems);
+    if (!problems.empty()) return {};
+    return script;
+}
+
+/// Reads a script from a file and prints what is wrong with it.
+/// @return nothing if something is.
+std::optional<fault_proxy::Script> read_script(const std::string& path) {
     const std::ifstream file(path);
     std::ostringstream text;
     text << file.rdbuf();
-    elmbay::schema::Problems problems;
+    schema::Problems problems;
     if (!file) problems.push_back({0, "", "can't be read"});
-    Script script = problems.empty() ? parse_script(text.str(), path, problems) : Script{};
-    std::cerr << elmbay::schema::text_of(path, problems);
-    if (!problems.empty()) return {};
+    return parse_script(text.str(), path, problems);
+}
+
+/// Makes a script of one link and the rules of the command line.
+std::optional<fault_proxy::Script> script_of_link(const Arguments& arguments) {
+    std::string text = "rule = [";
+    for (const std::string& rule : arguments.rules) text += "{" + rule + "},";
+    text += "]\n";
+    auto script = parse_script(text, "--rule");
+    if (script) script->links.push_back(arguments.link);
     return script;
 }
 
-std::string text_of(const tcp::endpoint& e) {
-    return e.address().to_string() + ":" + std::to_string(e.port());
+fault_proxy::udp::endpoint loopback_udp_endpoint(const std::string& text) {
+    const auto endpoint = fault_proxy::loopback_endpoint(text);
+    return {endpoint.address(), endpoint.port()};
 }
 
-class Program {
+/// Runs the links and members of a script until SIGTERM or SIGINT. SIGHUP reads the rules again.
+class Proxy {
 public:
-    Program(Script script, std::string path)
+    /// @param path of the file that SIGHUP reads again; empty: none.
+    /// @throws std::invalid_argument       for an address that is none.
+    /// @throws boost::system::system_error if an address cannot be had.
+    Proxy(fault_proxy::Script script, std::string path)
         : path_(std::move(path)),
           context_(io_, script.seed),
-          ends_(io_, SIGTERM, SIGINT),
-          again_(io_, SIGHUP) {
-        context_.replace_all(std::move(script.rules));
-        for (const LinkSpec& l : script.links) {
-            links_.push_back(std::make_unique<StreamLink>(
-                context_, Link{l.from, l.to}, loopback_endpoint(l.listen), loopback_endpoint(l.target)));
-            std::cout << l.from << " -> " << l.to << " at " << text_of(links_.back()->endpoint())
-                      << std::endl;
-        }
-        if (script.members.empty()) return;
-        const auto udp_of = [](const std::string& text) {
-            const auto e = loopback_endpoint(text);
-            return udp::endpoint(e.address(), e.port());
-        };
-        net_ = std::make_unique<DatagramNet>(
-            context_, udp_of(script.everybody.empty() ? "127.0.0.1:0" : script.everybody));
-        for (const MemberSpec& m : script.members) net_->add(m.name, udp_of(m.listen), udp_of(m.target));
-        std::cout << script.members.size() << " members of datagrams" << std::endl;
+          end_signals_(io_, SIGTERM, SIGINT),
+          reload_signal_(io_, SIGHUP) {
+        context_.replace_rules(std::move(script.rules));
+        for (const fault_proxy::LinkSpec& spec : script.links) add_link(spec);
+        if (!script.members.empty()) add_members(script);
     }
-    int run() {
-        ends_.async_wait([this](boost::system::error_code error, int) {
+
+    void run() {
+        end_signals_.async_wait([this](boost::system::error_code error, int) {
             if (!error) io_.stop();
         });
         await_reload();
-        context_.begin();
+        context_.restart_clock();
         std::cout << "ready" << std::endl;
         io_.run();
-        tell();
-        return 0;
+        report();
     }
 
 private:
-    // SIGHUP: the rules of the file anew, their times from now. Links and members stay; a bad file changes
-    // nothing.
+    void add_link(const fault_proxy::LinkSpec& spec) {
+        links_.push_back(std::make_unique<fault_proxy::StreamLink>(
+            context_, fault_proxy::Link{spec.from, spec.to}, fault_proxy::loopback_endpoint(spec.listen),
+            fault_proxy::loopback_endpoint(spec.target)));
+        std::cout << spec.from << " -> " << spec.to << " at "
+                  << fault_proxy::text_of(links_.back()->endpoint()) << std::endl;
+    }
+    void add_members(const fault_proxy::Script& script) {
+        const std::string broadcast = script.everybody.empty() ? "127.0.0.1:0" : script.everybody;
+        datagram_net_ =
+            std::make_unique<fault_proxy::DatagramNet>(context_, loopback_udp_endpoint(broadcast));
+        for (const fault_proxy::MemberSpec& member : script.members) {
+            datagram_net_->add(member.name, loopback_udp_endpoint(member.listen),
+                               loopback_udp_endpoint(member.target));
+        }
+        std::cout << script.members.size() << " members of datagrams" << std::endl;
+    }
     void await_reload() {
-        again_.async_wait([this](boost::system::error_code error, int) {
+        reload_signal_.async_wait([this](boost::system::error_code error, int) {
             if (error) return;
-            if (auto script = path_.empty() ? std::nullopt : read_script(path_)) {
-                context_.replace_all(std::move(script->rules));
-                context_.begin();
-                std::cout << "rules read again: " << context_.rules().all().size() << std::endl;
-            }
+            reload();
             await_reload();
         });
     }
-    void tell() const {
-        for (const auto& l : links_)
-            std::cout << l->link().from << " -> " << l->link().to << ": " << l->opened() << " connections, "
-                      << l->bytes_forth() << " bytes there, " << l->bytes_back() << " back" << std::endl;
-        if (!net_) return;
-        const auto all = net_->total();
-        std::cout << "datagrams: " << all.sent << " sent, " << all.delivered << " delivered, " << all.bytes
-                  << " bytes; " << net_->strangers() << " from strangers" << std::endl;
+    // Takes the rules of the file anew, their times from now. Links and members stay; a bad file changes
+    // nothing.
+    void reload() {
+        if (path_.empty()) return;
+        auto script = read_script(path_);
+        if (!script) return;
+        context_.replace_rules(std::move(script->rules));
+        context_.restart_clock();
+        std::cout << "rules read again: " << context_.rules().all().size() << std::endl;
+    }
+    void report() const {
+        for (const auto& link : links_) {
+            std::cout << link->link().from << " -> " << link->link().to << ": " << link->opened_connections()
+                      << " connections, " << link->bytes_to_target() << " bytes there, "
+                      << link->bytes_to_client() << " back" << std::endl;
+        }
+        if (!datagram_net_) return;
+        const auto total = datagram_net_->total_counts();
+        std::cout << "datagrams: " << total.sent << " sent, " << total.delivered << " delivered, "
+                  << total.bytes_delivered << " bytes; " << datagram_net_->unknown_senders()
+                  << " from strangers" << std::endl;
     }
 
     asio::io_context io_{1};
     const std::string path_;
-    EventLoopContext context_;
-    std::vector<std::unique_ptr<StreamLink>> links_;
-    std::unique_ptr<DatagramNet> net_;
-    asio::signal_set ends_, again_;
+    fault_proxy::EventLoopContext context_;
+    std::vector<std::unique_ptr<fault_proxy::StreamLink>> links_;
+    std::unique_ptr<fault_proxy::DatagramNet> datagram_net_;
+    asio::signal_set end_signals_;
+    asio::signal_set reload_signal_;
 };
 
+int run(const Arguments& arguments) {
+    if (arguments.command == Command::keys) {
+        std::cout << fault_proxy::script_manual();
+        return kOk;
+    }
+    const bool is_link = arguments.command == Command::link;
+    std::optional<fault_proxy::Script> script =
+        is_link ? script_of_link(arguments) : read_script(arguments.file);
+    if (!script) return kWrongUse;
+    if (arguments.command == Command::check) {
+        std::cout << arguments.file << ": sound" << std::endl;
+        return kOk;
+    }
+    Proxy(std::move(*script), arguments.file).run();
+    return kOk;
+}
+
 }  // namespace
 
 int main(int argc, char** argv) {
-    CLI::App app{
-        "Stands between two ends on loopback and does to their bytes and datagrams what its rules say.\n"
-        "SIGHUP reads the rules again; SIGTERM ends it and tells what went by."};
-    app.set_version_flag("--version", "elmbay_fault_proxy " ELMBAY_VERSION);
-    app.footer("Exit: 0 ended as told, 1 an address can't be had, 2 wrong use or a file that can't be used.");
-    std::string file;
-    LinkSpec one{"a", "b", "127.0.0.1:0", ""};
-    std::vector<std::string> acts;
-    auto* run = app.add_subcommand("run", "the links and rules of a file (docs/operate/fault-proxy.md)");
-    run->add_option("file", file)->required();
-    auto* check = app.add_subcommand("check", "says what is wrong with a file");
-    check->add_option("file", file)->required();
-    auto* link = app.add_subcommand("link", "one link, from a to b");
-    link->add_option("--listen", one.listen, "address:port; port 0 takes any")->capture_default_str();
-    link->add_option("--target", one.target, "address:port")->required();
-    link->add_option("--rule", acts,
-                     "a rule as keys of TOML: 'act = \"delay\", span = \"20ms\"'; again for more");
-    auto* keys = app.add_subcommand("keys", "every key of a file");
-    app.require_subcommand(1);
-    try {
-        app.parse(argc, argv);
-    } catch (const CLI::ParseError& error) {
-        return app.exit(error) == 0 ? 0 : 2;
-    }
-    if (*keys) {
-        std::cout << script_manual();
-        return 0;
-    }
-    std::optional<Script> script;
-    if (*link) {
-        std::string text = "rule = [";
-        for (const std::string& act : acts) text += "{" + act + "},";
-        text += "]\n";
-        elmbay::schema::Problems problems;
-        script = parse_script(text, "--rule", problems);
-        std::cerr << elmbay::schema::text_of("--rule", problems);
-        if (!problems.empty()) return 2;
-        script->links.push_back(one);
-    } else {
-        script = read_script(file);
-        if (!script) return 2;
-        if (*check) {
-            std::cout << file << ": sound" << std::endl;
-            return 0;
-        }
-    }
+    int exit_code = kOk;
+    const std::optional<Arguments> arguments = parse(argc, argv, exit_code);
+    if (!arguments) return exit_code;
     try {
-        return Program(std::move(*script), file).run();
+        return run(*arguments);
     } catch (const std::invalid_argument& error) {
         std::cerr << "elmbay_fault_proxy: " << error.what() << std::endl;
-        return 2;
+        return kWrongUse;
     } catch (const std::exception& error) {
         std::cerr << "elmbay_fault_proxy: " << error.what() << std::endl;
-        return 1;
+        return kFailed;
     }
 }
