--- a/bench/link_cost.cpp
+++ b/bench/link_cost.cpp
@@ -1,5 +1,7 @@
-// What a link that is told to do nothing costs: round trips and bytes a second through one, beside a direct
-// connection in the same run, in turns. Ends and link have a thread each.
+// Measures what a link without rules costs: round trips and bytes a second through one, beside a direct
+// connection.
+//
+// Direct and through the link take turns in the same run. Client, server and link have a thread each.
 //
 //     build/link_cost
 #include <fmt/format.h>
@@ -7,8 +9,10 @@
 #include <sys/socket.h>
 
 #include <algorithm>
+#include <boost/asio/executor_work_guard.hpp>
 #include <boost/asio/read.hpp>
 #include <boost/asio/write.hpp>
+#include <chrono>
 #include <thread>
 #include <vector>
 
@@ -16,89 +20,134 @@
 
 namespace {
 
-using namespace elmbay::fault_proxy;
 namespace asio = boost::asio;
-using Clock = std::chrono::steady_clock;
+using elmbay::fault_proxy::EventLoopContext;
+using elmbay::fault_proxy::StreamLink;
+using elmbay::fault_proxy::tcp;
+using SteadyClock = std::chrono::steady_clock;
 
-constexpr int kRounds = 5, kTrips = 20000;
-constexpr std::size_t kMessage = 200, kBulk = 512UL << 20, kPiece = 64 * 1024;
+constexpr int kRounds = 5;          // of a direct connection and one through the link
+constexpr int kRoundTrips = 20000;  // of each connection
+constexpr std::size_t kMessageBytes = 200;
+constexpr std::size_t kBulkBytes = 512UL << 20;  // sent after the round trips
+constexpr std::size_t kBufferBytes = 64UL * 1024;
+constexpr double kMicrosPerSecond = 1e6;
+constexpr double kGiga = 1e9;
 
-double seconds(Clock::duration d) { return std::chrono::duration<double>(d).count(); }
+double seconds_since(SteadyClock::time_point start) {
+    return std::chrono::duration<double>(SteadyClock::now() - start).count();
+}
 
-// Answers each message with one as long, then takes bytes until the end.
+/// Answers each message with one as long, then takes bytes until the client's end and sends one byte.
 void serve(tcp::socket socket) {
     socket.set_option(tcp::no_delay(true));
-    std::vector<char> piece(kPiece);
-    for (int i = 0; i < kTrips; ++i) {
-        asio::read(socket, asio::buffer(piece, kMessage));
-        asio::write(socket, asio::buffer(piece, kMessage));
+    std::vector<char> buffer(kBufferBytes);
+    for (int i = 0; i < kRoundTrips; ++i) {
+        asio::read(socket, asio::buffer(buffer, kMessageBytes));
+        asio::write(socket, asio::buffer(buffer, kMessageBytes));
     }
     boost::system::error_code error;
-    while (!error) socket.read_some(asio::buffer(piece), error);
+    while (!error) socket.read_some(asio::buffer(buffer), error);
     boost::system::error_code ignored;
-    asio::write(socket, asio::buffer(piece, 1), ignored);
+    asio::write(socket, asio::buffer(buffer, 1), ignored);
 }
 
-struct Figures {
-    std::vector<double> trips;  // microseconds
-    double rate = 0;            // bytes a second
+/// What one connection measured.
+struct Measurement {
+    std::vector<double> round_trips;  ///< microseconds, in ascending order
+    double bytes_per_second = 0;
+
+    double quantile(double share) const {
+        return round_trips[static_cast<std::size_t>(share * static_cast<double>(round_trips.size() - 1))];
+    }
 };
-Figures measure(const tcp::endpoint& at) {
+
+std::vector<double> measure_round_trips(tcp::socket& socket) {
+    std::vector<char> buffer(kMessageBytes);
+    std::vector<double> round_trips;
+    for (int i = 0; i < kRoundTrips; ++i) {
+        const auto start = SteadyClock::now();
+        asio::write(socket, asio::buffer(buffer));
+        asio::read(socket, asio::buffer(buffer));
+        round_trips.push_back(kMicrosPerSecond * seconds_since(start));
+    }
+    std::sort(round_trips.begin(), round_trips.end());
+    return round_trips;
+}
+
+double measure_bytes_per_second(tcp::socket& socket) {
+    std::vector<char> buffer(kBufferBytes);
+    const auto start = SteadyClock::now();
+    for (std::size_t sent = 0; sent < kBulkBytes; sent += kBufferBytes) {
+        asio::write(socket, asio::buffer(buffer));
+    }
+    socket.shutdown(tcp::socket::shutdown_send);
+    asio::read(socket, asio::buffer(buffer, 1));
+    return static_cast<double>(kBulkBytes) / seconds_since(start);
+}
+
+Measurement measure(const tcp::endpoint& address) {
     asio::io_context io;
     tcp::socket socket(io);
-    socket.connect(at);
+    socket.connect(address);
     socket.set_option(tcp::no_delay(true));
-    std::vector<char> piece(kPiece);
-    Figures f;
-    for (int i = 0; i < kTrips; ++i) {
-        const auto began = Clock::now();
-        asio::write(socket, asio::buffer(piece, kMessage));
-        asio::read(socket, asio::buffer(piece, kMessage));
-        f.trips.push_back(1e6 * seconds(Clock::now() - began));
+    Measurement measurement;
+    measurement.round_trips = measure_round_trips(socket);
+    measurement.bytes_per_second = measure_bytes_per_second(socket);
+    return measurement;
+}
+
+/// What the link costs in each round, beside the direct connection.
+struct Costs {
+    std::vector<double> throughput_ratios;
+    std::vector<double> added_p50;  ///< microseconds
+    std::vector<double> added_p99;  ///< microseconds
+};
+
+void add_round(Costs& costs, const Measurement& direct, const Measurement& linked) {
+    fmt::print("direct p50 {:.0f} p99 {:.0f} us, {:.2f} GB/s; link p50 {:.0f} p99 {:.0f} us, {:.2f} GB/s\n",
+               direct.quantile(0.5), direct.quantile(0.99), direct.bytes_per_second / kGiga,
+               linked.quantile(0.5), linked.quantile(0.99), linked.bytes_per_second / kGiga);
+    costs.throughput_ratios.push_back(linked.bytes_per_second / direct.bytes_per_second);
+    costs.added_p50.push_back(linked.quantile(0.5) - direct.quantile(0.5));
+    costs.added_p99.push_back(linked.quantile(0.99) - direct.quantile(0.99));
+}
+
+void report(Costs costs) {
+    for (auto* list : {&costs.throughput_ratios, &costs.added_p50, &costs.added_p99}) {
+        std::sort(list->begin(), list->end());
     }
-    std::sort(f.trips.begin(), f.trips.end());
-    const auto began = Clock::now();
-    for (std::size_t sent = 0; sent < kBulk; sent += kPiece) asio::write(socket, asio::buffer(piece));
-    socket.shutdown(tcp::socket::shutdown_send);
-    asio::read(socket, asio::buffer(piece, 1));
-    f.rate = static_cast<double>(kBulk) / seconds(Clock::now() - began);
-    return f;
+    constexpr std::size_t kMedian = kRounds / 2;
+    fmt::print(
+        "median of {}: {:.2f} of the direct bytes a second; a round trip (two ways) adds {:.0f} us at p50, "
+        "{:.0f} us at p99\n",
+        kRounds, costs.throughput_ratios[kMedian], costs.added_p50[kMedian], costs.added_p99[kMedian]);
 }
 
 }  // namespace
 
 int main() {
-    asio::io_context server_io, link_io;
-    tcp::acceptor server(server_io, {asio::ip::address_v4::loopback(), 0});
-    std::thread serving([&] {
+    asio::io_context server_io;
+    asio::io_context link_io;
+    const tcp::endpoint any_port(asio::ip::address_v4::loopback(), 0);
+    tcp::acceptor server(server_io, any_port);
+    std::thread server_thread([&] {
         for (int i = 0; i < 2 * kRounds; ++i) serve(server.accept());
     });
     EventLoopContext context(link_io);
-    StreamLink link(context, {"a", "b"}, {asio::ip::address_v4::loopback(), 0}, server.local_endpoint());
-    const auto at = link.endpoint();
+    StreamLink link(context, {"a", "b"}, any_port, server.local_endpoint());
+    const tcp::endpoint link_address = link.endpoint();
     auto work = asio::make_work_guard(link_io);
-    std::thread linking([&] { link_io.run(); });
-    std::vector<double> rates, added50, added99;
+    std::thread link_thread([&] { link_io.run(); });
+    Costs costs;
     for (int i = 0; i < kRounds; ++i) {
-        const Figures direct = measure(server.local_endpoint()), through = measure(at);
-        const auto part = [](const Figures& f, double q) {
-            return f.trips[static_cast<std::size_t>(q * static_cast<double>(f.trips.size() - 1))];
-        };
-        fmt::print(
-            "direct p50 {:.0f} p99 {:.0f} us, {:.2f} GB/s; link p50 {:.0f} p99 {:.0f} us, {:.2f} GB/s\n",
-            part(direct, 0.5), part(direct, 0.99), direct.rate / 1e9, part(through, 0.5), part(through, 0.99),
-            through.rate / 1e9);
-        rates.push_back(through.rate / direct.rate);
-        added50.push_back(part(through, 0.5) - part(direct, 0.5));
-        added99.push_back(part(through, 0.99) - part(direct, 0.99));
+        const Measurement direct = measure(server.local_endpoint());
+        const Measurement linked = measure(link_address);
+        add_round(costs, direct, linked);
     }
-    for (auto* list : {&rates, &added50, &added99}) std::sort(list->begin(), list->end());
-    fmt::print(
-        "median of {}: {:.2f} of the direct bytes a second; a round trip (two ways) adds {:.0f} us at p50, "
-        "{:.0f} us at p99\n",
-        kRounds, rates[kRounds / 2], added50[kRounds / 2], added99[kRounds / 2]);
+    report(std::move(costs));
     work.reset();
     link_io.stop();
-    linking.join();
-    serving.join();
+    link_thread.join();
+    server_thread.join();
 }
--- a/src/process_testbed/chaos.cpp
+++ b/src/process_testbed/chaos.cpp
@@ -25,6 +25,9 @@
     Verdict finish(bool kept);
 
 private:
+    // Each does nothing for steps of other kinds.
+    void play_on_process(const FaultStep& step);
+    void play_on_server(const FaultStep& step);
     void send_requests(const FaultStep& step);
     void cut_link(const FaultStep& step);
     void partition(const FaultStep& step);
@@ -41,7 +44,6 @@
 };
 
 bool SchedulePlayer::play(const FaultStep& step) {
-    const std::size_t sidecar = step.sidecar();
     switch (step.kind()) {
         case FaultStepKind::send_requests:
             send_requests(step);
@@ -56,11 +58,24 @@
             heal_links();
             break;
         case FaultStepKind::reset_connections:
-            testbed_.link(sidecar_name(sidecar), server_name(step.server())).reset_all();
+            testbed_.link(sidecar_name(step.sidecar()), server_name(step.server())).reset_all();
             break;
         case FaultStepKind::break_responses:
             break_responses(step);
             break;
+        case FaultStepKind::wait:
+            return testbed_.run_for(step.wait_duration());
+        default:
+            play_on_process(step);
+            play_on_server(step);
+            break;
+    }
+    return true;
+}
+
+void SchedulePlayer::play_on_process(const FaultStep& step) {
+    const std::size_t sidecar = step.sidecar();
+    switch (step.kind()) {
         case FaultStepKind::freeze:
             if (testbed_.is_running(sidecar)) testbed_.freeze(sidecar);
             break;
@@ -74,6 +89,13 @@
         case FaultStepKind::limit_cpu:
             if (testbed_.is_running(sidecar)) testbed_.limit_cpu(sidecar, step.cpu_share());
             break;
+        default:
+            break;
+    }
+}
+
+void SchedulePlayer::play_on_server(const FaultStep& step) {
+    switch (step.kind()) {
         case FaultStepKind::drain:
             testbed_.set_endpoint_state(step.server(), EndpointState::leaving);
             break;
@@ -83,10 +105,9 @@
         case FaultStepKind::set_behavior:
             testbed_.server(step.server()).behavior = step.behavior();
             break;
-        case FaultStepKind::wait:
-            return testbed_.run_for(step.wait_duration());
+        default:
+            break;
     }
-    return true;
 }
 
 void SchedulePlayer::send_requests(const FaultStep& step) {
--- a/tests/process_testbed/chaos_test.cpp
+++ b/tests/process_testbed/chaos_test.cpp
@@ -1,4 +1,5 @@
-// A campaign in small: a fixed seed, for about twenty seconds, and that what it finds is shrunk.
+// Chaos runs in small: schedules of fixed seeds, for about twenty seconds, and that a schedule which fails is
+// shrunk.
 #include "process_testbed/chaos.hpp"
 
 #include "process_testbed/shrink.hpp"
@@ -7,7 +8,7 @@
 namespace elmbay::process_testbed {
 namespace {
 
-Options thin() {
+Options chaos_options() {
     Options options = few(3, 3);
     options.request_deadline = 4000, options.latency_objective = 1500;
     return options;
@@ -24,15 +25,15 @@
 TEST(Chaos, KeepsEveryRuleUnderSchedulesOfFixedSeeds) {
     for (std::uint64_t seed = 501; seed < 511; ++seed) {
         const Schedule schedule = draw_schedule(seed, 3, 3, 40);
-        const Verdict verdict = play(thin(), schedule);
+        const Verdict verdict = play(chaos_options(), schedule);
         ASSERT_TRUE(verdict.kept) << "seed " << seed << "\n" << verdict.explanation << text_of(schedule);
         EXPECT_GT(verdict.requests, 10U);
     }
 }
 
-// A planted fault in a long schedule comes down to the few deeds that show it.
+// A failpoint under a long schedule: the schedule shrinks to the few steps that show the fault.
 TEST(Chaos, ShrinksAFailingScheduleToAtMostFourSteps) {
-    Options options = thin();
+    Options options = chaos_options();
     options.program = std::string("env ELMBAY_PLANT=resend ") + ELMBAY_PROGRAM_WITH_FAILPOINTS;
     const Schedule schedule = parse_schedule(
         "ask 1 0 2\nwait 0 0 5\ndrain 0 2 0\nask 2 2 1\nwait 0 0 20\nrestore 0 2 0\nbreak 1 0 9\nbreak 1 1 "
@@ -47,7 +48,7 @@
 
 // One descriptor for each attempt that failed to connect or was reset: what is left over shows at the end.
 TEST(Chaos, FindsADescriptorLeakUnderRepeatedResets) {
-    Options options = thin();
+    Options options = chaos_options();
     options.program = std::string("env ELMBAY_PLANT=leak ") + ELMBAY_PROGRAM_WITH_FAILPOINTS;
     Schedule schedule;
     for (std::uint64_t i = 0; i < 20; ++i) {
--- a/tests/process_testbed/failpoints_test.cpp
+++ b/tests/process_testbed/failpoints_test.cpp
@@ -1,5 +1,5 @@
-// Faults planted in the program (src/base/failpoints.hpp), and that the ground finds each. The sound program
-// comes through the same scenario.
+// Failpoints of the program (src/base/failpoints.hpp): the testbed detects each. The program without
+// failpoints passes the same scenario.
 #include "scenarios.hpp"
 
 namespace elmbay::process_testbed {
@@ -18,15 +18,15 @@
     options.program =
         "env ELMBAY_PLANT=" + std::string(GetParam().name) + " " + ELMBAY_PROGRAM_WITH_FAILPOINTS;
     {
-        ProcessTestbed planted(options);
-        planted.start();
-        EXPECT_FALSE(GetParam().scenario(planted)) << "the plant was not found";
+        ProcessTestbed faulty(options);
+        faulty.start();
+        EXPECT_FALSE(GetParam().scenario(faulty)) << "the failpoint was not detected";
     }
     options.program = ELMBAY_PROGRAM_WITH_FAILPOINTS;
     options.request_deadline = 20000, options.latency_objective = 10000;
-    ProcessTestbed sound(options);
-    sound.start();
-    EXPECT_TRUE(GetParam().scenario(sound)) << sound.explain();
+    ProcessTestbed without_faults(options);
+    without_faults.start();
+    EXPECT_TRUE(GetParam().scenario(without_faults)) << without_faults.explain();
 }
 
 INSTANTIATE_TEST_SUITE_P(Each, Failpoints,
@@ -34,7 +34,7 @@
                                          Failpoint{"twice", slow_answers}, Failpoint{"lose", slow_answers},
                                          Failpoint{"leak", descriptors_are_those_counted},
                                          Failpoint{"thaw", frozen_with_forty_requests}),
-                         [](const auto& plant) { return std::string(plant.param.name); });
+                         [](const auto& failpoint) { return std::string(failpoint.param.name); });
 
 }  // namespace
 }  // namespace elmbay::process_testbed
