--- a/tests/syscall_faults/fleet_faults_test.cpp
+++ b/tests/syscall_faults/fleet_faults_test.cpp
@@ -17,7 +17,7 @@
 namespace elmbay::process_testbed {
 namespace {
 
-using Answer = RequestHistory::Answer;
+using Outcome = RequestHistory::Outcome;
 // One request class for each effect: idempotent, non-idempotent and idempotent by key.
 const std::array<std::string, 3> kRequestClasses{"listen", "deposit", "annotate"};
 
@@ -61,7 +61,7 @@
     options.servers = servers;
     options.program = faults.program();
     // Far beyond what a busy machine needs: nothing here is about speed.
-    options.patience = 10000;
+    options.request_deadline = 10000;
     options.latency_objective = 5000;
     options.settings = {{"limits", {{"connect-timeout-ms", 5000.0}}}};
     return options;
@@ -72,12 +72,14 @@
 bool send_requests(ProcessTestbed& testbed, std::size_t each, std::size_t together) {
     std::vector<std::string> ids;
     for (std::size_t i = 0; i < each * kRequestClasses.size(); ++i) {
-        ids.push_back(testbed.ask(i % testbed.sidecars(), kRequestClasses[i % kRequestClasses.size()]));
-        if (!testbed.until([&] { return testbed.request_history().open() < together; })) return false;
+        ids.push_back(
+            testbed.send_request(i % testbed.sidecar_count(), kRequestClasses[i % kRequestClasses.size()]));
+        if (!testbed.run_until([&] { return testbed.request_history().open_requests() < together; }))
+            return false;
     }
     if (!testbed.settle()) return false;
     for (const std::string& id : ids) {
-        if (!testbed.answer(id)) {
+        if (!testbed.outcome(id)) {
             std::cout << "closed with no response:\n" << testbed.explain(id) << std::endl;
         }
     }
@@ -87,18 +89,18 @@
 // The numbers of requests by their end, as the message of a failure.
 std::string summary(ProcessTestbed& testbed) {
     RequestHistory& request_history = testbed.request_history();
-    return "served " + std::to_string(request_history.count(Answer::served)) + ", refused " +
-           std::to_string(request_history.count(Answer::refused)) + ", failed " +
-           std::to_string(request_history.count(Answer::failed)) + ", cut " +
-           std::to_string(request_history.count(Answer::cut)) + " of " +
-           std::to_string(request_history.asked());
+    return "served " + std::to_string(request_history.count(Outcome::served)) + ", refused " +
+           std::to_string(request_history.count(Outcome::rejected)) + ", failed " +
+           std::to_string(request_history.count(Outcome::failed)) + ", cut " +
+           std::to_string(request_history.count(Outcome::truncated)) + " of " +
+           std::to_string(request_history.total_requests());
 }
 
 std::uint64_t requests_without_response(ProcessTestbed& testbed) {
     RequestHistory& request_history = testbed.request_history();
-    return request_history.asked() - request_history.count(Answer::served) -
-           request_history.count(Answer::refused) - request_history.count(Answer::failed) -
-           request_history.count(Answer::cut);
+    return request_history.total_requests() - request_history.count(Outcome::served) -
+           request_history.count(Outcome::rejected) - request_history.count(Outcome::failed) -
+           request_history.count(Outcome::truncated);
 }
 
 struct Case {
@@ -121,14 +123,15 @@
     const Faults faults(GetParam().specification);
     ProcessTestbed testbed(options_for(faults));
     testbed.start();
-    for (std::size_t i = 0; i < testbed.servers(); ++i) testbed.server(i).body = 20000;
+    for (std::size_t i = 0; i < testbed.server_count(); ++i) testbed.server(i).body_bytes = 20000;
     ASSERT_TRUE(send_requests(testbed, kEach, kTogether)) << summary(testbed) << "\n" << testbed.explain();
     EXPECT_GT(faults.struck(0), 0U);
-    EXPECT_EQ(testbed.request_history().count(Answer::cut), 0U);
+    EXPECT_EQ(testbed.request_history().count(Outcome::truncated), 0U);
     EXPECT_LE(requests_without_response(testbed), GetParam().may_shed ? faults.struck(0) : 0U)
         << summary(testbed);
     if (GetParam().all_served) {
-        EXPECT_EQ(testbed.request_history().count(Answer::served), testbed.request_history().asked())
+        EXPECT_EQ(testbed.request_history().count(Outcome::served),
+                  testbed.request_history().total_requests())
             << summary(testbed);
     }
     std::cout << GetParam().name << ": " << summary(testbed) << ", faults " << faults.struck(0) << std::endl;
@@ -201,10 +204,10 @@
 
 // Afterwards every request comes on a new connection and is forwarded over a new one.
 void reset_all_connections(ProcessTestbed& testbed) {
-    for (std::size_t i = 0; i < testbed.sidecars(); ++i) {
+    for (std::size_t i = 0; i < testbed.sidecar_count(); ++i) {
         const std::string sidecar = "n-" + std::to_string(i);
         testbed.link("c-" + std::to_string(i), sidecar).reset_all();
-        for (std::size_t j = 0; j < testbed.servers(); ++j)
+        for (std::size_t j = 0; j < testbed.server_count(); ++j)
             testbed.link(sidecar, "s-" + std::to_string(j)).reset_all();
     }
 }
@@ -216,14 +219,14 @@
     const Faults faults("seed=41 " + std::string(kAllTogether));
     ProcessTestbed testbed(options_for(faults, 2, 6));
     testbed.start();
-    for (std::size_t i = 0; i < testbed.servers(); ++i) testbed.server(i).body = 4000;
+    for (std::size_t i = 0; i < testbed.server_count(); ++i) testbed.server(i).body_bytes = 4000;
     for (std::size_t round = 0; round < kRounds; ++round) {
         ASSERT_TRUE(send_requests(testbed, kEach, kTogether)) << summary(testbed) << "\n"
                                                               << testbed.explain();
         reset_all_connections(testbed);
     }
     expect_every_rule_struck(faults);
-    EXPECT_EQ(testbed.request_history().count(Answer::cut), 0U);
+    EXPECT_EQ(testbed.request_history().count(Outcome::truncated), 0U);
     // A request may cross the close of an idle connection for want of a descriptor. It is never forwarded,
     // and its client sends it again.
     EXPECT_LE(requests_without_response(testbed), faults.struck(kAcceptNoDescriptorRule)) << summary(testbed);
@@ -238,23 +241,23 @@
     const Faults faults("seed=42 " + std::string(kAllTogether));
     Options options = options_for(faults, 3, 6);
     // Attempts that a cut link holds up end in time.
-    options.patience = 3000;
+    options.request_deadline = 3000;
     options.latency_objective = 1500;
     ProcessTestbed testbed(options);
     testbed.start();
     for (std::size_t round = 0; round < kRounds; ++round) {
         fault_proxy::Rule cut;
         cut.name = "cut";
-        cut.act = fault_proxy::Act::cut;
+        cut.type = fault_proxy::FaultType::cut;
         cut.from = {"n-" + std::to_string(round % 3)};
         cut.to = round % 4 == 3 ? std::vector<std::string>{"list"}
                                 : std::vector<std::string>{"s-" + std::to_string(round % 6)};
-        testbed.context().put(cut);
+        testbed.context().put_rule(cut);
         const bool all_answered = send_requests(testbed, kEach, kTogether);
-        testbed.context().take_away("cut");
+        testbed.context().remove_rule("cut");
         ASSERT_TRUE(all_answered) << summary(testbed) << "\n" << testbed.explain();
     }
-    EXPECT_EQ(testbed.request_history().count(Answer::cut), 0U);
+    EXPECT_EQ(testbed.request_history().count(Outcome::truncated), 0U);
     std::cout << summary(testbed) << std::endl;
 }
 
