--- a/src/config/deployment_settings.cpp
+++ b/src/config/deployment_settings.cpp
@@ -1,25 +1,24 @@
 #include "config/deployment_settings.hpp"
 
 #include <algorithm>
-#include <charconv>
 #include <cmath>
 
 namespace elmbay::balancer {
 
 namespace {
 
-template <class T>
-bool parse(std::string_view text, T& value) {
-    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-    return error == std::errc() && end == text.data() + text.size();
-}
-
-const Names<Idempotency> effects{{"repeatable", Idempotency::idempotent},
-                                 {"by_key", Idempotency::idempotency_key},
-                                 {"once", Idempotency::non_idempotent}};
-const Names<DedupScope> scopes{
+/// The operators' words for whether an effect may happen twice.
+const Names<Idempotency> kIdempotencyNames{{"repeatable", Idempotency::idempotent},
+                                           {"by_key", Idempotency::idempotency_key},
+                                           {"once", Idempotency::non_idempotent}};
+/// The operators' words for which servers drop a repeated idempotency key.
+const Names<DedupScope> kDedupScopeNames{
     {"all", DedupScope::all}, {"zone", DedupScope::zone}, {"cell", DedupScope::cell}};
-std::vector<std::string> split(std::string_view list) {
+
+/// Weights are clamped to between this and its inverse: machines of one deployment differ by tens at most.
+constexpr double kMaxWeight = 1000;
+
+std::vector<std::string> split_at_commas(std::string_view list) {
     std::vector<std::string> items;
     while (!list.empty()) {
         const auto comma = list.find(',');
@@ -29,101 +28,92 @@
     return items;
 }
 
-}  // namespace
-
-void Fields::fail(std::string_view field, std::string_view what) const {
-    throw FieldError(where_ + ": field '" + std::string(field) + "' " + std::string(what));
-}
-
-const std::string_view* Fields::find(std::string_view field) const {
-    for (const auto& [name, value] : fields_)
-        if (name == field) return &value;
-    return nullptr;
-}
-
-std::string_view Fields::text(std::string_view field) const {
-    const auto* value = find(field);
-    if (!value) fail(field, "is missing");
-    return *value;
+void read_zones(const Fields& fields, DeploymentSettings& deployment) {
+    if (fields.has("azs")) deployment.zones = split_at_commas(fields.text("azs"));
+    if (fields.has("my-zone")) {
+        deployment.settings.my_zone = intern_name(deployment.zones, fields.text("my-zone"));
+    }
 }
 
-double Fields::number(std::string_view field) const {
-    double value = 0;
-    if (!parse(text(field), value) || !std::isfinite(value)) fail(field, "is not a number");
-    return value;
+RequestClass read_class(const Fields& fields, const std::string& prefix) {
+    RequestClass request_class;
+    request_class.idempotency = named(fields, prefix + "effect", kIdempotencyNames);
+    if (fields.has(prefix + "dedup-scope")) {
+        request_class.dedup_scope = named(fields, prefix + "dedup-scope", kDedupScopeNames);
+    }
+    request_class.dedup_window = fields.number_or(prefix + "dedup-window-ms", request_class.dedup_window);
+    request_class.latency_objective = fields.number(prefix + "on-time-ms");
+    request_class.objective_stretch =
+        fields.number_or(prefix + "aim-stretch", request_class.objective_stretch);
+    request_class.late_weight = fields.number_or(prefix + "late-value", request_class.late_weight);
+    request_class.priority_weight = fields.number_or(prefix + "credit", request_class.priority_weight);
+    return request_class;
 }
 
-double Fields::number_or(std::string_view field, double fallback) const {
-    return has(field) ? number(field) : fallback;
+void read_classes(const Fields& fields, DeploymentSettings& deployment) {
+    const std::uint64_t count = fields.integer("classes.count");
+    for (std::uint64_t i = 0; i < count; ++i) {
+        const std::string prefix = "classes." + std::to_string(i) + ".";
+        const RequestClass request_class = read_class(fields, prefix);
+        deployment.settings.classes.push_back(request_class);
+        deployment.client_timeouts.push_back(
+            fields.number_or(prefix + "give-up-ms", request_class.latency_objective));
+        deployment.classes.emplace_back(fields.text(prefix + "name"));
+    }
 }
 
-std::uint64_t Fields::integer(std::string_view field) const {
-    std::uint64_t value = 0;
-    if (!parse(text(field), value)) fail(field, "is not a whole number");
-    return value;
+void read_tenants(const Fields& fields, DeploymentSettings& deployment) {
+    const std::uint64_t count = fields.integer_or("tenants.count", 0);
+    for (std::uint64_t i = 0; i < count; ++i) {
+        const std::string prefix = "tenants." + std::to_string(i) + ".";
+        deployment.settings.tenants.push_back({fields.number_or(prefix + "quota-per-s", 0)});
+        deployment.tenants.emplace_back(fields.text(prefix + "name"));
+    }
 }
 
-std::uint64_t Fields::integer_or(std::string_view field, std::uint64_t fallback) const {
-    return has(field) ? integer(field) : fallback;
+void read_limits_and_rules(const Fields& fields, Settings& settings) {
+    settings.max_attempts =
+        static_cast<std::uint32_t>(fields.integer_or("limits.max-attempts", settings.max_attempts));
+    settings.allow_hedging = fields.flag_or("limits.parallel-tries", settings.allow_hedging);
+    settings.may_cancel = fields.flag_or("limits.may-cancel", false);
+    settings.slow_start_min_share = fields.number_or("rules.cold-from", settings.slow_start_min_share);
+    settings.overload_multiple = fields.number_or("rules.fall-multiple", settings.overload_multiple);
+    settings.slow_start_duration = fields.number_or("rules.warm-within-ms", settings.slow_start_duration);
+    settings.costs.cross_zone = fields.number_or("fees.cross-zone", settings.costs.cross_zone);
 }
 
-bool Fields::flag_or(std::string_view field, bool fallback) const {
-    if (!has(field)) return fallback;
-    const std::string_view value = text(field);
-    if (value == "1" || value == "true") return true;
-    if (value == "0" || value == "false") return false;
-    fail(field, "is not a truth value");
-}
+}  // namespace
 
-double sound_weight(double told) {
-    constexpr double kMost = 1000;  // machines of a deployment differ by tens
-    return std::isfinite(told) && told > 0 ? std::clamp(told, 1 / kMost, kMost) : 1;
+double sanitize_weight(double weight) {
+    const bool is_usable = std::isfinite(weight) && weight > 0;
+    return is_usable ? std::clamp(weight, 1 / kMaxWeight, kMaxWeight) : 1;
 }
 
-std::uint32_t number_of(std::vector<std::string>& names, std::string_view name) {
-    const auto at = std::find(names.begin(), names.end(), name);
-    const auto number = static_cast<std::uint32_t>(at - names.begin());
-    if (at == names.end()) names.emplace_back(name);
-    return number;
+std::uint32_t intern_name(std::vector<std::string>& names, std::string_view name) {
+    const auto found = std::find(names.begin(), names.end(), name);
+    const auto index = static_cast<std::uint32_t>(found - names.begin());
+    if (found == names.end()) names.emplace_back(name);
+    return index;
 }
 
-DeploymentSettings read_deployment_settings(const Fields& start) {
+DeploymentSettings read_deployment_settings(const Fields& fields) {
+    // The first field that can't be used is the one that is reported: the order is part of the messages.
     DeploymentSettings deployment;
-    Settings& s = deployment.settings;
-    if (start.has("azs")) deployment.zones = split(start.text("azs"));
-    if (start.has("my-zone")) s.my_zone = number_of(deployment.zones, start.text("my-zone"));
-    for (std::uint64_t i = 0, count = start.integer("classes.count"); i < count; ++i) {
-        const std::string prefix = "classes." + std::to_string(i) + ".";
-        RequestClass c;
-        c.idempotency = named(start, prefix + "effect", effects);
-        if (start.has(prefix + "dedup-scope")) c.dedup_scope = named(start, prefix + "dedup-scope", scopes);
-        c.dedup_window = start.number_or(prefix + "dedup-window-ms", c.dedup_window);
-        c.latency_objective = start.number(prefix + "on-time-ms");
-        c.objective_stretch = start.number_or(prefix + "aim-stretch", c.objective_stretch);
-        c.late_weight = start.number_or(prefix + "late-value", c.late_weight);
-        c.priority_weight = start.number_or(prefix + "credit", c.priority_weight);
-        s.classes.push_back(c);
-        deployment.give_up.push_back(start.number_or(prefix + "give-up-ms", c.latency_objective));
-        deployment.classes.emplace_back(start.text(prefix + "name"));
+    Settings& settings = deployment.settings;
+    read_zones(fields, deployment);
+    read_classes(fields, deployment);
+    read_tenants(fields, deployment);
+    if (fields.has("membership-mode")) {
+        settings.list_on_request = fields.text("membership-mode") == "on_request";
     }
-    for (std::uint64_t i = 0, count = start.integer_or("tenants.count", 0); i < count; ++i) {
-        const std::string prefix = "tenants." + std::to_string(i) + ".";
-        s.tenants.push_back({start.number_or(prefix + "quota-per-s", 0)});
-        deployment.tenants.emplace_back(start.text(prefix + "name"));
+    settings.siblings = static_cast<std::uint32_t>(fields.integer_or("siblings", settings.siblings));
+    if (fields.has("my-number")) {
+        deployment.my_number = static_cast<std::uint32_t>(fields.integer("my-number"));
     }
-    if (start.has("membership-mode")) s.list_on_request = start.text("membership-mode") == "on_request";
-    s.siblings = static_cast<std::uint32_t>(start.integer_or("siblings", s.siblings));
-    if (start.has("my-number")) deployment.my_number = static_cast<std::uint32_t>(start.integer("my-number"));
-    deployment.may_tell = start.flag_or("limits.may-tell", deployment.may_tell);
-    s.max_attempts = static_cast<std::uint32_t>(start.integer_or("limits.max-attempts", s.max_attempts));
-    s.allow_hedging = start.flag_or("limits.parallel-tries", s.allow_hedging);
-    s.may_cancel = start.flag_or("limits.may-cancel", false);
-    s.slow_start_min_share = start.number_or("rules.cold-from", s.slow_start_min_share);
-    s.overload_multiple = start.number_or("rules.fall-multiple", s.overload_multiple);
-    s.slow_start_duration = start.number_or("rules.warm-within-ms", s.slow_start_duration);
-    s.costs.cross_zone = start.number_or("fees.cross-zone", s.costs.cross_zone);
-    deployment.connect_timeout = start.number_or("limits.connect-timeout-ms", deployment.connect_timeout);
-    deployment.idle_close = start.number_or("limits.idle-close-ms", deployment.idle_close);
+    deployment.peer_messages_allowed = fields.flag_or("limits.may-tell", deployment.peer_messages_allowed);
+    read_limits_and_rules(fields, settings);
+    deployment.connect_timeout = fields.number_or("limits.connect-timeout-ms", deployment.connect_timeout);
+    deployment.idle_close = fields.number_or("limits.idle-close-ms", deployment.idle_close);
     return deployment;
 }
 
--- a/src/config/deployment_settings.hpp
+++ b/src/config/deployment_settings.hpp
@@ -1,75 +1,51 @@
-// What a sidecar is told at its start, for both drivers: named fields with typed access, and the one place
-// that maps the operators' settings onto elmbay::balancer::Settings.
+/// @file
+/// What both programs, sidecar and simulator adapter, are configured with about the deployment: the one place
+/// that maps the operators' settings onto elmbay::balancer::Settings.
 #pragma once
 
+#include <cstdint>
 #include <optional>
-#include <stdexcept>
 #include <string>
 #include <string_view>
-#include <utility>
 #include <vector>
 
+#include "config/fields.hpp"
 #include "elmbay/balancer.hpp"
 
 namespace elmbay::balancer {
 
-// A field that is missing or can't be read; what() says where it stands and names it.
-struct FieldError : std::runtime_error {
-    using std::runtime_error::runtime_error;
-};
-
-// Pairs of name and value, with access that throws FieldError. The texts belong to the caller.
-class Fields {
-public:
-    explicit Fields(std::string where) : where_(std::move(where)) {}
-
-    void add(std::string_view name, std::string_view value) { fields_.emplace_back(name, value); }
-    bool has(std::string_view field) const { return find(field) != nullptr; }
-    std::string_view text(std::string_view field) const;
-    double number(std::string_view field) const;
-    double number_or(std::string_view field, double fallback) const;
-    std::uint64_t integer(std::string_view field) const;
-    std::uint64_t integer_or(std::string_view field, std::uint64_t fallback) const;
-    bool flag_or(std::string_view field, bool fallback) const;
+/// The balancer's settings, the names behind its integers, and what only a program with sockets has to know.
+struct DeploymentSettings {
+    Settings settings;
 
-    [[noreturn]] void fail(std::string_view field, std::string_view what) const;
+    // The names that the balancer's integers stand for: the integer is the name's index.
 
-private:
-    const std::string_view* find(std::string_view field) const;
+    std::vector<std::string> zones;          ///< ZoneId; the operators' `azs`
+    std::vector<std::string> machine_types;  ///< ServerInfo::machine_type; filled as endpoint lists name them
+    std::vector<std::string> classes;        ///< RequestArrived::class_index
+    std::vector<std::string> tenants;        ///< RequestArrived::tenant
 
-    std::string where_;
-    std::vector<std::pair<std::string_view, std::string_view>> fields_;
+    /// By class: how long a client waits for its request, all of the client's own retries together.
+    std::vector<Millis> client_timeouts;
+    /// This sidecar's index among those that share the servers, from 0.
+    std::optional<std::uint32_t> my_number;
+    /// Whether sidecars may send messages to one another; the operators' `limits.may-tell`.
+    bool peer_messages_allowed = true;
+    /// A connection to a server that is not up by then counts as failed.
+    Millis connect_timeout = 250;
+    /// Servers close a connection that has been idle for so long.
+    Millis idle_close = 15000;
 };
 
-template <class T>
-using Names = std::vector<std::pair<std::string_view, T>>;
+/// A server's weight as its endpoint list gives it, made safe to divide by: 1 for what is not finite or not
+/// over 0, and clamped so that no single server gets all requests or none.
+double sanitize_weight(double weight);
 
-template <class T>
-T named(const Fields& fields, std::string_view field, const Names<T>& names) {
-    const std::string_view text = fields.text(field);
-    for (const auto& [name, value] : names)
-        if (name == text) return value;
-    fields.fail(field, "is not a known word");
-}
+/// The index of a name; a name that is not there is appended.
+std::uint32_t intern_name(std::vector<std::string>& names, std::string_view name);
 
-// The library's settings, the names behind its integers, and what only a driver has to know.
-struct DeploymentSettings {
-    Settings settings;
-    std::vector<std::string> zones;
-    std::vector<std::string> machine_types;
-    std::vector<std::string> classes;
-    std::vector<Millis> give_up;  // by class: how long its client waits, all tries together
-    std::vector<std::string> tenants;
-    std::optional<std::uint32_t> my_number;  // of the sidecars that share the servers, from 0
-    bool may_tell = true;                    // sidecars may send one another messages
-    Millis connect_timeout = 250;
-    Millis idle_close = 15000;
-};
-// A server's weight as its list tells it, made sound: 1 for what is no size at all, and never so far from it
-// that one server would have all or nothing.
-double sound_weight(double told);
-// A name's number; one not met before gets the next.
-std::uint32_t number_of(std::vector<std::string>& names, std::string_view name);
-DeploymentSettings read_deployment_settings(const Fields& settings);
+/// Reads the operators' settings: fields named by their path, such as "classes.0.effect". Keys that are not
+/// known are ignored, as other deployments have more of them. Throws FieldError.
+DeploymentSettings read_deployment_settings(const Fields& fields);
 
 }  // namespace elmbay::balancer
--- /dev/null
+++ b/src/config/fields.cpp
@@ -0,0 +1,71 @@
+#include "config/fields.hpp"
+
+#include <charconv>
+#include <cmath>
+
+namespace elmbay::balancer {
+
+namespace {
+
+// Reads the whole text as a number. Returns whether it is one.
+template <class T>
+bool parse(std::string_view text, T& value) {
+    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
+    return error == std::errc() && end == text.data() + text.size();
+}
+
+std::string message_of(const std::string& context, std::string_view field, FieldProblem problem) {
+    return context + ": field '" + std::string(field) + "' " + std::string(describe(problem));
+}
+
+}  // namespace
+
+FieldError::FieldError(const std::string& context, std::string_view field, FieldProblem problem)
+    : std::runtime_error(message_of(context, field, problem)), field_(field), problem_(problem) {}
+
+void Fields::fail(std::string_view field, FieldProblem problem) const {
+    throw FieldError(context_, field, problem);
+}
+
+const std::string_view* Fields::find(std::string_view field) const {
+    for (const auto& [name, value] : fields_) {
+        if (name == field) return &value;
+    }
+    return nullptr;
+}
+
+std::string_view Fields::text(std::string_view field) const {
+    const std::string_view* value = find(field);
+    if (!value) fail(field, FieldProblem::missing);
+    return *value;
+}
+
+double Fields::number(std::string_view field) const {
+    double value = 0;
+    if (!parse(text(field), value) || !std::isfinite(value)) fail(field, FieldProblem::not_a_number);
+    return value;
+}
+
+double Fields::number_or(std::string_view field, double fallback) const {
+    return has(field) ? number(field) : fallback;
+}
+
+std::uint64_t Fields::integer(std::string_view field) const {
+    std::uint64_t value = 0;
+    if (!parse(text(field), value)) fail(field, FieldProblem::not_a_whole_number);
+    return value;
+}
+
+std::uint64_t Fields::integer_or(std::string_view field, std::uint64_t fallback) const {
+    return has(field) ? integer(field) : fallback;
+}
+
+bool Fields::flag_or(std::string_view field, bool fallback) const {
+    if (!has(field)) return fallback;
+    const std::string_view value = text(field);
+    if (value == "1" || value == "true") return true;
+    if (value == "0" || value == "false") return false;
+    fail(field, FieldProblem::not_a_flag);
+}
+
+}  // namespace elmbay::balancer
--- a/src/http/request_validation.cpp
+++ b/src/http/request_validation.cpp
@@ -105,7 +105,7 @@
     // A client never waits longer than its class is worth waiting for; what it says is not trusted beyond
     // that.
     const Millis left = std::min(parse_time_left(field(head, kTimeLeft)).value_or(0),
-                                 deployment.give_up.at(event.class_index));
+                                 deployment.client_timeouts.at(event.class_index));
     const Millis usable_margin = std::min(margin, left * kMaxMarginShare);
     event.time_left = std::max(kMinTimeLeft, left - usable_margin - kernel_queue_time);
     if (const std::string_view account = field(head, "X-Account"); !account.empty()) {
--- a/src/sidecar/endpoint_registry.cpp
+++ b/src/sidecar/endpoint_registry.cpp
@@ -105,7 +105,7 @@
 
 std::uint32_t EndpointRegistry::name_number(std::vector<std::string>& names, const std::string& name) {
     const bool known = std::find(names.begin(), names.end(), name) != names.end();
-    return known || names.size() < kMaxNames ? balancer::number_of(names, name) : 0;
+    return known || names.size() < kMaxNames ? balancer::intern_name(names, name) : 0;
 }
 
 }  // namespace elmbay
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -79,9 +79,9 @@
 }
 
 Millis longest_deadline(const DeploymentSettings& deployment) {
-    return deployment.give_up.empty()
+    return deployment.client_timeouts.empty()
                ? 0
-               : *std::max_element(deployment.give_up.begin(), deployment.give_up.end());
+               : *std::max_element(deployment.client_timeouts.begin(), deployment.client_timeouts.end());
 }
 
 // A list that names nobody, in the version that every list begins with, is none.
@@ -245,7 +245,7 @@
 }
 
 void Sidecar::join(const cluster::Settings& settings) {
-    if (!config_.deployment.may_tell) {
+    if (!config_.deployment.peer_messages_allowed) {
         std::cerr << "elmbay: [cluster]: the settings allow no messages between sidecars" << std::endl;
         return;
     }
--- a/src/simulator/adapter.cpp
+++ b/src/simulator/adapter.cpp
@@ -1,7 +1,8 @@
-// The process that the simulator starts: the wire on standard input and output.
+/// @file
+/// The process that the simulator starts: its wire on standard input and output.
 #include <iostream>
 
-#include "simulator/wire.hpp"
+#include "simulator/host.hpp"
 
 int main() {
     std::ios::sync_with_stdio(false);
--- /dev/null
+++ b/src/simulator/host.cpp
@@ -0,0 +1,272 @@
+#include "simulator/host.hpp"
+
+#include <algorithm>
+#include <istream>
+#include <ostream>
+#include <stdexcept>
+#include <utility>
+#include <variant>
+
+#include "simulator/action_writer.hpp"
+
+namespace elmbay::balancer::wire {
+
+namespace {
+
+/// The process's exit status for input that breaks the protocol.
+constexpr int kExitWrongInput = 2;
+
+// The words of the wire.
+const Names<EndpointState> kStateNames{
+    {"on", EndpointState::active}, {"fading", EndpointState::draining}, {"off", EndpointState::removed}};
+const Names<ListKind> kListKindNames{{"INCREMENTAL", ListKind::incremental},
+                                     {"FULL", ListKind::snapshot},
+                                     {"SAVED", ListKind::cached},
+                                     {"FAILED", ListKind::failed}};
+const Names<Outcome> kOutcomeNames{
+    {"completed", Outcome::success},           {"errored", Outcome::error_response},
+    {"saturated", Outcome::rejected},          {"overdue", Outcome::timed_out},
+    {"refused_conn", Outcome::connect_failed}, {"severed", Outcome::connection_reset},
+    {"recalled", Outcome::cancelled},          {"superseded", Outcome::not_sent}};
+
+// The index of a name; the number of names if it is not among them.
+std::uint32_t index_of(const std::vector<std::string>& names, std::string_view name) {
+    return static_cast<std::uint32_t>(std::find(names.begin(), names.end(), name) - names.begin());
+}
+
+}  // namespace
+
+Outcome read_outcome(const Message& message) { return named(message, "rc", kOutcomeNames); }
+
+const std::array<Host::EventRoute, Host::kEventRoutes> Host::kRoutes{{
+    {"POWER_OFF", &Host::on_power_off},
+    {"PEERS_KNOWN", &Host::on_peers_known},
+    {"ACCEPT", &Host::on_accept},
+    {"HEAD_RECEIVED", &Host::on_head_received},
+    {"VERDICT", &Host::on_verdict},
+    {"EXPIRED", &Host::on_expired},
+    {"TICK_DUE", &Host::on_tick_due},
+    {"HEALTH", &Host::ignore},  // the balancer makes no health checks
+    {"MEMO", &Host::ignore},    // nor does it send messages to other instances
+}};
+
+Host::Host(std::istream& input, std::ostream& output, std::ostream& error_output)
+    : input_(input), output_(output), error_output_(error_output) {}
+
+// ---- Lines and batches ----------------------------------------------------------------------------------
+
+bool Host::next_line(std::string& line) {
+    if (!std::getline(input_, line)) return false;
+    ++line_number_;
+    return true;
+}
+
+std::string Host::context(std::string_view kind) const {
+    return "line " + std::to_string(line_number_) + ": " + std::string(kind);
+}
+
+int Host::report(const std::string& what) {
+    error_output_ << "elmbay_simulator_adapter: " << what << '\n';
+    return kExitWrongInput;
+}
+
+int Host::run() {
+    try {
+        for (std::string line; next_line(line);) {
+            const Message mark(line, line_number_);
+            if (mark.kind() != "MARK") mark.reject(mark.kind(), WireProblem::mark_expected);
+            run_batch(mark);
+        }
+    } catch (const WireError& error) {
+        return report(error.what());
+    } catch (const FieldError& error) {
+        return report(error.what());
+    }
+    return 0;
+}
+
+void Host::run_batch(const Message& mark) {
+    now_ = mark.number("now-ms");
+    const std::uint64_t frame = mark.integer("frame");
+    reply_.clear();
+    for (std::string line;;) {
+        if (!next_line(line)) throw WireError(context("MARK"), WireProblem::input_ends_in_batch);
+        const Message message(line, line_number_);
+        if (message.kind() == "OVER_TO_YOU") break;
+        handle(message);
+    }
+    output_ << reply_ << "END frame=" << frame << '\n' << std::flush;
+}
+
+void Host::handle(const Message& message) {
+    const std::string_view kind = message.kind();
+    if (kind == "CATALOG") return on_catalog(message);
+    if (kind == "START") return on_start(message);
+    const auto* const route = std::find_if(kRoutes.begin(), kRoutes.end(),
+                                           [kind](const EventRoute& known) { return known.kind == kind; });
+    if (route == kRoutes.end()) return note_unknown_event(message);
+    const auto instance = instances_.find(message.text("who"));
+    if (instance == instances_.end()) message.reject("who", WireProblem::unknown_instance);
+    (this->*route->handle)(instance->second, message);
+}
+
+void Host::note_unknown_event(const Message& message) {
+    const std::string_view kind = message.kind();
+    const bool is_noted =
+        std::find(unknown_kinds_.begin(), unknown_kinds_.end(), kind) != unknown_kinds_.end();
+    if (is_noted) return;
+    unknown_kinds_.emplace_back(kind);
+    error_output_ << "elmbay_simulator_adapter: line " << line_number_ << ": unknown event " << kind
+                  << " skipped\n";
+}
+
+// ---- Server lists and instances -------------------------------------------------------------------------
+
+void Host::on_catalog(const Message& message) {
+    const std::uint64_t number = message.integer("ref");
+    if (number >= catalogs_.size()) message.reject("ref", WireProblem::unknown_catalog);
+    const std::uint64_t count = message.integer("items");
+    std::vector<CatalogEntry> entries;
+    for (std::uint64_t i = 0; i < count; ++i) entries.push_back(read_catalog_entry(message));
+    catalogs_[number] = std::move(entries);
+}
+
+CatalogEntry Host::read_catalog_entry(const Message& catalog) {
+    std::string line;
+    if (!next_line(line)) throw WireError(context("CATALOG"), WireProblem::input_ends_in_catalog);
+    const Message message(line, line_number_);
+    if (message.kind() != "M") catalog.reject("items", WireProblem::wrong_catalog_entry);
+    CatalogEntry entry;
+    entry.server = message.text("server");
+    if (message.has("rack-zone")) entry.zone = message.text("rack-zone");
+    if (message.has("kind")) entry.machine_type = message.text("kind");
+    entry.cell = static_cast<std::uint32_t>(message.integer_or("pod", 0));
+    entry.state = named(message, "phase", kStateNames);
+    entry.online_since = message.number_or("online-since-ms", 0);
+    entry.weight = sanitize_weight(message.number_or("units", 1));
+    return entry;
+}
+
+const std::vector<CatalogEntry>& Host::find_catalog(const Message& message) const {
+    const std::uint64_t number = message.integer("ref");
+    if (number >= catalogs_.size()) message.reject("ref", WireProblem::unknown_catalog);
+    return catalogs_[number];
+}
+
+void Host::on_start(const Message& message) {
+    const std::string name(message.text("who"));
+    const std::uint64_t seed = message.integer("entropy");
+    instances_.erase(name);
+    try {
+        const auto [entry, is_new] =
+            instances_.try_emplace(name, name, read_deployment_settings(message), seed);
+        give(entry->second, Started{});
+    } catch (const std::invalid_argument& error) {
+        write_fault(name, error.what());
+    }
+}
+
+void Host::on_power_off(Instance& instance, const Message& /*message*/) {
+    instances_.erase(instances_.find(instance.name()));
+}
+
+void Host::on_peers_known(Instance& instance, const Message& message) {
+    const ListKind kind = named(message, "mode", kListKindNames);
+    if (kind == ListKind::failed) return give(instance, ServerList{kind, {}});
+    const ServerList list = apply_catalog(instance, kind, find_catalog(message));
+    give(instance, list);
+    instance.drop_unused_servers();
+}
+
+ServerList Host::apply_catalog(Instance& instance, ListKind kind, const std::vector<CatalogEntry>& catalog) {
+    ServerList list{kind, {}};
+    if (kind != ListKind::incremental) instance.unlist_all_servers();
+    DeploymentSettings& deployment = instance.deployment();
+    for (const CatalogEntry& entry : catalog) {
+        const ServerId id = instance.add_server(entry.server);
+        instance.set_listed(id, entry.state != EndpointState::removed);
+        const ZoneId zone = intern_name(deployment.zones, entry.zone);
+        const std::uint32_t machine_type = intern_name(deployment.machine_types, entry.machine_type);
+        list.servers.push_back(
+            {id, zone, machine_type, entry.cell, entry.state, entry.online_since, entry.weight});
+    }
+    return list;
+}
+
+// ---- Requests and attempts ------------------------------------------------------------------------------
+
+void Host::on_accept(Instance& instance, const Message& message) {
+    const DeploymentSettings& deployment = instance.deployment();
+    RequestArrived arrived;
+    arrived.time_left = message.number("time-left-ms");
+    arrived.effort = message.number_or("effort-ms", 0);
+    arrived.repeat = message.flag_or("repeat", false);
+    arrived.class_index = index_of(deployment.classes, message.text("grade"));
+    if (message.has("realm")) {
+        const std::uint32_t tenant = index_of(deployment.tenants, message.text("realm"));
+        if (tenant < deployment.tenants.size()) arrived.tenant = tenant;
+    }
+    const std::optional<RequestId> id = instance.add_request(std::string(message.text("rid")));
+    if (!id) message.reject("rid", WireProblem::repeated_request);
+    arrived.id = *id;
+    give(instance, arrived);
+}
+
+void Host::on_head_received(Instance& instance, const Message& message) {
+    const std::optional<RequestId> request = instance.find_request(std::string(message.text("rid")));
+    const auto attempt = static_cast<std::uint32_t>(message.integer("hop"));
+    if (!request) return;  // it has ended earlier in this batch
+    give(instance, FirstByte{*request, attempt});
+}
+
+void Host::on_expired(Instance& instance, const Message& message) {
+    const std::optional<RequestId> request = instance.find_request(std::string(message.text("rid")));
+    if (!request) return;  // it has ended earlier in this batch
+    give(instance, ClientDisconnected{*request});
+    instance.end_request(*request);
+}
+
+void Host::on_verdict(Instance& instance, const Message& message) {
+    AttemptEnded ended;
+    ended.attempt = static_cast<std::uint32_t>(message.integer("hop"));
+    ended.outcome = read_outcome(message);
+    ended.duration = message.number_or("duration-ms", 0);
+    ended.request_ended = message.flag_or("terminal", false);
+    const std::optional<ServerId> server = instance.find_server(std::string(message.text("server")));
+    const std::optional<RequestId> request = instance.find_request(std::string(message.text("rid")));
+    if (!request) return;
+    ended.id = *request;
+    instance.attempt_ended(*request, ended.request_ended);
+    give(instance, ended);
+    instance.drop_finished_request(*request);
+    if (server) instance.attempt_left_server(*server);
+}
+
+void Host::on_tick_due(Instance& instance, const Message& message) {
+    give(instance, TimerFired{message.integer("nonce")});
+}
+
+void Host::ignore(Instance& /*instance*/, const Message& /*message*/) {}
+
+// ---- Actions --------------------------------------------------------------------------------------------
+
+void Host::give(Instance& instance, const Event& event) {
+    actions_.clear();
+    try {
+        instance.balancer().handle(now_, event, actions_);
+    } catch (const std::exception& error) {
+        write_fault(instance.name(), error.what());
+        return;
+    }
+    ActionWriter writer(instance, reply_);
+    for (const Action& action : actions_) {
+        std::visit(writer, action);
+        reply_ += '\n';
+    }
+}
+
+void Host::write_fault(const std::string& instance_name, const std::string& what) {
+    reply_ += "FAULT who=" + instance_name + " words=" + what + "\n";
+}
+
+}  // namespace elmbay::balancer::wire
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -592,9 +592,9 @@
     }
     EXPECT_EQ(small.requests(), 0U) << "by count alone it would be half of them";
     for (const double nonsense : {0.0, -3.0, std::nan(""), std::numeric_limits<double>::infinity()})
-        EXPECT_EQ(balancer::sound_weight(nonsense), 1) << nonsense;
-    EXPECT_EQ(balancer::sound_weight(1e300), 1000);
-    EXPECT_EQ(balancer::sound_weight(1e-300), 0.001);
+        EXPECT_EQ(balancer::sanitize_weight(nonsense), 1) << nonsense;
+    EXPECT_EQ(balancer::sanitize_weight(1e300), 1000);
+    EXPECT_EQ(balancer::sanitize_weight(1e-300), 0.001);
 }
 
 TEST(Discovery, AServerThatMovesIsReachedAtItsNewAddress) {
--- a/tests/websocket/heads.hpp
+++ b/tests/websocket/heads.hpp
@@ -18,7 +18,7 @@
         c.idempotency = idempotency;
         deployment.settings.classes.push_back(c);
         deployment.classes.emplace_back(name);
-        deployment.give_up.push_back(1000);
+        deployment.client_timeouts.push_back(1000);
     }
     return deployment;
 }
