--- a/src/operator/operator_file.cpp
+++ b/src/operator/operator_file.cpp
@@ -2,32 +2,47 @@
 
 #include <algorithm>
 #include <fstream>
-#include <sstream>
+#include <functional>
+#include <utility>
+#include <vector>
 
 namespace elmbay {
 
 namespace {
 
 using schema::Key;
+using schema::ProblemReason;
+using schema::Problems;
 using schema::Unit;
 
-// Far above any such file; a wrong path must not fill the memory.
-constexpr std::streamsize kMaxBytes = 1 << 20;
+/// Bytes. Far above any such file; a wrong path must not fill the memory.
+constexpr std::streamsize kMaxFileBytes = 1 << 20;
 
-const std::vector<std::string> kTables{"state", "websocket", "status", "cluster", "proof"};
+// ---- Keys, a list for each table ------------------------------------------------------------------------
 
-const std::vector<Key<StateSettings>> kState{
+// Limits, in milliseconds where a duration is limited.
+constexpr double kMaxMembers = 30000;    ///< as many as the platform may list (kMaxPeers)
+constexpr double kMaxSessions = 100000;  ///< far above what descriptors allow
+constexpr double kMinute = 60000;
+constexpr double kHour = 3600000;
+constexpr double kDay = 86400000;
+constexpr double kMaxMessageBytes = 1 << 30;
+constexpr double kMinMessageBytes = 125;  ///< the longest control frame of WebSocket (RFC 6455, 5.5)
+constexpr double kMaxRelayBufferBytes = 1 << 24;
+constexpr double kMinRelayBufferBytes = 512;
+
+const std::vector<Key<StateSettings>> kStateKeys{
     {"folder", Unit::word, &StateSettings::folder, "\"\"",
      "where what was learned is kept over restarts, one folder a sidecar; empty: nothing is kept"},
     {"every", Unit::duration, &StateSettings::every, "\"2s\"",
      "between two writes, if there is something new; what was learned since the last is lost by a kill", 100,
-     3600000}};
+     kHour}};
 
-const std::vector<Key<StatusSettings>> kStatus{
+const std::vector<Key<StatusSettings>> kStatusKeys{
     {"socket", Unit::word, &StatusSettings::socket, "\"\"",
      "path of a Unix socket that tells what this sidecar believes, as JSON; empty: nothing listens"}};
 
-const std::vector<Key<cluster::Settings>> kCluster{
+const std::vector<Key<cluster::Settings>> kClusterKeys{
     {"on", Unit::flag, &cluster::Settings::on, "false",
      "whether this sidecar takes part among the others; if not, it neither listens nor sends"},
     {"listen", Unit::word, &cluster::Settings::listen, "peer_listen",
@@ -35,20 +50,19 @@
     {"peers", Unit::words, &cluster::Settings::peers, "peers",
      "address:port of each sidecar, in the order of their numbers, this one's own among them"},
     {"number", Unit::count, &cluster::Settings::number, "my-number", "of this one among peers, from 0", 0,
-     30000},
+     kMaxMembers},
     {"period", Unit::duration, &cluster::Settings::period, "\"1s\"",
      "between two probes; failures are found in some of them, and the cost is two datagrams in each", 100,
-     60000}};
+     kMinute}};
 
-const std::vector<Key<ProofSettings>> kProof{
+const std::vector<Key<ProofSettings>> kProofKeys{
     {"clock_ahead", Unit::duration, &ProofSettings::clock_ahead, "\"0s\"",
-     "for tests: this program's clock is ahead of the machine's by it", 0, 86400000},
-    {"clock_behind", Unit::duration, &ProofSettings::clock_behind, "\"0s\"", "or behind it", 0, 86400000}};
+     "for tests: this program's clock is ahead of the machine's by it", 0, kDay},
+    {"clock_behind", Unit::duration, &ProofSettings::clock_behind, "\"0s\"", "or behind it", 0, kDay}};
 
 using Websocket = websocket::Settings;
-constexpr double kMaxSessions = 100000, kMaxTime = 3600000;
 
-const std::vector<Key<Websocket>> kWebsocket{
+const std::vector<Key<Websocket>> kWebsocketKeys{
     {"on", Unit::flag, &Websocket::on, "false",
      "whether clients may upgrade; if not, `Upgrade` is passed over"},
     {"origins", Unit::words, &Websocket::origins, "[]", "that browsers may come from; none listed: any"},
@@ -59,67 +73,107 @@
     {"most_of_client", Unit::count, &Websocket::most_of_client, "500", "of them from one client address", 1,
      kMaxSessions},
     {"most_message", Unit::size, &Websocket::most_message, "\"1MiB\"",
-     "a longer message ends its session (1009)", 125, 1 << 30},
+     "a longer message ends its session (1009)", kMinMessageBytes, kMaxMessageBytes},
     {"waiting", Unit::size, &Websocket::waiting, "\"4KiB\"",
-     "read from one side and not taken by the other; until it is, nothing more is read", 512, 1 << 24},
+     "read from one side and not taken by the other; until it is, nothing more is read", kMinRelayBufferBytes,
+     kMaxRelayBufferBytes},
     {"handshake", Unit::duration, &Websocket::handshake, "\"3s\"",
-     "for a client to take its answer, and for either side to answer a close", 10, kMaxTime},
+     "for a client to take its answer, and for either side to answer a close", 10, kHour},
     {"idle", Unit::duration, &Websocket::idle, "\"60s\"", "without a byte; a ping goes out at half of it",
-     100, kMaxTime},
+     100, kHour},
     {"drain", Unit::duration, &Websocket::drain, "\"10s\"",
-     "over which sessions of a draining server are told (1012)", 0, kMaxTime},
+     "over which sessions of a draining server are told (1012)", 0, kHour},
     {"ending", Unit::duration, &Websocket::ending, "\"1s\"",
-     "over which all are told (1001) once the sidecar is to end", 0, kMaxTime}};
+     "over which all are told (1001) once the sidecar is to end", 0, kHour}};
+
+// ---- Tables ---------------------------------------------------------------------------------------------
+
+/// One table of the file: how it is read and how it is explained.
+struct TableSchema {
+    std::string name;
+    std::function<void(const toml::table&, OperatorFile&, Problems&)> read;
+    std::function<std::string()> manual;
+};
+
+/// @param member of the file that the table fills
+/// @param keys must live as long as the result
+template <class Settings>
+TableSchema table_schema(const std::string& name, Settings OperatorFile::*member,
+                         const std::vector<Key<Settings>>& keys) {
+    return {name,
+            [name, member, &keys](const toml::table& table, OperatorFile& file, Problems& problems) {
+                schema::read_table(table, name, keys, file.*member, problems);
+            },
+            [&keys] { return schema::manual(keys); }};
+}
+
+/// In the order of the manual.
+const std::vector<TableSchema> kTables{table_schema("state", &OperatorFile::state, kStateKeys),
+                                       table_schema("websocket", &OperatorFile::websocket, kWebsocketKeys),
+                                       table_schema("status", &OperatorFile::status, kStatusKeys),
+                                       table_schema("cluster", &OperatorFile::cluster, kClusterKeys),
+                                       table_schema("proof", &OperatorFile::proof, kProofKeys)};
+
+std::vector<std::string> table_names() {
+    std::vector<std::string> names;
+    names.reserve(kTables.size());
+    for (const TableSchema& table : kTables) names.push_back(table.name);
+    return names;
+}
+
+void read_top_level(const toml::table& root, OperatorFile& file, Problems& problems) {
+    for (const auto& [key, node] : root) {
+        const std::string name(key.str());
+        const auto known = std::find_if(kTables.begin(), kTables.end(),
+                                        [&name](const TableSchema& table) { return table.name == name; });
+        if (known == kTables.end()) {
+            schema::report_unknown_key(key, "", table_names(), problems);
+        } else if (const toml::table* table = node.as_table()) {
+            known->read(*table, file, problems);
+        } else {
+            problems.push_back(
+                {node.source().begin.line, name, "is a table: [" + name + "]", ProblemReason::wrong_type});
+        }
+    }
+}
 
 }  // namespace
 
-OperatorFile parse_operator_file(const std::string& text, schema::Problems& problems) {
+OperatorFile parse_operator_file(const std::string& text, Problems& problems) {
     OperatorFile file;
     try {
-        const toml::table root = toml::parse(text);
-        for (const auto& [name, node] : root) {
-            const std::string table(name.str());
-            if (std::find(kTables.begin(), kTables.end(), table) == kTables.end())
-                schema::detail::unknown_key(name, "", kTables, problems);
-            else if (!node.is_table())
-                problems.push_back({node.source().begin.line, table, "is a table: [" + table + "]"});
-            else if (table == "state")
-                schema::read_table(*node.as_table(), table, kState, file.state, problems);
-            else if (table == "status")
-                schema::read_table(*node.as_table(), table, kStatus, file.status, problems);
-            else if (table == "cluster")
-                schema::read_table(*node.as_table(), table, kCluster, file.cluster, problems);
-            else if (table == "proof")
-                schema::read_table(*node.as_table(), table, kProof, file.proof, problems);
-            else
-                schema::read_table(*node.as_table(), table, kWebsocket, file.websocket, problems);
-        }
+        read_top_level(toml::parse(text), file, problems);
     } catch (const toml::parse_error& error) {
-        problems.push_back({error.source().begin.line, "", std::string(error.description())});
+        problems.push_back(schema::malformed_toml(error));
     }
     return file;
 }
 
-OperatorFile read_operator_file(const std::string& path, schema::Problems& problems) {
-    std::ifstream in(path, std::ios::binary);
-    std::string text(static_cast<std::size_t>(kMaxBytes) + 1, '\0');
-    in.read(text.data(), kMaxBytes + 1);
-    if (in.bad() || (in.gcount() == 0 && !in.eof())) {
-        problems.push_back({0, "", "can't be read"});
+OperatorFile read_operator_file(const std::string& path, Problems& problems) {
+    std::ifstream input(path, std::ios::binary);
+    // One byte more than may be there, so that a file that is too long shows.
+    std::string text(static_cast<std::size_t>(kMaxFileBytes) + 1, '\0');
+    input.read(text.data(), kMaxFileBytes + 1);
+    const bool is_readable = !input.bad() && (input.gcount() > 0 || input.eof());
+    if (!is_readable) {
+        problems.push_back({0, "", "can't be read", ProblemReason::unreadable});
         return {};
     }
-    if (in.gcount() > kMaxBytes) {
-        problems.push_back({0, "", "is larger than 1 MiB"});
+    if (input.gcount() > kMaxFileBytes) {
+        problems.push_back({0, "", "is larger than 1 MiB", ProblemReason::too_large});
         return {};
     }
-    text.resize(static_cast<std::size_t>(in.gcount()));
+    text.resize(static_cast<std::size_t>(input.gcount()));
     return parse_operator_file(text, problems);
 }
 
 std::string operator_manual() {
-    return "[state]\n" + schema::manual(kState) + "\n[websocket]\n" + schema::manual(kWebsocket) +
-           "\n[status]\n" + schema::manual(kStatus) + "\n[cluster]\n" + schema::manual(kCluster) +
-           "\n[proof]\n" + schema::manual(kProof);
+    std::string text;
+    for (const TableSchema& table : kTables) {
+        if (!text.empty()) text += "\n";
+        text += "[" + table.name + "]\n" + table.manual();
+    }
+    return text;
 }
 
 }  // namespace elmbay
--- a/src/operator/operator_file.hpp
+++ b/src/operator/operator_file.hpp
@@ -1,4 +1,5 @@
-// The operator's own file: what the platform's configuration does not know, one TOML table a subsystem.
+/// @file
+/// The operator's own file: what the platform's configuration does not know, one TOML table a subsystem.
 #pragma once
 
 #include <string>
@@ -11,12 +12,13 @@
 
 namespace elmbay {
 
-// [state]: what was learned, kept over restarts.
+/// The keys of [state]: what the balancer has learned, kept over restarts.
 struct StateSettings {
-    std::string folder;   // empty: nothing is kept
-    Millis every = 2000;  // between two looks at whether there is something to write
+    std::string folder;   ///< path of the directory; empty: nothing is kept
+    Millis every = 2000;  ///< between two looks at whether there is something new to write
 };
 
+/// All tables of the file; of one that the file does not have, the defaults.
 struct OperatorFile {
     StateSettings state;
     websocket::Settings websocket;
@@ -25,11 +27,14 @@
     ProofSettings proof;
 };
 
-// Every problem that there is, none if the file can be used; defaults where it says nothing. Never throws.
+/// Reads the text of the file and adds every problem that it has: none, and the result can be used. Keys that
+/// are not there or can't be used keep their defaults. Throws only std::bad_alloc.
 OperatorFile parse_operator_file(const std::string& text, schema::Problems& problems);
-// The same from a file; one that can't be read is a problem.
+
+/// The same from a file. One that can't be read, or is longer than 1 MiB, is a problem.
 OperatorFile read_operator_file(const std::string& path, schema::Problems& problems);
-// A line a key.
+
+/// Every table and key of the file, for a person.
 std::string operator_manual();
 
 }  // namespace elmbay
--- a/src/schema/schema.cpp
+++ b/src/schema/schema.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 #include <charconv>
 #include <cmath>
+#include <initializer_list>
 #include <numeric>
 #include <sstream>
 
@@ -10,21 +11,49 @@
 
 namespace {
 
+constexpr double kMillisecondsPerSecond = 1000;
+
+/// Column of the manual in which descriptions begin, and the two blanks before a key's name.
+constexpr std::size_t kManualIndent = 2;
+constexpr std::size_t kManualNameWidth = 18;
+
+/// A word is taken for a misspelt one within this many edits, or within a third of its letters if that is
+/// more.
+constexpr std::size_t kMinEditsAllowed = 2;
+constexpr std::size_t kLettersPerEditAllowed = 3;
+
+/// What may stand behind a number, and what it multiplies the number by.
 struct Suffix {
     std::string_view text;
     double factor;
 };
 
-std::optional<double> with_suffix(std::string_view text, std::initializer_list<Suffix> suffixes) {
+std::optional<double> parse_with_suffix(std::string_view text, std::initializer_list<Suffix> suffixes) {
     double value = 0;
-    const auto [end, wrong] = std::from_chars(text.data(), text.data() + text.size(), value);
-    if (wrong != std::errc() || !std::isfinite(value)) return {};
-    const std::string_view rest(end, static_cast<std::size_t>(text.data() + text.size() - end));
-    for (const Suffix& s : suffixes)
-        if (rest == s.text) return value * s.factor;
+    const char* const text_end = text.data() + text.size();
+    const auto [number_end, error] = std::from_chars(text.data(), text_end, value);
+    if (error != std::errc() || !std::isfinite(value)) return {};
+    const std::string_view rest(number_end, static_cast<std::size_t>(text_end - number_end));
+    for (const Suffix& suffix : suffixes) {
+        if (rest == suffix.text) return value * suffix.factor;
+    }
     return {};
 }
 
+// A text of one of the units that are written with a suffix.
+std::optional<double> parse_text(std::string_view text, Unit unit) {
+    switch (unit) {
+        case Unit::duration:
+            return parse_duration(text);
+        case Unit::share:
+            return parse_share(text);
+        case Unit::size:
+            return parse_size(text);
+        default:
+            return {};
+    }
+}
+
 std::string number_text(double value) {
     std::ostringstream out;
     out << value;
@@ -33,12 +62,14 @@
 
 std::string limit_text(double value, Unit unit) {
     if (unit != Unit::duration) return number_text(value);
-    return value >= 1000 ? number_text(value / 1000) + "s" : number_text(value) + "ms";
+    if (value < kMillisecondsPerSecond) return number_text(value) + "ms";
+    return number_text(value / kMillisecondsPerSecond) + "s";
 }
 
-std::string range_text(double least, double most, Unit unit) {
-    if (std::isinf(most)) return "at least " + limit_text(least, unit);
-    return "between " + limit_text(least, unit) + " and " + limit_text(most, unit);
+std::string range_text(const Range& range, Unit unit) {
+    const std::string min = limit_text(range.min, unit);
+    if (std::isinf(range.max)) return "at least " + min;
+    return "between " + min + " and " + limit_text(range.max, unit);
 }
 
 const char* unit_text(Unit unit) {
@@ -48,11 +79,11 @@
         case Unit::count:
             return "a whole number";
         case Unit::duration:
-            return "a duration such as \"250ms\", \"1.5s\" or \"2m\"";
+            return R"(a duration such as "250ms", "1.5s" or "2m")";
         case Unit::share:
-            return "a share such as 0.25 or \"25%\"";
+            return R"(a share such as 0.25 or "25%")";
         case Unit::size:
-            return "a size such as \"64KiB\" or \"1MiB\"";
+            return R"(a size such as "64KiB" or "1MiB")";
         case Unit::flag:
             return "true or false";
         case Unit::word:
@@ -63,13 +94,18 @@
     return "";
 }
 
-std::size_t distance(std::string_view a, std::string_view b) {
-    std::vector<std::size_t> row(b.size() + 1);
+bool has_range(Unit unit) { return unit != Unit::word && unit != Unit::words && unit != Unit::flag; }
+
+// Levenshtein's distance: insertions, deletions and replacements of one letter.
+std::size_t edit_distance(std::string_view from, std::string_view to) {
+    // One row of the usual table at a time: row[j] is the distance of from's first i letters to to's first j.
+    std::vector<std::size_t> row(to.size() + 1);
     std::iota(row.begin(), row.end(), 0);
-    for (std::size_t i = 1; i <= a.size(); ++i) {
+    for (std::size_t i = 1; i <= from.size(); ++i) {
         std::size_t diagonal = std::exchange(row[0], i);
-        for (std::size_t j = 1; j <= b.size(); ++j) {
-            const std::size_t replaced = diagonal + (a[i - 1] != b[j - 1]);
+        for (std::size_t j = 1; j <= to.size(); ++j) {
+            const bool differs = from[i - 1] != to[j - 1];
+            const std::size_t replaced = diagonal + (differs ? 1 : 0);
             diagonal = row[j];
             row[j] = std::min({row[j] + 1, row[j - 1] + 1, replaced});
         }
@@ -79,77 +115,114 @@
 
 std::string joined(const std::vector<std::string>& words) {
     std::string text;
-    for (const std::string& word : words) text += (text.empty() ? "" : ", ") + word;
+    for (const std::string& word : words) {
+        if (!text.empty()) text += ", ";
+        text += word;
+    }
     return text;
 }
 
 }  // namespace
 
+// ---- Problems -------------------------------------------------------------------------------------------
+
 std::string text_of(const std::string& file, const Problems& problems) {
     std::string text;
-    for (const Problem& p : problems) {
+    for (const Problem& problem : problems) {
         text += file;
-        if (p.line > 0) text += ":" + std::to_string(p.line);
-        text += ": " + (p.key.empty() ? "" : p.key + ": ") + p.what + "\n";
+        if (problem.line > 0) text += ":" + std::to_string(problem.line);
+        text += ": ";
+        if (!problem.key.empty()) text += problem.key + ": ";
+        text += problem.what + "\n";
     }
     return text;
 }
 
+Problem malformed_toml(const toml::parse_error& error) {
+    return {error.source().begin.line, "", std::string(error.description()), ProblemReason::malformed_toml};
+}
+
+std::string did_you_mean(std::string_view unknown, const std::vector<std::string>& known) {
+    const std::size_t max_distance = std::max(kMinEditsAllowed, unknown.size() / kLettersPerEditAllowed);
+    std::size_t closest_distance = max_distance + 1;
+    std::string closest;
+    for (const std::string& word : known) {
+        const std::size_t distance = edit_distance(unknown, word);
+        if (distance >= closest_distance) continue;
+        closest_distance = distance;
+        closest = word;
+    }
+    return closest;
+}
+
+void report_unknown_key(const toml::key& key, const std::string& table, const std::vector<std::string>& known,
+                        Problems& problems) {
+    const std::string name(key.str());
+    const std::string full_name = table.empty() ? name : table + "." + name;
+    const std::string closest = did_you_mean(name, known);
+    const std::string advice =
+        closest.empty() ? "; there are " + joined(known) : "; did you mean '" + closest + "'?";
+    problems.push_back(
+        {key.source().begin.line, full_name, "is not a key here" + advice, ProblemReason::unknown_key});
+}
+
+// ---- Values ---------------------------------------------------------------------------------------------
+
 std::optional<double> parse_duration(std::string_view text) {
-    return with_suffix(text, {{"us", 0.001}, {"ms", 1}, {"s", 1000}, {"m", 60000}, {"h", 3600000}});
+    return parse_with_suffix(
+        text, {{"us", 0.001}, {"ms", 1}, {"s", kMillisecondsPerSecond}, {"m", 60000}, {"h", 3600000}});
 }
-std::optional<double> parse_share(std::string_view text) { return with_suffix(text, {{"%", 0.01}, {"", 1}}); }
-std::optional<double> parse_size(std::string_view text) {
-    return with_suffix(text, {{"", 1}, {"B", 1}, {"KiB", 1024}, {"MiB", 1024.0 * 1024}, {"GiB", 1073741824}});
+
+std::optional<double> parse_share(std::string_view text) {
+    return parse_with_suffix(text, {{"%", 0.01}, {"", 1}});
 }
 
-std::string did_you_mean(std::string_view unknown, const std::vector<std::string>& known) {
-    std::string best;
-    std::size_t least = std::max<std::size_t>(2, unknown.size() / 3) + 1;
-    for (const std::string& word : known)
-        if (const std::size_t d = distance(unknown, word); d < least) least = d, best = word;
-    return best;
+std::optional<double> parse_size(std::string_view text) {
+    return parse_with_suffix(
+        text, {{"", 1}, {"B", 1}, {"KiB", 1024}, {"MiB", 1024.0 * 1024}, {"GiB", 1024.0 * 1024 * 1024}});
 }
 
 namespace detail {
 
-std::optional<double> read_number(const toml::node& node, Unit unit, double least, double most,
+std::optional<double> read_number(const toml::node& node, Unit unit, const Range& range,
                                   const std::string& key, Problems& problems) {
     const std::uint32_t line = node.source().begin.line;
     std::optional<double> value;
     if (const auto* text = node.as_string()) {
-        if (unit == Unit::duration) value = parse_duration(text->get());
-        if (unit == Unit::share) value = parse_share(text->get());
-        if (unit == Unit::size) value = parse_size(text->get());
+        value = parse_text(text->get(), unit);
     } else if (node.is_number() && unit != Unit::duration) {
         value = node.value<double>();
     }
-    const bool whole = unit == Unit::count || unit == Unit::size;
-    if (!value || !std::isfinite(*value) || (whole && *value != std::floor(*value))) {
-        problems.push_back({line, key, std::string("is ") + unit_text(unit)});
+    const bool must_be_whole = unit == Unit::count || unit == Unit::size;
+    const bool is_finite = value && std::isfinite(*value);
+    const bool is_of_unit = is_finite && (!must_be_whole || *value == std::floor(*value));
+    if (!is_of_unit) {
+        problems.push_back({line, key, std::string("is ") + unit_text(unit), ProblemReason::wrong_type});
         return {};
     }
-    if (*value < least || *value > most) {
-        problems.push_back({line, key, "must be " + range_text(least, most, unit)});
+    if (*value < range.min || *value > range.max) {
+        problems.push_back({line, key, "must be " + range_text(range, unit), ProblemReason::out_of_range});
         return {};
     }
     return value;
 }
 
-std::optional<std::string> read_word(const toml::node& node, const std::vector<std::string>& allowed,
+std::optional<std::string> read_word(const toml::node& node, const std::vector<std::string>& allowed_words,
                                      const std::string& key, Problems& problems) {
     const std::uint32_t line = node.source().begin.line;
     const auto* text = node.as_string();
     if (!text) {
-        problems.push_back({line, key, "is a text"});
+        problems.push_back({line, key, "is a text", ProblemReason::wrong_type});
         return {};
     }
     const std::string& word = text->get();
-    if (allowed.empty() || std::find(allowed.begin(), allowed.end(), word) != allowed.end()) return word;
-    const std::string close = did_you_mean(word, allowed);
-    problems.push_back({line, key,
-                        "'" + word + "' is not one of " + joined(allowed) +
-                            (close.empty() ? "" : "; did you mean '" + close + "'?")});
+    const bool is_allowed = allowed_words.empty() || std::find(allowed_words.begin(), allowed_words.end(),
+                                                               word) != allowed_words.end();
+    if (is_allowed) return word;
+    const std::string closest = did_you_mean(word, allowed_words);
+    const std::string advice = closest.empty() ? "" : "; did you mean '" + closest + "'?";
+    problems.push_back({line, key, "'" + word + "' is not one of " + joined(allowed_words) + advice,
+                        ProblemReason::unknown_word});
     return {};
 }
 
@@ -157,37 +230,43 @@
                                                    Problems& problems) {
     if (const auto* text = node.as_string()) return std::vector<std::string>{text->get()};
     std::vector<std::string> words;
-    bool sound = node.is_array();
-    if (const auto* list = node.as_array())
+    bool are_all_texts = node.is_array();
+    if (const auto* list = node.as_array()) {
         for (const toml::node& item : *list) {
-            sound = sound && item.is_string();
-            if (const auto* text = item.as_string()) words.push_back(text->get());
+            const auto* text = item.as_string();
+            if (text) {
+                words.push_back(text->get());
+            } else {
+                are_all_texts = false;
+            }
         }
-    if (sound && !words.empty()) return words;
-    problems.push_back({node.source().begin.line, key, "is a text or a list of texts, not an empty one"});
+    }
+    if (are_all_texts && !words.empty()) return words;
+    problems.push_back({node.source().begin.line, key, "is a text or a list of texts, not an empty one",
+                        ProblemReason::wrong_type});
     return {};
 }
 
-std::string manual_line(const std::string& name, Unit unit, const std::string& fallback, double least,
-                        double most, const std::vector<std::string>& allowed, const std::string& about) {
-    std::string range;
-    if (!allowed.empty())
-        range = "one of " + joined(allowed);
-    else if (unit != Unit::word && unit != Unit::words && unit != Unit::flag)
-        range = std::string(unit_text(unit)) + ", " + range_text(least, most, unit);
-    else
-        range = unit_text(unit);
-    return "  " + name + std::string(name.size() < 18 ? 18 - name.size() : 1, ' ') + about + "\n" +
-           std::string(20, ' ') + "(" + range + "; " + fallback + ")\n";
+std::optional<bool> read_flag(const toml::node& node, const std::string& key, Problems& problems) {
+    if (const auto* value = node.as_boolean()) return value->get();
+    problems.push_back({node.source().begin.line, key, "is true or false", ProblemReason::wrong_type});
+    return {};
 }
 
-void unknown_key(const toml::key& key, const std::string& where, const std::vector<std::string>& known,
-                 Problems& problems) {
-    const std::string name(key.str());
-    const std::string close = did_you_mean(name, known);
-    problems.push_back({key.source().begin.line, (where.empty() ? "" : where + ".") + name,
-                        "is not a key here" + (close.empty() ? "; there are " + joined(known)
-                                                             : "; did you mean '" + close + "'?")});
+std::string manual_entry(const std::string& name, Unit unit, const Range& range,
+                         const std::vector<std::string>& allowed_words, const std::string& default_text,
+                         const std::string& description) {
+    std::string allowed = unit_text(unit);
+    if (!allowed_words.empty()) {
+        allowed = "one of " + joined(allowed_words);
+    } else if (has_range(unit)) {
+        allowed += ", " + range_text(range, unit);
+    }
+    const std::size_t padding = name.size() < kManualNameWidth ? kManualNameWidth - name.size() : 1;
+    std::string entry =
+        std::string(kManualIndent, ' ') + name + std::string(padding, ' ') + description + "\n";
+    entry += std::string(kManualIndent + kManualNameWidth, ' ') + "(" + allowed + "; " + default_text + ")\n";
+    return entry;
 }
 
 }  // namespace detail
--- a/src/schema/toml.hpp
+++ b/src/schema/toml.hpp
@@ -1,8 +1,9 @@
-// toml++ as this program reads files with it: the one place that includes it.
-//
-// Its parser asserts on some text that is not TOML ("[[[") before it tells of the error in good order. A file
-// that a person wrote wrongly must not end the process, also where assertions are on, as in CI's sanitized
-// build. This takes the library's own assertions out and leaves all others.
+/// @file
+/// toml++ as this program reads files with it: the one place that includes it.
+///
+/// Its parser asserts on some text that is not TOML ("[[[") before it reports the error as an exception. A
+/// file that a person wrote wrongly must not end the process, also where assertions are on, as in CI's
+/// sanitized build. This takes the library's own assertions out and leaves all others.
 #pragma once
 
 #ifdef TOMLPLUSPLUS_H
--- a/tests/operator/operator_file_test.cpp
+++ b/tests/operator/operator_file_test.cpp
@@ -1,3 +1,4 @@
+// The operator's file: its defaults, and what is reported of a wrong one.
 #include "operator/operator_file.hpp"
 
 #include <gtest/gtest.h>
@@ -5,13 +6,13 @@
 namespace elmbay {
 namespace {
 
-TEST(OperatorFile, SaysNothingAndAllIsAsItWas) {
+TEST(OperatorFile, UsesDefaultsForEmptyFile) {
     schema::Problems problems;
     EXPECT_TRUE(parse_operator_file("", problems).state.folder.empty());
     EXPECT_TRUE(problems.empty());
 }
 
-TEST(OperatorFile, IsRead) {
+TEST(OperatorFile, ReadsKeysOfATable) {
     schema::Problems problems;
     const OperatorFile file =
         parse_operator_file("[state]\nfolder = \"/var/lib/elmbay\"\nevery = \"500ms\"\n", problems);
@@ -20,7 +21,7 @@
     EXPECT_EQ(file.state.every, 500);
 }
 
-TEST(OperatorFile, EveryProblemIsToldWithItsLineAndKey) {
+TEST(OperatorFile, ReportsEveryProblemWithItsLineAndKey) {
     schema::Problems problems;
     parse_operator_file("[state]\nfoldr = \"x\"\nevery = \"1ms\"\n[stat]\n", problems);
     ASSERT_EQ(problems.size(), 3U);
@@ -28,6 +29,9 @@
     for (const char* part :
          {"elmbay.toml:2: state.foldr", "folder", "elmbay.toml:3: state.every", "elmbay.toml:4: stat"})
         EXPECT_NE(text.find(part), std::string::npos) << text;
+    EXPECT_EQ(problems[0].reason, schema::ProblemReason::unknown_key);
+    EXPECT_EQ(problems[1].reason, schema::ProblemReason::out_of_range);
+    EXPECT_EQ(problems[2].reason, schema::ProblemReason::unknown_key);
     for (const char* wrong : {"[state\n", "state = 3\n"}) {
         problems.clear();
         parse_operator_file(wrong, problems);
@@ -36,7 +40,8 @@
     for (const char* unreadable : {"/nonexistent/file.toml", "/"}) {
         problems.clear();
         read_operator_file(unreadable, problems);
-        EXPECT_EQ(problems.size(), 1U) << unreadable;
+        ASSERT_EQ(problems.size(), 1U) << unreadable;
+        EXPECT_EQ(problems[0].reason, schema::ProblemReason::unreadable) << unreadable;
     }
 }
 
--- a/tests/schema/schema_test.cpp
+++ b/tests/schema/schema_test.cpp
@@ -4,12 +4,13 @@
 #include <gtest/gtest.h>
 
 #include <string>
+#include <utility>
 #include <vector>
 
 namespace elmbay::schema {
 namespace {
 
-TEST(Schema, Durations) {
+TEST(Schema, ParsesDurationsWithUnit) {
     EXPECT_EQ(parse_duration("250ms"), 250);
     EXPECT_EQ(parse_duration("1.5s"), 1500);
     EXPECT_EQ(parse_duration("2m"), 120000);
@@ -18,7 +19,7 @@
         EXPECT_FALSE(parse_duration(wrong)) << wrong;
 }
 
-TEST(Schema, SharesAndSizes) {
+TEST(Schema, ParsesSharesAndSizes) {
     EXPECT_EQ(parse_share("25%"), 0.25);
     EXPECT_EQ(parse_share("0.25"), 0.25);
     EXPECT_FALSE(parse_share("25 %"));
@@ -27,16 +28,67 @@
     EXPECT_FALSE(parse_size("64KB"));
 }
 
-TEST(Schema, GuessesOnlyWhatIsClose) {
+TEST(Schema, SuggestsOnlyCloseWords) {
     const std::vector<std::string> known{"servers", "cores", "slots"};
     EXPECT_EQ(did_you_mean("sever", known), "servers");
     EXPECT_EQ(did_you_mean("slot", known), "slots");
     EXPECT_EQ(did_you_mean("watermark", known), "");
 }
 
+struct Sample {
+    double share = 0.5;
+    std::uint64_t count = 7;
+    bool enabled = false;
+    std::string mode = "fast";
+    std::vector<std::string> names;
+};
+
+const std::vector<Key<Sample>> kSampleKeys{
+    {"share", Unit::share, &Sample::share, "0.5", "a part", 0, 1},
+    {"count", Unit::count, &Sample::count, "7", "how many"},
+    {"enabled", Unit::flag, &Sample::enabled, "false", "whether"},
+    {"mode", Unit::word, &Sample::mode, "fast", "how", 0, 0, {"fast", "slow"}, true},
+    {"names", Unit::words, &Sample::names, "[]", "of whom"}};
+
+// Reads a table of one line, and the reasons of its problems.
+std::vector<ProblemReason> reasons_of(const std::string& text, Sample& sample) {
+    Problems problems;
+    read_table(toml::parse(text), "sample", kSampleKeys, sample, problems);
+    std::vector<ProblemReason> reasons;
+    for (const Problem& problem : problems) reasons.push_back(problem.reason);
+    return reasons;
+}
+
+TEST(Schema, FillsMembersFromTableAndKeepsDefaultsOfMissingKeys) {
+    Sample sample;
+    EXPECT_TRUE(reasons_of("share = \"25%\"\nmode = \"slow\"\nnames = [\"a\", \"b\"]", sample).empty());
+    EXPECT_EQ(sample.share, 0.25);
+    EXPECT_EQ(sample.count, 7U);
+    EXPECT_EQ(sample.mode, "slow");
+    EXPECT_EQ(sample.names, (std::vector<std::string>{"a", "b"}));
+}
+
+TEST(Schema, ReportsReasonOfEachProblemAndKeepsDefault) {
+    const std::vector<std::pair<std::string, ProblemReason>> wrong{
+        {"mode = \"fast\"\nshares = 1", ProblemReason::unknown_key},
+        {"share = 1", ProblemReason::missing_key},
+        {"mode = \"fast\"\nshare = true", ProblemReason::wrong_type},
+        {"mode = \"fast\"\ncount = 1.5", ProblemReason::wrong_type},
+        {"mode = \"fast\"\nenabled = 1", ProblemReason::wrong_type},
+        {"mode = \"fast\"\nnames = []", ProblemReason::wrong_type},
+        {"mode = \"fast\"\nshare = \"200%\"", ProblemReason::out_of_range},
+        {"mode = \"fats\"", ProblemReason::unknown_word}};
+    for (const auto& [text, reason] : wrong) {
+        Sample sample;
+        EXPECT_EQ(reasons_of(text, sample), std::vector<ProblemReason>{reason}) << text;
+        EXPECT_EQ(sample.count, 7U) << text;
+        EXPECT_EQ(sample.mode, "fast") << text;
+    }
+}
+
 // Every text of up to four of these characters is either TOML or told to be none. With the library's
 // assertions on some of them ("[[[") ended the process.
-TEST(Schema, TextThatIsNotTomlNeverEndsTheProcess) {
+TEST(Schema, ReportsAnyTextThatIsNotTomlAsException) {
     const std::string characters = "[]{}=.,\"'#-\n 1a";
     std::size_t tables = 0, errors = 0;
     const auto look = [&](const std::string& text) {
