--- a/src/base/failpoints.hpp
+++ b/src/base/failpoints.hpp
@@ -1,6 +1,8 @@
-// Faults planted on purpose, to prove that the tests of many processes find them. Only a build with
-// ELMBAY_FAILPOINTS (tests/process_testbed's own) knows any; in every other failpoint_enabled() is false for
-// the compiler.
+/// @file
+/// Failpoints: faults in the program itself, to prove that the tests of many processes find them.
+///
+/// Only a build with ELMBAY_FAILPOINTS (tests/process_testbed's own) has any. In every other build
+/// failpoint_enabled() is a constant false, and the compiler removes what it guards.
 #pragma once
 
 #ifdef ELMBAY_FAILPOINTS
@@ -11,12 +13,14 @@
 namespace elmbay {
 
 #ifdef ELMBAY_FAILPOINTS
-inline bool failpoint_enabled(std::string_view which) {
-    static const char* const chosen = std::getenv("ELMBAY_PLANT");
-    return chosen && which == chosen;
+/// Whether the environment variable ELMBAY_PLANT names this failpoint. It is read once.
+inline bool failpoint_enabled(std::string_view name) {
+    static const char* const enabled_name = std::getenv("ELMBAY_PLANT");
+    return enabled_name && name == enabled_name;
 }
 #else
-constexpr bool failpoint_enabled(const char*) { return false; }
+/// Never: this build has no failpoints.
+constexpr bool failpoint_enabled(const char* /*name*/) { return false; }
 #endif
 
 }  // namespace elmbay
--- a/src/base/socket_failures.hpp
+++ b/src/base/socket_failures.hpp
@@ -1,4 +1,5 @@
-// Whose failure an error of accept(), socket() or connect() is: that decides what helps.
+/// @file
+/// Classifies errors of accept(), socket() and connect() by whose failure they are: that decides what helps.
 #pragma once
 
 #include <boost/system/error_code.hpp>
@@ -6,14 +7,15 @@
 
 namespace elmbay {
 
+/// Whose failure an error is.
 enum class SocketFailure {
-    own_descriptors,  // this process may open no more: closing one of its own helps
-    machine,          // tables, buffers, ports or routes of the whole machine: only time helps
-    connection,       // this connection's own: the next one is not concerned
+    own_descriptors,  ///< this process may open no more: closing one of its own helps
+    machine,          ///< tables, buffers, ports or routes of the whole machine: only time helps
+    connection,       ///< this connection's own: the next one is not concerned
 };
 
-// accept(2): errors that are pending on the new connection are told by the call, and it is to be tried again.
-// A firewall's refusal (EPERM), an interrupted call and what is not known are taken likewise.
+/// Of accept(2). The call reports errors that are pending on the new connection as its own; it is to be made
+/// again. A firewall's refusal (EPERM), an interrupted call and an error that is not known count likewise.
 inline SocketFailure accept_failure(const boost::system::error_code& error) {
     switch (error.value()) {
         case EMFILE:
@@ -28,7 +30,7 @@
     }
 }
 
-// While a connection is opened. EAGAIN and EADDRNOTAVAIL: no local port is free (connect(2), ip(7)).
+/// Of opening a connection: socket(2) and connect(2).
 inline SocketFailure connect_failure(const boost::system::error_code& error) {
     switch (error.value()) {
         case EMFILE:
@@ -37,8 +39,8 @@
         case ENOBUFS:
         case ENOMEM:
         case ENOSPC:
-        case EAGAIN:
-        case EADDRNOTAVAIL:
+        case EAGAIN:         // no local port is free, connect(2)
+        case EADDRNOTAVAIL:  // the same, ip(7)
         case ENETDOWN:
         case ENETUNREACH:
             return SocketFailure::machine;
--- a/src/base/stream_socket.hpp
+++ b/src/base/stream_socket.hpp
@@ -1,10 +1,12 @@
-// Stream sockets that stay right where Linux lets a system call do less than it was asked, or interrupts it.
-//
-// Asio registers descriptors edge-triggered. After a send that took only a part it waits for the next edge of
-// EPOLLOUT before it sends again, and while the socket's buffer has room none comes: async_write() hangs. Its
-// blocking-style read_some(), write_some() and connect() pass EINTR on as if the connection had failed.
-// StreamSocket replaces these calls and leaves all others as they are, so that asio::async_write(), Beast's
-// HTTP writers and WebSocket streams work on it unchanged.
+/// @file
+/// Stream sockets that stay correct where Linux lets a system call do less than it was asked, or interrupts
+/// it.
+///
+/// Asio registers descriptors edge-triggered. After a send that took only a part it waits for the next edge
+/// of EPOLLOUT before it sends again, and while the socket's buffer has space none comes: async_write()
+/// hangs. Its blocking-style read_some(), write_some() and connect() pass EINTR on as if the connection had
+/// failed. StreamSocket replaces these calls and leaves all others as they are, so that asio::async_write(),
+/// Beast's HTTP writers and WebSocket streams work on it unchanged.
 #pragma once
 
 #include <poll.h>
@@ -19,23 +21,30 @@
 #include <boost/asio/post.hpp>
 #include <boost/system/system_error.hpp>
 #include <cerrno>
+#include <cstddef>
 #include <utility>
 
 namespace elmbay {
 
-// A call that is interrupted is made again so often; signals don't come in such rows. After that the socket
-// counts as not ready, and the loop comes back to it.
+/// How often a call that a signal interrupts is made again; signals don't come in such numbers. After that
+/// the socket counts as not ready, and the event loop comes back to it.
 constexpr int kMaxInterruptions = 64;
 
-// The call's result; EAGAIN once it has been interrupted kMaxInterruptions times.
+/// Makes a system call until no signal interrupts it.
+/// @return the call's result; -1 with errno EAGAIN once it has been interrupted kMaxInterruptions times
 template <class Call>
 auto uninterrupted(Call call) {
-    for (int i = 0; i < kMaxInterruptions; ++i)
-        if (const auto result = call(); result >= 0 || errno != EINTR) return result;
+    for (int i = 0; i < kMaxInterruptions; ++i) {
+        const auto result = call();
+        if (result >= 0 || errno != EINTR) return result;
+    }
     errno = EAGAIN;
     return decltype(call())(-1);
 }
 
+/// A stream socket of Asio, with the calls replaced that the file's comment names. Used like its base, and
+/// not thread-safe like it. The calls with an error argument do not throw; those without one throw
+/// boost::system::system_error.
 template <class Protocol>
 class StreamSocket : public boost::asio::basic_stream_socket<Protocol> {
     using Base = boost::asio::basic_stream_socket<Protocol>;
@@ -44,40 +53,48 @@
 public:
     using Base::Base;
     using typename Base::endpoint_type;
+
+    /// Takes over a socket that an acceptor has made. Implicit, as accept handlers pass the base type.
     StreamSocket(Base&& accepted) : Base(std::move(accepted)) {}
 
-    // On a non-blocking socket: would_block where nothing has come, or where signals let nothing through.
+    /// Reads what is there. On a non-blocking socket: would_block where nothing has come, or where signals
+    /// interrupt every try.
+    /// @return bytes read
     template <class Buffers>
     std::size_t read_some(const Buffers& buffers, Error& error) {
         for (int i = 0; i < kMaxInterruptions; ++i) {
-            const std::size_t got = Base::read_some(buffers, error);
-            if (error != boost::asio::error::interrupted) return got;
+            const std::size_t received = Base::read_some(buffers, error);
+            if (error != boost::asio::error::interrupted) return received;
         }
         error = boost::asio::error::would_block;
         return 0;
     }
 
+    /// The same; throws.
     template <class Buffers>
     std::size_t read_some(const Buffers& buffers) {
         Error error;
-        const std::size_t got = read_some(buffers, error);
+        const std::size_t received = read_some(buffers, error);
         if (error) throw boost::system::system_error(error);
-        return got;
+        return received;
     }
 
-    // Never blocks, whatever the socket's mode is.
+    /// Sends what the socket takes at once: would_block where that is nothing. Never blocks, whatever the
+    /// socket's mode is.
+    /// @return bytes sent
     template <class Buffers>
     std::size_t write_some(const Buffers& buffers, Error& error) {
-        std::array<iovec, kMaxParts> parts{};
+        std::array<iovec, kMaxBuffers> parts{};
         msghdr message{};
         message.msg_iov = parts.data();
         std::size_t size = 0;
         const auto end = boost::asio::buffer_sequence_end(buffers);
-        for (auto at = boost::asio::buffer_sequence_begin(buffers); at != end; ++at) {
+        for (auto buffer = boost::asio::buffer_sequence_begin(buffers); buffer != end; ++buffer) {
             if (message.msg_iovlen == parts.size()) break;
-            const boost::asio::const_buffer part(*at);
+            const boost::asio::const_buffer part(*buffer);
             if (part.size() == 0) continue;
-            parts[message.msg_iovlen++] = {const_cast<void*>(part.data()), part.size()};
+            parts[message.msg_iovlen] = {const_cast<void*>(part.data()), part.size()};
+            ++message.msg_iovlen;
             size += part.size();
         }
         error = {};
@@ -90,6 +107,7 @@
         return 0;
     }
 
+    /// The same; throws.
     template <class Buffers>
     std::size_t write_some(const Buffers& buffers) {
         Error error;
@@ -98,73 +116,84 @@
         return sent;
     }
 
-    // Sends at once what the socket takes; where it takes nothing, as soon as it does. One send for each
-    // call: a long message goes round the loop between its parts, so that others have their turn.
+    /// Sends at once what the socket takes; where it takes nothing, as soon as it does. Completes after one
+    /// send: a long message goes through the event loop between its parts, so that other connections have
+    /// their turn. The handler is called as handler(error, bytes sent), never from within this call.
     template <class Buffers, class Token>
     auto async_write_some(const Buffers& buffers, Token&& token) {
-        return boost::asio::async_compose<Token, void(Error, std::size_t)>(Write<Buffers>{*this, buffers},
-                                                                           token, *this);
+        return boost::asio::async_compose<Token, void(Error, std::size_t)>(
+            WriteOperation<Buffers>{*this, buffers}, token, *this);
     }
 
-    // Opens the socket if it is not open. An interrupted connect goes on without its caller (connect(2)): it
-    // is waited for like any other.
+    /// Connects; opens the socket if it is not open. An interrupted connect goes on without its caller
+    /// (connect(2)), and is waited for like any other. The handler is called as handler(error), never from
+    /// within this call.
     template <class Token>
     auto async_connect(const endpoint_type& peer, Token&& token) {
-        return boost::asio::async_compose<Token, void(Error)>(Connect{*this, peer}, token, *this);
+        return boost::asio::async_compose<Token, void(Error)>(ConnectOperation{*this, peer}, token, *this);
     }
 
 private:
-    static constexpr std::size_t kMaxParts = 64;  // as many as Asio sends at a time
+    /// Buffers of one send; as many as Asio sends at a time.
+    static constexpr std::size_t kMaxBuffers = 64;
 
     static Error last_error() { return {errno, boost::system::system_category()}; }
 
-    enum class Step { begin, wait, told };
+    /// Of an operation below.
+    enum class Step {
+        start,      ///< nothing has been tried
+        waiting,    ///< for the socket to become writable
+        completing  ///< the result is known, and on its way to the handler through the event loop
+    };
 
+    /// The state of async_write_some(), which boost::asio calls again after each wait.
     template <class Buffers>
-    struct Write {
+    struct WriteOperation {
         StreamSocket& socket;
         Buffers buffers;
-        Step step = Step::begin;
+        Step step = Step::start;
         Error result{};
         std::size_t sent = 0;
 
         template <class Self>
         void operator()(Self& self, Error error = {}) {
-            if (step == Step::told) return self.complete(result, sent);
+            if (step == Step::completing) return self.complete(result, sent);
             if (!error) sent = socket.write_some(buffers, error);
             if (error == boost::asio::error::would_block) {
-                step = Step::wait;
-                // Arms the descriptor anew: one that is writable already is told at once.
+                step = Step::waiting;
+                // Arms the descriptor anew: for one that is writable already the wait ends at once.
                 return socket.async_wait(Base::wait_write, std::move(self));
             }
-            if (step == Step::wait) return self.complete(error, sent);
+            if (step == Step::waiting) return self.complete(error, sent);
             result = error;
-            step = Step::told;
+            step = Step::completing;
             boost::asio::post(socket.get_executor(), std::move(self));  // never from within the call
         }
     };
 
-    struct Connect {
+    /// The state of async_connect().
+    struct ConnectOperation {
         StreamSocket& socket;
         endpoint_type peer;
-        Step step = Step::begin;
+        Step step = Step::start;
         Error result{};
 
         template <class Self>
         void operator()(Self& self, Error error = {}) {
-            if (step == Step::told) return self.complete(result);
-            if (!error) error = step == Step::begin ? socket.begin_connect(peer) : socket.connected();
+            if (step == Step::completing) return self.complete(result);
+            if (!error) error = step == Step::start ? socket.begin_connect(peer) : socket.connect_result();
             if (error == boost::asio::error::in_progress) {
-                step = Step::wait;
+                step = Step::waiting;
                 return socket.async_wait(Base::wait_write, std::move(self));
             }
-            if (step == Step::wait) return self.complete(error);
+            if (step == Step::waiting) return self.complete(error);
             result = error;
-            step = Step::told;
-            boost::asio::post(socket.get_executor(), std::move(self));
+            step = Step::completing;
+            boost::asio::post(socket.get_executor(), std::move(self));  // never from within the call
         }
     };
 
+    // Returns no error for a socket that is connected, in_progress where it has to be waited for.
     Error begin_connect(const endpoint_type& peer) {
         Error error;
         if (!this->is_open()) this->open(peer.protocol(), error);
@@ -174,24 +203,28 @@
         const int result = uninterrupted(
             [&] { return ::connect(socket, peer.data(), static_cast<socklen_t>(peer.size())); });
         if (result == 0 || errno == EISCONN) return {};
-        // EALREADY: an interrupted call has begun it.
-        return errno == EALREADY ? Error(boost::asio::error::in_progress) : last_error();
+        const bool interrupted_call_has_begun_it = errno == EALREADY;
+        if (interrupted_call_has_begun_it) return boost::asio::error::in_progress;
+        return last_error();
     }
 
-    // What became of a connect that was in progress.
-    Error connected() {
+    // What became of a connect that was in progress; in_progress if it still is.
+    Error connect_result() {
         const int socket = this->native_handle();
         int failure = 0;
         socklen_t size = sizeof failure;
         if (::getsockopt(socket, SOL_SOCKET, SO_ERROR, &failure, &size) != 0) return last_error();
         if (failure != 0) return {failure, boost::system::system_category()};
-        pollfd look{socket, POLLOUT, 0};
-        const int ready = ::poll(&look, 1, 0);
-        if (ready <= 0) return boost::asio::error::in_progress;  // woken for nothing
-        return look.revents & POLLHUP ? Error(boost::asio::error::not_connected) : Error();
+        pollfd poll_entry{socket, POLLOUT, 0};
+        const int ready = ::poll(&poll_entry, 1, 0);
+        const bool is_spurious_wakeup = ready <= 0;
+        if (is_spurious_wakeup) return boost::asio::error::in_progress;
+        const bool has_hung_up = (poll_entry.revents & POLLHUP) != 0;
+        return has_hung_up ? Error(boost::asio::error::not_connected) : Error();
     }
 };
 
+/// A TCP connection.
 using TcpSocket = StreamSocket<boost::asio::ip::tcp>;
 
 }  // namespace elmbay
--- a/src/base/timing.hpp
+++ b/src/base/timing.hpp
@@ -1,4 +1,5 @@
-// Time for the sidecar: one clock and one queue of timers.
+/// @file
+/// Time for the event loop: the machine's clocks, and one queue of timers.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -13,98 +14,128 @@
 namespace elmbay {
 
 namespace asio = boost::asio;
+
 /// Milliseconds, as in the decisions' interface (elmbay/balancer.hpp).
 using Millis = double;
 
-// The machine's two clocks, apart.
-//
-// now() is monotonic: all deadlines, waits, windows and graces are spans of it. It is offset once, so that it
-// is near Unix time at the start and no time of 0 can be a recent one; after a step of the wall clock it no
-// longer is, and it must not be compared with what other machines tell.
-// wall() is Unix time as the machine has it at that moment. It may be stepped, forward or back, at any time;
-// docs/design/clocks.md lists what it is used for.
+/// The machine's monotonic clock and its wall clock, kept apart.
+///
+/// All deadlines, waits, windows and grace periods are differences of now(). The wall clock may be stepped,
+/// forward or back, at any time; docs/design/clocks.md lists the few uses of it.
+///
+/// Immutable after construction, so safe to read from any thread if the wall clock function is.
 class Clock {
 public:
     using Steady = std::chrono::steady_clock;
-    using WallTime = std::function<Millis()>;  // Unix milliseconds
+    /// Returns Unix time in milliseconds.
+    using WallTime = std::function<Millis()>;
 
-    // wall: another wall clock than the machine's, for tests that step it.
+    /// @param wall the wall clock; another one than the machine's is for tests that step it
     explicit Clock(WallTime wall = machine_wall_time)
-        : wall_(std::move(wall)), offset_(wall_() - millis(Steady::now().time_since_epoch())) {}
-    // off: by which the wall clock differs from the machine's, for tests.
-    explicit Clock(Millis off) : Clock([off] { return machine_wall_time() + off; }) {}
+        : wall_(std::move(wall)), offset_(wall_() - to_millis(Steady::now().time_since_epoch())) {}
+
+    /// @param wall_offset milliseconds by which the wall clock is ahead of the machine's, for tests
+    explicit Clock(Millis wall_offset) : Clock([wall_offset] { return machine_wall_time() + wall_offset; }) {}
+
+    /// Monotonic time, in milliseconds. It is near Unix time at the start, so that 0 is never a recent time.
+    /// It drifts from Unix time when the wall clock is stepped, and must not be compared with times of other
+    /// machines.
+    Millis now() const { return offset_ + to_millis(Steady::now().time_since_epoch()); }
 
-    Millis now() const { return offset_ + millis(Steady::now().time_since_epoch()); }
+    /// Unix time as the machine has it at this moment, in milliseconds.
     Millis wall() const { return wall_(); }
+
+    /// A time of now() as the standard library has it, for timers of the system.
     Steady::time_point steady(Millis at) const {
-        return Steady::time_point(std::chrono::duration_cast<Steady::duration>(
-            std::chrono::duration<double, std::milli>(at - offset_)));
+        const std::chrono::duration<double, std::milli> since_epoch(at - offset_);
+        return Steady::time_point(std::chrono::duration_cast<Steady::duration>(since_epoch));
     }
 
 private:
-    template <class D>
-    static Millis millis(D span) {
-        return std::chrono::duration<double, std::milli>(span).count();
+    template <class Duration>
+    static Millis to_millis(Duration duration) {
+        return std::chrono::duration<double, std::milli>(duration).count();
     }
 
-    static Millis machine_wall_time() { return millis(std::chrono::system_clock::now().time_since_epoch()); }
+    static Millis machine_wall_time() {
+        return to_millis(std::chrono::system_clock::now().time_since_epoch());
+    }
 
     WallTime wall_;
-    Millis offset_;
+    Millis offset_;  // milliseconds from the monotonic clock's epoch to that of now()
 };
 
-// All timers of the process behind one system timer. A callback runs at its time or after, never before, in
-// order of time and then of setting.
+/// All timers of the process behind one timer of the system.
+///
+/// A callback runs at its time or after, never before, in order of time and then of setting. It may set and
+/// cancel timers. An exception of a callback goes on to the event loop's caller; the other timers still run.
+///
+/// Not thread-safe: for the event loop's thread. Setting and cancelling take logarithmic time.
 class TimerQueue {
 public:
-    using Key = std::pair<Millis, std::uint64_t>;  // {0, 0} names no timer
+    /// Names a timer: its time and a number. {0, 0} names none.
+    using Key = std::pair<Millis, std::uint64_t>;
 
-    TimerQueue(asio::io_context& io, const Clock& clock) : timer_(io), clock_(clock) {}
+    /// Both must outlive this.
+    TimerQueue(asio::io_context& io, const Clock& clock) : system_timer_(io), clock_(clock) {}
 
-    Key set(Millis at, std::function<void()> run) {
-        const Key key{at, ++last_};
-        waiting_.emplace(key, std::move(run));
-        if (armed_ == 0 || at < armed_) arm();
+    /// @param at on the clock of Clock::now(); a time that has passed is due at once, but never within this
+    /// call
+    Key set(Millis at, std::function<void()> callback) {
+        const Key key{at, ++last_number_};
+        waiting_.emplace(key, std::move(callback));
+        const bool is_earliest = armed_at_ == kNotArmed || at < armed_at_;
+        if (is_earliest) arm();
         return key;
     }
-    // Takes the timer back, if it has not run, and makes the key name none.
+
+    /// Withdraws a timer, if it has not run, and makes the key name none.
     void cancel(Key& key) {
         waiting_.erase(key);
         key = {};
     }
+
+    /// Withdraws all timers.
     void clear() {
         waiting_.clear();
-        timer_.cancel();
+        system_timer_.cancel();
     }
 
 private:
+    static constexpr Millis kNotArmed = 0;
+    /// Added to the system timer, so that rounding to its resolution never makes it early.
+    static constexpr std::chrono::microseconds kRoundingMargin{1};
+
+    // Sets the system timer to the earliest timer, if there is one.
     void arm() {
-        armed_ = waiting_.empty() ? 0 : waiting_.begin()->first.first;
-        if (armed_ == 0) return;
-        timer_.expires_at(clock_.steady(armed_) + std::chrono::microseconds(1));
-        timer_.async_wait([this](boost::system::error_code error) {
-            if (!error) fire();
+        armed_at_ = waiting_.empty() ? kNotArmed : waiting_.begin()->first.first;
+        if (armed_at_ == kNotArmed) return;
+        system_timer_.expires_at(clock_.steady(armed_at_) + kRoundingMargin);
+        system_timer_.async_wait([this](boost::system::error_code error) {
+            if (!error) run_due();
         });
     }
-    void fire() {
-        // Also when a callback throws: main goes on after that, and without this no timer would ever fire
+
+    void run_due() {
+        // Also when a callback throws: main goes on after that, and without this no timer would ever run
         // again.
-        const std::unique_ptr<TimerQueue, void (*)(TimerQueue*)> rearm(this, [](TimerQueue* q) { q->arm(); });
-        // Only what was due on entry: callbacks that set timers for at once must not keep the loop here.
+        const std::unique_ptr<TimerQueue, void (*)(TimerQueue*)> rearm(
+            this, [](TimerQueue* queue) { queue->arm(); });
+        // Only what is due on entry: callbacks that set timers for at once must not keep the loop here.
         const Millis now = clock_.now();
         while (!waiting_.empty() && waiting_.begin()->first.first <= now) {
-            const auto run = std::move(waiting_.begin()->second);
+            const auto callback = std::move(waiting_.begin()->second);
             waiting_.erase(waiting_.begin());
-            armed_ = now;  // no callback needs to arm while this loop runs
-            run();
+            armed_at_ = now;  // no callback needs to arm the timer while this loop runs
+            callback();
         }
     }
 
-    asio::steady_timer timer_;
+    asio::steady_timer system_timer_;
     const Clock& clock_;
     std::map<Key, std::function<void()>> waiting_;
-    std::uint64_t last_ = 0;
-    Millis armed_ = 0;  // when the system timer goes off; 0: it is not set
+    std::uint64_t last_number_ = 0;
+    Millis armed_at_ = kNotArmed;  // when the system timer goes off
 };
 
 }  // namespace elmbay
--- a/src/base/visitor.hpp
+++ b/src/base/visitor.hpp
@@ -1,13 +1,18 @@
-// One visitor of a variant out of several lambdas.
+/// @file
+/// Makes one visitor of a std::variant out of several lambdas.
 #pragma once
 
 namespace elmbay::balancer {
 
-template <class... Ts>
-struct Visitor : Ts... {
-    using Ts::operator()...;
+/// std::visit(Visitor{[](const A&) {...}, [](const B&) {...}}, variant): a lambda for each alternative, and a
+/// missing one does not compile.
+template <class... Handlers>
+struct Visitor : Handlers... {
+    using Handlers::operator()...;
 };
-template <class... Ts>
-Visitor(Ts...) -> Visitor<Ts...>;
+
+/// Deduces the lambdas' types. (C++20 does it for aggregates on its own, but not every compiler yet.)
+template <class... Handlers>
+Visitor(Handlers...) -> Visitor<Handlers...>;
 
 }  // namespace elmbay::balancer
