--- a/src/cluster/driver.hpp
+++ b/src/cluster/driver.hpp
@@ -1,6 +1,7 @@
-// The thin driver round Membership: one UDP socket, one timer. It trusts no datagram: its source must be a
-// peer's address before it is read, and so many are read in a turn of the loop that a flood costs requests
-// nothing.
+/// @file
+/// The thin driver round Membership: one UDP socket, one timer. It trusts no datagram: its source must be a
+/// peer's address before it is read, and the number that is read in a turn of the event loop is bounded, so
+/// that a flood of them does not delay requests.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -26,6 +27,7 @@
     /// comes.
     static constexpr Millis kPause = 2;
 
+    /// What the configuration says.
     struct Setup {
         PeerAddress listen;
         std::vector<PeerAddress> peers;  ///< by id, this one's own among them
@@ -34,10 +36,10 @@
         std::uint64_t seed = 1;          ///< of all random choices
         Millis period = 1000;            ///< between two probes
     };
-    /// Called from the loop, after what they tell of has happened.
+    /// Called from the event loop, after the change.
     struct Handlers {
         std::function<void(std::uint32_t)> siblings;  ///< another number than before
-        std::function<void(const Change&)> changed;   ///< one member is held for something else
+        std::function<void(const Change&)> changed;   ///< one member has another state
     };
     /// Listens at once.
     /// @throws boost::system::system_error if it can't listen.
@@ -71,7 +73,8 @@
     TimerQueue::Key wake_timer_{};
     TimerQueue::Key pause_timer_{};
     std::uint32_t siblings_;
-    std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // for what the loop still holds of it
+    // False after the destructor: for handlers that the event loop still holds.
+    std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
 }  // namespace elmbay::cluster
--- a/src/cluster/gossip_queue.cpp
+++ b/src/cluster/gossip_queue.cpp
@@ -12,7 +12,7 @@
     transmissions_[id] = 0;
 }
 
-void GossipQueue::note_told_by_other(MemberId id) {
+void GossipQueue::count_transmission_by_other(MemberId id) {
     if (transmissions_[id] != kNoNews) ++transmissions_[id];
 }
 
@@ -23,12 +23,13 @@
 
 std::vector<MemberId> GossipQueue::take(const Selection& selection) {
     if (queue_.size() > Message::kMaxUpdates) {
-        std::partial_sort(queue_.begin(), queue_.begin() + Message::kMaxUpdates, queue_.end(),
-                          [this](MemberId a, MemberId b) { return transmissions_[a] < transmissions_[b]; });
+        std::partial_sort(
+            queue_.begin(), queue_.begin() + Message::kMaxUpdates, queue_.end(),
+            [this](MemberId left, MemberId right) { return transmissions_[left] < transmissions_[right]; });
     }
     std::vector<MemberId> taken;
     for (const MemberId id : queue_) {
-        if (taken.size() >= selection.room) break;
+        if (taken.size() >= selection.max_updates) break;
         if (id == selection.receiver && selection.skip_receiver) continue;
         if (selection.only && id != *selection.only) continue;
         taken.push_back(id);
--- a/src/cluster/incarnation_clock.hpp
+++ b/src/cluster/incarnation_clock.hpp
@@ -1,5 +1,6 @@
-// Incarnation counters from the wall clock at the start of the process, and how far ahead of it one is
-// believed.
+/// @file
+/// Incarnation counters from the wall clock at the start of the process, and how far ahead of it a counter is
+/// plausible.
 #pragma once
 
 #include <algorithm>
@@ -18,8 +19,8 @@
 public:
     /// 2024-01-01, in Unix milliseconds.
     static constexpr Millis kEpoch = 1704067200000;
-    /// A day, in tenths of a second. A counter so far ahead of this process's own clock is a lie, or comes
-    /// from a clock that is a day off, and is not believed: answering it would leave no room above it.
+    /// A day, in tenths of a second. A counter so far ahead of this process's own clock is forged, or
+    /// comes from a clock that is a day off, and is ignored: a refutation of it could leave no counter above.
     static constexpr std::uint32_t kMaxClockAhead = 864000;
 
     /// @param now        monotonic milliseconds.
@@ -28,12 +29,12 @@
 
     /// @return the counter of a process that starts now: at least 1.
     std::uint32_t first_counter() const { return clamped(tenths_at(started_)); }
-    /// @return the highest counter that is believed of anybody at monotonic time `now`.
-    std::uint32_t highest_believed(Millis now) const { return clamped(tenths_at(now) + kMaxClockAhead); }
+    /// @return the highest counter that is accepted of any member at monotonic time `now`.
+    std::uint32_t max_plausible_counter(Millis now) const { return clamped(tenths_at(now) + kMaxClockAhead); }
 
 private:
     static constexpr Millis kTenth = 100;
-    static constexpr double kMaxCounter = 4e9;  // below 2^32, with room for answers above it
+    static constexpr double kMaxCounter = 4e9;  // below 2^32, so that refutations above it fit
 
     static std::uint32_t clamped(double tenths) {
         return static_cast<std::uint32_t>(std::clamp(tenths, 1.0, kMaxCounter));
--- a/src/cluster/local_health.hpp
+++ b/src/cluster/local_health.hpp
@@ -1,5 +1,6 @@
-// How slow this process itself is believed to be (Lifeguard's local health multiplier, Dadgar and others
-// 2018).
+/// @file
+/// How slow this process itself is believed to be (Lifeguard's local health multiplier, Dadgar and others
+/// 2018).
 #pragma once
 
 #include <cstdint>
--- a/src/cluster/member_table.cpp
+++ b/src/cluster/member_table.cpp
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-bool is_worth_telling(const Member& before, const Incarnation& incarnation, MemberState after) {
+bool needs_gossip(const Member& before, const Incarnation& incarnation, MemberState after) {
     const bool replaces_known = before.incarnation.counter > 0 && incarnation > before.incarnation;
     return before.state >= MemberState::suspect || after >= MemberState::suspect || replaces_known;
 }
--- a/src/cluster/member_table.hpp
+++ b/src/cluster/member_table.hpp
@@ -1,4 +1,5 @@
-// What one member believes of all: state, incarnation and address of each, their counts and a digest.
+/// @file
+/// One member's view of all: state, incarnation and address of each, their counts and a digest.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +13,7 @@
 
 namespace elmbay::cluster {
 
-/// A member is now held for something else.
+/// A member's state, as this one sees it, has changed.
 struct Change {
     Millis at = 0;  ///< monotonic milliseconds
     MemberId number = 0;
@@ -21,12 +22,12 @@
     std::string why;  ///< for people
 };
 
-/// What is believed of one member.
+/// What this member knows of one.
 struct Member {
-    Incarnation incarnation;  ///< counter 0: it was never heard of
+    Incarnation incarnation;  ///< counter 0: nothing is known of it
     MemberState state = MemberState::expected;
     Millis since = 0;                 ///< of the state; monotonic milliseconds
-    Millis heard = -1;                ///< when a datagram of its own came last; -1: never
+    Millis heard = -1;                ///< when its own last datagram came; monotonic milliseconds; -1: never
     bool indirect_only = false;       ///< it answered its last probe by way of others only
     std::uint32_t address_index = 0;  ///< where in the list of peers it is reached
     View view = View::unknown;        ///< as it said last
@@ -39,10 +40,10 @@
 /// @return whether a member in that state is known to have ended, and not merely silent.
 constexpr bool has_ended(MemberState state) { return state >= MemberState::gone; }
 
-/// Others need not hear of one that is there for the first time, as it should be. A later incarnation of one
-/// that was known answers what somebody has said.
-/// @return whether others need to hear that `before` is now held for that.
-bool is_worth_telling(const Member& before, const Incarnation& incarnation, MemberState after);
+/// Others need no news of a member that is present for the first time, as is expected. A later incarnation of
+/// a known member refutes an update that others may have.
+/// @return whether the change of `before` to that incarnation and state is to be gossiped.
+bool needs_gossip(const Member& before, const Incarnation& incarnation, MemberState after);
 
 /// The table of all members, this one included. A value without I/O and clock; not thread-safe. Ids must be
 /// below size(). Memory: by the number of members, and kMaxChanges changes.
@@ -61,6 +62,7 @@
     const Member& operator[](MemberId id) const { return members_[id]; }
     /// For what does not change state or incarnation; set() changes those.
     Member& operator[](MemberId id) { return members_[id]; }
+    /// @return this member's own entry.
     const Member& self() const { return members_[self_]; }
     /// @return how many are present, silent and ended; together they are size().
     const Headcount& headcount() const { return headcount_; }
@@ -71,7 +73,7 @@
     /// @return whether it is another member than this one and present.
     bool is_present_peer(MemberId id) const { return id != self_ && is_present(members_[id].state); }
 
-    /// Sets what a member is held for, and records the change if the state is another than before.
+    /// Sets a member's incarnation and state, and records the change if the state is another than before.
     /// @param why for people.
     void set(Millis now, MemberId id, const Incarnation& incarnation, MemberState state,
              const std::string& why);
--- a/src/cluster/membership.cpp
+++ b/src/cluster/membership.cpp
@@ -43,8 +43,7 @@
     due_ = next();
 }
 
-// ---- what it tells
-// ------------------------------------------------------------------------------------------
+// ---- what it tells -------------------------------------------------------------------------------------
 
 View Membership::view(Millis now) const {
     const Headcount& count = table_.headcount();
@@ -84,7 +83,7 @@
     for (const Probe& probe : probes_.running()) {
         const std::uint64_t flags = (probe.purpose == ProbePurpose::final_check ? 4U : 0U) +
                                     (probe.purpose == ProbePurpose::courtesy ? 2U : 0U) +
-                                    (probe.asked_others ? 1U : 0U);
+                                    (probe.indirect_started ? 1U : 0U);
         add((std::uint64_t{probe.target} << 8) | flags);
         add_time(probe.ends_at);
         add_time(probe.retry_at);
@@ -101,8 +100,7 @@
     return sum;
 }
 
-// ---- time
-// ---------------------------------------------------------------------------------------------------
+// ---- time ----------------------------------------------------------------------------------------------
 
 Millis Membership::next() const {
     if (idle()) return INFINITY;
@@ -157,8 +155,7 @@
     leaving_ = true;
 }
 
-// ---- tables
-// -------------------------------------------------------------------------------------------------
+// ---- tables --------------------------------------------------------------------------------------------
 
 // Who has just started knows that it knows little; others wait until there is nothing new to tell.
 bool Membership::may_sync(Millis now) const {
--- a/src/cluster/membership.hpp
+++ b/src/cluster/membership.hpp
@@ -1,15 +1,16 @@
-// Who is there, who has failed, and which part of the fleet this member hears: SWIM (Das and others 2002)
-// with the suspicion and the local health of Lifeguard (Dadgar and others 2018), on datagrams that may be
-// lost, late, repeated, garbled or a lie.
-//
-// Every member probes one other in each period, in an order drawn anew for each round. One that answers
-// neither directly nor by way of others is suspected; unless it refutes that, more members share the
-// suspicion or time goes by, and it does not answer a final probe either, it has failed. All of it is
-// piggybacked on these datagrams. A member that is wrongly suspected or failed refutes that with a higher
-// incarnation.
-//
-// What is bounded: datagrams of 256 bytes; probes, relays and gossip a second by the periods in Timing,
-// whatever the fleet's size; memory by the number of members.
+/// @file
+/// Who is there, who has failed, and which part of the fleet this member hears: SWIM (Das and others 2002)
+/// with the suspicion and the local health of Lifeguard (Dadgar and others 2018), on datagrams that may be
+/// lost, late, repeated, garbled or a lie.
+///
+/// Every member probes one other in each period, in an order drawn anew for each round. One that answers
+/// neither directly nor by way of others is suspected; unless it refutes that, more members share the
+/// suspicion or time goes by, and it does not answer a final probe either, it has failed. All of it is
+/// piggybacked on these datagrams. A member that is wrongly suspected or failed refutes that with a higher
+/// incarnation.
+///
+/// What is bounded: datagrams of 256 bytes; probes, relays and gossip a second by the periods in Timing,
+/// whatever the fleet's size; memory by the number of members.
 #pragma once
 
 #include <cstdint>
@@ -70,6 +71,7 @@
     /// Milliseconds. Who has run for less asks for a table at once.
     static constexpr Millis kStartupPeriod = 10000;
 
+    /// What the configuration says.
     struct Setup {
         MemberId self = 0;
         std::uint32_t count = 1;     ///< members, this one included; raised to self + 1 if below
@@ -100,8 +102,11 @@
 
     /// @param id below count().
     const Member& member(MemberId id) const { return table_[id]; }
+    /// @return members, this one included.
     std::uint32_t count() const { return table_.size(); }
+    /// @return this member's own id.
     MemberId self() const { return setup_.self; }
+    /// @return how many are present, silent and ended; together they are count().
     Headcount headcount() const { return table_.headcount(); }
     /// @return how much of the fleet this member hears.
     View view(Millis now) const;
@@ -118,9 +123,10 @@
         /// Dropped: from no peer's address; no sound message; of an earlier incarnation.
         std::uint64_t unknown_senders = 0, malformed = 0, outdated = 0;
         std::uint64_t suspicions = 0, refuted = 0, failures = 0;
-        std::uint64_t stalls = 0;  ///< times that this process stood still
+        std::uint64_t stalls = 0;  ///< times that this process did not run for a while
         std::uint64_t table_requests = 0;
     };
+    /// @return the counts so far.
     Counters counters() const;
     /// Equal for states that go on alike but for chance: for tests that explore. Times count from now.
     std::uint64_t fingerprint(Millis now) const;
@@ -169,7 +175,7 @@
     void start_probe(Millis now, MemberId target, ProbePurpose purpose);
     void probe_next(Millis now);
     void run_probes(Millis now);
-    void ask_others(Millis now, const ProbeStep& step);
+    void probe_indirectly(Millis now, const ProbeStep& step);
     void run_relays(Millis now);
     void on_probe_answered(Millis now, std::uint32_t sequence, MemberId target,
                            std::optional<MemberId> helper);
--- a/src/cluster/membership_messages.cpp
+++ b/src/cluster/membership_messages.cpp
@@ -11,8 +11,7 @@
 
 }  // namespace
 
-// ---- in
-// -----------------------------------------------------------------------------------------------------
+// ---- in ------------------------------------------------------------------------------------------------
 
 void Membership::heard(Millis now, std::optional<std::uint32_t> address_index, std::string_view bytes) {
     detect_stall(now);
@@ -46,7 +45,7 @@
     std::optional<Message> message = decode(bytes);
     // What a sender says of itself may be as far ahead again: it may have had to answer what was as far as
     // that.
-    const std::uint32_t highest = clock_.highest_believed(due_) + IncarnationClock::kMaxClockAhead;
+    const std::uint32_t highest = clock_.max_plausible_counter(due_) + IncarnationClock::kMaxClockAhead;
     if (!message || message->from >= table_.size() || message->incarnation.counter > highest ||
         message->state == MemberState::expected) {
         ++counters_.malformed;
@@ -71,7 +70,7 @@
     sender.present_count = message.present_count;
     sender.uptime = message.uptime;
     if (later) {
-        const bool is_news = is_worth_telling(sender, message.incarnation, message.state);
+        const bool is_news = needs_gossip(sender, message.incarnation, message.state);
         set(now, message.from, message.incarnation, message.state, "heard itself");
         if (is_news) gossip_.add(message.from);
     } else if (message.state > sender.state && message.state == MemberState::left) {
@@ -125,8 +124,7 @@
     send(now, relay->asker, make_message(Message::Kind::indirect_ack, relay->asker_sequence, relay->target));
 }
 
-// ---- out
-// ----------------------------------------------------------------------------------------------------
+// ---- out -----------------------------------------------------------------------------------------------
 
 Message Membership::make_message(Message::Kind kind, std::uint32_t sequence, MemberId subject) {
     Message message;
@@ -152,7 +150,7 @@
     // Whoever is held for worse than alive hears that before all.
     if (table_[to].state >= MemberState::suspect) message.updates.push_back(update_on(to));
     GossipQueue::Selection selection;
-    selection.room = Message::kMaxUpdates - std::min(Message::kMaxUpdates, message.updates.size());
+    selection.max_updates = Message::kMaxUpdates - std::min(Message::kMaxUpdates, message.updates.size());
     selection.receiver = to;
     selection.skip_receiver = !message.updates.empty() && message.updates.front().number == to;
     // Told to the member itself a piece of news is not told to anybody else, unless there is nobody else.
--- a/src/cluster/membership_probing.cpp
+++ b/src/cluster/membership_probing.cpp
@@ -5,8 +5,7 @@
 
 namespace elmbay::cluster {
 
-// ---- probes
-// -------------------------------------------------------------------------------------------------
+// ---- probes --------------------------------------------------------------------------------------------
 
 void Membership::start_probe(Millis now, MemberId target, ProbePurpose purpose) {
     if (probes_.full()) return;
@@ -36,13 +35,13 @@
 
 void Membership::run_probes(Millis now) {
     for (const ProbeStep& step : probes_.take_due(now)) {
-        if (step.kind == ProbeStep::Kind::ask_others) ask_others(now, step);
+        if (step.kind == ProbeStep::Kind::indirect_ping) probe_indirectly(now, step);
         send(now, step.target, make_message(Message::Kind::ping, step.sequence, step.target));
     }
     for (const Probe& probe : probes_.take_expired(now)) on_probe_failed(now, probe);
 }
 
-void Membership::ask_others(Millis now, const ProbeStep& step) {
+void Membership::probe_indirectly(Millis now, const ProbeStep& step) {
     const bool final_check = step.purpose == ProbePurpose::final_check;
     const std::uint32_t max = final_check ? kFinalIndirectProbes : kIndirectProbes;
     const std::vector<MemberId> helpers = pick_present(max, step.target, last_helper_[step.target]);
@@ -105,8 +104,7 @@
     }
 }
 
-// ---- suspicions
-// ---------------------------------------------------------------------------------------------
+// ---- suspicions ----------------------------------------------------------------------------------------
 
 void Membership::suspect(Millis now, MemberId target, MemberId accuser) {
     if (table_[target].state < MemberState::suspect) {
--- a/src/cluster/membership_updates.cpp
+++ b/src/cluster/membership_updates.cpp
@@ -18,7 +18,7 @@
 
 bool Membership::is_sound(const Update& update) const {
     return update.number < table_.size() && update.incarnation.counter > 0 &&
-           update.incarnation.counter <= clock_.highest_believed(due_) &&
+           update.incarnation.counter <= clock_.max_plausible_counter(due_) &&
            update.state != MemberState::expected;
 }
 
@@ -46,7 +46,7 @@
     const bool later = update.incarnation > member.incarnation;
     // The member itself tells it to those who are to tell others, so that does not count.
     const bool told_by_other = !later && update.state == member.state && from != update.number;
-    if (told_by_other) gossip_.note_told_by_other(update.number);
+    if (told_by_other) gossip_.count_transmission_by_other(update.number);
     const bool worse = !later && update.state > member.state;
     const bool shared = update.state == MemberState::suspect && member.state == MemberState::suspect;
     if (!later && !worse && !shared) return;
@@ -57,7 +57,7 @@
         if (later) set(now, update.number, update.incarnation, MemberState::alive, "a later incarnation");
         return suspect(now, update.number, update.detail);
     }
-    const bool is_news = is_worth_telling(member, update.incarnation, update.state);
+    const bool is_news = needs_gossip(member, update.incarnation, update.state);
     if (update.state <= MemberState::alive) member.uptime = update.detail;
     set(now, update.number, update.incarnation, update.state, "said by " + std::to_string(from));
     if (is_news) gossip_.add(update.number);
@@ -109,8 +109,7 @@
     if (!yielded_) datagrams_.back().address_index = address_index;
 }
 
-// ---- refutation
-// ---------------------------------------------------------------------------------------------
+// ---- refutation ----------------------------------------------------------------------------------------
 
 // Somebody says something of this member that is not so: a later incarnation says what is. Of another process
 // under our name it can't be known at first whether that still runs; if it answers, it does.
--- a/src/cluster/message.hpp
+++ b/src/cluster/message.hpp
@@ -1,7 +1,8 @@
-// What sidecars say to one another, as bytes: MessagePack and an XXH32 of it (big-endian) behind, read by the
-// libraries and checked here field by field: UDP's own sum has 16 bits, and may be left out.
-// docs/reference/cluster-protocol.md has each field. Fields that a later version adds stand behind ours and
-// are passed over.
+/// @file
+/// What sidecars say to one another, as bytes: MessagePack and an XXH32 of it (big-endian) behind, read by
+/// the libraries and checked here field by field: UDP's own sum has 16 bits, and may be left out.
+/// docs/reference/cluster-protocol.md has each field. Fields that a later version adds stand behind ours and
+/// are passed over.
 #pragma once
 
 #include <compare>
@@ -16,7 +17,8 @@
 /// A member's place in the settings' count of sidecars, the same at all of them: from 0, at most 65535.
 using MemberId = std::uint32_t;
 
-/// What a member is held for, in the order in which states outrank one another within one incarnation.
+/// The state of a member as another sees it, in the order in which states outrank one another within one
+/// incarnation.
 enum class MemberState : std::uint8_t {
     expected,  ///< it should be there; nothing has been heard of it
     joining,   ///< it has started and has not heard of anybody yet
@@ -71,6 +73,7 @@
     /// So many fit whatever the numbers in them: 15 bytes each at most beside 44 of the rest.
     static constexpr std::size_t kMaxUpdates = 14;
 
+    /// What the datagram asks for or answers.
     enum class Kind : std::uint8_t {
         ping,          ///< answer me
         ack,           ///< the answer: same sequence
@@ -103,6 +106,7 @@
     bad_checksum,
     bad_field  ///< one field is missing, of another type or out of range
 };
+/// Why bytes are no message, and where.
 struct DecodeError {
     DecodeFault fault = DecodeFault::not_a_message;
     std::string_view field;  ///< its name in the protocol's table, for bad_field; else empty
--- a/src/cluster/probe_schedule.hpp
+++ b/src/cluster/probe_schedule.hpp
@@ -1,4 +1,5 @@
-// Which member is probed next, and how soon.
+/// @file
+/// Which member is probed next, and how soon.
 #pragma once
 
 #include <algorithm>
@@ -51,7 +52,9 @@
     /// Quick probes in a row; one is earned back with each that is not quick.
     static constexpr std::uint32_t kMaxQuickProbes = 50;
 
+    /// A probe was answered.
     void probe_succeeded() { recent_failures_ -= recent_failures_ > 0 ? 1 : 0; }
+    /// A probe was not answered; two answers make up for it.
     void probe_failed() { recent_failures_ = std::min(kWindow, recent_failures_ + 2); }
     /// @param allowed whether quick probes make sense at all now.
     /// @return whether the next probe is to follow quickly. Counts as that probe.
--- a/src/cluster/probes.cpp
+++ b/src/cluster/probes.cpp
@@ -23,7 +23,7 @@
     probe.purpose = purpose;
     probe.started_at = now;
     probe.retry_at = now + timing_.ping_retry;
-    probe.ask_others_at = now + timing_.direct_timeout * stretch;
+    probe.indirect_at = now + timing_.direct_timeout * stretch;
     probe.ends_at = now + (is_final ? timing_.final_probe : timing_.probe_period * kProbePart) * stretch;
     probes_.push_back(probe);
 }
@@ -36,9 +36,9 @@
             probe.retry_at = courtesy ? 0 : now + 2 * timing_.ping_retry;
             steps.push_back({ProbeStep::Kind::ping, probe.sequence, probe.target, probe.purpose});
         }
-        if (!probe.asked_others && !courtesy && probe.ask_others_at <= now) {
-            probe.asked_others = true;
-            steps.push_back({ProbeStep::Kind::ask_others, probe.sequence, probe.target, probe.purpose});
+        if (!probe.indirect_started && !courtesy && probe.indirect_at <= now) {
+            probe.indirect_started = true;
+            steps.push_back({ProbeStep::Kind::indirect_ping, probe.sequence, probe.target, probe.purpose});
         }
     }
     return steps;
@@ -85,8 +85,8 @@
     Millis next = INFINITY;
     for (const Probe& probe : probes_) {
         if (probe.retry_at > 0) next = std::min(next, probe.retry_at);
-        const bool will_ask = !probe.asked_others && probe.purpose != ProbePurpose::courtesy;
-        if (will_ask) next = std::min(next, probe.ask_others_at);
+        const bool will_ask = !probe.indirect_started && probe.purpose != ProbePurpose::courtesy;
+        if (will_ask) next = std::min(next, probe.indirect_at);
         next = std::min(next, probe.ends_at);
     }
     return next;
--- a/src/cluster/probes.hpp
+++ b/src/cluster/probes.hpp
@@ -1,4 +1,5 @@
-// The probes that are under way, and the probes that are made for others (SWIM's failure detector).
+/// @file
+/// The probes that are under way, and the probes that are made for others (SWIM's failure detector).
 #pragma once
 
 #include <cstdint>
@@ -23,19 +24,20 @@
     MemberId target = 0;
     ProbePurpose purpose = ProbePurpose::regular;
     Millis started_at = 0;
-    Millis retry_at = 0;  ///< when the ping is repeated; 0: no more
-    Millis ask_others_at = 0;
-    Millis ends_at = 0;
-    bool asked_others = false;
+    Millis retry_at = 0;     ///< when the ping is repeated; 0: no more
+    Millis indirect_at = 0;  ///< when helpers are asked to ping the target
+    Millis ends_at = 0;      ///< without an answer by then the probe has failed
+    bool indirect_started = false;
     std::uint32_t helpers = 0;  ///< that were asked
     std::uint32_t nacks = 0;    ///< that said that they have no answer yet
 };
 
 /// What is to be sent for a probe now.
 struct ProbeStep {
+    /// Who is pinged.
     enum class Kind : std::uint8_t {
-        ping,       ///< the target, once more
-        ask_others  ///< some helpers, and the target once more
+        ping,          ///< the target, once more
+        indirect_ping  ///< some helpers on our behalf, and the target once more
     };
     Kind kind = Kind::ping;
     std::uint32_t sequence = 0;
@@ -52,6 +54,7 @@
 
     explicit ProbeTracker(const Timing& timing) : timing_(timing) {}
 
+    /// Whether kMaxProbes are under way.
     bool full() const { return probes_.size() >= kMaxProbes; }
     /// Begins a probe; its first ping is the caller's to send. Only while not full().
     /// @param stretch what timeouts are multiplied by: LocalHealth::multiplier().
@@ -63,12 +66,17 @@
     /// An answer came.
     /// @return whether it belongs to a probe, which is then under way no longer.
     bool complete(std::uint32_t sequence, MemberId target);
+    /// So many helpers were asked to ping the target; nothing for a probe that has ended.
     void set_helpers(std::uint32_t sequence, std::uint32_t helpers);
+    /// A helper reports that the target has not answered it yet; nothing for a probe that has ended.
     void add_nack(std::uint32_t sequence, MemberId target);
+    /// @return whether a final probe of that member is under way.
     bool has_final_probe(MemberId target) const;
+    /// Drops all probes; nobody fails by it.
     void clear() { probes_.clear(); }
     /// @return when take_due() or take_expired() has something next; infinity if never.
     Millis next_due() const;
+    /// @return the probes that are under way, the oldest first.
     const std::vector<Probe>& running() const { return probes_; }
 
 private:
@@ -76,7 +84,7 @@
     std::vector<Probe> probes_;
 };
 
-/// A ping that was sent for another member.
+/// A ping that is sent on behalf of another member.
 struct Relay {
     std::uint32_t sequence = 0;        ///< of our ping
     std::uint32_t asker_sequence = 0;  ///< of the asker's probe
@@ -95,6 +103,7 @@
 
     explicit RelayTracker(const Timing& timing) : timing_(timing) {}
 
+    /// Whether kMaxRelays are under way.
     bool full() const { return relays_.size() >= kMaxRelays; }
     /// Only while not full(); the ping is the caller's to send.
     void start(Millis now, MemberId target, MemberId asker, std::uint32_t sequence,
@@ -103,10 +112,13 @@
     std::optional<Relay> complete(std::uint32_t sequence, MemberId target);
     /// @return relays whose asker is to hear now that there is no answer yet; each once.
     std::vector<Relay> take_due(Millis now);
+    /// Drops the relays that have no answer by their end.
     void drop_expired(Millis now);
+    /// Drops all relays.
     void clear() { relays_.clear(); }
     /// @return when something is due next; infinity if never.
     Millis next_due() const;
+    /// @return the relays that are under way, the oldest first.
     const std::vector<Relay>& running() const { return relays_; }
 
 private:
--- a/src/cluster/settings.hpp
+++ b/src/cluster/settings.hpp
@@ -1,4 +1,5 @@
-// [cluster] of the operator's file, and what the platform's configuration says beside it.
+/// @file
+/// [cluster] of the operator's file, and what the platform's configuration says beside it.
 #pragma once
 
 #include <boost/asio/ip/udp.hpp>
--- a/src/cluster/sibling_estimate.hpp
+++ b/src/cluster/sibling_estimate.hpp
@@ -1,5 +1,6 @@
-// How many sidecars share the servers, as far as it is certain. What consumers do in each view is written
-// down in docs/design/members.md.
+/// @file
+/// How many sidecars share the servers, as far as it is certain. What consumers do in each view is written
+/// down in docs/design/members.md.
 #pragma once
 
 #include <cstdint>
--- a/src/cluster/suspicion.hpp
+++ b/src/cluster/suspicion.hpp
@@ -1,4 +1,5 @@
-// The timers of suspicions (Lifeguard, 4.2): the more members share one, the sooner it ends.
+/// @file
+/// The timers of suspicions (Lifeguard, 4.2): the more members share one, the sooner it ends.
 #pragma once
 
 #include <array>
@@ -25,7 +26,7 @@
     /// Adds one that shares the suspicion.
     /// @return whether it was not known to, and there was room for one more.
     bool add_accuser(MemberId id, MemberId accuser);
-    /// The member is held for something else: the suspicion ends.
+    /// The member has another state: the suspicion ends.
     void clear(MemberId id);
     /// The timer begins anew; who shares the suspicion is kept.
     void restart(Millis now, MemberId id);
@@ -36,10 +37,12 @@
     Millis deadline(MemberId id) const;
     /// @return who shared the suspicion last, if anybody.
     std::optional<MemberId> last_accuser(MemberId id) const;
+    /// @return how many members share the suspicion; kMaxAccusers at most.
     std::uint32_t accusers(MemberId id) const { return suspicions_[id].accuser_count; }
     /// @return when the suspicion began last; 0 if never.
     Millis started_at(MemberId id) const { return suspicions_[id].started_at; }
 
+    /// The suspicion has ended and a final probe runs.
     void begin_final_probe(MemberId id) { suspicions_[id].final_probe = true; }
     /// @return whether a final probe runs whose suspicion has not ended meanwhile.
     bool in_final_probe(MemberId id) const { return suspicions_[id].final_probe; }
@@ -47,6 +50,7 @@
     const std::vector<MemberId>& suspects() const { return suspects_; }
 
 private:
+    /// Of one member.
     struct Suspicion {
         std::array<MemberId, kMaxAccusers> accusers{};
         std::uint32_t accuser_count = 0;
--- a/src/cluster/table_sync.hpp
+++ b/src/cluster/table_sync.hpp
@@ -1,5 +1,6 @@
-// Anti-entropy: updates that gossip lost, or that came while a partition stood, are got by asking one whose
-// digest differs for its table, page by page.
+/// @file
+/// Anti-entropy: updates that gossip lost, or that came while a partition stood, are got by asking one whose
+/// digest differs for its table, page by page.
 #pragma once
 
 #include <cstdint>
@@ -36,6 +37,7 @@
 
     /// @return whether a transfer may begin: none runs, a table differs, and the last one is long enough ago.
     bool due(Millis now) const { return !running_ && differs_ && now >= next_at_; }
+    /// No transfer begins before that time.
     void postpone(Millis until) { next_at_ = until; }
     /// Begins a transfer. Only while due().
     /// @param timeout milliseconds until a page is given up.
@@ -54,6 +56,7 @@
     /// @param next_at when another may begin.
     void finish(Millis next_at);
 
+    /// @return whether a transfer is under way.
     bool running() const { return running_; }
     /// @return when something is due next; infinity if never.
     Millis next_due() const;
--- a/src/cluster/timing.hpp
+++ b/src/cluster/timing.hpp
@@ -1,4 +1,5 @@
-// The periods and timeouts of the membership protocol.
+/// @file
+/// The periods and timeouts of the membership protocol.
 #pragma once
 
 #include "elmbay/balancer.hpp"
--- a/src/cluster/token_bucket.hpp
+++ b/src/cluster/token_bucket.hpp
@@ -1,4 +1,5 @@
-// How often something may be done: a token bucket.
+/// @file
+/// How often something may be done: a token bucket.
 #pragma once
 
 #include <algorithm>
--- a/src/state/file_system.hpp
+++ b/src/state/file_system.hpp
@@ -39,6 +39,7 @@
     virtual void rename(const std::string& from, const std::string& to, std::error_code& error) = 0;
     /// Makes the names in a directory last.
     virtual void sync_directory(const std::string& path, std::error_code& error) = 0;
+    /// A name that is not there is no error.
     virtual void remove(const std::string& path, std::error_code& error) = 0;
     /// Held until closed, or the process ends. errc::resource_unavailable_try_again: another process has it.
     virtual Handle lock(const std::string& path, std::error_code& error) = 0;
--- a/src/state/snapshot_decoder.cpp
+++ b/src/state/snapshot_decoder.cpp
@@ -105,7 +105,7 @@
             case RecordKind::server:
                 apply_server(record.body);
                 break;
-            case RecordKind::server_gone:
+            case RecordKind::server_removed:
                 servers_.erase(uid_field(record.body));
                 break;
             case RecordKind::means:
--- a/src/state/snapshot_encoder.cpp
+++ b/src/state/snapshot_encoder.cpp
@@ -89,7 +89,7 @@
         if (changed) batch.append(RecordKind::server, body_of(after.uids[i], known));
     }
     for (const auto& [uid, learned_state] : known_before)
-        batch.append(RecordKind::server_gone, {{"uid", std::string(uid)}});
+        batch.append(RecordKind::server_removed, {{"uid", std::string(uid)}});
 }
 
 }  // namespace
--- a/src/state/snapshot_layout.hpp
+++ b/src/state/snapshot_layout.hpp
@@ -32,7 +32,13 @@
 constexpr std::size_t kRecordChecksumOffset = 8;
 constexpr std::size_t kRecordHeadBytes = 16;
 
-enum class RecordKind : std::uint8_t { server = 1, server_gone = 2, means = 3, batch_end = 4 };
+/// What a record's body holds. The numbers are part of the file format.
+enum class RecordKind : std::uint8_t {
+    server = 1,          ///< what is known of one server; replaces an earlier record of it
+    server_removed = 2,  ///< the server of an earlier record is no longer kept
+    means = 3,           ///< what is known of all servers together
+    batch_end = 4        ///< ends a batch: its records are valid from here on
+};
 
 /// Appends a number, little-endian.
 template <class Number>
--- a/src/state/snapshot_store.cpp
+++ b/src/state/snapshot_store.cpp
@@ -65,7 +65,9 @@
         list.files.push_back(read_generation(file_system, directory, std::move(name), *generation));
     }
     std::sort(list.files.begin(), list.files.end(),
-              [](const GenerationFile& a, const GenerationFile& b) { return a.generation > b.generation; });
+              [](const GenerationFile& left, const GenerationFile& right) {
+                  return left.generation > right.generation;
+              });
     return list;
 }
 
--- a/src/state/snapshot_writer.hpp
+++ b/src/state/snapshot_writer.hpp
@@ -58,6 +58,7 @@
         std::error_code
             last_error;  ///< of the last save, before the first of the start; clear if it went well
     };
+    /// The counts so far, and whether the disk hangs.
     Status status() const;
 
 private:
--- a/src/state/state_error.hpp
+++ b/src/state/state_error.hpp
@@ -37,5 +37,6 @@
 
 }  // namespace elmbay::state
 
+/// Lets a StateError convert to std::error_code implicitly.
 template <>
 struct std::is_error_code_enum<elmbay::state::StateError> : std::true_type {};
--- a/src/state/timestamp.cpp
+++ b/src/state/timestamp.cpp
@@ -13,7 +13,8 @@
 
 using BootId = std::array<std::uint8_t, 16>;
 
-constexpr BootId kNotTold{};  // a boot whose id is not known
+/// A boot whose id is not known.
+constexpr BootId kUnknownBoot{};
 
 BootId read_boot_id() {
     BootId boot{};
@@ -22,7 +23,7 @@
     try {
         const auto id = boost::uuids::string_generator()(text);
         std::copy(id.begin(), id.end(), boot.begin());
-    } catch (const std::exception&) {  // not told: the wall clock has to do
+    } catch (const std::exception&) {  // the id is not known: age_of() then uses the wall clock
         return {};
     }
     return boot;
@@ -44,12 +45,12 @@
 
 double age_of(const Timestamp& then, const Timestamp& now) {
     // In doubles: the difference of two hostile integers must not overflow.
-    const bool same_boot = then.boot == now.boot && then.boot != kNotTold;
+    const bool same_boot = then.boot == now.boot && then.boot != kUnknownBoot;
     const double age = same_boot
                            ? static_cast<double>(now.since_boot_ms) - static_cast<double>(then.since_boot_ms)
                            : static_cast<double>(now.wall_ms) - static_cast<double>(then.wall_ms);
     // The machine has been up for so long since the other boot: a wall clock that tells less was set back.
-    const bool other_boot = then.boot != now.boot && then.boot != kNotTold && now.boot != kNotTold;
+    const bool other_boot = then.boot != now.boot && then.boot != kUnknownBoot && now.boot != kUnknownBoot;
     const double least = other_boot ? static_cast<double>(now.since_boot_ms) : 0;
     return age >= std::max(0.0, least) ? age : -1;
 }
--- a/tests/cluster/explore_test.cpp
+++ b/tests/cluster/explore_test.cpp
@@ -4,9 +4,10 @@
 // path. States that go on alike but for chance (Membership::fingerprint) are gone into once.
 //
 // Invariants, at each state: (1) a table adds up; (2) nobody holds itself for worse than alive; (3) nobody
-// holds an incarnation of another that this one has not had, nor of one life what another said; (4) whoever
-// holds one for failed has suspected it for suspect_least first, or was told; (5) two tables with equal
-// digests agree. From some of the last states the network is then still, and all must come to hold what is.
+// holds an incarnation of another that this one has not had, nor one that another process under its id has
+// had; (4) whoever holds one for failed has suspected it for Timing::min_suspicion first, or was told; (5)
+// two tables with equal digests agree. From some of the last states the network is then still, and all must
+// come to hold what is.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -20,7 +21,8 @@
 namespace {
 
 constexpr Millis kUnix = IncarnationClock::kEpoch + 5e10;
-constexpr Millis kOneWay = 5;
+constexpr Millis kOneWay = 5;    // a datagram's way
+constexpr Millis kStart = 1000;  // of all members
 
 struct Budget {
     int lose = 2, repeat = 1, crash = 1, start = 1, freeze = 1;
@@ -31,65 +33,73 @@
     std::vector<bool> frozen;
     std::vector<std::vector<std::pair<MemberId, std::string>>> unread;
     std::map<std::pair<MemberId, MemberId>, std::vector<std::string>> links;  // from, to
-    std::map<MemberId, std::set<Incarnation>> said;                           // all that each has been
-    Millis now = 1000;
+    std::map<MemberId, std::set<Incarnation>> incarnations_used;              // all that each has been
+    Millis now = kStart;
     Budget left;
     std::uint64_t next_seed = 1;
 
-    void start(MemberId n, Millis clock_off) {
+    void start(MemberId id, Millis clock_off) {
         const auto count = static_cast<std::uint32_t>(members.size());
-        members[n].emplace(Membership::Setup{n, count, count, 77 * ++next_seed, {}}, now,
-                           kUnix + now + clock_off);
-        settle(n);
+        members[id].emplace(Membership::Setup{id, count, count, 77 * ++next_seed, {}}, now,
+                            kUnix + now + clock_off);
+        settle(id);
     }
-    void settle(MemberId n) {
-        for (Datagram& d : members[n]->take_datagrams()) links[{n, d.to}].push_back(std::move(d.bytes));
-        members[n]->take_changes();
-        said[n].insert(members[n]->member(n).incarnation);
+    void settle(MemberId id) {
+        for (Datagram& datagram : members[id]->take_datagrams()) {
+            links[{id, datagram.to}].push_back(std::move(datagram.bytes));
+        }
+        members[id]->take_changes();
+        incarnations_used[id].insert(members[id]->member(id).incarnation);
     }
     void deliver(MemberId from, MemberId to, const std::string& bytes) {
         if (!members[to]) return;
-        if (frozen[to]) return unread[to].emplace_back(from, bytes), void();
+        if (frozen[to]) {
+            unread[to].emplace_back(from, bytes);
+            return;
+        }
         members[to]->heard(now, from, bytes);
         settle(to);
     }
-    void thaw(MemberId n) {
-        frozen[n] = false;
-        for (const auto& [from, bytes] : std::exchange(unread[n], {})) deliver(from, n, bytes);
+    void thaw(MemberId id) {
+        frozen[id] = false;
+        for (const auto& [from, bytes] : std::exchange(unread[id], {})) deliver(from, id, bytes);
     }
     std::optional<MemberId> next_to_wake() const {
         std::optional<MemberId> first;
-        for (MemberId n = 0; n < members.size(); ++n)
-            if (members[n] && !frozen[n] && (!first || members[n]->next() < members[*first]->next()))
-                first = n;
+        for (MemberId id = 0; id < members.size(); ++id)
+            if (members[id] && !frozen[id] && (!first || members[id]->next() < members[*first]->next()))
+                first = id;
         return first;
     }
     bool wake_next() {
-        const auto n = next_to_wake();
-        if (!n || !(members[*n]->next() < 1e300)) return false;
-        now = std::max(now, members[*n]->next());
-        members[*n]->wake(now);
-        settle(*n);
+        const auto id = next_to_wake();
+        if (!id || !(members[*id]->next() < 1e300)) return false;
+        now = std::max(now, members[*id]->next());
+        members[*id]->wake(now);
+        settle(*id);
         return true;
     }
     std::uint64_t fingerprint() const {
         std::uint64_t sum = 17;
-        const auto add = [&](std::uint64_t v) { sum = (sum * 0x9e3779b97f4a7c15ULL) ^ v ^ (sum >> 31); };
-        for (std::size_t n = 0; n < members.size(); ++n) {
-            add(members[n] ? members[n]->fingerprint(now) : 3);
-            add(frozen[n]), add(unread[n].size());
+        const auto add = [&](std::uint64_t value) {
+            sum = (sum * 0x9e3779b97f4a7c15ULL) ^ value ^ (sum >> 31);
+        };
+        for (std::size_t id = 0; id < members.size(); ++id) {
+            add(members[id] ? members[id]->fingerprint(now) : 3);
+            add(frozen[id]);
+            add(unread[id].size());
         }
         for (const auto& [ends, bytes] : links)
-            for (const std::string& b : bytes)
-                add(std::hash<std::string>()(b) + ends.first * 8 + ends.second);
+            for (const std::string& datagram : bytes)
+                add(std::hash<std::string>()(datagram) + ends.first * 8 + ends.second);
         add(static_cast<std::uint64_t>(left.lose * 256 + left.repeat * 64 + left.crash * 16 + left.start * 4 +
                                        left.freeze));
         return sum;
     }
     // All on its way comes, nothing more goes wrong: whether all come to hold what is.
-    bool comes_right(Millis within) {
-        for (MemberId n = 0; n < members.size(); ++n)
-            if (frozen[n]) thaw(n);
+    bool converges(Millis within) {
+        for (MemberId id = 0; id < members.size(); ++id)
+            if (frozen[id]) thaw(id);
         const Millis end = now + within;
         while (now < end) {
             auto coming = std::exchange(links, {});
@@ -102,89 +112,140 @@
                 const auto due = next_to_wake();
                 if (due && members[*due]->next() <= now) wake_next();
             }
-            if (right()) return true;
+            if (is_converged()) return true;
         }
         return false;
     }
-    bool right() const {
-        for (MemberId a = 0; a < members.size(); ++a)
-            for (MemberId b = 0; members[a] && b < members.size(); ++b) {
-                if ((members[a]->member(b).state <= MemberState::suspect) != members[b].has_value())
-                    return false;
-                if (members[b] && members[a]->digest() != members[b]->digest()) return false;
+    bool is_converged() const {
+        for (MemberId observer = 0; observer < members.size(); ++observer) {
+            if (!members[observer]) continue;
+            for (MemberId id = 0; id < members.size(); ++id) {
+                const bool is_held_present = members[observer]->member(id).state <= MemberState::suspect;
+                if (is_held_present != members[id].has_value()) return false;
+                if (members[id] && members[observer]->digest() != members[id]->digest()) return false;
             }
+        }
         return true;
     }
 };
 
-std::string broken(const World& w) {
-    for (MemberId a = 0; a < w.members.size(); ++a) {
-        if (!w.members[a]) continue;
-        const Membership& m = *w.members[a];
-        const Headcount c = m.headcount();
-        if (c.present + c.silent + c.ended != w.members.size()) return "a table does not add up";
-        if (m.member(a).state > MemberState::alive) return "one holds itself for worse than alive";
-        for (MemberId b = 0; b < w.members.size(); ++b) {
-            const Member& held = m.member(b);
-            const auto said = w.said.find(b);
-            if (held.incarnation.counter > 0 &&
-                (said == w.said.end() || !said->second.contains(held.incarnation)))
+// Whether two tables whose digests are equal disagree on somebody who is not present.
+bool digests_hide_difference(const Membership& one, const Membership& other) {
+    if (one.digest() != other.digest()) return false;
+    for (MemberId id = 0; id < one.count(); ++id) {
+        const Member& here = one.member(id);
+        const Member& there = other.member(id);
+        const bool is_present_in_both =
+            here.state <= MemberState::suspect && there.state <= MemberState::suspect;
+        if (!is_present_in_both && here.incarnation != there.incarnation) return true;
+    }
+    return false;
+}
+
+// Whether one holds an incarnation that the other has never been.
+bool holds_unknown_incarnation(const World& world, MemberId id, const Member& held) {
+    if (held.incarnation.counter == 0) return false;
+    const auto known = world.incarnations_used.find(id);
+    return known == world.incarnations_used.end() || !known->second.contains(held.incarnation);
+}
+
+// The first invariant that a world breaks; empty if none.
+std::string violated_invariant(const World& world) {
+    for (MemberId observer = 0; observer < world.members.size(); ++observer) {
+        if (!world.members[observer]) continue;
+        const Membership& membership = *world.members[observer];
+        const Headcount count = membership.headcount();
+        if (count.present + count.silent + count.ended != world.members.size())
+            return "a table does not add up";
+        if (membership.member(observer).state > MemberState::alive)
+            return "one holds itself for worse than alive";
+        for (MemberId id = 0; id < world.members.size(); ++id) {
+            const Member& held = membership.member(id);
+            if (holds_unknown_incarnation(world, id, held))
                 return "an incarnation is held that was never said";
-            if (held.state == MemberState::failed && held.since < 1000 + Timing{}.min_suspicion)
+            const bool is_failed = held.state == MemberState::failed;
+            if (is_failed && held.since < kStart + Timing{}.min_suspicion) {
                 return "failed before a suspicion could have lasted";
-            if (!w.members[b] || a == b || m.digest() != w.members[b]->digest()) continue;
-            for (MemberId x = 0; x < w.members.size(); ++x)
-                if ((w.members[b]->member(x).state > MemberState::suspect ||
-                     m.member(x).state > MemberState::suspect) &&
-                    w.members[b]->member(x).incarnation != m.member(x).incarnation)
-                    return "equal digests of unequal tables";
+            }
+            const bool is_other_and_runs = world.members[id] && id != observer;
+            if (is_other_and_runs && digests_hide_difference(membership, *world.members[id])) {
+                return "equal digests of unequal tables";
+            }
         }
     }
     return "";
 }
 
-// Every step that may come next, as a copy that has made it.
+// What becomes of the datagram that is first on its link.
+enum class Fate { arrives, is_lost, arrives_and_is_repeated };
+
+// The world after the first datagram of a link has met its fate; none if the budget forbids it.
+std::optional<World> after_datagram(const World& world, std::pair<MemberId, MemberId> ends, Fate fate) {
+    if (fate == Fate::is_lost && world.left.lose == 0) return {};
+    if (fate == Fate::arrives_and_is_repeated && world.left.repeat == 0) return {};
+    World next = world;
+    auto& link = next.links[ends];
+    const std::string bytes = link.front();
+    if (fate != Fate::arrives_and_is_repeated) link.erase(link.begin());
+    if (fate == Fate::is_lost) {
+        --next.left.lose;
+        return next;
+    }
+    if (fate == Fate::arrives_and_is_repeated) --next.left.repeat;
+    next.now += kOneWay;
+    next.deliver(ends.first, ends.second, bytes);
+    return next;
+}
+
+std::optional<World> after_crash(const World& world, MemberId id) {
+    if (!world.members[id] || world.frozen[id] || world.left.crash == 0) return {};
+    World next = world;
+    next.members[id].reset();
+    --next.left.crash;
+    return next;
+}
+
+std::optional<World> after_restart(const World& world, MemberId id) {
+    if (world.members[id] || world.left.start == 0) return {};
+    constexpr Millis kClockBehind = -60000;  // against the clock of its earlier process
+    World next = world;
+    --next.left.start;
+    next.start(id, kClockBehind);
+    return next;
+}
+
+// Stands still, or runs again.
+std::optional<World> after_freeze_or_thaw(const World& world, MemberId id) {
+    const bool may_change = world.frozen[id] || world.left.freeze > 0;
+    if (!world.members[id] || !may_change) return {};
+    World next = world;
+    if (world.frozen[id]) {
+        next.thaw(id);
+    } else {
+        next.frozen[id] = true;
+        --next.left.freeze;
+    }
+    return next;
+}
+
+// Calls visit with a copy of the world for every step that may come next.
 template <class Visit>
-void each_next(const World& w, Visit visit) {
-    for (const auto& [ends, list] : w.links) {
+void for_each_successor(const World& world, Visit visit) {
+    const auto visit_if_possible = [&visit](std::optional<World> next) {
+        if (next) visit(*next);
+    };
+    for (const auto& [ends, list] : world.links) {
         if (list.empty()) continue;
-        for (const int what : {0, 1, 2}) {  // comes, is lost, comes and is still on its way
-            if ((what == 1 && w.left.lose == 0) || (what == 2 && w.left.repeat == 0)) continue;
-            World next = w;
-            auto& link = next.links[ends];
-            const std::string bytes = link.front();
-            if (what != 2) link.erase(link.begin());
-            next.left.lose -= what == 1, next.left.repeat -= what == 2;
-            next.now += what == 1 ? 0 : kOneWay;
-            if (what != 1) next.deliver(ends.first, ends.second, bytes);
-            visit(next);
+        for (const Fate fate : {Fate::arrives, Fate::is_lost, Fate::arrives_and_is_repeated}) {
+            visit_if_possible(after_datagram(world, ends, fate));
         }
     }
-    {
-        World next = w;
-        if (next.wake_next()) visit(next);
-    }
-    for (MemberId n = 0; n < w.members.size(); ++n) {
-        if (w.members[n] && !w.frozen[n] && w.left.crash > 0) {
-            World next = w;
-            next.members[n].reset();
-            --next.left.crash;
-            visit(next);
-        }
-        if (!w.members[n] && w.left.start > 0) {
-            World next = w;
-            --next.left.start;
-            next.start(n, -60000);  // its clock a minute behind its last life's
-            visit(next);
-        }
-        if (w.members[n] && (w.frozen[n] || w.left.freeze > 0)) {
-            World next = w;
-            if (w.frozen[n])
-                next.thaw(n);
-            else
-                next.frozen[n] = true, --next.left.freeze;
-            visit(next);
-        }
+    World woken = world;
+    if (woken.wake_next()) visit(woken);
+    for (MemberId id = 0; id < world.members.size(); ++id) {
+        visit_if_possible(after_crash(world, id));
+        visit_if_possible(after_restart(world, id));
+        visit_if_possible(after_freeze_or_thaw(world, id));
     }
 }
 
@@ -197,13 +258,13 @@
     Explored result;
     std::unordered_set<std::uint64_t> seen{from.fingerprint()};
     std::vector<World> level{from};
-    for (int d = 0; d < depth && result.wrong.empty(); ++d) {
+    for (int steps = 0; steps < depth && result.wrong.empty(); ++steps) {
         std::vector<World> next_level;
-        for (const World& w : level)
-            each_next(w, [&](World& next) {
+        for (const World& world : level)
+            for_each_successor(world, [&](World& next) {
                 if (!result.wrong.empty() || !seen.insert(next.fingerprint()).second) return;
                 ++result.states;
-                result.wrong = broken(next);
+                result.wrong = violated_invariant(next);
                 next_level.push_back(std::move(next));
             });
         level = std::move(next_level);
@@ -211,61 +272,62 @@
     constexpr std::size_t kEvery = 97;  // of the last states
     for (std::size_t i = 0; i < level.size() && result.wrong.empty(); i += kEvery) {
         ++result.ends;
-        if (!level[i].comes_right(60000)) result.wrong = "it does not come right";
+        if (!level[i].converges(60000)) result.wrong = "it does not come right";
     }
     return result;
 }
 
 World world_of(std::uint32_t count) {
-    World w;
-    w.members.resize(count);
-    w.frozen.resize(count);
-    w.unread.resize(count);
-    for (MemberId n = 0; n < count; ++n) w.start(n, 0);
-    return w;
+    World world;
+    world.members.resize(count);
+    world.frozen.resize(count);
+    world.unread.resize(count);
+    for (MemberId id = 0; id < count; ++id) world.start(id, 0);
+    return world;
 }
 
 // From where: just started; calm; one silent for long enough that others suspect it; a split that has just
 // healed.
-std::vector<std::pair<std::string, World>> beginnings(std::uint32_t count) {
+std::vector<std::pair<std::string, World>> initial_worlds(std::uint32_t count) {
     std::vector<std::pair<std::string, World>> list;
     list.emplace_back("just started", world_of(count));
     World calm = world_of(count);
-    EXPECT_TRUE(calm.comes_right(10000));
+    EXPECT_TRUE(calm.converges(10000));
     list.emplace_back("calm", calm);
-    const auto run = [](World w, Millis span, auto lost) {
-        const Millis end = w.now + span;
-        while (w.now < end) {
-            auto coming = std::exchange(w.links, {});
+    const auto run = [](World world, Millis span, auto lost) {
+        const Millis end = world.now + span;
+        while (world.now < end) {
+            auto coming = std::exchange(world.links, {});
             for (const auto& [ends, bytes] : coming)
-                for (const std::string& b : bytes)
-                    if (!lost(ends.first, ends.second)) w.deliver(ends.first, ends.second, b);
-            w.now += kOneWay;
-            const auto due = w.next_to_wake();
-            if (due && w.members[*due]->next() <= w.now) w.wake_next();
+                for (const std::string& datagram : bytes)
+                    if (!lost(ends.first, ends.second)) world.deliver(ends.first, ends.second, datagram);
+            world.now += kOneWay;
+            const auto due = world.next_to_wake();
+            if (due && world.members[*due]->next() <= world.now) world.wake_next();
         }
-        w.links.clear();
-        return w;
+        world.links.clear();
+        return world;
     };
     World silent = calm;
     silent.frozen[1] = true;
     silent.left.freeze = 0;
     list.emplace_back("one is silent", run(silent, 3500, [](MemberId, MemberId) { return false; }));
     list.emplace_back("a split has healed",
-                      run(calm, 9000, [](MemberId a, MemberId b) { return (a == 0) != (b == 0); }));
+                      run(calm, 9000, [](MemberId from, MemberId to) { return (from == 0) != (to == 0); }));
     return list;
 }
 
 class Explore : public testing::TestWithParam<std::pair<std::uint32_t, int>> {};
 
-TEST_P(Explore, EveryOrderOfEventsKeepsTheInvariantsAndComesRight) {
+TEST_P(Explore, KeepsInvariantsAndConvergesInEveryOrderOfEvents) {
     const auto [count, depth] = GetParam();
     std::size_t states = 0, ends = 0;
-    for (const auto& [name, from] : beginnings(count)) {
+    for (const auto& [name, from] : initial_worlds(count)) {
         const Explored explored = explore(from, depth);
         EXPECT_EQ(explored.wrong, "") << name << ", " << explored.states << " states";
         EXPECT_GT(explored.states, 100U) << name;
-        states += explored.states, ends += explored.ends;
+        states += explored.states;
+        ends += explored.ends;
     }
     RecordProperty("states", std::to_string(states));
     std::printf("%u members, depth %d: %zu states, %zu of the last let come right\n", count, depth, states,
--- a/tests/cluster/fuzz.cpp
+++ b/tests/cluster/fuzz.cpp
@@ -15,13 +15,16 @@
         const std::size_t length = std::min<std::size_t>(data[1], size - 2);
         members.heard(now, data[0] % (kCount + 1), {reinterpret_cast<const char*>(data) + 2, length});
         if (members.next() <= now) members.wake(now);
-        data += 2 + length, size -= 2 + length;
-        for (const Datagram& d : members.take_datagrams())
-            if (d.bytes.size() > Message::kMaxBytes || d.to >= kCount || d.address_index >= kCount)
-                std::abort();
+        data += 2 + length;
+        size -= 2 + length;
+        for (const Datagram& datagram : members.take_datagrams()) {
+            if (datagram.bytes.size() > Message::kMaxBytes) std::abort();
+            if (datagram.to >= kCount || datagram.address_index >= kCount) std::abort();
+        }
         members.take_changes();
-        const Headcount c = members.headcount();
-        if (c.present + c.silent + c.ended != kCount || members.siblings(now) < 1) std::abort();
+        const Headcount headcount = members.headcount();
+        if (headcount.present + headcount.silent + headcount.ended != kCount) std::abort();
+        if (members.siblings(now) < 1) std::abort();
     }
     return 0;
 }
--- a/tests/cluster/gossip_queue_test.cpp
+++ b/tests/cluster/gossip_queue_test.cpp
@@ -8,12 +8,12 @@
 
 GossipQueue::Selection to(MemberId receiver, std::size_t room = Message::kMaxUpdates) {
     GossipQueue::Selection selection;
-    selection.room = room;
+    selection.max_updates = room;
     selection.receiver = receiver;
     return selection;
 }
 
-TEST(GossipQueue, TellsEachPieceOfNewsSoOftenAndThenNoMore) {
+TEST(GossipQueue, DropsUpdateAfterRetransmitLimit) {
     GossipQueue queue(100);
     EXPECT_EQ(queue.retransmit_limit(), 9U);  // 3 times the digits of the fleet
     queue.add(7);
@@ -26,7 +26,7 @@
     EXPECT_EQ(queue.transmissions(7), 0U) << "another piece of news is told from the beginning";
 }
 
-TEST(GossipQueue, TellsWhatWasToldLeastOftenFirst) {
+TEST(GossipQueue, TakesLeastTransmittedUpdateFirst) {
     GossipQueue queue(100);
     for (MemberId id = 0; id < 20; ++id) queue.add(id);
     const std::vector<MemberId> first = queue.take(to(99));
@@ -38,7 +38,7 @@
     }
 }
 
-TEST(GossipQueue, OfTheReceiverItselfATellingCountsOnlyIfNobodyElseIsThere) {
+TEST(GossipQueue, CountsUpdateOnReceiverItselfOnlyIfSelected) {
     GossipQueue queue(4);
     queue.add(2);
     EXPECT_EQ(queue.take(to(2)), std::vector<MemberId>{2});
@@ -51,18 +51,18 @@
     EXPECT_TRUE(queue.take(selection).empty());
 }
 
-TEST(GossipQueue, WhatOthersTellNeedNotBeToldSoOften) {
+TEST(GossipQueue, NeedsFewerTransmissionsWhenOthersSendTheUpdate) {
     GossipQueue queue(4);
-    queue.note_told_by_other(3);
+    queue.count_transmission_by_other(3);
     EXPECT_TRUE(queue.empty()) << "no news of it";
     queue.add(3);
-    queue.note_told_by_other(3);
-    queue.note_told_by_other(3);
+    queue.count_transmission_by_other(3);
+    queue.count_transmission_by_other(3);
     EXPECT_EQ(queue.take(to(1)), std::vector<MemberId>{3});
     EXPECT_TRUE(queue.empty());
 }
 
-TEST(GossipQueue, TakesNoMoreThanFitsAndOnlyWhomItMay) {
+TEST(GossipQueue, TakesAtMostMaxUpdatesAndOnlyTheSelectedMember) {
     GossipQueue queue(100);
     for (MemberId id = 0; id < 5; ++id) queue.add(id);
     EXPECT_EQ(queue.take(to(99, 2)).size(), 2U);
--- a/tests/cluster/limits_test.cpp
+++ b/tests/cluster/limits_test.cpp
@@ -11,7 +11,7 @@
 
 constexpr Millis kDay = 86400000;
 
-TEST(LocalHealth, StaysBetweenWellAndItsHighestScore) {
+TEST(LocalHealth, KeepsScoreBetweenZeroAndMaximum) {
     LocalHealth health;
     health.improve();
     EXPECT_EQ(health.score(), 0U);
@@ -23,7 +23,7 @@
     EXPECT_EQ(health.score(), LocalHealth::kMaxScore - 1);
 }
 
-TEST(TokenBucket, GivesItsCapacityAtOnceAndThenByTime) {
+TEST(TokenBucket, AllowsBurstOfCapacityThenRefillsOverTime) {
     TokenBucket bucket(3, 50);
     for (int i = 0; i < 3; ++i) EXPECT_TRUE(bucket.take(1000));
     EXPECT_FALSE(bucket.take(1000));
@@ -33,18 +33,18 @@
     EXPECT_FALSE(bucket.take(100000)) << "never more than its capacity";
 }
 
-TEST(IncarnationClock, CountsTenthsOfASecondByTheMonotonicClockAfterTheStart) {
+TEST(IncarnationClock, CountsTenthsOfASecondByMonotonicClockAfterStart) {
     const IncarnationClock clock(500, IncarnationClock::kEpoch + 2 * kDay);
     EXPECT_EQ(clock.first_counter(), 2 * 864000U);
-    EXPECT_EQ(clock.highest_believed(500), 3 * 864000U) << "a day ahead";
-    EXPECT_EQ(clock.highest_believed(1500), 3 * 864000U + 10);
+    EXPECT_EQ(clock.max_plausible_counter(500), 3 * 864000U) << "a day ahead";
+    EXPECT_EQ(clock.max_plausible_counter(1500), 3 * 864000U + 10);
 }
 
-TEST(IncarnationClock, StaysInRangeWhateverTheWallClockSays) {
+TEST(IncarnationClock, ClampsCounterForAnyWallClock) {
     EXPECT_EQ(IncarnationClock(0, 0).first_counter(), 1U);
     EXPECT_EQ(IncarnationClock(0, -1e18).first_counter(), 1U);
     EXPECT_EQ(IncarnationClock(0, 1e18).first_counter(), 4000000000U);
-    EXPECT_EQ(IncarnationClock(0, 1e18).highest_believed(0), 4000000000U);
+    EXPECT_EQ(IncarnationClock(0, 1e18).max_plausible_counter(0), 4000000000U);
 }
 
 }  // namespace
--- a/tests/cluster/member_table_test.cpp
+++ b/tests/cluster/member_table_test.cpp
@@ -9,7 +9,7 @@
 constexpr Incarnation kFirst{10, 1};
 constexpr Incarnation kSecond{11, 1};
 
-TEST(MemberTable, CountsMembersByWhatTheyAreHeldFor) {
+TEST(MemberTable, CountsMembersByState) {
     MemberTable table(0, 4, 0);
     table.set(1, 1, kFirst, MemberState::failed, "silent");
     table.set(1, 2, kFirst, MemberState::left, "said so");
@@ -24,7 +24,7 @@
     EXPECT_FALSE(table.is_present_peer(0)) << "it is no peer of itself";
 }
 
-TEST(MemberTable, DigestsAreEqualForEqualViewsInWhateverOrderTheyCame) {
+TEST(MemberTable, DigestDoesNotDependOnOrderOfUpdates) {
     MemberTable one(0, 4, 0);
     MemberTable other(1, 4, 0);
     one.set(1, 2, kFirst, MemberState::failed, "");
@@ -40,7 +40,7 @@
     EXPECT_EQ(one.digest(), other.digest()) << "how one is present is nobody's concern";
 }
 
-TEST(MemberTable, RecordsEachChangeOfStateOnceAndABoundedNumber) {
+TEST(MemberTable, RecordsEachStateChangeOnceUpToItsBound) {
     MemberTable table(0, 2, 0);
     table.set(5, 1, kFirst, MemberState::alive, "heard");
     table.set(6, 1, kSecond, MemberState::alive, "heard again");
@@ -57,7 +57,7 @@
     EXPECT_TRUE(table.take_changes().empty());
 }
 
-TEST(MemberTable, RemembersWhenAMemberCameBack) {
+TEST(MemberTable, KeepsTimeOfLastRejoin) {
     MemberTable table(0, 2, 0);
     table.set(5, 1, kFirst, MemberState::alive, "");
     EXPECT_LT(table.rejoined_at(1), 0);
@@ -66,17 +66,17 @@
     EXPECT_EQ(table.rejoined_at(1), 9);
 }
 
-TEST(MemberTable, AFirstWordIsNoNewsAndAnAnswerIs) {
+TEST(MemberTable, GossipsRefutationButNotFirstAppearance) {
     Member never_heard;
-    EXPECT_FALSE(is_worth_telling(never_heard, kFirst, MemberState::alive));
-    EXPECT_TRUE(is_worth_telling(never_heard, kFirst, MemberState::failed));
+    EXPECT_FALSE(needs_gossip(never_heard, kFirst, MemberState::alive));
+    EXPECT_TRUE(needs_gossip(never_heard, kFirst, MemberState::failed));
     Member known;
     known.incarnation = kFirst;
     known.state = MemberState::alive;
-    EXPECT_FALSE(is_worth_telling(known, kFirst, MemberState::alive));
-    EXPECT_TRUE(is_worth_telling(known, kSecond, MemberState::alive));
+    EXPECT_FALSE(needs_gossip(known, kFirst, MemberState::alive));
+    EXPECT_TRUE(needs_gossip(known, kSecond, MemberState::alive));
     known.state = MemberState::suspect;
-    EXPECT_TRUE(is_worth_telling(known, kFirst, MemberState::alive));
+    EXPECT_TRUE(needs_gossip(known, kFirst, MemberState::alive));
 }
 
 }  // namespace
--- a/tests/cluster/message_test.cpp
+++ b/tests/cluster/message_test.cpp
@@ -29,31 +29,31 @@
 
 Message drawn(std::uint32_t most) {
     const auto number = [&] { return *rc::gen::inRange<std::uint32_t>(0, most); };
-    Message m;
-    m.kind = static_cast<Message::Kind>(*rc::gen::inRange(0, 8));
-    m.from = *rc::gen::inRange<std::uint32_t>(0, Message::kMaxShortField + 1);
-    m.incarnation = {1 + number() / 2, *rc::gen::arbitrary<std::uint16_t>()};
-    m.state = static_cast<MemberState>(*rc::gen::inRange(0, 7));
+    Message message;
+    message.kind = static_cast<Message::Kind>(*rc::gen::inRange(0, 8));
+    message.from = *rc::gen::inRange<std::uint32_t>(0, Message::kMaxShortField + 1);
+    message.incarnation = {1 + number() / 2, *rc::gen::arbitrary<std::uint16_t>()};
+    message.state = static_cast<MemberState>(*rc::gen::inRange(0, 7));
     const auto small = [&] { return *rc::gen::inRange<std::uint32_t>(0, Message::kMaxShortField + 1); };
-    m.uptime = small(), m.sequence = number(), m.subject = small(), m.digest = number(),
-    m.present_count = small();
-    m.view = static_cast<View>(*rc::gen::inRange(0, 4));
+    message.uptime = small(), message.sequence = number(), message.subject = small(),
+    message.digest = number(), message.present_count = small();
+    message.view = static_cast<View>(*rc::gen::inRange(0, 4));
     for (int i = *rc::gen::inRange(0, 15); i > 0; --i)
-        m.updates.push_back({small(),
-                             {number(), *rc::gen::arbitrary<std::uint16_t>()},
-                             static_cast<MemberState>(*rc::gen::inRange(0, 7)),
-                             small()});
-    return m;
+        message.updates.push_back({small(),
+                                   {number(), *rc::gen::arbitrary<std::uint16_t>()},
+                                   static_cast<MemberState>(*rc::gen::inRange(0, 7)),
+                                   small()});
+    return message;
 }
 
-TEST(Message, ComesBackAsItWasAndFitsWhateverItsNumbers) {
+TEST(Message, RoundTripsAndFitsSizeLimitForAnyFieldValues) {
     EXPECT_TRUE(rc::check([] {
-        const Message m = drawn(UINT32_MAX);
-        const std::string bytes = encode(m);
+        const Message message = drawn(UINT32_MAX);
+        const std::string bytes = encode(message);
         RC_ASSERT(bytes.size() <= Message::kMaxBytes);
         const auto back = decode(bytes);
         RC_ASSERT(back.has_value());
-        RC_ASSERT(*back == m);
+        RC_ASSERT(*back == message);
     }));
     Message most;
     most.from = most.uptime = most.sequence = most.subject = most.digest = most.present_count =
@@ -66,20 +66,25 @@
 }
 
 // A later version's fields stand behind ours; what we know is read all the same.
-TEST(Message, FieldsOfALaterVersionArePassedOver) {
-    Message m;
-    m.kind = Message::Kind::ping, m.from = 3, m.incarnation = {7, 9}, m.sequence = 5;
-    nlohmann::json all = plain(encode(m));
+TEST(Message, IgnoresFieldsOfLaterVersion) {
+    Message message;
+    message.kind = Message::Kind::ping;
+    message.from = 3;
+    message.incarnation = {7, 9};
+    message.sequence = 5;
+    nlohmann::json all = plain(encode(message));
     all.push_back("of a later version");
     all.push_back({1, 2, 3});
-    EXPECT_EQ(decode(signed_bytes(all)), m);
+    EXPECT_EQ(decode(signed_bytes(all)), message);
 }
 
-TEST(Message, WhatIsNoneOfOursIsToldByItsField) {
-    Message m;
-    m.kind = Message::Kind::ack, m.from = 3, m.incarnation = {7, 9};
+TEST(Message, NamesFaultAndFieldOfMalformedMessage) {
+    Message message;
+    message.kind = Message::Kind::ack;
+    message.from = 3;
+    message.incarnation = {7, 9};
     const auto with = [&](std::size_t field, const nlohmann::json& value) {
-        nlohmann::json all = plain(encode(m));
+        nlohmann::json all = plain(encode(message));
         all[field] = value;
         DecodeError error;
         EXPECT_FALSE(decode(signed_bytes(all), &error)) << field << " " << value;
@@ -103,7 +108,7 @@
         EXPECT_EQ(error.field, "");
         return error.fault;
     };
-    EXPECT_EQ(fault_of(encode(m).substr(0, 9)), DecodeFault::bad_checksum);
+    EXPECT_EQ(fault_of(encode(message).substr(0, 9)), DecodeFault::bad_checksum);
     EXPECT_EQ(fault_of("abc"), DecodeFault::not_a_message);
     EXPECT_EQ(fault_of(std::string(300, '\x91')), DecodeFault::too_long);
     // Nested as deep as it goes; and one that says that it has four billion entries.
--- a/tests/cluster/probes_test.cpp
+++ b/tests/cluster/probes_test.cpp
@@ -13,7 +13,7 @@
 
 constexpr Timing kTiming{};
 
-TEST(ProbeTracker, RepeatsThePingThenAsksOthersThenGivesUp) {
+TEST(ProbeTracker, RepeatsPingThenProbesIndirectlyThenExpires) {
     ProbeTracker probes(kTiming);
     probes.start(0, 3, ProbePurpose::regular, 7, 1);
     EXPECT_EQ(probes.next_due(), kTiming.ping_retry);
@@ -24,7 +24,7 @@
     EXPECT_EQ(retry[0].sequence, 7U);
     const auto indirect = probes.take_due(kTiming.direct_timeout);
     ASSERT_EQ(indirect.size(), 1U);
-    EXPECT_EQ(indirect[0].kind, ProbeStep::Kind::ask_others);
+    EXPECT_EQ(indirect[0].kind, ProbeStep::Kind::indirect_ping);
     probes.set_helpers(7, 2);
     probes.add_nack(7, 3);
     EXPECT_TRUE(probes.take_expired(0.9 * kTiming.probe_period - 1).empty());
@@ -35,7 +35,7 @@
     EXPECT_TRUE(std::isinf(probes.next_due()));
 }
 
-TEST(ProbeTracker, EndsWithTheAnswerOfItsOwnTargetOnly) {
+TEST(ProbeTracker, CompletesOnlyOnAnswerFromItsTarget) {
     ProbeTracker probes(kTiming);
     probes.start(0, 3, ProbePurpose::final_check, 7, 1);
     EXPECT_TRUE(probes.has_final_probe(3));
@@ -46,7 +46,7 @@
     EXPECT_FALSE(probes.has_final_probe(3));
 }
 
-TEST(ProbeTracker, ACourtesyProbeRepeatsOnceAndAsksNobody) {
+TEST(ProbeTracker, CourtesyProbeRepeatsOnceWithoutIndirectPings) {
     ProbeTracker probes(kTiming);
     probes.start(0, 3, ProbePurpose::courtesy, 7, 1);
     EXPECT_EQ(probes.take_due(kTiming.ping_retry).size(), 1U);
@@ -60,7 +60,7 @@
     EXPECT_EQ(probes.take_expired(2.7 * kTiming.probe_period).size(), 1U);
 }
 
-TEST(ProbeTracker, IsBounded) {
+TEST(ProbeTracker, IsFullAtMaxProbes) {
     ProbeTracker probes(kTiming);
     for (std::uint32_t i = 0; i < ProbeTracker::kMaxProbes; ++i) {
         EXPECT_FALSE(probes.full());
@@ -69,7 +69,7 @@
     EXPECT_TRUE(probes.full());
 }
 
-TEST(RelayTracker, TellsTheAskerOnceThatThereIsNoAnswerYetAndEnds) {
+TEST(RelayTracker, SendsOneNackThenExpires) {
     RelayTracker relays(kTiming);
     relays.start(0, 3, 1, 7, 70);
     EXPECT_TRUE(relays.take_due(kTiming.direct_timeout - 1).empty());
@@ -86,7 +86,7 @@
     EXPECT_TRUE(relays.running().empty());
 }
 
-TEST(ProbeRound, ReachesEachMemberOnceInEachRoundAndSkipsWhoIsNotWanted) {
+TEST(ProbeRound, VisitsEachWantedMemberOncePerRound) {
     ProbeRound round;
     balancer::Random random(5);
     const auto wanted = [](MemberId id) { return id != 2; };
@@ -98,7 +98,7 @@
     EXPECT_FALSE(round.next(random, 6, [](MemberId) { return false; }).has_value());
 }
 
-TEST(FailureBurst, IsQuickWhileManyFailAndBounded) {
+TEST(FailureBurst, AllowsBoundedQuickProbesWhileManyFail) {
     FailureBurst burst;
     EXPECT_FALSE(burst.take_quick(true));
     burst.probe_failed();
--- a/tests/cluster/refutation_test.cpp
+++ b/tests/cluster/refutation_test.cpp
@@ -52,7 +52,7 @@
     return (from == 0 && to == 1) || (to == 0 && from >= 2);
 }
 
-TEST(Refutation, AMemberNeverHeardDirectlyIsNotFailedWhileOthersHearIt) {
+TEST(Refutation, DoesNotFailMemberHeardOnlyByOthers) {
     VirtualFleet fleet(4);
     fleet.cut = only_zero_is_heard;
     fleet.start_all();
@@ -69,7 +69,7 @@
 
 // As tests/process_testbed has it on processes: a third of all is lost, some repeated and late, and 1 never
 // hears 0.
-TEST(Refutation, LossAndAOneWayLinkFromTheStartFailNobody) {
+TEST(Refutation, FailsNobodyUnderLossAndOneWayLinkFromStart) {
     std::uint64_t failures = 0;
     for (std::uint64_t seed = 1; seed <= kLossyFleets; ++seed) {
         VirtualFleet fleet(4, seed);
@@ -77,7 +77,7 @@
         fleet.cut = [](MemberId from, MemberId to) { return from == 0 && to == 1; };
         fleet.start_all();
         fleet.run_for(kMinute);
-        for (MemberId n = 0; n < fleet.count(); ++n) failures += failures_at(fleet, n);
+        for (MemberId id = 0; id < fleet.count(); ++id) failures += failures_at(fleet, id);
         EXPECT_TRUE(fleet.until([&] { return fleet.right(); }, kMinute)) << "seed " << seed;
     }
     std::printf("false failures in %llu fleets of four, a minute each: %llu\n",
@@ -85,7 +85,7 @@
     EXPECT_EQ(failures, 0U);
 }
 
-TEST(Refutation, ASuspicionThatNamesNoIncarnationIsAnsweredByAHigherOne) {
+TEST(Refutation, RefutesSuspicionWithoutIncarnationByHigherOne) {
     Membership member({0, 4, 4, 7, {}}, 0, kUnixAtStart);
     const Incarnation before = member.member(0).incarnation;
     Message claim = gossip_from(1, before.counter);
@@ -102,7 +102,7 @@
     EXPECT_GT(member.member(0).incarnation, after);
 }
 
-TEST(Refutation, WhoeverKnowsTheIncarnationTellsOneThatDoesNot) {
+TEST(Refutation, SendsKnownIncarnationToMemberWithoutIt) {
     Membership member({2, 4, 4, 7, {}}, 0, kUnixAtStart);
     const std::uint32_t count = member.member(2).incarnation.counter;
     member.heard(10, 0, encode(gossip_from(0, count + 5)));
@@ -122,7 +122,7 @@
     EXPECT_LE(sent_by(member).size(), 21U);
 }
 
-TEST(Refutation, ASuspicionThatNamesNoIncarnationConvincesNobodyWhoKnowsNoMore) {
+TEST(Refutation, IgnoresSuspicionWithoutIncarnationOfUnknownMember) {
     Membership member({2, 4, 4, 7, {}}, 0, kUnixAtStart);
     Message claim = gossip_from(1, member.member(2).incarnation.counter);
     claim.updates.push_back(kSuspectNeverHeard);
@@ -142,10 +142,10 @@
     Millis now = 10;
 
     SuspectsOne() {
-        hear(gossip_from(1, count));
-        hear(gossip_from(2, count));
+        receive(gossip_from(1, count));
+        receive(gossip_from(2, count));
     }
-    void hear(const Message& message) { member.heard(now, message.from, encode(message)); }
+    void receive(const Message& message) { member.heard(now, message.from, encode(message)); }
     // Until `end`, or until the state of member 1 is the one given.
     void run(Millis end, MemberState until) {
         while (member.member(1).state != until && member.next() <= end) {
@@ -157,14 +157,14 @@
                 Message answer = gossip_from(2, count);
                 answer.kind = Message::Kind::ack;
                 answer.sequence = sent.sequence;
-                hear(answer);
+                receive(answer);
             }
         }
     }
 };
 
 // The last probe of a suspect is under way when the refutation comes: what the probe finds then is void.
-TEST(Refutation, ALastProbeThatARefutationOvertookFailsNobody) {
+TEST(Refutation, FailsNobodyWhenRefutationOvertakesFinalProbe) {
     SuspectsOne control;
     control.run(kMinute, MemberState::failed);
     ASSERT_EQ(control.member.member(1).state, MemberState::failed);
@@ -175,28 +175,29 @@
     refuted.now = failed_at - Timing{}.final_probe / 2;
     Message word = gossip_from(2, refuted.count);
     word.updates.push_back({1, {refuted.count + 1, 77}, MemberState::alive, 3});
-    refuted.hear(word);
+    refuted.receive(word);
     ASSERT_EQ(refuted.member.member(1).state, MemberState::alive);
     refuted.run(failed_at + Timing{}.final_probe, MemberState::failed);
     EXPECT_NE(refuted.member.member(1).state, MemberState::failed);
 }
 
-// ---- restarts with a stepped wall clock
-// ---------------------------------------------------------------------
+// ---- restarts with a stepped wall clock ----------------------------------------------------------------
 
-bool all_hold_newest(VirtualFleet& fleet, MemberId of) {
+bool all_have_newest(VirtualFleet& fleet, MemberId of) {
     const Incarnation newest = fleet[of].member(of).incarnation;
-    for (MemberId n = 0; n < fleet.count(); ++n) {
-        if (fleet.held(n, of) > MemberState::alive || fleet[n].member(of).incarnation != newest) return false;
+    for (MemberId id = 0; id < fleet.count(); ++id) {
+        if (fleet.held(id, of) > MemberState::alive || fleet[id].member(of).incarnation != newest)
+            return false;
     }
     return true;
 }
 
 // Nobody holds an incarnation of it that would outrank its own word, or takes it for worse than alive.
-bool all_believe(VirtualFleet& fleet, MemberId of) {
+bool none_outranks(VirtualFleet& fleet, MemberId of) {
     const Incarnation newest = fleet[of].member(of).incarnation;
-    for (MemberId n = 0; n < fleet.count(); ++n) {
-        if (fleet.held(n, of) > MemberState::alive || fleet[n].member(of).incarnation > newest) return false;
+    for (MemberId id = 0; id < fleet.count(); ++id) {
+        if (fleet.held(id, of) > MemberState::alive || fleet[id].member(of).incarnation > newest)
+            return false;
     }
     return true;
 }
@@ -206,7 +207,7 @@
 // The wall clock is stepped while the process is down, one way and then back: each life is believed by all
 // soon after its first word, which comes within half a second, whether its machine had said that nobody
 // listens or it had been found silent, and nobody takes the earlier life for a rival.
-TEST_P(SteppedClock, ARestartedMemberIsBelievedWithinARefutation) {
+TEST_P(SteppedClock, AcceptsRestartedMemberAfterOneRefutation) {
     constexpr Millis kBelievedWithin = 3 * kSecond;
     for (const bool refuses : {true, false}) {
         for (const Millis down : {0.0, 0.3 * kSecond, 10 * kSecond}) {
@@ -218,14 +219,14 @@
                 fleet.kill(3);
                 fleet.run_for(down);
                 fleet.start(3, clock_off);
-                EXPECT_TRUE(fleet.until([&] { return all_believe(fleet, 3); }, kBelievedWithin))
+                EXPECT_TRUE(fleet.until([&] { return none_outranks(fleet, 3); }, kBelievedWithin))
                     << "refuses " << refuses << ", down " << down << ", clock off " << clock_off;
                 // One answer to what its earlier life was held for; seldom a second, to a later word of it.
                 EXPECT_LE(fleet[3].counters().refuted, 3U);
                 fleet.run_for(5 * kSecond);
                 EXPECT_TRUE(fleet.right() && fleet.agree());
             }
-            for (MemberId n = 0; n < fleet.count(); ++n) EXPECT_FALSE(fleet[n].yielded()) << n;
+            for (MemberId id = 0; id < fleet.count(); ++id) EXPECT_FALSE(fleet[id].yielded()) << id;
         }
     }
 }
@@ -236,7 +237,7 @@
                          });
 
 // Lives so short that what was said of one is still on its way when the next has started, under loss.
-TEST(Refutation, QuickRestartsWithSteppedClocksEndInOneBelievedLife) {
+TEST(Refutation, ConvergesOnLastIncarnationAfterQuickRestartsWithSteppedClocks) {
     for (std::uint64_t seed = 1; seed <= kRestartSeeds; ++seed) {
         VirtualFleet fleet(8, seed);
         fleet.start_all();
@@ -249,14 +250,14 @@
             fleet.run_for(4 * kSecond * random.unit());
         }
         fleet.net = {};
-        EXPECT_TRUE(fleet.until([&] { return all_hold_newest(fleet, 3) && fleet.agree(); }, 15 * kSecond))
+        EXPECT_TRUE(fleet.until([&] { return all_have_newest(fleet, 3) && fleet.agree(); }, 15 * kSecond))
             << "seed " << seed;
         EXPECT_FALSE(fleet[3].yielded()) << "seed " << seed;
     }
 }
 
 // Whatever a peer claims of it, a member's answer is one that the others still believe.
-TEST(Refutation, ANamedIncarnationOfAnyHeightIsAnsweredOrDropped) {
+TEST(Refutation, RefutesOrDropsClaimWithAnyCounter) {
     VirtualFleet fleet(4, 3);
     fleet.start_all();
     fleet.run_for(5 * kSecond);
@@ -268,10 +269,10 @@
             Message claim = gossip_from(1, fleet[1].member(1).incarnation.counter);
             claim.incarnation = fleet[1].member(1).incarnation;
             claim.updates.push_back({0, {start + ahead, life}, MemberState::suspect, 1});
-            for (MemberId n = 0; n < 4; ++n) {
-                if (n != 1) fleet.inject(n, 1, encode(claim));
+            for (MemberId id = 0; id < 4; ++id) {
+                if (id != 1) fleet.inject(id, 1, encode(claim));
             }
-            EXPECT_TRUE(fleet.until([&] { return all_hold_newest(fleet, 0); }, 5 * kSecond))
+            EXPECT_TRUE(fleet.until([&] { return all_have_newest(fleet, 0); }, 5 * kSecond))
                 << "ahead by " << ahead << ", life " << life;
             EXPECT_FALSE(fleet[0].yielded());
         }
--- a/tests/cluster/sibling_estimate_test.cpp
+++ b/tests/cluster/sibling_estimate_test.cpp
@@ -6,7 +6,7 @@
 namespace elmbay::cluster {
 namespace {
 
-TEST(SiblingEstimate, LieBetweenWhoIsThereAndWhatTheSettingsSay) {
+TEST(SiblingEstimate, StaysBetweenPresentMembersAndConfiguredCount) {
     SiblingEstimate s(300);
     Headcount c{300, 90, 0, 210};
     EXPECT_NEAR(s.target(c, View::whole), 300 / (1 + 0.4 * 300 / 90.0), 1e-9);
--- a/tests/cluster/suspicion_test.cpp
+++ b/tests/cluster/suspicion_test.cpp
@@ -8,7 +8,7 @@
 
 constexpr Timing kTiming{};
 
-TEST(SuspicionTimers, GetShorterAsMoreMembersShareASuspicion) {
+TEST(SuspicionTimers, ShortenTimeoutWithEachAccuser) {
     SuspicionTimers timers(4, kTiming);
     timers.start(100, 2);
     EXPECT_TRUE(timers.add_accuser(2, 0));
@@ -21,7 +21,7 @@
     EXPECT_NEAR(timers.deadline(2), 100 + kTiming.min_suspicion, 1e-6);
 }
 
-TEST(SuspicionTimers, CountEachAccuserOnceAndABoundedNumber) {
+TEST(SuspicionTimers, CountEachAccuserOnceUpToMaximum) {
     SuspicionTimers timers(9, kTiming);
     timers.start(0, 2);
     EXPECT_FALSE(timers.last_accuser(2).has_value());
@@ -34,7 +34,7 @@
     EXPECT_EQ(timers.accusers(2), SuspicionTimers::kMaxAccusers);
 }
 
-TEST(SuspicionTimers, EndWithTheSuspicionAndItsFinalProbe) {
+TEST(SuspicionTimers, ClearEndsSuspicionAndItsFinalProbe) {
     SuspicionTimers timers(4, kTiming);
     timers.start(0, 2);
     timers.add_accuser(2, 0);
@@ -46,7 +46,7 @@
     EXPECT_TRUE(timers.suspects().empty());
 }
 
-TEST(SuspicionTimers, ArePutOffWhenThisProcessStoodStill) {
+TEST(SuspicionTimers, ArePostponedAfterOwnStall) {
     SuspicionTimers timers(4, kTiming);
     timers.start(1000, 2);
     timers.begin_final_probe(2);
--- a/tests/cluster/table_sync_test.cpp
+++ b/tests/cluster/table_sync_test.cpp
@@ -11,7 +11,7 @@
 constexpr Timing kTiming{};
 constexpr Millis kTimeout = 400;
 
-TEST(TableSync, AsksOnlyWhileATableDiffersAndNotTooOften) {
+TEST(TableSync, RequestsTableOnlyWhileDifferentAndDue) {
     TableSync sync(kTiming, 100);
     EXPECT_FALSE(sync.due(1000));
     EXPECT_TRUE(std::isinf(sync.next_due()));
@@ -25,7 +25,7 @@
     EXPECT_FALSE(sync.due(500));
 }
 
-TEST(TableSync, AsksPageByPageUntilTheLast) {
+TEST(TableSync, RequestsPagesInOrderUntilLast) {
     TableSync sync(kTiming, 0);
     sync.note_difference(3);
     sync.start(0, 9, kTimeout);
@@ -49,7 +49,7 @@
     EXPECT_EQ(sync.next_due(), 900);
 }
 
-TEST(TableSync, GoesOnWithAnotherWhereOneFellSilent) {
+TEST(TableSync, ContinuesWithAnotherMemberAfterTimeout) {
     TableSync sync(kTiming, 0);
     sync.note_difference(3);
     sync.start(0, 9, kTimeout);
--- a/tests/cluster/virtual_fleet.hpp
+++ b/tests/cluster/virtual_fleet.hpp
@@ -36,40 +36,40 @@
     bool refuses = true;  // a machine says that its process is not there
 
     // as: the number that it takes itself for, where that is not its own.
-    void start(MemberId n, Millis clock_offset = 0, std::optional<MemberId> as = {}) {
-        Node& node = nodes_[n];
+    void start(MemberId id, Millis clock_offset = 0, std::optional<MemberId> as = {}) {
+        Node& node = nodes_[id];
         ++node.generation;
         node.frozen = false;
         node.unread.clear();
         node.clock_offset = clock_offset;
         node.members = std::make_unique<Membership>(
-            Membership::Setup{as.value_or(n), count(), count(), random_.next(), timing_}, now_,
+            Membership::Setup{as.value_or(id), count(), count(), random_.next(), timing_}, now_,
             kUnix + now_ + clock_offset);
-        settle(n);
+        settle(id);
     }
     void start_all() {
-        for (MemberId n = 0; n < count(); ++n) start(n);
+        for (MemberId id = 0; id < count(); ++id) start(id);
     }
-    void kill(MemberId n) {
-        nodes_[n].members.reset();
-        ++nodes_[n].generation;
-        nodes_[n].unread.clear();
+    void kill(MemberId id) {
+        nodes_[id].members.reset();
+        ++nodes_[id].generation;
+        nodes_[id].unread.clear();
     }
-    void end(MemberId n) {
-        nodes_[n].members->leave(now_);
-        settle(n);
-        kill(n);
+    void end(MemberId id) {
+        nodes_[id].members->leave(now_);
+        settle(id);
+        kill(id);
     }
-    void freeze(MemberId n) { nodes_[n].frozen = true; }
-    void thaw(MemberId n) {
-        Node& node = nodes_[n];
+    void freeze(MemberId id) { nodes_[id].frozen = true; }
+    void thaw(MemberId id) {
+        Node& node = nodes_[id];
         node.frozen = false;
         if (!node.members) return;
         // Its timers may be seen before its socket: what lies unread has not been heard then.
         if (node.members->next() <= now_) node.members->wake(now_);
         for (const auto& [from, bytes] : std::exchange(node.unread, {}))
             node.members->heard(now_, from, bytes);
-        settle(n);
+        settle(id);
     }
     // Into its socket, as if from there.
     void inject(MemberId to, std::optional<std::uint32_t> place, const std::string& bytes) {
@@ -94,10 +94,10 @@
 
     Millis now() const { return now_; }
     std::uint32_t count() const { return static_cast<std::uint32_t>(nodes_.size()); }
-    bool runs(MemberId n) const { return nodes_[n].members != nullptr; }
-    bool frozen(MemberId n) const { return nodes_[n].frozen; }
-    Membership& operator[](MemberId n) { return *nodes_[n].members; }
-    View view(MemberId n) { return nodes_[n].members->view(now_); }
+    bool runs(MemberId id) const { return nodes_[id].members != nullptr; }
+    bool frozen(MemberId id) const { return nodes_[id].frozen; }
+    Membership& operator[](MemberId id) { return *nodes_[id].members; }
+    View view(MemberId id) { return nodes_[id].members->view(now_); }
     MemberState held(MemberId by, MemberId of) { return nodes_[by].members->member(of).state; }
     // Of all who run, whether they hold the same.
     bool agree() {
@@ -159,31 +159,31 @@
     }
     Millis delay() { return net.min_delay + (net.max_delay - net.min_delay) * random_.unit(); }
     // What it has to send goes out, and it is woken when it wants to be.
-    void settle(MemberId n) {
-        Node& node = nodes_[n];
+    void settle(MemberId id) {
+        Node& node = nodes_[id];
         if (!node.members) return;
         for (Datagram& d : node.members->take_datagrams()) {
-            ++sent_by[n];
-            hash_traffic(n, d);
-            const MemberId to = member_at(n, d.address_index);
-            if (cut(n, to) || random_.unit() < net.loss) continue;
+            ++sent_by[id];
+            hash_traffic(id, d);
+            const MemberId to = member_at(id, d.address_index);
+            if (cut(id, to) || random_.unit() < net.loss) continue;
             int copies = 1 + (random_.unit() < net.repeat);
             if (net.garble > 0 && random_.unit() < net.garble)
                 d.bytes[random_.below(d.bytes.size())] ^= static_cast<char>(1 + random_.below(255));
             const auto bytes = std::make_shared<const std::string>(std::move(d.bytes));
-            for (; copies > 0; --copies) schedule({now_ + delay(), 0, to, n, false, 0, bytes});
+            for (; copies > 0; --copies) schedule({now_ + delay(), 0, to, id, false, 0, bytes});
         }
         for (const Change& c : node.members->take_changes()) {
             false_failures += c.after == MemberState::failed && runs(c.number) && !nodes_[c.number].frozen &&
-                              !cut(n, c.number) && !cut(c.number, n) &&
+                              !cut(id, c.number) && !cut(c.number, id) &&
                               node.members->member(c.number).incarnation ==
                                   nodes_[c.number].members->member(c.number).incarnation;
-            changed(n, c);
+            changed(id, c);
         }
         const Millis next = node.members->next();
         if (next < 1e300 && (node.waking < 0 || next < node.waking)) {
             node.waking = std::max(next, now_);
-            schedule({node.waking, 0, n, n, true, node.generation, nullptr});
+            schedule({node.waking, 0, id, id, true, node.generation, nullptr});
         }
     }
     void step() {
@@ -203,8 +203,10 @@
                 settle(event.to);
             }
         } else if (event.refused) {
-            if (node.members && !node.frozen)
-                node.members->refused(now_, member_at(event.to, event.from)), settle(event.to);
+            if (node.members && !node.frozen) {
+                node.members->refused(now_, member_at(event.to, event.from));
+                settle(event.to);
+            }
         } else if (!cut(event.from, event.to)) {
             if (!node.members) {
                 if (refuses && !cut(event.to, event.from))
@@ -213,7 +215,8 @@
                 if (node.unread.size() < kMaxUnread)
                     node.unread.emplace_back(member_at(event.to, event.from), *event.bytes);
             } else {
-                ++delivered.datagrams, delivered.bytes += event.bytes->size();
+                ++delivered.datagrams;
+                delivered.bytes += event.bytes->size();
                 node.members->heard(now_, member_at(event.to, event.from), *event.bytes);
                 settle(event.to);
             }
--- a/tests/state/fault_spell_test.cpp
+++ b/tests/state/fault_spell_test.cpp
@@ -70,12 +70,15 @@
     ASSERT_LE(round, progress.tried) << where;
 }
 
-TEST(FaultSpell, WhateverFailsForAWhileTheLastKeptIsReadAndSavesWorkAgain) {
+TEST(FaultSpell, LoadsLastSavedAndSavesAgainAfterAnyTransientFault) {
     for (const std::errc reason : kReasons) {
         for (const long lasts : {1, 2, 5, 12}) {
             for (long at = 0;; ++at) {
                 FaultyFileSystem files;
-                files.at = at, files.lasts = lasts, files.reason = reason, files.reads_too = true;
+                files.at = at;
+                files.lasts = lasts;
+                files.reason = reason;
+                files.reads_too = true;
                 const Progress progress = two_lives(files);
                 if (files.operations <= at) break;
                 const std::string where = std::make_error_code(reason).message() + " at " +
@@ -93,7 +96,7 @@
     }
 }
 
-TEST(FaultSpell, ACrashAfterACallThatFailedLosesNothingThatWasKept) {
+TEST(FaultSpell, LosesNothingSavedWhenCrashFollowsFailedCall) {
     for (const Fault fault : {Fault::fails, Fault::full, Fault::shorter}) {
         for (const Survives survives :
              {Survives::nothing, Survives::names, Survives::names_and_half, Survives::all, Survives::some}) {
@@ -101,7 +104,9 @@
                 long last = at;
                 for (long crash_at = at + 1; crash_at <= last + 1; ++crash_at) {
                     FaultyFileSystem files;
-                    files.at = at, files.fault = fault, files.crash_at = crash_at;
+                    files.at = at;
+                    files.fault = fault;
+                    files.crash_at = crash_at;
                     const Progress progress = two_lives(files);
                     last = std::min(files.operations, at + 24);
                     files.crash(survives, static_cast<std::uint64_t>(crash_at));
@@ -119,7 +124,7 @@
 
 // Names that a folder whose sync fails keeps are not certain: what a save writes behind them is not kept
 // either.
-TEST(FaultSpell, AGenerationWhoseNameWasNotSyncedIsNotWrittenOn) {
+TEST(FaultSpell, DoesNotAppendToGenerationWhoseNameWasNotSynced) {
     FaultyFileSystem files;
     SnapshotStore store(files, kFolder, "n-1");
     ASSERT_FALSE(store.open());
@@ -136,7 +141,7 @@
 }
 
 // A list that fails half way must not make a life begin below what is there.
-TEST(FaultSpell, AListCutShortDoesNotHideNewerGenerations) {
+TEST(FaultSpell, FindsNewerGenerationsAfterTruncatedDirectoryList) {
     FaultyFileSystem files;
     std::uint64_t next = 0;
     files.put("state/elmbay-0000000000000005.state",
@@ -155,11 +160,13 @@
 }
 
 // A start on a disk that is in trouble keeps as soon as the disk lets it.
-TEST(FaultSpell, AFolderThatCannotBeOpenedAtTheStartIsTriedAgain) {
+TEST(FaultSpell, RetriesDirectoryThatCannotBeOpenedAtStart) {
     for (const long at : {0L, 1L}) {  // the folder, the lock
         FaultyFileSystem files;
         files.reads_too = true;
-        files.at = at, files.lasts = 1, files.reason = std::errc::no_space_on_device;
+        files.at = at;
+        files.lasts = 1;
+        files.reason = std::errc::no_space_on_device;
         SnapshotWriter writer(files, kFolder, "n-1");
         const auto loaded = writer.start(kGenerous);
         EXPECT_FALSE(loaded.snapshot);
@@ -174,7 +181,7 @@
 }
 
 // The process before this one may still be ending when this one starts.
-TEST(FaultSpell, AFolderThatAnotherProcessLetsGoIsTakenOver) {
+TEST(FaultSpell, TakesOverDirectoryReleasedByAnotherProcess) {
     FaultyFileSystem files;
     SnapshotWriter first(files, kFolder, "n-1"), second(files, kFolder, "n-1");
     first.start(kGenerous);
@@ -189,7 +196,7 @@
 }
 
 // An allocation that fails in the writer's thread is a save that failed, not the end of the process.
-TEST(FaultSpell, AnExceptionInASaveIsAFailureLikeAnyOther) {
+TEST(FaultSpell, ReportsExceptionInSaveAsFailure) {
     class ThrowingFileSystem : public FaultyFileSystem {
     public:
         bool throws = true;
--- a/tests/state/log_events_test.cpp
+++ b/tests/state/log_events_test.cpp
@@ -22,7 +22,7 @@
     return status;
 }
 
-TEST(WriteFailureLog, ASpellIsLoggedOnceWhateverItsReasons) {
+TEST(WriteFailureLog, LogsConsecutiveFailuresOnceForAllReasons) {
     WriteFailureLog log;
     EXPECT_FALSE(log.observe(sound()));
     EXPECT_EQ(log.observe(failed(std::errc::no_space_on_device, 1)),
@@ -37,14 +37,14 @@
     EXPECT_EQ(log.observe(sound(4)), "component=state event=write_recovered failed_saves=0");
 }
 
-TEST(WriteFailureLog, ASpellThatBeginsWithTheStartIsLoggedByTheStartOnly) {
+TEST(WriteFailureLog, DoesNotRepeatFailureThatBeganAtStart) {
     WriteFailureLog log;
     log.started(failed(std::errc::read_only_file_system, 0));
     EXPECT_FALSE(log.observe(failed(std::errc::read_only_file_system, 2)));
     EXPECT_EQ(log.observe(sound(2)), "component=state event=write_recovered failed_saves=2");
 }
 
-TEST(LoadEvents, OneLineForEachThing) {
+TEST(LoadEvents, WritesOneLineForEachNote) {
     EXPECT_TRUE(load_events({}, "/d").empty());
     LoadResult result;
     result.notes.push_back({"elmbay-2.state", StateError::not_a_snapshot, "it is no state of an elmbay"});
@@ -59,7 +59,7 @@
             "component=state event=directory_unreadable directory=\"/d\" error=\"Input/output error\""}));
 }
 
-TEST(LoadEvents, ADirectoryThatCannotBeUsedSaysWhetherItIsTriedAgain) {
+TEST(LoadEvents, SaysWhetherUnusableDirectoryIsRetried) {
     const auto line = [](std::error_code error) { return load_events({{}, {}, error}, "/d").at(0); };
     EXPECT_EQ(line(StateError::directory_in_use),
               "component=state event=directory_in_use directory=\"/d\" "
@@ -73,7 +73,7 @@
 }
 
 // An instance's name comes from a file that somebody else may have written.
-TEST(LoadEvents, WhatAFileSaysMakesNoSecondLine) {
+TEST(LoadEvents, EscapesTextThatComesFromAFile) {
     LoadResult result;
     result.notes.push_back({"f", StateError::instance_mismatch, "it is of instance 'a\"\n\\b'"});
     EXPECT_EQ(
--- a/tests/state/old_snapshot_test.cpp
+++ b/tests/state/old_snapshot_test.cpp
@@ -12,7 +12,7 @@
 namespace elmbay::state {
 namespace {
 
-TEST(OldSnapshot, OfCommit689f46aIsReadWhole) {
+TEST(OldSnapshot, LoadsSnapshotWrittenByCommit689f46a) {
     const std::filesystem::path written = std::filesystem::path(STATE_TEST_DATA) / "689f46a";
     std::string folder = (std::filesystem::temp_directory_path() / "elmbay-old-XXXXXX").string();
     ASSERT_NE(::mkdtemp(folder.data()), nullptr);
--- a/tests/state/snapshot_store_test.cpp
+++ b/tests/state/snapshot_store_test.cpp
@@ -27,18 +27,18 @@
     int kept = 0, tried = 0;
 };
 Played play(FaultyFileSystem& files) {
-    Played p;
+    Played progress;
     for (int life = 0; life < 2; ++life) {
         files.locked.clear();
         SnapshotStore store(files, kFolder, "n-1");
         EXPECT_FALSE(store.open());
         store.load();
         for (int round = life == 0 ? 1 : kFresh; round <= (life == 0 ? kFresh - 1 : kRounds); ++round) {
-            p.tried = round;
-            if (!store.save(sample(round))) p.kept = round;
+            progress.tried = round;
+            if (!store.save(sample(round))) progress.kept = round;
         }
     }
-    return p;
+    return progress;
 }
 
 int loaded_round(FaultyFileSystem& files) {
@@ -49,24 +49,25 @@
     return loaded.snapshot ? round_of(*loaded.snapshot) : 0;
 }
 
-TEST(SnapshotStore, KeepsWhatWasSavedLast) {
+TEST(SnapshotStore, LoadsLastSavedSnapshot) {
     FaultyFileSystem files;
     EXPECT_EQ(loaded_round(files), 0);
     EXPECT_EQ(play(files).kept, kRounds);
     EXPECT_EQ(loaded_round(files), kRounds);
 }
 
-TEST(SnapshotStore, AfterAnyOperationThatFailsThereIsAWholeStateAndTheNextSaveWorks) {
+TEST(SnapshotStore, LoadsWholeSnapshotAndSavesAgainAfterAnyFailedOperation) {
     for (const Fault fault : {Fault::fails, Fault::full, Fault::shorter}) {
         for (long at = 0;; ++at) {
             FaultyFileSystem files;
-            files.at = at, files.fault = fault;
-            const Played p = play(files);
+            files.at = at;
+            files.fault = fault;
+            const Played progress = play(files);
             if (files.operations <= at) break;
             const int round = loaded_round(files);
-            ASSERT_GE(round, p.kept) << "operation " << at;
-            ASSERT_LE(round, p.tried) << "operation " << at;
-            ASSERT_GE(p.kept, kRounds - 1) << "one fault costs one save, operation " << at;
+            ASSERT_GE(round, progress.kept) << "operation " << at;
+            ASSERT_LE(round, progress.tried) << "operation " << at;
+            ASSERT_GE(progress.kept, kRounds - 1) << "one fault costs one save, operation " << at;
             SnapshotStore store(files, kFolder, "n-1");
             files.locked.clear();
             ASSERT_FALSE(store.open());
@@ -76,26 +77,27 @@
     }
 }
 
-TEST(SnapshotStore, AfterACrashAtAnyOperationWhatWasKeptIsThereOrSomethingNewer) {
+TEST(SnapshotStore, LoadsLastSavedOrNewerAfterCrashAtAnyOperation) {
     for (const Survives what :
          {Survives::nothing, Survives::names, Survives::names_and_half, Survives::all}) {
         long at = 0;
         for (;; ++at) {
             FaultyFileSystem files;
-            files.at = at, files.fault = Fault::crash;
-            const Played p = play(files);
+            files.at = at;
+            files.fault = Fault::crash;
+            const Played progress = play(files);
             if (files.operations <= at) break;
             files.crash(what);
             const int round = loaded_round(files);
-            ASSERT_GE(round, p.kept) << "operation " << at << ", survives " << static_cast<int>(what);
-            ASSERT_LE(round, p.tried) << "operation " << at;
+            ASSERT_GE(round, progress.kept) << "operation " << at << ", survives " << static_cast<int>(what);
+            ASSERT_LE(round, progress.tried) << "operation " << at;
             ASSERT_EQ(play(files).kept, kRounds) << "and life goes on";
         }
         EXPECT_GT(at, 15) << "every operation was tried";
     }
 }
 
-TEST(SnapshotStore, NothingNewIsNotWritten) {
+TEST(SnapshotStore, DoesNotWriteUnchangedSnapshot) {
     FaultyFileSystem files;
     SnapshotStore store(files, kFolder, "n-1");
     ASSERT_FALSE(store.open());
@@ -111,7 +113,7 @@
     EXPECT_EQ(store.load().snapshot->taken.wall_ms, s.taken.wall_ms);
 }
 
-TEST(SnapshotStore, AGenerationDoesNotGrowForEverAndTwoAreKept) {
+TEST(SnapshotStore, BoundsGenerationSizeAndKeepsTwoGenerations) {
     FaultyFileSystem files;
     SnapshotStore store(files, kFolder, "n-1");
     ASSERT_FALSE(store.open());
@@ -124,7 +126,7 @@
     }
 }
 
-TEST(SnapshotStore, WhatIsDamagedOrNotOursIsPassedOver) {
+TEST(SnapshotStore, SkipsDamagedAndForeignFiles) {
     FaultyFileSystem files;
     {
         SnapshotStore store(files, kFolder, "n-1");
@@ -172,7 +174,7 @@
         EXPECT_FALSE(paths.contains(gone)) << gone;
 }
 
-TEST(SnapshotStore, SenselessSnapshotsAreRefusedWhole) {
+TEST(SnapshotStore, RejectsInvalidSnapshots) {
     FaultyFileSystem files;
     SnapshotStore store(files, kFolder, "n-1");
     EXPECT_TRUE(store.save(sample(1))) << "not open";
@@ -189,7 +191,7 @@
     void TearDown() override { std::filesystem::remove_all(folder); }
 };
 
-TEST_F(OnDisk, TheMachinesOwnFilesKeepItToo) {
+TEST_F(OnDisk, LoadsLastSavedSnapshotFromRealFiles) {
     {
         SnapshotStore store(posix_file_system(), folder + "/deep/er", "n-1");
         ASSERT_FALSE(store.open());
@@ -200,7 +202,7 @@
     EXPECT_EQ(round_of(*store.load().snapshot), 3);
 }
 
-TEST_F(OnDisk, ASecondProcessOnTheFolderIsLockedOut) {
+TEST_F(OnDisk, LocksOutSecondProcess) {
     SnapshotStore first(posix_file_system(), folder, "n-1"), second(posix_file_system(), folder, "n-1");
     ASSERT_FALSE(first.open());
     EXPECT_EQ(second.open(), std::errc::resource_unavailable_try_again);
@@ -209,7 +211,7 @@
     EXPECT_FALSE(first.save(sample(1)));
 }
 
-TEST_F(OnDisk, AFolderThatVanishesIsAnErrorAndNoMore) {
+TEST_F(OnDisk, ReportsErrorWhenDirectoryVanishes) {
     SnapshotStore store(posix_file_system(), folder + "/gone", "n-1");
     ASSERT_FALSE(store.open());
     std::filesystem::remove_all(folder + "/gone");
--- a/tests/state/snapshot_test.cpp
+++ b/tests/state/snapshot_test.cpp
@@ -26,7 +26,7 @@
     return bytes;
 }
 
-TEST(StateFile, WhatGoesInComesOut) {
+TEST(StateFile, DecodesWhatWasEncoded) {
     const DecodeResult r = decode_snapshot_file(three_rounds());
     ASSERT_TRUE(r.snapshot);
     EXPECT_EQ(round_of(*r.snapshot), 3);
@@ -37,7 +37,7 @@
     EXPECT_FALSE(r.dropped_tail);
 }
 
-TEST(StateFile, ServersThatComeAndGoAreChanges) {
+TEST(StateFile, EncodesAddedAndRemovedServersAsChanges) {
     std::uint64_t next = 0;
     const Snapshot six = sample(1, 6), four = sample(1, 4), eight = sample(1, 8);
     std::string bytes = encode_header(six, 1) + encode_batch(nullptr, six, 1, next);
@@ -50,7 +50,7 @@
     EXPECT_EQ(round_of(*decode_snapshot_file(bytes).snapshot), 1);
 }
 
-TEST(StateFile, CutAtAnyByteItIsRefusedOrWholeAsOfTheBatchBefore) {
+TEST(StateFile, IsRejectedOrDecodesEarlierBatchWhenTruncatedAtAnyByte) {
     std::vector<std::size_t> ends;
     const std::string bytes = three_rounds(&ends);
     for (std::size_t cut = 0; cut < bytes.size(); ++cut) {
@@ -68,7 +68,7 @@
     }
 }
 
-TEST(StateFile, WithAnyBitFlippedItIsRefusedOrAWholeEarlierState) {
+TEST(StateFile, IsRejectedOrDecodesEarlierBatchWithAnyBitFlipped) {
     const std::string bytes = three_rounds();
     std::size_t refused = 0, earlier = 0;
     for (std::size_t bit = 0; bit < bytes.size() * 8; ++bit) {
@@ -87,7 +87,7 @@
     EXPECT_GT(earlier, 1000U);
 }
 
-TEST(StateFile, RecordsOfAnotherGenerationOrPlaceDoNotPass) {
+TEST(StateFile, RejectsRecordsOfAnotherGenerationOrPosition) {
     std::uint64_t next = 0, from_start = 0;
     const Snapshot one = sample(1), two = sample(2);
     const std::string base = encode_header(one, 7) + encode_batch(nullptr, one, 7, next);
@@ -98,7 +98,7 @@
     EXPECT_EQ(round_of(*decode_snapshot_file(base + encode_batch(&one, two, 7, from_start)).snapshot), 1);
 }
 
-TEST(StateFile, ANewerVersionIsNewerAndNothingElse) {
+TEST(StateFile, DistinguishesNewerVersionFromInvalidFiles) {
     std::string bytes = three_rounds();
     bytes[8] = 2;
     EXPECT_EQ(decode_snapshot_file(bytes).error, StateError::unsupported_version);
@@ -110,7 +110,7 @@
     EXPECT_EQ(decode_snapshot_file(std::string(kMaxFileBytes + 1, 'E')).error, StateError::file_too_large);
 }
 
-TEST(StateFile, RandomBytesBehindAGoodHeaderDoNoHarm) {
+TEST(StateFile, RejectsRandomBytesAfterValidHeader) {
     std::mt19937_64 random(20261201);
     const std::string header = encode_header(sample(1), 7);
     for (int i = 0; i < 2000; ++i) {
@@ -120,7 +120,7 @@
     }
 }
 
-TEST(StateAge, IsByTheTimeSinceBootOrElseByTheWall) {
+TEST(StateAge, UsesTimeSinceBootElseWallClock) {
     const Timestamp then{1000000, 5000, {1}};
     EXPECT_EQ(age_of(then, {900000, 7000, {1}}), 2000) << "the wall clock was set back; the boot's was not";
     EXPECT_EQ(age_of(then, {1060000, 10, {2}}), 60000) << "another boot";
--- a/tests/state/snapshot_writer_test.cpp
+++ b/tests/state/snapshot_writer_test.cpp
@@ -55,7 +55,7 @@
     int waiting_ = 0;
 };
 
-TEST(SnapshotWriter, WritesTheLastBeforeItStops) {
+TEST(SnapshotWriter, WritesLastSnapshotBeforeStop) {
     FaultyFileSystem files;
     {
         SnapshotWriter writer(files, "state", "n-1");
@@ -75,7 +75,7 @@
     EXPECT_TRUE(next.stop(kGenerous));
 }
 
-TEST(SnapshotWriter, ADiskThatHangsHoldsUpNobody) {
+TEST(SnapshotWriter, PostDoesNotBlockOnHangingDisk) {
     HangingFileSystem files;
     SnapshotWriter writer(files, "state", "n-1");
     writer.start(kGenerous);
@@ -90,7 +90,7 @@
     EXPECT_EQ(writer.status().saves, 2U) << "the one that hung, and the last";
 }
 
-TEST(SnapshotWriter, AStartDoesNotWaitForADiskForEver) {
+TEST(SnapshotWriter, StartTimesOutOnHangingDisk) {
     HangingFileSystem files;
     files.lock_hangs = true;
     SnapshotWriter writer(files, "state", "n-1");
@@ -103,11 +103,12 @@
     EXPECT_TRUE(files.paths().empty());
 }
 
-TEST(SnapshotWriter, FailuresAreToldAndTheNextSaveIsTried) {
+TEST(SnapshotWriter, ReportsFailureAndTriesNextSave) {
     FaultyFileSystem files;
     SnapshotWriter writer(files, "state", "n-1");
     writer.start(kGenerous);
-    files.at = 0, files.fault = FaultyFileSystem::Fault::full;
+    files.at = 0;
+    files.fault = FaultyFileSystem::Fault::full;
     writer.post(sample(1));
     while (writer.status().failed_saves == 0) std::this_thread::yield();
     EXPECT_TRUE(writer.status().last_error);
@@ -117,7 +118,7 @@
     EXPECT_FALSE(writer.status().last_error);
 }
 
-TEST(SnapshotWriter, AFolderInUseIsToldAndNothingIsKept) {
+TEST(SnapshotWriter, ReportsDirectoryInUseAndWritesNothing) {
     FaultyFileSystem files;
     SnapshotWriter first(files, "state", "n-1"), second(files, "state", "n-1");
     first.start(kGenerous);
--- a/tests/state/system_calls.cpp
+++ b/tests/state/system_calls.cpp
@@ -52,7 +52,7 @@
     seen = wrong = 0;
 }
 void no_plan() { plan_calls({}); }
-long calls_gone_wrong() {
+long faulted_calls() {
     const std::scoped_lock lock(mutex);
     return wrong;
 }
--- a/tests/state/system_calls.hpp
+++ b/tests/state/system_calls.hpp
@@ -17,6 +17,6 @@
 void plan_calls(CallPlan plan);
 void no_plan();
 // How many calls have gone wrong since plan_calls().
-long calls_gone_wrong();
+long faulted_calls();
 
 }  // namespace elmbay::state::test
--- a/tests/state/system_calls_test.cpp
+++ b/tests/state/system_calls_test.cpp
@@ -19,7 +19,7 @@
 namespace elmbay::state {
 namespace {
 
-using test::calls_gone_wrong;
+using test::faulted_calls;
 using test::no_plan;
 using test::plan_calls;
 using test::round_of;
@@ -59,13 +59,13 @@
     std::string folder = (std::filesystem::temp_directory_path() / "elmbay-calls-XXXXXX").string();
 };
 
-TEST_F(SystemCalls, OneThatASignalInterruptsIsMadeAgain) {
+TEST_F(SystemCalls, RetriesCallInterruptedBySignal) {
     int first = 1, last = 0;
     for (const char* call : {"open", "read", "write", "fsync", "flock"}) {
         for (long after = 0; after < 12; ++after) {
             plan_calls({.call = call, .error = EINTR, .after = after, .times = 3});
             EXPECT_EQ(saves(first, last), kRounds) << call << " after " << after;
-            if (calls_gone_wrong() == 0) break;
+            if (faulted_calls() == 0) break;
             first += kRounds;
         }
         no_plan();
@@ -73,18 +73,18 @@
     }
 }
 
-TEST_F(SystemCalls, ShortReadsAndWritesAreGoneOnWith) {
+TEST_F(SystemCalls, ContinuesAfterShortReadsAndWrites) {
     int first = 1, last = 0;
     for (const char* call : {"read", "write"}) {
         plan_calls({.call = call, .error = 0, .after = 0, .times = 1000000});
         EXPECT_EQ(saves(first, last), kRounds) << call;
         EXPECT_EQ(loaded_round(), last) << call;
-        EXPECT_GT(calls_gone_wrong(), 1000) << call;
+        EXPECT_GT(faulted_calls(), 1000) << call;
         first += kRounds;
     }
 }
 
-TEST_F(SystemCalls, WhateverFailsForAWhileTheLastKeptIsReadAndSavesWorkAgain) {
+TEST_F(SystemCalls, LoadsLastSavedAndSavesAgainAfterAnyTransientFault) {
     constexpr int kErrors[] = {EIO,    ENOSPC, EDQUOT, EROFS,  EFBIG, ENOMEM,
                                EMFILE, ENFILE, EACCES, ENOLCK, ESTALE};
     int first = 1, last = 0;
@@ -113,11 +113,11 @@
         << "nothing piles up";
 }
 
-TEST_F(SystemCalls, WithoutAThreadTheSidecarGoesWithout) {
+TEST_F(SystemCalls, KeepsNothingWhenNoThreadIsAvailable) {
     plan_calls({.call = "pthread_create", .error = EAGAIN});
     SnapshotWriter writer(posix_file_system(), folder + "/state", "n-1");
     const auto loaded = writer.start();
-    EXPECT_EQ(calls_gone_wrong(), 1);
+    EXPECT_EQ(faulted_calls(), 1);
     EXPECT_FALSE(loaded.snapshot);
     EXPECT_EQ(loaded.error, StateError::no_writer_thread);
     writer.post(sample(1));
@@ -126,7 +126,7 @@
 }
 
 // A file that would grow beyond RLIMIT_FSIZE: EFBIG, with a signal whose default is the process's end.
-TEST_F(SystemCalls, ALimitOnTheSizeOfFilesIsAFailureLikeAnyOther) {
+TEST_F(SystemCalls, ReportsFileSizeLimitAsFailure) {
     const pid_t child = ::fork();
     ASSERT_GE(child, 0);
     if (child == 0) {
