--- a/src/base/sockets.hpp
+++ b/src/base/sockets.hpp
@@ -31,8 +31,8 @@
 
     /// Divides the descriptors among the sides. A lower limit takes effect as sockets are closed.
     ///
-    /// Clients get under a third of what sessions leave: more of their connections would help nobody, as
-    /// those that stay open without a request then have the sockets of those with one.
+    /// Clients get under a third of what sessions leave: more of their connections would not help,
+    /// as those that stay open without a request would have the sockets of those with one.
     void set_limit(std::size_t limit) {
         // Sessions have at most half: they last long, and requests must go on beside them.
         of(Side::sessions).limit = std::min(wanted_for_sessions_, limit / 2);
--- a/src/cluster/driver.cpp
+++ b/src/cluster/driver.cpp
@@ -56,8 +56,8 @@
     socket_.open(setup.listen.protocol());
     socket_.bind(setup.listen);
     socket_.non_blocking(true);
-    // The kernel keeps what machines say of datagrams that nobody listened for, with whom it is about. Where
-    // it doesn't, those who have died are found by their silence.
+    // IP_RECVERR (ip(7)): the kernel queues ICMP's "port unreachable" with the destination that it is about.
+    // Without it a peer whose process has ended is found by the probes that it does not answer.
     const int on = 1;
     ::setsockopt(socket_.native_handle(), IPPROTO_IP, IP_RECVERR, &on, sizeof on);
     wait_readable();
@@ -130,12 +130,12 @@
     for (const Datagram& datagram : membership_.take_datagrams()) {
         Error error;
         socket_.send_to(asio::buffer(datagram.bytes), peers_[datagram.address_index], 0, error);
-        if (error == asio::error::connection_refused) read_refusals();  // of an earlier one, told now
+        if (error == asio::error::connection_refused) read_refusals();  // about an earlier datagram
     }
 }
 
-// After each call into the membership: what it has to send and to tell goes out, and it is woken when it
-// wants.
+// Called after each call into the membership: sends its datagrams, reports its changes, and sets the timer
+// for its next wake().
 void Driver::settle() {
     const Millis now = clock_.now();
     send_datagrams();
--- a/src/cluster/membership.cpp
+++ b/src/cluster/membership.cpp
@@ -1,4 +1,4 @@
-// The state machine's frame: its start, time, and what it tells of itself.
+// The state machine's construction, its queries, time, and table transfers.
 #include "cluster/membership.hpp"
 
 #include <algorithm>
@@ -43,7 +43,7 @@
     due_ = next();
 }
 
-// ---- what it tells -------------------------------------------------------------------------------------
+// ---- queries -------------------------------------------------------------------------------------------
 
 View Membership::view(Millis now) const {
     const Headcount& count = table_.headcount();
@@ -117,8 +117,8 @@
     return std::min(at, sync_.next_due());
 }
 
-// Long after what was due: it was this process that stood still, and what was not heard meanwhile says
-// nothing. Every call that takes a time begins here and ends with a new due_.
+// If a call comes long after it was due, this process did not run in between, and datagrams that are missing
+// since then show nothing of others. Every call that takes a time begins here and ends with a new due_.
 void Membership::detect_stall(Millis now) {
     const Millis late = now - due_;
     if (!(late > setup_.timing.stall_threshold)) return;
@@ -157,14 +157,14 @@
 
 // ---- tables --------------------------------------------------------------------------------------------
 
-// Who has just started knows that it knows little; others wait until there is nothing new to tell.
+// A member that has just started requests a table at once; others wait until they have no news to send.
 bool Membership::may_sync(Millis now) const {
     const bool settled = gossip_.empty() && now - table_changed_at_ > setup_.timing.gossip_interval * 2;
     return in_startup(now) || settled;
 }
 
 void Membership::sync_tables(Millis now) {
-    if (const auto silent = sync_.take_timeout(now)) {  // it has died, or is cut off
+    if (const auto silent = sync_.take_timeout(now)) {  // the member that did not answer
         if (const auto other = pick_present(1, *silent); !other.empty()) sync_.retry_with(now, other.front());
     }
     if (sync_.due(now)) {
--- a/src/cluster/membership.hpp
+++ b/src/cluster/membership.hpp
@@ -52,23 +52,23 @@
 /// compared with it. After each call that takes it, next() says when wake() is due.
 class Membership {
 public:
-    /// Others that are asked to probe in our place.
+    /// Helpers of an indirect probe: other members that are asked to ping the target.
     static constexpr std::uint32_t kIndirectProbes = 3;
     /// The same for a final probe: a bridge may be the only one that hears the member.
     static constexpr std::uint32_t kFinalIndirectProbes = 8;
     /// Members that each datagram of gossip alone goes to.
     static constexpr std::uint32_t kGossipFanout = 2;
-    /// Members that a leaving one tells; those spread it.
+    /// Members that a leaving one sends its state to; those spread it.
     static constexpr std::uint32_t kLeaveFanout = 6;
-    /// Milliseconds. Whoever was heard itself so lately is not failed by hearsay.
+    /// Milliseconds. A member whose own datagram came so lately is not failed by the updates of others.
     static constexpr Millis kRecentlyHeard = 1500;
-    /// Milliseconds. Whoever has been back for less may bring what its side of a partition held.
+    /// Milliseconds. A member that rejoined more lately may still send updates from its side of a partition.
     static constexpr Millis kRejoinPeriod = 5000;
-    /// Datagrams that tell a member what is said of it, or a sender what it has missed: at once, and
-    /// milliseconds for one more. Each of the two has a budget of its own.
+    /// Datagrams that send a member its reported state, or a sender the updates that it has missed: so many
+    /// at once, and milliseconds for one more. Each of the two has a budget of its own.
     static constexpr double kMaxNotices = 20;
     static constexpr Millis kNoticeRefill = 50;
-    /// Milliseconds. Who has run for less asks for a table at once.
+    /// Milliseconds. A member that has run for less requests a table at once.
     static constexpr Millis kStartupPeriod = 10000;
 
     /// What the configuration says.
@@ -86,7 +86,7 @@
     /// @param address_index where in the list of peers it came from; none if from no peer's address.
     /// @param bytes         any bytes; what is no sound message is counted and dropped.
     void heard(Millis now, std::optional<std::uint32_t> address_index, std::string_view bytes);
-    /// The machine at that place says that nobody listens there (ICMP, RFC 1122 4.1.3.3).
+    /// The machine at that address reports that no process listens there (ICMP, RFC 1122 4.1.3.3).
     void refused(Millis now, std::uint32_t address_index);
     /// Does what is due; at next() or later.
     void wake(Millis now);
@@ -207,10 +207,10 @@
     FailureBurst burst_;
     ProbeRound present_round_;
     ProbeRound absent_round_;
-    std::vector<std::optional<MemberId>> last_helper_;  // by id: who had an answer of it last
-    std::vector<Millis> notified_at_;                   // by id: when it was told what is said of it
+    std::vector<std::optional<MemberId>> last_helper_;  // by id: the helper that last relayed its answer
+    std::vector<Millis> notified_at_;                   // by id: when it was last sent its reported state
     TokenBucket notices_{kMaxNotices, kNoticeRefill};
-    // Apart, so that a liar's claims do not use up what notices_ has.
+    // Apart, so that forged updates do not use up the budget of notices_.
     TokenBucket corrections_{kMaxNotices, kNoticeRefill};
     std::vector<Datagram> datagrams_;
     std::uint32_t last_sequence_ = 0;
--- a/src/cluster/membership_messages.cpp
+++ b/src/cluster/membership_messages.cpp
@@ -28,8 +28,8 @@
     if (!message || yielded_) return;
     if (message->from == setup_.self) return on_own_name(now, *message);
     if (message->incarnation < table_[message->from].incarnation) {
-        // Late from an earlier incarnation, or from one whose clock was set back: what is held of it is all
-        // that it needs to hear.
+        // Delayed from an earlier incarnation, or from a process whose clock was set back: it learns its
+        // state here, which it can refute.
         ++counters_.outdated;
         notify_accused(now, message->from, *address_index);
         return;
@@ -43,8 +43,8 @@
 
 std::optional<Message> Membership::read(std::string_view bytes) {
     std::optional<Message> message = decode(bytes);
-    // What a sender says of itself may be as far ahead again: it may have had to answer what was as far as
-    // that.
+    // A sender's own counter may be as far ahead again: it may have refuted one that was as far ahead as an
+    // update's may be.
     const std::uint32_t highest = clock_.max_plausible_counter(due_) + IncarnationClock::kMaxClockAhead;
     if (!message || message->from >= table_.size() || message->incarnation.counter > highest ||
         message->state == MemberState::expected) {
@@ -55,13 +55,13 @@
     return message;
 }
 
-// From another process of our name, or what we said ourselves, come back.
+// From another process under this member's id, or this member's own datagram, returned.
 void Membership::on_own_name(Millis now, const Message& message) {
     if (message.incarnation.nonce == table_.self().incarnation.nonce) return;
     on_claim_about_self(now, {message.from, message.incarnation, message.state, message.uptime});
 }
 
-// What a datagram says of its sender by having come.
+// What the arrival of a datagram shows of its sender.
 void Membership::note_sender(Millis now, std::uint32_t address_index, const Message& message) {
     Member& sender = table_[message.from];
     const bool later = message.incarnation > sender.incarnation;
@@ -147,15 +147,15 @@
 }
 
 void Membership::piggyback(Message& message, MemberId to) {
-    // Whoever is held for worse than alive hears that before all.
+    // A receiver that is suspected or worse learns that first, so that it can refute it.
     if (table_[to].state >= MemberState::suspect) message.updates.push_back(update_on(to));
     GossipQueue::Selection selection;
     selection.max_updates = Message::kMaxUpdates - std::min(Message::kMaxUpdates, message.updates.size());
     selection.receiver = to;
     selection.skip_receiver = !message.updates.empty() && message.updates.front().number == to;
-    // Told to the member itself a piece of news is not told to anybody else, unless there is nobody else.
+    // Sending a member news of itself spreads the news no further, unless the two are alone.
     selection.count_receiver = table_.headcount().present <= 2;
-    // Suspicions are not spread by one who hears nobody: it is the one that is cut off.
+    // A member that hears no other does not spread suspicions: it is the one that is cut off.
     if (message.view == View::alone) selection.only = setup_.self;
     for (const MemberId id : gossip_.take(selection)) message.updates.push_back(update_on(id));
 }
@@ -188,7 +188,7 @@
         if (table_.is_present_peer(id) && id != except && !known) picked.push_back(id);
     };
     if (preferred) add(*preferred);
-    // By chance at first, which is cheap while most are present; then whoever is.
+    // Random picks first, which is cheap while most are present; then the first present ones in order.
     for (std::uint32_t tries = 0; tries < 4 * max && picked.size() < max; ++tries) {
         add(static_cast<MemberId>(random_.below(table_.size())));
     }
--- a/src/cluster/membership_probing.cpp
+++ b/src/cluster/membership_probing.cpp
@@ -19,7 +19,7 @@
     if (const auto target = present_round_.next(random_, table_.size(), present)) {
         start_probe(now, *target, ProbePurpose::regular);
     }
-    // One that is silent may be back, or its side of a partition: one of them is asked besides.
+    // A member that is not present may be back, or its side of a partition: one of them is probed besides.
     if (table_.headcount().silent > 0 || table_.headcount().ended > 0) {
         const auto absent = [this](MemberId id) {
             return id != setup_.self && !is_present(table_[id].state);
@@ -51,7 +51,8 @@
     }
 }
 
-// For others: once more, and a word to the asker, who learns that it is heard itself.
+// For others: pings the target once more, and sends a nack, by which the asker learns that it is heard
+// itself.
 void Membership::run_relays(Millis now) {
     for (const Relay& relay : relays_.take_due(now)) {
         send(now, relay.target, make_message(Message::Kind::ping, relay.sequence, relay.target));
@@ -71,18 +72,17 @@
 }
 
 void Membership::on_probe_failed(Millis now, const Probe& probe) {
-    // Helpers that say nothing at all are a sign of our own slowness (Lifeguard's nacks), but only where
-    // nobody else says anything either: of a partition they would slow down everybody who has to find out
-    // about it.
+    // Helpers that send not even a nack are a sign that this process is slow (Lifeguard), but only if no
+    // other datagram has come either: in a partition they would slow down all members that have to detect it.
     const bool helpers_silent = probe.helpers > 0 && probe.nacks < probe.helpers;
     if (helpers_silent && heard_any_at_ < probe.started_at) health_.worsen();
     if (probe.purpose == ProbePurpose::courtesy) return;
     burst_.probe_failed();
     const Member& member = table_[probe.target];
     if (!is_present(member.state)) return;
-    // Whoever was heard meanwhile is there, though its answer was lost.
+    // Another datagram of the member has come meanwhile: it runs, though its answer was lost.
     if (member.heard >= 0 && now - member.heard < kRecentlyHeard) return;
-    // Nobody shares what a member sees that hears nobody.
+    // A member that hears no other suspects nobody: it is the one that is cut off.
     if (view(now) == View::alone || view(now) == View::unknown) return;
     if (probe.purpose == ProbePurpose::regular) return suspect(now, probe.target, setup_.self);
     if (!suspicions_.in_final_probe(probe.target)) return;  // it was refuted while the probe ran
@@ -91,8 +91,8 @@
     gossip_.add(probe.target);
 }
 
-// The kernel's word that the process is not there. It may have started since: then the datagram that says so
-// is on its way and outranks this.
+// The kernel reports that the process is not there. If it has started since, its own datagram is on its way
+// and outranks this.
 void Membership::refused(Millis now, std::uint32_t address_index) {
     detect_stall(now);
     for (MemberId id = 0; id < table_.size(); ++id) {
@@ -130,14 +130,14 @@
     restart_unfinished_suspicions(now);
 }
 
-// A final probe that ended with nothing said, as nobody was heard, is made again.
+// A final probe that ended without a verdict, as no other member was heard, is made again.
 void Membership::restart_unfinished_suspicions(Millis now) {
     for (const MemberId id : suspicions_.suspects()) {
         if (suspicions_.in_final_probe(id) && !probes_.has_final_probe(id)) suspicions_.restart(now, id);
     }
 }
 
-// Whoever it was that suspected it: it is heard here.
+// Whichever member suspected it: its answer has come here.
 void Membership::end_suspicion(Millis now, MemberId target) {
     const Incarnation incarnation = table_[target].incarnation;
     set(now, target, incarnation, MemberState::alive, "answers");
--- a/src/cluster/membership_updates.cpp
+++ b/src/cluster/membership_updates.cpp
@@ -1,4 +1,4 @@
-// Updates: what others say of members, what is believed of it, and what is answered.
+// Updates: what others report of members, what of it is accepted, and how it is refuted.
 #include <algorithm>
 
 #include "cluster/membership.hpp"
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Milliseconds between two notices to one member on what is said of it.
+// Milliseconds between two notices to one member of its reported state.
 constexpr Millis kNoticeInterval = 300;
 // Milliseconds between two answers to claims that name no incarnation, so that copies of one claim are
 // answered once: a refutation reaches the claimant by way of others in less.
@@ -44,9 +44,9 @@
     Member& member = table_[update.number];
     if (update.incarnation < member.incarnation) return;
     const bool later = update.incarnation > member.incarnation;
-    // The member itself tells it to those who are to tell others, so that does not count.
-    const bool told_by_other = !later && update.state == member.state && from != update.number;
-    if (told_by_other) gossip_.count_transmission_by_other(update.number);
+    // A member sends its own update to those that are to spread it, so that does not count.
+    const bool sent_by_other = !later && update.state == member.state && from != update.number;
+    if (sent_by_other) gossip_.count_transmission_by_other(update.number);
     const bool worse = !later && update.state > member.state;
     const bool shared = update.state == MemberState::suspect && member.state == MemberState::suspect;
     if (!later && !worse && !shared) return;
@@ -63,8 +63,8 @@
     if (is_news) gossip_.add(update.number);
 }
 
-// Whether the member is to be asked before it is held for worse: it has just been heard itself, or it is the
-// sender that was silent and is back. Of whom that one heard nothing meanwhile it was cut off as well.
+// Whether the member may refute the update before it is accepted: the member has just been heard itself, or
+// the sender was silent and is back. In the meantime the sender was cut off from others as well.
 bool Membership::is_doubtful(Millis now, const Update& update, MemberId from) const {
     if (update.state < MemberState::suspect || update.state == MemberState::left) return false;
     const Member& member = table_[update.number];
@@ -74,14 +74,14 @@
     return heard_lately || sender_was_out;
 }
 
-// Whether it was said by one that has missed what is known here: of an earlier incarnation, or of none.
+// Whether the sender has missed a later incarnation, or any, of the member that the update is on.
 bool Membership::is_outdated(const Update& update) const {
     return update.number < table_.size() && update.incarnation < table_[update.number].incarnation &&
            update.state >= MemberState::suspect && update.state <= MemberState::gone;
 }
 
-// Such a claim may be out of the member's own reach: the claimant is told what is known here, in one datagram
-// for one.
+// The member itself may be unable to reach the sender of such an update, so this member sends what it knows:
+// at most one datagram for one received.
 void Membership::correct_outdated(Millis now, const Message& message) {
     std::vector<Update> known;
     for (const Update& update : message.updates) {
@@ -98,11 +98,12 @@
     send(now, message.from, std::move(answer));
 }
 
-// At the address where it was heard: of two processes under one name the other would get it at the member's.
+// Sent to the address that its datagram came from: of two processes under one id, the other may be at the
+// member's address.
 void Membership::notify_accused(Millis now, MemberId id, std::uint32_t address_index) {
     if (now - notified_at_[id] < kNoticeInterval || !notices_.take(now)) return;
     notified_at_[id] = now;
-    // Not what is held, but the worst that is said: whoever says it is answered by a later incarnation.
+    // Reported as suspect whatever its state is here: that makes the member refute with a later incarnation.
     Message message = make_message(Message::Kind::gossip);
     message.updates.push_back({id, table_[id].incarnation, MemberState::suspect, setup_.self});
     send(now, id, std::move(message));
@@ -111,8 +112,8 @@
 
 // ---- refutation ----------------------------------------------------------------------------------------
 
-// Somebody says something of this member that is not so: a later incarnation says what is. Of another process
-// under our name it can't be known at first whether that still runs; if it answers, it does.
+// A wrong update on this member is refuted with a later incarnation. Whether another process under this
+// member's id still runs is not known at first; if it refutes in its turn, it does.
 void Membership::on_claim_about_self(Millis now, const Update& update) {
     const Incarnation own = table_.self().incarnation;
     const bool true_of_us = update.incarnation == own && update.state <= MemberState::alive;
@@ -125,14 +126,14 @@
     }
     raise_incarnation(now, update.incarnation.counter);
     if (update.incarnation.nonce == own.nonce) {
-        health_.worsen();  // Lifeguard: who is suspected may be slow
+        health_.worsen();  // Lifeguard: a member that is suspected may be slow
         return;
     }
     rival_nonce_ = update.incarnation.nonce;
     answered_rival_ = table_.self().incarnation.counter;
 }
 
-// Of two processes under one name that both run the older yields, by its own uptime.
+// Of two running processes under one id the older yields; each compares its own uptime.
 bool Membership::must_yield(Millis now, const Update& update) const {
     const Incarnation own = table_.self().incarnation;
     const bool rival_answered =
--- a/src/cluster/message.cpp
+++ b/src/cluster/message.cpp
@@ -161,8 +161,8 @@
 
 std::optional<Message> decode(std::string_view bytes, DecodeError* error) {
     DecodeError unwanted;
-    DecodeError& told = error != nullptr ? *error : unwanted;
-    const std::optional<json> fields = unpack(bytes, told);
+    DecodeError& result = error != nullptr ? *error : unwanted;
+    const std::optional<json> fields = unpack(bytes, result);
     if (!fields) return std::nullopt;
     Message message;
     std::uint32_t written_version = 0;
@@ -185,7 +185,7 @@
     reader.read(speaks, kMax8, message.max_version);
     reader.require(updates, read_updates((*fields)[updates], message.updates));
     if (reader.wrong()) {
-        told = {DecodeFault::bad_field, kFieldNames[*reader.wrong()]};
+        result = {DecodeFault::bad_field, kFieldNames[*reader.wrong()]};
         return std::nullopt;
     }
     return message;
--- a/src/cluster/message.hpp
+++ b/src/cluster/message.hpp
@@ -23,8 +23,8 @@
     expected,  ///< it should be there; nothing has been heard of it
     joining,   ///< it has started and has not heard of anybody yet
     alive,     ///< it was heard of
-    suspect,   ///< somebody's probe of it failed
-    failed,    ///< silent: it has died or is cut off, which nobody here can tell
+    suspect,   ///< a probe of it was not answered
+    failed,    ///< silent: it has died or is cut off; which of the two is not known
     gone,      ///< its machine says that the process is not there
     left       ///< it ended in good order and said so
 };
@@ -57,7 +57,7 @@
     unknown,  ///< it has just started
     whole,    ///< everybody who is not known to have ended
     part,     ///< some are silent
-    alone     ///< nobody, though others should be there
+    alone     ///< no other member, though others should be there
 };
 /// @return the view's name in the status JSON.
 const char* to_string(View view);
@@ -79,8 +79,8 @@
         ack,           ///< the answer: same sequence
         ping_req,      ///< ping `subject` for me
         indirect_ack,  ///< it answered me: same sequence
-        nack,    ///< it has not answered me yet: same sequence. The asker learns that it is heard itself
-        gossip,  ///< updates alone
+        nack,          ///< it has not answered me yet: same sequence. Shows the asker that it is heard itself
+        gossip,        ///< updates alone
         table_request,  ///< tell me whom you hold for not present, from member `subject` on
         table_page      ///< that: the next page begins at `subject`, 0 if this is the last
     };
--- a/src/cluster/sibling_estimate.cpp
+++ b/src/cluster/sibling_estimate.cpp
@@ -6,10 +6,10 @@
 namespace elmbay::cluster {
 
 double SiblingEstimate::target(const Headcount& count, View view) const {
-    // Who has just started, or hears nobody, knows nothing that others would not know better.
+    // A member that has just started, or hears no other, knows less than the configuration.
     if (view == View::unknown || view == View::alone) return configured_;
-    // A list of peers that names fewer than the settings count, or more, is wrong in a way nobody can see
-    // here.
+    // If the list of peers and the settings' count differ, one of them is wrong, and which can't be known
+    // here. With the higher one each sidecar takes less.
     const double all = std::max<double>(configured_, count.all);
     const double there = std::max(1.0, all - count.ended);
     return all / std::min(all / there, 1 + kMaxTakeover * all / there);
--- a/src/cluster/suspicion.hpp
+++ b/src/cluster/suspicion.hpp
@@ -21,10 +21,10 @@
 
     SuspicionTimers(std::uint32_t members, const Timing& timing);
 
-    /// Begins a suspicion that nobody shares yet.
+    /// Begins a suspicion without an accuser yet.
     void start(Millis now, MemberId id);
     /// Adds one that shares the suspicion.
-    /// @return whether it was not known to, and there was room for one more.
+    /// @return whether it is a new one, and there were fewer than kMaxAccusers.
     bool add_accuser(MemberId id, MemberId accuser);
     /// The member has another state: the suspicion ends.
     void clear(MemberId id);
--- a/src/cluster/timing.hpp
+++ b/src/cluster/timing.hpp
@@ -19,23 +19,23 @@
     Millis direct_timeout = 200;
     /// Of a suspicion that enough others share: a frozen member needs 270 ms and a ping to refute it.
     Millis min_suspicion = 2000;
-    /// Of a suspicion that nobody shares.
+    /// Of a suspicion that only one member has.
     Millis max_suspicion = 5000;
     /// Of the final probe, after which a suspect has failed.
     Millis final_probe = 600;
     /// Between two datagrams that carry gossip alone, while there is any.
     Millis gossip_interval = 200;
-    /// Whoever has heard nobody for so long after its start is isolated.
+    /// A member that has received nothing for so long after its start is isolated.
     Millis discovery = 5000;
-    /// Whoever heard somebody, and then nobody for so long, is isolated.
+    /// A member that has received something, and then nothing for so long, is isolated.
     Millis isolated_after = 4000;
-    /// Woken later than this, it was this process that stood still.
+    /// Woken later than this after the due time, this process is taken to have stalled.
     Millis stall_threshold = 150;
     /// Between probes while many fail; FailureBurst bounds how often.
     Millis burst_period = 200;
     /// Between two requests for a whole table, while digests differ.
     Millis sync_interval = 5000;
-    /// The same for one that has started: spread, as many may have started with it.
+    /// The same for a member that has just started; spread at random, as many may have started with it.
     Millis first_sync = 500;
     /// Between two pages of a table.
     Millis page_interval = 50;
--- a/src/state/file_system.hpp
+++ b/src/state/file_system.hpp
@@ -31,7 +31,7 @@
     virtual Handle create(const std::string& path, std::error_code& error) = 0;
     /// How many bytes were taken: may be fewer than all of them.
     virtual std::size_t write(Handle file, std::string_view bytes, std::error_code& error) = 0;
-    /// After an error nobody knows what has reached the disk, and a second sync does not make up for it.
+    /// After an error it is not known what has reached the disk, and a second sync does not make up for it.
     virtual void sync(Handle file, std::error_code& error) = 0;
     /// Nothing for kNoFile.
     virtual void close(Handle file) = 0;
--- a/src/state/log_events.hpp
+++ b/src/state/log_events.hpp
@@ -15,23 +15,23 @@
 
 namespace elmbay::state {
 
-/// What a start has to say of its load, one line each; none if all is well.
+/// A line for each thing that a load at the start passed over or failed on; none if all is well.
 std::vector<std::string> load_events(const LoadResult& result, const std::string& directory);
-/// The end did not wait for the last write any longer.
+/// The line for a shutdown that did not wait for the last write any longer.
 std::string final_write_abandoned_event(std::chrono::milliseconds timeout);
 
 /// One line when writes begin to fail or hang, and one when they work again, whatever happens in between. One
 /// thread at a time.
 class WriteFailureLog {
 public:
-    /// A spell that begins with the start is told by load_events(): only its end is said here.
+    /// Failures that begin at the start are logged by load_events(): only their end is logged here.
     void started(const SnapshotWriter::Status& status);
     /// The status as it is now, to be looked at between any two saves. The line to log, if any.
     std::optional<std::string> observe(const SnapshotWriter::Status& status);
 
 private:
     bool failing_ = false;
-    std::uint64_t failures_before_ = 0;  // failed saves before the spell at hand
+    std::uint64_t failures_before_ = 0;  // failed saves before the failures at hand
 };
 
 }  // namespace elmbay::state
--- a/src/state/snapshot_store.cpp
+++ b/src/state/snapshot_store.cpp
@@ -211,7 +211,7 @@
     const std::string bytes = encode_batch(&*saved_, snapshot, generation_, next_record_);
     std::error_code error = write_all(file_, bytes);
     if (!error) file_system_.sync(file_, error);
-    if (error) {  // nobody knows how much of it is there
+    if (error) {  // how much of it has been written is not known
         close_generation();
         return error;
     }
--- a/src/state/snapshot_writer.cpp
+++ b/src/state/snapshot_writer.cpp
@@ -119,8 +119,8 @@
 
 void SnapshotWriter::run(const std::shared_ptr<Shared>& shared) {
     block_signals();
-    // The thread's alone, and gone before it says that it has finished: whoever has stopped us may take the
-    // files away, and another process may have the directory.
+    // Owned by this thread, and destroyed before `finished` is set: the caller of stop() may then remove the
+    // files, and another process may open the directory.
     std::optional<SnapshotStore> store(std::in_place, shared->file_system, shared->directory,
                                        shared->instance);
     LoadResult loaded = open_and_load(*store);
--- a/src/state/snapshot_writer.hpp
+++ b/src/state/snapshot_writer.hpp
@@ -24,7 +24,8 @@
     static constexpr std::chrono::milliseconds kLoadTimeout{1000};
     /// A save that takes longer hangs: status() says so.
     static constexpr std::chrono::milliseconds kHangThreshold{10000};
-    /// What has not changed is written this often all the same, so that its age says how long it has held.
+    /// An unchanged snapshot is written this often all the same, so that its age says how long it has been
+    /// true.
     static constexpr std::chrono::milliseconds kRefreshInterval{60000};
 
     /// @param file_system must live until stop() was true, or as long as the process: a disk that hangs keeps
--- a/tests/cluster/virtual_fleet.hpp
+++ b/tests/cluster/virtual_fleet.hpp
@@ -158,27 +158,29 @@
         for (const char byte : datagram.bytes) add(static_cast<unsigned char>(byte));
     }
     Millis delay() { return net.min_delay + (net.max_delay - net.min_delay) * random_.unit(); }
-    // What it has to send goes out, and it is woken when it wants to be.
+    // Schedules the datagrams and the next wake() of a member, and counts false failures.
     void settle(MemberId id) {
         Node& node = nodes_[id];
         if (!node.members) return;
-        for (Datagram& d : node.members->take_datagrams()) {
+        for (Datagram& datagram : node.members->take_datagrams()) {
             ++sent_by[id];
-            hash_traffic(id, d);
-            const MemberId to = member_at(id, d.address_index);
+            hash_traffic(id, datagram);
+            const MemberId to = member_at(id, datagram.address_index);
             if (cut(id, to) || random_.unit() < net.loss) continue;
             int copies = 1 + (random_.unit() < net.repeat);
             if (net.garble > 0 && random_.unit() < net.garble)
-                d.bytes[random_.below(d.bytes.size())] ^= static_cast<char>(1 + random_.below(255));
-            const auto bytes = std::make_shared<const std::string>(std::move(d.bytes));
+                datagram.bytes[random_.below(datagram.bytes.size())] ^=
+                    static_cast<char>(1 + random_.below(255));
+            const auto bytes = std::make_shared<const std::string>(std::move(datagram.bytes));
             for (; copies > 0; --copies) schedule({now_ + delay(), 0, to, id, false, 0, bytes});
         }
-        for (const Change& c : node.members->take_changes()) {
-            false_failures += c.after == MemberState::failed && runs(c.number) && !nodes_[c.number].frozen &&
-                              !cut(id, c.number) && !cut(c.number, id) &&
-                              node.members->member(c.number).incarnation ==
-                                  nodes_[c.number].members->member(c.number).incarnation;
-            changed(id, c);
+        for (const Change& change : node.members->take_changes()) {
+            false_failures += change.after == MemberState::failed && runs(change.number) &&
+                              !nodes_[change.number].frozen && !cut(id, change.number) &&
+                              !cut(change.number, id) &&
+                              node.members->member(change.number).incarnation ==
+                                  nodes_[change.number].members->member(change.number).incarnation;
+            changed(id, change);
         }
         const Millis next = node.members->next();
         if (next < 1e300 && (node.waking < 0 || next < node.waking)) {
--- a/tests/state/fuzz.cpp
+++ b/tests/state/fuzz.cpp
@@ -26,19 +26,20 @@
 }
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
-    const DecodeResult r = decode_snapshot_file({reinterpret_cast<const char*>(data), size});
-    const bool whole = !r.error;
-    if (whole != r.snapshot.has_value() || r.used_bytes > size) std::abort();
+    const DecodeResult result = decode_snapshot_file({reinterpret_cast<const char*>(data), size});
+    const bool whole = !result.error;
+    if (whole != result.snapshot.has_value() || result.used_bytes > size) std::abort();
     if (!whole) return 0;
-    const Snapshot& s = *r.snapshot;
-    if (s.uids.size() != s.learned_state.servers.size() || s.uids.size() > kMaxServers) std::abort();
-    if (s.instance.empty() || s.instance.size() > kMaxNameBytes) std::abort();
+    const Snapshot& snapshot = *result.snapshot;
+    if (snapshot.uids.size() != snapshot.learned_state.servers.size() || snapshot.uids.size() > kMaxServers)
+        std::abort();
+    if (snapshot.instance.empty() || snapshot.instance.size() > kMaxNameBytes) std::abort();
     // What was read can be written, and says the same then.
     std::uint64_t next = 0, again = 0;
-    const std::string bytes = encode_header(s, 7) + encode_batch(nullptr, s, 7, next);
+    const std::string bytes = encode_header(snapshot, 7) + encode_batch(nullptr, snapshot, 7, next);
     const DecodeResult back = decode_snapshot_file(bytes);
     if (!back.snapshot ||
-        encode_batch(nullptr, *back.snapshot, 7, again) != bytes.substr(encode_header(s, 7).size()))
+        encode_batch(nullptr, *back.snapshot, 7, again) != bytes.substr(encode_header(snapshot, 7).size()))
         std::abort();
     return 0;
 }
--- a/tests/state/snapshot_store_test.cpp
+++ b/tests/state/snapshot_store_test.cpp
@@ -101,16 +101,16 @@
     FaultyFileSystem files;
     SnapshotStore store(files, kFolder, "n-1");
     ASSERT_FALSE(store.open());
-    Snapshot s = sample(1);
-    ASSERT_FALSE(store.save(s));
+    Snapshot snapshot = sample(1);
+    ASSERT_FALSE(store.save(snapshot));
     const auto written = store.bytes_written();
-    s.taken.wall_ms += 1000;
-    ASSERT_FALSE(store.save(s));
+    snapshot.taken.wall_ms += 1000;
+    ASSERT_FALSE(store.save(snapshot));
     EXPECT_EQ(store.bytes_written(), written);
-    ASSERT_FALSE(store.save(s, SaveMode::always));
+    ASSERT_FALSE(store.save(snapshot, SaveMode::always));
     EXPECT_GT(store.bytes_written(), written) << "that it still holds is worth a line now and then";
     EXPECT_LT(store.bytes_written(), written + 150);
-    EXPECT_EQ(store.load().snapshot->taken.wall_ms, s.taken.wall_ms);
+    EXPECT_EQ(store.load().snapshot->taken.wall_ms, snapshot.taken.wall_ms);
 }
 
 TEST(SnapshotStore, BoundsGenerationSizeAndKeepsTwoGenerations) {
--- a/tests/state/snapshot_test.cpp
+++ b/tests/state/snapshot_test.cpp
@@ -27,14 +27,14 @@
 }
 
 TEST(StateFile, DecodesWhatWasEncoded) {
-    const DecodeResult r = decode_snapshot_file(three_rounds());
-    ASSERT_TRUE(r.snapshot);
-    EXPECT_EQ(round_of(*r.snapshot), 3);
-    EXPECT_EQ(r.snapshot->instance, "n-1");
-    EXPECT_EQ(r.snapshot->taken, sample(3).taken);
-    EXPECT_EQ(r.generation, 7U);
-    EXPECT_EQ(r.batches, 3U);
-    EXPECT_FALSE(r.dropped_tail);
+    const DecodeResult result = decode_snapshot_file(three_rounds());
+    ASSERT_TRUE(result.snapshot);
+    EXPECT_EQ(round_of(*result.snapshot), 3);
+    EXPECT_EQ(result.snapshot->instance, "n-1");
+    EXPECT_EQ(result.snapshot->taken, sample(3).taken);
+    EXPECT_EQ(result.generation, 7U);
+    EXPECT_EQ(result.batches, 3U);
+    EXPECT_FALSE(result.dropped_tail);
 }
 
 TEST(StateFile, EncodesAddedAndRemovedServersAsChanges) {
@@ -54,16 +54,16 @@
     std::vector<std::size_t> ends;
     const std::string bytes = three_rounds(&ends);
     for (std::size_t cut = 0; cut < bytes.size(); ++cut) {
-        const DecodeResult r = decode_snapshot_file(std::string_view(bytes).substr(0, cut));
+        const DecodeResult result = decode_snapshot_file(std::string_view(bytes).substr(0, cut));
         const int whole = (cut >= ends[0]) + (cut >= ends[1]) + (cut >= ends[2]);
         if (whole == 0) {
-            ASSERT_TRUE(r.error) << cut;
-            ASSERT_NE(r.error, StateError::unsupported_version) << cut;
-            ASSERT_FALSE(r.snapshot) << cut;
+            ASSERT_TRUE(result.error) << cut;
+            ASSERT_NE(result.error, StateError::unsupported_version) << cut;
+            ASSERT_FALSE(result.snapshot) << cut;
         } else {
-            ASSERT_TRUE(r.snapshot) << cut;
-            ASSERT_EQ(round_of(*r.snapshot), whole) << cut;
-            ASSERT_EQ(!r.dropped_tail, cut == ends[static_cast<std::size_t>(whole) - 1]) << cut;
+            ASSERT_TRUE(result.snapshot) << cut;
+            ASSERT_EQ(round_of(*result.snapshot), whole) << cut;
+            ASSERT_EQ(!result.dropped_tail, cut == ends[static_cast<std::size_t>(whole) - 1]) << cut;
         }
     }
 }
@@ -74,12 +74,12 @@
     for (std::size_t bit = 0; bit < bytes.size() * 8; ++bit) {
         std::string flipped = bytes;
         flipped[bit / 8] = static_cast<char>(flipped[bit / 8] ^ 1 << bit % 8);
-        const DecodeResult r = decode_snapshot_file(flipped);
-        if (!r.snapshot) {
+        const DecodeResult result = decode_snapshot_file(flipped);
+        if (!result.snapshot) {
             ++refused;
             continue;
         }
-        const int round = round_of(*r.snapshot);
+        const int round = round_of(*result.snapshot);
         ASSERT_TRUE(round == 1 || round == 2) << "bit " << bit << " gave round " << round;
         ++earlier;
     }
