--- a/src/cluster/membership.cpp
+++ b/src/cluster/membership.cpp
@@ -1,4 +1,4 @@
-// The state machine's frame: its start, time, and what it tells of itself.
+// The state machine's construction, its queries, time, and table transfers.
 #include "cluster/membership.hpp"
 
 #include <algorithm>
@@ -43,8 +43,7 @@
     due_ = next();
 }
 
-// ---- what it tells
-// ------------------------------------------------------------------------------------------
+// ---- queries -------------------------------------------------------------------------------------------
 
 View Membership::view(Millis now) const {
     const Headcount& count = table_.headcount();
@@ -84,7 +83,7 @@
     for (const Probe& probe : probes_.running()) {
         const std::uint64_t flags = (probe.purpose == ProbePurpose::final_check ? 4U : 0U) +
                                     (probe.purpose == ProbePurpose::courtesy ? 2U : 0U) +
-                                    (probe.asked_others ? 1U : 0U);
+                                    (probe.indirect_started ? 1U : 0U);
         add((std::uint64_t{probe.target} << 8) | flags);
         add_time(probe.ends_at);
         add_time(probe.retry_at);
@@ -101,8 +100,7 @@
     return sum;
 }
 
-// ---- time
-// ---------------------------------------------------------------------------------------------------
+// ---- time ----------------------------------------------------------------------------------------------
 
 Millis Membership::next() const {
     if (idle()) return INFINITY;
@@ -119,8 +117,8 @@
     return std::min(at, sync_.next_due());
 }
 
-// Long after what was due: it was this process that stood still, and what was not heard meanwhile says
-// nothing. Every call that takes a time begins here and ends with a new due_.
+// If a call comes long after it was due, this process did not run in between, and datagrams that are missing
+// since then show nothing of others. Every call that takes a time begins here and ends with a new due_.
 void Membership::detect_stall(Millis now) {
     const Millis late = now - due_;
     if (!(late > setup_.timing.stall_threshold)) return;
@@ -157,17 +155,16 @@
     leaving_ = true;
 }
 
-// ---- tables
-// -------------------------------------------------------------------------------------------------
+// ---- tables --------------------------------------------------------------------------------------------
 
-// Who has just started knows that it knows little; others wait until there is nothing new to tell.
+// A member that has just started requests a table at once; others wait until they have no news to send.
 bool Membership::may_sync(Millis now) const {
     const bool settled = gossip_.empty() && now - table_changed_at_ > setup_.timing.gossip_interval * 2;
     return in_startup(now) || settled;
 }
 
 void Membership::sync_tables(Millis now) {
-    if (const auto silent = sync_.take_timeout(now)) {  // it has died, or is cut off
+    if (const auto silent = sync_.take_timeout(now)) {  // the member that did not answer
         if (const auto other = pick_present(1, *silent); !other.empty()) sync_.retry_with(now, other.front());
     }
     if (sync_.due(now)) {
--- a/src/cluster/message.hpp
+++ b/src/cluster/message.hpp
@@ -1,7 +1,8 @@
-// What sidecars say to one another, as bytes: MessagePack and an XXH32 of it (big-endian) behind, read by the
-// libraries and checked here field by field: UDP's own sum has 16 bits, and may be left out.
-// docs/reference/cluster-protocol.md has each field. Fields that a later version adds stand behind ours and
-// are passed over.
+/// @file
+/// What sidecars say to one another, as bytes: MessagePack and an XXH32 of it (big-endian) behind, read by
+/// the libraries and checked here field by field: UDP's own sum has 16 bits, and may be left out.
+/// docs/reference/cluster-protocol.md has each field. Fields that a later version adds stand behind ours and
+/// are passed over.
 #pragma once
 
 #include <compare>
@@ -16,13 +17,14 @@
 /// A member's place in the settings' count of sidecars, the same at all of them: from 0, at most 65535.
 using MemberId = std::uint32_t;
 
-/// What a member is held for, in the order in which states outrank one another within one incarnation.
+/// The state of a member as another sees it, in the order in which states outrank one another within one
+/// incarnation.
 enum class MemberState : std::uint8_t {
     expected,  ///< it should be there; nothing has been heard of it
     joining,   ///< it has started and has not heard of anybody yet
     alive,     ///< it was heard of
-    suspect,   ///< somebody's probe of it failed
-    failed,    ///< silent: it has died or is cut off, which nobody here can tell
+    suspect,   ///< a probe of it was not answered
+    failed,    ///< silent: it has died or is cut off; which of the two is not known
     gone,      ///< its machine says that the process is not there
     left       ///< it ended in good order and said so
 };
@@ -55,7 +57,7 @@
     unknown,  ///< it has just started
     whole,    ///< everybody who is not known to have ended
     part,     ///< some are silent
-    alone     ///< nobody, though others should be there
+    alone     ///< no other member, though others should be there
 };
 /// @return the view's name in the status JSON.
 const char* to_string(View view);
@@ -71,13 +73,14 @@
     /// So many fit whatever the numbers in them: 15 bytes each at most beside 44 of the rest.
     static constexpr std::size_t kMaxUpdates = 14;
 
+    /// What the datagram asks for or answers.
     enum class Kind : std::uint8_t {
         ping,          ///< answer me
         ack,           ///< the answer: same sequence
         ping_req,      ///< ping `subject` for me
         indirect_ack,  ///< it answered me: same sequence
-        nack,    ///< it has not answered me yet: same sequence. The asker learns that it is heard itself
-        gossip,  ///< updates alone
+        nack,          ///< it has not answered me yet: same sequence. Shows the asker that it is heard itself
+        gossip,        ///< updates alone
         table_request,  ///< tell me whom you hold for not present, from member `subject` on
         table_page      ///< that: the next page begins at `subject`, 0 if this is the last
     };
@@ -103,6 +106,7 @@
     bad_checksum,
     bad_field  ///< one field is missing, of another type or out of range
 };
+/// Why bytes are no message, and where.
 struct DecodeError {
     DecodeFault fault = DecodeFault::not_a_message;
     std::string_view field;  ///< its name in the protocol's table, for bad_field; else empty
--- a/src/sidecar/endpoint_registry.cpp
+++ b/src/sidecar/endpoint_registry.cpp
@@ -120,7 +120,7 @@
 std::uint32_t EndpointRegistry::number_of_name(std::vector<std::string>& names, const std::string& name) {
     const bool is_known = std::find(names.begin(), names.end(), name) != names.end();
     if (!is_known && names.size() >= kMaxNames) return 0;
-    return balancer::number_of(names, name);
+    return balancer::intern_name(names, name);
 }
 
 }  // namespace elmbay
--- a/src/sidecar/resource_limits.cpp
+++ b/src/sidecar/resource_limits.cpp
@@ -54,7 +54,7 @@
 }
 
 Millis longest_client_deadline(const balancer::DeploymentSettings& deployment) {
-    const auto& deadlines = deployment.give_up;
+    const auto& deadlines = deployment.client_timeouts;
     if (deadlines.empty()) return 0;
     return *std::max_element(deadlines.begin(), deadlines.end());
 }
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -126,7 +126,7 @@
 }
 
 void Sidecar::join_cluster(const cluster::Settings& settings) {
-    if (!config_.deployment.may_tell) {
+    if (!config_.deployment.peer_messages_allowed) {
         write_log_line(cluster_not_allowed_event());
         return;
     }
--- a/src/state/snapshot_store.cpp
+++ b/src/state/snapshot_store.cpp
@@ -65,7 +65,9 @@
         list.files.push_back(read_generation(file_system, directory, std::move(name), *generation));
     }
     std::sort(list.files.begin(), list.files.end(),
-              [](const GenerationFile& a, const GenerationFile& b) { return a.generation > b.generation; });
+              [](const GenerationFile& left, const GenerationFile& right) {
+                  return left.generation > right.generation;
+              });
     return list;
 }
 
@@ -209,7 +211,7 @@
     const std::string bytes = encode_batch(&*saved_, snapshot, generation_, next_record_);
     std::error_code error = write_all(file_, bytes);
     if (!error) file_system_.sync(file_, error);
-    if (error) {  // nobody knows how much of it is there
+    if (error) {  // how much of it has been written is not known
         close_generation();
         return error;
     }
