--- a/src/sidecar/response_mapping.cpp
+++ b/src/sidecar/response_mapping.cpp
@@ -8,7 +8,6 @@
 
 namespace {
 
-constexpr unsigned kHttp11 = 11;  // Beast's number of HTTP/1.1
 constexpr Millis kMillisPerSecond = 1000;
 
 }  // namespace
--- a/src/websocket/handshake.cpp
+++ b/src/websocket/handshake.cpp
@@ -15,7 +15,6 @@
 constexpr const char* kProtocolHeader = "Sec-WebSocket-Protocol";
 constexpr const char* kKeyHeader = "Sec-WebSocket-Key";
 constexpr const char* kVersionHeader = "Sec-WebSocket-Version";
-constexpr unsigned kHttp11 = 11;  // Beast's number of HTTP/1.1
 
 RequestProblem bad_request(const char* words) { return {http::status::bad_request, words}; }
 
--- a/src/websocket/proxy.cpp
+++ b/src/websocket/proxy.cpp
@@ -11,7 +11,6 @@
 
 using tcp = asio::ip::tcp;
 
-constexpr unsigned kHttp11 = 11;  // Beast's number of HTTP/1.1
 constexpr Millis kMillisPerSecond = 1000;
 // Milliseconds. A closed client is told to reconnect after a random part of this, so that clients that are
 // closed together do not come back together.
--- a/src/websocket/upgrading_client.cpp
+++ b/src/websocket/upgrading_client.cpp
@@ -13,7 +13,6 @@
 using tcp = asio::ip::tcp;
 using Error = boost::system::error_code;
 
-constexpr unsigned kHttp11 = 11;  // Beast's number of HTTP/1.1
 
 std::string address_of(const TcpSocket& socket) {
     Error error;
