--- a/src/http/message.hpp
+++ b/src/http/message.hpp
@@ -23,13 +23,13 @@
 /// Bytes of a body that any message may have. PROTOCOL names 64 KiB; the operators' acceptance has longer
 /// ones on some days (requests of 112 and responses of 223 KB were seen) and no figure. What is longer is
 /// held only with a grant of ByteBudget.
-constexpr std::size_t kUsualBody = 64 * 1024;
+constexpr std::size_t kUsualBody = std::size_t{64} * 1024;
 /// Bytes of a request's body, with a grant.
-constexpr std::size_t kMaxRequestBody = 256 * 1024;
+constexpr std::size_t kMaxRequestBody = std::size_t{256} * 1024;
 /// Bytes of a response's body, with a grant.
-constexpr std::size_t kMaxResponseBody = 512 * 1024;
+constexpr std::size_t kMaxResponseBody = std::size_t{512} * 1024;
 /// Bytes of a head: many times what the protocol's headers need.
-constexpr std::size_t kMaxHeader = 16 * 1024;
+constexpr std::size_t kMaxHeader = std::size_t{16} * 1024;
 
 /// @return whether a server says that it rejected a request unprocessed: it never ran (PROTOCOL, Sidecars to
 ///         servers).
--- a/src/net/client_acceptor.hpp
+++ b/src/net/client_acceptor.hpp
@@ -33,6 +33,7 @@
     /// Aborted connections that are passed over in a row. After so many the event loop goes on with others.
     static constexpr int kMaxConsecutiveFailures = 64;
 
+    /// Called on the event loop's thread, never from the constructor.
     struct Handlers {
         /// Takes over the connection and its descriptor.
         std::function<void(asio::ip::tcp::socket)> on_accepted;
@@ -59,6 +60,7 @@
     /// Stops listening. The kernel resets what is left in its queue.
     void close();
 
+    /// Valid until close(). With port 0 asked for, the port that the kernel chose.
     Endpoint local_endpoint() const { return acceptor_.local_endpoint(); }
 
 private:
--- a/src/net/client_connection.hpp
+++ b/src/net/client_connection.hpp
@@ -27,6 +27,8 @@
 /// The listener as its connections see it. Called on the event loop's thread.
 class ClientConnectionOwner {
 public:
+    virtual ~ClientConnectionOwner() = default;
+
     /// @return whether a graceful shutdown has begun: each response is the last of its connection.
     virtual bool is_draining() const = 0;
     /// @return whether the port is closed: what is not complete yet may be sent to another process.
@@ -53,7 +55,6 @@
     ClientConnectionOwner() = default;
     ClientConnectionOwner(const ClientConnectionOwner&) = default;
     ClientConnectionOwner& operator=(const ClientConnectionOwner&) = default;
-    ~ClientConnectionOwner() = default;
 };
 
 /// What all connections of a listener share. Outlives the run of their handlers.
@@ -63,7 +64,7 @@
     TimerQueue& timers;
     ByteBudget& bytes;  ///< for messages beyond the usual size
     const ListenerHandlers& handlers;
-    Millis max_response_time;             ///< how long any client waits for its response
+    Millis max_response_time = 0;         ///< how long any client waits for its response
     asio::mutable_buffer discard_buffer;  ///< for bytes that nobody wants
 };
 
--- a/src/net/client_connection_pool.cpp
+++ b/src/net/client_connection_pool.cpp
@@ -4,8 +4,9 @@
 
 namespace {
 
-bool close(const std::shared_ptr<ClientConnection>& connection) {
-    const auto keep_alive = connection;  // closing removes it from the list that the caller refers to
+// Keeps a reference: closing removes the connection from its list.
+bool close(ClientConnection& connection) {
+    const auto keep_alive = connection.shared_from_this();
     keep_alive->close();
     return true;
 }
@@ -32,7 +33,7 @@
 bool ClientConnectionPool::close_one(Millis now) {
     std::size_t too_young = 0;
     for (const auto& connection : without_request_) {
-        if (connection->is_evictable(now)) return close(connection);
+        if (connection->is_evictable(now)) return close(*connection);
         if (connection->is_idle() && !connection->has_unread_data()) ++too_young;
     }
     std::size_t evictable = 0;
@@ -40,12 +41,12 @@
     for (const auto& connection : with_request_) {
         if (!connection->is_evictable(now)) continue;
         const bool is_unused = now - connection->idle_since() > kUnusedAge;
-        if (!connection->is_idle() || is_unused) return close(connection);
+        if (!connection->is_idle() || is_unused) return close(*connection);
         if (!longest_idle) longest_idle = connection;
         ++evictable;
         if (evictable > too_young) break;
     }
-    return longest_idle && evictable > too_young && close(longest_idle);
+    return longest_idle && evictable > too_young && close(*longest_idle);
 }
 
 std::vector<std::shared_ptr<ClientConnection>> ClientConnectionPool::all() const {
--- a/src/net/client_connection_pool.hpp
+++ b/src/net/client_connection_pool.hpp
@@ -20,6 +20,7 @@
     /// A connection that has been idle for longer is closed as readily as one on which no request ever came.
     static constexpr Millis kUnusedAge = 2000;
 
+    /// A new connection, on which no request has come.
     void add(const std::shared_ptr<ClientConnection>& connection);
     /// A first request has come on it.
     void on_first_request(ClientConnection& connection);
--- a/src/net/client_connection_reading.cpp
+++ b/src/net/client_connection_reading.cpp
@@ -16,6 +16,9 @@
 using tcp = asio::ip::tcp;
 
 constexpr const char* kHealthCheckPath = "/up";
+// What the kernel must fill of tcp_info to tell when the last byte came: older ones have less.
+constexpr std::size_t kTcpInfoBytes =
+    offsetof(tcp_info, tcpi_last_data_recv) + sizeof(tcp_info::tcpi_last_data_recv);
 
 // How long the last byte has been here, as the kernel counts it (tcp(7), tcp_info: in milliseconds, as coarse
 // as its tick). A connection that waited to be accepted, or whose bytes lay there while this process had no
@@ -23,9 +26,8 @@
 Millis kernel_queue_time(tcp::socket& socket) {
     tcp_info info{};
     socklen_t size = sizeof info;
-    constexpr std::size_t kNeeded = offsetof(tcp_info, tcpi_last_data_recv) + sizeof info.tcpi_last_data_recv;
     const int result = ::getsockopt(socket.native_handle(), IPPROTO_TCP, TCP_INFO, &info, &size);
-    const bool is_known = result == 0 && size >= kNeeded;
+    const bool is_known = result == 0 && size >= kTcpInfoBytes;
     return is_known ? info.tcpi_last_data_recv : 0;
 }
 
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -22,13 +22,13 @@
 using Error = boost::system::error_code;
 
 // The parser reads ahead of itself this far at most: a head, or a chunk's line.
-constexpr std::size_t kMaxReadAhead = 64 * 1024;
+constexpr std::size_t kMaxReadAhead = std::size_t{64} * 1024;
 // Bytes of one list, or of one line of a watch. As many servers as a sidecar keeps, 4,096, in 1 KiB each: a
 // target takes 150 to 250 bytes, and up to 400 where the JSON is indented. While a list is parsed its text is
 // in memory once, and beside it only what it says: each target's JSON goes as soon as it has been parsed.
-constexpr std::size_t kMaxListBytes = 4096 * 1024;
+constexpr std::size_t kMaxListBytes = std::size_t{4096} * 1024;
 // Memory that a watch keeps for its next line: many changes, and no whole list.
-constexpr std::size_t kMaxKeptBytes = 64 * 1024;
+constexpr std::size_t kMaxKeptBytes = std::size_t{64} * 1024;
 // Bytes of a response's body that are read at a time.
 constexpr std::size_t kPieceBytes = 8192;
 
--- a/src/net/discovery.hpp
+++ b/src/net/discovery.hpp
@@ -75,6 +75,7 @@
         asked,   ///< a service is asked for it
     };
 
+    /// What the configuration says of discovery.
     struct Setup {
         Endpoint endpoint;
         /// Of the list that is held. None: no list is held, and the whole one is fetched first.
@@ -95,6 +96,7 @@
 
     /// Watches from now on, until stop().
     void watch();
+    /// Closes the call, if there is one. The list that is held stays in force.
     void stop();
     /// @return whether bytes of a list lie in the kernel that were not read.
     bool unread() const;
--- a/src/net/discovery_error.cpp
+++ b/src/net/discovery_error.cpp
@@ -35,8 +35,8 @@
 }  // namespace
 
 const std::error_category& discovery_category() noexcept {
-    static const DiscoveryCategory category;
-    return category;
+    static const DiscoveryCategory kCategory;
+    return kCategory;
 }
 
 std::error_code make_error_code(DiscoveryError error) noexcept {
--- a/src/net/listener.hpp
+++ b/src/net/listener.hpp
@@ -31,7 +31,7 @@
 /// ends all of it.
 ///
 /// Not thread-safe: everything runs on the event loop's thread.
-class Listener : private ClientConnectionOwner {
+class Listener final : private ClientConnectionOwner {
 public:
     using Handlers = ListenerHandlers;
 
@@ -42,7 +42,7 @@
     /// @throws boost::system::system_error if the address can't be listened on.
     Listener(asio::io_context& io, const Endpoint& listen, SocketBudget& budget, ByteBudget& bytes,
              TimerQueue& timers, const Clock& clock, Millis max_response_time, Handlers handlers);
-    ~Listener();
+    ~Listener() override;
     Listener(const Listener&) = delete;
     Listener& operator=(const Listener&) = delete;
     Listener(Listener&&) = delete;
@@ -66,7 +66,7 @@
 
 private:
     /// Bytes that are read at a time from a connection whose data is not wanted any more.
-    static constexpr std::size_t kDiscardBufferBytes = 64 * 1024;
+    static constexpr std::size_t kDiscardBufferBytes = std::size_t{64} * 1024;
 
     void add_connection(asio::ip::tcp::socket socket);
 
--- a/src/net/response_reader.hpp
+++ b/src/net/response_reader.hpp
@@ -22,6 +22,7 @@
 /// of the budget. Not thread-safe.
 class ResponseReader {
 public:
+    /// What is known of the response so far.
     enum class State {
         incomplete,
         complete,   ///< get() and release() have it
@@ -39,6 +40,7 @@
 
     /// Only of a complete response.
     const HttpResponse& get() const { return parser_->get(); }
+    /// Moves the response out; get() has nothing after that.
     HttpResponse release() { return parser_->release(); }
     /// @return whether the connection of a complete response can carry another request: nothing came behind
     /// it,
--- a/src/net/server_connection.hpp
+++ b/src/net/server_connection.hpp
@@ -40,6 +40,8 @@
 /// Upstream as its connections see it. Called on the event loop's thread.
 class ServerConnectionOwner {
 public:
+    virtual ~ServerConnectionOwner() = default;
+
     /// A connect has ended in one way or the other.
     /// @param server_was_asked false: it failed for want of a socket, a port or a route on this machine.
     virtual void on_connect_tried(ServerId server, bool server_was_asked) = 0;
@@ -57,7 +59,6 @@
     ServerConnectionOwner() = default;
     ServerConnectionOwner(const ServerConnectionOwner&) = default;
     ServerConnectionOwner& operator=(const ServerConnectionOwner&) = default;
-    ~ServerConnectionOwner() = default;
 };
 
 /// What all connections of an Upstream share. Outlives the run of their handlers.
@@ -67,7 +68,7 @@
     const Clock& clock;
     TimerQueue& timers;
     ByteBudget& bytes;  ///< for responses beyond the usual size
-    Millis connect_timeout;
+    Millis connect_timeout = 0;
     asio::mutable_buffer read_buffer;  ///< for what is being read, of one connection at a time
 };
 
--- a/src/net/upstream.hpp
+++ b/src/net/upstream.hpp
@@ -29,8 +29,9 @@
 /// one attempt, EndpointListBarrier holds writes back while the endpoint list has come and was not read.
 ///
 /// Not thread-safe: everything runs on the event loop's thread. Bounded by the descriptors of Side::servers.
-class Upstream : private ServerConnectionOwner {
+class Upstream final : private ServerConnectionOwner {
 public:
+    /// Times of the settings, in milliseconds.
     struct Limits {
         Millis connect_timeout = 250;
         Millis idle_close = 15000;  ///< servers close a connection that has been idle for so long
@@ -52,7 +53,7 @@
     /// @param bytes for responses beyond the usual size.
     Upstream(asio::io_context& io, SocketBudget& budget, ByteBudget& bytes, TimerQueue& timers,
              const Clock& clock, Limits limits, Ended ended, Gate gate);
-    ~Upstream();
+    ~Upstream() override;
     Upstream(const Upstream&) = delete;
     Upstream& operator=(const Upstream&) = delete;
     Upstream(Upstream&&) = delete;
@@ -81,7 +82,7 @@
 
 private:
     /// Bytes of a response that are read at a time.
-    static constexpr std::size_t kReadBufferBytes = 32 * 1024;
+    static constexpr std::size_t kReadBufferBytes = std::size_t{32} * 1024;
 
     struct Server;
 
