--- a/src/fault_proxy/rules.cpp
+++ b/src/fault_proxy/rules.cpp
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-const char* name_of(FaultType type) { return kFaultTypeNames[static_cast<std::size_t>(type)]; }
+const char* name_of(FaultType type) { return kFaultTypeNames.at(static_cast<std::size_t>(type)); }
 
 bool is_of_datagrams_only(FaultType type) {
     return type == FaultType::drop || type == FaultType::duplicate || type == FaultType::reorder;
--- a/src/process_testbed/request_history.cpp
+++ b/src/process_testbed/request_history.cpp
@@ -13,7 +13,7 @@
                                                                            "cut"};
 
 const char* name_of(RequestHistory::Outcome outcome) {
-    return kOutcomeNames[static_cast<std::size_t>(outcome)];
+    return kOutcomeNames.at(static_cast<std::size_t>(outcome));
 }
 
 }  // namespace
--- a/src/simulation/checking/sidecar_log.cpp
+++ b/src/simulation/checking/sidecar_log.cpp
@@ -28,7 +28,7 @@
 
 std::string description_of(const fault_proxy::Rule& rule) {
     std::string ends = ends_text(rule);
-    if (ends.size() > kMaxEndsText) ends = ends.substr(0, kMaxEndsText) + "...";
+    if (ends.size() > kMaxEndsText) ends.replace(kMaxEndsText, std::string::npos, "...");
     return std::string(fault_proxy::name_of(rule.type)) + " " + ends;
 }
 
