--- a/bench/members.cpp
+++ b/bench/members.cpp
@@ -31,12 +31,12 @@
 std::string time_until_failure_known(VirtualFleet& fleet, MemberId failed) {
     const Millis begin = fleet.now();
     std::vector<Millis> times;
-    fleet.changed = [&](MemberId, const Change& change) {
-        const bool gone = change.number == failed && change.after >= MemberState::failed;
+    fleet.changed = [&](MemberId, const MemberChange& change) {
+        const bool gone = change.member_id == failed && change.after >= MemberState::failed;
         if (gone) times.push_back(fleet.now() - begin);
     };
     const bool known_to_all = fleet.until([&] { return times.size() + 1 >= fleet.count(); }, kMinute);
-    fleet.changed = [](MemberId, const Change&) {};
+    fleet.changed = [](MemberId, const MemberChange&) {};
     if (times.empty()) return "never";
     std::sort(times.begin(), times.end());
     const Millis median = times[times.size() / 2];
--- a/src/cluster/driver.cpp
+++ b/src/cluster/driver.cpp
@@ -18,10 +18,10 @@
 Membership::Setup membership_setup(const Driver::Setup& setup) {
     Membership::Setup result;
     result.self = setup.self;
-    result.count = static_cast<std::uint32_t>(setup.peers.size());
-    result.siblings = setup.siblings;
+    result.member_count = static_cast<std::uint32_t>(setup.peers.size());
+    result.configured_siblings = setup.configured_siblings;
     result.seed = setup.seed;
-    result.timing.probe_period = setup.period;
+    result.timing.probe_period = setup.probe_period;
     return result;
 }
 
@@ -50,7 +50,7 @@
       peers_(setup.peers),
       socket_(io),
       membership_(membership_setup(setup), clock.now(), clock.wall()),
-      siblings_(setup.siblings) {
+      siblings_(setup.configured_siblings) {
     // Of two ids with one address the first has it: its datagrams say who they are from.
     for (std::uint32_t i = 0; i < peers_.size(); ++i) address_indexes_.emplace(peers_[i], i);
     socket_.open(setup.listen.protocol());
@@ -92,7 +92,7 @@
         const auto found = address_indexes_.find(from);
         const std::optional<std::uint32_t> index =
             found == address_indexes_.end() ? std::nullopt : std::optional(found->second);
-        membership_.heard(clock_.now(), index, {bytes.data(), size});
+        membership_.on_datagram(clock_.now(), index, {bytes.data(), size});
     }
     settle();
     if (read < kMaxPerTurn) return wait_readable();
@@ -122,7 +122,7 @@
         if (message.msg_namelen != sizeof destination || destination.sin_family != AF_INET) continue;
         const asio::ip::address_v4 host(ntohl(destination.sin_addr.s_addr));
         const auto found = address_indexes_.find(PeerAddress(host, ntohs(destination.sin_port)));
-        if (found != address_indexes_.end()) membership_.refused(clock_.now(), found->second);
+        if (found != address_indexes_.end()) membership_.on_port_unreachable(clock_.now(), found->second);
     }
 }
 
@@ -135,19 +135,19 @@
 }
 
 // Called after each call into the membership: sends its datagrams, reports its changes, and sets the timer
-// for its next wake().
+// for its next on_timer().
 void Driver::settle() {
     const Millis now = clock_.now();
     send_datagrams();
-    for (const Change& change : membership_.take_changes()) handlers_.changed(change);
-    const std::uint32_t siblings = membership_.siblings(now);
-    if (std::exchange(siblings_, siblings) != siblings) handlers_.siblings(siblings);
+    for (const MemberChange& change : membership_.take_changes()) handlers_.member_changed(change);
+    const std::uint32_t siblings = membership_.update_siblings(now);
+    if (std::exchange(siblings_, siblings) != siblings) handlers_.siblings_changed(siblings);
     timers_.cancel(wake_timer_);
-    const Millis next = membership_.next();
+    const Millis next = membership_.next_due();
     if (!std::isfinite(next)) return;
     wake_timer_ = timers_.set(next, [this] {
         wake_timer_ = {};
-        membership_.wake(clock_.now());
+        membership_.on_timer(clock_.now());
         settle();
     });
 }
@@ -162,7 +162,7 @@
     const Headcount count = membership_.headcount();
     const Membership::Counters counters = membership_.counters();
     nlohmann::json list = nlohmann::json::array();
-    for (MemberId id = 0; id < membership_.count(); ++id) {
+    for (MemberId id = 0; id < membership_.member_count(); ++id) {
         list.push_back(status_of(id, membership_.member(id), now));
     }
     return {
--- a/src/cluster/driver.hpp
+++ b/src/cluster/driver.hpp
@@ -30,16 +30,16 @@
     /// What the configuration says.
     struct Setup {
         PeerAddress listen;
-        std::vector<PeerAddress> peers;  ///< by id, this one's own among them
-        MemberId self = 0;               ///< below the number of peers
-        std::uint32_t siblings = 1;      ///< as the settings say
-        std::uint64_t seed = 1;          ///< of all random choices
-        Millis period = 1000;            ///< between two probes
+        std::vector<PeerAddress> peers;         ///< by id, this one's own among them
+        MemberId self = 0;                      ///< below the number of peers
+        std::uint32_t configured_siblings = 1;  ///< as the settings say
+        std::uint64_t seed = 1;                 ///< of all random choices
+        Millis probe_period = 1000;             ///< between two probes
     };
     /// Called from the event loop, after the change.
     struct Handlers {
-        std::function<void(std::uint32_t)> siblings;  ///< another number than before
-        std::function<void(const Change&)> changed;   ///< one member has another state
+        std::function<void(std::uint32_t)> siblings_changed;      ///< another number than before
+        std::function<void(const MemberChange&)> member_changed;  ///< one member has another state
     };
     /// Listens at once.
     /// @throws boost::system::system_error if it can't listen.
--- a/src/cluster/member_table.cpp
+++ b/src/cluster/member_table.cpp
@@ -59,7 +59,7 @@
     record({now, id, before, state, why});
 }
 
-void MemberTable::record(Change change) {
+void MemberTable::record(MemberChange change) {
     if (changes_.size() >= kMaxChanges) changes_.erase(changes_.begin());
     changes_.push_back(std::move(change));
 }
--- a/src/cluster/member_table.hpp
+++ b/src/cluster/member_table.hpp
@@ -14,12 +14,12 @@
 namespace elmbay::cluster {
 
 /// A member's state, as this one sees it, has changed.
-struct Change {
+struct MemberChange {
     Millis at = 0;  ///< monotonic milliseconds
-    MemberId number = 0;
+    MemberId member_id = 0;
     MemberState before = MemberState::expected;
     MemberState after = MemberState::expected;
-    std::string why;  ///< for people
+    std::string reason;  ///< for people
 };
 
 /// What this member knows of one.
@@ -78,9 +78,9 @@
     void set(Millis now, MemberId id, const Incarnation& incarnation, MemberState state,
              const std::string& why);
     /// Adds a change that set() does not see.
-    void record(Change change);
+    void record(MemberChange change);
     /// @return the changes since the last call, in order.
-    std::vector<Change> take_changes() { return std::exchange(changes_, {}); }
+    std::vector<MemberChange> take_changes() { return std::exchange(changes_, {}); }
     /// @return changes to failed since the start.
     std::uint64_t failures() const { return failures_; }
 
@@ -93,7 +93,7 @@
     std::vector<Millis> rejoined_at_;
     Headcount headcount_;
     std::uint32_t digest_ = 0;
-    std::vector<Change> changes_;
+    std::vector<MemberChange> changes_;
     std::uint64_t failures_ = 0;
 };
 
--- a/src/cluster/membership.cpp
+++ b/src/cluster/membership.cpp
@@ -11,7 +11,7 @@
 constexpr Millis kLongAgo = -1e9;
 
 Membership::Setup with_self(Membership::Setup setup) {
-    setup.count = std::max(setup.count, setup.self + 1);
+    setup.member_count = std::max(setup.member_count, setup.self + 1);
     return setup;
 }
 
@@ -22,32 +22,32 @@
       random_(setup.seed),
       started_at_(now),
       clock_(now, unix_time),
-      table_(setup.self, setup_.count, now),
-      suspicions_(setup_.count, setup.timing),
-      gossip_(setup_.count),
+      table_(setup.self, setup_.member_count, now),
+      suspicions_(setup_.member_count, setup.timing),
+      gossip_(setup_.member_count),
       probes_(setup.timing),
       relays_(setup.timing),
       sync_(setup.timing, now),
-      siblings_(setup.siblings),
-      last_helper_(setup_.count),
-      notified_at_(setup_.count, kLongAgo),
+      siblings_(setup.configured_siblings),
+      last_helper_(setup_.member_count),
+      notified_at_(setup_.member_count, kLongAgo),
       refuted_unnamed_at_(kLongAgo) {
     const auto nonce = static_cast<std::uint16_t>(1 + random_.below(UINT16_MAX));
     Member& self = table_[setup_.self];
     self.incarnation = {clock_.first_counter(), nonce};
-    self.state = setup_.count > 1 ? MemberState::joining : MemberState::alive;
+    self.state = setup_.member_count > 1 ? MemberState::joining : MemberState::alive;
     // Probes of members that started together spread over a period.
     next_probe_at_ = now + setup_.timing.probe_period * random_.unit() * 0.5;
     next_gossip_at_ = now + setup_.timing.gossip_interval * random_.unit();
     sync_.postpone(now + setup_.timing.first_sync * (0.5 + random_.unit()));
-    due_ = next();
+    due_ = next_due();
 }
 
 // ---- queries -------------------------------------------------------------------------------------------
 
 View Membership::view(Millis now) const {
     const Headcount& count = table_.headcount();
-    if (setup_.count == 1 || count.ended + 1 >= setup_.count) return View::whole;
+    if (setup_.member_count == 1 || count.ended + 1 >= setup_.member_count) return View::whole;
     const Timing& timing = setup_.timing;
     if (heard_any_at_ < 0) return now - started_at_ < timing.discovery ? View::unknown : View::alone;
     if (now - heard_any_at_ > timing.isolated_after) return View::alone;
@@ -102,7 +102,7 @@
 
 // ---- time ----------------------------------------------------------------------------------------------
 
-Millis Membership::next() const {
+Millis Membership::next_due() const {
     if (idle()) return INFINITY;
     Millis at = next_probe_at_;
     if (!gossip_.empty()) at = std::min(at, next_gossip_at_);
@@ -132,7 +132,7 @@
     next_probe_at_ = std::max(next_probe_at_, now + setup_.timing.direct_timeout);
 }
 
-void Membership::wake(Millis now) {
+void Membership::on_timer(Millis now) {
     if (idle()) return;
     detect_stall(now);
     run_probes(now);
@@ -141,7 +141,7 @@
     if (next_probe_at_ <= now) probe_next(now);
     if (!gossip_.empty() && next_gossip_at_ <= now) send_gossip(now);
     sync_tables(now);
-    due_ = std::max(now, next());
+    due_ = std::max(now, next_due());
 }
 
 void Membership::leave(Millis now) {
--- a/src/cluster/membership.hpp
+++ b/src/cluster/membership.hpp
@@ -49,7 +49,7 @@
 /// changes out. A value: a copy goes on by itself, which is how tests explore it. Not thread-safe.
 ///
 /// `now` is monotonic milliseconds of this process; it never goes back, and no time of another process is
-/// compared with it. After each call that takes it, next() says when wake() is due.
+/// compared with it. After each call that takes it, next_due() says when on_timer() is due.
 class Membership {
 public:
     /// Helpers of an indirect probe: other members that are asked to ping the target.
@@ -74,9 +74,9 @@
     /// What the configuration says.
     struct Setup {
         MemberId self = 0;
-        std::uint32_t count = 1;     ///< members, this one included; raised to self + 1 if below
-        std::uint32_t siblings = 1;  ///< as the settings say
-        std::uint64_t seed = 1;      ///< of all random choices
+        std::uint32_t member_count = 1;         ///< members, this one included; raised to self + 1 if below
+        std::uint32_t configured_siblings = 1;  ///< as the settings say
+        std::uint64_t seed = 1;                 ///< of all random choices
         Timing timing{};
     };
     /// @param unix_time Unix milliseconds at `now`, by this machine's clock: read once, see IncarnationClock.
@@ -85,28 +85,28 @@
     /// A datagram has come.
     /// @param address_index where in the list of peers it came from; none if from no peer's address.
     /// @param bytes         any bytes; what is no sound message is counted and dropped.
-    void heard(Millis now, std::optional<std::uint32_t> address_index, std::string_view bytes);
+    void on_datagram(Millis now, std::optional<std::uint32_t> address_index, std::string_view bytes);
     /// The machine at that address reports that no process listens there (ICMP, RFC 1122 4.1.3.3).
-    void refused(Millis now, std::uint32_t address_index);
-    /// Does what is due; at next() or later.
-    void wake(Millis now);
-    /// @return when wake() is due; infinity if never.
-    Millis next() const;
+    void on_port_unreachable(Millis now, std::uint32_t address_index);
+    /// Does what is due; at next_due() or later.
+    void on_timer(Millis now);
+    /// @return when on_timer() is due; infinity if never.
+    Millis next_due() const;
     /// This member ends in good order, and says so.
     void leave(Millis now);
 
     /// @return what is to be sent since the last call, in order.
     std::vector<Datagram> take_datagrams() { return std::exchange(datagrams_, {}); }
     /// @return what changed since the last call, in order; MemberTable::kMaxChanges at most.
-    std::vector<Change> take_changes() { return table_.take_changes(); }
+    std::vector<MemberChange> take_changes() { return table_.take_changes(); }
 
-    /// @param id below count().
+    /// @param id below member_count().
     const Member& member(MemberId id) const { return table_[id]; }
     /// @return members, this one included.
-    std::uint32_t count() const { return table_.size(); }
+    std::uint32_t member_count() const { return table_.size(); }
     /// @return this member's own id.
     MemberId self() const { return setup_.self; }
-    /// @return how many are present, silent and ended; together they are count().
+    /// @return how many are present, silent and ended; together they are member_count().
     Headcount headcount() const { return table_.headcount(); }
     /// @return how much of the fleet this member hears.
     View view(Millis now) const;
@@ -115,7 +115,7 @@
     /// Another process has this name, younger than this one: it is the member now, and this one is silent.
     bool yielded() const { return yielded_; }
     /// @return the number that the decision module divides by; at least 1.
-    std::uint32_t siblings(Millis now) { return siblings_.update(now, headcount(), view(now)); }
+    std::uint32_t update_siblings(Millis now) { return siblings_.update(now, headcount(), view(now)); }
 
     /// Since the start.
     struct Counters {
@@ -189,7 +189,7 @@
     bool may_sync(Millis now) const;
     void sync_tables(Millis now);
     bool in_startup(Millis now) const { return now - started_at_ < kStartupPeriod; }
-    bool idle() const { return yielded_ || leaving_ || setup_.count == 1; }
+    bool idle() const { return yielded_ || leaving_ || setup_.member_count == 1; }
     void detect_stall(Millis now);
 
     Setup setup_;
@@ -218,7 +218,7 @@
     Millis next_probe_at_ = 0;
     Millis next_gossip_at_ = 0;
     Millis heard_any_at_ = -1;  // -1: never
-    Millis due_ = 0;            // next() after the last call
+    Millis due_ = 0;            // next_due() after the last call
     Millis table_changed_at_ = 0;
     // Another process under our name, by its nonce, and the counter with which it was answered.
     std::uint16_t rival_nonce_ = 0;
--- a/src/cluster/membership_messages.cpp
+++ b/src/cluster/membership_messages.cpp
@@ -13,10 +13,10 @@
 
 // ---- in ------------------------------------------------------------------------------------------------
 
-void Membership::heard(Millis now, std::optional<std::uint32_t> address_index, std::string_view bytes) {
+void Membership::on_datagram(Millis now, std::optional<std::uint32_t> address_index, std::string_view bytes) {
     detect_stall(now);
     receive(now, address_index, bytes);
-    due_ = std::max(now, next());
+    due_ = std::max(now, next_due());
 }
 
 void Membership::receive(Millis now, std::optional<std::uint32_t> address_index, std::string_view bytes) {
@@ -152,7 +152,7 @@
     GossipQueue::Selection selection;
     selection.max_updates = Message::kMaxUpdates - std::min(Message::kMaxUpdates, message.updates.size());
     selection.receiver = to;
-    selection.skip_receiver = !message.updates.empty() && message.updates.front().number == to;
+    selection.skip_receiver = !message.updates.empty() && message.updates.front().member_id == to;
     // Sending a member news of itself spreads the news no further, unless the two are alone.
     selection.count_receiver = table_.headcount().present <= 2;
     // A member that hears no other does not spread suspicions: it is the one that is cut off.
--- a/src/cluster/membership_probing.cpp
+++ b/src/cluster/membership_probing.cpp
@@ -93,7 +93,7 @@
 
 // The kernel reports that the process is not there. If it has started since, its own datagram is on its way
 // and outranks this.
-void Membership::refused(Millis now, std::uint32_t address_index) {
+void Membership::on_port_unreachable(Millis now, std::uint32_t address_index) {
     detect_stall(now);
     for (MemberId id = 0; id < table_.size(); ++id) {
         const Member& member = table_[id];
--- a/src/cluster/membership_updates.cpp
+++ b/src/cluster/membership_updates.cpp
@@ -17,7 +17,7 @@
 }  // namespace
 
 bool Membership::is_sound(const Update& update) const {
-    return update.number < table_.size() && update.incarnation.counter > 0 &&
+    return update.member_id < table_.size() && update.incarnation.counter > 0 &&
            update.incarnation.counter <= clock_.max_plausible_counter(due_) &&
            update.state != MemberState::expected;
 }
@@ -40,34 +40,34 @@
 
 void Membership::merge(Millis now, const Update& update, MemberId from) {
     if (!is_sound(update)) return;
-    if (update.number == setup_.self) return on_claim_about_self(now, update);
-    Member& member = table_[update.number];
+    if (update.member_id == setup_.self) return on_claim_about_self(now, update);
+    Member& member = table_[update.member_id];
     if (update.incarnation < member.incarnation) return;
     const bool later = update.incarnation > member.incarnation;
     // A member sends its own update to those that are to spread it, so that does not count.
-    const bool sent_by_other = !later && update.state == member.state && from != update.number;
-    if (sent_by_other) gossip_.count_transmission_by_other(update.number);
+    const bool sent_by_other = !later && update.state == member.state && from != update.member_id;
+    if (sent_by_other) gossip_.count_transmission_by_other(update.member_id);
     const bool worse = !later && update.state > member.state;
     const bool shared = update.state == MemberState::suspect && member.state == MemberState::suspect;
     if (!later && !worse && !shared) return;
     if (worse && is_doubtful(now, update, from)) {
-        return notify_accused(now, update.number, member.address_index);
+        return notify_accused(now, update.member_id, member.address_index);
     }
     if (update.state == MemberState::suspect) {
-        if (later) set(now, update.number, update.incarnation, MemberState::alive, "a later incarnation");
-        return suspect(now, update.number, update.detail);
+        if (later) set(now, update.member_id, update.incarnation, MemberState::alive, "a later incarnation");
+        return suspect(now, update.member_id, update.detail);
     }
     const bool is_news = needs_gossip(member, update.incarnation, update.state);
     if (update.state <= MemberState::alive) member.uptime = update.detail;
-    set(now, update.number, update.incarnation, update.state, "said by " + std::to_string(from));
-    if (is_news) gossip_.add(update.number);
+    set(now, update.member_id, update.incarnation, update.state, "said by " + std::to_string(from));
+    if (is_news) gossip_.add(update.member_id);
 }
 
 // Whether the member may refute the update before it is accepted: the member has just been heard itself, or
 // the sender was silent and is back. In the meantime the sender was cut off from others as well.
 bool Membership::is_doubtful(Millis now, const Update& update, MemberId from) const {
     if (update.state < MemberState::suspect || update.state == MemberState::left) return false;
-    const Member& member = table_[update.number];
+    const Member& member = table_[update.member_id];
     const bool heard_lately = member.heard >= 0 && now - member.heard < kRecentlyHeard;
     const bool sender_was_out =
         table_[from].state >= MemberState::failed || now - table_.rejoined_at(from) < kRejoinPeriod;
@@ -76,7 +76,7 @@
 
 // Whether the sender has missed a later incarnation, or any, of the member that the update is on.
 bool Membership::is_outdated(const Update& update) const {
-    return update.number < table_.size() && update.incarnation < table_[update.number].incarnation &&
+    return update.member_id < table_.size() && update.incarnation < table_[update.member_id].incarnation &&
            update.state >= MemberState::suspect && update.state <= MemberState::gone;
 }
 
@@ -86,10 +86,10 @@
     std::vector<Update> known;
     for (const Update& update : message.updates) {
         if (!is_outdated(update)) continue;
-        if (update.number == setup_.self) {
+        if (update.member_id == setup_.self) {
             if (update.incarnation.counter == 0) refute_unnamed(now);
-        } else if (is_present(table_[update.number].state)) {
-            known.push_back(update_on(update.number));
+        } else if (is_present(table_[update.member_id].state)) {
+            known.push_back(update_on(update.member_id));
         }
     }
     if (known.empty() || !corrections_.take(now)) return;
--- a/src/cluster/message.cpp
+++ b/src/cluster/message.cpp
@@ -75,7 +75,7 @@
 };
 
 bool read_update(const json* fields, Update& update) {
-    return read_number(fields[0], kMax16, update.number) &&
+    return read_number(fields[0], kMax16, update.member_id) &&
            read_number(fields[1], kMax32, update.incarnation.counter) &&
            read_number(fields[2], kMax16, update.incarnation.nonce) &&
            read_number(fields[3], kMaxState, update.state) && read_number(fields[4], kMax16, update.detail);
@@ -120,7 +120,7 @@
     json list = json::array();
     for (std::size_t i = 0; i < updates.size() && i < Message::kMaxUpdates; ++i) {
         const Update& update = updates[i];
-        list.push_back(short_field(update.number));
+        list.push_back(short_field(update.member_id));
         list.push_back(update.incarnation.counter);
         list.push_back(update.incarnation.nonce);
         list.push_back(static_cast<unsigned>(update.state));
--- a/src/cluster/message.hpp
+++ b/src/cluster/message.hpp
@@ -44,7 +44,7 @@
 
 /// What is said of one member.
 struct Update {
-    MemberId number = 0;
+    MemberId member_id = 0;
     Incarnation incarnation;
     MemberState state = MemberState::expected;
     /// suspect: who says so; alive and joining: seconds since its start, as it said itself; else 0.
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -42,7 +42,7 @@
     std::optional<Sidecar::RestoredState> restored_state;
     if (persistence) restored_state = persistence->load();
     Sidecar sidecar(io, std::move(config), std::move(restored_state), settings.websocket,
-                    Clock(settings.proof.clock_off()));
+                    Clock(settings.proof.clock_offset()));
     std::optional<StatusSocket> status_socket;
     if (!settings.status.socket.empty()) {
         status_socket.emplace(io, settings.status.socket, [&sidecar] { return sidecar.status(); });
--- a/src/operator/operator_file.cpp
+++ b/src/operator/operator_file.cpp
@@ -55,10 +55,10 @@
      "between two probes; failures are found in some of them, and the cost is two datagrams in each", 100,
      kMinute}};
 
-const std::vector<Key<ProofSettings>> kProofKeys{
-    {"clock_ahead", Unit::duration, &ProofSettings::clock_ahead, "\"0s\"",
+const std::vector<Key<ClockSkewSettings>> kProofKeys{
+    {"clock_ahead", Unit::duration, &ClockSkewSettings::clock_ahead, "\"0s\"",
      "for tests: this program's clock is ahead of the machine's by it", 0, kDay},
-    {"clock_behind", Unit::duration, &ProofSettings::clock_behind, "\"0s\"", "or behind it", 0, kDay}};
+    {"clock_behind", Unit::duration, &ClockSkewSettings::clock_behind, "\"0s\"", "or behind it", 0, kDay}};
 
 using Websocket = websocket::Settings;
 
--- a/src/operator/operator_file.hpp
+++ b/src/operator/operator_file.hpp
@@ -24,7 +24,7 @@
     websocket::Settings websocket;
     StatusSettings status;
     cluster::Settings cluster;
-    ProofSettings proof;
+    ClockSkewSettings proof;
 };
 
 /// Reads the text of the file and adds every problem that it has: none, and the result can be used. Keys that
--- a/src/sidecar/cluster_setup.cpp
+++ b/src/sidecar/cluster_setup.cpp
@@ -76,9 +76,9 @@
     setup.peers = peer_addresses(config, settings);
     setup.self = own_member_id(config, settings);
     require_own_member_among_peers(setup);
-    setup.siblings = config.deployment.settings.siblings;
+    setup.configured_siblings = config.deployment.settings.siblings;
     setup.seed = config.seed ^ kClusterSeedMask;
-    setup.period = settings.period;
+    setup.probe_period = settings.period;
     return setup;
 }
 
--- a/src/sidecar/log_events.cpp
+++ b/src/sidecar/log_events.cpp
@@ -17,7 +17,7 @@
     return "component=cluster event=messages_not_allowed setting=limits.may-tell";
 }
 
-std::optional<std::string> MemberChangeLog::observe(const cluster::Change& change) {
+std::optional<std::string> MemberChangeLog::observe(const cluster::MemberChange& change) {
     if (change.at - second_began_at_ >= kSecond) {
         second_began_at_ = change.at;
         changes_this_second_ = 0;
@@ -27,7 +27,7 @@
     const bool is_last_line = changes_this_second_ == kMaxPerSecond;
     return fmt::format(
         "component=cluster event=member_changed member={} before={} after={} reason={} rest_suppressed={}",
-        change.number, to_string(change.before), to_string(change.after), quoted_log_value(change.why),
+        change.member_id, to_string(change.before), to_string(change.after), quoted_log_value(change.reason),
         is_last_line ? "yes" : "no");
 }
 
--- a/src/sidecar/log_events.hpp
+++ b/src/sidecar/log_events.hpp
@@ -22,7 +22,7 @@
     static constexpr std::size_t kMaxPerSecond = 20;
 
     /// @return the line to log, if there is one.
-    std::optional<std::string> observe(const cluster::Change& change);
+    std::optional<std::string> observe(const cluster::MemberChange& change);
 
 private:
     std::size_t changes_this_second_ = 0;
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -132,7 +132,7 @@
     }
     cluster::Driver::Handlers handlers{
         [this](std::uint32_t siblings) { engine_.on_sibling_count(clock_.now(), siblings); },
-        [this](const cluster::Change& change) { on_member_changed(change); }};
+        [this](const cluster::MemberChange& change) { on_member_changed(change); }};
     cluster_.emplace(io_, timers_, clock_, cluster_setup(config_, settings), std::move(handlers));
 }
 
@@ -239,7 +239,7 @@
     });
 }
 
-void Sidecar::on_member_changed(const cluster::Change& change) {
+void Sidecar::on_member_changed(const cluster::MemberChange& change) {
     const auto line = member_change_log_.observe(change);
     if (line) write_log_line(*line);
 }
--- a/src/sidecar/sidecar.hpp
+++ b/src/sidecar/sidecar.hpp
@@ -87,7 +87,7 @@
     void on_client_disconnected(RequestId id);
     void on_attempt_ended(AttemptKey key, Outcome outcome, Millis duration, HttpResponse response);
     void on_endpoint_list(balancer::ListKind kind, const Listing& listing);
-    void on_member_changed(const cluster::Change& change);
+    void on_member_changed(const cluster::MemberChange& change);
 
     // The engine's actions.
     void start_attempt(AttemptKey key, ServerId server, Millis attempt_deadline, Millis write_by) override;
--- a/src/simulation/models/membership_agent.cpp
+++ b/src/simulation/models/membership_agent.cpp
@@ -9,8 +9,8 @@
     const auto sidecars = static_cast<std::uint32_t>(scenario.sidecars.count);
     cluster::Membership::Setup setup;
     setup.self = self;
-    setup.count = sidecars;
-    setup.siblings = sidecars;
+    setup.member_count = sidecars;
+    setup.configured_siblings = sidecars;
     setup.seed = seed;
     return setup;
 }
@@ -24,11 +24,11 @@
 void ClusterMembershipAgent::begin(Millis, std::vector<Outgoing>& out) { send(out); }
 void ClusterMembershipAgent::heard(Millis now, std::uint32_t from, std::string_view bytes,
                                    std::vector<Outgoing>& out) {
-    membership_.heard(now, from, bytes);
+    membership_.on_datagram(now, from, bytes);
     send(out);
 }
 void ClusterMembershipAgent::refused(Millis now, std::uint32_t whom, std::vector<Outgoing>& out) {
-    membership_.refused(now, whom);
+    membership_.on_port_unreachable(now, whom);
     send(out);
 }
 void ClusterMembershipAgent::leave(Millis now, std::vector<Outgoing>& out) {
@@ -36,7 +36,7 @@
     send(out);
 }
 void ClusterMembershipAgent::wake(Millis now, std::vector<Outgoing>& out) {
-    membership_.wake(now);
+    membership_.on_timer(now);
     send(out);
 }
 void ClusterMembershipAgent::send(std::vector<Outgoing>& out) {
--- a/src/simulation/models/membership_agent.hpp
+++ b/src/simulation/models/membership_agent.hpp
@@ -21,8 +21,8 @@
     void refused(Millis now, std::uint32_t whom, std::vector<Outgoing>& out) override;
     void leave(Millis now, std::vector<Outgoing>& out) override;
     void wake(Millis now, std::vector<Outgoing>& out) override;
-    Millis next() const override { return membership_.next(); }
-    std::optional<std::uint32_t> siblings(Millis now) override { return membership_.siblings(now); }
+    Millis next() const override { return membership_.next_due(); }
+    std::optional<std::uint32_t> siblings(Millis now) override { return membership_.update_siblings(now); }
 
 private:
     void send(std::vector<Outgoing>& out);
--- a/src/status/settings.hpp
+++ b/src/status/settings.hpp
@@ -14,11 +14,11 @@
 };
 
 /// The keys of [proof]: clock skew, for tests of many processes only.
-struct ProofSettings {
+struct ClockSkewSettings {
     Millis clock_ahead = 0;   ///< milliseconds by which this process's clock is ahead of the machine's
     Millis clock_behind = 0;  ///< milliseconds by which it is behind
     /// @return milliseconds to add to the machine's clock.
-    Millis clock_off() const { return clock_ahead - clock_behind; }
+    Millis clock_offset() const { return clock_ahead - clock_behind; }
 };
 
 }  // namespace elmbay
--- a/tests/cluster/explore_test.cpp
+++ b/tests/cluster/explore_test.cpp
@@ -57,7 +57,7 @@
             unread[to].emplace_back(from, bytes);
             return;
         }
-        members[to]->heard(now, from, bytes);
+        members[to]->on_datagram(now, from, bytes);
         settle(to);
     }
     void thaw(MemberId id) {
@@ -67,15 +67,16 @@
     std::optional<MemberId> next_to_wake() const {
         std::optional<MemberId> first;
         for (MemberId id = 0; id < members.size(); ++id)
-            if (members[id] && !frozen[id] && (!first || members[id]->next() < members[*first]->next()))
+            if (members[id] && !frozen[id] &&
+                (!first || members[id]->next_due() < members[*first]->next_due()))
                 first = id;
         return first;
     }
     bool wake_next() {
         const auto id = next_to_wake();
-        if (!id || !(members[*id]->next() < 1e300)) return false;
-        now = std::max(now, members[*id]->next());
-        members[*id]->wake(now);
+        if (!id || !(members[*id]->next_due() < 1e300)) return false;
+        now = std::max(now, members[*id]->next_due());
+        members[*id]->on_timer(now);
         settle(*id);
         return true;
     }
@@ -110,7 +111,7 @@
                 for (const auto& [ends, list] : coming)
                     for (const std::string& bytes : list) deliver(ends.first, ends.second, bytes);
                 const auto due = next_to_wake();
-                if (due && members[*due]->next() <= now) wake_next();
+                if (due && members[*due]->next_due() <= now) wake_next();
             }
             if (is_converged()) return true;
         }
@@ -132,7 +133,7 @@
 // Whether two tables whose digests are equal disagree on somebody who is not present.
 bool digests_hide_difference(const Membership& one, const Membership& other) {
     if (one.digest() != other.digest()) return false;
-    for (MemberId id = 0; id < one.count(); ++id) {
+    for (MemberId id = 0; id < one.member_count(); ++id) {
         const Member& here = one.member(id);
         const Member& there = other.member(id);
         const bool is_present_in_both =
@@ -303,7 +304,7 @@
                     if (!lost(ends.first, ends.second)) world.deliver(ends.first, ends.second, datagram);
             world.now += kOneWay;
             const auto due = world.next_to_wake();
-            if (due && world.members[*due]->next() <= world.now) world.wake_next();
+            if (due && world.members[*due]->next_due() <= world.now) world.wake_next();
         }
         world.links.clear();
         return world;
--- a/tests/cluster/fuzz.cpp
+++ b/tests/cluster/fuzz.cpp
@@ -13,8 +13,8 @@
     while (size > 2) {
         now += data[0] * 4;
         const std::size_t length = std::min<std::size_t>(data[1], size - 2);
-        members.heard(now, data[0] % (kCount + 1), {reinterpret_cast<const char*>(data) + 2, length});
-        if (members.next() <= now) members.wake(now);
+        members.on_datagram(now, data[0] % (kCount + 1), {reinterpret_cast<const char*>(data) + 2, length});
+        if (members.next_due() <= now) members.on_timer(now);
         data += 2 + length;
         size -= 2 + length;
         for (const Datagram& datagram : members.take_datagrams()) {
@@ -24,7 +24,7 @@
         members.take_changes();
         const Headcount headcount = members.headcount();
         if (headcount.present + headcount.silent + headcount.ended != kCount) std::abort();
-        if (members.siblings(now) < 1) std::abort();
+        if (members.update_siblings(now) < 1) std::abort();
     }
     return 0;
 }
--- a/tests/cluster/member_table_test.cpp
+++ b/tests/cluster/member_table_test.cpp
@@ -44,7 +44,7 @@
     MemberTable table(0, 2, 0);
     table.set(5, 1, kFirst, MemberState::alive, "heard");
     table.set(6, 1, kSecond, MemberState::alive, "heard again");
-    const std::vector<Change> changes = table.take_changes();
+    const std::vector<MemberChange> changes = table.take_changes();
     ASSERT_EQ(changes.size(), 1U);
     EXPECT_EQ(changes[0].before, MemberState::expected);
     EXPECT_EQ(changes[0].after, MemberState::alive);
--- a/tests/cluster/membership_test.cpp
+++ b/tests/cluster/membership_test.cpp
@@ -43,12 +43,12 @@
     fleet.run_for(6000);
     for (MemberId id = 0; id < 20; ++id) {
         EXPECT_EQ(fleet.view(id), View::whole);
-        EXPECT_EQ(fleet[id].siblings(fleet.now()), 20U);
+        EXPECT_EQ(fleet[id].update_siblings(fleet.now()), 20U);
     }
     VirtualFleet one(1);
     one.start_all();
     EXPECT_EQ(one.view(0), View::whole);
-    EXPECT_FALSE(one[0].next() < 1e300) << "nothing to do, so nothing that wakes it";
+    EXPECT_FALSE(one[0].next_due() < 1e300) << "nothing to do, so nothing that wakes it";
 }
 
 // What is explored or measured in virtual time can be played again: the same seed gives the same datagrams.
@@ -240,7 +240,7 @@
         old.push_back(encode(lie));
         for (MemberId id = 0; id < 11; ++id) {
             fleet.inject(id, 11, old.back());
-            EXPECT_GE(fleet[id].siblings(fleet.now()), 3U);
+            EXPECT_GE(fleet[id].update_siblings(fleet.now()), 3U);
         }
         fleet.run_for(500);
     }
@@ -295,7 +295,7 @@
     EXPECT_TRUE(fleet.until([&] { return fleet.view(7) == View::alone; }, 8000));
     fleet.run_for(30000);
     EXPECT_EQ(fleet[7].headcount().silent, 0U) << "it is not the others that are silent";
-    EXPECT_EQ(fleet[7].siblings(fleet.now()), 24U);
+    EXPECT_EQ(fleet[7].update_siblings(fleet.now()), 24U);
     fleet.cut = [](MemberId, MemberId) { return false; };
     EXPECT_TRUE(fleet.settled(15000));
 }
@@ -310,12 +310,12 @@
         fleet.after_step = [&] {
             double sum = 0;
             for (MemberId id = 0; id < 40; ++id)
-                if (fleet.runs(id)) sum += 1.0 / fleet[id].siblings(fleet.now());
+                if (fleet.runs(id)) sum += 1.0 / fleet[id].update_siblings(fleet.now());
             most = std::max(most, sum);
         };
         for (MemberId id = 0; id < 28; ++id) fleet.kill(id);
         fleet.run_for(25000);
-        const std::uint32_t taken_over = fleet[39].siblings(fleet.now());
+        const std::uint32_t taken_over = fleet[39].update_siblings(fleet.now());
         if (refuses) {
             EXPECT_LT(taken_over, 20U);  // 12 there of 40: 40 / (1 + 0.4 * 40 / 12) = 17.2
         } else {
@@ -326,7 +326,7 @@
         fleet.run_for(20000);
         fleet.cut = [](MemberId, MemberId) { return false; };
         fleet.run_for(30000);
-        EXPECT_EQ(fleet[39].siblings(fleet.now()), 40U);
+        EXPECT_EQ(fleet[39].update_siblings(fleet.now()), 40U);
         EXPECT_LE(most, 1 + SiblingEstimate::kMaxTakeover + 1e-9);
         EXPECT_GT(most, refuses ? 1.2 : 0.99);
     }
--- a/tests/cluster/refutation_test.cpp
+++ b/tests/cluster/refutation_test.cpp
@@ -90,35 +90,35 @@
     const Incarnation before = member.member(0).incarnation;
     Message claim = gossip_from(1, before.counter);
     claim.updates.push_back(kSuspectNeverHeard);
-    member.heard(10, 1, encode(claim));
+    member.on_datagram(10, 1, encode(claim));
     EXPECT_GT(member.member(0).incarnation, before);
     EXPECT_EQ(member.member(0).state, MemberState::alive);
     // The claim is repeated until its answer has arrived: that raises the incarnation no further.
     const Incarnation after = member.member(0).incarnation;
-    for (int i = 0; i < 100; ++i) member.heard(11 + i, 1, encode(claim));
+    for (int i = 0; i < 100; ++i) member.on_datagram(11 + i, 1, encode(claim));
     EXPECT_EQ(member.member(0).incarnation, after);
     // Longer than that without effect: the answer was lost.
-    member.heard(10 * kSecond, 1, encode(claim));
+    member.on_datagram(10 * kSecond, 1, encode(claim));
     EXPECT_GT(member.member(0).incarnation, after);
 }
 
 TEST(Refutation, SendsKnownIncarnationToMemberWithoutIt) {
     Membership member({2, 4, 4, 7, {}}, 0, kUnixAtStart);
     const std::uint32_t count = member.member(2).incarnation.counter;
-    member.heard(10, 0, encode(gossip_from(0, count + 5)));
+    member.on_datagram(10, 0, encode(gossip_from(0, count + 5)));
     member.take_datagrams();
     Message claim = gossip_from(1, count);
     claim.updates.push_back(kSuspectNeverHeard);
-    member.heard(20, 1, encode(claim));
+    member.on_datagram(20, 1, encode(claim));
     const std::vector<Message> answers = sent_by(member);
     ASSERT_EQ(answers.size(), 1U);
     ASSERT_EQ(answers[0].updates.size(), 1U);
-    EXPECT_EQ(answers[0].updates[0].number, 0U);
+    EXPECT_EQ(answers[0].updates[0].member_id, 0U);
     EXPECT_EQ(answers[0].updates[0].incarnation, (Incarnation{count + 5, 77}));
     EXPECT_EQ(answers[0].updates[0].state, MemberState::alive);
     EXPECT_EQ(member.member(0).state, MemberState::alive) << "it does not take over the suspicion";
     // One datagram for one at most, and far fewer for a flood.
-    for (int i = 0; i < 1000; ++i) member.heard(20 + i * 0.01, 1, encode(claim));
+    for (int i = 0; i < 1000; ++i) member.on_datagram(20 + i * 0.01, 1, encode(claim));
     EXPECT_LE(sent_by(member).size(), 21U);
 }
 
@@ -129,7 +129,7 @@
     for (const MemberState state :
          {MemberState::suspect, MemberState::failed, MemberState::gone, MemberState::left}) {
         claim.updates.back().state = state;
-        member.heard(20, 1, encode(claim));
+        member.on_datagram(20, 1, encode(claim));
         EXPECT_EQ(member.member(0).state, MemberState::expected);
     }
 }
@@ -145,12 +145,12 @@
         receive(gossip_from(1, count));
         receive(gossip_from(2, count));
     }
-    void receive(const Message& message) { member.heard(now, message.from, encode(message)); }
+    void receive(const Message& message) { member.on_datagram(now, message.from, encode(message)); }
     // Until `end`, or until the state of member 1 is the one given.
     void run(Millis end, MemberState until) {
-        while (member.member(1).state != until && member.next() <= end) {
-            now = member.next();
-            member.wake(now);
+        while (member.member(1).state != until && member.next_due() <= end) {
+            now = member.next_due();
+            member.on_timer(now);
             for (const Datagram& datagram : member.take_datagrams()) {
                 const Message sent = decode(datagram.bytes).value();
                 if (datagram.to != 2 || sent.kind != Message::Kind::ping) continue;
--- a/tests/cluster/virtual_fleet.hpp
+++ b/tests/cluster/virtual_fleet.hpp
@@ -66,14 +66,14 @@
         node.frozen = false;
         if (!node.members) return;
         // Its timers may be seen before its socket: what lies unread has not been heard then.
-        if (node.members->next() <= now_) node.members->wake(now_);
+        if (node.members->next_due() <= now_) node.members->on_timer(now_);
         for (const auto& [from, bytes] : std::exchange(node.unread, {}))
-            node.members->heard(now_, from, bytes);
+            node.members->on_datagram(now_, from, bytes);
         settle(id);
     }
     // Into its socket, as if from there.
     void inject(MemberId to, std::optional<std::uint32_t> place, const std::string& bytes) {
-        if (nodes_[to].members) nodes_[to].members->heard(now_, place, bytes);
+        if (nodes_[to].members) nodes_[to].members->on_datagram(now_, place, bytes);
         settle(to);
     }
 
@@ -120,7 +120,7 @@
     std::vector<std::uint64_t> sent_by;
     // Over all datagrams that were sent, lost ones too: when, from whom, to where and each byte (FNV-1a).
     std::uint64_t traffic_hash = 0xcbf29ce484222325ULL;
-    std::function<void(MemberId at, const Change&)> changed = [](MemberId, const Change&) {};
+    std::function<void(MemberId at, const MemberChange&)> changed = [](MemberId, const MemberChange&) {};
 
 private:
     struct Node {
@@ -158,7 +158,7 @@
         for (const char byte : datagram.bytes) add(static_cast<unsigned char>(byte));
     }
     Millis delay() { return net.min_delay + (net.max_delay - net.min_delay) * random_.unit(); }
-    // Schedules the datagrams and the next wake() of a member, and counts false failures.
+    // Schedules the datagrams and the next on_timer() of a member, and counts false failures.
     void settle(MemberId id) {
         Node& node = nodes_[id];
         if (!node.members) return;
@@ -174,15 +174,15 @@
             const auto bytes = std::make_shared<const std::string>(std::move(datagram.bytes));
             for (; copies > 0; --copies) schedule({now_ + delay(), 0, to, id, false, 0, bytes});
         }
-        for (const Change& change : node.members->take_changes()) {
-            false_failures += change.after == MemberState::failed && runs(change.number) &&
-                              !nodes_[change.number].frozen && !cut(id, change.number) &&
-                              !cut(change.number, id) &&
-                              node.members->member(change.number).incarnation ==
-                                  nodes_[change.number].members->member(change.number).incarnation;
+        for (const MemberChange& change : node.members->take_changes()) {
+            false_failures += change.after == MemberState::failed && runs(change.member_id) &&
+                              !nodes_[change.member_id].frozen && !cut(id, change.member_id) &&
+                              !cut(change.member_id, id) &&
+                              node.members->member(change.member_id).incarnation ==
+                                  nodes_[change.member_id].members->member(change.member_id).incarnation;
             changed(id, change);
         }
-        const Millis next = node.members->next();
+        const Millis next = node.members->next_due();
         if (next < 1e300 && (node.waking < 0 || next < node.waking)) {
             node.waking = std::max(next, now_);
             schedule({node.waking, 0, id, id, true, node.generation, nullptr});
@@ -197,7 +197,7 @@
             if (event.generation == node.generation && node.waking == event.at) {
                 node.waking = -1;
                 if (node.members && !node.frozen) {
-                    if (node.members->next() <= now_) node.members->wake(now_);
+                    if (node.members->next_due() <= now_) node.members->on_timer(now_);
                     settle(event.to);
                 }
             } else if (event.generation != node.generation && node.waking == event.at) {
@@ -206,7 +206,7 @@
             }
         } else if (event.refused) {
             if (node.members && !node.frozen) {
-                node.members->refused(now_, member_at(event.to, event.from));
+                node.members->on_port_unreachable(now_, member_at(event.to, event.from));
                 settle(event.to);
             }
         } else if (!cut(event.from, event.to)) {
@@ -219,7 +219,7 @@
             } else {
                 ++delivered.datagrams;
                 delivered.bytes += event.bytes->size();
-                node.members->heard(now_, member_at(event.to, event.from), *event.bytes);
+                node.members->on_datagram(now_, member_at(event.to, event.from), *event.bytes);
                 settle(event.to);
             }
         }
--- a/tests/sidecar/log_events_test.cpp
+++ b/tests/sidecar/log_events_test.cpp
@@ -8,13 +8,13 @@
 namespace elmbay {
 namespace {
 
-cluster::Change change_at(Millis at) {
-    cluster::Change change;
+cluster::MemberChange change_at(Millis at) {
+    cluster::MemberChange change;
     change.at = at;
-    change.number = 3;
+    change.member_id = 3;
     change.before = cluster::MemberState::suspect;
     change.after = cluster::MemberState::failed;
-    change.why = "no ack";
+    change.reason = "no ack";
     return change;
 }
 
