--- a/bench/state.sh
+++ b/bench/state.sh
@@ -4,5 +4,5 @@
 #   on a disk that hangs, against no writer, side by side in one run.
 set -euo pipefail
 build=${1:?the build folder}
-ELMBAY_KILLS=${KILLS:-1000} "$build/tests/state/elmbay_state_tests" --gtest_filter='Killed.*' | grep -E 'kills:|PASSED|FAILED'
+ELMBAY_KILLS=${KILLS:-1000} "$build/tests/state/elmbay_state_tests" --gtest_filter='KilledWriter.*' | grep -E 'kills:|PASSED|FAILED'
 "$build/state_cost"
--- a/bench/state_cost.cpp
+++ b/bench/state_cost.cpp
@@ -90,8 +90,8 @@
 // Names the servers by uids, as snapshots do.
 void name_servers(state::Snapshot& snapshot) {
     for (LearnedServerState& server : snapshot.learned_state.servers) {
-        snapshot.uids.push_back("s-" + std::to_string(server.server));
-        server.server = static_cast<std::uint32_t>(snapshot.uids.size() - 1);
+        snapshot.server_uids.push_back("s-" + std::to_string(server.server));
+        server.server = static_cast<std::uint32_t>(snapshot.server_uids.size() - 1);
     }
 }
 
@@ -160,7 +160,7 @@
 
     state::Snapshot snapshot() const {
         state::Snapshot snapshot = fixture_.sidecar->snapshot();
-        snapshot.taken = state::current_timestamp();
+        snapshot.taken_at = state::current_timestamp();
         return snapshot;
     }
 
--- a/src/daemon/snapshot_persistence.cpp
+++ b/src/daemon/snapshot_persistence.cpp
@@ -19,10 +19,10 @@
 
 std::optional<Sidecar::RestoredState> SnapshotPersistence::load() {
     state::LoadResult loaded = writer_.start();
-    failure_log_.started(writer_.status());
-    for (const std::string& line : state::load_events(loaded, folder_)) log(line);
+    failure_log_.record_start(writer_.status());
+    for (const std::string& line : state::format_load_events(loaded, folder_)) log(line);
     if (!loaded.snapshot) return {};
-    const double age = state::age_of(loaded.snapshot->taken, state::current_timestamp());
+    const double age = state::age_of(loaded.snapshot->taken_at, state::current_timestamp());
     return Sidecar::RestoredState{std::move(*loaded.snapshot), age};
 }
 
@@ -40,13 +40,13 @@
     log_save_status();
     post_snapshot(sidecar);
     const bool finished = writer_.stop(kFinalSaveTimeout);
-    if (!finished) log(state::final_write_abandoned_event(kFinalSaveTimeout));
+    if (!finished) log(state::format_final_write_abandoned_event(kFinalSaveTimeout));
     log_save_status();
 }
 
 void SnapshotPersistence::post_snapshot(const Sidecar& sidecar) {
     state::Snapshot snapshot = sidecar.snapshot();
-    snapshot.taken = state::current_timestamp();
+    snapshot.taken_at = state::current_timestamp();
     writer_.post(std::move(snapshot));
 }
 
--- a/src/sidecar/sidecar.hpp
+++ b/src/sidecar/sidecar.hpp
@@ -66,7 +66,7 @@
     std::size_t sessions() const { return websocket_proxy_ ? websocket_proxy_->sessions() : 0; }
     /// @return the JSON object for the status socket. docs/operate/status.md describes each field.
     nlohmann::json status();
-    /// @return what has been learned, by the servers' uids. `taken` is left to the caller.
+    /// @return what has been learned, by the servers' uids. `taken_at` is left to the caller.
     state::Snapshot snapshot() const;
 
 private:
--- a/src/sidecar/snapshot_conversion.cpp
+++ b/src/sidecar/snapshot_conversion.cpp
@@ -22,8 +22,8 @@
     for (balancer::LearnedServerState& server : snapshot.learned_state.servers) {
         const auto uid = uid_by_server.find(server.server);
         if (uid == uid_by_server.end()) continue;
-        server.server = static_cast<std::uint32_t>(snapshot.uids.size());
-        snapshot.uids.push_back(*uid->second);
+        server.server = static_cast<std::uint32_t>(snapshot.server_uids.size());
+        snapshot.server_uids.push_back(*uid->second);
         named_servers.push_back(server);
     }
     snapshot.learned_state.servers = std::move(named_servers);
@@ -32,9 +32,9 @@
 
 balancer::LearnedState to_learned_state(state::Snapshot snapshot, EndpointRegistry& registry) {
     std::vector<balancer::LearnedServerState>& servers = snapshot.learned_state.servers;
-    const std::size_t named_servers = std::min(servers.size(), snapshot.uids.size());
+    const std::size_t named_servers = std::min(servers.size(), snapshot.server_uids.size());
     for (std::size_t i = 0; i < named_servers; ++i) {
-        servers[i].server = registry.reserve_number(snapshot.uids[i]);
+        servers[i].server = registry.reserve_number(snapshot.server_uids[i]);
     }
     return std::move(snapshot.learned_state);
 }
--- a/src/state/command.cpp
+++ b/src/state/command.cpp
@@ -50,7 +50,7 @@
         if (file.content.snapshot) {
             any_whole = true;
             fmt::print("; of '{}', {}, {} servers, {} changes", file.content.snapshot->instance,
-                       text_of(file.content.snapshot->taken), file.content.snapshot->uids.size(),
+                       text_of(file.content.snapshot->taken_at), file.content.snapshot->server_uids.size(),
                        file.content.batches - 1);
         }
         fmt::print("\n");
@@ -73,8 +73,8 @@
     nlohmann::ordered_json out{{"file", file.name},
                                {"generation", file.content.generation},
                                {"instance", snapshot.instance},
-                               {"taken", text_of(snapshot.taken)},
-                               {"taken_ms", snapshot.taken.wall_ms},
+                               {"taken", text_of(snapshot.taken_at)},
+                               {"taken_ms", snapshot.taken_at.wall_ms},
                                {"room", learned_state.concurrency_limit},
                                {"ceiling", learned_state.learned_limit},
                                {"taught_by", learned_state.servers_behind_learned_limit},
@@ -82,9 +82,9 @@
                                {"carried_a_second", learned_state.completion_rate * 1000},
                                {"retries_left", learned_state.retries_left}};
     out["servers"] = nlohmann::ordered_json::array();
-    for (std::size_t i = 0; i < snapshot.uids.size(); ++i) {
+    for (std::size_t i = 0; i < snapshot.server_uids.size(); ++i) {
         const balancer::LearnedServerState& known = learned_state.servers[i];
-        nlohmann::ordered_json server{{"uid", snapshot.uids[i]},
+        nlohmann::ordered_json server{{"uid", snapshot.server_uids[i]},
                                       {"online_since", known.online_since},
                                       {"outcomes", outcomes_of(known)}};
         if (known.ejection_remaining_ms) server["removed_for_ms"] = *known.ejection_remaining_ms;
@@ -97,20 +97,20 @@
     const Snapshot& snapshot = *file.content.snapshot;
     const balancer::LearnedState& learned_state = snapshot.learned_state;
     fmt::print("{} (generation {}), of '{}', {}\n", file.name, file.content.generation, snapshot.instance,
-               text_of(snapshot.taken));
+               text_of(snapshot.taken_at));
     fmt::print(
         "room {:.1f}, ceiling {:.1f} taught by {:.1f} servers, crowd {:.2f}, carried {:.1f}/s, retries "
         "{:.1f}\n",
         learned_state.concurrency_limit, learned_state.learned_limit,
         learned_state.servers_behind_learned_limit, learned_state.load_ratio.value,
         learned_state.completion_rate * 1000, learned_state.retries_left);
-    for (std::size_t i = 0; i < snapshot.uids.size(); ++i) {
+    for (std::size_t i = 0; i < snapshot.server_uids.size(); ++i) {
         const balancer::LearnedServerState& server = learned_state.servers[i];
         const std::string removed =
             server.ejection_remaining_ms
                 ? fmt::format("removed, {:.1f}s left", *server.ejection_remaining_ms / 1000)
                 : "";
-        fmt::print("  {:<24} {:<20} {}\n", snapshot.uids[i], outcomes_of(server), removed);
+        fmt::print("  {:<24} {:<20} {}\n", snapshot.server_uids[i], outcomes_of(server), removed);
     }
 }
 
--- a/src/state/log_events.cpp
+++ b/src/state/log_events.cpp
@@ -43,18 +43,18 @@
 
 }  // namespace
 
-std::vector<std::string> load_events(const LoadResult& result, const std::string& directory) {
+std::vector<std::string> format_load_events(const LoadResult& result, const std::string& directory) {
     std::vector<std::string> lines;
     if (result.error) lines.push_back(load_failure(result.error, directory));
     for (const LoadNote& note : result.notes) lines.push_back(text_of(note, directory));
     return lines;
 }
 
-std::string final_write_abandoned_event(std::chrono::milliseconds timeout) {
+std::string format_final_write_abandoned_event(std::chrono::milliseconds timeout) {
     return fmt::format("{} timeout_ms={}", event("final_write_abandoned"), timeout.count());
 }
 
-void WriteFailureLog::started(const SnapshotWriter::Status& status) { failing_ = is_failing(status); }
+void WriteFailureLog::record_start(const SnapshotWriter::Status& status) { failing_ = is_failing(status); }
 
 std::optional<std::string> WriteFailureLog::observe(const SnapshotWriter::Status& status) {
     const bool was_failing = failing_;
--- a/src/state/snapshot.hpp
+++ b/src/state/snapshot.hpp
@@ -19,9 +19,10 @@
 /// A plain value; nothing in it refers to a process or a connection.
 struct Snapshot {
     std::string instance;                  ///< whose it is; 1 to kMaxNameBytes bytes
-    Timestamp taken;                       ///< when
+    Timestamp taken_at;                    ///< when
     balancer::LearnedState learned_state;  ///< servers[i].server == i
-    std::vector<std::string> uids;         ///< uids[i] names servers[i]; each once, 1 to kMaxNameBytes bytes
+    std::vector<std::string>
+        server_uids;  ///< server_uids[i] names servers[i]; each once, 1 to kMaxNameBytes bytes
 };
 
 }  // namespace elmbay::state
--- a/src/state/snapshot_codec.hpp
+++ b/src/state/snapshot_codec.hpp
@@ -19,7 +19,7 @@
 namespace elmbay::state {
 
 /// The version that is written, and the latest that is read.
-constexpr std::uint32_t kVersion = 1;
+constexpr std::uint32_t kFormatVersion = 1;
 /// Far above what so many servers take: 4096 of 400 bytes, three times over.
 constexpr std::size_t kMaxFileBytes = 8U << 20;
 /// Of a record's body; it also bounds how deep a hostile one can be nested.
--- a/src/state/snapshot_decoder.cpp
+++ b/src/state/snapshot_decoder.cpp
@@ -87,8 +87,8 @@
 Timestamp timestamp_of(const json& body) {
     Timestamp taken{integer_field(body, "wall_ms"), integer_field(body, "since_boot_ms"), {}};
     const auto boot = body.find("boot");
-    if (boot != body.end() && boot->is_binary() && boot->get_binary().size() == taken.boot.size())
-        std::copy(boot->get_binary().begin(), boot->get_binary().end(), taken.boot.begin());
+    if (boot != body.end() && boot->is_binary() && boot->get_binary().size() == taken.boot_id.size())
+        std::copy(boot->get_binary().begin(), boot->get_binary().end(), taken.boot_id.begin());
     return taken;
 }
 
@@ -121,8 +121,9 @@
         Snapshot snapshot{std::move(instance), taken_, means_, {}};
         for (const auto& [uid, known] : servers_) {
             snapshot.learned_state.servers.push_back(known);
-            snapshot.learned_state.servers.back().server = static_cast<std::uint32_t>(snapshot.uids.size());
-            snapshot.uids.push_back(uid);
+            snapshot.learned_state.servers.back().server =
+                static_cast<std::uint32_t>(snapshot.server_uids.size());
+            snapshot.server_uids.push_back(uid);
         }
         return snapshot;
     }
@@ -244,7 +245,7 @@
         return refused(StateError::not_a_snapshot);
     const auto version = read_number<std::uint32_t>(bytes, layout::kVersionOffset);
     if (version == 0) return refused(StateError::invalid_version);
-    if (version > kVersion) return refused(StateError::unsupported_version, version);
+    if (version > kFormatVersion) return refused(StateError::unsupported_version, version);
     return Version1Decoder(bytes).decode();
 }
 
@@ -252,7 +253,7 @@
     if (!result.error) return {};
     if (result.error != StateError::unsupported_version) return result.error.message();
     return "it is of version " + std::to_string(result.version) + ", this program reads up to " +
-           std::to_string(kVersion);
+           std::to_string(kFormatVersion);
 }
 
 std::string describe_dropped_tail(const DecodeResult& result) {
--- a/src/state/snapshot_encoder.cpp
+++ b/src/state/snapshot_encoder.cpp
@@ -40,7 +40,7 @@
 json body_of(const Timestamp& taken) {
     return {{"wall_ms", taken.wall_ms},
             {"since_boot_ms", taken.since_boot_ms},
-            {"boot", json::binary({taken.boot.begin(), taken.boot.end()})}};
+            {"boot", json::binary({taken.boot_id.begin(), taken.boot_id.end()})}};
 }
 
 bool same(const LearnedServerState& a, const LearnedServerState& b) {
@@ -79,14 +79,14 @@
 void append_servers(BatchEncoder& batch, const Snapshot* before, const Snapshot& after) {
     std::map<std::string_view, const LearnedServerState*> known_before;
     if (before)
-        for (std::size_t i = 0; i < before->uids.size(); ++i)
-            known_before[before->uids[i]] = &before->learned_state.servers[i];
-    for (std::size_t i = 0; i < after.uids.size(); ++i) {
+        for (std::size_t i = 0; i < before->server_uids.size(); ++i)
+            known_before[before->server_uids[i]] = &before->learned_state.servers[i];
+    for (std::size_t i = 0; i < after.server_uids.size(); ++i) {
         const LearnedServerState& known = after.learned_state.servers[i];
-        const auto earlier = known_before.find(after.uids[i]);
+        const auto earlier = known_before.find(after.server_uids[i]);
         const bool changed = earlier == known_before.end() || !same(*earlier->second, known);
         if (earlier != known_before.end()) known_before.erase(earlier);
-        if (changed) batch.append(RecordKind::server, body_of(after.uids[i], known));
+        if (changed) batch.append(RecordKind::server, body_of(after.server_uids[i], known));
     }
     for (const auto& [uid, learned_state] : known_before)
         batch.append(RecordKind::server_removed, {{"uid", std::string(uid)}});
@@ -98,12 +98,12 @@
     const std::string name = snapshot.instance.substr(0, kMaxNameBytes);
     const std::size_t length = layout::kFixedHeaderBytes + name.size() + layout::kChecksumBytes;
     std::string out(layout::kMagic);
-    append_number<std::uint32_t>(out, kVersion);
+    append_number<std::uint32_t>(out, kFormatVersion);
     append_number<std::uint32_t>(out, static_cast<std::uint32_t>(length));
     append_number<std::uint64_t>(out, generation);
-    append_number<std::int64_t>(out, snapshot.taken.wall_ms);
-    append_number<std::int64_t>(out, snapshot.taken.since_boot_ms);
-    out.append(snapshot.taken.boot.begin(), snapshot.taken.boot.end());
+    append_number<std::int64_t>(out, snapshot.taken_at.wall_ms);
+    append_number<std::int64_t>(out, snapshot.taken_at.since_boot_ms);
+    out.append(snapshot.taken_at.boot_id.begin(), snapshot.taken_at.boot_id.end());
     append_number<std::uint32_t>(out, static_cast<std::uint32_t>(name.size()));
     out += name;
     append_number<std::uint64_t>(out, layout::header_checksum_of(out));
@@ -116,7 +116,7 @@
     append_servers(batch, before, after);
     const json means = body_of(after.learned_state);
     if (!before || means != body_of(before->learned_state)) batch.append(RecordKind::means, means);
-    batch.append(RecordKind::batch_end, body_of(after.taken));
+    batch.append(RecordKind::batch_end, body_of(after.taken_at));
     return batch.take();
 }
 
--- a/src/state/snapshot_store.cpp
+++ b/src/state/snapshot_store.cpp
@@ -129,7 +129,7 @@
 std::error_code SnapshotStore::save(const Snapshot& snapshot, SaveMode mode) {
     if (lock_ == FileSystem::kNoFile) return StateError::store_not_open;
     const bool has_name = !snapshot.instance.empty() && snapshot.instance.size() <= kMaxNameBytes;
-    if (!has_name || snapshot.uids.size() > kMaxServers)
+    if (!has_name || snapshot.server_uids.size() > kMaxServers)
         return std::make_error_code(std::errc::invalid_argument);
     const std::size_t max_changes = std::max(kMinChangesBytes, first_batch_bytes_ * kMaxChangesRatio);
     if (file_ == FileSystem::kNoFile || changes_bytes_ > max_changes) return begin_generation(snapshot);
--- a/src/state/timestamp.cpp
+++ b/src/state/timestamp.cpp
@@ -45,12 +45,13 @@
 
 double age_of(const Timestamp& then, const Timestamp& now) {
     // In doubles: the difference of two hostile integers must not overflow.
-    const bool same_boot = then.boot == now.boot && then.boot != kUnknownBoot;
+    const bool same_boot = then.boot_id == now.boot_id && then.boot_id != kUnknownBoot;
     const double age = same_boot
                            ? static_cast<double>(now.since_boot_ms) - static_cast<double>(then.since_boot_ms)
                            : static_cast<double>(now.wall_ms) - static_cast<double>(then.wall_ms);
     // The machine has been up for so long since the other boot: a wall clock that tells less was set back.
-    const bool other_boot = then.boot != now.boot && then.boot != kUnknownBoot && now.boot != kUnknownBoot;
+    const bool other_boot =
+        then.boot_id != now.boot_id && then.boot_id != kUnknownBoot && now.boot_id != kUnknownBoot;
     const double least = other_boot ? static_cast<double>(now.since_boot_ms) : 0;
     return age >= std::max(0.0, least) ? age : -1;
 }
--- a/src/state/timestamp.hpp
+++ b/src/state/timestamp.hpp
@@ -10,9 +10,9 @@
 /// One instant on the wall clock and on the clock that counts since boot. The time since boot is never set
 /// back but says nothing to another boot; the wall clock survives a reboot but may be stepped.
 struct Timestamp {
-    std::int64_t wall_ms = 0;             ///< Unix time, ms
-    std::int64_t since_boot_ms = 0;       ///< CLOCK_BOOTTIME, ms
-    std::array<std::uint8_t, 16> boot{};  ///< the boot's id; all zero: not known
+    std::int64_t wall_ms = 0;                ///< Unix time, ms
+    std::int64_t since_boot_ms = 0;          ///< CLOCK_BOOTTIME, ms
+    std::array<std::uint8_t, 16> boot_id{};  ///< the boot's id; all zero: not known
     bool operator==(const Timestamp&) const = default;
 };
 
--- a/tests/end_to_end/restored_state_test.cpp
+++ b/tests/end_to_end/restored_state_test.cpp
@@ -54,8 +54,9 @@
 
 bool ejected(const SidecarFixture& fixture, const std::string& uid) {
     const state::Snapshot snapshot = fixture.sidecar->snapshot();
-    for (std::size_t i = 0; i < snapshot.uids.size(); ++i) {
-        if (snapshot.uids[i] == uid && snapshot.learned_state.servers[i].ejection_remaining_ms) return true;
+    for (std::size_t i = 0; i < snapshot.server_uids.size(); ++i) {
+        if (snapshot.server_uids[i] == uid && snapshot.learned_state.servers[i].ejection_remaining_ms)
+            return true;
     }
     return false;
 }
@@ -72,7 +73,7 @@
         watch_begins();
         std::reverse(all.begin(), all.end());
         chunk(line(all, true));
-        EXPECT_TRUE(until([&] { return sidecar->snapshot().uids.size() == kServers; }));
+        EXPECT_TRUE(until([&] { return sidecar->snapshot().server_uids.size() == kServers; }));
     }
 };
 
@@ -87,7 +88,7 @@
     ASSERT_TRUE(ejected(before, failing_uid));
     const state::Snapshot snapshot = before.sidecar->snapshot();
     EXPECT_EQ(snapshot.instance, "n");
-    EXPECT_EQ(snapshot.uids.size(), kServers);
+    EXPECT_EQ(snapshot.server_uids.size(), kServers);
 
     RestartedSidecar restored(Sidecar::RestoredState{snapshot, 100});
     EXPECT_TRUE(ejected(restored, failing_uid));
--- a/tests/process_testbed/state_test.cpp
+++ b/tests/process_testbed/state_test.cpp
@@ -63,7 +63,7 @@
     std::int64_t newest() const {
         std::int64_t taken = 0;
         for (const auto& entry : state::list_generations(state::posix_file_system(), folder).files)
-            if (entry.content.snapshot) taken = std::max(taken, entry.content.snapshot->taken.wall_ms);
+            if (entry.content.snapshot) taken = std::max(taken, entry.content.snapshot->taken_at.wall_ms);
         return taken;
     }
 
--- a/tests/state/fuzz.cpp
+++ b/tests/state/fuzz.cpp
@@ -31,7 +31,8 @@
     if (whole != result.snapshot.has_value() || result.used_bytes > size) std::abort();
     if (!whole) return 0;
     const Snapshot& snapshot = *result.snapshot;
-    if (snapshot.uids.size() != snapshot.learned_state.servers.size() || snapshot.uids.size() > kMaxServers)
+    if (snapshot.server_uids.size() != snapshot.learned_state.servers.size() ||
+        snapshot.server_uids.size() > kMaxServers)
         std::abort();
     if (snapshot.instance.empty() || snapshot.instance.size() > kMaxNameBytes) std::abort();
     // What was read can be written, and says the same then.
--- a/tests/state/kill_test.cpp
+++ b/tests/state/kill_test.cpp
@@ -32,7 +32,7 @@
     }
 }
 
-TEST(Killed, DuringWritesLoadsWholeSnapshotNoOlderThanReported) {
+TEST(KilledWriter, DuringWritesLoadsWholeSnapshotNoOlderThanReported) {
     const char* asked = std::getenv("ELMBAY_KILLS");
     const int kills = asked ? std::atoi(asked) : 40;
     std::string folder = (std::filesystem::temp_directory_path() / "elmbay-killed-XXXXXX").string();
--- a/tests/state/log_events_test.cpp
+++ b/tests/state/log_events_test.cpp
@@ -39,19 +39,19 @@
 
 TEST(WriteFailureLog, DoesNotRepeatFailureThatBeganAtStart) {
     WriteFailureLog log;
-    log.started(failed(std::errc::read_only_file_system, 0));
+    log.record_start(failed(std::errc::read_only_file_system, 0));
     EXPECT_FALSE(log.observe(failed(std::errc::read_only_file_system, 2)));
     EXPECT_EQ(log.observe(sound(2)), "component=state event=write_recovered failed_saves=2");
 }
 
 TEST(LoadEvents, WritesOneLineForEachNote) {
-    EXPECT_TRUE(load_events({}, "/d").empty());
+    EXPECT_TRUE(format_load_events({}, "/d").empty());
     LoadResult result;
     result.notes.push_back({"elmbay-2.state", StateError::not_a_snapshot, "it is no state of an elmbay"});
     result.notes.push_back({"elmbay-1.state", StateError::truncated_record, "9 bytes dropped", true});
     result.notes.push_back({{}, std::make_error_code(std::errc::io_error), "Input/output error"});
     EXPECT_EQ(
-        load_events(result, "/d"),
+        format_load_events(result, "/d"),
         (std::vector<std::string>{
             "component=state event=snapshot_skipped file=\"elmbay-2.state\" "
             "error=\"it is no state of an elmbay\"",
@@ -60,7 +60,7 @@
 }
 
 TEST(LoadEvents, SaysWhetherUnusableDirectoryIsRetried) {
-    const auto line = [](std::error_code error) { return load_events({{}, {}, error}, "/d").at(0); };
+    const auto line = [](std::error_code error) { return format_load_events({{}, {}, error}, "/d").at(0); };
     EXPECT_EQ(line(StateError::directory_in_use),
               "component=state event=directory_in_use directory=\"/d\" "
               "error=\"another process keeps its state in this folder\" retried=yes");
@@ -77,7 +77,7 @@
     LoadResult result;
     result.notes.push_back({"f", StateError::instance_mismatch, "it is of instance 'a\"\n\\b'"});
     EXPECT_EQ(
-        load_events(result, "/d").at(0),
+        format_load_events(result, "/d").at(0),
         "component=state event=snapshot_skipped file=\"f\" error=\"it is of instance 'a\\\"\\x0a\\\\b'\"");
 }
 
--- a/tests/state/old_snapshot_test.cpp
+++ b/tests/state/old_snapshot_test.cpp
@@ -25,9 +25,10 @@
         ASSERT_TRUE(loaded.snapshot);
         const Snapshot& snapshot = *loaded.snapshot;
         EXPECT_EQ(snapshot.instance, "n-1");
-        EXPECT_EQ(snapshot.taken.wall_ms, 1700000000003);
-        EXPECT_EQ(snapshot.taken.since_boot_ms, 5003);
-        for (std::size_t i = 0; i < snapshot.taken.boot.size(); ++i) EXPECT_EQ(snapshot.taken.boot[i], i + 1);
+        EXPECT_EQ(snapshot.taken_at.wall_ms, 1700000000003);
+        EXPECT_EQ(snapshot.taken_at.since_boot_ms, 5003);
+        for (std::size_t i = 0; i < snapshot.taken_at.boot_id.size(); ++i)
+            EXPECT_EQ(snapshot.taken_at.boot_id[i], i + 1);
         EXPECT_EQ(snapshot.learned_state.concurrency_limit, 43.5);
         EXPECT_EQ(snapshot.learned_state.learned_limit, 83.25);
         EXPECT_EQ(snapshot.learned_state.servers_behind_learned_limit, 7);
@@ -36,11 +37,11 @@
         EXPECT_EQ(snapshot.learned_state.load_ratio.value, 0.75);
         EXPECT_EQ(snapshot.learned_state.load_ratio.weight, 3);
         EXPECT_EQ(snapshot.learned_state.load_ratio.last_sample_age_ms, 250);
-        EXPECT_EQ(snapshot.uids, (std::vector<std::string>{"s-0", "s-2", "s-3", "s-4"}));
+        EXPECT_EQ(snapshot.server_uids, (std::vector<std::string>{"s-0", "s-2", "s-3", "s-4"}));
         ASSERT_EQ(snapshot.learned_state.servers.size(), 4U);
         for (std::size_t i = 0; i < 4; ++i) {
             const balancer::LearnedServerState& server = snapshot.learned_state.servers[i];
-            const auto number = static_cast<unsigned>(snapshot.uids[i][2] - '0');
+            const auto number = static_cast<unsigned>(snapshot.server_uids[i][2] - '0');
             EXPECT_EQ(server.server, i);
             EXPECT_EQ(server.online_since, 1699999990000.0 + number);
             EXPECT_EQ(server.outcome_bits, 0xF0F0U >> number);
--- a/tests/state/snapshot_store_test.cpp
+++ b/tests/state/snapshot_store_test.cpp
@@ -104,13 +104,13 @@
     Snapshot snapshot = sample(1);
     ASSERT_FALSE(store.save(snapshot));
     const auto written = store.bytes_written();
-    snapshot.taken.wall_ms += 1000;
+    snapshot.taken_at.wall_ms += 1000;
     ASSERT_FALSE(store.save(snapshot));
     EXPECT_EQ(store.bytes_written(), written);
     ASSERT_FALSE(store.save(snapshot, SaveMode::always));
     EXPECT_GT(store.bytes_written(), written) << "that it still holds is worth a line now and then";
     EXPECT_LT(store.bytes_written(), written + 150);
-    EXPECT_EQ(store.load().snapshot->taken.wall_ms, snapshot.taken.wall_ms);
+    EXPECT_EQ(store.load().snapshot->taken_at.wall_ms, snapshot.taken_at.wall_ms);
 }
 
 TEST(SnapshotStore, BoundsGenerationSizeAndKeepsTwoGenerations) {
--- a/tests/state/snapshot_test.cpp
+++ b/tests/state/snapshot_test.cpp
@@ -31,7 +31,7 @@
     ASSERT_TRUE(result.snapshot);
     EXPECT_EQ(round_of(*result.snapshot), 3);
     EXPECT_EQ(result.snapshot->instance, "n-1");
-    EXPECT_EQ(result.snapshot->taken, sample(3).taken);
+    EXPECT_EQ(result.snapshot->taken_at, sample(3).taken_at);
     EXPECT_EQ(result.generation, 7U);
     EXPECT_EQ(result.batches, 3U);
     EXPECT_FALSE(result.dropped_tail);
@@ -44,9 +44,9 @@
     const std::size_t whole = bytes.size();
     bytes += encode_batch(&six, four, 1, next);
     EXPECT_LT(bytes.size() - whole, whole / 2) << "two names and a time";
-    EXPECT_EQ(decode_snapshot_file(bytes).snapshot->uids.size(), 4U);
+    EXPECT_EQ(decode_snapshot_file(bytes).snapshot->server_uids.size(), 4U);
     bytes += encode_batch(&four, eight, 1, next);
-    EXPECT_EQ(decode_snapshot_file(bytes).snapshot->uids.size(), 8U);
+    EXPECT_EQ(decode_snapshot_file(bytes).snapshot->server_uids.size(), 8U);
     EXPECT_EQ(round_of(*decode_snapshot_file(bytes).snapshot), 1);
 }
 
--- a/tests/syscall_faults/faults.cpp
+++ b/tests/syscall_faults/faults.cpp
@@ -256,7 +256,7 @@
     active = true;
 }
 
-std::uint64_t failed(std::size_t rule) { return counts[rule]; }
+std::uint64_t failed_calls(std::size_t rule) { return counts[rule]; }
 
 }  // namespace elmbay::test::syscall_faults
 
--- a/tests/syscall_faults/faults.hpp
+++ b/tests/syscall_faults/faults.hpp
@@ -24,6 +24,6 @@
 /// std::invalid_argument.
 void configure(const std::string& specification);
 /// How many calls of this process rule number `rule` of the specification, from 0, has made fail.
-std::uint64_t failed(std::size_t rule);
+std::uint64_t failed_calls(std::size_t rule);
 
 }  // namespace elmbay::test::syscall_faults
--- a/tests/syscall_faults/listener_faults_test.cpp
+++ b/tests/syscall_faults/listener_faults_test.cpp
@@ -125,7 +125,7 @@
         syscall_faults::configure("accept:" + std::string(error) + "=x3");
         const auto client = fixture.client(SidecarFixture::request("safe"));
         ASSERT_TRUE(fixture.until([&] { return client->got.ends_with("served\n"); })) << error;
-        EXPECT_EQ(syscall_faults::failed(0), 3U) << error;
+        EXPECT_EQ(syscall_faults::failed_calls(0), 3U) << error;
     }
 }
 
@@ -141,7 +141,7 @@
         syscall_faults::configure("accept:" + error + "=x2");
         const auto client = fixture.client(SidecarFixture::request("safe"));
         ASSERT_TRUE(fixture.until([&] { return client->got.ends_with("served\n"); })) << error;
-        EXPECT_EQ(syscall_faults::failed(0), 2U) << error;
+        EXPECT_EQ(syscall_faults::failed_calls(0), 2U) << error;
         EXPECT_EQ(fixture.listener.connections() < 3, error == "EMFILE") << error;
     }
 }
--- a/tests/syscall_faults/stream_socket_test.cpp
+++ b/tests/syscall_faults/stream_socket_test.cpp
@@ -67,7 +67,7 @@
     std::string got(text.size(), '\0');
     asio::read(accepted, asio::buffer(got));
     EXPECT_EQ(got, text);
-    EXPECT_GT(syscall_faults::failed(0), 1U);
+    EXPECT_GT(syscall_faults::failed_calls(0), 1U);
 }
 
 // The peer reads nothing until the socket's buffer is full, and then everything.
@@ -113,7 +113,7 @@
         ended = true;
     });
     ASSERT_TRUE(until([&] { return ended; }));
-    EXPECT_GT(syscall_faults::failed(0), 0U);
+    EXPECT_GT(syscall_faults::failed_calls(0), 0U);
     accepted = acceptor.accept();
     EXPECT_EQ(opened.remote_endpoint(), acceptor.local_endpoint());
 }
@@ -142,8 +142,8 @@
     std::array<char, 8> got{};
     EXPECT_EQ(opened.read_some(asio::buffer(got), error), 4U);
     EXPECT_FALSE(error) << error.message();
-    EXPECT_EQ(syscall_faults::failed(0), 3U);
-    EXPECT_EQ(syscall_faults::failed(1), 3U);
+    EXPECT_EQ(syscall_faults::failed_calls(0), 3U);
+    EXPECT_EQ(syscall_faults::failed_calls(1), 3U);
 }
 
 // No signal interrupts a call this often. The bound keeps the loop from spinning: it comes back to the socket
@@ -177,7 +177,7 @@
     ASSERT_TRUE(until([&] { return state_of(socket) != SocketState::quiet; }));
     syscall_faults::configure("recv@out:EINTR=x3");
     EXPECT_EQ(state_of(socket), SocketState::ended);
-    EXPECT_EQ(syscall_faults::failed(0), 3U);
+    EXPECT_EQ(syscall_faults::failed_calls(0), 3U);
 
     for (const char* error : {"ETIMEDOUT", "EHOSTUNREACH", "ECONNRESET"}) {
         opened = TcpSocket(io);
--- a/tests/websocket/proxy_test.cpp
+++ b/tests/websocket/proxy_test.cpp
@@ -218,7 +218,7 @@
         [&] { return server.received.size() == kMessages && client->received.size() == kMessages; }));
     EXPECT_EQ(server.received, there);
     EXPECT_EQ(client->received, back);
-    EXPECT_GT(syscall_faults::failed(0), 0U);
+    EXPECT_GT(syscall_faults::failed_calls(0), 0U);
     client->stream.async_close({ws::close_code::normal, "enough"}, [](Error) {});
     ASSERT_TRUE(rig.until([&] { return server.over() && rig.sidecar->sessions() == 0; }));
     EXPECT_EQ(server.error, ws::error::closed);
