--- a/include/elmbay/balancer.hpp
+++ b/include/elmbay/balancer.hpp
@@ -58,8 +58,8 @@
     Millis dedup_window = 0;
     /// A response within this time earns the full weight. Milliseconds, above 0.
     Millis latency_objective = 1000;
-    /// The objective grows by this multiple of the request's own effort. 0 or more.
-    double objective_stretch = 0;
+    /// The objective grows by this multiple of the request's own expected work. 0 or more.
+    double objective_work_multiple = 0;
     /// What one request is worth against those of other classes. 0 or more.
     double priority_weight = 1;
     /// The share of the weight that a response past the objective still earns, 0 to 1.
@@ -85,17 +85,17 @@
     /// The tenants, any number. Requests name them by index.
     std::vector<Tenant> tenants;
     /// The zone of this sidecar. None: it is not known, and zones do not matter.
-    std::optional<ZoneId> my_zone;
+    std::optional<ZoneId> local_zone;
     /// Sidecars that share these servers, this one included. 0 counts as 1.
     std::uint32_t siblings = 1;
     /// Whether the endpoint list must be subscribed to (action Subscribe). If not, it comes by itself.
-    bool list_on_request = false;
+    bool requires_subscription = false;
     /// Attempts of one request, the first one included. 1 or more.
     std::uint32_t max_attempts = 3;
     /// Whether two attempts of one request may be in flight together.
     bool allow_hedging = false;
     /// Whether the caller can carry out Cancel.
-    bool may_cancel = true;
+    bool supports_cancel = true;
     /// A server that starts can do at least this share of the work of a warm one, 0 to 1.
     double slow_start_min_share = 1;
     /// A server can do all of the work of a warm one this long after its start. Milliseconds, 0 or more; at 0
@@ -210,11 +210,11 @@
     /// Milliseconds until the client abandons this try. Less than 0 or not finite counts as 0.
     Millis time_left = 0;
     /// The work that is expected of it, in milliseconds of a standard core. 0: not known.
-    Millis effort = 0;
+    Millis expected_work = 0;
     /// Whether it is known to be the client's retry.
-    bool repeat = false;
+    bool is_client_retry = false;
     /// Whether the caller cannot keep it: it needs its final response at once.
-    bool table_full = false;
+    bool needs_immediate_response = false;
     /// Whether its attempts are upgrades to a session. Then time_left is what they may take in all, and the
     /// class says how often one may take effect. Once AttemptEnded tells of a success, it belongs to its
     /// client until SessionEnded, without a deadline.
@@ -222,7 +222,7 @@
 };
 
 /// A streamed response has begun. The request belongs to its client from here on: no other response is given.
-struct FirstByte {
+struct ResponseStarted {
     /// The request.
     RequestId id = 0;
     /// The attempt, counted as in AttemptEnded.
@@ -253,9 +253,9 @@
 struct SessionEnded {
     /// The request that was upgraded to it.
     RequestId id = 0;
-    /// Whether it was broken by its server, or on the way there, without a close in good order. What the
-    /// client did does not count.
-    bool broken = false;
+    /// Whether it was broken by its server, or on the way there, without a close in good order.
+    /// What the client did does not count.
+    bool broken_by_server = false;
 };
 
 /// A timer that SetTimer asked for is due.
@@ -266,17 +266,17 @@
 
 /// The number of sidecars has changed. It replaces Settings::siblings. Whoever tells it has bounded and
 /// checked it, see cluster/sibling_estimate.hpp.
-struct SiblingsKnown {
+struct SiblingCountChanged {
     /// Sidecars that share the servers now, this one included. 0 has no effect.
     std::uint32_t count = 0;
 };
 
 /// Anything that a Balancer is told.
-using Event = std::variant<Started, StateRestored, ServerList, RequestArrived, FirstByte, AttemptEnded,
-                           ClientDisconnected, SessionEnded, TimerFired, SiblingsKnown>;
+using Event = std::variant<Started, StateRestored, ServerList, RequestArrived, ResponseStarted, AttemptEnded,
+                           ClientDisconnected, SessionEnded, TimerFired, SiblingCountChanged>;
 
 // ---- Actions --------------------------------------------------------------------------------------------
-// A caller must be able to carry out all of them; Cancel only if Settings::may_cancel is set.
+// A caller must be able to carry out all of them; Cancel only if Settings::supports_cancel is set.
 
 /// Send the request to that server. The caller answers with AttemptEnded, once.
 struct StartAttempt {
--- a/include/elmbay/learned_state.hpp
+++ b/include/elmbay/learned_state.hpp
@@ -50,7 +50,7 @@
     /// The largest concurrency at which responses were seen to meet the target, 0 to 100,000 attempts.
     double learned_limit = 0;
     /// Warm servers that carried learned_limit, 0 to 100,000, in the mean.
-    double servers_behind_learned_limit = 0;
+    double learned_limit_warm_servers = 0;
     /// Requests per millisecond that warm servers completed for this sidecar, 0 to 10,000.
     double completion_rate = 0;
     /// Retries that the retry budget still allowed, 0 to 10.
--- a/src/balancer/admission.cpp
+++ b/src/balancer/admission.cpp
@@ -88,14 +88,14 @@
     learned_state.load_ratio = LearnedStateRestorer::saved(load_ratio_, now);
     learned_state.concurrency_limit = load_ratio_.count > 0 ? concurrency_limit(now) : 0;
     learned_state.learned_limit = learned_limit_ * std::exp((updated_at_ - now) / kLearnedLimitDecay);
-    learned_state.servers_behind_learned_limit = servers_behind_learned_limit_;
+    learned_state.learned_limit_warm_servers = servers_behind_learned_limit_;
 }
 
 // The learned limit goes on decaying. The limit itself is as good as the responses that it follows: once
 // these weigh less than one sample, the limit of a new sidecar is better.
 void Admission::restore(const LearnedState& learned_state, Millis taken_at, Millis now) {
     learned_limit_ = learned_state.learned_limit;
-    servers_behind_learned_limit_ = learned_state.servers_behind_learned_limit;
+    servers_behind_learned_limit_ = learned_state.learned_limit_warm_servers;
     updated_at_ = taken_at;
     const DecayingAverage load_ratio = LearnedStateRestorer::restored(learned_state.load_ratio, taken_at);
     const bool is_recent = load_ratio.value_at(now, kAnswerDecay) >= 1;
--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -122,12 +122,12 @@
     // ---- Servers and sidecars ---------------------------------------------------------------------------
 
     void on(const Started&) {
-        if (settings.list_on_request) context.emit(Subscribe{true});
+        if (settings.requires_subscription) context.emit(Subscribe{true});
     }
 
     // Attempts in flight and all that was learned stay. Only the number that they are divided by is another
     // one.
-    void on(const SiblingsKnown& event) {
+    void on(const SiblingCountChanged& event) {
         if (event.count == 0) return;
         aperture.set_siblings(event.count);
         admission.set_siblings(event.count);
@@ -151,7 +151,7 @@
         Request* added = requests.add(event.id);
         if (!added) return;
         Request& request = *added;
-        request.repeat = event.repeat;
+        request.is_client_retry = event.is_client_retry;
         request.request_class = class_of(event);
         set_time_limits(request, event.time_left);
         retry_budget.record_request();
@@ -159,7 +159,7 @@
         request.session = event.session && sessions.has_capacity();
         if (request.session) sessions.begin_upgrade();
         const bool session_without_place = event.session && !request.session;
-        if (event.table_full || session_without_place) return responder.finish(request);
+        if (event.needs_immediate_response || session_without_place) return responder.finish(request);
         timers.set_timer(request.deadline, request.id);
         dispatcher.dispatch(request);
     }
@@ -169,7 +169,8 @@
         RequestClass request_class;
         request_class.latency_objective = std::max(1.0, event.time_left);
         if (event.class_index < settings.classes.size()) request_class = settings.classes[event.class_index];
-        request_class.latency_objective += request_class.objective_stretch * std::max(0.0, event.effort);
+        request_class.latency_objective +=
+            request_class.objective_work_multiple * std::max(0.0, event.expected_work);
         return request_class;
     }
 
@@ -194,7 +195,7 @@
         return std::min(request.deadline, context.now() + request_class.latency_objective);
     }
 
-    void on(const FirstByte& event) {
+    void on(const ResponseStarted& event) {
         Request* request = requests.find(event.id);
         if (request && event.attempt < request->attempts.size()) request->streaming = true;
     }
@@ -256,7 +257,8 @@
         Server* server = holder ? servers.find(*holder) : nullptr;
         if (!server) return;
         --server->sessions;
-        if (event.broken) accounting.record_outcome(*server, Outcome::connection_reset, false, false);
+        if (event.broken_by_server)
+            accounting.record_outcome(*server, Outcome::connection_reset, false, false);
         servers.forget_if_unused(*server);
     }
 
--- a/src/balancer/final_responder.cpp
+++ b/src/balancer/final_responder.cpp
@@ -29,7 +29,7 @@
 }
 
 void FinalResponder::cancel_all(const Request& request) {
-    if (!settings_->may_cancel) return;
+    if (!settings_->supports_cancel) return;
     for (std::uint32_t index = 0; index < request.attempts.size(); ++index) {
         if (request.attempts[index].in_flight) context_->emit(Cancel{request.id, index});
     }
--- a/src/balancer/learned_state_validation.cpp
+++ b/src/balancer/learned_state_validation.cpp
@@ -56,7 +56,7 @@
     sanitize(learned_state.load_ratio);
     sanitize(learned_state.concurrency_limit, 0, kMaxAttempts, 0);
     sanitize(learned_state.learned_limit, 0, kMaxAttempts, 0);
-    sanitize(learned_state.servers_behind_learned_limit, 0, kMaxAttempts, 0);
+    sanitize(learned_state.learned_limit_warm_servers, 0, kMaxAttempts, 0);
     sanitize(learned_state.completion_rate, 0, kMaxCompletionRate, 0);
     sanitize(learned_state.retries_left, 0, kMaxRetries, 0);
     return learned_state;
--- a/src/balancer/pick.hpp
+++ b/src/balancer/pick.hpp
@@ -41,7 +41,7 @@
 
     /// @param random must outlive this, as must `latency`
     Pick(const Settings& settings, Random& random, const LatencyEstimate& latency)
-        : preferred_zone_(settings.costs.cross_zone > 0 ? settings.my_zone : std::nullopt),
+        : preferred_zone_(settings.costs.cross_zone > 0 ? settings.local_zone : std::nullopt),
           cross_zone_cost_(settings.costs.cross_zone),
           random_(&random),
           latency_(&latency) {}
--- a/src/balancer/request.hpp
+++ b/src/balancer/request.hpp
@@ -31,12 +31,13 @@
     static constexpr Millis kMaxWriteDelay = 150;
 
     RequestId id = 0;
-    RequestClass request_class;  ///< as in the settings; its objective is stretched by the request's effort
-    Millis deadline = 0;         ///< when the client abandons it, in milliseconds
-    Millis cutoff = 0;           ///< when its attempts end: at the deadline or before
-    double tenant_share = 1;     ///< of the concurrency limit, above 0 to 1 (Fairness)
+    RequestClass
+        request_class;        ///< as in the settings; its objective is longer by the request's expected work
+    Millis deadline = 0;      ///< when the client abandons it, in milliseconds
+    Millis cutoff = 0;        ///< when its attempts end: at the deadline or before
+    double tenant_share = 1;  ///< of the concurrency limit, above 0 to 1 (Fairness)
     std::uint64_t arrival_order = 0;  ///< counts up with each request
-    bool repeat = false;              ///< it is its client's retry
+    bool is_client_retry = false;     ///< it is its client's retry
     bool ended = false;               ///< it has its final response, or its client has gone
     bool streaming = false;           ///< a response has begun: no other may be given
     bool session = false;             ///< its attempts are upgrades (Sessions)
--- a/src/balancer/request_table.hpp
+++ b/src/balancer/request_table.hpp
@@ -12,7 +12,8 @@
 /// The requests that have no final response yet, or still have an attempt in flight.
 ///
 /// Owned by Balancer::Impl; not thread-safe. Bound: the requests that the driver takes at once; it says
-/// table_full for the rest. References stay valid until forget_ended(), which runs once after each event.
+/// needs_immediate_response for the rest. References stay valid until forget_ended(), which runs once after
+/// each event.
 class RequestTable {
 public:
     /// Adds a request, with its place in the order of arrival. nullptr: the id is known already.
--- a/src/balancer/settings_validation.cpp
+++ b/src/balancer/settings_validation.cpp
@@ -22,7 +22,7 @@
     const double objective = request_class.latency_objective;
     require(std::isfinite(objective) && objective > 0, prefix + "aim");
     require_not_negative(request_class.dedup_window, prefix + "dedup_window");
-    require_not_negative(request_class.objective_stretch, prefix + "aim_stretch");
+    require_not_negative(request_class.objective_work_multiple, prefix + "aim_stretch");
     require_not_negative(request_class.priority_weight, prefix + "worth");
     require_share(request_class.late_weight, prefix + "late_worth");
 }
--- a/src/config/deployment_settings.cpp
+++ b/src/config/deployment_settings.cpp
@@ -31,7 +31,7 @@
 void read_zones(const Fields& fields, DeploymentSettings& deployment) {
     if (fields.has("azs")) deployment.zones = split_at_commas(fields.text("azs"));
     if (fields.has("my-zone")) {
-        deployment.settings.my_zone = intern_name(deployment.zones, fields.text("my-zone"));
+        deployment.settings.local_zone = intern_name(deployment.zones, fields.text("my-zone"));
     }
 }
 
@@ -43,8 +43,8 @@
     }
     request_class.dedup_window = fields.number_or(prefix + "dedup-window-ms", request_class.dedup_window);
     request_class.latency_objective = fields.number(prefix + "on-time-ms");
-    request_class.objective_stretch =
-        fields.number_or(prefix + "aim-stretch", request_class.objective_stretch);
+    request_class.objective_work_multiple =
+        fields.number_or(prefix + "aim-stretch", request_class.objective_work_multiple);
     request_class.late_weight = fields.number_or(prefix + "late-value", request_class.late_weight);
     request_class.priority_weight = fields.number_or(prefix + "credit", request_class.priority_weight);
     return request_class;
@@ -75,7 +75,7 @@
     settings.max_attempts =
         static_cast<std::uint32_t>(fields.integer_or("limits.max-attempts", settings.max_attempts));
     settings.allow_hedging = fields.flag_or("limits.parallel-tries", settings.allow_hedging);
-    settings.may_cancel = fields.flag_or("limits.may-cancel", false);
+    settings.supports_cancel = fields.flag_or("limits.may-cancel", false);
     settings.slow_start_min_share = fields.number_or("rules.cold-from", settings.slow_start_min_share);
     settings.overload_multiple = fields.number_or("rules.fall-multiple", settings.overload_multiple);
     settings.slow_start_duration = fields.number_or("rules.warm-within-ms", settings.slow_start_duration);
@@ -104,7 +104,7 @@
     read_classes(fields, deployment);
     read_tenants(fields, deployment);
     if (fields.has("membership-mode")) {
-        settings.list_on_request = fields.text("membership-mode") == "on_request";
+        settings.requires_subscription = fields.text("membership-mode") == "on_request";
     }
     settings.siblings = static_cast<std::uint32_t>(fields.integer_or("siblings", settings.siblings));
     if (fields.has("my-number")) {
--- a/src/engine/engine.cpp
+++ b/src/engine/engine.cpp
@@ -51,7 +51,7 @@
 void Engine::on_endpoint_list(Millis now, balancer::ServerList list) { dispatch(now, std::move(list)); }
 
 void Engine::on_sibling_count(Millis now, std::uint32_t count) {
-    dispatch(now, balancer::SiblingsKnown{count});
+    dispatch(now, balancer::SiblingCountChanged{count});
 }
 
 void Engine::on_timer(Millis now, balancer::TimerToken token) { dispatch(now, balancer::TimerFired{token}); }
--- a/src/engine/engine.hpp
+++ b/src/engine/engine.hpp
@@ -108,7 +108,7 @@
     void on_endpoint_list(Millis now, balancer::ServerList list);
     /// A timer that the balancer has set is due.
     void on_timer(Millis now, balancer::TimerToken token);
-    /// The number of sidecars that share the servers has changed (balancer::SiblingsKnown).
+    /// The number of sidecars that share the servers has changed (balancer::SiblingCountChanged).
     void on_sibling_count(Millis now, std::uint32_t count);
 
     /// @return size of the table: requests without an outcome, and those with attempts in flight.
--- a/src/http/request_validation.cpp
+++ b/src/http/request_validation.cpp
@@ -114,8 +114,8 @@
         if (tenant != tenants.end()) event.tenant = static_cast<std::uint32_t>(tenant - tenants.begin());
     }
     if (const auto micros = parse_finite(field(head, "X-Weight-Hint")))
-        event.effort = std::max(0.0, *micros / kMicrosPerMilli);
-    event.repeat = field(head, "X-Repeat") == "1";
+        event.expected_work = std::max(0.0, *micros / kMicrosPerMilli);
+    event.is_client_retry = field(head, "X-Repeat") == "1";
     return event;
 }
 
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -33,7 +33,8 @@
 }
 
 Discovery::Mode discovery_mode(const Config& config) {
-    return config.deployment.settings.list_on_request ? Discovery::Mode::asked : Discovery::Mode::pushed;
+    return config.deployment.settings.requires_subscription ? Discovery::Mode::asked
+                                                            : Discovery::Mode::pushed;
 }
 
 }  // namespace
@@ -70,7 +71,7 @@
     engine_.begin(clock_.now());
     if (restored_state) restore_state(std::move(*restored_state));
     on_endpoint_list(balancer::ListKind::cached, std::exchange(config_.known, {}));
-    if (!config_.deployment.settings.list_on_request) discovery_.watch();
+    if (!config_.deployment.settings.requires_subscription) discovery_.watch();
 }
 
 Listener::Handlers Sidecar::listener_handlers(const websocket::Settings& settings) {
@@ -176,7 +177,7 @@
 
 void Sidecar::on_request(RequestId id, HttpRequest request, ReceivedRequest received) {
     balancer::RequestArrived event = arrival_event(id, request, received);
-    event.table_full = !received.has_capacity;
+    event.needs_immediate_response = !received.has_capacity;
     ++request_counts_.received;
     forwarded_requests_[id] = std::make_shared<const HttpRequest>(forwarded_request(std::move(request)));
     engine_.on_request(clock_.now(), event);
@@ -188,7 +189,7 @@
     event.session = true;
     const bool accepted = websocket_proxy_->on_upgrade_request(id, std::move(client), std::move(request));
     if (!accepted) return;
-    event.table_full = !received.has_capacity || !websocket_proxy_->has_client_socket(id);
+    event.needs_immediate_response = !received.has_capacity || !websocket_proxy_->has_client_socket(id);
     engine_.on_request(clock_.now(), event);
 }
 
--- a/src/simulation/drivers/virtual/virtual_run.cpp
+++ b/src/simulation/drivers/virtual/virtual_run.cpp
@@ -350,7 +350,7 @@
         if (n.agent->next() < fault_proxy::kNever) put(n.agent->next(), What::speak, who, n.life);
         const auto siblings = n.agent->siblings(now_);
         if (siblings && std::exchange(n.siblings, *siblings) != *siblings)
-            give(who, SiblingsKnown{*siblings});
+            give(who, SiblingCountChanged{*siblings});
     }
     void speak(const Happening& h) {
         Instance& n = instances_[h.who];
@@ -456,7 +456,7 @@
         event.class_index = a.class_index;
         event.time_left = std::max(
             1.0, t.time_left - (now_ - t.at) - std::min(kAnswerMargin, t.time_left * kMaxMarginShare));
-        event.repeat = t.id % kMaxRequestsPerOperation > 0;
+        event.is_client_retry = t.id % kMaxRequestsPerOperation > 0;
         give(a.sidecar, event);
     }
     void answer(std::uint32_t who, ClientRequestId id, Answer what, Millis retry_after) {
--- a/src/simulation/scenario/scenario.cpp
+++ b/src/simulation/scenario/scenario.cpp
@@ -119,10 +119,10 @@
 balancer::Settings Scenario::settings(std::uint32_t sidecar, const FaultSpec* changed) const {
     balancer::Settings settings;
     for (const ClassSpec& spec : classes) settings.classes.push_back(request_class(spec));
-    settings.my_zone = zone_of(sidecar);
+    settings.local_zone = zone_of(sidecar);
     settings.siblings = static_cast<std::uint32_t>(sidecars.count);
     settings.max_attempts = static_cast<std::uint32_t>(sidecars.max_attempts);
-    settings.may_cancel = true;
+    settings.supports_cancel = true;
     settings.slow_start_min_share = invariants.configured_slow_start_min_share > 0
                                         ? invariants.configured_slow_start_min_share
                                         : fleet.slow_start_min_share;
--- a/src/simulator/host.cpp
+++ b/src/simulator/host.cpp
@@ -199,8 +199,8 @@
     const DeploymentSettings& deployment = instance.deployment();
     RequestArrived arrived;
     arrived.time_left = message.number("time-left-ms");
-    arrived.effort = message.number_or("effort-ms", 0);
-    arrived.repeat = message.flag_or("repeat", false);
+    arrived.expected_work = message.number_or("effort-ms", 0);
+    arrived.is_client_retry = message.flag_or("repeat", false);
     arrived.class_index = index_of(deployment.classes, message.text("grade"));
     if (message.has("realm")) {
         const std::uint32_t tenant = index_of(deployment.tenants, message.text("realm"));
@@ -216,7 +216,7 @@
     const std::optional<RequestId> request = instance.find_request(std::string(message.text("rid")));
     const auto attempt = static_cast<std::uint32_t>(message.integer("hop"));
     if (!request) return;  // it has ended earlier in this batch
-    give(instance, FirstByte{*request, attempt});
+    give(instance, ResponseStarted{*request, attempt});
 }
 
 void Host::on_expired(Instance& instance, const Message& message) {
--- a/src/state/command.cpp
+++ b/src/state/command.cpp
@@ -77,7 +77,7 @@
                                {"taken_ms", snapshot.taken.wall_ms},
                                {"room", learned_state.concurrency_limit},
                                {"ceiling", learned_state.learned_limit},
-                               {"taught_by", learned_state.servers_behind_learned_limit},
+                               {"taught_by", learned_state.learned_limit_warm_servers},
                                {"crowd", learned_state.load_ratio.value},
                                {"carried_a_second", learned_state.completion_rate * 1000},
                                {"retries_left", learned_state.retries_left}};
@@ -102,7 +102,7 @@
         "room {:.1f}, ceiling {:.1f} taught by {:.1f} servers, crowd {:.2f}, carried {:.1f}/s, retries "
         "{:.1f}\n",
         learned_state.concurrency_limit, learned_state.learned_limit,
-        learned_state.servers_behind_learned_limit, learned_state.load_ratio.value,
+        learned_state.learned_limit_warm_servers, learned_state.load_ratio.value,
         learned_state.completion_rate * 1000, learned_state.retries_left);
     for (std::size_t i = 0; i < snapshot.uids.size(); ++i) {
         const balancer::LearnedServerState& server = learned_state.servers[i];
--- a/src/state/snapshot_decoder.cpp
+++ b/src/state/snapshot_decoder.cpp
@@ -78,7 +78,7 @@
     means.load_ratio = mean_field(body, "crowd");
     means.concurrency_limit = number_field(body, "room", 0);
     means.learned_limit = number_field(body, "learned", 0);
-    means.servers_behind_learned_limit = number_field(body, "taught_by", 0);
+    means.learned_limit_warm_servers = number_field(body, "taught_by", 0);
     means.completion_rate = number_field(body, "carried", 0);
     means.retries_left = number_field(body, "retries_left", 0);
     return means;
--- a/src/state/snapshot_encoder.cpp
+++ b/src/state/snapshot_encoder.cpp
@@ -29,12 +29,10 @@
 }
 
 json body_of(const balancer::LearnedState& learned_state) {
-    return {{"crowd", body_of(learned_state.load_ratio)},
-            {"room", learned_state.concurrency_limit},
-            {"learned", learned_state.learned_limit},
-            {"taught_by", learned_state.servers_behind_learned_limit},
-            {"carried", learned_state.completion_rate},
-            {"retries_left", learned_state.retries_left}};
+    return {
+        {"crowd", body_of(learned_state.load_ratio)}, {"room", learned_state.concurrency_limit},
+        {"learned", learned_state.learned_limit},     {"taught_by", learned_state.learned_limit_warm_servers},
+        {"carried", learned_state.completion_rate},   {"retries_left", learned_state.retries_left}};
 }
 
 json body_of(const Timestamp& taken) {
--- a/tests/balancer/balancer_test.cpp
+++ b/tests/balancer/balancer_test.cpp
@@ -166,7 +166,7 @@
 
 TEST(BalancerEndpointList, FailedCallKeepsTheListAndIsRepeatedLater) {
     Settings settings = make_settings();
-    settings.list_on_request = true;
+    settings.requires_subscription = true;
     Rig rig(settings);
     rig.handle(Started{});
     EXPECT_EQ(rig.count<Subscribe>(), 1);
@@ -303,7 +303,7 @@
     const RequestId id = rig.next_id++;
     rig.requests[id] = {rig.settings.classes[0], rig.now + 1000, {}, 0, false, false};
     RequestArrived event{id, 0, {}, 1000, 0, false};
-    event.table_full = true;
+    event.needs_immediate_response = true;
     rig.handle(event);
     EXPECT_TRUE(rig.requests.at(id).rejected);
     EXPECT_EQ(rig.attempt_count(id), 0U) << "its response is the last that the driver can give it";
@@ -412,7 +412,7 @@
     Rig rig = fleet(3);
     std::vector<Action> actions;
     rig.balancer.handle(rig.now, AttemptEnded{55, 0}, actions);
-    rig.balancer.handle(rig.now, FirstByte{55, 3}, actions);
+    rig.balancer.handle(rig.now, ResponseStarted{55, 3}, actions);
     rig.balancer.handle(rig.now, TimerFired{12345}, actions);
     EXPECT_TRUE(actions.empty());
     const RequestId id = rig.request();
@@ -534,11 +534,11 @@
         return asked.size();
     };
     EXPECT_LE(pool_size(), 6U);
-    rig.handle(SiblingsKnown{2});
+    rig.handle(SiblingCountChanged{2});
     EXPECT_GT(pool_size(), 40U);
-    rig.handle(SiblingsKnown{0});
+    rig.handle(SiblingCountChanged{0});
     EXPECT_GT(pool_size(), 40U);
-    rig.handle(SiblingsKnown{1000});
+    rig.handle(SiblingCountChanged{1000});
     EXPECT_LE(pool_size(), 6U);
 }
 
--- a/tests/balancer/learned_state_restorer_test.cpp
+++ b/tests/balancer/learned_state_restorer_test.cpp
@@ -246,7 +246,7 @@
     state.load_ratio = any_mean();
     state.concurrency_limit = any_number(random);
     state.learned_limit = any_number(random);
-    state.servers_behind_learned_limit = any_number(random);
+    state.learned_limit_warm_servers = any_number(random);
     state.completion_rate = any_number(random);
     state.retries_left = any_number(random);
     return state;
@@ -279,7 +279,7 @@
         RC_ASSERT(asked.size() == 8U);
         const LearnedState state = rig.balancer.learned_state(rig.now);
         RC_ASSERT(std::isfinite(state.concurrency_limit + state.learned_limit +
-                                state.servers_behind_learned_limit + state.completion_rate +
+                                state.learned_limit_warm_servers + state.completion_rate +
                                 state.load_ratio.value));
         rig.finish_all();
         RC_ASSERT(!::testing::Test::HasFailure());
--- a/tests/balancer/pick_test.cpp
+++ b/tests/balancer/pick_test.cpp
@@ -39,7 +39,7 @@
     std::vector<Server*> pool;
     explicit Choice(ServerId count, double cross_zone_cost = 0) {
         settings.costs.cross_zone = cross_zone_cost;
-        settings.my_zone = 0;
+        settings.local_zone = 0;
         for (ServerId id = 1; id <= count; ++id) servers.push_back(server_of(id));
         for (Server& server : servers) {
             server.info.zone = (server.info.id - 1) % 2;
--- a/tests/balancer/property_test.cpp
+++ b/tests/balancer/property_test.cpp
@@ -29,7 +29,7 @@
     settings.tenants = {{10}, {1}};
     settings.max_sessions = 30;
     settings.max_sessions_per_server = 7;
-    settings.my_zone = 1;
+    settings.local_zone = 1;
     settings.costs.cross_zone = 0.02;
     return settings;
 }
--- a/tests/balancer/rig.hpp
+++ b/tests/balancer/rig.hpp
@@ -103,21 +103,21 @@
     }
 
     /// A request arrives.
-    RequestId request(std::uint32_t class_index = 0, Millis time_left = 1000, bool repeat = false,
+    RequestId request(std::uint32_t class_index = 0, Millis time_left = 1000, bool is_client_retry = false,
                       bool session = false) {
         const RequestId id = next_id++;
         RequestClass request_class =
             make_class(Idempotency::non_idempotent);  // what an unknown class counts as
         if (class_index < settings.classes.size()) request_class = settings.classes[class_index];
         requests[id] = {request_class, now + time_left, {}, 0, false, false, session};
-        handle(RequestArrived{id, class_index, {}, time_left, 0, repeat, false, session});
+        handle(RequestArrived{id, class_index, {}, time_left, 0, is_client_retry, false, session});
         return id;
     }
 
     /// Many requests arrive at once.
-    std::vector<RequestId> burst(int count, Millis time_left = 1000, bool repeat = false) {
+    std::vector<RequestId> burst(int count, Millis time_left = 1000, bool is_client_retry = false) {
         std::vector<RequestId> ids;
-        for (int i = 0; i < count; ++i) ids.push_back(request(0, time_left, repeat));
+        for (int i = 0; i < count; ++i) ids.push_back(request(0, time_left, is_client_retry));
         return ids;
     }
 
@@ -154,9 +154,9 @@
     }
 
     /// A session is over.
-    void end_session(RequestId id, bool broken = false) {
+    void end_session(RequestId id, bool broken_by_server = false) {
         sessions.erase(id);
-        handle(SessionEnded{id, broken});
+        handle(SessionEnded{id, broken_by_server});
     }
 
     /// Lets time pass: fires timers, and ends attempts that reach their deadline.
--- a/tests/simulator/wire_test.cpp
+++ b/tests/simulator/wire_test.cpp
@@ -165,10 +165,10 @@
     EXPECT_EQ(deployment.settings.classes.size(), 2U);
     EXPECT_EQ(deployment.settings.classes[1].idempotency, Idempotency::non_idempotent);
     EXPECT_EQ(deployment.settings.classes[0].latency_objective, 400);
-    EXPECT_EQ(deployment.settings.my_zone, ZoneId{1});
+    EXPECT_EQ(deployment.settings.local_zone, ZoneId{1});
     EXPECT_EQ(deployment.settings.slow_start_min_share, 0.16);
     EXPECT_EQ(deployment.settings.costs.cross_zone, 0.02);
-    EXPECT_FALSE(deployment.settings.list_on_request);
+    EXPECT_FALSE(deployment.settings.requires_subscription);
     EXPECT_EQ(deployment.classes[1], "deposit");
 }
 
--- a/tests/state/old_snapshot_test.cpp
+++ b/tests/state/old_snapshot_test.cpp
@@ -30,7 +30,7 @@
         for (std::size_t i = 0; i < snapshot.taken.boot.size(); ++i) EXPECT_EQ(snapshot.taken.boot[i], i + 1);
         EXPECT_EQ(snapshot.learned_state.concurrency_limit, 43.5);
         EXPECT_EQ(snapshot.learned_state.learned_limit, 83.25);
-        EXPECT_EQ(snapshot.learned_state.servers_behind_learned_limit, 7);
+        EXPECT_EQ(snapshot.learned_state.learned_limit_warm_servers, 7);
         EXPECT_EQ(snapshot.learned_state.completion_rate, 0.125);
         EXPECT_EQ(snapshot.learned_state.retries_left, 6.5);
         EXPECT_EQ(snapshot.learned_state.load_ratio.value, 0.75);
