--- a/bench/state_cost.cpp
+++ b/bench/state_cost.cpp
@@ -143,17 +143,17 @@
 public:
     SequentialRequests() {
         fixture_.start();
-        client_ = fixture_.client();
+        client_ = fixture_.connect_client();
     }
 
     // Returns the time that one request takes, in microseconds.
     double serve() {
         const Steady::time_point begin = Steady::now();
         client_->send(test::SidecarFixture::request("safe"));
-        client_->got.clear();
+        client_->received.clear();
         fixture_.until([&] {
             fixture_.servers.front().respond_to_all();
-            return client_->got.find("answer") != std::string::npos;
+            return client_->received.find("answer") != std::string::npos;
         });
         return microseconds(Steady::now() - begin);
     }
@@ -166,9 +166,9 @@
 
     // Drops what the server has received. Counting its requests takes time in proportion to it.
     void forget_received() {
-        for (const auto& peer : fixture_.servers.front().peers) {
-            peer->got.clear();
-            peer->answered = 0;
+        for (const auto& peer : fixture_.servers.front().connections) {
+            peer->received.clear();
+            peer->answered_request_count = 0;
         }
     }
 
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -2,19 +2,19 @@
 
 namespace elmbay {
 
-bool says_unprocessed(const http::response_header<>& head) {
+bool is_marked_unprocessed(const http::response_header<>& head) {
     const http::status status = head.result();
     const bool is_unavailable =
         status == http::status::service_unavailable || status == http::status::gateway_timeout;
     return is_unavailable && head["X-Unprocessed"] == "1";
 }
 
-std::string_view field(const http::fields& fields, const char* name) {
+std::string_view header_value(const http::fields& fields, const char* name) {
     const auto value = fields[name];
     return {value.data(), value.size()};
 }
 
-bool framing_is_clear(const http::fields& fields) {
+bool has_unambiguous_framing(const http::fields& fields) {
     const std::size_t lengths = fields.count(http::field::content_length);
     const std::size_t encodings = fields.count(http::field::transfer_encoding);
     if (lengths + encodings > 1) return false;
--- a/src/http/request_validation.cpp
+++ b/src/http/request_validation.cpp
@@ -34,7 +34,7 @@
 // The index of the request's class among the settings' classes; their number for an unknown class.
 std::size_t class_index_of(const RequestHead& head, const DeploymentSettings& deployment) {
     const auto& classes = deployment.classes;
-    const auto found = std::find(classes.begin(), classes.end(), field(head, kServiceClass));
+    const auto found = std::find(classes.begin(), classes.end(), header_value(head, kServiceClass));
     return static_cast<std::size_t>(found - classes.begin());
 }
 
@@ -61,7 +61,7 @@
     return unit == 'u' ? *value / kMicrosPerMilli : *value;
 }
 
-std::string time_left_text(Millis left) {
+std::string format_time_left(Millis left) {
     return std::to_string(static_cast<std::int64_t>(left * kMicrosPerMilli)) + "u";
 }
 
@@ -82,14 +82,14 @@
     for (const char* name : kSingleHeaders) {
         if (head.count(name) > 1) return bad_request("a header that may stand once is repeated\n");
     }
-    const std::string_view id = field(head, kCorrelationId);
-    const std::string_view key = field(head, kIdempotencyKey);
+    const std::string_view id = header_value(head, kCorrelationId);
+    const std::string_view key = header_value(head, kIdempotencyKey);
     if (id.empty()) return bad_request("X-Correlation-Id is missing\n");
     if (id.size() > kMaxIdBytes || key.size() > kMaxIdBytes) return bad_request("an id is too long\n");
     const std::size_t class_index = class_index_of(head, deployment);
     if (class_index == deployment.classes.size())
         return bad_request("X-Service-Class is not a known class\n");
-    if (!parse_time_left(field(head, kTimeLeft)))
+    if (!parse_time_left(header_value(head, kTimeLeft)))
         return bad_request("X-Time-Left is not a number and a unit\n");
     const bool needs_key =
         deployment.settings.classes[class_index].idempotency == Idempotency::idempotency_key;
@@ -97,29 +97,30 @@
     return {};
 }
 
-balancer::RequestArrived describe(RequestId id, const RequestHead& head, const DeploymentSettings& deployment,
-                                  Millis margin, Millis kernel_queue_time) {
+balancer::RequestArrived make_request_arrived(RequestId id, const RequestHead& head,
+                                              const DeploymentSettings& deployment, Millis margin,
+                                              Millis kernel_queue_time) {
     balancer::RequestArrived event;
     event.id = id;
     event.class_index = static_cast<std::uint32_t>(class_index_of(head, deployment));
     // A client never waits longer than its class is worth waiting for; what it says is not trusted beyond
     // that.
-    const Millis left = std::min(parse_time_left(field(head, kTimeLeft)).value_or(0),
+    const Millis left = std::min(parse_time_left(header_value(head, kTimeLeft)).value_or(0),
                                  deployment.client_timeouts.at(event.class_index));
     const Millis usable_margin = std::min(margin, left * kMaxMarginShare);
     event.time_left = std::max(kMinTimeLeft, left - usable_margin - kernel_queue_time);
-    if (const std::string_view account = field(head, "X-Account"); !account.empty()) {
+    if (const std::string_view account = header_value(head, "X-Account"); !account.empty()) {
         const auto& tenants = deployment.tenants;
         const auto tenant = std::find(tenants.begin(), tenants.end(), account);
         if (tenant != tenants.end()) event.tenant = static_cast<std::uint32_t>(tenant - tenants.begin());
     }
-    if (const auto micros = parse_finite(field(head, "X-Weight-Hint")))
+    if (const auto micros = parse_finite(header_value(head, "X-Weight-Hint")))
         event.effort = std::max(0.0, *micros / kMicrosPerMilli);
-    event.repeat = field(head, "X-Repeat") == "1";
+    event.repeat = header_value(head, "X-Repeat") == "1";
     return event;
 }
 
-HttpRequest forwarded_request(HttpRequest request) {
+HttpRequest make_forwarded_request(HttpRequest request) {
     HttpRequest forwarded(request.method(), request.target(), kHttp11);
     forwarded.set(http::field::host, request[http::field::host]);
     forwarded.set(kCorrelationId, request[kCorrelationId]);
--- a/src/http/request_validation.hpp
+++ b/src/http/request_validation.hpp
@@ -36,18 +36,18 @@
 /// @param margin            milliseconds by which the response is to be written before the client's time is
 /// over.
 /// @param kernel_queue_time milliseconds of that time that are over already.
-balancer::RequestArrived describe(RequestId id, const RequestHead& head,
-                                  const balancer::DeploymentSettings& deployment, Millis margin,
-                                  Millis kernel_queue_time = 0);
+balancer::RequestArrived make_request_arrived(RequestId id, const RequestHead& head,
+                                              const balancer::DeploymentSettings& deployment, Millis margin,
+                                              Millis kernel_queue_time = 0);
 
 /// Builds the request for a server anew from what the protocol names: nothing else that a client writes gets
 /// there.
-HttpRequest forwarded_request(HttpRequest request);
+HttpRequest make_forwarded_request(HttpRequest request);
 
 /// Reads X-Time-Left: a number and a unit, `m` for milliseconds or `u` for microseconds.
 /// @return milliseconds; none if it can't be read.
 std::optional<Millis> parse_time_left(std::string_view text);
 /// Writes X-Time-Left, in whole microseconds.
-std::string time_left_text(Millis left);
+std::string format_time_left(Millis left);
 
 }  // namespace elmbay
--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -193,8 +193,8 @@
 void ClientConnection::write(HttpResponse response) {
     enter(ConnectionState::writing_response);
     release_message_memory();
-    if (response.body().size() > kUsualBody) {
-        message_memory_ = context_.bytes.take(kMaxResponseBody);
+    if (response.body().size() > kMaxBodyBytesWithoutGrant) {
+        message_memory_ = context_.bytes.take(kMaxResponseBodyBytes);
         if (!message_memory_)
             response = text_response(http::status::bad_gateway, "no memory for so long an answer\n");
     }
--- a/src/net/client_connection.hpp
+++ b/src/net/client_connection.hpp
@@ -144,7 +144,7 @@
     static constexpr Millis kLingerTimeout = 1000;
     /// Bytes that a lingering close reads and drops. Whoever sends no more than a request may have can read
     /// its response; after that the connection is reset.
-    static constexpr std::size_t kMaxDiscardedBytes = kMaxRequestBody + 2 * kMaxHeader;
+    static constexpr std::size_t kMaxDiscardedBytes = kMaxRequestBodyBytes + 2 * kMaxHeadBytes;
     /// A response that is not written this long after the longest deadline is as good as lost.
     static constexpr Millis kResponseWriteMargin = 500;
     /// With no socket left for a new client, a connection goes on which nothing has come for this long ...
@@ -152,7 +152,7 @@
     /// ... or on which no whole request has come for this long.
     static constexpr Millis kMinAgeWithoutRequest = 500;
     /// The parser reads ahead of itself this far at most: a chunk's line or a trailer without end stops here.
-    static constexpr std::size_t kMaxReadAhead = 2 * kMaxHeader;
+    static constexpr std::size_t kMaxReadAhead = 2 * kMaxHeadBytes;
 
     ClientConnection(const ClientConnectionContext& context, asio::ip::tcp::socket socket);
 
@@ -212,7 +212,7 @@
     void on_request_complete();
     void answer_health_check();
     void start_request(HttpRequest request);
-    void hand_over(HttpRequest request, const ReceivedRequest& received);
+    void hand_over(HttpRequest request, const RequestArrivalInfo& received);
 
     // ---- responding
     enum class AfterResponse { keep, close };
--- a/src/net/client_connection_reading.cpp
+++ b/src/net/client_connection_reading.cpp
@@ -53,8 +53,8 @@
     if (has_been_answered_) set_timeout(kRequestReadTimeout);  // the first one's time runs from the accept
     buffer_.emplace(kMaxReadAhead);
     parser_.emplace();
-    parser_->body_limit(kMaxRequestBody);
-    parser_->header_limit(kMaxHeader);
+    parser_->body_limit(kMaxRequestBodyBytes);
+    parser_->header_limit(kMaxHeadBytes);
     http::async_read_header(socket_, *buffer_, *parser_,
                             [self = shared_from_this()](Error error, std::size_t) {
                                 self->run_guarded([&] { self->on_head_read(error); });
@@ -74,7 +74,7 @@
         on_read_timed_out();
         return;
     }
-    if (!framing_is_clear(parser_->get())) {
+    if (!has_unambiguous_framing(parser_->get())) {
         reject(kUnclearFraming, AfterResponse::close);
         return;
     }
@@ -142,11 +142,11 @@
 // @return false if it may not be read.
 bool ClientConnection::reserve_body() {
     const auto length = parser_->content_length();
-    if (length && *length <= kUsualBody) return true;
-    message_memory_ = context_.bytes.take(kMaxRequestBody);
+    if (length && *length <= kMaxBodyBytesWithoutGrant) return true;
+    message_memory_ = context_.bytes.take(kMaxRequestBodyBytes);
     if (message_memory_) return true;
     if (length) return false;
-    parser_->body_limit(kUsualBody);
+    parser_->body_limit(kMaxBodyBytesWithoutGrant);
     return true;
 }
 
@@ -172,7 +172,7 @@
     if (!std::exchange(has_sent_request_, true)) context_.owner.on_first_request(*this);
     // The same id again may be somebody else's open request: two with one id must not be in progress
     // together.
-    if (!context_.owner.register_correlation_id(field(request, "X-Correlation-Id"))) {
+    if (!context_.owner.register_correlation_id(header_value(request, "X-Correlation-Id"))) {
         reject(kCorrelationIdInUse, AfterResponse::keep);
         return;
     }
@@ -180,14 +180,14 @@
 }
 
 void ClientConnection::answer_health_check() {
-    const bool is_ready = context_.handlers.ready() && !context_.owner.is_draining();
+    const bool is_ready = context_.handlers.is_ready() && !context_.owner.is_draining();
     write(is_ready ? text_response(http::status::ok, "up\n")
                    : text_response(http::status::service_unavailable, "not ready\n"));
 }
 
 void ClientConnection::start_request(HttpRequest request) {
     const bool has_capacity = context_.owner.has_capacity_for_request();
-    const ReceivedRequest received{kernel_queue_time(socket_), has_capacity};
+    const RequestArrivalInfo received{kernel_queue_time(socket_), has_capacity};
     if (context_.handlers.is_upgrade && context_.handlers.is_upgrade(request)) {
         hand_over(std::move(request), received);
         return;
@@ -200,7 +200,7 @@
     context_.handlers.on_request(request_id_, std::move(request), received);
 }
 
-void ClientConnection::hand_over(HttpRequest request, const ReceivedRequest& received) {
+void ClientConnection::hand_over(HttpRequest request, const RequestArrivalInfo& received) {
     enter(ConnectionState::closed);
     context_.owner.on_closed(*this);
     context_.handlers.on_upgrade(context_.owner.next_request_id(), std::move(socket_), std::move(request),
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -244,18 +244,18 @@
     TimerQueue::Key timer_{};
 };
 
-Discovery::Discovery(asio::io_context& io, const Setup& setup, SocketBudget& budget, TimerQueue& timers,
+Discovery::Discovery(asio::io_context& io, const Options& options, SocketBudget& budget, TimerQueue& timers,
                      const Clock& clock, std::function<void(Listing)> on_listing)
     : io_(io),
-      endpoint_(setup.endpoint),
+      endpoint_(options.endpoint),
       budget_(budget),
       timers_(timers),
       clock_(clock),
-      version_(setup.held_version.value_or(0)),
-      needs_whole_list_(!setup.held_version),
-      mode_(setup.mode),
-      backoff_(setup.mode == Mode::pushed ? kPushedBackoff : kAskedBackoff),
-      random_(setup.seed),
+      version_(options.known_version.value_or(0)),
+      needs_whole_list_(!options.known_version),
+      mode_(options.mode),
+      backoff_(options.mode == Mode::pushed ? kPushedBackoff : kAskedBackoff),
+      random_(options.seed),
       on_listing_(std::move(on_listing)),
       next_delay_(backoff_.initial) {}
 
@@ -273,9 +273,9 @@
     if (const auto call = std::exchange(call_, nullptr)) call->close();
 }
 
-bool Discovery::unread() const { return call_ && call_->has_unread_data(); }
+bool Discovery::has_unread_data() const { return call_ && call_->has_unread_data(); }
 
-void Discovery::move_to(const Endpoint& endpoint) {
+void Discovery::switch_endpoint(const Endpoint& endpoint) {
     if (const auto call = call_) call->read_pending();
     stop();
     endpoint_ = endpoint;
--- a/src/net/discovery.hpp
+++ b/src/net/discovery.hpp
@@ -72,21 +72,21 @@
     /// Who begins the talk about a change.
     enum class Mode {
         pushed,  ///< an agent on this machine pushes it
-        asked,   ///< a service is asked for it
+        polled,  ///< a service is asked for it
     };
 
     /// What the configuration says of discovery.
-    struct Setup {
+    struct Options {
         Endpoint endpoint;
         /// Of the list that is held. None: no list is held, and the whole one is fetched first.
-        std::optional<std::uint64_t> held_version;
+        std::optional<std::uint64_t> known_version;
         std::uint64_t seed = 0;  ///< of the jitter
         Mode mode = Mode::pushed;
     };
 
     /// Does nothing before watch(). The references must outlive it.
     /// @param on_listing called with each list or change that could be read, in order.
-    Discovery(asio::io_context& io, const Setup& setup, SocketBudget& budget, TimerQueue& timers,
+    Discovery(asio::io_context& io, const Options& options, SocketBudget& budget, TimerQueue& timers,
               const Clock& clock, std::function<void(Listing)> on_listing);
     ~Discovery();
     Discovery(const Discovery&) = delete;
@@ -99,10 +99,10 @@
     /// Closes the call, if there is one. The list that is held stays in force.
     void stop();
     /// @return whether bytes of a list lie in the kernel that were not read.
-    bool unread() const;
+    bool has_unread_data() const;
     /// Goes to another address at once, fetches the whole list there, and starts with the shortest delay.
     /// What the old address has already sent is handed on first.
-    void move_to(const Endpoint& endpoint);
+    void switch_endpoint(const Endpoint& endpoint);
 
 private:
     class Call;
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -35,7 +35,7 @@
 
 void Listener::drain(std::function<void()> done) { shutdown_.start(std::move(done)); }
 
-bool Listener::client_disconnected(RequestId id) const {
+bool Listener::is_client_disconnected(RequestId id) const {
     if (failpoint_enabled("thaw")) return false;
     const auto found = requests_in_progress_.find(id);
     return found == requests_in_progress_.end() || found->second->has_client_disconnected();
--- a/src/net/listener.hpp
+++ b/src/net/listener.hpp
@@ -58,11 +58,11 @@
     /// @return whether the client of a request in progress has closed; ended its sending, which is the same;
     ///         or sent more, which ends its request. Looks at the socket itself, ahead of the event that
     ///         tells.
-    bool client_disconnected(RequestId id) const;
+    bool is_client_disconnected(RequestId id) const;
 
     Endpoint local_endpoint() const { return acceptor_.local_endpoint(); }
     /// @return how many are open, idle ones included.
-    std::size_t connections() const { return connections_.size(); }
+    std::size_t connection_count() const { return connections_.size(); }
 
 private:
     /// Bytes that are read at a time from a connection whose data is not wanted any more.
--- a/src/net/listener_handlers.hpp
+++ b/src/net/listener_handlers.hpp
@@ -13,7 +13,7 @@
 namespace elmbay {
 
 /// How a request came in.
-struct ReceivedRequest {
+struct RequestArrivalInfo {
     /// In the kernel since the request's last byte came, in milliseconds; 0 where the kernel does not tell.
     Millis kernel_queue_time = 0;
     /// False: accepted on the reserve of sockets, or too late in a shutdown. It must be answered at once.
@@ -25,15 +25,15 @@
     /// @return why a request with this head can't be used; none if it can.
     std::function<std::optional<RequestProblem>(const RequestHead&)> validate;
     /// A request is complete. Each one gets either one Listener::respond() or one on_client_disconnected.
-    std::function<void(RequestId, HttpRequest, ReceivedRequest)> on_request;
+    std::function<void(RequestId, HttpRequest, RequestArrivalInfo)> on_request;
     /// The client of a request in progress has left. Nothing more is sent to it.
     std::function<void(RequestId)> on_client_disconnected;
     /// @return the answer to GET /up.
-    std::function<bool()> ready;
+    std::function<bool()> is_ready;
     /// @return whether a request without a problem asks for the connection itself. Empty: none does.
     std::function<bool(const RequestHead&)> is_upgrade{};
     /// Called in place of on_request for an upgrade. Takes over the connection and answers on it.
-    std::function<void(RequestId, asio::ip::tcp::socket, HttpRequest, ReceivedRequest)> on_upgrade{};
+    std::function<void(RequestId, asio::ip::tcp::socket, HttpRequest, RequestArrivalInfo)> on_upgrade{};
 };
 
 }  // namespace elmbay
--- a/src/net/response_reader.cpp
+++ b/src/net/response_reader.cpp
@@ -10,9 +10,9 @@
 constexpr std::size_t kMaxInterimResponses = 8;
 // Bytes that may come for one request beside its body: head, interim responses, chunk sizes. An endless head,
 // chunk line or trailer ends here.
-constexpr std::size_t kMaxBytesBesideBody = kMaxHeader + kUsualBody + kMaxHeader;
+constexpr std::size_t kMaxBytesBesideBody = kMaxHeadBytes + kMaxBodyBytesWithoutGrant + kMaxHeadBytes;
 // All bytes that came and the body taken from them are held at the same time.
-constexpr std::size_t kLargeResponseBytes = 2 * kMaxResponseBody;
+constexpr std::size_t kLargeResponseBytes = 2 * kMaxResponseBodyBytes;
 // Fewer bytes behind a response don't show whether they repeat it or are the rest of a body that was cut
 // short.
 constexpr std::size_t kMinRepetitionBytes = 12;
@@ -65,8 +65,8 @@
 
 void ResponseReader::begin_message() {
     parser_.emplace();
-    parser_->header_limit(kMaxHeader);
-    parser_->body_limit(kMaxResponseBody);
+    parser_->header_limit(kMaxHeadBytes);
+    parser_->body_limit(kMaxResponseBodyBytes);
 }
 
 // Parses one message, as far as its bytes are here.
@@ -89,13 +89,13 @@
 
 // A response that is long, or does not say how long it is, may be so only with a grant.
 bool ResponseReader::has_sound_head() {
-    if (!framing_is_clear(parser_->get())) return false;
+    if (!has_unambiguous_framing(parser_->get())) return false;
     const auto length = parser_->content_length();
-    if (length && *length <= kUsualBody) return true;
+    if (length && *length <= kMaxBodyBytesWithoutGrant) return true;
     large_response_grant_.reset();
     large_response_grant_ = budget_.take(kLargeResponseBytes);
-    if (length) return large_response_grant_ && *length <= kMaxResponseBody;
-    if (!large_response_grant_) parser_->body_limit(kUsualBody);
+    if (length) return large_response_grant_ && *length <= kMaxResponseBodyBytes;
+    if (!large_response_grant_) parser_->body_limit(kMaxBodyBytesWithoutGrant);
     return true;
 }
 
--- a/src/net/server_connection.cpp
+++ b/src/net/server_connection.cpp
@@ -109,7 +109,7 @@
     Exchange& exchange = exchange_.emplace(attempt, context_.bytes);
     exchange.message = std::move(message);
     auto& request = exchange.request.emplace(exchange.message->base());
-    request.set("X-Time-Left", time_left_text(time_left));
+    request.set("X-Time-Left", format_time_left(time_left));
     request.body() = {exchange.message->body().data(), exchange.message->body().size()};
     request.keep_alive(true);
     request.prepare_payload();
@@ -210,7 +210,7 @@
     result.is_connection_reusable = is_reusable(write_error);
     result.is_response_complete = true;
     result.response = exchange.response.release();
-    if (says_unprocessed(result.response)) {
+    if (is_marked_unprocessed(result.response)) {
         result.outcome = Outcome::rejected;
     } else if (exchange.is_written) {
         // PROTOCOL: a response that serves a request has a body.
--- a/src/net/server_connection_pool.cpp
+++ b/src/net/server_connection_pool.cpp
@@ -36,7 +36,7 @@
     }
 }
 
-void ServerConnectionPool::forget_server(ServerId server) {
+void ServerConnectionPool::remove_server(ServerId server) {
     close_all(server);
     by_server_.erase(server);
 }
--- a/src/net/server_connection_pool.hpp
+++ b/src/net/server_connection_pool.hpp
@@ -29,7 +29,7 @@
     /// Closes all idle connections to this server.
     void close_all(ServerId server);
     /// The same for a server that is not used any more.
-    void forget_server(ServerId server);
+    void remove_server(ServerId server);
     /// Closes those that have been idle since before this time.
     void close_idle_since_before(Millis time);
     /// Closes the one that has been idle longest.
--- a/src/net/upstream.cpp
+++ b/src/net/upstream.cpp
@@ -34,15 +34,15 @@
 };
 
 Upstream::Upstream(asio::io_context& io, SocketBudget& budget, ByteBudget& bytes, TimerQueue& timers,
-                   const Clock& clock, Limits limits, Ended ended, Gate gate)
+                   const Clock& clock, Limits limits, Ended ended, WriteChecks write_checks)
     : io_(io),
       budget_(budget),
       timers_(timers),
       clock_(clock),
       limits_(limits),
       ended_(std::move(ended)),
-      gate_(std::move(gate)),
-      list_barrier_(gate_.list_unread),
+      write_checks_(std::move(write_checks)),
+      list_barrier_(write_checks_.is_endpoint_list_unread),
       connection_context_{
           *this, io, clock, timers, bytes, limits.connect_timeout, asio::buffer(read_buffer_)} {
     budget_.set_shedder(Side::servers, [this] { return pool_.close_longest_idle(); });
@@ -70,16 +70,16 @@
     if (!may_send) assign_connections(server);
 }
 
-void Upstream::forget_server(ServerId id) {
+void Upstream::remove_server(ServerId id) {
     const auto found = servers_.find(id);
     if (found == servers_.end()) return;
     const Server& server = found->second;
     if (server.attempt_count > 0 || server.connecting_count > 0) return;
-    pool_.forget_server(id);
+    pool_.remove_server(id);
     servers_.erase(found);
 }
 
-std::size_t Upstream::attempts_at(ServerId id) const {
+std::size_t Upstream::attempt_and_connect_count(ServerId id) const {
     const auto found = servers_.find(id);
     if (found == servers_.end()) return 0;
     return found->second.attempt_count + found->second.connecting_count;
@@ -114,7 +114,7 @@
 // the attempt may come later: a process that was held up handles connections first.
 bool Upstream::may_write(const Server& server, const UpstreamAttempt& attempt) const {
     const bool is_too_late = clock_.now() >= attempt.last_write_time();
-    return server.may_send && !is_too_late && !gate_.client_disconnected(attempt.key.request);
+    return server.may_send && !is_too_late && !write_checks_.is_client_disconnected(attempt.key.request);
 }
 
 void Upstream::open_missing_connections(Server& server) {
--- a/src/net/upstream.hpp
+++ b/src/net/upstream.hpp
@@ -42,17 +42,17 @@
 
     /// Asked right before a request is written. A process that was stopped for seconds, or had no core, wakes
     /// with everything unread at once, in any order: what would forbid the write may be among it.
-    struct Gate {
+    struct WriteChecks {
         /// @return whether the endpoint list has said something that was not read.
-        std::function<bool()> list_unread = [] { return false; };
+        std::function<bool()> is_endpoint_list_unread = [] { return false; };
         /// @return whether the client of the request has left, even if that was not handled yet.
-        std::function<bool(RequestId)> client_disconnected = [](RequestId) { return false; };
+        std::function<bool(RequestId)> is_client_disconnected = [](RequestId) { return false; };
     };
 
     /// The references must outlive the upstream.
     /// @param bytes for responses beyond the usual size.
     Upstream(asio::io_context& io, SocketBudget& budget, ByteBudget& bytes, TimerQueue& timers,
-             const Clock& clock, Limits limits, Ended ended, Gate gate);
+             const Clock& clock, Limits limits, Ended ended, WriteChecks write_checks);
     ~Upstream() override;
     Upstream(const Upstream&) = delete;
     Upstream& operator=(const Upstream&) = delete;
@@ -65,9 +65,9 @@
     ///                     connections of the one before.
     void set_server(ServerId id, const Endpoint& endpoint, bool may_send, Millis online_since = 0);
     /// Without effect for a server that has attempts or connects.
-    void forget_server(ServerId id);
+    void remove_server(ServerId id);
     /// @return attempts and connects of a server.
-    std::size_t attempts_at(ServerId id) const;
+    std::size_t attempt_and_connect_count(ServerId id) const;
 
     /// Begins an attempt.
     /// @param server     named by set_server() before.
@@ -78,7 +78,7 @@
     /// Closes the attempt's connection before it returns. The attempt ends as cancelled.
     void cancel_attempt(AttemptKey key);
 
-    std::size_t idle_connections() const { return pool_.size(); }
+    std::size_t idle_connection_count() const { return pool_.size(); }
 
 private:
     /// Bytes of a response that are read at a time.
@@ -123,7 +123,7 @@
     const Clock& clock_;
     const Limits limits_;
     const Ended ended_;
-    const Gate gate_;
+    const WriteChecks write_checks_;
     EndpointListBarrier list_barrier_;
     bool is_list_turn_posted_ = false;
     std::array<char, kReadBufferBytes> read_buffer_{};
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -33,7 +33,7 @@
 }
 
 Discovery::Mode discovery_mode(const Config& config) {
-    return config.deployment.settings.list_on_request ? Discovery::Mode::asked : Discovery::Mode::pushed;
+    return config.deployment.settings.list_on_request ? Discovery::Mode::polled : Discovery::Mode::pushed;
 }
 
 }  // namespace
@@ -55,8 +55,8 @@
                 [this](AttemptKey key, Outcome outcome, Millis duration, HttpResponse response) {
                     on_attempt_ended(key, outcome, duration, std::move(response));
                 },
-                {[this] { return discovery_.unread(); },
-                 [this](RequestId id) { return listener_.client_disconnected(id); }}),
+                {[this] { return discovery_.has_unread_data(); },
+                 [this](RequestId id) { return listener_.is_client_disconnected(id); }}),
       websocket_proxy_(make_websocket_proxy(websocket)),
       discovery_(io, {config_.discovery, held_revision(config_.known), config_.seed, discovery_mode(config_)},
                  socket_budget_, timers_, clock_,
@@ -78,11 +78,11 @@
     handlers.validate = [this](const RequestHead& head) {
         return validate_request(head, config_.deployment);
     };
-    handlers.on_request = [this](RequestId id, HttpRequest request, ReceivedRequest received) {
+    handlers.on_request = [this](RequestId id, HttpRequest request, RequestArrivalInfo received) {
         on_request(id, std::move(request), received);
     };
     handlers.on_client_disconnected = [this](RequestId id) { on_client_disconnected(id); };
-    handlers.ready = [this] { return is_ready_; };
+    handlers.is_ready = [this] { return is_ready_; };
     if (!settings.on) return handlers;
 
     handlers.validate = [this, settings](const RequestHead& head) {
@@ -92,7 +92,7 @@
     };
     handlers.is_upgrade = websocket::is_upgrade_request;
     handlers.on_upgrade = [this](RequestId id, asio::ip::tcp::socket client, HttpRequest request,
-                                 ReceivedRequest received) {
+                                 RequestArrivalInfo received) {
         on_upgrade_request(id, std::move(client), std::move(request), received);
     };
     return handlers;
@@ -122,7 +122,7 @@
 
 void Sidecar::reload(const Config& config) {
     socket_budget_.set_limit(socket_limit(config));
-    discovery_.move_to(config.discovery);
+    discovery_.switch_endpoint(config.discovery);
 }
 
 void Sidecar::join_cluster(const cluster::Settings& settings) {
@@ -170,20 +170,20 @@
 // ---- Events -----------------------------------------------------------------------------------------------
 
 balancer::RequestArrived Sidecar::arrival_event(RequestId id, const HttpRequest& request,
-                                                const ReceivedRequest& received) const {
-    return describe(id, request, config_.deployment, kResponseMargin, received.kernel_queue_time);
+                                                const RequestArrivalInfo& received) const {
+    return make_request_arrived(id, request, config_.deployment, kResponseMargin, received.kernel_queue_time);
 }
 
-void Sidecar::on_request(RequestId id, HttpRequest request, ReceivedRequest received) {
+void Sidecar::on_request(RequestId id, HttpRequest request, RequestArrivalInfo received) {
     balancer::RequestArrived event = arrival_event(id, request, received);
     event.table_full = !received.has_capacity;
     ++request_counts_.received;
-    forwarded_requests_[id] = std::make_shared<const HttpRequest>(forwarded_request(std::move(request)));
+    forwarded_requests_[id] = std::make_shared<const HttpRequest>(make_forwarded_request(std::move(request)));
     engine_.on_request(clock_.now(), event);
 }
 
 void Sidecar::on_upgrade_request(RequestId id, asio::ip::tcp::socket client, HttpRequest request,
-                                 ReceivedRequest received) {
+                                 RequestArrivalInfo received) {
     balancer::RequestArrived event = arrival_event(id, request, received);
     event.session = true;
     const bool accepted = websocket_proxy_->on_upgrade_request(id, std::move(client), std::move(request));
@@ -232,8 +232,8 @@
 
 void Sidecar::forget_withdrawn_servers() {
     endpoints_.forget_withdrawn([this](ServerId id) {
-        if (upstream_.attempts_at(id) > 0) return false;
-        upstream_.forget_server(id);
+        if (upstream_.attempt_and_connect_count(id) > 0) return false;
+        upstream_.remove_server(id);
         if (websocket_proxy_) websocket_proxy_->forget_server(id);
         return true;
     });
--- a/src/sidecar/sidecar.hpp
+++ b/src/sidecar/sidecar.hpp
@@ -74,16 +74,16 @@
     std::unique_ptr<websocket::Proxy> make_websocket_proxy(const websocket::Settings& settings);
     void restore_state(RestoredState restored_state);
     balancer::RequestArrived arrival_event(RequestId id, const HttpRequest& request,
-                                           const ReceivedRequest& received) const;
+                                           const RequestArrivalInfo& received) const;
     void update_backends(const EndpointRegistry::Update& update);
     void set_server(const EndpointRegistry::Change& change);
     void forget_withdrawn_servers();
     void count_outcome(const engine::FinalOutcome& outcome);
 
     // Events, passed on to the engine.
-    void on_request(RequestId id, HttpRequest request, ReceivedRequest received);
+    void on_request(RequestId id, HttpRequest request, RequestArrivalInfo received);
     void on_upgrade_request(RequestId id, asio::ip::tcp::socket client, HttpRequest request,
-                            ReceivedRequest received);
+                            RequestArrivalInfo received);
     void on_client_disconnected(RequestId id);
     void on_attempt_ended(AttemptKey key, Outcome outcome, Millis duration, HttpResponse response);
     void on_endpoint_list(balancer::ListKind kind, const Listing& listing);
--- a/src/sidecar/status_report.cpp
+++ b/src/sidecar/status_report.cpp
@@ -46,7 +46,7 @@
     for (const auto& [uid, entry] : registry.entries()) {
         nlohmann::json server = {
             {"uid", uid}, {"state", state_name(entry)}, {"boot_ms", entry.info.online_since}};
-        server["attempts"] = upstream.attempts_at(entry.info.id);
+        server["attempts"] = upstream.attempt_and_connect_count(entry.info.id);
         const auto known = learned.find(entry.info.id);
         if (known != learned.end()) {
             server["removed"] = known->second->ejection_remaining_ms.has_value();
--- a/src/simulation/drivers/virtual/virtual_run.cpp
+++ b/src/simulation/drivers/virtual/virtual_run.cpp
@@ -280,7 +280,7 @@
         sidecars_.on_resumed(now_, who);
         catch_up(who);
     }
-    // ClientModel' ends and lists come before all that could send, as in the program (Upstream::Gate).
+    // ClientModel' ends and lists come before all that could send, as in the program (Upstream::WriteChecks).
     void catch_up(std::uint32_t who) {
         Instance& n = instances_[who];
         if (n.still()) return;
--- a/src/websocket/handshake.cpp
+++ b/src/websocket/handshake.cpp
@@ -91,10 +91,10 @@
     if (!has_token(head, http::field::connection, "upgrade")) {
         return bad_request("Connection is not upgrade\n");
     }
-    if (field(head, kVersionHeader) != kWebSocketVersion) {
+    if (header_value(head, kVersionHeader) != kWebSocketVersion) {
         return RequestProblem{http::status::upgrade_required, "Sec-WebSocket-Version 13\n"};
     }
-    if (!is_key(field(head, kKeyHeader))) {
+    if (!is_key(header_value(head, kKeyHeader))) {
         return bad_request("Sec-WebSocket-Key is not 16 bytes in base64\n");
     }
     if (!parse_subprotocols(head)) {
@@ -135,10 +135,10 @@
 
 void add_forwarded_headers(http::fields& upgrade_request, const HttpRequest& client_request,
                            Millis time_left) {
-    for (const auto& line : forwarded_request(client_request)) {
+    for (const auto& line : make_forwarded_request(client_request)) {
         if (line.name() != http::field::host) upgrade_request.set(line.name_string(), line.value());
     }
-    upgrade_request.set("X-Time-Left", time_left_text(time_left));
+    upgrade_request.set("X-Time-Left", format_time_left(time_left));
     std::string subprotocols;
     for (const std::string& name : offered_subprotocols(client_request)) {
         if (!subprotocols.empty()) subprotocols += ", ";
@@ -151,7 +151,7 @@
                                         const std::vector<std::string>& offered) {
     using balancer::Outcome;
     if (head.result() != http::status::switching_protocols) {
-        return {says_unprocessed(head) ? Outcome::rejected : Outcome::error_response, {}};
+        return {is_marked_unprocessed(head) ? Outcome::rejected : Outcome::error_response, {}};
     }
     const bool is_websocket = has_token(head, http::field::upgrade, "websocket") &&
                               has_token(head, http::field::connection, "upgrade");
@@ -161,7 +161,7 @@
     if (head.count(http::field::sec_websocket_extensions) > 0) return {};
     const std::size_t chosen_count = head.count(kProtocolHeader);
     if (chosen_count > 1) return {};
-    const auto chosen = field(head, kProtocolHeader);
+    const auto chosen = header_value(head, kProtocolHeader);
     const bool was_offered = std::find(offered.begin(), offered.end(), chosen) != offered.end();
     if (chosen_count == 1 && !was_offered) return {};
     return {Outcome::success, std::string(chosen)};
--- a/tests/config/config_test.cpp
+++ b/tests/config/config_test.cpp
@@ -67,8 +67,8 @@
         return name == std::string("RELAY_DISCOVERY") ? "127.0.0.1:9" : nullptr;
     };
     write(fixture.config.dump());
-    EXPECT_EQ(text_of(load_config(get_environment).discovery), "127.0.0.1:9");
-    EXPECT_EQ(text_of(reload_config(get_environment).discovery), fixture.discovery.address());
+    EXPECT_EQ(endpoint_text(load_config(get_environment).discovery), "127.0.0.1:9");
+    EXPECT_EQ(endpoint_text(reload_config(get_environment).discovery), fixture.discovery.address());
     write(fixture.config.dump().substr(0, 40));
     EXPECT_THROW(reload_config(get_environment), ConfigError);
     std::remove(path.c_str());
--- a/tests/end_to_end/deadline_test.cpp
+++ b/tests/end_to_end/deadline_test.cpp
@@ -15,9 +15,9 @@
 // us.
 double time_left_in(const Peer& server_connection) {
     const std::string name = "X-Time-Left: ";
-    const std::size_t begin = server_connection.got.find(name);
+    const std::size_t begin = server_connection.received.find(name);
     if (begin == std::string::npos) return -1;
-    return std::stod(server_connection.got.substr(begin + name.size())) / 1000;
+    return std::stod(server_connection.received.substr(begin + name.size())) / 1000;
 }
 
 // On timeout the connection to the server is closed, and the client gets one response in time.
@@ -25,13 +25,13 @@
     SidecarFixture fixture;
     fixture.start();
     FakeServer& server = fixture.servers.front();
-    const auto client = fixture.client();
+    const auto client = fixture.connect_client();
     client->send(SidecarFixture::request("unsafe", "1500m"));
-    ASSERT_TRUE(fixture.until([&] { return client->got.size() > 12; }));
+    ASSERT_TRUE(fixture.until([&] { return client->received.size() > 12; }));
     EXPECT_EQ(status_of(*client), "HTTP/1.1 504");
-    ASSERT_TRUE(fixture.until([&] { return server.last().closed; }));
-    EXPECT_EQ(server.requests(), 1U);
-    EXPECT_EQ(client->got.find("HTTP/1.1", 1), std::string::npos) << "one response";
+    ASSERT_TRUE(fixture.until([&] { return server.last_connection().closed; }));
+    EXPECT_EQ(server.request_count(), 1U);
+    EXPECT_EQ(client->received.find("HTTP/1.1", 1), std::string::npos) << "one response";
     EXPECT_TRUE(fixture.until([&] { return fixture.sidecar->requests() == 0; }));
 }
 
@@ -41,12 +41,12 @@
     SidecarFixture fixture;
     fixture.start();
     FakeServer& server = fixture.servers.front();
-    const auto client = fixture.client();
+    const auto client = fixture.connect_client();
     client->send(SidecarFixture::request("unsafe", "50000m"));
     std::this_thread::sleep_for(std::chrono::milliseconds(400));  // nobody runs the sidecar meanwhile
-    ASSERT_TRUE(fixture.until([&] { return server.requests() == 1; }));
-    const double time_left = time_left_in(server.last());
-    ASSERT_GE(time_left, 0) << server.last().got;
+    ASSERT_TRUE(fixture.until([&] { return server.request_count() == 1; }));
+    const double time_left = time_left_in(server.last_connection());
+    ASSERT_GE(time_left, 0) << server.last_connection().received;
     EXPECT_LT(time_left, 50000 - 400 + 20) << "the kernel's tick is 10 ms at the coarsest";
 }
 
@@ -57,18 +57,18 @@
     fixture.start();
     FakeServer& server = fixture.servers.front();
     const Clock clock;
-    const auto client = fixture.client();
+    const auto client = fixture.connect_client();
     const Millis sent_at = clock.now();
     client->send(SidecarFixture::request("safe", "5000m"));
     for (std::size_t attempt = 1; attempt <= kAttempts; ++attempt) {
-        ASSERT_TRUE(fixture.until([&] { return server.requests() == attempt; }));
-        ASSERT_GE(time_left_in(server.last()), 0) << server.last().got;
+        ASSERT_TRUE(fixture.until([&] { return server.request_count() == attempt; }));
+        ASSERT_GE(time_left_in(server.last_connection()), 0) << server.last_connection().received;
         block_event_loop_until(clock, clock.now() + 200);
         const Millis failed_at = clock.now();
-        server.last().reset();
+        server.last_connection().reset();
         if (attempt == kAttempts) break;
-        ASSERT_TRUE(fixture.until([&] { return server.requests() == attempt + 1; }));
-        EXPECT_LE(time_left_in(server.last()), kTimeLeft - (failed_at - sent_at));
+        ASSERT_TRUE(fixture.until([&] { return server.request_count() == attempt + 1; }));
+        EXPECT_LE(time_left_in(server.last_connection()), kTimeLeft - (failed_at - sent_at));
     }
 }
 
@@ -80,9 +80,9 @@
         fixture.start();
         FakeServer& server = fixture.servers.front();
         const auto drop_requests = [&] {
-            for (const auto& peer : server.peers) {
-                if (peer->closed || peer->requests() <= peer->answered) continue;
-                ++peer->answered;
+            for (const auto& peer : server.connections) {
+                if (peer->closed || peer->request_count() <= peer->answered_request_count) continue;
+                ++peer->answered_request_count;
                 peer->closed = true;
                 peer->reset();
             }
@@ -90,18 +90,18 @@
         for (const char* time_left : {"0m", "1u", "500u", "1m", "5m", "20m", "60m"}) {
             for (const std::string request_class : {"safe", "unsafe", "keyed"}) {
                 SCOPED_TRACE(std::string(time_left) + " " + request_class);
-                const std::size_t requests_before = server.requests();
-                const auto client = fixture.client();
+                const std::size_t requests_before = server.request_count();
+                const auto client = fixture.connect_client();
                 client->send(SidecarFixture::request(request_class, time_left));
                 ASSERT_TRUE(fixture.until([&] {
                     if (server_drops_requests) drop_requests();
-                    return client->got.size() > 12 && fixture.sidecar->requests() == 0;
+                    return client->received.size() > 12 && fixture.sidecar->requests() == 0;
                 }));
-                EXPECT_EQ(client->responses(), 1U) << client->got;
-                EXPECT_EQ(status_of(*client).substr(0, 10), "HTTP/1.1 5") << client->got;
+                EXPECT_EQ(client->response_count(), 1U) << client->received;
+                EXPECT_EQ(status_of(*client).substr(0, 10), "HTTP/1.1 5") << client->received;
                 if (request_class != "unsafe") continue;
-                fixture.settle();
-                EXPECT_LE(server.requests(), requests_before + 1);
+                fixture.handle_pending_events();
+                EXPECT_LE(server.request_count(), requests_before + 1);
             }
         }
     }
@@ -115,14 +115,14 @@
     fixture.start();
     FakeServer& server = fixture.servers.front();
     const Clock clock;
-    const auto client = fixture.client();
+    const auto client = fixture.connect_client();
     client->send(SidecarFixture::request("unsafe", "2000m"));
     const Millis deadline = clock.now() + kTimeLeft;
-    ASSERT_TRUE(fixture.until([&] { return server.requests() == 1; }));
-    server.last().respond("200 OK", "answer");
+    ASSERT_TRUE(fixture.until([&] { return server.request_count() == 1; }));
+    server.last_connection().respond("200 OK", "answer");
     client->reset();
     block_event_loop_until(clock, deadline + 1);
-    fixture.settle();
+    fixture.handle_pending_events();
     ASSERT_TRUE(fixture.until([&] { return fixture.sidecar->requests() == 0; }));
     const Json requests = fixture.sidecar->status()["requests"];
     EXPECT_EQ(requests["taken"], 1);
@@ -130,7 +130,7 @@
                   requests["gone"].get<int>(),
               1)
         << requests.dump();
-    EXPECT_EQ(server.requests(), 1U);
+    EXPECT_EQ(server.request_count(), 1U);
 }
 
 }  // namespace
--- a/tests/end_to_end/deployment_settings_test.cpp
+++ b/tests/end_to_end/deployment_settings_test.cpp
@@ -112,24 +112,24 @@
         fixture.config["limits"] = drawn.limits;
         fixture.start();
         ASSERT_FALSE(HasFatalFailure());
-        const auto readiness_probe = fixture.client();
+        const auto readiness_probe = fixture.connect_client();
         readiness_probe->send("GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
-        ASSERT_TRUE(fixture.until([&] { return readiness_probe->got.size() > 12; }));
+        ASSERT_TRUE(fixture.until([&] { return readiness_probe->received.size() > 12; }));
         EXPECT_EQ(status_of(*readiness_probe), "HTTP/1.1 200") << "ready by the list in its configuration";
 
         FakeServer& server = fixture.servers.front();
         std::size_t number = 0;
         for (const Json& request_class : drawn.settings["classes"]) {
             ++number;
-            const auto client = fixture.client();
+            const auto client = fixture.connect_client();
             client->send(request_of(request_class, number));
             ASSERT_TRUE(fixture.until([&] {
                 server.respond_to_all();
-                return client->got.find("\r\n\r\n") != std::string::npos;
+                return client->received.find("\r\n\r\n") != std::string::npos;
             }));
             if (drawn.short_deadlines) continue;  // any final response will do
             EXPECT_EQ(status_of(*client), "HTTP/1.1 200") << request_class.dump();
-            EXPECT_TRUE(client->got.ends_with("answer"));
+            EXPECT_TRUE(client->received.ends_with("answer"));
         }
     }
 }
--- a/tests/end_to_end/reload_test.cpp
+++ b/tests/end_to_end/reload_test.cpp
@@ -14,35 +14,36 @@
 TEST(Reload, SwitchesDiscoveryAndKeepsOldListMeanwhile) {
     SidecarFixture fixture;
     fixture.start();
-    fixture.watch_begins();
+    fixture.begin_watch();
     FakeServer& server = fixture.servers.front();
-    const auto client = fixture.client();
+    const auto client = fixture.connect_client();
     client->send(SidecarFixture::request("unsafe"));
-    ASSERT_TRUE(fixture.until([&] { return server.requests() == 1; }));
+    ASSERT_TRUE(fixture.until([&] { return server.request_count() == 1; }));
     FakeServer new_discovery(fixture.io);
     FakeServer new_server(fixture.io);
     fixture.config["discovery"] = new_discovery.address();
     fixture.reload();
-    ASSERT_TRUE(
-        fixture.until([&] { return new_discovery.requests() == 1 && fixture.discovery.last().closed; }));
-    EXPECT_NE(new_discovery.last().got.find("GET /discovery/hosts "), std::string::npos) << "the whole list";
+    ASSERT_TRUE(fixture.until(
+        [&] { return new_discovery.request_count() == 1 && fixture.discovery.last_connection().closed; }));
+    EXPECT_NE(new_discovery.last_connection().received.find("GET /discovery/hosts "), std::string::npos)
+        << "the whole list";
 
-    const auto second = fixture.client();
+    const auto second = fixture.connect_client();
     second->send(SidecarFixture::request("safe"));
-    ASSERT_TRUE(fixture.until([&] { return server.requests() == 2; })) << "by the old list";
-    for (const auto& peer : server.peers) peer->respond("200 OK", "answer");
+    ASSERT_TRUE(fixture.until([&] { return server.request_count() == 2; })) << "by the old list";
+    for (const auto& peer : server.connections) peer->respond("200 OK", "answer");
     for (const auto& served : {client, second}) {
-        ASSERT_TRUE(fixture.until([&] { return served->got.find("answer") != std::string::npos; }));
+        ASSERT_TRUE(fixture.until([&] { return served->received.find("answer") != std::string::npos; }));
     }
 
-    fixture.rev = 0;  // the new discovery numbers its lists from 1
+    fixture.list_version = 0;  // the new discovery numbers its lists from 1
     const Json new_list = Json::array({SidecarFixture::target(7, new_server.address())});
-    new_discovery.last().respond("200 OK", fixture.line(new_list, true));
-    ASSERT_TRUE(fixture.until([&] { return new_discovery.requests() == 2; }));
-    EXPECT_NE(new_discovery.last().got.find("stream=1&index=1 "), std::string::npos);
-    client->got.clear();
+    new_discovery.last_connection().respond("200 OK", fixture.watch_line(new_list, true));
+    ASSERT_TRUE(fixture.until([&] { return new_discovery.request_count() == 2; }));
+    EXPECT_NE(new_discovery.last_connection().received.find("stream=1&index=1 "), std::string::npos);
+    client->received.clear();
     client->send(SidecarFixture::request("unsafe"));
-    ASSERT_TRUE(fixture.until([&] { return new_server.requests() == 1; })) << "by the new list";
+    ASSERT_TRUE(fixture.until([&] { return new_server.request_count() == 1; })) << "by the new list";
 }
 
 // How far the call to discovery gets before the next reload.
@@ -56,15 +57,15 @@
             fixture.io.poll_one();
             break;
         case CallProgress::connected:
-            ASSERT_TRUE(fixture.until([&] { return !discovery.peers.empty(); }));
+            ASSERT_TRUE(fixture.until([&] { return !discovery.connections.empty(); }));
             break;
         case CallProgress::request_sent:
-            ASSERT_TRUE(fixture.until([&] { return discovery.requests() == 1; }));
+            ASSERT_TRUE(fixture.until([&] { return discovery.request_count() == 1; }));
             break;
         case CallProgress::response_begun:
-            ASSERT_TRUE(fixture.until([&] { return discovery.requests() == 1; }));
-            discovery.last().send("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"rev\":9,");
-            fixture.settle();
+            ASSERT_TRUE(fixture.until([&] { return discovery.request_count() == 1; }));
+            discovery.last_connection().send("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"rev\":9,");
+            fixture.handle_pending_events();
             break;
     }
 }
@@ -85,26 +86,27 @@
         ASSERT_NO_FATAL_FAILURE(run_call_until(fixture, discovery, progress));
     }
     FakeServer& last = new_discoveries.back();
-    ASSERT_TRUE(fixture.until([&] { return last.requests() == 1; }));
+    ASSERT_TRUE(fixture.until([&] { return last.request_count() == 1; }));
     fixture.reload();  // the same configuration once more, with the response on its way
-    fixture.rev = 0;
-    ASSERT_TRUE(fixture.until([&] { return last.requests() == 2; }));
-    EXPECT_NE(last.last().got.find("GET /discovery/hosts "), std::string::npos) << "the whole list";
+    fixture.list_version = 0;
+    ASSERT_TRUE(fixture.until([&] { return last.request_count() == 2; }));
+    EXPECT_NE(last.last_connection().received.find("GET /discovery/hosts "), std::string::npos)
+        << "the whole list";
     const Json new_list = Json::array({SidecarFixture::target(7, new_server.address())});
-    last.last().respond("200 OK", fixture.line(new_list, true));
-    ASSERT_TRUE(fixture.until([&] { return last.requests() == 3; })) << "the watch";
-    fixture.settle();
+    last.last_connection().respond("200 OK", fixture.watch_line(new_list, true));
+    ASSERT_TRUE(fixture.until([&] { return last.request_count() == 3; })) << "the watch";
+    fixture.handle_pending_events();
     for (FakeServer& discovery : new_discoveries) {
         if (&discovery == &last) continue;
-        for (const auto& peer : discovery.peers) {
+        for (const auto& peer : discovery.connections) {
             EXPECT_TRUE(fixture.until([&] { return peer->closed; }));
         }
     }
-    const auto client = fixture.client();
+    const auto client = fixture.connect_client();
     client->send(SidecarFixture::request("unsafe"));
-    ASSERT_TRUE(
-        fixture.until([&] { return new_server.requests() + fixture.servers.front().requests() == 1; }));
-    EXPECT_EQ(new_server.requests(), 1U) << "by the last address's list";
+    ASSERT_TRUE(fixture.until(
+        [&] { return new_server.request_count() + fixture.servers.front().request_count() == 1; }));
+    EXPECT_EQ(new_server.request_count(), 1U) << "by the last address's list";
 }
 
 // Reloads right before and during a shutdown: requests in flight are finished by the list that is held.
@@ -112,19 +114,19 @@
     SidecarFixture fixture;
     fixture.start();
     FakeServer& server = fixture.servers.front();
-    const auto client = fixture.client();
+    const auto client = fixture.connect_client();
     client->send(SidecarFixture::request("unsafe"));
-    ASSERT_TRUE(fixture.until([&] { return server.requests() == 1; }));
+    ASSERT_TRUE(fixture.until([&] { return server.request_count() == 1; }));
     FakeServer new_discovery(fixture.io);
     fixture.config["discovery"] = new_discovery.address();
     bool drained = false;
     for (int i = 0; i < 3; ++i) fixture.reload();
     fixture.sidecar->drain([&drained] { drained = true; });
     fixture.reload();
-    const auto late = fixture.client();
+    const auto late = fixture.connect_client();
     late->send(SidecarFixture::request("unsafe"));
-    ASSERT_TRUE(fixture.until([&] { return server.requests() == 2; }));
-    for (const auto& peer : server.peers) peer->respond("200 OK", "answer");
+    ASSERT_TRUE(fixture.until([&] { return server.request_count() == 2; }));
+    for (const auto& peer : server.connections) peer->respond("200 OK", "answer");
     for (const auto& served : {client, late}) {
         ASSERT_TRUE(fixture.until([&] { return served->closed; }));
         EXPECT_EQ(status_of(*served), "HTTP/1.1 200");
--- a/tests/end_to_end/restored_state_test.cpp
+++ b/tests/end_to_end/restored_state_test.cpp
@@ -19,9 +19,9 @@
 int respond_with_one_failing(SidecarFixture& fixture, const FakeServer& failing) {
     int failed = 0;
     for (FakeServer& server : fixture.servers) {
-        for (const auto& peer : server.peers) {
-            while (!peer->closed && peer->answered < peer->requests()) {
-                ++peer->answered;
+        for (const auto& peer : server.connections) {
+            while (!peer->closed && peer->answered_request_count < peer->request_count()) {
+                ++peer->answered_request_count;
                 if (&server == &failing) {
                     ++failed;
                     peer->respond("500 Broken");
@@ -41,11 +41,11 @@
     const std::function<bool()>& enough = [] { return false; }) {
     int failed = 0;
     for (int i = 0; i < requests && !enough(); ++i) {
-        const auto client = fixture.client();
+        const auto client = fixture.connect_client();
         client->send(SidecarFixture::request("safe"));
         const bool served = fixture.until([&] {
             failed += respond_with_one_failing(fixture, failing);
-            return client->got.find("answer") != std::string::npos;
+            return client->received.find("answer") != std::string::npos;
         });
         if (!served) return -1;
     }
@@ -69,9 +69,9 @@
         known.erase(kServers - 1);
         config["known"]["targets"] = known;
         start(std::move(restored));
-        watch_begins();
+        begin_watch();
         std::reverse(all.begin(), all.end());
-        chunk(line(all, true));
+        send_chunk(watch_line(all, true));
         EXPECT_TRUE(until([&] { return sidecar->snapshot().uids.size() == kServers; }));
     }
 };
--- a/tests/end_to_end/retry_test.cpp
+++ b/tests/end_to_end/retry_test.cpp
@@ -35,23 +35,23 @@
         SidecarFixture fixture;
         fixture.start();
         FakeServer& server = fixture.servers.front();
-        const auto client = fixture.client();
+        const auto client = fixture.connect_client();
         client->send(SidecarFixture::request("unsafe"));
-        ASSERT_TRUE(fixture.until([&] { return server.requests() == 1; }));
-        const auto first = server.peers.back();
+        ASSERT_TRUE(fixture.until([&] { return server.request_count() == 1; }));
+        const auto first = server.connections.back();
         if (reaction.response) {
             first->send(reaction.response);
         } else {
             first->reset();
         }
         if (reaction.may_have_run) {
-            ASSERT_TRUE(fixture.until([&] { return client->got.size() > 12; }));
+            ASSERT_TRUE(fixture.until([&] { return client->received.size() > 12; }));
             EXPECT_EQ(status_of(*client), "HTTP/1.1 502");
-            EXPECT_EQ(server.requests(), 1U);
+            EXPECT_EQ(server.request_count(), 1U);
         } else {
-            ASSERT_TRUE(fixture.until([&] { return server.requests() == 2; }));
-            server.last().respond("200 OK", "answer");
-            ASSERT_TRUE(fixture.until([&] { return client->got.find("answer") != std::string::npos; }));
+            ASSERT_TRUE(fixture.until([&] { return server.request_count() == 2; }));
+            server.last_connection().respond("200 OK", "answer");
+            ASSERT_TRUE(fixture.until([&] { return client->received.find("answer") != std::string::npos; }));
         }
     }
 }
@@ -63,11 +63,11 @@
     fixture.start();
     FakeServer& server = fixture.servers.back();
     for (std::size_t i = 1; i <= 4; ++i) {  // several, as the first choice is random
-        const auto client = fixture.client();
+        const auto client = fixture.connect_client();
         client->send(SidecarFixture::request("unsafe"));
-        ASSERT_TRUE(fixture.until([&] { return server.requests() == i; }));
-        server.last().respond("200 OK", "answer");
-        ASSERT_TRUE(fixture.until([&] { return client->got.find("answer") != std::string::npos; }));
+        ASSERT_TRUE(fixture.until([&] { return server.request_count() == i; }));
+        server.last_connection().respond("200 OK", "answer");
+        ASSERT_TRUE(fixture.until([&] { return client->received.find("answer") != std::string::npos; }));
     }
 }
 
@@ -77,14 +77,14 @@
     SidecarFixture fixture(3);
     fixture.start();
     for (int i = 0; i < 10; ++i) {
-        const auto client = fixture.client();
+        const auto client = fixture.connect_client();
         std::size_t attempts = 0;
         client->send(SidecarFixture::request("safe"));
         ASSERT_TRUE(fixture.until([&] {
             std::size_t attempts_in_flight = 0;
             for (FakeServer& server : fixture.servers) {
-                for (const auto& peer : server.peers) {
-                    if (peer->closed || peer->requests() == 0) continue;
+                for (const auto& peer : server.connections) {
+                    if (peer->closed || peer->request_count() == 0) continue;
                     ++attempts_in_flight;
                     ++attempts;
                     peer->closed = true;
@@ -92,10 +92,10 @@
                 }
             }
             EXPECT_LE(attempts_in_flight, 1U);
-            return client->got.size() > 12;
+            return client->received.size() > 12;
         }));
-        fixture.settle();
-        EXPECT_EQ(client->responses(), 1U) << client->got;
+        fixture.handle_pending_events();
+        EXPECT_EQ(client->response_count(), 1U) << client->received;
         EXPECT_EQ(status_of(*client).substr(0, 10), "HTTP/1.1 5");
         EXPECT_LE(attempts, 4U);
     }
@@ -110,21 +110,21 @@
     fixture.config["settings"]["classes"][2]["dedup-window-ms"] = kWindow;
     fixture.start();
     FakeServer& server = fixture.servers.front();
-    const auto client = fixture.client();
+    const auto client = fixture.connect_client();
     const auto sent_at = std::chrono::steady_clock::now();
     client->send(SidecarFixture::request("keyed"));
-    ASSERT_TRUE(fixture.until([&] { return server.requests() == 1; }));
+    ASSERT_TRUE(fixture.until([&] { return server.request_count() == 1; }));
     FullAcceptQueue accept_queue(server);
-    server.peers.front()->respond("500 Internal Server Error", "no", "Connection: close\r\n");
+    server.connections.front()->respond("500 Internal Server Error", "no", "Connection: close\r\n");
 
     // A retry that was still waiting would find its connection open once the window is over.
     ASSERT_TRUE(fixture.until([&] {
-        return !client->got.empty() ||
+        return !client->received.empty() ||
                std::chrono::steady_clock::now() > sent_at + std::chrono::milliseconds(int(kWindow));
     }));
     accept_queue.open();
-    ASSERT_TRUE(fixture.until([&] { return !client->got.empty() || server.requests() > 1; }));
-    EXPECT_EQ(server.requests(), 1U);
+    ASSERT_TRUE(fixture.until([&] { return !client->received.empty() || server.request_count() > 1; }));
+    EXPECT_EQ(server.request_count(), 1U);
     EXPECT_EQ(status_of(*client), "HTTP/1.1 502")
         << "a failure, as the first attempt may have run and nobody knows its result";
 }
--- a/tests/end_to_end/startup_test.cpp
+++ b/tests/end_to_end/startup_test.cpp
@@ -15,20 +15,21 @@
     SidecarFixture fixture;
     fixture.config["known"]["targets"] = Json::array();
     fixture.start();
-    const auto client = fixture.client();
+    const auto client = fixture.connect_client();
     client->send(kReadinessRequest);
-    ASSERT_TRUE(fixture.until([&] { return !client->got.empty(); }));
+    ASSERT_TRUE(fixture.until([&] { return !client->received.empty(); }));
     EXPECT_EQ(status_of(*client), "HTTP/1.1 503");
 
-    fixture.watch_begins();
-    const std::string list = fixture.line(fixture.targets(), true);
-    fixture.chunk("\n" + list.substr(0, 20));  // a heartbeat, and the first piece of the list
-    fixture.settle();
-    fixture.chunk(list.substr(20));
+    fixture.begin_watch();
+    const std::string list = fixture.watch_line(fixture.targets(), true);
+    fixture.send_chunk("\n" + list.substr(0, 20));  // a heartbeat, and the first piece of the list
+    fixture.handle_pending_events();
+    fixture.send_chunk(list.substr(20));
     ASSERT_TRUE(fixture.until([&] {
-        client->got.clear();
+        client->received.clear();
         client->send(kReadinessRequest);
-        return fixture.until([&] { return client->got.size() > 12; }) && status_of(*client) == "HTTP/1.1 200";
+        return fixture.until([&] { return client->received.size() > 12; }) &&
+               status_of(*client) == "HTTP/1.1 200";
     }));
 }
 
@@ -40,17 +41,17 @@
         fixture.config["settings"]["membership-mode"] = mode;
         fixture.discovery.acceptor.close();  // from now on it refuses connections
         fixture.sidecar = std::make_unique<Sidecar>(fixture.io, parse_config(fixture.config.dump()));
-        const auto readiness_probe = fixture.client();
+        const auto readiness_probe = fixture.connect_client();
         readiness_probe->send(kReadinessRequest);
-        ASSERT_TRUE(fixture.until([&] { return readiness_probe->got.size() > 12; }));
+        ASSERT_TRUE(fixture.until([&] { return readiness_probe->received.size() > 12; }));
         EXPECT_EQ(status_of(*readiness_probe), "HTTP/1.1 200");
 
-        const auto client = fixture.client();
+        const auto client = fixture.connect_client();
         client->send(SidecarFixture::request("unsafe"));
         FakeServer& server = fixture.servers.front();
-        ASSERT_TRUE(fixture.until([&] { return server.requests() == 1; }));
-        server.last().respond("200 OK", "answer");
-        ASSERT_TRUE(fixture.until([&] { return client->got.find("answer") != std::string::npos; }));
+        ASSERT_TRUE(fixture.until([&] { return server.request_count() == 1; }));
+        server.last_connection().respond("200 OK", "answer");
+        ASSERT_TRUE(fixture.until([&] { return client->received.find("answer") != std::string::npos; }));
     }
 }
 
--- a/tests/end_to_end/wall_clock_step_test.cpp
+++ b/tests/end_to_end/wall_clock_step_test.cpp
@@ -40,8 +40,8 @@
         const Clock clock([this] { return true_wall_time() + clock_offset; });
         sidecar = std::make_unique<Sidecar>(io, parse_config(config.dump()), std::nullopt,
                                             websocket::Settings{}, clock);
-        ASSERT_TRUE(until([&] { return discovery.requests() > 0; }));
-        watch_begins();
+        ASSERT_TRUE(until([&] { return discovery.request_count() > 0; }));
+        begin_watch();
     }
 
     // The list's entry for the server in slow start, which started `age` ago by its own wall clock.
@@ -56,8 +56,8 @@
 
     // Sends a change of the list and waits until the sidecar has handled it.
     void send_change(const Json& entry) {
-        chunk(line(Json::array({entry}), false));
-        settle();
+        send_chunk(watch_line(Json::array({entry}), false));
+        handle_pending_events();
     }
 
     void respond_to_all() {
@@ -66,33 +66,33 @@
 
     std::size_t requests_at_servers() const {
         std::size_t count = 0;
-        for (const FakeServer& server : servers) count += server.requests();
+        for (const FakeServer& server : servers) count += server.request_count();
         return count;
     }
 
     // Several requests in flight together, so that a server gets the share that it may have. One after
     // another they would go to the server that responds fastest.
     void serve_concurrent_requests() {
-        while (clients_.size() < kConcurrentRequests) clients_.push_back(client());
+        while (clients_.size() < kConcurrentRequests) clients_.push_back(connect_client());
         const std::size_t requests_before = requests_at_servers();
         for (const auto& client : clients_) {
-            client->got.clear();
+            client->received.clear();
             client->send(request("safe"));
         }
         ASSERT_TRUE(until([&] { return requests_at_servers() == requests_before + kConcurrentRequests; }));
         respond_to_all();
         for (const auto& client : clients_) {
-            ASSERT_TRUE(until([&] { return client->got.find("answer") != std::string::npos; }));
+            ASSERT_TRUE(until([&] { return client->received.find("answer") != std::string::npos; }));
         }
     }
 
     // The share of requests that the server in slow start gets, over `rounds` of serve_concurrent_requests().
     double share_of_starting_server(std::size_t rounds = 30) {
-        const std::size_t requests_before = servers.back().requests();
+        const std::size_t requests_before = servers.back().request_count();
         for (std::size_t i = 0; i < rounds && !testing::Test::HasFatalFailure(); ++i) {
             serve_concurrent_requests();
         }
-        return static_cast<double>(servers.back().requests() - requests_before) /
+        return static_cast<double>(servers.back().request_count() - requests_before) /
                static_cast<double>(rounds * kConcurrentRequests);
     }
 
@@ -123,7 +123,7 @@
     fixture.clock_offset = GetParam();
     fixture.omit_starting_server_from_known_list();
     fixture.start();
-    fixture.chunk("\n");
+    fixture.send_chunk("\n");
     fixture.clock_offset = 0;
     fixture.send_change(fixture.starting_server(200));
     EXPECT_LT(fixture.share_of_starting_server(15), kMaxColdShare);
@@ -137,7 +137,7 @@
     WallClockFixture fixture;
     fixture.known_entry(kStartingServer) = fixture.starting_server(kHour / 2 * 3);
     fixture.start();
-    fixture.chunk("\n");
+    fixture.send_chunk("\n");
     fixture.share_of_starting_server(2);
     fixture.send_change(fixture.starting_server(0, GetParam()));
     EXPECT_LT(fixture.share_of_starting_server(), kMaxColdShare);
@@ -169,7 +169,7 @@
     younger_server["boot_ms"] = old_server["boot_ms"].get<double>() + kHour / 2;
     fixture.known_entry(0) = younger_server;
     fixture.start();
-    fixture.chunk("\n");
+    fixture.send_chunk("\n");
     Json unlisted = old_server;
     unlisted["state"] = "left";
     fixture.send_change(unlisted);
@@ -184,7 +184,7 @@
     WallClockFixture fixture;
     fixture.config["known"]["targets"] = Json::array({fixture.starting_server(60 * kSecond)});
     fixture.start();
-    fixture.chunk("\n");
+    fixture.send_chunk("\n");
     Json newer = fixture.starting_server(0, GetParam());
     newer["uid"] = "fresh";
     fixture.send_change(newer);
@@ -199,21 +199,21 @@
 TEST_P(WallClockStep, WhileServerDrainsChangesNeitherItsShareNorDeadlines) {
     WallClockFixture fixture;
     fixture.start();
-    const auto waiting = fixture.client();
+    const auto waiting = fixture.connect_client();
     const auto sent_at = std::chrono::steady_clock::now();
     waiting->send(SidecarFixture::request("unsafe", "1500m"));
     ASSERT_TRUE(fixture.until([&] { return fixture.requests_at_servers() == 1; }));
     // Its server never responds: respond_to_all() takes the request for one that has its response.
     for (FakeServer& server : fixture.servers) {
-        for (const auto& peer : server.peers) peer->answered = peer->requests();
+        for (const auto& peer : server.connections) peer->answered_request_count = peer->request_count();
     }
     FakeServer& draining = fixture.servers.front();
     fixture.send_change(SidecarFixture::target(0, draining.address(), "leaving"));
     fixture.clock_offset = GetParam();
-    const std::size_t requests_before = draining.requests();
+    const std::size_t requests_before = draining.request_count();
     fixture.share_of_starting_server(10);
-    EXPECT_EQ(draining.requests(), requests_before) << "a draining server gets nothing new";
-    ASSERT_TRUE(fixture.until([&] { return !waiting->got.empty(); }));
+    EXPECT_EQ(draining.request_count(), requests_before) << "a draining server gets nothing new";
+    ASSERT_TRUE(fixture.until([&] { return !waiting->received.empty(); }));
     EXPECT_EQ(status_of(*waiting), "HTTP/1.1 504");
     EXPECT_GE(std::chrono::steady_clock::now() - sent_at, std::chrono::milliseconds(1400));
 }
@@ -222,7 +222,7 @@
 TEST_P(WallClockStep, WhileSidecarDrainsLosesNoRequest) {
     WallClockFixture fixture;
     fixture.start();
-    const auto client = fixture.client();
+    const auto client = fixture.connect_client();
     client->send(SidecarFixture::request("unsafe"));
     ASSERT_TRUE(fixture.until([&] { return fixture.requests_at_servers() == 1; }));
     bool drained = false;
@@ -232,7 +232,7 @@
     EXPECT_FALSE(drained);
     fixture.respond_to_all();
     ASSERT_TRUE(fixture.until([&] { return drained; }));
-    EXPECT_NE(client->got.find("answer"), std::string::npos);
+    EXPECT_NE(client->received.find("answer"), std::string::npos);
 }
 
 INSTANTIATE_TEST_SUITE_P(By, WallClockStep, testing::Values(-kHour, -5 * kSecond, 5 * kSecond, kHour),
--- a/tests/net/client_disconnect_test.cpp
+++ b/tests/net/client_disconnect_test.cpp
@@ -32,11 +32,12 @@
     SidecarFixture fixture;
     fixture.start();
     FakeServer& server = fixture.servers.front();
-    const auto client = fixture.client();
+    const auto client = fixture.connect_client();
     client->send(SidecarFixture::request("unsafe"));
-    ASSERT_TRUE(fixture.until([&] { return server.requests() == 1; }));
+    ASSERT_TRUE(fixture.until([&] { return server.request_count() == 1; }));
     client->close();
-    ASSERT_TRUE(fixture.until([&] { return server.last().closed && fixture.sidecar->requests() == 0; }));
+    ASSERT_TRUE(
+        fixture.until([&] { return server.last_connection().closed && fixture.sidecar->requests() == 0; }));
 }
 
 // ---- While the connection to the server opens -------------------------------------------------------------
@@ -48,18 +49,18 @@
     fixture.start();
     FakeServer& server = fixture.servers.front();
     FullAcceptQueue accept_queue(server);
-    const auto client = fixture.client();
+    const auto client = fixture.connect_client();
     client->send(SidecarFixture::request("safe"));
     EXPECT_TRUE(fixture.until([&] { return fixture.sidecar->requests() == 1; }));
-    fixture.settle();
+    fixture.handle_pending_events();
     const tcp::socket filler = server.acceptor.accept();
     // There is room now: the kernel's second try, a second after the first, succeeds.
-    server.peers.push_back(std::make_shared<Peer>(server.acceptor.accept()));
-    server.peers.back()->read();
+    server.connections.push_back(std::make_shared<Peer>(server.acceptor.accept()));
+    server.connections.back()->read();
     leave(*client);
     EXPECT_TRUE(fixture.until([&] { return fixture.sidecar->requests() == 0; }));
-    fixture.settle();
-    EXPECT_EQ(server.requests(), 0U);
+    fixture.handle_pending_events();
+    EXPECT_EQ(server.request_count(), 0U);
 }
 
 TEST(ClientDisconnectDuringConnect, SendsNothingAfterClose) {
@@ -93,23 +94,23 @@
         // A request waits for a sixteenth of its latency objective.
         fixture.config["settings"]["classes"][1]["on-time-ms"] = 60000.0;
         fixture.start();
-        fixture.watch_begins();
+        fixture.begin_watch();
         FakeServer& server = fixture.servers.front();
-        const auto client = fixture.client();
+        const auto client = fixture.connect_client();
         client->send(SidecarFixture::request("unsafe"));
-        ASSERT_TRUE(fixture.until([&] { return server.requests() == 1; }));
-        fixture.chunk(fixture.line(fixture.targets("leaving"), false));
-        fixture.settle();
-        server.last().respond("503 Draining", "", "X-Unprocessed: 1\r\n");
-        ASSERT_TRUE(fixture.until([&] { return server.last().closed; }));
-        fixture.settle();
-        ASSERT_EQ(fixture.sidecar->requests(), 1U) << "not waiting: " << client->got;
-
-        fixture.chunk(fixture.line(fixture.targets(), false));
+        ASSERT_TRUE(fixture.until([&] { return server.request_count() == 1; }));
+        fixture.send_chunk(fixture.watch_line(fixture.targets("leaving"), false));
+        fixture.handle_pending_events();
+        server.last_connection().respond("503 Draining", "", "X-Unprocessed: 1\r\n");
+        ASSERT_TRUE(fixture.until([&] { return server.last_connection().closed; }));
+        fixture.handle_pending_events();
+        ASSERT_EQ(fixture.sidecar->requests(), 1U) << "not waiting: " << client->received;
+
+        fixture.send_chunk(fixture.watch_line(fixture.targets(), false));
         way.leave(*client);
         ASSERT_TRUE(fixture.until([&] { return fixture.sidecar->requests() == 0; }));
-        fixture.settle();
-        EXPECT_EQ(server.requests(), 1U);
+        fixture.handle_pending_events();
+        EXPECT_EQ(server.request_count(), 1U);
     }
 }
 
@@ -128,7 +129,7 @@
         fixture.config["settings"]["classes"][1]["on-time-ms"] = 60000.0;
         fixture.start();
         for (std::size_t i = 0; i < kClients; ++i) {
-            clients.push_back(fixture.client());
+            clients.push_back(fixture.connect_client());
             const std::string request = SidecarFixture::request("unsafe");
             const std::size_t begin = request.find("X-Correlation-Id: ");
             const std::size_t end = request.find("\r\n", begin) + 2;
@@ -137,21 +138,21 @@
         }
         EXPECT_TRUE(fixture.until([&] { return fixture.sidecar->requests() == kClients; }));
         run_ready_handlers(fixture.io);
-        requests_sent = server.requests();
+        requests_sent = server.request_count();
         EXPECT_GT(requests_sent, 0U);
         EXPECT_FALSE(last_request_arrived()) << "it waits";
     }
 
     bool last_request_arrived() const {
-        return std::any_of(server.peers.begin(), server.peers.end(), [&](const auto& peer) {
-            return peer->got.find(last_id_header) != std::string::npos;
+        return std::any_of(server.connections.begin(), server.connections.end(), [&](const auto& peer) {
+            return peer->received.find(last_id_header) != std::string::npos;
         });
     }
 
     bool another_request_written() const {
-        const bool unread_bytes = std::any_of(server.peers.begin(), server.peers.end(),
+        const bool unread_bytes = std::any_of(server.connections.begin(), server.connections.end(),
                                               [](const auto& peer) { return peer->socket.available() > 0; });
-        return server.requests() > requests_sent || unread_bytes;
+        return server.request_count() > requests_sent || unread_bytes;
     }
 };
 
@@ -162,15 +163,15 @@
         for (int steps = 0; !written; ++steps) {
             SCOPED_TRACE(std::string(way.name) + " after " + std::to_string(steps) + " steps");
             RequestWaitingForCapacity waiting;
-            waiting.server.peers.front()->respond("200 OK", "answer");
+            waiting.server.connections.front()->respond("200 OK", "answer");
             for (int step = 0; step < steps; ++step) waiting.fixture.io.poll_one();
             written = waiting.another_request_written();
             if (written) break;
             way.leave(*waiting.clients.back());
             ASSERT_TRUE(waiting.fixture.until([&] {
-                return waiting.server.requests() > waiting.requests_sent;
+                return waiting.server.request_count() > waiting.requests_sent;
             })) << "another request is sent in its place";
-            waiting.fixture.settle();
+            waiting.fixture.handle_pending_events();
             EXPECT_FALSE(waiting.last_request_arrived());
             ASSERT_LT(steps, 100) << "it is never written";
         }
@@ -183,14 +184,15 @@
         SCOPED_TRACE(way.name);
         SidecarFixture fixture;
         fixture.start();
-        const auto earlier_client = fixture.served_client();  // leaves an idle connection to the server
-        const auto client = fixture.client();
+        const auto earlier_client =
+            fixture.connect_served_client();  // leaves an idle connection to the server
+        const auto client = fixture.connect_client();
         client->send(SidecarFixture::request("unsafe"));
         way.leave(*client);
-        fixture.settle();
+        fixture.handle_pending_events();
         ASSERT_TRUE(fixture.until([&] { return fixture.sidecar->requests() == 0; }));
-        fixture.settle();
-        EXPECT_EQ(fixture.servers.front().requests(), 1U);
+        fixture.handle_pending_events();
+        EXPECT_EQ(fixture.servers.front().request_count(), 1U);
     }
 }
 
--- a/tests/net/connection_pool_test.cpp
+++ b/tests/net/connection_pool_test.cpp
@@ -16,26 +16,26 @@
     fixture.start();
     FakeServer& server = fixture.servers.front();
     for (const bool seen_by_loop : {true, false}) {
-        const std::size_t requests_before = server.requests();
-        const auto client = fixture.client();
+        const std::size_t requests_before = server.request_count();
+        const auto client = fixture.connect_client();
         client->send(SidecarFixture::request("unsafe"));
-        ASSERT_TRUE(fixture.until([&] { return server.requests() == requests_before + 1; }));
-        server.last().respond("200 OK", "mine");
-        ASSERT_TRUE(fixture.until([&] { return client->got.find("mine") != std::string::npos; }));
-        client->got.clear();
+        ASSERT_TRUE(fixture.until([&] { return server.request_count() == requests_before + 1; }));
+        server.last_connection().respond("200 OK", "mine");
+        ASSERT_TRUE(fixture.until([&] { return client->received.find("mine") != std::string::npos; }));
+        client->received.clear();
         if (seen_by_loop) {
-            server.last().respond("200 OK", "a late copy");
-            fixture.settle();
+            server.last_connection().respond("200 OK", "a late copy");
+            fixture.handle_pending_events();
             client->send(SidecarFixture::request("unsafe"));
         } else {
             // The loop handles the request first, and the copy in the same turn.
             client->send(SidecarFixture::request("unsafe"));
-            server.last().respond("200 OK", "a late copy");
+            server.last_connection().respond("200 OK", "a late copy");
         }
-        ASSERT_TRUE(fixture.until([&] { return server.requests() == requests_before + 2; }));
-        server.last().respond("200 OK", "the next");
-        ASSERT_TRUE(fixture.until([&] { return client->got.find("the next") != std::string::npos; }));
-        EXPECT_EQ(client->got.find("a late copy"), std::string::npos);
+        ASSERT_TRUE(fixture.until([&] { return server.request_count() == requests_before + 2; }));
+        server.last_connection().respond("200 OK", "the next");
+        ASSERT_TRUE(fixture.until([&] { return client->received.find("the next") != std::string::npos; }));
+        EXPECT_EQ(client->received.find("a late copy"), std::string::npos);
     }
 }
 
@@ -46,21 +46,21 @@
     fixture.start();
     FakeServer& server = fixture.servers.front();
     for (const bool seen_by_loop : {true, false}) {
-        const auto client = fixture.client();
-        const std::size_t requests_before = server.requests();
+        const auto client = fixture.connect_client();
+        const std::size_t requests_before = server.request_count();
         client->send(SidecarFixture::request("unsafe"));
-        ASSERT_TRUE(fixture.until([&] { return server.requests() == requests_before + 1; }));
-        server.last().respond("200 OK", "first");
-        ASSERT_TRUE(fixture.until([&] { return client->got.find("first") != std::string::npos; }));
-        server.peers.back()->close();
-        if (seen_by_loop) fixture.settle();
-        client->got.clear();
+        ASSERT_TRUE(fixture.until([&] { return server.request_count() == requests_before + 1; }));
+        server.last_connection().respond("200 OK", "first");
+        ASSERT_TRUE(fixture.until([&] { return client->received.find("first") != std::string::npos; }));
+        server.connections.back()->close();
+        if (seen_by_loop) fixture.handle_pending_events();
+        client->received.clear();
         client->send(SidecarFixture::request("unsafe"));
-        ASSERT_TRUE(fixture.until([&] { return server.requests() == requests_before + 2; }));
-        server.last().respond("200 OK", "second");
-        ASSERT_TRUE(fixture.until([&] { return client->got.find("second") != std::string::npos; }));
-        server.peers.back()->close();
-        fixture.settle();
+        ASSERT_TRUE(fixture.until([&] { return server.request_count() == requests_before + 2; }));
+        server.last_connection().respond("200 OK", "second");
+        ASSERT_TRUE(fixture.until([&] { return client->received.find("second") != std::string::npos; }));
+        server.connections.back()->close();
+        fixture.handle_pending_events();
     }
 }
 
@@ -69,14 +69,14 @@
         SidecarFixture fixture;
         fixture.start();
         FakeServer& server = fixture.servers.front();
-        const auto client = fixture.served_client();
-        server.last().reset();
-        if (seen_by_loop) fixture.settle();
+        const auto client = fixture.connect_served_client();
+        server.last_connection().reset();
+        if (seen_by_loop) fixture.handle_pending_events();
         client->send(SidecarFixture::request("unsafe"));
-        ASSERT_TRUE(fixture.until([&] { return server.requests() == 2; }));
-        EXPECT_EQ(server.peers.size(), 2U);
-        server.last().respond("200 OK", "answer");
-        ASSERT_TRUE(fixture.until([&] { return client->got.find("answer") != std::string::npos; }));
+        ASSERT_TRUE(fixture.until([&] { return server.request_count() == 2; }));
+        EXPECT_EQ(server.connections.size(), 2U);
+        server.last_connection().respond("200 OK", "answer");
+        ASSERT_TRUE(fixture.until([&] { return client->received.find("answer") != std::string::npos; }));
         EXPECT_EQ(status_of(*client), "HTTP/1.1 200");
     }
 }
@@ -88,21 +88,21 @@
         SidecarFixture fixture;
         fixture.start();
         FakeServer& server = fixture.servers.front();
-        const auto client = fixture.served_client();
+        const auto client = fixture.connect_served_client();
         client->send(SidecarFixture::request(idempotent ? "safe" : "unsafe"));
-        ASSERT_TRUE(fixture.until([&] { return server.requests() == 2; }));
-        ASSERT_EQ(server.peers.size(), 1U) << "the connection was reused";
-        server.last().reset();
+        ASSERT_TRUE(fixture.until([&] { return server.request_count() == 2; }));
+        ASSERT_EQ(server.connections.size(), 1U) << "the connection was reused";
+        server.last_connection().reset();
         if (idempotent) {
-            ASSERT_TRUE(fixture.until([&] { return server.requests() == 3; }));
-            server.last().respond("200 OK", "again");
-            ASSERT_TRUE(fixture.until([&] { return client->got.find("again") != std::string::npos; }));
+            ASSERT_TRUE(fixture.until([&] { return server.request_count() == 3; }));
+            server.last_connection().respond("200 OK", "again");
+            ASSERT_TRUE(fixture.until([&] { return client->received.find("again") != std::string::npos; }));
             continue;
         }
-        ASSERT_TRUE(fixture.until([&] { return client->got.size() > 12; }));
+        ASSERT_TRUE(fixture.until([&] { return client->received.size() > 12; }));
         EXPECT_EQ(status_of(*client), "HTTP/1.1 502");
-        fixture.settle();
-        EXPECT_EQ(server.requests(), 2U);
+        fixture.handle_pending_events();
+        EXPECT_EQ(server.request_count(), 2U);
     }
 }
 
@@ -112,12 +112,12 @@
     fixture.config["settings"]["limits"]["idle-close-ms"] = 500.0;
     fixture.start();
     FakeServer& server = fixture.servers.front();
-    const auto client = fixture.client();
+    const auto client = fixture.connect_client();
     client->send(SidecarFixture::request("safe"));
-    ASSERT_TRUE(fixture.until([&] { return server.requests() == 1; }));
-    server.last().respond("200 OK", "answer");
-    ASSERT_TRUE(fixture.until([&] { return server.last().closed; }));
-    EXPECT_NE(client->got.find("answer"), std::string::npos);
+    ASSERT_TRUE(fixture.until([&] { return server.request_count() == 1; }));
+    server.last_connection().respond("200 OK", "answer");
+    ASSERT_TRUE(fixture.until([&] { return server.last_connection().closed; }));
+    EXPECT_NE(client->received.find("answer"), std::string::npos);
     EXPECT_FALSE(client->closed);
 }
 
--- a/tests/net/discovery_test.cpp
+++ b/tests/net/discovery_test.cpp
@@ -23,19 +23,20 @@
 TEST(Discovery, KeepsOldListAndFetchesWholeListAfterInvalidData) {
     SidecarFixture fixture;
     fixture.start();
-    EXPECT_NE(fixture.discovery.last().got.find("GET /discovery/hosts?stream=1&index=1 "), std::string::npos);
-    fixture.watch_begins();
-    fixture.chunk("{\"rev\":2,\"all\":true,\"targets\":[{\n");
-    ASSERT_TRUE(fixture.until([&] { return fixture.discovery.requests() == 2; }));
-    EXPECT_NE(fixture.discovery.last().got.find("GET /discovery/hosts "), std::string::npos)
+    EXPECT_NE(fixture.discovery.last_connection().received.find("GET /discovery/hosts?stream=1&index=1 "),
+              std::string::npos);
+    fixture.begin_watch();
+    fixture.send_chunk("{\"rev\":2,\"all\":true,\"targets\":[{\n");
+    ASSERT_TRUE(fixture.until([&] { return fixture.discovery.request_count() == 2; }));
+    EXPECT_NE(fixture.discovery.last_connection().received.find("GET /discovery/hosts "), std::string::npos)
         << "the whole list";
-    fixture.discovery.last().respond("200 OK", fixture.line(fixture.targets(), true));
-    ASSERT_TRUE(fixture.until([&] { return fixture.discovery.requests() == 3; }));
-    EXPECT_NE(fixture.discovery.last().got.find("stream=1&index=2 "), std::string::npos)
+    fixture.discovery.last_connection().respond("200 OK", fixture.watch_line(fixture.targets(), true));
+    ASSERT_TRUE(fixture.until([&] { return fixture.discovery.request_count() == 3; }));
+    EXPECT_NE(fixture.discovery.last_connection().received.find("stream=1&index=2 "), std::string::npos)
         << "watches from that version on";
-    const auto client = fixture.client();
+    const auto client = fixture.connect_client();
     client->send(SidecarFixture::request("safe"));
-    ASSERT_TRUE(fixture.until([&] { return fixture.servers.front().requests() == 1; }))
+    ASSERT_TRUE(fixture.until([&] { return fixture.servers.front().request_count() == 1; }))
         << "the list is in force";
 }
 
@@ -47,23 +48,23 @@
         {"cold-from", 0.2}, {"warm-within-ms", 600000.0}, {"fall-multiple", 2.5}};
     fixture.start();
     FakeServer& server = fixture.servers.front();
-    const auto client = fixture.client();
+    const auto client = fixture.connect_client();
     client->send(SidecarFixture::request("safe"));
-    ASSERT_TRUE(fixture.until([&] { return server.requests() == 1; }));
-    server.last().respond("200 OK", "answer");
-    ASSERT_TRUE(fixture.until([&] { return client->got.find("answer") != std::string::npos; }));
+    ASSERT_TRUE(fixture.until([&] { return server.request_count() == 1; }));
+    server.last_connection().respond("200 OK", "answer");
+    ASSERT_TRUE(fixture.until([&] { return client->received.find("answer") != std::string::npos; }));
 
-    fixture.watch_begins();
+    fixture.begin_watch();
     Json new_server = SidecarFixture::target(1, server.address());
     new_server["boot_ms"] = std::floor(Clock().now());
-    fixture.chunk(fixture.line(Json::array({new_server}), false));
-    ASSERT_TRUE(fixture.until([&] { return server.last().closed; }))
+    fixture.send_chunk(fixture.watch_line(Json::array({new_server}), false));
+    ASSERT_TRUE(fixture.until([&] { return server.last_connection().closed; }))
         << "connections to the old server are closed";
-    client->got.clear();
+    client->received.clear();
     client->send(SidecarFixture::request("safe", "1000m"));
-    ASSERT_TRUE(fixture.until([&] { return client->got.size() > 12; }));
+    ASSERT_TRUE(fixture.until([&] { return client->received.size() > 12; }));
     EXPECT_EQ(status_of(*client), "HTTP/1.1 503") << "a server that has just started gets next to nothing";
-    EXPECT_EQ(server.requests(), 1U);
+    EXPECT_EQ(server.request_count(), 1U);
 }
 
 // Both servers are idle and have no response yet, so the first candidate that is drawn gets each request.
@@ -77,13 +78,13 @@
     const FakeServer& small = fixture.servers.front();
     const FakeServer& large = fixture.servers.back();
     for (std::size_t sent = 1; sent <= 20; ++sent) {
-        const auto client = fixture.client();
+        const auto client = fixture.connect_client();
         client->send(SidecarFixture::request("safe"));
-        ASSERT_TRUE(fixture.until([&] { return small.requests() + large.requests() == sent; }));
+        ASSERT_TRUE(fixture.until([&] { return small.request_count() + large.request_count() == sent; }));
         client->socket.close();
         ASSERT_TRUE(fixture.until([&] { return fixture.sidecar->requests() == 0; }));
     }
-    EXPECT_EQ(small.requests(), 0U) << "drawn with equal probability it would be half of them";
+    EXPECT_EQ(small.request_count(), 0U) << "drawn with equal probability it would be half of them";
 }
 
 // The large server may have 64 times as many requests in flight. The small one gets only the request that
@@ -97,11 +98,11 @@
     const FakeServer& large = fixture.servers.back();
     std::vector<std::shared_ptr<Peer>> clients;
     for (std::size_t sent = 1; sent <= 20; ++sent) {
-        clients.push_back(fixture.client());
+        clients.push_back(fixture.connect_client());
         clients.back()->send(SidecarFixture::request("safe"));
-        ASSERT_TRUE(fixture.until([&] { return small.requests() + large.requests() == sent; }));
+        ASSERT_TRUE(fixture.until([&] { return small.request_count() + large.request_count() == sent; }));
     }
-    EXPECT_EQ(small.requests(), 1U) << "by count alone it would be half of them";
+    EXPECT_EQ(small.request_count(), 1U) << "by count alone it would be half of them";
 }
 
 TEST(Discovery, ClampsCapacityHintAndTakesNonsenseForOne) {
@@ -115,14 +116,15 @@
 TEST(Discovery, FollowsServerToItsNewAddress) {
     SidecarFixture fixture;
     fixture.start();
-    fixture.watch_begins();
+    fixture.begin_watch();
     FakeServer moved(fixture.io);
-    fixture.chunk(fixture.line(Json::array({SidecarFixture::target(0, moved.address())}), false));
-    fixture.settle();
-    const auto client = fixture.client();
+    fixture.send_chunk(fixture.watch_line(Json::array({SidecarFixture::target(0, moved.address())}), false));
+    fixture.handle_pending_events();
+    const auto client = fixture.connect_client();
     client->send(SidecarFixture::request("unsafe"));
-    ASSERT_TRUE(fixture.until([&] { return moved.requests() + fixture.servers.front().requests() == 1; }));
-    EXPECT_EQ(moved.requests(), 1U);
+    ASSERT_TRUE(
+        fixture.until([&] { return moved.request_count() + fixture.servers.front().request_count() == 1; }));
+    EXPECT_EQ(moved.request_count(), 1U);
 }
 
 // A draining server finishes what it has and gets nothing new.
@@ -130,22 +132,22 @@
     SidecarFixture fixture;
     fixture.start();
     FakeServer& server = fixture.servers.front();
-    const auto client = fixture.client();
+    const auto client = fixture.connect_client();
     client->send(SidecarFixture::request("safe"));
-    ASSERT_TRUE(fixture.until([&] { return server.requests() == 1; }));
-    const auto connection = server.peers.back();
-    fixture.watch_begins();
-    fixture.chunk(fixture.line(fixture.targets("leaving"), false));
-    fixture.settle();
+    ASSERT_TRUE(fixture.until([&] { return server.request_count() == 1; }));
+    const auto connection = server.connections.back();
+    fixture.begin_watch();
+    fixture.send_chunk(fixture.watch_line(fixture.targets("leaving"), false));
+    fixture.handle_pending_events();
     connection->respond("200 OK", "finished");
-    ASSERT_TRUE(fixture.until([&] { return client->got.find("finished") != std::string::npos; }));
+    ASSERT_TRUE(fixture.until([&] { return client->received.find("finished") != std::string::npos; }));
     ASSERT_TRUE(fixture.until([&] { return connection->closed; })) << "no connection to it is kept idle";
-    client->got.clear();
+    client->received.clear();
     client->send(SidecarFixture::request("safe", "1000m"));
-    ASSERT_TRUE(fixture.until([&] { return client->got.size() > 12; }));
+    ASSERT_TRUE(fixture.until([&] { return client->received.size() > 12; }));
     EXPECT_EQ(status_of(*client), "HTTP/1.1 503") << "rejected, as there is no other server";
-    EXPECT_NE(client->got.find("Retry-After: "), std::string::npos) << "and told when to come back";
-    EXPECT_EQ(server.requests(), 1U);
+    EXPECT_NE(client->received.find("Retry-After: "), std::string::npos) << "and told when to come back";
+    EXPECT_EQ(server.request_count(), 1U);
 }
 
 // ---- Watches that fall silent -----------------------------------------------------------------------------
@@ -156,8 +158,8 @@
     asio::steady_timer timer(fixture.io, limit);
     timer.async_wait([&](boost::system::error_code error) { late = !error; });
     for (std::size_t i = 1; i <= 9; ++i) {
-        fixture.discovery.last().respond("503 Down");
-        ASSERT_TRUE(fixture.until([&] { return fixture.discovery.requests() == i + 1; }));
+        fixture.discovery.last_connection().respond("503 Down");
+        ASSERT_TRUE(fixture.until([&] { return fixture.discovery.request_count() == i + 1; }));
     }
     EXPECT_FALSE(late);
 }
@@ -165,20 +167,20 @@
 TEST(DiscoveryWatch, ReopensSilentWatchBeforeMissedChangesCount) {
     SidecarFixture fixture;
     fixture.start();
-    fixture.watch_begins();
-    fixture.chunk("\n");
-    fixture.settle();
+    fixture.begin_watch();
+    fixture.send_chunk("\n");
+    fixture.handle_pending_events();
     bool changes_count = false;
     asio::steady_timer timer(fixture.io, kChangesCountAsKnown);
     timer.async_wait([&](boost::system::error_code error) { changes_count = !error; });
-    ASSERT_TRUE(fixture.until([&] { return fixture.discovery.requests() == 2; }));
-    fixture.watch_begins();
-    fixture.chunk(fixture.line(fixture.targets("leaving"), false));
-    fixture.settle();
+    ASSERT_TRUE(fixture.until([&] { return fixture.discovery.request_count() == 2; }));
+    fixture.begin_watch();
+    fixture.send_chunk(fixture.watch_line(fixture.targets("leaving"), false));
+    fixture.handle_pending_events();
     EXPECT_FALSE(changes_count);
-    const auto client = fixture.client();
+    const auto client = fixture.connect_client();
     client->send(SidecarFixture::request("safe", "1000m"));
-    ASSERT_TRUE(fixture.until([&] { return client->got.size() > 12; }));
+    ASSERT_TRUE(fixture.until([&] { return client->received.size() > 12; }));
     EXPECT_EQ(status_of(*client), "HTTP/1.1 503") << "the drain is known";
 }
 
@@ -187,13 +189,13 @@
 TEST(DiscoveryWatch, AppliesListAsSoonAsSilentAgentReturns) {
     SidecarFixture fixture;
     fixture.start();
-    ASSERT_TRUE(fixture.until([&] { return fixture.discovery.requests() == 4; })) << "it retries";
-    fixture.watch_begins();
-    fixture.chunk(fixture.line(fixture.targets("leaving"), false));
-    const auto client = fixture.client();
-    fixture.settle();
+    ASSERT_TRUE(fixture.until([&] { return fixture.discovery.request_count() == 4; })) << "it retries";
+    fixture.begin_watch();
+    fixture.send_chunk(fixture.watch_line(fixture.targets("leaving"), false));
+    const auto client = fixture.connect_client();
+    fixture.handle_pending_events();
     client->send(SidecarFixture::request("safe", "1000m"));
-    ASSERT_TRUE(fixture.until([&] { return client->got.size() > 12; }));
+    ASSERT_TRUE(fixture.until([&] { return client->received.size() > 12; }));
     EXPECT_EQ(status_of(*client), "HTTP/1.1 503") << "the drain is known";
 }
 
@@ -210,18 +212,18 @@
 TEST(DiscoveryWatch, AppliesUnreadListBeforeSwitchingAddress) {
     SidecarFixture fixture;
     fixture.start();
-    fixture.watch_begins();
-    fixture.chunk("\n");
-    fixture.settle();
+    fixture.begin_watch();
+    fixture.send_chunk("\n");
+    fixture.handle_pending_events();
     FakeServer moved(fixture.io);  // sends nothing
-    fixture.chunk(fixture.line(fixture.targets("leaving"), false));
+    fixture.send_chunk(fixture.watch_line(fixture.targets("leaving"), false));
     fixture.config["discovery"] = moved.address();
     fixture.reload();
-    const auto client = fixture.client();
+    const auto client = fixture.connect_client();
     client->send(SidecarFixture::request("safe", "1000m"));
-    ASSERT_TRUE(
-        fixture.until([&] { return client->got.size() > 12 || fixture.servers.front().requests() > 0; }));
-    EXPECT_EQ(fixture.servers.front().requests(), 0U);
+    ASSERT_TRUE(fixture.until(
+        [&] { return client->received.size() > 12 || fixture.servers.front().request_count() > 0; }));
+    EXPECT_EQ(fixture.servers.front().request_count(), 0U);
     EXPECT_EQ(status_of(*client), "HTTP/1.1 503");
 }
 
@@ -244,16 +246,16 @@
     void answer_with_drain() {
         constexpr std::chrono::milliseconds kTurn{1000};
         run_for(kTurn);
-        watch_begins();
-        chunk(line(targets("leaving"), false));
-        settle();
+        begin_watch();
+        send_chunk(watch_line(targets("leaving"), false));
+        handle_pending_events();
     }
 
     bool drain_is_known() {
-        const auto probe = client();
+        const auto probe = connect_client();
         probe->send(request("safe", "1000m"));
-        return until([&] { return probe->got.size() > 12; }) && status_of(*probe) == "HTTP/1.1 503" &&
-               servers.front().requests() == 0;
+        return until([&] { return probe->received.size() > 12; }) && status_of(*probe) == "HTTP/1.1 503" &&
+               servers.front().request_count() == 0;
     }
 
 private:
@@ -263,13 +265,13 @@
 TEST(DiscoveryPoll, ReopensSilentWatchInTimeThoughFirstCallIsRejected) {
     PolledDiscoveryFixture fixture;
     fixture.start();
-    fixture.watch_begins();
-    fixture.chunk("\n");
-    fixture.settle();
+    fixture.begin_watch();
+    fixture.send_chunk("\n");
+    fixture.handle_pending_events();
     fixture.fall_silent();
-    ASSERT_TRUE(fixture.until([&] { return fixture.discovery.requests() == 2; }));
-    fixture.discovery.last().respond("503 Busy");
-    ASSERT_TRUE(fixture.until([&] { return fixture.discovery.requests() == 3; }));
+    ASSERT_TRUE(fixture.until([&] { return fixture.discovery.request_count() == 2; }));
+    fixture.discovery.last_connection().respond("503 Busy");
+    ASSERT_TRUE(fixture.until([&] { return fixture.discovery.request_count() == 3; }));
     fixture.answer_with_drain();
     EXPECT_FALSE(fixture.changes_count);
     EXPECT_TRUE(fixture.drain_is_known());
@@ -279,7 +281,7 @@
     PolledDiscoveryFixture fixture;
     fixture.start();
     fixture.fall_silent();
-    ASSERT_TRUE(fixture.until([&] { return fixture.discovery.requests() == 2; }));
+    ASSERT_TRUE(fixture.until([&] { return fixture.discovery.request_count() == 2; }));
     fixture.answer_with_drain();
     EXPECT_FALSE(fixture.changes_count);
     EXPECT_TRUE(fixture.drain_is_known());
@@ -297,11 +299,12 @@
     PolledDiscoveryFixture fixture;
     fixture.config["known"]["rev"] = 0;
     fixture.start();
-    EXPECT_NE(fixture.discovery.last().got.find("stream=1&index=0 "), std::string::npos);
+    EXPECT_NE(fixture.discovery.last_connection().received.find("stream=1&index=0 "), std::string::npos);
     PolledDiscoveryFixture without_list;
     without_list.config.erase("known");
     without_list.start();
-    EXPECT_NE(without_list.discovery.last().got.find("GET /discovery/hosts "), std::string::npos)
+    EXPECT_NE(without_list.discovery.last_connection().received.find("GET /discovery/hosts "),
+              std::string::npos)
         << "the whole list";
 }
 
--- a/tests/net/listener_test.cpp
+++ b/tests/net/listener_test.cpp
@@ -26,9 +26,9 @@
 TEST(ClientTimeout, Responds408ToSilentClientsAndIncompleteRequests) {
     SidecarFixture fixture;
     fixture.start();
-    const auto silent = fixture.client();
-    const auto half_head = fixture.client();
-    const auto half_body = fixture.client();
+    const auto silent = fixture.connect_client();
+    const auto half_head = fixture.connect_client();
+    const auto half_body = fixture.connect_client();
     half_head->send("GET /api HTTP/1.1\r\nHost: h\r\nX-Slow: ");
     half_body->send(raw_request(
         "POST", "X-Correlation-Id: 1\r\n" + kNonIdempotentHeaders + "Content-Length: 400\r\n", "half"));
@@ -36,7 +36,7 @@
         ASSERT_TRUE(fixture.until([&] { return client->closed; }));
         EXPECT_EQ(status_of(*client), "HTTP/1.1 408");
     }
-    EXPECT_EQ(fixture.servers.front().requests(), 0U);
+    EXPECT_EQ(fixture.servers.front().request_count(), 0U);
 }
 
 // Some clients send one request and never close their connection.
@@ -44,13 +44,14 @@
     SidecarFixture fixture;
     fixture.start();
     FakeServer& server = fixture.servers.front();
-    const auto client = fixture.client();
+    const auto client = fixture.connect_client();
     client->send(SidecarFixture::request("safe"));
-    ASSERT_TRUE(fixture.until([&] { return server.requests() == 1; }));
-    server.last().respond("200 OK", "answer");
+    ASSERT_TRUE(fixture.until([&] { return server.request_count() == 1; }));
+    server.last_connection().respond("200 OK", "answer");
     ASSERT_TRUE(fixture.until([&] { return client->closed; }));
-    EXPECT_NE(client->got.find("answer"), std::string::npos);
-    EXPECT_EQ(client->got.find("HTTP/1.1", 1), std::string::npos) << "no second response before the close";
+    EXPECT_NE(client->received.find("answer"), std::string::npos);
+    EXPECT_EQ(client->received.find("HTTP/1.1", 1), std::string::npos)
+        << "no second response before the close";
 }
 
 // The promise of an error within 3 s holds also on a connection that has been used before: by requests that
@@ -61,11 +62,11 @@
     const std::string request = SidecarFixture::request("unsafe");
     std::vector<std::shared_ptr<Peer>> clients;
     clients.reserve(4);
-    for (int i = 0; i < 3; ++i) clients.push_back(fixture.served_client());
-    const auto rejected = fixture.client();
+    for (int i = 0; i < 3; ++i) clients.push_back(fixture.connect_served_client());
+    const auto rejected = fixture.connect_client();
     rejected->send("GET /elsewhere HTTP/1.1\r\nHost: h\r\n\r\n");
-    ASSERT_TRUE(fixture.until([&] { return rejected->got.size() > 12; }));
-    rejected->got.clear();
+    ASSERT_TRUE(fixture.until([&] { return rejected->received.size() > 12; }));
+    rejected->received.clear();
     clients.push_back(rejected);
 
     const std::vector<std::size_t> sizes_sent{1, 60, request.size() - 2, 40};
@@ -75,10 +76,10 @@
     limit.async_wait([&late](boost::system::error_code error) { late = !error; });
     ASSERT_TRUE(fixture.until([&] {
         return std::all_of(clients.begin(), clients.end(),
-                           [](const auto& client) { return client->closed || client->got.size() > 12; });
+                           [](const auto& client) { return client->closed || client->received.size() > 12; });
     }));
     EXPECT_FALSE(late);
-    EXPECT_EQ(fixture.servers.front().requests(), 3U);
+    EXPECT_EQ(fixture.servers.front().request_count(), 3U);
 }
 
 // Nobody is owed a response half a second after the longest deadline of the settings. A client that has not
@@ -89,14 +90,14 @@
     fixture.config["limits"]["memory_mb"] = 64;
     fixture.start();
     FakeServer& server = fixture.servers.front();
-    const auto client = fixture.slow_client();
+    const auto client = fixture.connect_slow_client();
     client->send(SidecarFixture::request("safe"));
-    ASSERT_TRUE(fixture.until([&] { return server.requests() == 1; }));
+    ASSERT_TRUE(fixture.until([&] { return server.request_count() == 1; }));
     const std::string body(400000, 'a');
     bool late = false;  // 3 s, the limit that once held whatever the deadlines, would be late
     asio::steady_timer limit(fixture.io, milliseconds(2500));
     limit.async_wait([&](boost::system::error_code error) { late = !error; });
-    server.last().respond("200 OK", body);
+    server.last_connection().respond("200 OK", body);
     ASSERT_TRUE(fixture.until([&] { return client->socket.available() > 0; }));
     ASSERT_TRUE(fixture.until([&] { return fixture.sidecar->status()["sockets"]["clients"] == 1; }))
         << "only the socket for the next client is left";
@@ -105,8 +106,8 @@
     client->read();
     ASSERT_TRUE(fixture.until([&] { return client->closed; }));
     EXPECT_EQ(status_of(*client), "HTTP/1.1 200");
-    EXPECT_NE(client->got.find("Content-Length: 400000"), std::string::npos);
-    EXPECT_LT(client->got.size(), body.size()) << "shorter than its length tells";
+    EXPECT_NE(client->received.find("Content-Length: 400000"), std::string::npos);
+    EXPECT_LT(client->received.size(), body.size()) << "shorter than its length tells";
 }
 
 // ---- Requests that come as a limit expires ----------------------------------------------------------------
@@ -134,13 +135,13 @@
 TEST(IdleTimeout, ServesRequestThatComesAsTimeoutExpires) {
     SidecarFixture fixture;
     fixture.start();
-    const auto client = fixture.served_client();
+    const auto client = fixture.connect_served_client();
     run_as_timer_expires(fixture, kIdleTimeout, [&] { client->send(SidecarFixture::request("safe")); });
     ASSERT_TRUE(fixture.until([&] {
         fixture.servers.front().respond_to_all();
-        return client->closed || client->got.find("answer") != std::string::npos;
+        return client->closed || client->received.find("answer") != std::string::npos;
     }));
-    EXPECT_EQ(status_of(*client), "HTTP/1.1 200") << client->got;
+    EXPECT_EQ(status_of(*client), "HTTP/1.1 200") << client->received;
 }
 
 // Half a request is there as the idle timeout expires, and the rest never comes. A close without a response
@@ -148,12 +149,12 @@
 TEST(IdleTimeout, Responds408ToHalfRequestThatComesAsTimeoutExpires) {
     SidecarFixture fixture;
     fixture.start();
-    const auto client = fixture.served_client();
+    const auto client = fixture.connect_served_client();
     const std::string request = SidecarFixture::request("safe");
     run_as_timer_expires(fixture, kIdleTimeout, [&] { client->send(request.substr(0, 30)); });
     ASSERT_TRUE(fixture.until([&] { return client->closed; }));
     EXPECT_EQ(client->close_error, asio::error::eof) << client->close_error.message();
-    EXPECT_EQ(status_of(*client), "HTTP/1.1 408") << client->got;
+    EXPECT_EQ(status_of(*client), "HTTP/1.1 408") << client->received;
 }
 
 // The rest of the request comes ahead of the request timeout's handler: the request is whole on an open
@@ -161,17 +162,18 @@
 TEST(IdleTimeout, AnswersRequestThatIsCompletedAsRequestTimeoutExpires) {
     SidecarFixture fixture;
     fixture.start();
-    const auto client = fixture.served_client();
+    const auto client = fixture.connect_served_client();
     const std::string request = SidecarFixture::request("safe");
     run_as_timer_expires(fixture, kIdleTimeout, [&] { client->send(request.substr(0, 30)); });
-    fixture.settle();
+    fixture.handle_pending_events();
     run_as_timer_expires(fixture, kRequestTimeout, [&] { client->send(request.substr(30)); });
     ASSERT_TRUE(fixture.until([&] {
         fixture.servers.front().respond_to_all();
         return client->closed;
     }));
     EXPECT_EQ(client->close_error, asio::error::eof) << client->close_error.message();
-    EXPECT_TRUE(status_of(*client) == "HTTP/1.1 200" || status_of(*client) == "HTTP/1.1 408") << client->got;
+    EXPECT_TRUE(status_of(*client) == "HTTP/1.1 200" || status_of(*client) == "HTTP/1.1 408")
+        << client->received;
 }
 
 // ---- Handlers that throw ----------------------------------------------------------------------------------
@@ -188,14 +190,15 @@
     std::unique_ptr<Listener> listener;
     Listener::Handlers handlers;
     handlers.validate = [](const RequestHead&) { return std::nullopt; };
-    handlers.on_request = [&](RequestId id, const HttpRequest&, ReceivedRequest) {
+    handlers.on_request = [&](RequestId id, const HttpRequest&, RequestArrivalInfo) {
         ++requests;
         if (requests == 1) throw std::runtime_error("no memory for its entry");
         listener->respond(id, HttpResponse(http::status::ok, 11));
     };
     handlers.on_client_disconnected = [&disconnects](RequestId) { ++disconnects; };
-    handlers.ready = [] { return true; };
-    listener = std::make_unique<Listener>(io, loopback(), budget, bytes, timers, clock, 3000, handlers);
+    handlers.is_ready = [] { return true; };
+    listener = std::make_unique<Listener>(io, ephemeral_loopback_endpoint(), budget, bytes, timers, clock,
+                                          3000, handlers);
     for (const char* expected : {"HTTP/1.1 500", "HTTP/1.1 200"}) {
         tcp::socket socket(io);
         socket.connect(listener->local_endpoint());
@@ -203,7 +206,7 @@
         client->read();
         client->send(SidecarFixture::request("safe"));
         const auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(5);
-        while (client->got.size() <= 12 && std::chrono::steady_clock::now() < limit) {
+        while (client->received.size() <= 12 && std::chrono::steady_clock::now() < limit) {
             try {
                 io.run_one_for(milliseconds(100));
             } catch (const std::exception&) {
--- a/tests/net/message_size_limit_test.cpp
+++ b/tests/net/message_size_limit_test.cpp
@@ -22,19 +22,21 @@
     fixture.config["limits"]["memory_mb"] = 64;
     fixture.start();
     FakeServer& server = fixture.servers.front();
-    const auto client = fixture.client();
+    const auto client = fixture.connect_client();
     client->send(request_with_body(200000));
-    ASSERT_TRUE(fixture.until(
-        [&] { return !server.peers.empty() && server.last().got.ends_with(std::string(200000, 'r')); }));
+    ASSERT_TRUE(fixture.until([&] {
+        return !server.connections.empty() &&
+               server.last_connection().received.ends_with(std::string(200000, 'r'));
+    }));
     const std::string body(400000, 'a');
-    server.last().respond("200 OK", body);
-    ASSERT_TRUE(fixture.until([&] { return client->got.size() > body.size(); }));
+    server.last_connection().respond("200 OK", body);
+    ASSERT_TRUE(fixture.until([&] { return client->received.size() > body.size(); }));
     EXPECT_EQ(status_of(*client), "HTTP/1.1 200");
-    EXPECT_TRUE(client->got.ends_with("\r\n\r\n" + body));
+    EXPECT_TRUE(client->received.ends_with("\r\n\r\n" + body));
 
-    const auto too_long = fixture.client();
+    const auto too_long = fixture.connect_client();
     too_long->send(request_with_body(300000).substr(0, 1000));
-    ASSERT_TRUE(fixture.until([&] { return too_long->got.size() > 12; }));
+    ASSERT_TRUE(fixture.until([&] { return too_long->received.size() > 12; }));
     EXPECT_EQ(status_of(*too_long), "HTTP/1.1 413");
 }
 
@@ -45,29 +47,32 @@
     fixture.config["limits"]["memory_mb"] = 1;
     fixture.start();
     FakeServer& server = fixture.servers.front();
-    const auto first = fixture.client();
-    const auto second = fixture.client();
+    const auto first = fixture.connect_client();
+    const auto second = fixture.connect_client();
     first->send(request_with_body(200000));
-    ASSERT_TRUE(fixture.until(
-        [&] { return !server.peers.empty() && server.last().got.ends_with(std::string(200000, 'r')); }));
+    ASSERT_TRUE(fixture.until([&] {
+        return !server.connections.empty() &&
+               server.last_connection().received.ends_with(std::string(200000, 'r'));
+    }));
     second->send(request_with_body(200000).substr(0, 1000));
-    ASSERT_TRUE(fixture.until([&] { return second->got.size() > 12; }));
+    ASSERT_TRUE(fixture.until([&] { return second->received.size() > 12; }));
     EXPECT_EQ(status_of(*second), "HTTP/1.1 413");
 
-    const auto usual = fixture.client();
+    const auto usual = fixture.connect_client();
     usual->send(request_with_body(60000));
-    ASSERT_TRUE(fixture.until([&] { return server.peers.size() == 2 && server.last().got.size() > 60000; }));
-    for (const auto& peer : server.peers) peer->respond("200 OK", "answer");
+    ASSERT_TRUE(fixture.until(
+        [&] { return server.connections.size() == 2 && server.last_connection().received.size() > 60000; }));
+    for (const auto& peer : server.connections) peer->respond("200 OK", "answer");
     for (const auto& client : {first, usual}) {
-        ASSERT_TRUE(fixture.until([&] { return client->got.find("answer") != std::string::npos; }));
+        ASSERT_TRUE(fixture.until([&] { return client->received.find("answer") != std::string::npos; }));
     }
     first->send(request_with_body(200000));
-    ASSERT_TRUE(fixture.until([&] { return server.requests() == 3; })) << "the budget is free again";
+    ASSERT_TRUE(fixture.until([&] { return server.request_count() == 3; })) << "the budget is free again";
 
     // Request and response together take more than the budget. Both connections get the response; only one of
     // them has a request in flight.
-    for (const auto& peer : server.peers) peer->respond("200 OK", std::string(100000, 'a'));
-    ASSERT_TRUE(fixture.until([&] { return first->got.find("502") != std::string::npos; }));
+    for (const auto& peer : server.connections) peer->respond("200 OK", std::string(100000, 'a'));
+    ASSERT_TRUE(fixture.until([&] { return first->received.find("502") != std::string::npos; }));
 }
 
 // The sidecar is destroyed before the event loop, whose handlers still hold connections with long messages.
@@ -84,13 +89,13 @@
     SidecarFixture fixture;
     fixture.start();
     FakeServer& server = fixture.servers.front();
-    const auto client = fixture.client();
-    const auto half_sent = fixture.client();
+    const auto client = fixture.connect_client();
+    const auto half_sent = fixture.connect_client();
     client->send(SidecarFixture::request("safe"));
     half_sent->send(request_with_body(200000).substr(0, 1000));
-    ASSERT_TRUE(fixture.until([&] { return server.requests() == 1; }));
-    server.last().send("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nhalf");
-    fixture.settle();
+    ASSERT_TRUE(fixture.until([&] { return server.request_count() == 1; }));
+    server.last_connection().send("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nhalf");
+    fixture.handle_pending_events();
     fixture.sidecar.reset();
 }
 
--- a/tests/net/request_validation_test.cpp
+++ b/tests/net/request_validation_test.cpp
@@ -23,12 +23,12 @@
          "HTTP/1.1 413"},
     };
     for (const auto& [request, status] : cases) {
-        const auto client = fixture.client();
+        const auto client = fixture.connect_client();
         client->send(request);
-        ASSERT_TRUE(fixture.until([&] { return client->got.size() > 12; })) << request;
+        ASSERT_TRUE(fixture.until([&] { return client->received.size() > 12; })) << request;
         EXPECT_EQ(status_of(*client), status) << request;
     }
-    EXPECT_EQ(fixture.servers.front().requests(), 0U);
+    EXPECT_EQ(fixture.servers.front().request_count(), 0U);
 }
 
 // A client that sends these is not the application that the settings describe. A guess at what it means could
@@ -58,13 +58,13 @@
     SidecarFixture fixture;
     fixture.start();
     for (const std::string& request : cases) {
-        const auto client = fixture.client();
+        const auto client = fixture.connect_client();
         client->send(request);
-        ASSERT_TRUE(fixture.until([&] { return client->got.size() > 12; })) << request;
+        ASSERT_TRUE(fixture.until([&] { return client->received.size() > 12; })) << request;
         EXPECT_EQ(status_of(*client).substr(0, 10), "HTTP/1.1 4") << request;
     }
     EXPECT_EQ(fixture.sidecar->requests(), 0U);
-    EXPECT_EQ(fixture.servers.front().requests(), 0U);
+    EXPECT_EQ(fixture.servers.front().request_count(), 0U);
 }
 
 // Guards against request smuggling: where two readers differ on where a body ends, one request can hide in
@@ -94,14 +94,14 @@
     for (const std::string& framing : framings) {
         SidecarFixture fixture;
         fixture.start();
-        const auto client = fixture.client();
+        const auto client = fixture.connect_client();
         std::string headers = "X-Correlation-Id: 1\r\n" + kNonIdempotentHeaders;
         headers += framing;
         client->send(raw_request("POST", headers, "0\r\n\r\n" + smuggled));
         ASSERT_TRUE(fixture.until([&] { return client->closed; })) << framing;
         EXPECT_EQ(status_of(*client).substr(0, 10), "HTTP/1.1 4") << framing;
-        EXPECT_EQ(client->got.find("HTTP/1.1", 1), std::string::npos) << "one response: " << framing;
-        EXPECT_EQ(fixture.servers.front().requests(), 0U) << framing;
+        EXPECT_EQ(client->received.find("HTTP/1.1", 1), std::string::npos) << "one response: " << framing;
+        EXPECT_EQ(fixture.servers.front().request_count(), 0U) << framing;
     }
 }
 
@@ -111,23 +111,23 @@
     SidecarFixture fixture;
     fixture.start();
     FakeServer& server = fixture.servers.front();
-    const auto first = fixture.client();
-    const auto second = fixture.client();
+    const auto first = fixture.connect_client();
+    const auto second = fixture.connect_client();
     const std::string request = SidecarFixture::request("safe");
     first->send(request);
-    ASSERT_TRUE(fixture.until([&] { return server.requests() == 1; }));
+    ASSERT_TRUE(fixture.until([&] { return server.request_count() == 1; }));
 
     second->send(request);
-    ASSERT_TRUE(fixture.until([&] { return second->got.size() > 12; }));
+    ASSERT_TRUE(fixture.until([&] { return second->received.size() > 12; }));
     EXPECT_EQ(status_of(*second), "HTTP/1.1 409");
 
-    server.last().respond("200 OK", "answer");
-    ASSERT_TRUE(fixture.until([&] { return first->got.find("answer") != std::string::npos; }));
-    const auto third = fixture.client();
+    server.last_connection().respond("200 OK", "answer");
+    ASSERT_TRUE(fixture.until([&] { return first->received.find("answer") != std::string::npos; }));
+    const auto third = fixture.connect_client();
     third->send(request);
-    ASSERT_TRUE(fixture.until([&] { return third->got.size() > 12; }));
+    ASSERT_TRUE(fixture.until([&] { return third->received.size() > 12; }));
     EXPECT_EQ(status_of(*third), "HTTP/1.1 409");
-    EXPECT_EQ(server.requests(), 1U);
+    EXPECT_EQ(server.request_count(), 1U);
 }
 
 // A pipelined request ends the connection, whether it comes together with the first or later.
@@ -135,20 +135,20 @@
     SidecarFixture fixture;
     fixture.start();
     FakeServer& server = fixture.servers.front();
-    const auto together = fixture.client();
+    const auto together = fixture.connect_client();
     together->send(SidecarFixture::request("safe") + SidecarFixture::request("safe"));
     ASSERT_TRUE(fixture.until([&] { return together->closed; }));
     EXPECT_EQ(status_of(*together), "HTTP/1.1 400");
-    EXPECT_EQ(server.requests(), 0U);
+    EXPECT_EQ(server.request_count(), 0U);
 
-    const auto later = fixture.client();
+    const auto later = fixture.connect_client();
     later->send(SidecarFixture::request("safe"));
-    ASSERT_TRUE(fixture.until([&] { return server.requests() == 1; }));
+    ASSERT_TRUE(fixture.until([&] { return server.request_count() == 1; }));
     later->send(SidecarFixture::request("safe"));
-    ASSERT_TRUE(fixture.until([&] { return later->closed && server.last().closed; }));
+    ASSERT_TRUE(fixture.until([&] { return later->closed && server.last_connection().closed; }));
     EXPECT_EQ(status_of(*later), "HTTP/1.1 400");
-    EXPECT_EQ(later->got.find("HTTP/1.1", 1), std::string::npos) << "one response";
-    EXPECT_EQ(server.requests(), 1U);
+    EXPECT_EQ(later->received.find("HTTP/1.1", 1), std::string::npos) << "one response";
+    EXPECT_EQ(server.request_count(), 1U);
 }
 
 TEST(RequestValidation, ParsesTimeLeftOnlyWithUnit) {
@@ -163,10 +163,10 @@
 TEST(RequestValidation, StopsReadingRejectedBody) {
     SidecarFixture fixture;
     fixture.start();
-    const auto client = fixture.client();
+    const auto client = fixture.connect_client();
     client->send(raw_request(
         "POST", "X-Correlation-Id: 1\r\n" + kNonIdempotentHeaders + "Content-Length: 60000000\r\n"));
-    ASSERT_TRUE(fixture.until([&] { return client->got.size() > 12; }));
+    ASSERT_TRUE(fixture.until([&] { return client->received.size() > 12; }));
     EXPECT_EQ(status_of(*client), "HTTP/1.1 413");
     const auto body = std::make_shared<const std::string>(60000000, 'x');
     bool ended = false;
--- a/tests/net/response_reader_test.cpp
+++ b/tests/net/response_reader_test.cpp
@@ -17,19 +17,19 @@
     SidecarFixture fixture;
     fixture.start();
     FakeServer& server = fixture.servers.front();
-    const auto client = fixture.client();
+    const auto client = fixture.connect_client();
     client->send(SidecarFixture::request("safe"));
-    ASSERT_TRUE(fixture.until([&] { return server.requests() == 1; }));
-    const auto first = server.peers.back();
+    ASSERT_TRUE(fixture.until([&] { return server.request_count() == 1; }));
+    const auto first = server.connections.back();
     first->send("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf");
-    fixture.settle();
-    EXPECT_EQ(client->got, "");
+    fixture.handle_pending_events();
+    EXPECT_EQ(client->received, "");
 
     first->close();
-    ASSERT_TRUE(fixture.until([&] { return server.requests() == 2; }));
-    server.last().respond("200 OK", "whole");
-    ASSERT_TRUE(fixture.until([&] { return client->got.find("whole") != std::string::npos; }));
-    EXPECT_EQ(client->got.find("half"), std::string::npos);
+    ASSERT_TRUE(fixture.until([&] { return server.request_count() == 2; }));
+    server.last_connection().respond("200 OK", "whole");
+    ASSERT_TRUE(fixture.until([&] { return client->received.find("whole") != std::string::npos; }));
+    EXPECT_EQ(client->received.find("half"), std::string::npos);
 }
 
 // Each of these is corrupt, or can't be told from one that is. The attempt fails at the first byte that shows
@@ -61,14 +61,15 @@
         SidecarFixture fixture;
         fixture.start();
         FakeServer& server = fixture.servers.front();
-        const auto client = fixture.client();
+        const auto client = fixture.connect_client();
         client->send(SidecarFixture::request("unsafe"));
-        ASSERT_TRUE(fixture.until([&] { return server.requests() == 1; }));
-        server.last().send(malformed);
-        ASSERT_TRUE(fixture.until([&] { return client->got.size() > 12; }));
+        ASSERT_TRUE(fixture.until([&] { return server.request_count() == 1; }));
+        server.last_connection().send(malformed);
+        ASSERT_TRUE(fixture.until([&] { return client->received.size() > 12; }));
         EXPECT_EQ(status_of(*client), "HTTP/1.1 502");
-        ASSERT_TRUE(fixture.until([&] { return server.last().closed; })) << "the connection is not reused";
-        EXPECT_EQ(client->got.find("body"), std::string::npos);
+        ASSERT_TRUE(fixture.until([&] { return server.last_connection().closed; }))
+            << "the connection is not reused";
+        EXPECT_EQ(client->received.find("body"), std::string::npos);
     }
 }
 
@@ -82,32 +83,32 @@
     SidecarFixture fixture;
     fixture.start();
     FakeServer& server = fixture.servers.front();
-    const auto client = fixture.client();
+    const auto client = fixture.connect_client();
     const auto expect_served = [&](const std::string& server_sends, const std::string& expected_body) {
-        client->got.clear();
-        const std::size_t requests_before = server.requests();
+        client->received.clear();
+        const std::size_t requests_before = server.request_count();
         client->send(SidecarFixture::request("unsafe"));
-        ASSERT_TRUE(fixture.until([&] { return server.requests() == requests_before + 1; }));
-        server.last().send(server_sends);
-        ASSERT_TRUE(
-            fixture.until([&] { return client->got.find("\r\n\r\n" + expected_body) != std::string::npos; }));
+        ASSERT_TRUE(fixture.until([&] { return server.request_count() == requests_before + 1; }));
+        server.last_connection().send(server_sends);
+        ASSERT_TRUE(fixture.until(
+            [&] { return client->received.find("\r\n\r\n" + expected_body) != std::string::npos; }));
         EXPECT_EQ(status_of(*client), "HTTP/1.1 200");
     };
     expect_served(
         "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + response("first"),
         "first");
-    EXPECT_EQ(server.peers.size(), 1U);
+    EXPECT_EQ(server.connections.size(), 1U);
     expect_served(response("second") + response("second"), "second");
     expect_served(response("third"), "third");
-    EXPECT_EQ(server.peers.size(), 2U) << "a connection with bytes left over takes no request";
+    EXPECT_EQ(server.connections.size(), 2U) << "a connection with bytes left over takes no request";
 
     std::string many_interim_responses;
     for (int i = 0; i < 20; ++i) many_interim_responses += "HTTP/1.1 102 Processing\r\n\r\n";
-    client->got.clear();
+    client->received.clear();
     client->send(SidecarFixture::request("unsafe"));
-    ASSERT_TRUE(fixture.until([&] { return server.requests() == 4; }));
-    server.last().send(many_interim_responses + response("fourth"));
-    ASSERT_TRUE(fixture.until([&] { return client->got.size() > 12; }));
+    ASSERT_TRUE(fixture.until([&] { return server.request_count() == 4; }));
+    server.last_connection().send(many_interim_responses + response("fourth"));
+    ASSERT_TRUE(fixture.until([&] { return client->received.size() > 12; }));
     EXPECT_EQ(status_of(*client), "HTTP/1.1 502") << "twenty interim responses are too many";
 }
 
@@ -121,29 +122,29 @@
         fixture_.config["limits"]["memory_mb"] = 64;
         fixture_.start();
         FakeServer& server = fixture_.servers.front();
-        client_ = fixture_.client();
+        client_ = fixture_.connect_client();
         client_->send(SidecarFixture::request("unsafe"));
-        EXPECT_TRUE(fixture_.until([&] { return server.requests() == 1; }));
+        EXPECT_TRUE(fixture_.until([&] { return server.request_count() == 1; }));
         constexpr std::size_t kPieceSize = 4096;
         for (std::size_t position = 0; position < response.size(); position += kPieceSize) {
-            server.last().send(response.substr(position, kPieceSize));
-            fixture_.settle();  // the sidecar has read this piece
+            server.last_connection().send(response.substr(position, kPieceSize));
+            fixture_.handle_pending_events();  // the sidecar has read this piece
         }
         if (end == ConnectionEnd::clean_close) {
             boost::system::error_code
                 ignored;  // the sidecar has closed it already if the response is too long
-            server.last().socket.shutdown(tcp::socket::shutdown_send, ignored);
+            server.last_connection().socket.shutdown(tcp::socket::shutdown_send, ignored);
         } else {
-            server.last().reset();
+            server.last_connection().reset();
         }
-        EXPECT_TRUE(fixture_.until([&] { return client_->got.find("\r\n\r\n") != std::string::npos; }));
-        fixture_.settle();
-        EXPECT_EQ(server.requests(), 1U) << "it may have run";
+        EXPECT_TRUE(fixture_.until([&] { return client_->received.find("\r\n\r\n") != std::string::npos; }));
+        fixture_.handle_pending_events();
+        EXPECT_EQ(server.request_count(), 1U) << "it may have run";
     }
 
     bool served(const std::string& body) {
         return status_of(*client_) == "HTTP/1.1 200" &&
-               fixture_.until([&] { return client_->got.ends_with("\r\n\r\n" + body); });
+               fixture_.until([&] { return client_->received.ends_with("\r\n\r\n" + body); });
     }
     bool failed() const { return status_of(*client_) == "HTTP/1.1 502"; }
 
--- a/tests/net/shutdown_test.cpp
+++ b/tests/net/shutdown_test.cpp
@@ -50,24 +50,24 @@
     SidecarFixture fixture;
     fixture.start();
     FakeServer& server = fixture.servers.front();
-    const auto early = fixture.client();
-    const auto idle = fixture.client();
+    const auto early = fixture.connect_client();
+    const auto idle = fixture.connect_client();
     early->send(SidecarFixture::request("unsafe"));
-    ASSERT_TRUE(fixture.until([&] { return server.requests() == 1; }));
+    ASSERT_TRUE(fixture.until([&] { return server.request_count() == 1; }));
     bool drained = false;
     fixture.sidecar->drain([&] { drained = true; });
 
-    const auto late = fixture.client();
+    const auto late = fixture.connect_client();
     late->send(SidecarFixture::request("unsafe"));
-    ASSERT_TRUE(fixture.until([&] { return server.requests() == 2; }));
+    ASSERT_TRUE(fixture.until([&] { return server.request_count() == 2; }));
     ASSERT_TRUE(fixture.until([&] { return idle->closed; }));
     EXPECT_FALSE(drained);
 
-    for (const auto& peer : server.peers) peer->respond("200 OK", "answer");
+    for (const auto& peer : server.connections) peer->respond("200 OK", "answer");
     for (const auto& client : {early, late}) {
         ASSERT_TRUE(fixture.until([&] { return client->closed; }));
-        EXPECT_NE(client->got.find("answer"), std::string::npos);
-        EXPECT_NE(client->got.find("Connection: close"), std::string::npos);
+        EXPECT_NE(client->received.find("answer"), std::string::npos);
+        EXPECT_NE(client->received.find("Connection: close"), std::string::npos);
     }
     EXPECT_TRUE(fixture.until([&] { return drained; }));
 }
@@ -78,7 +78,7 @@
 // which tells the client to send the request elsewhere. A reset would not.
 TEST(LingeringClose, DoesNotForwardRequestThatCrossesTheClose) {
     ShutdownFixture fixture;
-    const auto client = fixture.served_client();
+    const auto client = fixture.connect_served_client();
     fixture.drain();
     ASSERT_TRUE(fixture.until([&] { return client->closed; }));
     EXPECT_EQ(client->close_error, asio::error::eof);
@@ -88,7 +88,7 @@
     EXPECT_FALSE(error) << "not reset: " << error.message();
     client->close();
     ASSERT_TRUE(fixture.until([&] { return fixture.drained; }));
-    EXPECT_EQ(fixture.servers.front().requests(), 1U);
+    EXPECT_EQ(fixture.servers.front().request_count(), 1U);
 }
 
 // The last response reaches a client that has sent more behind its request, also when the sidecar no longer
@@ -100,22 +100,22 @@
     socket.connect(fixture.sidecar->local_endpoint());
     const auto client = std::make_shared<Peer>(std::move(socket));  // it does not read yet
     client->send(SidecarFixture::request("safe"));
-    ASSERT_TRUE(fixture.until([&] { return server.requests() == 1; }));
+    ASSERT_TRUE(fixture.until([&] { return server.request_count() == 1; }));
     fixture.drain();
-    const auto idle = fixture.client();
+    const auto idle = fixture.connect_client();
     ASSERT_TRUE(fixture.until([&] { return idle->closed; })) << "no longer accepting";
 
     const std::string body(400000, 'a');
-    server.last().respond("200 OK", body);
+    server.last_connection().respond("200 OK", body);
     ASSERT_TRUE(fixture.until([&] { return client->socket.available() > 0; })) << "it is being written";
     client->send(SidecarFixture::request("safe"));
     client->read();
     ASSERT_TRUE(fixture.until([&] { return client->closed; }));
     EXPECT_EQ(client->close_error, asio::error::eof);
-    EXPECT_TRUE(client->got.ends_with("\r\n\r\n" + body));
+    EXPECT_TRUE(client->received.ends_with("\r\n\r\n" + body));
     client->close();
     ASSERT_TRUE(fixture.until([&] { return fixture.drained; }));
-    EXPECT_EQ(server.requests(), 1U);
+    EXPECT_EQ(server.request_count(), 1U);
 }
 
 // ---- Clients that stay ------------------------------------------------------------------------------------
@@ -124,30 +124,30 @@
 TEST(Shutdown, DoesNotWaitForIncompleteRequests) {
     constexpr Millis kLongestDeadline = 1000;
     ShutdownFixture fixture(kLongestDeadline);
-    const auto kept = fixture.served_client();
-    const auto fresh = fixture.client();
+    const auto kept = fixture.connect_served_client();
+    const auto fresh = fixture.connect_client();
     const std::string request = SidecarFixture::request("safe");
     for (const auto& client : {kept, fresh}) client->send(request.substr(0, 40));
-    fixture.settle();
+    fixture.handle_pending_events();
     fixture.drain_or_be_killed(kLongestDeadline);
     ASSERT_TRUE(fixture.until([&] { return kept->closed && fresh->closed; }));
-    EXPECT_EQ(kept->got, "") << "the client sends the request once more elsewhere";
+    EXPECT_EQ(kept->received, "") << "the client sends the request once more elsewhere";
     EXPECT_EQ(status_of(*fresh), "HTTP/1.1 408");
     for (const auto& client : {kept, fresh}) client->close();
     ASSERT_TRUE(fixture.until([&] { return fixture.drained || fixture.killed; }));
     EXPECT_TRUE(fixture.drained);
-    EXPECT_EQ(fixture.servers.front().requests(), 1U);
+    EXPECT_EQ(fixture.servers.front().request_count(), 1U);
 }
 
 // A client whose request was rejected, one that never sent anything, and one that was served.
 TEST(Shutdown, DoesNotWaitForIdleClients) {
     constexpr Millis kLongestDeadline = 1000;
     ShutdownFixture fixture(kLongestDeadline);
-    const auto rejected = fixture.client();
-    const auto silent = fixture.client();
-    const auto kept = fixture.served_client();
+    const auto rejected = fixture.connect_client();
+    const auto silent = fixture.connect_client();
+    const auto kept = fixture.connect_served_client();
     rejected->send("GET /elsewhere HTTP/1.1\r\nHost: h\r\n\r\n");
-    ASSERT_TRUE(fixture.until([&] { return rejected->got.size() > 12; }));
+    ASSERT_TRUE(fixture.until([&] { return rejected->received.size() > 12; }));
     fixture.drain_or_be_killed(kLongestDeadline);
     for (const auto& client : {rejected, silent, kept}) {
         ASSERT_TRUE(fixture.until([&] { return client->closed; }));
@@ -166,7 +166,7 @@
 public:
     ClientsUnderLoad(SidecarFixture& fixture, std::size_t count)
         : fixture_(fixture), tick_timer_(fixture.io) {
-        for (std::size_t i = 0; i < count; ++i) add(fixture_.served_client());
+        for (std::size_t i = 0; i < count; ++i) add(fixture_.connect_served_client());
     }
 
     // Every client sends a request now, and then in turn every 10 ms until stop().
@@ -181,15 +181,15 @@
         for (const Client& client : clients_) client.peer->read_available();
     }
 
-    std::size_t responses() const {
+    std::size_t response_count() const {
         std::size_t count = 0;
-        for (const Client& client : clients_) count += client.peer->responses();
+        for (const Client& client : clients_) count += client.peer->response_count();
         return count;
     }
-    std::size_t requests_without_response() const { return requests() - responses(); }
+    std::size_t requests_without_response() const { return request_count() - response_count(); }
 
     void expect_at_most_one_response_each() const {
-        for (const Client& client : clients_) EXPECT_LE(client.peer->responses(), client.requests);
+        for (const Client& client : clients_) EXPECT_LE(client.peer->response_count(), client.requests);
     }
 
 private:
@@ -206,7 +206,7 @@
         client.peer->send(SidecarFixture::request(request_class, "1000m"));
     }
 
-    std::size_t requests() const {
+    std::size_t request_count() const {
         std::size_t count = 0;
         for (const Client& client : clients_) count += client.requests;
         return count;
@@ -220,10 +220,10 @@
     }
 
     void tick() {
-        if (clock_.now() < started_at_ + 400) add(fixture_.client());
+        if (clock_.now() < started_at_ + 400) add(fixture_.connect_client());
         for (std::size_t i = ticks_ % kTurns; i < clients_.size(); i += kTurns) {
             Client& client = clients_[i];
-            const bool idle = !client.peer->closed && client.requests == client.peer->responses();
+            const bool idle = !client.peer->closed && client.requests == client.peer->response_count();
             if (idle) send(client, i % 3 == 0 ? "safe" : "unsafe");
         }
         for (const Client& client : clients_) {
@@ -245,12 +245,12 @@
 std::set<std::string> correlation_ids_at(const FakeServer& server) {
     const std::string name = "X-Correlation-Id: ";
     std::set<std::string> ids;
-    for (const auto& peer : server.peers) {
-        std::size_t begin = peer->got.find(name);
+    for (const auto& peer : server.connections) {
+        std::size_t begin = peer->received.find(name);
         while (begin != std::string::npos) {
-            const std::size_t end = peer->got.find("\r\n", begin);
-            ids.insert(peer->got.substr(begin, end - begin));
-            begin = peer->got.find(name, begin + 1);
+            const std::size_t end = peer->received.find("\r\n", begin);
+            ids.insert(peer->received.substr(begin, end - begin));
+            begin = peer->received.find(name, begin + 1);
         }
     }
     return ids;
@@ -262,7 +262,7 @@
     constexpr Millis kLongestDeadline = 1000;
     ShutdownFixture fixture(kLongestDeadline);
     ClientsUnderLoad clients(fixture, 20);
-    const std::size_t served_before = fixture.servers.front().requests();
+    const std::size_t served_before = fixture.servers.front().request_count();
     fixture.drain_or_be_killed(kLongestDeadline);
     clients.start();
     ASSERT_TRUE(fixture.until([&] { return fixture.drained || fixture.killed; }));
@@ -270,7 +270,7 @@
     clients.expect_at_most_one_response_each();
     const std::size_t forwarded = correlation_ids_at(fixture.servers.front()).size();
     EXPECT_GT(forwarded, served_before) << "some requests come during the shutdown";
-    EXPECT_LE(forwarded - served_before, clients.responses())
+    EXPECT_LE(forwarded - served_before, clients.response_count())
         << clients.requests_without_response() << " crossed the close of their connections";
 }
 
@@ -281,21 +281,21 @@
     fixture.config["limits"]["memory_mb"] = 64;
     fixture.start();
     FakeServer& server = fixture.servers.front();
-    const auto client = fixture.slow_client();
+    const auto client = fixture.connect_slow_client();
     client->send(SidecarFixture::request("safe"));
-    ASSERT_TRUE(fixture.until([&] { return server.requests() == 1; }));
+    ASSERT_TRUE(fixture.until([&] { return server.request_count() == 1; }));
     const std::string body(400000, 'a');
-    server.last().respond("200 OK", body);
+    server.last_connection().respond("200 OK", body);
     ASSERT_TRUE(fixture.until([&] { return client->socket.available() > 0; })) << "it is being written";
     fixture.sidecar->drain([] {});
     fixture.run_for(milliseconds(static_cast<int>(GracefulShutdown::kRequestCutoff) + 50));
     client->send(SidecarFixture::request("unsafe"));
     client->read();
-    ASSERT_TRUE(fixture.until([&] { return client->closed || server.requests() == 2; }));
-    EXPECT_EQ(server.requests(), 1U);
-    const std::size_t second_response = client->got.find("HTTP/1.1 ", 10);
+    ASSERT_TRUE(fixture.until([&] { return client->closed || server.request_count() == 2; }));
+    EXPECT_EQ(server.request_count(), 1U);
+    const std::size_t second_response = client->received.find("HTTP/1.1 ", 10);
     ASSERT_NE(second_response, std::string::npos) << "no response to a request that was read";
-    EXPECT_EQ(client->got.substr(second_response, 12), "HTTP/1.1 503");
+    EXPECT_EQ(client->received.substr(second_response, 12), "HTTP/1.1 503");
     EXPECT_EQ(client->close_error, asio::error::eof);
 }
 
--- a/tests/net/socket_limit_test.cpp
+++ b/tests/net/socket_limit_test.cpp
@@ -25,11 +25,12 @@
     FakeServer& server = fixture.servers.front();
     std::vector<std::shared_ptr<Peer>> clients;
     for (std::size_t i = 1; i <= 40; ++i) {
-        clients.push_back(fixture.client());
+        clients.push_back(fixture.connect_client());
         clients.back()->send(SidecarFixture::request("safe"));
-        ASSERT_TRUE(fixture.until([&] { return server.requests() == i; }));
-        server.last().respond("200 OK", "answer");
-        ASSERT_TRUE(fixture.until([&] { return clients.back()->got.find("answer") != std::string::npos; }));
+        ASSERT_TRUE(fixture.until([&] { return server.request_count() == i; }));
+        server.last_connection().respond("200 OK", "answer");
+        ASSERT_TRUE(
+            fixture.until([&] { return clients.back()->received.find("answer") != std::string::npos; }));
     }
 }
 
@@ -42,19 +43,19 @@
     FakeServer& server = fixture.servers.front();
     std::vector<std::shared_ptr<Peer>> clients;
     for (int i = 0; i < 30; ++i) {
-        clients.push_back(fixture.client());
+        clients.push_back(fixture.connect_client());
         clients.back()->send(SidecarFixture::request("safe"));
     }
     ASSERT_TRUE(fixture.until([&] {
         server.respond_to_all();
         return std::all_of(clients.begin(), clients.end(),
-                           [](const auto& client) { return client->got.size() > 12; });
+                           [](const auto& client) { return client->received.size() > 12; });
     }));
     for (const auto& client : clients) {
         const std::string status = status_of(*client);
-        EXPECT_TRUE(status == "HTTP/1.1 200" || status == "HTTP/1.1 503") << client->got;
+        EXPECT_TRUE(status == "HTTP/1.1 200" || status == "HTTP/1.1 503") << client->received;
     }
-    EXPECT_GT(server.requests(), 4U);
+    EXPECT_GT(server.request_count(), 4U);
 }
 
 // Requests that come when every socket is in use must not wait in the kernel's queue, where their time runs
@@ -66,17 +67,17 @@
     FakeServer& server = fixture.servers.front();
     std::vector<std::shared_ptr<Peer>> clients;
     for (int i = 0; i < 60; ++i) {
-        clients.push_back(fixture.client());
+        clients.push_back(fixture.connect_client());
         clients.back()->send(SidecarFixture::request("unsafe"));
     }
     const auto responses = [&] {
         return std::count_if(clients.begin(), clients.end(),
-                             [](const auto& client) { return !client->got.empty(); });
+                             [](const auto& client) { return !client->received.empty(); });
     };
-    ASSERT_TRUE(fixture.until([&] { return responses() == 54 && server.requests() == 6; }))
-        << responses() << " responses, " << server.requests() << " in flight";
+    ASSERT_TRUE(fixture.until([&] { return responses() == 54 && server.request_count() == 6; }))
+        << responses() << " responses, " << server.request_count() << " in flight";
     for (const auto& client : clients) {
-        if (!client->got.empty()) {
+        if (!client->received.empty()) {
             EXPECT_EQ(status_of(*client), "HTTP/1.1 503");
         }
     }
@@ -89,24 +90,24 @@
     fixture.config["limits"]["sockets"] = kReservedSockets + 24;
     fixture.start();
     FakeServer& server = fixture.servers.front();
-    const auto kept = fixture.client();
+    const auto kept = fixture.connect_client();
     const auto expect_served = [&](const std::shared_ptr<Peer>& client) {
-        client->got.clear();
-        const std::size_t requests_before = server.requests();
+        client->received.clear();
+        const std::size_t requests_before = server.request_count();
         client->send(SidecarFixture::request("unsafe"));
-        ASSERT_TRUE(fixture.until([&] { return server.requests() == requests_before + 1; }));
-        server.last().respond("200 OK", "answer");
-        ASSERT_TRUE(fixture.until([&] { return client->got.find("answer") != std::string::npos; }));
+        ASSERT_TRUE(fixture.until([&] { return server.request_count() == requests_before + 1; }));
+        server.last_connection().respond("200 OK", "answer");
+        ASSERT_TRUE(fixture.until([&] { return client->received.find("answer") != std::string::npos; }));
     };
     expect_served(kept);
     constexpr std::size_t kSilentClients = 100;
     std::vector<std::shared_ptr<Peer>> silent;
     silent.reserve(kSilentClients);
-    for (std::size_t i = 0; i < kSilentClients; ++i) silent.push_back(fixture.client());
-    expect_served(fixture.client());
+    for (std::size_t i = 0; i < kSilentClients; ++i) silent.push_back(fixture.connect_client());
+    expect_served(fixture.connect_client());
     expect_served(kept);
     EXPECT_FALSE(kept->closed);
-    EXPECT_EQ(server.peers.size(), 1U) << "one connection to the server carries all requests";
+    EXPECT_EQ(server.connections.size(), 1U) << "one connection to the server carries all requests";
 }
 
 // Clients that send nothing, or only GET /up, and keep their connection must not delay the accepting of
@@ -119,14 +120,14 @@
     std::vector<std::shared_ptr<Peer>> clients;
     std::size_t requests_sent = 0;
     for (int i = 0; i < 400; ++i) {
-        clients.push_back(fixture.client());
+        clients.push_back(fixture.connect_client());
         if (i % 10 == 9) {
             clients.back()->send(SidecarFixture::request("safe"));
-            ASSERT_TRUE(fixture.until([&] { return server.requests() == requests_sent + 1; })) << i;
+            ASSERT_TRUE(fixture.until([&] { return server.request_count() == requests_sent + 1; })) << i;
             ++requests_sent;
-            server.last().respond("200 OK", "answer");
+            server.last_connection().respond("200 OK", "answer");
             ASSERT_TRUE(
-                fixture.until([&] { return clients.back()->got.find("answer") != std::string::npos; }));
+                fixture.until([&] { return clients.back()->received.find("answer") != std::string::npos; }));
         } else if (i % 3 > 0) {
             clients.back()->send("GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
         }
@@ -154,20 +155,21 @@
     void expect_one_response_each_when_more_clients_come() {
         std::vector<std::shared_ptr<Peer>> further_clients;
         for (int i = 0; i < 3; ++i) {
-            further_clients.push_back(fixture.client());
+            further_clients.push_back(fixture.connect_client());
             further_clients.back()->send(SidecarFixture::request("safe"));
         }
         for (std::size_t i = 0; i < clients.size(); ++i) clients[i]->send(unsent[i]);
         clients.insert(clients.end(), further_clients.begin(), further_clients.end());
         ASSERT_TRUE(fixture.until([&] {
             fixture.servers.front().respond_to_all();
-            return std::all_of(clients.begin(), clients.end(),
-                               [](const auto& client) { return client->closed || client->responses() > 0; });
+            return std::all_of(clients.begin(), clients.end(), [](const auto& client) {
+                return client->closed || client->response_count() > 0;
+            });
         }));
         for (const auto& client : clients) {
             const std::string status = status_of(*client);
-            EXPECT_EQ(client->responses(), 1U) << client->got;
-            EXPECT_TRUE(status == "HTTP/1.1 200" || status == "HTTP/1.1 503") << client->got;
+            EXPECT_EQ(client->response_count(), 1U) << client->received;
+            EXPECT_TRUE(status == "HTTP/1.1 200" || status == "HTTP/1.1 503") << client->received;
         }
     }
 };
@@ -175,7 +177,7 @@
 TEST(SocketLimit, KeepsIdleConnectionWithUnreadRequest) {
     ClientsInEverySocket full;
     for (std::size_t i = 0; i < kClientSockets; ++i) {
-        full.clients.push_back(full.fixture.served_client());
+        full.clients.push_back(full.fixture.connect_served_client());
         full.unsent.push_back(SidecarFixture::request("safe"));
     }
     full.expect_one_response_each_when_more_clients_come();
@@ -184,7 +186,7 @@
 TEST(SocketLimit, KeepsNewConnectionWithUnreadRequest) {
     ClientsInEverySocket full;
     for (std::size_t i = 0; i < kClientSockets; ++i) {
-        full.clients.push_back(full.fixture.client());
+        full.clients.push_back(full.fixture.connect_client());
         full.unsent.push_back(SidecarFixture::request("safe"));
     }
     full.fixture.run_for(milliseconds(100));  // silent for long enough to be closed for another client
@@ -195,7 +197,7 @@
     ClientsInEverySocket full;
     for (std::size_t i = 0; i < kClientSockets; ++i) {
         const std::string request = SidecarFixture::request("safe");
-        full.clients.push_back(full.fixture.client());
+        full.clients.push_back(full.fixture.connect_client());
         full.clients.back()->send(request.substr(0, 30));
         full.unsent.push_back(request.substr(30));
     }
@@ -212,12 +214,13 @@
     FakeServer& server = fixture.servers.front();
     std::vector<std::shared_ptr<Peer>> clients;
     for (std::size_t i = 1; i <= kClientSockets; ++i) {
-        clients.push_back(fixture.client());
+        clients.push_back(fixture.connect_client());
         const std::string headers = i == kClientSockets ? "Connection: close\r\n" : "";
         clients.back()->send(SidecarFixture::request("safe", "50000m", headers));
-        ASSERT_TRUE(fixture.until([&] { return server.requests() == i; }));
-        server.last().respond("200 OK", "answer");
-        ASSERT_TRUE(fixture.until([&] { return clients.back()->got.find("answer") != std::string::npos; }));
+        ASSERT_TRUE(fixture.until([&] { return server.request_count() == i; }));
+        server.last_connection().respond("200 OK", "answer");
+        ASSERT_TRUE(
+            fixture.until([&] { return clients.back()->received.find("answer") != std::string::npos; }));
     }
     const auto ended = clients.back();
     ASSERT_TRUE(fixture.until([&] { return ended->closed; }));
@@ -228,7 +231,7 @@
     }
     while (fixture.io.poll_one() > 0) {
     }
-    const auto next = fixture.client();  // the loop hears of it before the bytes below
+    const auto next = fixture.connect_client();  // the loop hears of it before the bytes below
     ended->send("more");
     while (fixture.io.poll_one() > 0) {
     }
@@ -237,7 +240,7 @@
     EXPECT_FALSE(error) << "not reset: " << error.message();
     ended->close();
     next->send(SidecarFixture::request("safe"));
-    ASSERT_TRUE(fixture.until([&] { return server.requests() == 14; })) << "it is accepted all the same";
+    ASSERT_TRUE(fixture.until([&] { return server.request_count() == 14; })) << "it is accepted all the same";
 }
 
 }  // namespace
--- a/tests/net/upstream_test.cpp
+++ b/tests/net/upstream_test.cpp
@@ -20,8 +20,9 @@
     fixture.set_server(false);
     fixture.run_until_ended();
     EXPECT_EQ(fixture.outcomes, std::vector<Outcome>{Outcome::not_sent});
-    ASSERT_TRUE(fixture.until([&] { return !fixture.server.peers.empty() && fixture.server.last().closed; }));
-    EXPECT_EQ(fixture.server.last().got, "");
+    ASSERT_TRUE(fixture.until(
+        [&] { return !fixture.server.connections.empty() && fixture.server.last_connection().closed; }));
+    EXPECT_EQ(fixture.server.last_connection().received, "");
 }
 
 TEST(Upstream, EndsAttemptUnsentWithoutSocket) {
@@ -34,16 +35,16 @@
 // The client leaves while the attempt waits for the endpoint list to be read.
 TEST(Upstream, SendsNothingAfterClientDisconnectsWhileListIsRead) {
     UpstreamFixture fixture;
-    fixture.list_unread = true;
+    fixture.is_endpoint_list_unread = true;
     fixture.start_attempt();
     fixture.io.poll_one();
     ASSERT_TRUE(fixture.outcomes.empty());
-    fixture.list_unread = false;
-    fixture.client_disconnected = true;
+    fixture.is_endpoint_list_unread = false;
+    fixture.is_client_disconnected = true;
     ASSERT_TRUE(fixture.until([&] { return !fixture.outcomes.empty(); }));
     EXPECT_EQ(fixture.outcomes, std::vector<Outcome>{Outcome::not_sent});
     fixture.io.poll();
-    EXPECT_EQ(fixture.server.requests(), 0U);
+    EXPECT_EQ(fixture.server.request_count(), 0U);
 }
 
 // The process is held up until the attempt's time is over. The loop hears of the connection before the timer.
@@ -59,7 +60,7 @@
     EXPECT_TRUE(fixture.outcomes.front() == Outcome::not_sent ||
                 fixture.outcomes.front() == Outcome::connect_failed)
         << "it never ran";
-    EXPECT_EQ(fixture.server.requests(), 0U);
+    EXPECT_EQ(fixture.server.request_count(), 0U);
 }
 
 // ---- The deduplication window -----------------------------------------------------------------------------
@@ -72,32 +73,32 @@
     EXPECT_EQ(fixture.outcomes, std::vector<Outcome>{Outcome::not_sent});
     fixture.outcomes.clear();
     fixture.start_attempt();  // the connection that came up for the first attempt serves this one
-    ASSERT_TRUE(fixture.until([&] { return fixture.server.requests() != 0; }));
-    EXPECT_EQ(fixture.server.requests(), 1U);
+    ASSERT_TRUE(fixture.until([&] { return fixture.server.request_count() != 0; }));
+    EXPECT_EQ(fixture.server.request_count(), 1U);
 }
 
 // A server that stops reading holds up the request's last byte. Without that byte the request can't have run.
 TEST(Upstream, AbortsWriteWhenDeduplicationWindowEnds) {
     UpstreamFixture fixture;
-    fixture.server.reads = false;
+    fixture.server.reads_automatically = false;
     fixture.start_attempt(1000, kBodyBeyondSocketBuffers);
     fixture.run_until_ended();
     EXPECT_EQ(fixture.outcomes, std::vector<Outcome>{Outcome::not_sent});
-    ASSERT_EQ(fixture.server.peers.size(), 1U);
-    fixture.server.last().read();
-    ASSERT_TRUE(fixture.until([&] { return fixture.server.last().closed; }));
-    EXPECT_LT(fixture.server.last().got.size(), kBodyBeyondSocketBuffers);
+    ASSERT_EQ(fixture.server.connections.size(), 1U);
+    fixture.server.last_connection().read();
+    ASSERT_TRUE(fixture.until([&] { return fixture.server.last_connection().closed; }));
+    EXPECT_LT(fixture.server.last_connection().received.size(), kBodyBeyondSocketBuffers);
 }
 
 TEST(Upstream, AwaitsResponsePastDeduplicationWindowOnceWritten) {
     UpstreamFixture fixture;
     fixture.start_attempt(1000);
-    ASSERT_TRUE(fixture.until([&] { return fixture.server.requests() != 0; }));
+    ASSERT_TRUE(fixture.until([&] { return fixture.server.request_count() != 0; }));
     bool window_over = false;
     fixture.timers.set(fixture.clock.now() + 1100, [&] { window_over = true; });
     while (!window_over) fixture.io.run_one_for(kWaitLimit);
     EXPECT_TRUE(fixture.outcomes.empty());
-    fixture.server.last().respond("200 OK", "answer");
+    fixture.server.last_connection().respond("200 OK", "answer");
     fixture.run_until_ended();
     EXPECT_EQ(fixture.outcomes, std::vector<Outcome>{Outcome::success});
 }
@@ -107,11 +108,13 @@
 // What a server sends before it has the whole request can't be its response, and the request has not run.
 TEST(Upstream, TreatsResponseBeforeWholeRequestAsNeverRun) {
     UpstreamFixture fixture;
-    fixture.server.reads = false;
+    fixture.server.reads_automatically = false;
     fixture.start_attempt(kForever, kBodyBeyondSocketBuffers);
-    ASSERT_TRUE(fixture.until(
-        [&] { return !fixture.server.peers.empty() && fixture.server.last().socket.available() != 0; }));
-    fixture.server.last().respond("200 OK", "too early");
+    ASSERT_TRUE(fixture.until([&] {
+        return !fixture.server.connections.empty() &&
+               fixture.server.last_connection().socket.available() != 0;
+    }));
+    fixture.server.last_connection().respond("200 OK", "too early");
     fixture.run_until_ended();
     EXPECT_EQ(fixture.outcomes, std::vector<Outcome>{Outcome::connect_failed});
 }
@@ -120,13 +123,13 @@
 // again. A reset drops it.
 TEST(Upstream, ResetsConnectionOnTimeoutSoThatNothingArrivesLater) {
     UpstreamFixture fixture;
-    fixture.server.reads = false;
+    fixture.server.reads_automatically = false;
     fixture.start_attempt(kForever, std::size_t{8} << 20U, 300);
     fixture.run_until_ended();
     EXPECT_EQ(fixture.outcomes, std::vector<Outcome>{Outcome::timed_out});
-    fixture.server.last().read();
-    ASSERT_TRUE(fixture.until([&] { return fixture.server.last().closed; }));
-    EXPECT_EQ(fixture.server.last().close_error, asio::error::connection_reset);
+    fixture.server.last_connection().read();
+    ASSERT_TRUE(fixture.until([&] { return fixture.server.last_connection().closed; }));
+    EXPECT_EQ(fixture.server.last_connection().close_error, asio::error::connection_reset);
 }
 
 // ---- Several events in one turn of the loop ---------------------------------------------------------------
@@ -138,42 +141,44 @@
     UpstreamFixture fixture;
     fixture.start_attempt(kForever, 0, kSimultaneousDeadline);
     const Millis deadline = fixture.clock.now() + kSimultaneousDeadline;
-    ASSERT_TRUE(fixture.until([&] { return fixture.server.requests() != 0; }));
-    fixture.server.last().respond("200 OK", "answer");
+    ASSERT_TRUE(fixture.until([&] { return fixture.server.request_count() != 0; }));
+    fixture.server.last_connection().respond("200 OK", "answer");
     block_event_loop_until(fixture.clock, deadline + 1);
     fixture.run_until_ended();
     fixture.io.poll();
     ASSERT_EQ(fixture.outcomes.size(), 1U);
     EXPECT_TRUE(fixture.outcomes.front() == Outcome::success ||
                 fixture.outcomes.front() == Outcome::timed_out);
-    EXPECT_EQ(fixture.upstream.attempts_at(1), 0U);
+    EXPECT_EQ(fixture.upstream.attempt_and_connect_count(1), 0U);
 }
 
 TEST(SimultaneousEvents, CancelBeforeResponseAndTimeoutIsTheOutcome) {
     UpstreamFixture fixture;
     fixture.start_attempt(kForever, 0, kSimultaneousDeadline);
     const Millis deadline = fixture.clock.now() + kSimultaneousDeadline;
-    ASSERT_TRUE(fixture.until([&] { return fixture.server.requests() != 0; }));
-    fixture.server.last().respond("200 OK", "answer");
+    ASSERT_TRUE(fixture.until([&] { return fixture.server.request_count() != 0; }));
+    fixture.server.last_connection().respond("200 OK", "answer");
     block_event_loop_until(fixture.clock, deadline + 1);
     fixture.upstream.cancel_attempt({1, 0});
     fixture.upstream.cancel_attempt({1, 0});
     fixture.run_until_ended();
     fixture.io.poll();
     EXPECT_EQ(fixture.outcomes, std::vector<Outcome>{Outcome::cancelled});
-    EXPECT_EQ(fixture.upstream.attempts_at(1), 0U);
+    EXPECT_EQ(fixture.upstream.attempt_and_connect_count(1), 0U);
 }
 
 // Only the write's own result tells whether the last byte was sent, and with it whether the request may have
 // run. The outcome waits for that result and is reported once.
 TEST(SimultaneousEvents, ResetAndWriteDeadlineGiveOneOutcome) {
     UpstreamFixture fixture;
-    fixture.server.reads = false;
+    fixture.server.reads_automatically = false;
     fixture.start_attempt(kSimultaneousDeadline, kBodyBeyondSocketBuffers);
     const Millis write_deadline = fixture.clock.now() + kSimultaneousDeadline;
-    ASSERT_TRUE(fixture.until(
-        [&] { return !fixture.server.peers.empty() && fixture.server.last().socket.available() != 0; }));
-    fixture.server.last().reset();
+    ASSERT_TRUE(fixture.until([&] {
+        return !fixture.server.connections.empty() &&
+               fixture.server.last_connection().socket.available() != 0;
+    }));
+    fixture.server.last_connection().reset();
     block_event_loop_until(fixture.clock, write_deadline + 1);
     fixture.run_until_ended();
     fixture.io.poll();
@@ -181,7 +186,7 @@
     EXPECT_TRUE(fixture.outcomes.front() == Outcome::connect_failed ||
                 fixture.outcomes.front() == Outcome::not_sent)
         << "its last byte was never sent";
-    EXPECT_EQ(fixture.upstream.attempts_at(1), 0U);
+    EXPECT_EQ(fixture.upstream.attempt_and_connect_count(1), 0U);
 }
 
 }  // namespace
--- a/tests/sidecar/fleet_size_test.cpp
+++ b/tests/sidecar/fleet_size_test.cpp
@@ -20,13 +20,13 @@
 }
 
 void expect_served_by(SidecarFixture& rig, FakeServer& server) {
-    const std::size_t before = server.requests();
-    const auto client = rig.client();
+    const std::size_t before = server.request_count();
+    const auto client = rig.connect_client();
     client->send(SidecarFixture::request("safe"));
-    ASSERT_TRUE(rig.until([&] { return server.requests() > before || !client->got.empty(); }));
-    ASSERT_GT(server.requests(), before) << status_of(*client);
-    server.last().respond("200 OK", "it");
-    ASSERT_TRUE(rig.until([&] { return !client->got.empty(); }));
+    ASSERT_TRUE(rig.until([&] { return server.request_count() > before || !client->received.empty(); }));
+    ASSERT_GT(server.request_count(), before) << status_of(*client);
+    server.last_connection().respond("200 OK", "it");
+    ASSERT_TRUE(rig.until([&] { return !client->received.empty(); }));
     EXPECT_EQ(status_of(*client), "HTTP/1.1 200");
 }
 
@@ -41,12 +41,12 @@
     Json targets = draining_targets(kFleet - 1);
     targets.push_back(SidecarFixture::target(1, rig.servers.back().address()));
     rig.start();
-    rig.watch_begins();
-    rig.chunk(rig.line(targets, true));
+    rig.begin_watch();
+    rig.send_chunk(rig.watch_line(targets, true));
     // The snapshot does not name the first server, which is no longer listed once the snapshot is applied.
     ASSERT_TRUE(rig.until([&] { return rig.sidecar->status()["servers"].size() == kFleet; }));
     expect_served_by(rig, rig.servers.back());
-    EXPECT_EQ(rig.servers.front().requests(), 0U);
+    EXPECT_EQ(rig.servers.front().request_count(), 0U);
 }
 
 TEST(FleetSize, ServesFromConfiguredListOf3200AtStart) {
@@ -72,14 +72,16 @@
     ASSERT_GT(text.size(), 1024U * 1024U);
     ASSERT_LT(text.size(), 1024U * 4096U);
     // Written as fast as the sidecar reads: the socket buffers hold only a part of it.
-    rig.discovery.last().send("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(text.size()) +
-                              "\r\n\r\n");
+    rig.discovery.last_connection().send("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(text.size()) +
+                                         "\r\n\r\n");
     bool written = false;
-    asio::async_write(rig.discovery.last().socket, asio::buffer(text),
+    asio::async_write(rig.discovery.last_connection().socket, asio::buffer(text),
                       [&](boost::system::error_code, std::size_t) { written = true; });
     ASSERT_TRUE(rig.until([&] { return written; }));
-    ASSERT_TRUE(rig.until([&] { return rig.discovery.requests() == 2; })) << "the watch follows the list";
-    ASSERT_NE(rig.discovery.last().got.find("stream=1"), std::string::npos) << "the list was not accepted";
+    ASSERT_TRUE(rig.until([&] { return rig.discovery.request_count() == 2; }))
+        << "the watch follows the list";
+    ASSERT_NE(rig.discovery.last_connection().received.find("stream=1"), std::string::npos)
+        << "the list was not accepted";
     expect_served_by(rig, rig.servers.back());
 }
 
@@ -92,10 +94,10 @@
     expect_served_by(rig, rig.servers.front());
     Json others = draining_targets(kFleet - 1, kFleet);
     others.push_back(SidecarFixture::target(1, rig.servers.back().address()));
-    rig.watch_begins();
-    rig.chunk(rig.line(others, true));
+    rig.begin_watch();
+    rig.send_chunk(rig.watch_line(others, true));
     // Once the status has this server, the list before it has been applied as well.
-    rig.chunk(rig.line(Json::array({SidecarFixture::target(2, "127.2.0.1:9", "leaving")}), false));
+    rig.send_chunk(rig.watch_line(Json::array({SidecarFixture::target(2, "127.2.0.1:9", "leaving")}), false));
     ASSERT_TRUE(rig.until([&] {
         const Json servers = rig.sidecar->status()["servers"];
         return std::any_of(servers.begin(), servers.end(), [](const Json& s) { return s["uid"] == "s-2"; });
@@ -109,10 +111,11 @@
     Json targets = Json::array({SidecarFixture::target(1, rig.servers.back().address())});
     for (const Json& target : draining_targets(EndpointRegistry::kMaxListed + 9)) targets.push_back(target);
     testing::internal::CaptureStderr();
-    rig.watch_begins();
-    rig.chunk(rig.line(targets, true));
-    rig.chunk(rig.line(targets, true));
-    rig.chunk(rig.line(Json::array({SidecarFixture::target(1, rig.servers.back().address())}), true));
+    rig.begin_watch();
+    rig.send_chunk(rig.watch_line(targets, true));
+    rig.send_chunk(rig.watch_line(targets, true));
+    rig.send_chunk(
+        rig.watch_line(Json::array({SidecarFixture::target(1, rig.servers.back().address())}), true));
     const bool applied = rig.until([&] { return rig.sidecar->status()["servers"].size() == 1; });
     const std::string log = testing::internal::GetCapturedStderr();
     ASSERT_TRUE(applied);
--- a/tests/support/fake_server.hpp
+++ b/tests/support/fake_server.hpp
@@ -19,50 +19,50 @@
 namespace elmbay::test {
 
 /// An ephemeral port on loopback.
-inline Endpoint loopback() { return {asio::ip::address_v4::loopback(), 0}; }
+inline Endpoint ephemeral_loopback_endpoint() { return {asio::ip::address_v4::loopback(), 0}; }
 
 /// "127.0.0.1:8080", as configurations and endpoint lists write an address.
-inline std::string text_of(const Endpoint& endpoint) {
+inline std::string endpoint_text(const Endpoint& endpoint) {
     return endpoint.address().to_string() + ":" + std::to_string(endpoint.port());
 }
 
 /// Accepts every connection on an ephemeral port and answers nothing by itself: each test does.
 struct FakeServer {
-    explicit FakeServer(asio::io_context& io) : acceptor(io, loopback()) { accept(); }
+    explicit FakeServer(asio::io_context& io) : acceptor(io, ephemeral_loopback_endpoint()) { accept(); }
 
     void accept() {
         acceptor.async_accept([this](boost::system::error_code error, tcp::socket socket) {
             if (error) return;
-            peers.push_back(std::make_shared<Peer>(std::move(socket)));
-            if (reads) peers.back()->read();
+            connections.push_back(std::make_shared<Peer>(std::move(socket)));
+            if (reads_automatically) connections.back()->read();
             accept();
         });
     }
 
     /// How many requests have arrived whole, on all connections together.
-    std::size_t requests() const {
+    std::size_t request_count() const {
         std::size_t count = 0;
-        for (const auto& peer : peers) count += peer->requests();
+        for (const auto& peer : connections) count += peer->request_count();
         return count;
     }
 
     /// Answers each request that has arrived whole and that this has not answered before.
     void respond_to_all() {
-        for (const auto& peer : peers) {
-            while (!peer->closed && peer->answered < peer->requests()) {
-                ++peer->answered;
+        for (const auto& peer : connections) {
+            while (!peer->closed && peer->answered_request_count < peer->request_count()) {
+                ++peer->answered_request_count;
                 peer->respond("200 OK", "answer");
             }
         }
     }
 
     /// The connection that was accepted last.
-    Peer& last() { return *peers.back(); }
-    std::string address() const { return text_of(acceptor.local_endpoint()); }
+    Peer& last_connection() { return *connections.back(); }
+    std::string address() const { return endpoint_text(acceptor.local_endpoint()); }
 
     tcp::acceptor acceptor;
-    bool reads = true;  // false: what arrives stays in the kernel until the test reads it
-    std::vector<std::shared_ptr<Peer>> peers;
+    bool reads_automatically = true;  // false: what arrives stays in the kernel until the test reads it
+    std::vector<std::shared_ptr<Peer>> connections;
 };
 
 /// Fills a server's accept queue, so that further connections stay in the making.
--- a/tests/support/peer.hpp
+++ b/tests/support/peer.hpp
@@ -24,7 +24,7 @@
         socket.set_option(tcp::no_delay(true));
     }
 
-    /// Collects what arrives in `got`, until the connection ends.
+    /// Collects what arrives in `received`, until the connection ends.
     void read() {
         socket.async_read_some(asio::buffer(buffer), [self = shared_from_this()](
                                                          boost::system::error_code error, std::size_t size) {
@@ -33,17 +33,17 @@
                 self->close_error = error;
                 return;
             }
-            self->got.append(self->buffer.data(), size);
+            self->received.append(self->buffer.data(), size);
             self->read();
         });
     }
 
-    /// Appends to `got` what lies in the kernel, without running the event loop.
+    /// Appends to `received` what lies in the kernel, without running the event loop.
     void read_available() {
         boost::system::error_code error;
         while (socket.is_open() && socket.available(error) > 0 && !error) {
             const std::size_t size = socket.read_some(asio::buffer(buffer), error);
-            got.append(buffer.data(), size);
+            received.append(buffer.data(), size);
         }
     }
 
@@ -65,10 +65,10 @@
     }
 
     /// How many requests have arrived whole. No test sends a body with a blank line in it.
-    std::size_t requests() const { return occurrences("\r\n\r\n"); }
+    std::size_t request_count() const { return occurrences("\r\n\r\n"); }
 
     /// How many responses have begun to arrive.
-    std::size_t responses() const { return occurrences("HTTP/1.1 "); }
+    std::size_t response_count() const { return occurrences("HTTP/1.1 "); }
 
     /// Sends a response with a Content-Length.
     void respond(const std::string& status, const std::string& body = "", const std::string& headers = "") {
@@ -78,27 +78,27 @@
 
     tcp::socket socket;
     std::array<char, 4096> buffer{};
-    std::string got;  // every byte that has arrived
+    std::string received;  // every byte that has arrived
     bool closed = false;
-    boost::system::error_code close_error;  // asio::error::eof for a clean close
-    std::size_t answered = 0;               // requests that respond_to_all() has answered
+    boost::system::error_code close_error;   // asio::error::eof for a clean close
+    std::size_t answered_request_count = 0;  // requests that respond_to_all() has answered
 
 private:
     std::size_t occurrences(const std::string& text) const {
         std::size_t count = 0;
-        std::size_t position = got.find(text);
+        std::size_t position = received.find(text);
         while (position != std::string::npos) {
             ++count;
-            position = got.find(text, position + text.size());
+            position = received.find(text, position + text.size());
         }
         return count;
     }
 };
 
-/// "HTTP/1.1 200": the start of the status line of the first response that `peer` has got.
+/// "HTTP/1.1 200": the start of the status line of the first response that `peer` has received.
 inline std::string status_of(const Peer& peer) {
     constexpr std::size_t kStatusLength = 12;
-    return peer.got.substr(0, kStatusLength);
+    return peer.received.substr(0, kStatusLength);
 }
 
 }  // namespace elmbay::test
--- a/tests/support/sidecar_fixture.hpp
+++ b/tests/support/sidecar_fixture.hpp
@@ -41,7 +41,7 @@
     std::list<FakeServer> servers;
     Json config;
     std::unique_ptr<Sidecar> sidecar;
-    std::uint64_t rev = 1;  // of the endpoint list that was sent last
+    std::uint64_t list_version = 1;  // of the endpoint list that was sent last
 
     explicit SidecarFixture(std::size_t server_count = 1) {
         for (std::size_t i = 0; i < server_count; ++i) servers.emplace_back(io);
@@ -85,19 +85,21 @@
     }
 
     /// A line of the watch with the next version. `all`: the whole list; else the entries that have changed.
-    std::string line(const Json& entries, bool all) {
-        ++rev;
-        return Json{{"rev", rev}, {"all", all}, {"targets", entries}}.dump() + "\n";
+    std::string watch_line(const Json& entries, bool all) {
+        ++list_version;
+        return Json{{"rev", list_version}, {"all", all}, {"targets", entries}}.dump() + "\n";
     }
 
     /// Discovery accepts the call that it got last as a watch.
-    void watch_begins() { discovery.last().send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"); }
+    void begin_watch() {
+        discovery.last_connection().send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+    }
 
     /// Discovery sends one chunk of the watch.
-    void chunk(const std::string& text) {
+    void send_chunk(const std::string& text) {
         std::ostringstream message;
         message << std::hex << text.size() << "\r\n" << text << "\r\n";
-        discovery.last().send(message.str());
+        discovery.last_connection().send(message.str());
     }
 
     // ---- The sidecar --------------------------------------------------------------------------------------
@@ -106,7 +108,7 @@
     void start(std::optional<Sidecar::RestoredState> restored = {},
                const websocket::Settings& websocket = {}) {
         sidecar = std::make_unique<Sidecar>(io, parse_config(config.dump()), std::move(restored), websocket);
-        ASSERT_TRUE(until([&] { return discovery.requests() > 0; }));
+        ASSERT_TRUE(until([&] { return discovery.request_count() > 0; }));
     }
 
     /// Reloads the sidecar's configuration from `config`.
@@ -127,10 +129,10 @@
     }
 
     /// Sends a request through the whole event loop, so that whatever was pending before has been handled.
-    void settle() {
-        const auto probe = client();
+    void handle_pending_events() {
+        const auto probe = connect_client();
         probe->send("GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
-        ASSERT_TRUE(until([&] { return !probe->got.empty(); }));
+        ASSERT_TRUE(until([&] { return !probe->received.empty(); }));
     }
 
     // ---- Clients ------------------------------------------------------------------------------------------
@@ -153,7 +155,7 @@
     }
 
     /// A client's new connection to the sidecar.
-    std::shared_ptr<Peer> client() {
+    std::shared_ptr<Peer> connect_client() {
         tcp::socket socket(io);
         socket.connect(sidecar->local_endpoint());
         auto peer = std::make_shared<Peer>(std::move(socket));
@@ -162,22 +164,22 @@
     }
 
     /// A client that the first server has served once, on a connection that it keeps.
-    std::shared_ptr<Peer> served_client() {
+    std::shared_ptr<Peer> connect_served_client() {
         FakeServer& server = servers.front();
-        const std::size_t requests_before = server.requests();
-        auto peer = client();
+        const std::size_t requests_before = server.request_count();
+        auto peer = connect_client();
         peer->send(request("safe"));
-        EXPECT_TRUE(until([&] { return server.requests() == requests_before + 1; }));
-        server.last().respond("200 OK", "answer");
-        ++server.last().answered;
-        EXPECT_TRUE(until([&] { return peer->got.find("answer") != std::string::npos; }));
-        peer->got.clear();
+        EXPECT_TRUE(until([&] { return server.request_count() == requests_before + 1; }));
+        server.last_connection().respond("200 OK", "answer");
+        ++server.last_connection().answered_request_count;
+        EXPECT_TRUE(until([&] { return peer->received.find("answer") != std::string::npos; }));
+        peer->received.clear();
         return peer;
     }
 
     /// A client that does not read, on a connection with a small receive buffer and small segments: the
     /// kernel can't hold a long response for it. Call read() on it to let it take what was sent.
-    std::shared_ptr<Peer> slow_client() {
+    std::shared_ptr<Peer> connect_slow_client() {
         constexpr int kSmallestSegment = 536;
         tcp::socket socket(io);
         socket.open(tcp::v4());
--- a/tests/support/upstream_fixture.hpp
+++ b/tests/support/upstream_fixture.hpp
@@ -19,7 +19,7 @@
 /// An Upstream with one server. Collects the outcomes that it reports.
 ///
 /// Usage: start_attempt(), script `server`, run the event loop, look at `outcomes`. What Upstream asks right
-/// before it writes a request is in the test's hands: `list_unread` and `client_disconnected`.
+/// before it writes a request is in the test's hands: `is_endpoint_list_unread` and `client_disconnected`.
 struct UpstreamFixture {
     asio::io_context io{1};
     Clock clock;
@@ -27,8 +27,8 @@
     SocketBudget budget;
     ByteBudget bytes{16U << 20U};
     FakeServer server{io};
-    bool list_unread = false;
-    bool client_disconnected = false;
+    bool is_endpoint_list_unread = false;
+    bool is_client_disconnected = false;
     std::vector<Outcome> outcomes;
     Upstream upstream;
 
@@ -38,7 +38,8 @@
                    [this](AttemptKey, Outcome outcome, Millis, const HttpResponse&) {
                        outcomes.push_back(outcome);
                    },
-                   {[this] { return list_unread; }, [this](RequestId) { return client_disconnected; }}) {
+                   {[this] { return is_endpoint_list_unread; },
+                    [this](RequestId) { return is_client_disconnected; }}) {
         set_server(true);
     }
 
--- a/tests/syscall_faults/listener_faults_test.cpp
+++ b/tests/syscall_faults/listener_faults_test.cpp
@@ -29,9 +29,9 @@
     Listener listener;
 
     ListenerFixture()
-        : listener(io, loopback(), budget, bytes, timers, clock, kLongestDeadline,
+        : listener(io, ephemeral_loopback_endpoint(), budget, bytes, timers, clock, kLongestDeadline,
                    {[](const RequestHead&) { return std::optional<RequestProblem>(); },
-                    [this](RequestId id, const HttpRequest&, ReceivedRequest) { on_request(id); },
+                    [this](RequestId id, const HttpRequest&, RequestArrivalInfo) { on_request(id); },
                     [this](RequestId id) { disconnected.push_back(id); }, [] { return true; }}) {
         on_request = [this](RequestId id) { respond(id); };
     }
@@ -72,13 +72,13 @@
     fixture.on_request = [](RequestId) { throw std::bad_alloc(); };
     const auto client = fixture.client(SidecarFixture::request("unsafe"));
     ASSERT_TRUE(fixture.until([&] { return client->closed; }));
-    EXPECT_EQ(status_of(*client), "HTTP/1.1 500") << client->got;
+    EXPECT_EQ(status_of(*client), "HTTP/1.1 500") << client->received;
     EXPECT_EQ(client->close_error, asio::error::eof);
     EXPECT_EQ(fixture.disconnected.size(), 1U) << "nothing of the request stays in flight";
     // The next request is not affected.
     fixture.on_request = [&](RequestId id) { fixture.respond(id); };
     const auto next = fixture.client(SidecarFixture::request("unsafe"));
-    ASSERT_TRUE(fixture.until([&] { return next->got.ends_with("served\n"); }));
+    ASSERT_TRUE(fixture.until([&] { return next->received.ends_with("served\n"); }));
 }
 
 // A request has one outcome: the response that was given stands.
@@ -89,12 +89,12 @@
         throw std::runtime_error("too late");
     };
     const auto client = fixture.client(SidecarFixture::request("unsafe"));
-    ASSERT_TRUE(fixture.until([&] { return client->got.ends_with("served\n"); }));
+    ASSERT_TRUE(fixture.until([&] { return client->received.ends_with("served\n"); }));
     EXPECT_EQ(status_of(*client), "HTTP/1.1 200");
     EXPECT_TRUE(fixture.disconnected.empty());
-    const std::size_t response_size = client->got.size();
+    const std::size_t response_size = client->received.size();
     client->send(SidecarFixture::request("unsafe"));
-    ASSERT_TRUE(fixture.until([&] { return client->got.size() == 2 * response_size; }));
+    ASSERT_TRUE(fixture.until([&] { return client->received.size() == 2 * response_size; }));
     EXPECT_FALSE(client->closed);
 }
 
@@ -102,20 +102,20 @@
     ListenerFixture fixture;
     Listener::Handlers handlers;
     handlers.validate = [](const RequestHead&) -> std::optional<RequestProblem> { throw std::bad_alloc(); };
-    handlers.on_request = [](RequestId, const HttpRequest&, ReceivedRequest) {
+    handlers.on_request = [](RequestId, const HttpRequest&, RequestArrivalInfo) {
         ADD_FAILURE() << "not validated";
     };
     handlers.on_client_disconnected = [](RequestId) {};
-    handlers.ready = [] { return true; };
-    Listener listener(fixture.io, loopback(), fixture.budget, fixture.bytes, fixture.timers, fixture.clock,
-                      ListenerFixture::kLongestDeadline, handlers);
+    handlers.is_ready = [] { return true; };
+    Listener listener(fixture.io, ephemeral_loopback_endpoint(), fixture.budget, fixture.bytes,
+                      fixture.timers, fixture.clock, ListenerFixture::kLongestDeadline, handlers);
     tcp::socket socket(fixture.io);
     socket.connect(listener.local_endpoint());
     const auto client = std::make_shared<Peer>(std::move(socket));
     client->read();
     client->send(SidecarFixture::request("unsafe"));
     ASSERT_TRUE(fixture.until([&] { return client->closed; }));
-    EXPECT_EQ(status_of(*client), "HTTP/1.1 500") << client->got;
+    EXPECT_EQ(status_of(*client), "HTTP/1.1 500") << client->received;
 }
 
 // A client waits behind a connection that was aborted. No further edge of EPOLLIN comes for it.
@@ -124,7 +124,7 @@
         ListenerFixture fixture;
         syscall_faults::configure("accept:" + std::string(error) + "=x3");
         const auto client = fixture.client(SidecarFixture::request("safe"));
-        ASSERT_TRUE(fixture.until([&] { return client->got.ends_with("served\n"); })) << error;
+        ASSERT_TRUE(fixture.until([&] { return client->received.ends_with("served\n"); })) << error;
         EXPECT_EQ(syscall_faults::failed(0), 3U) << error;
     }
 }
@@ -137,12 +137,12 @@
         const auto idle = fixture.client(SidecarFixture::request("safe"));
         const auto other = fixture.client(SidecarFixture::request("safe"));
         ASSERT_TRUE(fixture.until(
-            [&] { return idle->got.ends_with("served\n") && other->got.ends_with("served\n"); }));
+            [&] { return idle->received.ends_with("served\n") && other->received.ends_with("served\n"); }));
         syscall_faults::configure("accept:" + error + "=x2");
         const auto client = fixture.client(SidecarFixture::request("safe"));
-        ASSERT_TRUE(fixture.until([&] { return client->got.ends_with("served\n"); })) << error;
+        ASSERT_TRUE(fixture.until([&] { return client->received.ends_with("served\n"); })) << error;
         EXPECT_EQ(syscall_faults::failed(0), 2U) << error;
-        EXPECT_EQ(fixture.listener.connections() < 3, error == "EMFILE") << error;
+        EXPECT_EQ(fixture.listener.connection_count() < 3, error == "EMFILE") << error;
     }
 }
 
--- a/tests/websocket/heads.hpp
+++ b/tests/websocket/heads.hpp
@@ -47,7 +47,7 @@
 template <class Parser>
 auto parsed(std::string_view text) -> std::optional<typename Parser::value_type> {
     Parser parser;
-    parser.header_limit(kMaxHeader);
+    parser.header_limit(kMaxHeadBytes);
     boost::system::error_code error;
     parser.put(boost::asio::buffer(text.data(), text.size()), error);
     if (error || !parser.is_header_done()) return {};
--- a/tests/websocket/proxy_test.cpp
+++ b/tests/websocket/proxy_test.cpp
@@ -66,7 +66,7 @@
 
 // Accepts upgrades, with the given subprotocol, if any.
 struct SessionServer {
-    explicit SessionServer(asio::io_context& io) : acceptor(io, loopback()) { accept(); }
+    explicit SessionServer(asio::io_context& io) : acceptor(io, ephemeral_loopback_endpoint()) { accept(); }
     void accept() {
         acceptor.async_accept([this](Error error, tcp::socket socket) {
             if (error) return;
@@ -107,7 +107,7 @@
         for (std::size_t i = 0; i < count; ++i) servers.emplace_back(rig.io);
         std::size_t index = 0;
         for (const auto& s : servers)
-            targets.push_back(rig.target(index++, text_of(s.acceptor.local_endpoint())));
+            targets.push_back(rig.target(index++, endpoint_text(s.acceptor.local_endpoint())));
         begin(targets);
     }
     void begin(const Json& targets) {
@@ -150,7 +150,7 @@
     // An upgrade as raw bytes, for servers that respond with raw bytes.
     std::shared_ptr<Peer> send_raw_upgrade(const std::string& request_class) {
         static int number = 0;
-        auto peer = rig.client();
+        auto peer = rig.connect_client();
         peer->send(
             "GET /api/live HTTP/1.1\r\nHost: app.svc\r\nUpgrade: websocket\r\nConnection: Upgrade\r\n"
             "Sec-WebSocket-Key: dGhlIHNhbXBsZSBub25jZQ==\r\nSec-WebSocket-Version: 13\r\n"
@@ -161,9 +161,9 @@
         return peer;
     }
     void drain_server(std::size_t index) {
-        Json entry = rig.target(index, text_of(std::next(servers.begin(), index)->acceptor.local_endpoint()),
-                                "leaving");
-        rig.chunk(rig.line(Json::array({entry}), false));
+        Json entry = rig.target(
+            index, endpoint_text(std::next(servers.begin(), index)->acceptor.local_endpoint()), "leaving");
+        rig.send_chunk(rig.watch_line(Json::array({entry}), false));
     }
     std::map<TestPeer*, ws::response_type> answers;
 };
@@ -274,10 +274,10 @@
     rig.servers.emplace_back(rig.io);
     begin(rig.targets());
     const auto client = send_raw_upgrade("safe");
-    ASSERT_TRUE(rig.until([&] { return rig.servers.front().requests() == 1; }));
-    EXPECT_EQ(rig.servers.front().last().got.find("Upgrade"), std::string::npos);
-    rig.servers.front().last().respond("200 OK", "body");
-    ASSERT_TRUE(rig.until([&] { return client->got.ends_with("body"); }));
+    ASSERT_TRUE(rig.until([&] { return rig.servers.front().request_count() == 1; }));
+    EXPECT_EQ(rig.servers.front().last_connection().received.find("Upgrade"), std::string::npos);
+    rig.servers.front().last_connection().respond("200 OK", "body");
+    ASSERT_TRUE(rig.until([&] { return client->received.ends_with("body"); }));
 }
 
 // The server has received the upgrade and its response is lost: retried where the class allows it, else
@@ -286,13 +286,13 @@
     for (int i = 0; i < 2; ++i) rig.servers.emplace_back(rig.io);
     begin(rig.targets());
     const auto server_requests = [&] {
-        return rig.servers.front().requests() + rig.servers.back().requests();
+        return rig.servers.front().request_count() + rig.servers.back().request_count();
     };
     const auto reset_unanswered = [&] {
         for (FakeServer& s : rig.servers)
-            for (const auto& p : s.peers) {
-                if (p->requests() <= p->answered) continue;
-                ++p->answered;
+            for (const auto& p : s.connections) {
+                if (p->request_count() <= p->answered_request_count) continue;
+                ++p->answered_request_count;
                 p->reset();
             }
     };
@@ -302,7 +302,7 @@
         const auto client = send_raw_upgrade(request_class);
         ASSERT_TRUE(rig.until([&] {
             reset_unanswered();
-            return client->got.find("\r\n\r\n") != std::string::npos;
+            return client->received.find("\r\n\r\n") != std::string::npos;
         })) << request_class;
         EXPECT_EQ(server_requests(), before + attempts)
             << request_class << ": at most four attempts, only one if non-idempotent";
@@ -318,11 +318,11 @@
     begin(rig.targets());
     const auto client = send_raw_upgrade("unsafe");
     const auto server_requests = [&] {
-        return rig.servers.front().requests() + rig.servers.back().requests();
+        return rig.servers.front().request_count() + rig.servers.back().request_count();
     };
     ASSERT_TRUE(rig.until([&] { return server_requests() == 1; }));
-    FakeServer& first = rig.servers.front().requests() ? rig.servers.front() : rig.servers.back();
-    first.last().respond("503 Full", "", "X-Unprocessed: 1\r\n");
+    FakeServer& first = rig.servers.front().request_count() ? rig.servers.front() : rig.servers.back();
+    first.last_connection().respond("503 Full", "", "X-Unprocessed: 1\r\n");
     ASSERT_TRUE(rig.until([&] { return server_requests() == 2; }));
 }
 
@@ -379,7 +379,7 @@
     SessionServer &draining = servers.front(), &other = servers.back();
     const std::size_t there = draining.upgrades;
     EXPECT_NEAR(static_cast<double>(there), kEach, 10) << "spread by the number of sessions";
-    rig.watch_begins();
+    rig.begin_watch();
     drain_server(0);
     ASSERT_TRUE(rig.until([&] { return rig.sidecar->sessions() == 2 * kEach - there; }));
     ASSERT_TRUE(rig.until([&] {
@@ -430,7 +430,7 @@
     servers.front().peers[0]->send("the last that it reads");
     ASSERT_TRUE(rig.until([&] { return client->received.size() == 1; }));
     for (int i = 0; i < 200; ++i) servers.front().peers[0]->send(std::string(100000, 'x'));
-    rig.settle();
+    rig.handle_pending_events();
     bool done = false;
     rig.sidecar->drain([&] { done = true; });
     ASSERT_TRUE(rig.until([&] { return done; }));
@@ -462,9 +462,9 @@
     rig.servers.emplace_back(rig.io);
     begin(rig.targets());
     const auto client = send_raw_upgrade("safe");
-    ASSERT_TRUE(rig.until([&] { return rig.servers.front().requests() == 1; }));
+    ASSERT_TRUE(rig.until([&] { return rig.servers.front().request_count() == 1; }));
     client->close();
-    ASSERT_TRUE(rig.until([&] { return rig.servers.front().last().closed; }));
+    ASSERT_TRUE(rig.until([&] { return rig.servers.front().last_connection().closed; }));
     ASSERT_TRUE(rig.until([&] { return rig.sidecar->requests() == 0; }));
     EXPECT_EQ(rig.sidecar->sessions(), 0U);
 }
