--- a/bench/members.cpp
+++ b/bench/members.cpp
@@ -178,7 +178,7 @@
         }
         const auto frozen = static_cast<MemberId>(random.below(kMembers));
         fleet.freeze(frozen);
-        fleet.run_for(75 + 195 * random.unit());
+        fleet.run_for(75 + 195 * random.uniform());
         fleet.thaw(frozen);
         fleet.run_for(100);
     }
--- a/src/balancer/dispatcher.cpp
+++ b/src/balancer/dispatcher.cpp
@@ -29,7 +29,7 @@
 }
 
 bool Dispatcher::may_start_attempt(const Request& request) const {
-    const auto random_unit = [this] { return parts_.random.unit(); };
+    const auto random_unit = [this] { return parts_.random.uniform(); };
     return parts_.admission.may_start_attempt(request.request_class, request.repeat, request.tenant_share,
                                               parts_.pool.in_flight(), parts_.context.now(), random_unit);
 }
--- a/src/balancer/pick.cpp
+++ b/src/balancer/pick.cpp
@@ -7,7 +7,7 @@
     for (std::size_t i = 0; i < count; ++i) {
         if (i != excluded) total_weight += candidates_[i]->info.weight;
     }
-    double remaining = random_->unit() * total_weight;
+    double remaining = random_->uniform() * total_weight;
     std::size_t drawn = 0;
     for (std::size_t i = 0; i < count; ++i) {
         if (i == excluded) continue;
--- a/src/balancer/server_table.cpp
+++ b/src/balancer/server_table.cpp
@@ -55,7 +55,7 @@
     const ServerAges::Process process = ages_->process_of(info.id);
     const bool has_restarted = process.number != server.process.number;
     if (is_new || has_restarted) {
-        SlowStart::begin(server, random_->unit(), now);
+        SlowStart::begin(server, random_->uniform(), now);
         OutlierEjection::reset(server);
     }
     server.process = process;
--- a/src/balancer/subscription_backoff.hpp
+++ b/src/balancer/subscription_backoff.hpp
@@ -22,7 +22,7 @@
     /// The wait after a failed call, in milliseconds: half to one and a half of the mean. The mean then
     /// doubles, up to kMost.
     Millis next(Random& random) {
-        const Millis wait = mean_ * (0.5 + random.unit());
+        const Millis wait = mean_ * (0.5 + random.uniform());
         mean_ = std::min(mean_ * 2, kMost);
         return wait;
     }
--- a/src/base/byte_budget.hpp
+++ b/src/base/byte_budget.hpp
@@ -50,7 +50,7 @@
     ByteBudget& operator=(const ByteBudget&) = delete;
 
     /// A grant of so many bytes; none if fewer are left.
-    std::optional<Grant> take(std::size_t bytes) {
+    std::optional<Grant> acquire(std::size_t bytes) {
         const std::size_t left = limit_ - *used_;
         if (bytes > left) return {};
         return Grant(used_, bytes);
--- a/src/base/random.hpp
+++ b/src/base/random.hpp
@@ -16,10 +16,10 @@
     explicit Random(std::uint64_t seed) : state_(seed) {}
 
     /// Uniform in [0, 1), with the 53 bits that a double holds.
-    double unit() { return static_cast<double>(next() >> kDiscardedBits) * kUnitStep; }
+    double uniform() { return static_cast<double>(next() >> kDiscardedBits) * kUnitStep; }
 
     /// Uniform in [0, n). 0 if n is 0.
-    std::size_t below(std::size_t n) { return static_cast<std::size_t>(unit() * static_cast<double>(n)); }
+    std::size_t below(std::size_t n) { return static_cast<std::size_t>(uniform() * static_cast<double>(n)); }
 
     /// Uniform over all 64-bit numbers.
     std::uint64_t next() {
--- a/src/base/socket_failures.hpp
+++ b/src/base/socket_failures.hpp
@@ -9,32 +9,32 @@
 
 /// Whose failure an error is.
 enum class SocketFailure {
-    own_descriptors,  ///< this process may open no more: closing one of its own helps
-    machine,          ///< tables, buffers, ports or routes of the whole machine: only time helps
-    connection,       ///< this connection's own: the next one is not concerned
+    process_limit,   ///< this process may open no more: closing one of its own helps
+    host_resources,  ///< tables, buffers, ports or routes of the whole machine: only time helps
+    connection,      ///< this connection's own: the next one is not concerned
 };
 
 /// Of accept(2). The call reports errors that are pending on the new connection as its own; it is to be made
 /// again. A firewall's refusal (EPERM), an interrupted call and an error that is not known count likewise.
-inline SocketFailure accept_failure(const boost::system::error_code& error) {
+inline SocketFailure classify_accept_error(const boost::system::error_code& error) {
     switch (error.value()) {
         case EMFILE:
-            return SocketFailure::own_descriptors;
+            return SocketFailure::process_limit;
         case ENFILE:
         case ENOBUFS:
         case ENOMEM:
         case ENOSPC:  // epoll's limit on watches, epoll_ctl(2)
-            return SocketFailure::machine;
+            return SocketFailure::host_resources;
         default:
             return SocketFailure::connection;
     }
 }
 
 /// Of opening a connection: socket(2) and connect(2).
-inline SocketFailure connect_failure(const boost::system::error_code& error) {
+inline SocketFailure classify_connect_error(const boost::system::error_code& error) {
     switch (error.value()) {
         case EMFILE:
-            return SocketFailure::own_descriptors;
+            return SocketFailure::process_limit;
         case ENFILE:
         case ENOBUFS:
         case ENOMEM:
@@ -43,7 +43,7 @@
         case EADDRNOTAVAIL:  // the same, ip(7)
         case ENETDOWN:
         case ENETUNREACH:
-            return SocketFailure::machine;
+            return SocketFailure::host_resources;
         default:
             return SocketFailure::connection;
     }
--- a/src/base/timing.hpp
+++ b/src/base/timing.hpp
@@ -43,7 +43,7 @@
     Millis now() const { return offset_ + to_millis(Steady::now().time_since_epoch()); }
 
     /// Unix time as the machine has it at this moment, in milliseconds.
-    Millis wall() const { return wall_(); }
+    Millis wall_time() const { return wall_(); }
 
     /// A time of now() as the standard library has it, for timers of the system.
     Steady::time_point steady(Millis at) const {
--- a/src/cluster/driver.cpp
+++ b/src/cluster/driver.cpp
@@ -49,7 +49,7 @@
       handlers_(std::move(handlers)),
       peers_(setup.peers),
       socket_(io),
-      membership_(membership_setup(setup), clock.now(), clock.wall()),
+      membership_(membership_setup(setup), clock.now(), clock.wall_time()),
       siblings_(setup.siblings) {
     // Of two ids with one address the first has it: its datagrams say who they are from.
     for (std::uint32_t i = 0; i < peers_.size(); ++i) address_indexes_.emplace(peers_[i], i);
--- a/src/cluster/membership.cpp
+++ b/src/cluster/membership.cpp
@@ -37,9 +37,9 @@
     self.incarnation = {clock_.first_counter(), nonce};
     self.state = setup_.count > 1 ? MemberState::joining : MemberState::alive;
     // Probes of members that started together spread over a period.
-    next_probe_at_ = now + setup_.timing.probe_period * random_.unit() * 0.5;
-    next_gossip_at_ = now + setup_.timing.gossip_interval * random_.unit();
-    sync_.postpone(now + setup_.timing.first_sync * (0.5 + random_.unit()));
+    next_probe_at_ = now + setup_.timing.probe_period * random_.uniform() * 0.5;
+    next_gossip_at_ = now + setup_.timing.gossip_interval * random_.uniform();
+    sync_.postpone(now + setup_.timing.first_sync * (0.5 + random_.uniform()));
     due_ = next();
 }
 
@@ -186,7 +186,7 @@
     const Timing& timing = setup_.timing;
     if (!sync_.page_arrived(now, message.subject, timing.page_timeout * health_.multiplier())) return;
     const Millis pause = in_startup(now) ? timing.first_sync : timing.sync_interval;
-    sync_.finish(now + pause * (0.5 + random_.unit()));
+    sync_.finish(now + pause * (0.5 + random_.uniform()));
     if (message.digest == table_.digest()) sync_.note_equal();
 }
 
--- a/src/cluster/membership_probing.cpp
+++ b/src/cluster/membership_probing.cpp
@@ -30,7 +30,7 @@
     }
     const bool quick = burst_.take_quick(view(now) != View::alone);
     const Millis period = quick ? setup_.timing.burst_period : setup_.timing.probe_period;
-    next_probe_at_ = now + period * health_.multiplier() * (0.9 + 0.2 * random_.unit());
+    next_probe_at_ = now + period * health_.multiplier() * (0.9 + 0.2 * random_.uniform());
 }
 
 void Membership::run_probes(Millis now) {
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -29,7 +29,7 @@
     std::size_t sockets = 1024;       ///< file descriptors that the process may hold
     std::size_t memory = 32U << 20U;  ///< bytes; the default is the least that the platform ever gives
     balancer::DeploymentSettings deployment;
-    Listing known;  ///< the endpoint list as this sidecar last had it; may be old
+    EndpointList known;  ///< the endpoint list as this sidecar last had it; may be old
     /// Where this sidecar receives datagrams of others; none: it does not take part.
     std::optional<PeerEndpoint> peer_listen;
     /// Where this sidecar sends to each other, by their numbers, its own among them.
--- a/src/config/endpoint_list.cpp
+++ b/src/config/endpoint_list.cpp
@@ -72,14 +72,14 @@
     return document;
 }
 
-Listing EndpointListParser::listing(const Json& remainder) {
+EndpointList EndpointListParser::listing(const Json& remainder) {
     if (!remainder.is_object()) {
         throw ConfigError(field_.empty() ? "list" : field_, FieldProblem::not_an_object);
     }
-    listing_.rev = as_whole_number(required_field(remainder, "rev", path_prefix_), path_prefix_ + "rev");
+    listing_.revision = as_whole_number(required_field(remainder, "rev", path_prefix_), path_prefix_ + "rev");
     const Json& all = required_field(remainder, "all", path_prefix_);
     if (!all.is_boolean()) throw ConfigError(path_prefix_ + "all", FieldProblem::not_a_flag);
-    listing_.all = all.get<bool>();
+    listing_.is_complete = all.get<bool>();
     if (!required_field(remainder, "targets", path_prefix_).is_array()) {
         throw ConfigError(path_prefix_ + "targets", FieldProblem::not_a_list);
     }
@@ -132,7 +132,7 @@
 
 void EndpointListParser::add_target(const Json& value) {
     if (listing_.targets.size() >= kMaxTargets) {
-        ++listing_.passed_over;
+        ++listing_.dropped_targets;
         return;
     }
     const std::string path = path_prefix_ + "targets." + std::to_string(targets_seen_);
@@ -140,7 +140,7 @@
     listing_.targets.push_back(parse_target(value, path));
 }
 
-Listing parse_listing(std::string_view text) {
+EndpointList parse_endpoint_list(std::string_view text) {
     EndpointListParser parser("");
     const Json remainder = parser.parse(text, "the list");
     return parser.listing(remainder);
--- a/src/config/endpoint_list.hpp
+++ b/src/config/endpoint_list.hpp
@@ -34,11 +34,11 @@
 };
 
 /// An endpoint list: a whole one, or the changes since an earlier one.
-struct Listing {
-    std::uint64_t rev = 0;        ///< its version; rises with each change
-    bool all = false;             ///< whole: a server that it does not name has been removed
-    std::vector<Target> targets;  ///< kMaxTargets at most
-    std::size_t passed_over = 0;  ///< targets beyond kMaxTargets, which were dropped
+struct EndpointList {
+    std::uint64_t revision = 0;       ///< its version; rises with each change
+    bool is_complete = false;         ///< whole: a server that it does not name has been removed
+    std::vector<Target> targets;      ///< kMaxTargets at most
+    std::size_t dropped_targets = 0;  ///< targets beyond kMaxTargets, which were dropped
     /// How long before it arrived a change may have happened, milliseconds: see balancer::ServerList.
     /// Infinity: since before this process began.
     Millis list_age_bound = std::numeric_limits<Millis>::infinity();
@@ -46,6 +46,6 @@
 
 /// Reads a list as discovery sends it, in JSON. Throws ConfigError; of a list that can't be read nothing is
 /// used.
-Listing parse_listing(std::string_view text);
+EndpointList parse_endpoint_list(std::string_view text);
 
 }  // namespace elmbay
--- a/src/config/endpoint_list_parser.hpp
+++ b/src/config/endpoint_list_parser.hpp
@@ -27,7 +27,7 @@
 
     /// The list that parse() has read. Throws ConfigError.
     /// @param remainder what stands at the list's place in the result of parse()
-    Listing listing(const Json& remainder);
+    EndpointList listing(const Json& remainder);
 
 private:
     using Event = Json::parse_event_t;
@@ -52,7 +52,7 @@
     bool is_in_list_;                // else in a field beside it
     Position position_ = Position::outside;
     std::size_t targets_seen_ = 0;
-    Listing listing_;
+    EndpointList listing_;
 };
 
 }  // namespace elmbay
--- a/src/daemon/operator_settings.cpp
+++ b/src/daemon/operator_settings.cpp
@@ -10,7 +10,7 @@
     if (path.empty()) return OperatorFile{};
     schema::Problems problems;
     OperatorFile settings = read_operator_file(path, problems);
-    std::cerr << schema::text_of(path, problems);
+    std::cerr << schema::format_problems(path, problems);
     if (!problems.empty()) return {};
     return settings;
 }
@@ -18,7 +18,7 @@
 int check_operator_file(const std::string& path) {
     schema::Problems problems;
     read_operator_file(path, problems);
-    std::cerr << schema::text_of(path, problems);
+    std::cerr << schema::format_problems(path, problems);
     if (!problems.empty()) return kExitUnusable;
     std::cout << path << ": sound" << std::endl;
     return kExitOk;
--- a/src/fault_proxy/rules.cpp
+++ b/src/fault_proxy/rules.cpp
@@ -99,7 +99,7 @@
 bool Rules::matches(const Rule& rule, const Link& link, std::uint64_t number) const {
     const bool is_in_range = number >= rule.first_number && number <= rule.last_number;
     if (!is_in_range || !rule.names(link)) return false;
-    return rule.probability >= 1 || random_for(rule, link, number).unit() < rule.probability;
+    return rule.probability >= 1 || random_for(rule, link, number).uniform() < rule.probability;
 }
 
 bool Rules::is_cut(const Link& link, Medium medium, Millis now) const {
@@ -148,9 +148,9 @@
         case DelayDistribution::fixed:
             return rule.delay;
         case DelayDistribution::uniform:
-            return std::max(0.0, rule.delay + rule.jitter * (2 * random.unit() - 1));
+            return std::max(0.0, rule.delay + rule.jitter * (2 * random.uniform() - 1));
         case DelayDistribution::exponential:
-            return -rule.delay * std::log1p(-random.unit());
+            return -rule.delay * std::log1p(-random.uniform());
     }
     return rule.delay;
 }
--- a/src/net/client_acceptor.cpp
+++ b/src/net/client_acceptor.cpp
@@ -58,7 +58,7 @@
 
 void ClientAcceptor::accept() {
     if (is_accepting_ || !acceptor_.is_open()) return;
-    if (!budget_.take(Side::clients)) {
+    if (!budget_.acquire(SocketPurpose::clients)) {
         is_waiting_for_socket_ = true;
         retry_later();
         return;
@@ -68,7 +68,7 @@
     acceptor_.async_accept([this](Error error, tcp::socket socket) {
         is_accepting_ = false;
         if (error) {
-            budget_.give_back(Side::clients);
+            budget_.release(SocketPurpose::clients);
             if (acceptor_.is_open()) on_accept_failed(error);
             return;
         }
@@ -81,7 +81,7 @@
 // Closing a connection of our own helps only where this process lacks descriptors: not where the whole
 // machine lacks something, and not for a client that has left already.
 void ClientAcceptor::on_accept_failed(const Error& error) {
-    const SocketFailure failure = accept_failure(error);
+    const SocketFailure failure = classify_accept_error(error);
     if (failure == SocketFailure::connection) {
         ++consecutive_failures_;
         if (consecutive_failures_ < kMaxConsecutiveFailures) {
@@ -90,7 +90,7 @@
         }
     }
     consecutive_failures_ = 0;
-    if (failure == SocketFailure::own_descriptors) handlers_.on_out_of_descriptors();
+    if (failure == SocketFailure::process_limit) handlers_.on_out_of_descriptors();
     retry_later();
 }
 
@@ -109,16 +109,16 @@
 
 bool ClientAcceptor::accept_pending() {
     int failures = 0;
-    while (failures < kMaxConsecutiveFailures && budget_.take(Side::clients)) {
+    while (failures < kMaxConsecutiveFailures && budget_.acquire(SocketPurpose::clients)) {
         Error error;
         tcp::socket socket = acceptor_.accept(error);
         if (!error) {
             handlers_.on_accepted(std::move(socket));
             continue;
         }
-        budget_.give_back(Side::clients);
+        budget_.release(SocketPurpose::clients);
         if (error == asio::error::would_block) return true;
-        if (accept_failure(error) != SocketFailure::connection) return false;
+        if (classify_accept_error(error) != SocketFailure::connection) return false;
         ++failures;
     }
     return true;
--- a/src/net/client_acceptor.hpp
+++ b/src/net/client_acceptor.hpp
@@ -19,8 +19,8 @@
 /// While sockets are lacking, the kernel's queue keeps the clients, and accepting is tried again after a
 /// pause or as soon as on_socket_released() is called.
 ///
-/// Each accepted connection holds one descriptor of Side::clients; its owner gives it back. Not thread-safe.
-/// Owned by Listener.
+/// Each accepted connection holds one descriptor of SocketPurpose::clients; its owner gives it back. Not
+/// thread-safe. Owned by Listener.
 class ClientAcceptor {
 public:
     /// How long a port that is taken is waited for, in milliseconds: a planned restart may begin before the
--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -81,8 +81,8 @@
 }
 
 bool ClientConnection::has_client_disconnected() {
-    const SocketState socket_state = state_of(socket_.native_handle());
-    return socket_state != SocketState::quiet && socket_state != SocketState::interrupted;
+    const SocketState socket_state = peek_socket_state(socket_.native_handle());
+    return socket_state != SocketState::idle && socket_state != SocketState::interrupted;
 }
 
 void ClientConnection::enter(ConnectionState state) {
@@ -156,8 +156,8 @@
 }
 
 void ClientConnection::on_readable_during_request() {
-    const SocketState socket_state = state_of(socket_.native_handle());
-    if (socket_state == SocketState::quiet || socket_state == SocketState::interrupted) {
+    const SocketState socket_state = peek_socket_state(socket_.native_handle());
+    if (socket_state == SocketState::idle || socket_state == SocketState::interrupted) {
         await_readable();
         return;
     }
@@ -194,7 +194,7 @@
     enter(ConnectionState::writing_response);
     release_message_memory();
     if (response.body().size() > kUsualBody) {
-        message_memory_ = context_.bytes.take(kMaxResponseBody);
+        message_memory_ = context_.bytes.acquire(kMaxResponseBody);
         if (!message_memory_)
             response = text_response(http::status::bad_gateway, "no memory for so long an answer\n");
     }
--- a/src/net/client_connection_pool.hpp
+++ b/src/net/client_connection_pool.hpp
@@ -14,7 +14,7 @@
 /// All open connections of a listener, in two lists: those on which no request has come yet, in the order in
 /// which they came, and the others, the longest idle first.
 ///
-/// Not thread-safe. Owned by Listener; bounded by the descriptors of Side::clients.
+/// Not thread-safe. Owned by Listener; bounded by the descriptors of SocketPurpose::clients.
 class ClientConnectionPool {
 public:
     /// A connection that has been idle for longer is closed as readily as one on which no request ever came.
--- a/src/net/client_connection_reading.cpp
+++ b/src/net/client_connection_reading.cpp
@@ -143,7 +143,7 @@
 bool ClientConnection::reserve_body() {
     const auto length = parser_->content_length();
     if (length && *length <= kUsualBody) return true;
-    message_memory_ = context_.bytes.take(kMaxRequestBody);
+    message_memory_ = context_.bytes.acquire(kMaxRequestBody);
     if (message_memory_) return true;
     if (length) return false;
     parser_->body_limit(kUsualBody);
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -71,7 +71,7 @@
         owner_.timers_.cancel(timer_);
         Error ignored;
         socket_.close(ignored);
-        owner_.budget_.give_back(Side::servers);
+        owner_.budget_.release(SocketPurpose::servers);
     }
 
 private:
@@ -199,9 +199,9 @@
     // What can't be read must not touch the list that is held: it is dropped whole, and asked for again.
     // Returns whether the call goes on.
     bool on_list(std::string_view text) {
-        Listing listing;
+        EndpointList listing;
         try {
-            listing = parse_listing(text);
+            listing = parse_endpoint_list(text);
         } catch (const ConfigError& error) {
             log_event("discovery", "list_rejected", error.what());
             owner_.needs_whole_list_ = true;
@@ -209,7 +209,7 @@
         }
         const Millis now = owner_.clock_.now();
         listing.list_age_bound = now - std::exchange(owner_.last_heard_at_, now);
-        owner_.version_ = listing.rev;
+        owner_.version_ = listing.revision;
         owner_.next_delay_ = owner_.backoff_.initial;
         owner_.on_listing_(std::move(listing));
         return !is_closed_;
@@ -245,7 +245,7 @@
 };
 
 Discovery::Discovery(asio::io_context& io, const Setup& setup, SocketBudget& budget, TimerQueue& timers,
-                     const Clock& clock, std::function<void(Listing)> on_listing)
+                     const Clock& clock, std::function<void(EndpointList)> on_listing)
     : io_(io),
       endpoint_(setup.endpoint),
       budget_(budget),
@@ -287,7 +287,7 @@
 }
 
 void Discovery::begin_call() {
-    if (!budget_.take(Side::servers)) {
+    if (!budget_.acquire(SocketPurpose::servers)) {
         on_call_ended(DiscoveryError::no_socket);
         return;
     }
--- a/src/net/discovery.hpp
+++ b/src/net/discovery.hpp
@@ -24,8 +24,8 @@
 /// end of a call another follows, after a delay with jitter. What can't be read is dropped whole and the
 /// whole list asked for again; the list that is held stays in force meanwhile.
 ///
-/// Not thread-safe: everything runs on the event loop's thread. Holds at most one descriptor of Side::servers
-/// and one line of a list.
+/// Not thread-safe: everything runs on the event loop's thread. Holds at most one descriptor of
+/// SocketPurpose::servers and one line of a list.
 class Discovery {
 public:
     /// What is missed counts as told so long after a watch fell silent, whether lists are pushed or asked
@@ -87,7 +87,7 @@
     /// Does nothing before watch(). The references must outlive it.
     /// @param on_listing called with each list or change that could be read, in order.
     Discovery(asio::io_context& io, const Setup& setup, SocketBudget& budget, TimerQueue& timers,
-              const Clock& clock, std::function<void(Listing)> on_listing);
+              const Clock& clock, std::function<void(EndpointList)> on_listing);
     ~Discovery();
     Discovery(const Discovery&) = delete;
     Discovery& operator=(const Discovery&) = delete;
@@ -120,7 +120,7 @@
     const Mode mode_;
     const Backoff backoff_;
     std::mt19937_64 random_;
-    std::function<void(Listing)> on_listing_;
+    std::function<void(EndpointList)> on_listing_;
     std::shared_ptr<Call> call_;  // none between two calls
     TimerQueue::Key retry_timer_{};
     Millis next_delay_;  // before jitter
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -19,7 +19,7 @@
       shutdown_(io, clock, timers, acceptor_, connections_),
       connection_context_{
           *this, clock, timers, bytes, handlers_, max_response_time, asio::buffer(discard_buffer_)} {
-    budget_.set_shedder(Side::clients, [this] { return connections_.close_one(clock_.now()); });
+    budget_.set_idle_closer(SocketPurpose::clients, [this] { return connections_.close_one(clock_.now()); });
     acceptor_.start();
 }
 
@@ -48,7 +48,7 @@
 }
 
 bool Listener::has_capacity_for_request() const {
-    return shutdown_.has_time_for_request() && requests_in_progress_.size() < budget_.places();
+    return shutdown_.has_time_for_request() && requests_in_progress_.size() < budget_.max_requests();
 }
 
 bool Listener::register_correlation_id(std::string_view id) {
@@ -73,7 +73,7 @@
 
 void Listener::on_closed(ClientConnection& connection) {
     connections_.remove(connection);
-    budget_.give_back(Side::clients);
+    budget_.release(SocketPurpose::clients);
     acceptor_.on_socket_released();
     shutdown_.on_connection_closed();
 }
--- a/src/net/response_reader.cpp
+++ b/src/net/response_reader.cpp
@@ -93,7 +93,7 @@
     const auto length = parser_->content_length();
     if (length && *length <= kUsualBody) return true;
     large_response_grant_.reset();
-    large_response_grant_ = budget_.take(kLargeResponseBytes);
+    large_response_grant_ = budget_.acquire(kLargeResponseBytes);
     if (length) return large_response_grant_ && *length <= kMaxResponseBody;
     if (!large_response_grant_) parser_->body_limit(kUsualBody);
     return true;
--- a/src/net/server_connection.cpp
+++ b/src/net/server_connection.cpp
@@ -45,7 +45,7 @@
 void ServerConnection::open() {
     socket_.async_connect(endpoint_, [self = shared_from_this()](Error error) {
         if (self->state_ == ServerConnectionState::closed) return;
-        const bool server_was_asked = !error || connect_failure(error) == SocketFailure::connection;
+        const bool server_was_asked = !error || classify_connect_error(error) == SocketFailure::connection;
         self->context_.owner.on_connect_tried(self->server_, server_was_asked);
         if (!server_was_asked)
             self->open_later();
@@ -86,7 +86,8 @@
 // ---- idle
 
 bool ServerConnection::is_usable() {
-    return state_ == ServerConnectionState::idle && state_of(socket_.native_handle()) == SocketState::quiet;
+    return state_ == ServerConnectionState::idle &&
+           peek_socket_state(socket_.native_handle()) == SocketState::idle;
 }
 
 void ServerConnection::await_readable() {
--- a/src/net/server_connection.hpp
+++ b/src/net/server_connection.hpp
@@ -120,7 +120,7 @@
 /// response.
 ///
 /// Owned by ServerConnectionPool while idle, by its attempt while in use, and by the handlers that wait for
-/// its socket. Holds one descriptor of Side::servers until on_closed(). Not thread-safe.
+/// its socket. Holds one descriptor of SocketPurpose::servers until on_closed(). Not thread-safe.
 class ServerConnection : public std::enable_shared_from_this<ServerConnection> {
 public:
     using List = std::list<std::shared_ptr<ServerConnection>>;
--- a/src/net/server_connection_pool.hpp
+++ b/src/net/server_connection_pool.hpp
@@ -15,7 +15,7 @@
 /// server is used next; the one that has been idle longest, of all servers, is closed first.
 ///
 /// A connection that closes itself must be removed by remove(). Not thread-safe. Owned by Upstream; bounded
-/// by the descriptors of Side::servers.
+/// by the descriptors of SocketPurpose::servers.
 class ServerConnectionPool {
 public:
     /// @param now when it became idle.
--- a/src/net/upstream.cpp
+++ b/src/net/upstream.cpp
@@ -45,7 +45,7 @@
       list_barrier_(gate_.list_unread),
       connection_context_{
           *this, io, clock, timers, bytes, limits.connect_timeout, asio::buffer(read_buffer_)} {
-    budget_.set_shedder(Side::servers, [this] { return pool_.close_longest_idle(); });
+    budget_.set_idle_closer(SocketPurpose::servers, [this] { return pool_.close_longest_idle(); });
     timers_.set(clock_.now() + kMaxIdleCheckInterval, [this] { close_long_idle(); });
 }
 
@@ -119,7 +119,7 @@
 
 void Upstream::open_missing_connections(Server& server) {
     while (server.connecting_count < server.waiting.size()) {
-        if (!budget_.take(Side::servers)) {
+        if (!budget_.acquire(SocketPurpose::servers)) {
             // Attempts that no connection is on its way for never ran.
             end(take_last_waiting(server), Outcome::not_sent);
             continue;
@@ -295,7 +295,7 @@
 
 void Upstream::on_closed(ServerConnection& connection) {
     pool_.remove(connection);
-    budget_.give_back(Side::servers);
+    budget_.release(SocketPurpose::servers);
 }
 
 // ---- idle connections
--- a/src/net/upstream.hpp
+++ b/src/net/upstream.hpp
@@ -28,7 +28,8 @@
 /// Parts: ServerConnection is one connection, ServerConnectionPool holds the idle ones, UpstreamAttempt is
 /// one attempt, EndpointListBarrier holds writes back while the endpoint list has come and was not read.
 ///
-/// Not thread-safe: everything runs on the event loop's thread. Bounded by the descriptors of Side::servers.
+/// Not thread-safe: everything runs on the event loop's thread. Bounded by the descriptors of
+/// SocketPurpose::servers.
 class Upstream final : private ServerConnectionOwner {
 public:
     /// Times of the settings, in milliseconds.
--- a/src/schema/schema.cpp
+++ b/src/schema/schema.cpp
@@ -126,7 +126,7 @@
 
 // ---- Problems -------------------------------------------------------------------------------------------
 
-std::string text_of(const std::string& file, const Problems& problems) {
+std::string format_problems(const std::string& file, const Problems& problems) {
     std::string text;
     for (const Problem& problem : problems) {
         text += file;
--- a/src/schema/schema.hpp
+++ b/src/schema/schema.hpp
@@ -50,7 +50,7 @@
 using Problems = std::vector<Problem>;
 
 /// The problems for a person, a line each: "FILE:LINE: KEY: WHAT".
-std::string text_of(const std::string& file, const Problems& problems);
+std::string format_problems(const std::string& file, const Problems& problems);
 
 /// The problem of text that is not TOML.
 Problem malformed_toml(const toml::parse_error& error);
--- a/src/sidecar/resource_limits.cpp
+++ b/src/sidecar/resource_limits.cpp
@@ -39,7 +39,7 @@
 
 SocketBudget make_socket_budget(const Config& config, const websocket::Settings& websocket) {
     SocketBudget budget(0);
-    if (websocket.on) budget.want_for_sessions(kSocketsPerSession * websocket.max_sessions);
+    if (websocket.on) budget.set_wanted_session_sockets(kSocketsPerSession * websocket.max_sessions);
     budget.set_limit(socket_limit(config));
     return budget;
 }
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -26,10 +26,10 @@
 
 // The revision of the configured list. An empty list of revision 0 is no list: every list begins with that
 // revision.
-std::optional<std::uint64_t> held_revision(const Listing& known) {
-    const bool is_no_list = known.rev == 0 && known.targets.empty();
+std::optional<std::uint64_t> held_revision(const EndpointList& known) {
+    const bool is_no_list = known.revision == 0 && known.targets.empty();
     if (is_no_list) return {};
-    return known.rev;
+    return known.revision;
 }
 
 Discovery::Mode discovery_mode(const Config& config) {
@@ -60,9 +60,9 @@
       websocket_proxy_(make_websocket_proxy(websocket)),
       discovery_(io, {config_.discovery, held_revision(config_.known), config_.seed, discovery_mode(config_)},
                  socket_budget_, timers_, clock_,
-                 [this](const Listing& listing) {
+                 [this](const EndpointList& listing) {
                      const auto kind =
-                         listing.all ? balancer::ListKind::snapshot : balancer::ListKind::incremental;
+                         listing.is_complete ? balancer::ListKind::snapshot : balancer::ListKind::incremental;
                      on_endpoint_list(kind, listing);
                  }),
       listener_(io, config_.listen, socket_budget_, long_message_budget_, timers_, clock_,
@@ -155,7 +155,7 @@
     nlohmann::json status = {{"name", config_.name},
                              {"version", ELMBAY_VERSION},
                              {"pid", ::getpid()},
-                             {"now_ms", clock_.wall()},
+                             {"now_ms", clock_.wall_time()},
                              {"ready", is_ready_},
                              {"siblings", config_.deployment.settings.siblings},
                              {"requests", requests_status(request_counts_, engine_.requests())},
@@ -205,15 +205,15 @@
     engine_.on_attempt_ended(clock_.now(), key, outcome, duration);
 }
 
-void Sidecar::on_endpoint_list(balancer::ListKind kind, const Listing& listing) {
+void Sidecar::on_endpoint_list(balancer::ListKind kind, const EndpointList& listing) {
     const EndpointRegistry::Update update = endpoints_.apply(kind, listing.targets);
-    balancer::ServerList list{kind, {}, clock_.wall(), listing.list_age_bound};
+    balancer::ServerList list{kind, {}, clock_.wall_time(), listing.list_age_bound};
     list.servers.reserve(update.changes.size());
     for (const EndpointRegistry::Change& change : update.changes) list.servers.push_back(change.info);
     // The backends learn of a draining server before the engine does: no waiting attempt may be sent to it.
     update_backends(update);
     is_ready_ = is_ready_ || update.any_active;
-    const std::size_t skipped = listing.passed_over + update.skipped;
+    const std::size_t skipped = listing.dropped_targets + update.skipped;
     const auto skipped_line = skipped_servers_log_.observe(clock_.now(), skipped);
     if (skipped_line) write_log_line(*skipped_line);
     engine_.on_endpoint_list(clock_.now(), std::move(list));
--- a/src/sidecar/sidecar.hpp
+++ b/src/sidecar/sidecar.hpp
@@ -86,7 +86,7 @@
                             ReceivedRequest received);
     void on_client_disconnected(RequestId id);
     void on_attempt_ended(AttemptKey key, Outcome outcome, Millis duration, HttpResponse response);
-    void on_endpoint_list(balancer::ListKind kind, const Listing& listing);
+    void on_endpoint_list(balancer::ListKind kind, const EndpointList& listing);
     void on_member_changed(const cluster::Change& change);
 
     // The engine's actions.
--- a/src/sidecar/status_report.cpp
+++ b/src/sidecar/status_report.cpp
@@ -34,9 +34,9 @@
 }
 
 nlohmann::json sockets_status(const SocketBudget& budget) {
-    return {{"clients", budget.used(Side::clients)},
-            {"servers", budget.used(Side::servers)},
-            {"sessions", budget.used(Side::sessions)}};
+    return {{"clients", budget.open_sockets(SocketPurpose::clients)},
+            {"servers", budget.open_sockets(SocketPurpose::servers)},
+            {"sessions", budget.open_sockets(SocketPurpose::sessions)}};
 }
 
 nlohmann::json servers_status(const EndpointRegistry& registry, const balancer::LearnedState& learned_state,
--- a/src/simulation/drivers/virtual/virtual_run.cpp
+++ b/src/simulation/drivers/virtual/virtual_run.cpp
@@ -655,7 +655,7 @@
         Random random = stream(scenario_.overview.seed, Purpose::latency, s.id, a.number);
         const bool same = scenario_.zone_of(server) == who % scenario_.fleet.zones.size();
         a.latency = (same ? scenario_.fleet.same_zone_latency : scenario_.fleet.cross_zone_latency) *
-                    (1 + scenario_.fleet.latency_jitter * (2 * random.unit() - 1));
+                    (1 + scenario_.fleet.latency_jitter * (2 * random.uniform() - 1));
         log("send %llu.%u n-%u s-%u", ull(a.id), a.number, who, server);
         a.judged = checker_.on_attempt_started(now_, a.id, server, who);
         if (s.attempt_deadline > 0) put(s.attempt_deadline - kEpoch, What::expire, who, number);
--- a/src/simulation/models/client_model.cpp
+++ b/src/simulation/models/client_model.cpp
@@ -19,7 +19,7 @@
     explicit Shape(const Scenario& scenario) : scenario_(scenario) {
         if (scenario.clients.arrival_shape != "bursty") return;
         Random random = stream(scenario.overview.seed, Purpose::arrivals, 1);
-        bool high = random.unit() < 0.5;
+        bool high = random.uniform() < 0.5;
         for (Millis at = 0; at < scenario.overview.duration; high = !high) {
             turns_.push_back({at, 1 + (high ? 1 : -1) * scenario.clients.rate_amplitude});
             at += exponential(random, scenario.clients.period);
@@ -56,7 +56,7 @@
 };
 
 std::size_t drawn(Random& random, const std::vector<double>& sums) {
-    const double at = random.unit() * sums.back();
+    const double at = random.uniform() * sums.back();
     return std::min<std::size_t>(std::upper_bound(sums.begin(), sums.end(), at) - sums.begin(),
                                  sums.size() - 1);
 }
@@ -79,7 +79,7 @@
          at += exponential(random, gap)) {
         ClientArrival ask;
         ask.at = at;
-        const double keep = random.unit();
+        const double keep = random.uniform();
         ask.sidecar = static_cast<std::uint32_t>(drawn(random, sidecars));
         ask.class_index = static_cast<std::uint32_t>(drawn(random, classes));
         if (keep * most >= shape.at(at)) continue;
@@ -87,7 +87,7 @@
         for (const FaultSpec& f : scenario.faults) {
             if (f.only_class.empty()) continue;
             const double times = load_multiple_of(scenario, f, at);
-            if (times <= 1 || random.unit() * times < 1) continue;
+            if (times <= 1 || random.uniform() * times < 1) continue;
             for (std::size_t i = 0; i < scenario.classes.size(); ++i)
                 if (scenario.classes[i].name == f.only_class) ask.class_index = static_cast<std::uint32_t>(i);
         }
@@ -104,7 +104,8 @@
     t.time_left = std::min(c.client_deadline * scenario_.clients.request_timeout_share,
                            ask.at + c.client_deadline - at);
     Random random = stream(scenario_.overview.seed, Purpose::patience, t.id);
-    if (random.unit() < scenario_.clients.early_disconnect_share) t.leaves = t.time_left * random.unit();
+    if (random.uniform() < scenario_.clients.early_disconnect_share)
+        t.leaves = t.time_left * random.uniform();
     return t;
 }
 
@@ -121,8 +122,8 @@
     if (answer == Answer::served || nth > scenario_.clients.max_retries) return {};
     if (c.idempotency() == balancer::Idempotency::non_idempotent && answer != Answer::refused) return {};
     Random random = stream(scenario_.overview.seed, Purpose::backoff, last.id);
-    const bool honours = random.unit() < scenario_.clients.retry_after_compliance;
-    const Millis wait = scenario_.clients.backoff * (0.5 + random.unit());
+    const bool honours = random.uniform() < scenario_.clients.retry_after_compliance;
+    const Millis wait = scenario_.clients.backoff * (0.5 + random.uniform());
     Millis at = now + (honours ? std::max(wait, retry_after) : wait);
     if (const Millis together = scenario_.clients.retry_alignment; together > 0)
         at = std::ceil(at / together) * together;
--- a/src/simulation/models/message_network.cpp
+++ b/src/simulation/models/message_network.cpp
@@ -10,7 +10,7 @@
 void Beats::begin(Millis now, std::vector<Outgoing>&) {
     // The first within one round, so that sidecars that start together don't speak together.
     if (scenario_.messages.heartbeat_interval > 0)
-        next_ = now + scenario_.messages.heartbeat_interval * random_.unit();
+        next_ = now + scenario_.messages.heartbeat_interval * random_.uniform();
 }
 
 void Beats::wake(Millis now, std::vector<Outgoing>& out) {
--- a/src/simulation/models/random_streams.hpp
+++ b/src/simulation/models/random_streams.hpp
@@ -44,11 +44,11 @@
     return state;
 }
 
-inline double exponential(Random& random, double mean) { return -mean * std::log1p(-random.unit()); }
+inline double exponential(Random& random, double mean) { return -mean * std::log1p(-random.uniform()); }
 
 inline double normal(Random& random) {
-    const double radius = std::sqrt(-2 * std::log1p(-random.unit()));
-    return radius * std::cos(2 * 3.14159265358979323846 * random.unit());
+    const double radius = std::sqrt(-2 * std::log1p(-random.uniform()));
+    return radius * std::cos(2 * 3.14159265358979323846 * random.uniform());
 }
 
 // With this mean and coefficient of variation.
@@ -57,6 +57,8 @@
     return mean * std::exp(std::sqrt(variance) * normal(random) - variance / 2);
 }
 
-inline double uniform(Random& random, double low, double high) { return low + (high - low) * random.unit(); }
+inline double uniform(Random& random, double low, double high) {
+    return low + (high - low) * random.uniform();
+}
 
 }  // namespace elmbay::simulation
--- a/src/simulation/models/service_model.cpp
+++ b/src/simulation/models/service_model.cpp
@@ -21,7 +21,7 @@
     const OperationId request = operation_of(id);
     const ClassSpec& c = scenario_.classes[clients_.ask(request).class_index];
     Random random = stream(scenario_.overview.seed, Purpose::fast_failure, id, server);
-    const bool fails = random.unit() < scenario_.fleet.error_rate + fails_[server];
+    const bool fails = random.uniform() < scenario_.fleet.error_rate + fails_[server];
     Millis work = clients_.attempt_work(request, server);
     if (c.idempotency() == balancer::Idempotency::idempotency_key && !fails && servers_[server].running()) {
         const auto [at, fresh] = keys_.try_emplace(request, now);
--- a/src/simulation/scenario/scenario.cpp
+++ b/src/simulation/scenario/scenario.cpp
@@ -138,6 +138,6 @@
 }
 
 ScenarioError::ScenarioError(const std::string& file, schema::Problems problems)
-    : std::runtime_error(schema::text_of(file, problems)), problems_(std::move(problems)) {}
+    : std::runtime_error(schema::format_problems(file, problems)), problems_(std::move(problems)) {}
 
 }  // namespace elmbay::simulation
--- a/src/simulation/scenario/timeline.cpp
+++ b/src/simulation/scenario/timeline.cpp
@@ -221,7 +221,7 @@
     // The servers' streams have their numbers as keys: none has this one.
     static constexpr std::uint64_t kSidecarStreams = ~0ULL;
     Random random = stream(scenario.overview.seed, Purpose::notice, kSidecarStreams, sidecar);
-    return scenario.registry.max_sidecar_skew * random.unit();
+    return scenario.registry.max_sidecar_skew * random.uniform();
 }
 
 double load_multiple_of(const Scenario& scenario, const FaultSpec& fault, Millis at) {
--- a/src/status/status_socket.cpp
+++ b/src/status/status_socket.cpp
@@ -74,7 +74,7 @@
 }
 
 void StatusSocket::accept_failed(const Error& error) {
-    if (accept_failure(error) == SocketFailure::connection) {
+    if (classify_accept_error(error) == SocketFailure::connection) {
         ++failed_accepts_;
         if (failed_accepts_ < kMaxFailedAccepts) {
             accept();
--- a/src/websocket/proxy.cpp
+++ b/src/websocket/proxy.cpp
@@ -143,8 +143,8 @@
     if (found == sessions_.end()) return;
     uncount_client(found->second.client_address);
     sessions_.erase(found);
-    budget_.give_back(elmbay::Side::sessions);  // the client's socket
-    budget_.give_back(elmbay::Side::sessions);  // the server's
+    budget_.release(elmbay::SocketPurpose::sessions);  // the client's socket
+    budget_.release(elmbay::SocketPurpose::sessions);  // the server's
     handlers_.on_session_ended(id, broken);
     notify_if_empty();
 }
--- a/src/websocket/upgrade_attempts.cpp
+++ b/src/websocket/upgrade_attempts.cpp
@@ -55,7 +55,7 @@
     const auto attempt =
         std::make_shared<Attempt>(Attempt{key, server, clock_.now(), deadline, write_by, std::move(client)});
     attempts_[key] = attempt;
-    if (!budget_.take(elmbay::Side::sessions)) {
+    if (!budget_.acquire(elmbay::SocketPurpose::sessions)) {
         asio::post(io_, [this, attempt] { end(attempt, Outcome::connect_failed); });
         return;
     }
@@ -135,7 +135,7 @@
     if (!ended.stream) return;
     Error ignored;
     ended.stream->next_layer().close(ignored);
-    budget_.give_back(elmbay::Side::sessions);
+    budget_.release(elmbay::SocketPurpose::sessions);
 }
 
 void UpgradeAttempts::cancel(AttemptKey key) {
--- a/src/websocket/upgrading_client.cpp
+++ b/src/websocket/upgrading_client.cpp
@@ -25,7 +25,7 @@
     : request_(std::move(request)),
       offered_subprotocols_(websocket::offered_subprotocols(request_)),
       budget_(budget),
-      holds_descriptor_(budget.take(elmbay::Side::sessions)),
+      holds_descriptor_(budget.acquire(elmbay::SocketPurpose::sessions)),
       socket_(std::move(socket)),
       address_(address_of(socket_)) {}
 
@@ -88,7 +88,7 @@
     Error ignored;
     socket_.close(ignored);
     const bool held_descriptor = std::exchange(holds_descriptor_, false);
-    if (held_descriptor) budget_.give_back(elmbay::Side::sessions);
+    if (held_descriptor) budget_.release(elmbay::SocketPurpose::sessions);
 }
 
 }  // namespace elmbay::websocket
--- a/tests/balancer/learned_state_restorer_test.cpp
+++ b/tests/balancer/learned_state_restorer_test.cpp
@@ -225,7 +225,7 @@
 
 double any_number(Random& random) {
     static const double odd[] = {kNan, kInf, -kInf, -1, 0, 1e300, -1e300, 1e-300, 5, 0.5};
-    return random.below(3) ? odd[random.below(10)] : (random.unit() - 0.2) * std::pow(10, random.below(7));
+    return random.below(3) ? odd[random.below(10)] : (random.uniform() - 0.2) * std::pow(10, random.below(7));
 }
 
 LearnedState any_learned_state(Random& random) {
@@ -262,7 +262,7 @@
                 random.next());
         rig.handle(Started{});
         rig.handle(StateRestored{any_learned_state(random),
-                                 random.below(2) ? any_number(random) : random.unit() * 20000});
+                                 random.below(2) ? any_number(random) : random.uniform() * 20000});
         rig.apply_list(ListKind::snapshot, make_servers(8));
         std::set<ServerId> asked;
         const Millis until = rig.now + 10000 + 500;
--- a/tests/balancer/slow_start_budget_test.cpp
+++ b/tests/balancer/slow_start_budget_test.cpp
@@ -146,7 +146,7 @@
             }
         }
     }
-    Millis interval(double rate) { return -std::log(1 - random_.unit()) / rate; }
+    Millis interval(double rate) { return -std::log(1 - random_.uniform()) / rate; }
 
     void deliver(const Due& due) {
         Event event = due.event;
--- a/tests/base/socket_budget_test.cpp
+++ b/tests/base/socket_budget_test.cpp
@@ -13,8 +13,8 @@
     SocketBudget budget(kSockets);
     std::size_t clients = 0;
     std::size_t servers = 0;
-    while (budget.take(Side::clients)) ++clients;
-    while (budget.take(Side::servers)) ++servers;
+    while (budget.acquire(SocketPurpose::clients)) ++clients;
+    while (budget.acquire(SocketPurpose::servers)) ++servers;
     EXPECT_LT(clients, kSockets / 3);
     EXPECT_GT(clients, kSockets / 4);
     EXPECT_EQ(clients + servers, kSockets);
--- a/tests/cluster/membership_test.cpp
+++ b/tests/cluster/membership_test.cpp
@@ -130,9 +130,9 @@
     for (int i = 0; i < 400; ++i) {
         const auto id = static_cast<MemberId>(random.below(12));
         fleet.freeze(id);
-        fleet.run_for(75 + 195 * random.unit());
+        fleet.run_for(75 + 195 * random.uniform());
         fleet.thaw(id);
-        fleet.run_for(200 * random.unit());
+        fleet.run_for(200 * random.uniform());
     }
     EXPECT_EQ(fleet.failures(), 0U);
     fleet.freeze(7);
--- a/tests/cluster/refutation_test.cpp
+++ b/tests/cluster/refutation_test.cpp
@@ -246,8 +246,8 @@
         Random random(seed);
         for (int life = 0; life < 8; ++life) {
             fleet.kill(3);
-            fleet.start(3, (random.unit() < 0.5 ? -kHour : kHour) * random.unit());
-            fleet.run_for(4 * kSecond * random.unit());
+            fleet.start(3, (random.uniform() < 0.5 ? -kHour : kHour) * random.uniform());
+            fleet.run_for(4 * kSecond * random.uniform());
         }
         fleet.net = {};
         EXPECT_TRUE(fleet.until([&] { return all_have_newest(fleet, 3) && fleet.agree(); }, 15 * kSecond))
--- a/tests/cluster/virtual_fleet.hpp
+++ b/tests/cluster/virtual_fleet.hpp
@@ -157,7 +157,7 @@
         add(datagram.address_index);
         for (const char byte : datagram.bytes) add(static_cast<unsigned char>(byte));
     }
-    Millis delay() { return net.min_delay + (net.max_delay - net.min_delay) * random_.unit(); }
+    Millis delay() { return net.min_delay + (net.max_delay - net.min_delay) * random_.uniform(); }
     // Schedules the datagrams and the next wake() of a member, and counts false failures.
     void settle(MemberId id) {
         Node& node = nodes_[id];
@@ -166,9 +166,9 @@
             ++sent_by[id];
             hash_traffic(id, datagram);
             const MemberId to = member_at(id, datagram.address_index);
-            if (cut(id, to) || random_.unit() < net.loss) continue;
-            int copies = 1 + (random_.unit() < net.repeat);
-            if (net.garble > 0 && random_.unit() < net.garble)
+            if (cut(id, to) || random_.uniform() < net.loss) continue;
+            int copies = 1 + (random_.uniform() < net.repeat);
+            if (net.garble > 0 && random_.uniform() < net.garble)
                 datagram.bytes[random_.below(datagram.bytes.size())] ^=
                     static_cast<char>(1 + random_.below(255));
             const auto bytes = std::make_shared<const std::string>(std::move(datagram.bytes));
--- a/tests/fault_proxy/rules_test.cpp
+++ b/tests/fault_proxy/rules_test.cpp
@@ -199,7 +199,7 @@
         "seed = 3\n[[link]]\nfrom = \"a\"\nto = \"b\"\nlisten = \"127.0.0.1:0\"\ntarget = \"127.0.0.1:9\"\n"
         "[[rule]]\nact = \"cut\"\ngroups = [\"a b\", \"c\"]\nlasts = \"2s\"\nevery = \"5s\"\n",
         "f", problems);
-    EXPECT_TRUE(problems.empty()) << schema::text_of("f", problems);
+    EXPECT_TRUE(problems.empty()) << schema::format_problems("f", problems);
     ASSERT_EQ(good.rules.size(), 1U);
     EXPECT_EQ(good.rules[0].groups.size(), 2U);
     EXPECT_EQ(good.rules[0].duration, 2000);
@@ -208,7 +208,7 @@
         "[[rule]]\nact = \"cutt\"\n[[rule]]\nact = \"lose\"\nmedium = \"stream\"\n"
         "[[rule]]\nact = \"delay\"\n[[rule]]\nact = \"cut\"\nlasts = \"2s\"\nevery = \"1s\"\nwhom = \"x\"\n",
         "f", problems);
-    const std::string text = schema::text_of("f", problems);
+    const std::string text = schema::format_problems("f", problems);
     for (const char* part : {"not on loopback", "not address:port", "cutt", "rule 2.medium", "rule 3.span",
                              "rule 4.every", "whom"})
         EXPECT_NE(text.find(part), std::string::npos) << part << "\n" << text;
--- a/tests/net/message_size_limit_test.cpp
+++ b/tests/net/message_size_limit_test.cpp
@@ -77,8 +77,8 @@
         std::optional<ByteBudget::Grant> grant;
         {
             ByteBudget budget(10);
-            grant = budget.take(10);
-            EXPECT_FALSE(budget.take(1));
+            grant = budget.acquire(10);
+            EXPECT_FALSE(budget.acquire(1));
         }
     }
     SidecarFixture fixture;
--- a/tests/operator/operator_file_test.cpp
+++ b/tests/operator/operator_file_test.cpp
@@ -25,7 +25,7 @@
     schema::Problems problems;
     parse_operator_file("[state]\nfoldr = \"x\"\nevery = \"1ms\"\n[stat]\n", problems);
     ASSERT_EQ(problems.size(), 3U);
-    const std::string text = schema::text_of("elmbay.toml", problems);
+    const std::string text = schema::format_problems("elmbay.toml", problems);
     for (const char* part :
          {"elmbay.toml:2: state.foldr", "folder", "elmbay.toml:3: state.every", "elmbay.toml:4: stat"})
         EXPECT_NE(text.find(part), std::string::npos) << text;
--- a/tests/sidecar/listing_test.cpp
+++ b/tests/sidecar/listing_test.cpp
@@ -14,20 +14,20 @@
 
 std::string error_of(const std::string& text) {
     try {
-        parse_listing(text);
+        parse_endpoint_list(text);
     } catch (const ConfigError& error) {
         return error.what();
     }
     return "";
 }
 
-TEST(Listing, AcceptsFieldsInAnyOrderAndIgnoresUnknownOnes) {
-    const Listing list =
-        parse_listing(R"({"more":{"targets":[1,2],"rev":7},"targets":[{"tags":{"uid":"no","n":[1]},
+TEST(EndpointList, AcceptsFieldsInAnyOrderAndIgnoresUnknownOnes) {
+    const EndpointList list =
+        parse_endpoint_list(R"({"more":{"targets":[1,2],"rev":7},"targets":[{"tags":{"uid":"no","n":[1]},
         "uid":"s-1","uid":"s-2","state":"leaving","endpoint":"127.0.0.1:80","list":[{"state":"left"}],
         "boot_ms":12.5,"pod_group":3,"az":"a","model":"m","capacity_hint":0.5}],"list":[{}],"all":true,"rev":41})");
-    EXPECT_EQ(list.rev, 41U);
-    EXPECT_TRUE(list.all);
+    EXPECT_EQ(list.revision, 41U);
+    EXPECT_TRUE(list.is_complete);
     ASSERT_EQ(list.targets.size(), 1U);
     const Target& t = list.targets[0];
     EXPECT_EQ(t.uid, "s-2") << "of a key that comes twice the last counts";
@@ -39,12 +39,13 @@
     EXPECT_EQ(t.weight, 0.5);
 }
 
-TEST(Listing, UsesLastOfRepeatedTargetLists) {
-    const Listing list = parse_listing(R"({"rev":1,"all":true,"targets":[)" + kTarget + R"(],"targets":[]})");
+TEST(EndpointList, UsesLastOfRepeatedTargetLists) {
+    const EndpointList list =
+        parse_endpoint_list(R"({"rev":1,"all":true,"targets":[)" + kTarget + R"(],"targets":[]})");
     EXPECT_TRUE(list.targets.empty());
 }
 
-TEST(Listing, NamesInvalidField) {
+TEST(EndpointList, NamesInvalidField) {
     EXPECT_EQ(error_of("{"), "the list is not JSON");
     EXPECT_EQ(error_of(R"({"rev":1,"all":true,"targets":[]} {})"), "the list is not JSON");
     EXPECT_EQ(error_of("[]"), "field 'list' is not an object");
@@ -62,7 +63,7 @@
               "field 'targets.1.state' is missing");
 }
 
-TEST(Listing, ParsesKnownListOfConfigurationLikeAnyList) {
+TEST(EndpointList, ParsesKnownListOfConfigurationLikeAnyList) {
     Json config = {
         {"listen", "127.0.0.1:0"},
         {"discovery", "127.0.0.1:1"},
@@ -73,7 +74,7 @@
            {{{"name", "safe"}, {"effect", "repeatable"}, {"on-time-ms", 100}, {"give-up-ms", 200}}}}}}};
     config["known"] = {{"rev", 9}, {"all", true}, {"targets", {Json::parse(kTarget)}}};
     const Config read = parse_config(config.dump());
-    EXPECT_EQ(read.known.rev, 9U);
+    EXPECT_EQ(read.known.revision, 9U);
     ASSERT_EQ(read.known.targets.size(), 1U);
     EXPECT_EQ(read.known.targets[0].uid, "s-1");
     config["known"]["targets"].push_back(Json{{"uid", ""}});
@@ -84,12 +85,12 @@
     EXPECT_THROW(parse_config(config.dump()), ConfigError);
 }
 
-TEST(Listing, CountsTargetsBeyondMaximum) {
+TEST(EndpointList, CountsTargetsBeyondMaximum) {
     std::string text = R"({"rev":1,"all":true,"targets":[)" + kTarget;
     for (std::size_t i = 1; i < kMaxTargets + 3; ++i) text += "," + kTarget;
-    const Listing list = parse_listing(text + "]}");
+    const EndpointList list = parse_endpoint_list(text + "]}");
     EXPECT_EQ(list.targets.size(), kMaxTargets);
-    EXPECT_EQ(list.passed_over, 3U);
+    EXPECT_EQ(list.dropped_targets, 3U);
 }
 
 }  // namespace
--- a/tests/syscall_faults/stream_socket_test.cpp
+++ b/tests/syscall_faults/stream_socket_test.cpp
@@ -1,4 +1,5 @@
-// StreamSocket, state_of() and the classification of errors, while this process's own system calls fail.
+// StreamSocket, peek_socket_state() and the classification of errors, while this process's own system calls
+// fail.
 #include "base/stream_socket.hpp"
 
 #include <gtest/gtest.h>
@@ -158,51 +159,51 @@
     EXPECT_EQ(error, asio::error::would_block);
     EXPECT_EQ(opened.write_some(asio::buffer("there", 5), error), 0U);
     EXPECT_EQ(error, asio::error::would_block);
-    EXPECT_EQ(state_of(opened.native_handle()), SocketState::interrupted);
+    EXPECT_EQ(peek_socket_state(opened.native_handle()), SocketState::interrupted);
 }
 
 TEST_F(StreamSocketTest, StateOfTellsEndFromInterruption) {
     connect();
     const int socket = opened.native_handle();
     syscall_faults::configure("recv@out:EINTR=x3");
-    EXPECT_EQ(state_of(socket), SocketState::quiet);
+    EXPECT_EQ(peek_socket_state(socket), SocketState::idle);
     asio::write(accepted, asio::buffer("x", 1));
     ASSERT_TRUE(until([&] { return opened.available() == 1; }));
     syscall_faults::configure("recv@out:EINTR=x3");
-    EXPECT_EQ(state_of(socket), SocketState::readable);
+    EXPECT_EQ(peek_socket_state(socket), SocketState::readable);
     char byte = 0;
     opened.read_some(asio::buffer(&byte, 1));
 
     accepted.shutdown(tcp::socket::shutdown_send);
-    ASSERT_TRUE(until([&] { return state_of(socket) != SocketState::quiet; }));
+    ASSERT_TRUE(until([&] { return peek_socket_state(socket) != SocketState::idle; }));
     syscall_faults::configure("recv@out:EINTR=x3");
-    EXPECT_EQ(state_of(socket), SocketState::ended);
+    EXPECT_EQ(peek_socket_state(socket), SocketState::peer_closed);
     EXPECT_EQ(syscall_faults::failed(0), 3U);
 
     for (const char* error : {"ETIMEDOUT", "EHOSTUNREACH", "ECONNRESET"}) {
         opened = TcpSocket(io);
         connect();
         syscall_faults::configure("recv@out:" + std::string(error) + "=x1");
-        EXPECT_EQ(state_of(opened.native_handle()), SocketState::broken) << error;
+        EXPECT_EQ(peek_socket_state(opened.native_handle()), SocketState::failed) << error;
     }
 }
 
 TEST(SocketFailure, IsClassifiedByItsCause) {
     const auto error = [](int number) { return Error(number, boost::system::system_category()); };
-    EXPECT_EQ(accept_failure(error(EMFILE)), SocketFailure::own_descriptors);
+    EXPECT_EQ(classify_accept_error(error(EMFILE)), SocketFailure::process_limit);
     for (const int number : {ENFILE, ENOBUFS, ENOMEM}) {
-        EXPECT_EQ(accept_failure(error(number)), SocketFailure::machine) << number;
+        EXPECT_EQ(classify_accept_error(error(number)), SocketFailure::host_resources) << number;
     }
     for (const int number : {ECONNABORTED, EPROTO, ENETDOWN, ENOPROTOOPT, EHOSTDOWN, ENONET, EHOSTUNREACH,
                              EOPNOTSUPP, ENETUNREACH, EPERM, EINTR}) {
-        EXPECT_EQ(accept_failure(error(number)), SocketFailure::connection) << number;
+        EXPECT_EQ(classify_accept_error(error(number)), SocketFailure::connection) << number;
     }
-    EXPECT_EQ(connect_failure(error(EMFILE)), SocketFailure::own_descriptors);
+    EXPECT_EQ(classify_connect_error(error(EMFILE)), SocketFailure::process_limit);
     for (const int number : {ENFILE, ENOBUFS, ENOMEM, EADDRNOTAVAIL, EAGAIN, ENETUNREACH, ENETDOWN}) {
-        EXPECT_EQ(connect_failure(error(number)), SocketFailure::machine) << number;
+        EXPECT_EQ(classify_connect_error(error(number)), SocketFailure::host_resources) << number;
     }
     for (const int number : {ECONNREFUSED, ETIMEDOUT, EHOSTUNREACH, ECONNRESET}) {
-        EXPECT_EQ(connect_failure(error(number)), SocketFailure::connection) << number;
+        EXPECT_EQ(classify_connect_error(error(number)), SocketFailure::connection) << number;
     }
 }
 
--- a/tools/fault_proxy/main.cpp
+++ b/tools/fault_proxy/main.cpp
@@ -77,7 +77,7 @@
                                                 schema::Problems problems = {}) {
     fault_proxy::Script script;
     if (problems.empty()) script = fault_proxy::parse_script(text, name, problems);
-    std::cerr << schema::text_of(name, problems);
+    std::cerr << schema::format_problems(name, problems);
     if (!problems.empty()) return {};
     return script;
 }
