--- a/src/status/members_command.hpp
+++ b/src/status/members_command.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The subcommand `members`: prints the cluster members that a running sidecar knows, by its status socket.
+/// The subcommand `members`, which prints the member table of a running sidecar from its status socket.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -10,24 +10,25 @@
 
 namespace elmbay {
 
-/// What a socket has sent is no status.
+/// A socket did not return a valid status.
 class StatusError : public std::runtime_error {
 public:
     using std::runtime_error::runtime_error;
 };
 
-/// Blocks until the sidecar has sent its status.
-/// @param socket path of the Unix socket.
-/// @return the JSON object that it has sent.
-/// @throws boost::system::system_error if nothing listens there, StatusError if it is no status socket.
-nlohmann::json read_status(const std::string& socket);
+/// Reads the status of a sidecar. Blocks until the sidecar closes the connection.
+/// @param socket_path path of the Unix socket.
+/// @return the status as a JSON object.
+/// @throws boost::system::system_error if the connection fails, StatusError if the response is not a JSON
+/// object.
+nlohmann::json read_status(const std::string& socket_path);
 /// @param cluster the field "cluster" of a status.
-/// @return a table for people. Members whose view differs from the sidecar's own are marked.
+/// @return the members as a text table, which marks members whose view differs from the sidecar's own.
 /// @throws nlohmann::json::exception if a field is missing.
-std::string members_table(const nlohmann::json& cluster);
-/// Adds the command `members`.
-/// @param run set when the command is parsed: a function that runs it and returns the exit code, 0 if all is
-/// well, 1 if nothing listens there or [cluster] is off.
+std::string format_members_table(const nlohmann::json& cluster);
+/// Adds the subcommand `members`.
+/// @param run set when the subcommand is parsed, to a function that runs it. The function returns the exit
+/// code: 0 on success, 1 if the status can't be read or [cluster] is off.
 void add_members_command(CLI::App& app, std::function<int()>& run);
 
 }  // namespace elmbay
--- a/src/status/settings.hpp
+++ b/src/status/settings.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// [status] and [proof] of the operator's file.
+/// The settings in sections [status] and [proof] of the operator's file.
 #pragma once
 
 #include <string>
@@ -10,14 +10,14 @@
 
 /// The keys of [status].
 struct StatusSettings {
-    std::string socket;  ///< path of a Unix socket; empty: nothing listens
+    std::string socket;  ///< path of the Unix socket; if empty, no socket is opened
 };
 
-/// The keys of [proof]: clock skew, for tests of many processes only.
+/// The keys of [proof]: clock skew, only for tests with many processes.
 struct ClockSkewSettings {
-    Millis clock_ahead = 0;   ///< milliseconds by which this process's clock is ahead of the machine's
-    Millis clock_behind = 0;  ///< milliseconds by which it is behind
-    /// @return milliseconds to add to the machine's clock.
+    Millis clock_ahead = 0;   ///< milliseconds by which this process's clock is ahead of the host's
+    Millis clock_behind = 0;  ///< milliseconds by which this process's clock is behind the host's
+    /// @return milliseconds to add to the host's clock.
     Millis clock_offset() const { return clock_ahead - clock_behind; }
 };
 
--- a/src/status/status_socket.cpp
+++ b/src/status/status_socket.cpp
@@ -17,15 +17,15 @@
 using LocalSocket = StreamSocket<local>;
 using Error = boost::system::error_code;
 
-// Without a free descriptor, connections wait this long in the kernel's queue until the next accept.
+// Delay of the next accept while no descriptor is free. Connections wait in the kernel's queue meanwhile.
 constexpr std::chrono::milliseconds kAcceptPause{100};
-// Connections in a row that were aborted before they were accepted. After these the loop's other work gets
-// its turn.
+// Number of consecutive accepts of aborted connections after which accepting pauses, so that the event loop's
+// other work can run.
 constexpr int kMaxFailedAccepts = 16;
 
 namespace {
 
-// Removes the socket file that a dead process left. Any other file is kept: the path may be mistyped.
+// Removes the socket file of a process that has ended. Keeps any other file, as the path may be mistyped.
 void remove_stale_socket(const std::string& path) {
     struct stat file_status {};
     const bool is_socket = ::lstat(path.c_str(), &file_status) == 0 && S_ISSOCK(file_status.st_mode);
@@ -35,7 +35,7 @@
 }  // namespace
 
 StatusSocket::StatusSocket(asio::io_context& io, const std::string& path, StatusSource source)
-    : acceptor_(io), accept_again_(io), path_(path), source_(std::move(source)) {
+    : acceptor_(io), accept_timer_(io), path_(path), source_(std::move(source)) {
     local::socket probe(io);
     Error error;
     probe.connect(local::endpoint(path), error);
@@ -45,8 +45,8 @@
     acceptor_.bind(local::endpoint(path));
     ::chmod(path.c_str(), S_IRUSR | S_IWUSR);
     acceptor_.listen(kMaxConnections);
-    acceptor_.set_option(
-        asio::socket_base::enable_connection_aborted(true));  // otherwise Asio waits for the next event
+    // Without this option, Asio skips the error and waits for the next event.
+    acceptor_.set_option(asio::socket_base::enable_connection_aborted(true));
     accept();
 }
 
@@ -82,8 +82,8 @@
         }
     }
     failed_accepts_ = 0;
-    accept_again_.expires_after(kAcceptPause);
-    accept_again_.async_wait([this](Error stopped) {
+    accept_timer_.expires_after(kAcceptPause);
+    accept_timer_.async_wait([this](Error stopped) {
         if (!stopped) accept();
     });
 }
--- a/src/status/status_socket.hpp
+++ b/src/status/status_socket.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The status of a sidecar for people and tests: a Unix stream socket on which each connection gets one JSON
-/// object and is closed. Nothing is read from a connection.
+/// A Unix stream socket that serves the status of a sidecar to operators and tests. It sends one JSON object
+/// on each connection and closes the connection. It reads nothing from connections.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -13,21 +13,23 @@
 
 namespace elmbay {
 
-/// Listens as long as it lives. Not thread-safe: it runs on the loop's thread, and the loop must outlive it.
-/// Memory: at most kMaxConnections copies of the status.
+/// The listening status socket, which is open from construction to destruction. Not thread-safe: it runs on
+/// the event loop's thread, and the event loop must outlive it. Memory: at most kMaxConnections copies of the
+/// status.
 class StatusSocket {
 public:
-    /// Open at the same time; a further connection is closed at once.
+    /// Maximum number of open connections. Further connections are closed at once.
     static constexpr std::size_t kMaxConnections = 8;
 
-    /// Called for each connection; returns the object to write.
+    /// Returns the object to write. Called for each connection.
     using StatusSource = std::function<nlohmann::json()>;
 
-    /// Replaces the socket file of a dead process, never one that is listened on. Mode 0600.
-    /// @param path where to listen.
-    /// @throws boost::system::system_error if it can't listen there.
+    /// Opens the socket with file mode 0600. Replaces the socket file of a process that has ended, but not
+    /// one on which a process listens.
+    /// @param path path of the socket file.
+    /// @throws boost::system::system_error if the socket can't listen at the path.
     StatusSocket(boost::asio::io_context& io, const std::string& path, StatusSource source);
-    ~StatusSocket();  ///< removes the file
+    ~StatusSocket();  ///< removes the socket file
     StatusSocket(const StatusSocket&) = delete;
     StatusSocket& operator=(const StatusSocket&) = delete;
 
@@ -37,8 +39,8 @@
     void accept_failed(const boost::system::error_code& error);
 
     boost::asio::local::stream_protocol::acceptor acceptor_;
-    boost::asio::steady_timer accept_again_;
-    int failed_accepts_ = 0;  // in a row, of connections that were aborted before
+    boost::asio::steady_timer accept_timer_;
+    int failed_accepts_ = 0;  // consecutive connections that were aborted before they were accepted
     const std::string path_;
     const StatusSource source_;
     std::shared_ptr<std::size_t> connections_ = std::make_shared<std::size_t>(0);
