--- a/src/cluster/driver.cpp
+++ b/src/cluster/driver.cpp
@@ -25,19 +25,19 @@
     return result;
 }
 
-nlohmann::json status_of(MemberId id, const Member& member, Millis now) {
-    nlohmann::json heard;
-    if (member.heard >= 0) heard = (now - member.heard) / 1000;
+nlohmann::json member_status(MemberId id, const Member& member, Millis now) {
+    nlohmann::json since_last_datagram;
+    if (member.last_datagram_at >= 0) since_last_datagram = (now - member.last_datagram_at) / 1000;
     return {{"number", id},
             {"state", to_string(member.state)},
-            {"since_s", (now - member.since) / 1000},
-            {"heard_s", std::move(heard)},
+            {"since_s", (now - member.state_since) / 1000},
+            {"heard_s", std::move(since_last_datagram)},
             {"by_way", member.indirect_only},
             {"view", to_string(member.view)},
             {"hears", member.present_count},
             {"incarnation", member.incarnation.counter},
             {"life", member.incarnation.nonce},
-            {"uptime_s", member.uptime}};
+            {"uptime_s", member.uptime_seconds}};
 }
 
 }  // namespace
@@ -51,22 +51,23 @@
       socket_(io),
       membership_(membership_setup(setup), clock.now(), clock.wall_time()),
       siblings_(setup.configured_siblings) {
-    // Of two ids with one address the first has it: its datagrams say who they are from.
+    // If two ids have the same address, the lower id gets the entry. Datagrams contain the id of their
+    // sender.
     for (std::uint32_t i = 0; i < peers_.size(); ++i) address_indexes_.emplace(peers_[i], i);
     socket_.open(setup.listen.protocol());
     socket_.bind(setup.listen);
     socket_.non_blocking(true);
-    // IP_RECVERR (ip(7)): the kernel queues ICMP's "port unreachable" with the destination that it is about.
-    // Without it a peer whose process has ended is found by the probes that it does not answer.
-    const int on = 1;
-    ::setsockopt(socket_.native_handle(), IPPROTO_IP, IP_RECVERR, &on, sizeof on);
+    // With IP_RECVERR (ip(7)) the kernel queues ICMP errors such as "port unreachable" together with the
+    // original destination. Without it, only failed probes would reveal that the process of a peer has ended.
+    const int enabled = 1;
+    ::setsockopt(socket_.native_handle(), IPPROTO_IP, IP_RECVERR, &enabled, sizeof enabled);
     wait_readable();
-    settle();
+    flush_outputs();
 }
 
 Driver::~Driver() {
     *alive_ = false;
-    timers_.cancel(wake_timer_);
+    timers_.cancel(membership_timer_);
     timers_.cancel(pause_timer_);
 }
 
@@ -78,15 +79,15 @@
 }
 
 void Driver::read_datagrams() {
-    std::array<char, Message::kMaxBytes + 1> bytes{};  // one more, so that a longer one is seen to be
+    std::array<char, Message::kMaxBytes + 1> bytes{};  // one byte more, to detect datagrams that are too long
     std::size_t read = 0;
-    for (; read < kMaxPerTurn; ++read) {
+    for (; read < kMaxDatagramsPerTurn; ++read) {
         PeerAddress from;
         Error error;
         const std::size_t size = socket_.receive_from(asio::buffer(bytes), from, 0, error);
         if (error == asio::error::would_block) break;
         if (error) {
-            read_refusals();
+            read_icmp_errors();
             continue;
         }
         const auto found = address_indexes_.find(from);
@@ -94,19 +95,19 @@
             found == address_indexes_.end() ? std::nullopt : std::optional(found->second);
         membership_.on_datagram(clock_.now(), index, {bytes.data(), size});
     }
-    settle();
-    if (read < kMaxPerTurn) return wait_readable();
-    pause_timer_ = timers_.set(clock_.now() + kPause, [this] {
+    flush_outputs();
+    if (read < kMaxDatagramsPerTurn) return wait_readable();
+    pause_timer_ = timers_.set(clock_.now() + kFullTurnPause, [this] {
         pause_timer_ = {};
         wait_readable();
     });
 }
 
-// The error queue names, as the source of what is read, where the datagram was meant to go (ip(7),
-// IP_RECVERR).
-void Driver::read_refusals() {
-    constexpr std::size_t control_bytes = 512;  // an extended error and an address, several times over
-    for (std::size_t n = 0; n < kMaxPerTurn; ++n) {
+// Reads ICMP errors from the socket's error queue. The source address of an entry is the destination of the
+// datagram that caused it (ip(7), IP_RECVERR).
+void Driver::read_icmp_errors() {
+    constexpr std::size_t control_bytes = 512;  // several times the size of an extended error and an address
+    for (std::size_t read = 0; read < kMaxDatagramsPerTurn; ++read) {
         sockaddr_in destination{};
         std::array<char, 1> bytes{};
         std::array<char, control_bytes> control{};
@@ -130,63 +131,65 @@
     for (const Datagram& datagram : membership_.take_datagrams()) {
         Error error;
         socket_.send_to(asio::buffer(datagram.bytes), peers_[datagram.address_index], 0, error);
-        if (error == asio::error::connection_refused) read_refusals();  // about an earlier datagram
+        if (error == asio::error::connection_refused) read_icmp_errors();  // caused by an earlier datagram
     }
 }
 
-// Called after each call into the membership: sends its datagrams, reports its changes, and sets the timer
-// for its next on_timer().
-void Driver::settle() {
+// Must follow each call that changes the membership. Sends its datagrams, reports its changes, and sets the
+// timer for on_timer().
+void Driver::flush_outputs() {
     const Millis now = clock_.now();
     send_datagrams();
     for (const MemberChange& change : membership_.take_changes()) handlers_.member_changed(change);
     const std::uint32_t siblings = membership_.update_siblings(now);
     if (std::exchange(siblings_, siblings) != siblings) handlers_.siblings_changed(siblings);
-    timers_.cancel(wake_timer_);
+    timers_.cancel(membership_timer_);
     const Millis next = membership_.next_due();
     if (!std::isfinite(next)) return;
-    wake_timer_ = timers_.set(next, [this] {
-        wake_timer_ = {};
+    membership_timer_ = timers_.set(next, [this] {
+        membership_timer_ = {};
         membership_.on_timer(clock_.now());
-        settle();
+        flush_outputs();
     });
 }
 
 void Driver::leave() {
     membership_.leave(clock_.now());
-    settle();
+    flush_outputs();
 }
 
 nlohmann::json Driver::status() {
     const Millis now = clock_.now();
-    const Headcount count = membership_.headcount();
+    const MemberCounts counts = membership_.member_counts();
     const Membership::Counters counters = membership_.counters();
     nlohmann::json list = nlohmann::json::array();
     for (MemberId id = 0; id < membership_.member_count(); ++id) {
-        list.push_back(status_of(id, membership_.member(id), now));
+        list.push_back(member_status(id, membership_.member(id), now));
     }
-    return {
-        {"self", membership_.self()},
-        {"view", to_string(membership_.view(now))},
-        {"yielded", membership_.yielded()},
-        {"siblings", siblings_},
-        {"digest", membership_.digest()},
-        {"health", membership_.health()},
-        {"count",
-         {{"all", count.all}, {"present", count.present}, {"silent", count.silent}, {"ended", count.ended}}},
-        {"messages",
-         {{"sent", counters.sent},
-          {"bytes_sent", counters.bytes_sent},
-          {"received", counters.received},
-          {"strangers", counters.unknown_senders},
-          {"unreadable", counters.malformed},
-          {"stale", counters.outdated}}},
-        {"suspicions", counters.suspicions},
-        {"refuted", counters.refuted},
-        {"failures", counters.failures},
-        {"overslept", counters.stalls},
-        {"pulls", counters.table_requests},
-        {"members", std::move(list)}};
+    return {{"self", membership_.self()},
+            {"view", to_string(membership_.view(now))},
+            {"yielded", membership_.yielded()},
+            {"siblings", siblings_},
+            {"digest", membership_.digest()},
+            {"health", membership_.health()},
+            {"count",
+             {{"all", counts.total},
+              {"present", counts.present},
+              {"silent", counts.failed},
+              {"ended", counts.ended}}},
+            {"messages",
+             {{"sent", counters.sent},
+              {"bytes_sent", counters.bytes_sent},
+              {"received", counters.received},
+              {"strangers", counters.unknown_senders},
+              {"unreadable", counters.malformed},
+              {"stale", counters.outdated}}},
+            {"suspicions", counters.suspicions},
+            {"refuted", counters.refutations},
+            {"failures", counters.failures},
+            {"overslept", counters.stalls},
+            {"pulls", counters.table_requests},
+            {"members", std::move(list)}};
 }
 
 }  // namespace elmbay::cluster
--- a/src/cluster/driver.hpp
+++ b/src/cluster/driver.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// The thin driver round Membership: one UDP socket, one timer. It trusts no datagram: its source must be a
-/// peer's address before it is read, and the number that is read in a turn of the event loop is bounded, so
-/// that a flood of them does not delay requests.
+/// The driver of Membership on the event loop, with one UDP socket and one timer. It drops datagrams whose
+/// source is not the address of a peer, and it bounds the number of datagrams per turn of the event loop, so
+/// that a flood of datagrams does not delay requests.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -17,41 +17,42 @@
 
 namespace elmbay::cluster {
 
-/// Takes part in the fleet's membership for this process. Not thread-safe: everything, handlers included,
-/// runs on the loop's thread. The loop, the timers and the clock must outlive it.
+/// Runs the membership protocol for this process. Not thread-safe: all functions and handlers run on the
+/// event loop's thread. The event loop, the timers and the clock must outlive the driver.
 class Driver {
 public:
-    /// Datagrams that are read in one turn of the loop: some tens of microseconds.
-    static constexpr std::size_t kMaxPerTurn = 64;
-    /// Milliseconds between two turns that were full: beyond 32,000 a second the kernel's buffer drops what
-    /// comes.
-    static constexpr Millis kPause = 2;
+    /// Maximum number of datagrams read in one turn of the event loop. Reading them takes some tens of
+    /// microseconds.
+    static constexpr std::size_t kMaxDatagramsPerTurn = 64;
+    /// Milliseconds without reading after a turn that reached kMaxDatagramsPerTurn. At more than 32,000
+    /// datagrams per second the kernel's receive buffer therefore overflows and drops datagrams.
+    static constexpr Millis kFullTurnPause = 2;
 
-    /// What the configuration says.
+    /// The configuration of this member.
     struct Setup {
         PeerAddress listen;
-        std::vector<PeerAddress> peers;         ///< by id, this one's own among them
-        MemberId self = 0;                      ///< below the number of peers
-        std::uint32_t configured_siblings = 1;  ///< as the settings say
-        std::uint64_t seed = 1;                 ///< of all random choices
-        Millis probe_period = 1000;             ///< between two probes
+        std::vector<PeerAddress> peers;         ///< addresses by member id, including this member's own
+        MemberId self = 0;                      ///< this member's id, below the number of peers
+        std::uint32_t configured_siblings = 1;  ///< the number of sidecars in the settings
+        std::uint64_t seed = 1;                 ///< seed of all random choices
+        Millis probe_period = 1000;             ///< milliseconds between two probes
     };
-    /// Called from the event loop, after the change.
+    /// Callbacks, which run on the event loop after the change.
     struct Handlers {
-        std::function<void(std::uint32_t)> siblings_changed;      ///< another number than before
-        std::function<void(const MemberChange&)> member_changed;  ///< one member has another state
+        std::function<void(std::uint32_t)> siblings_changed;      ///< the estimate of siblings changed
+        std::function<void(const MemberChange&)> member_changed;  ///< the state of one member changed
     };
-    /// Listens at once.
-    /// @throws boost::system::system_error if it can't listen.
+    /// Opens the socket and starts the protocol at once.
+    /// @throws boost::system::system_error if the socket can't be opened or bound.
     Driver(asio::io_context& io, TimerQueue& timers, const Clock& clock, const Setup& setup,
            Handlers handlers);
     ~Driver();
     Driver(const Driver&) = delete;
     Driver& operator=(const Driver&) = delete;
 
-    /// Says that this member ends, once; nothing is waited for.
+    /// Announces once that this member leaves. The announcement is not acknowledged.
     void leave();
-    /// For the status socket: docs/operate/members.md has it field by field.
+    /// @return the JSON object for the status socket. docs/operate/members.md describes each field.
     nlohmann::json status();
 
 private:
@@ -59,9 +60,9 @@
 
     void wait_readable();
     void read_datagrams();
-    void read_refusals();
+    void read_icmp_errors();
     void send_datagrams();
-    void settle();
+    void flush_outputs();
 
     TimerQueue& timers_;
     const Clock& clock_;
@@ -70,10 +71,10 @@
     std::map<PeerAddress, std::uint32_t> address_indexes_;
     udp::socket socket_;
     Membership membership_;
-    TimerQueue::Key wake_timer_{};
+    TimerQueue::Key membership_timer_{};
     TimerQueue::Key pause_timer_{};
     std::uint32_t siblings_;
-    // False after the destructor: for handlers that the event loop still holds.
+    // Set to false by the destructor, so that handlers that are still queued in the event loop do nothing.
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/cluster/local_health.hpp
+++ b/src/cluster/local_health.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// How slow this process itself is believed to be (Lifeguard's local health multiplier, Dadgar and others
+/// An estimate of how slow this process itself is (Lifeguard's local health multiplier, Dadgar and others
 /// 2018).
 #pragma once
 
@@ -7,19 +7,19 @@
 
 namespace elmbay::cluster {
 
-/// A score that stretches this member's own timeouts. A value; not thread-safe.
+/// A score that lengthens this member's own timeouts. A value type; not thread-safe.
 class LocalHealth {
 public:
-    /// Highest score: timeouts are stretched nine times at most.
+    /// Highest score. With it, timeouts are multiplied by nine.
     static constexpr std::uint32_t kMaxScore = 8;
 
-    /// A sign that this process is well, such as a probe that was answered.
+    /// Records evidence that this process runs in time, such as a probe that was answered.
     void improve() { score_ -= score_ > 0 ? 1 : 0; }
-    /// A sign that this process is slow, such as being woken late or being suspected.
+    /// Records evidence that this process is slow, such as a late timer or a suspicion of this member.
     void worsen() { score_ += score_ < kMaxScore ? 1 : 0; }
-    /// @return 0 (well) to kMaxScore.
+    /// @return the score, from 0 (healthy) to kMaxScore.
     std::uint32_t score() const { return score_; }
-    /// @return what timeouts are multiplied by: 1 to 1 + kMaxScore.
+    /// @return the factor by which timeouts are multiplied: 1 to 1 + kMaxScore.
     double multiplier() const { return 1 + score_; }
 
 private:
--- a/src/cluster/member_table.hpp
+++ b/src/cluster/member_table.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// One member's view of all: state, incarnation and address of each, their counts and a digest.
+/// One member's table of all members: the state, incarnation and address of each, the number of members by
+/// state, and a digest of the table.
 #pragma once
 
 #include <cstdint>
@@ -13,85 +14,88 @@
 
 namespace elmbay::cluster {
 
-/// A member's state, as this one sees it, has changed.
+/// A change of a member's state in this member's table.
 struct MemberChange {
     Millis at = 0;  ///< monotonic milliseconds
     MemberId member_id = 0;
     MemberState before = MemberState::expected;
     MemberState after = MemberState::expected;
-    std::string reason;  ///< for people
+    std::string reason;  ///< for the log
 };
 
-/// What this member knows of one.
+/// The entry of one member in the table.
 struct Member {
-    Incarnation incarnation;  ///< counter 0: nothing is known of it
+    Incarnation incarnation;  ///< counter 0: no incarnation has been received
     MemberState state = MemberState::expected;
-    Millis since = 0;                 ///< of the state; monotonic milliseconds
-    Millis heard = -1;                ///< when its own last datagram came; monotonic milliseconds; -1: never
-    bool indirect_only = false;       ///< it answered its last probe by way of others only
-    std::uint32_t address_index = 0;  ///< where in the list of peers it is reached
-    View view = View::unknown;        ///< as it said last
-    std::uint32_t present_count = 0;  ///< members that it counted as present, as it said last
-    std::uint32_t uptime = 0;         ///< seconds, as it said last
+    Millis state_since = 0;           ///< monotonic milliseconds
+    Millis last_datagram_at = -1;     ///< arrival of its own last datagram; monotonic milliseconds; -1: never
+    bool indirect_only = false;       ///< whether only a helper relayed the answer to its last probe
+    std::uint32_t address_index = 0;  ///< index of its address in the list of peers
+    View view = View::unknown;        ///< as it last reported
+    std::uint32_t present_count = 0;  ///< number of present members, as it last reported
+    std::uint32_t uptime_seconds = 0;  ///< as it last reported
 };
 
-/// @return whether a member in that state counts as present: not silent, and not known to have ended.
+/// @return whether a member in that state counts as present: neither failed nor known to have ended.
 constexpr bool is_present(MemberState state) { return state <= MemberState::suspect; }
-/// @return whether a member in that state is known to have ended, and not merely silent.
-constexpr bool has_ended(MemberState state) { return state >= MemberState::gone; }
+/// @return whether a member in that state is known to have ended, as opposed to being unreachable.
+constexpr bool has_ended(MemberState state) { return state >= MemberState::terminated; }
 
-/// Others need no news of a member that is present for the first time, as is expected. A later incarnation of
-/// a known member refutes an update that others may have.
+/// Decides whether a change is disseminated. The first appearance of a member is not, because the other
+/// members already count it as present. A later incarnation of a known member is, because it refutes an
+/// update that others may have.
 /// @return whether the change of `before` to that incarnation and state is to be gossiped.
 bool needs_gossip(const Member& before, const Incarnation& incarnation, MemberState after);
 
-/// The table of all members, this one included. A value without I/O and clock; not thread-safe. Ids must be
-/// below size(). Memory: by the number of members, and kMaxChanges changes.
+/// The table of all members, including this one. A value type without I/O and clock; not thread-safe. Ids
+/// must be below size(). Memory: proportional to the number of members, plus kMaxChanges changes.
 class MemberTable {
 public:
-    /// Changes that are kept until they are taken; the oldest go first.
+    /// Maximum number of changes kept until take_changes(). When it is reached, the oldest change is dropped.
     static constexpr std::size_t kMaxChanges = 256;
 
     /// @param self  this member's own id, below count.
-    /// @param count members, this one included; from 1.
+    /// @param count number of members, including this one; at least 1.
     /// @param now   monotonic milliseconds.
     MemberTable(MemberId self, std::uint32_t count, Millis now);
 
-    /// @return members, this one included.
+    /// @return the number of members, including this one.
     std::uint32_t size() const { return static_cast<std::uint32_t>(members_.size()); }
     const Member& operator[](MemberId id) const { return members_[id]; }
-    /// For what does not change state or incarnation; set() changes those.
+    /// Returns the entry for updating fields other than state and incarnation. Use set() for those two.
     Member& operator[](MemberId id) { return members_[id]; }
     /// @return this member's own entry.
     const Member& self() const { return members_[self_]; }
-    /// @return how many are present, silent and ended; together they are size().
-    const Headcount& headcount() const { return headcount_; }
-    /// Of the incarnations and states of those that are not present: tables with equal digests agree on them.
+    /// @return the numbers of present, failed and ended members, which add up to size().
+    const MemberCounts& member_counts() const { return member_counts_; }
+    /// @return a digest of the incarnations and states of the members that are not present. Tables with equal
+    /// digests agree on these members.
     std::uint32_t digest() const { return digest_; }
-    /// @return when it came back last after it was failed or gone; long ago if never.
+    /// @return the last time at which the member became present after it was failed or terminated; a time in
+    /// the distant past if it never did. Monotonic milliseconds.
     Millis rejoined_at(MemberId id) const { return rejoined_at_[id]; }
-    /// @return whether it is another member than this one and present.
+    /// @return whether the member is present and is not this member itself.
     bool is_present_peer(MemberId id) const { return id != self_ && is_present(members_[id].state); }
 
     /// Sets a member's incarnation and state, and records the change if the state is another than before.
-    /// @param why for people.
+    /// @param reason text for the log.
     void set(Millis now, MemberId id, const Incarnation& incarnation, MemberState state,
-             const std::string& why);
-    /// Adds a change that set() does not see.
+             const std::string& reason);
+    /// Adds a change that does not result from set().
     void record(MemberChange change);
-    /// @return the changes since the last call, in order.
+    /// @return the changes since the last call, oldest first.
     std::vector<MemberChange> take_changes() { return std::exchange(changes_, {}); }
-    /// @return changes to failed since the start.
+    /// @return the number of changes to the state failed since the start.
     std::uint64_t failures() const { return failures_; }
 
 private:
-    std::uint32_t hash_of(MemberId id) const;
-    std::uint32_t& counter_of(MemberState state);
+    std::uint32_t hash_entry(MemberId id) const;
+    std::uint32_t& counter_for(MemberState state);
 
     MemberId self_;
     std::vector<Member> members_;
     std::vector<Millis> rejoined_at_;
-    Headcount headcount_;
+    MemberCounts member_counts_;
     std::uint32_t digest_ = 0;
     std::vector<MemberChange> changes_;
     std::uint64_t failures_ = 0;
--- a/src/cluster/membership_messages.cpp
+++ b/src/cluster/membership_messages.cpp
@@ -1,4 +1,4 @@
-// Datagrams: what is read of them, what is sent, and to whom.
+// Membership: processing of received datagrams, and sending of datagrams.
 #include <algorithm>
 
 #include "cluster/membership.hpp"
@@ -11,41 +11,43 @@
 
 }  // namespace
 
-// ---- in ------------------------------------------------------------------------------------------------
+// ---- received messages ---------------------------------------------------------------------------------
 
 void Membership::on_datagram(Millis now, std::optional<std::uint32_t> address_index, std::string_view bytes) {
     detect_stall(now);
-    receive(now, address_index, bytes);
-    due_ = std::max(now, next_due());
+    process_datagram(now, address_index, bytes);
+    due_at_ = std::max(now, next_due());
 }
 
-void Membership::receive(Millis now, std::optional<std::uint32_t> address_index, std::string_view bytes) {
+void Membership::process_datagram(Millis now, std::optional<std::uint32_t> address_index,
+                                  std::string_view bytes) {
     if (!address_index || *address_index >= table_.size()) {
         ++counters_.unknown_senders;
         return;
     }
-    const std::optional<Message> message = read(bytes);
+    const std::optional<Message> message = decode_message(bytes);
     if (!message || yielded_) return;
-    if (message->from == setup_.self) return on_own_name(now, *message);
+    if (message->from == setup_.self) return on_message_from_own_id(now, *message);
     if (message->incarnation < table_[message->from].incarnation) {
-        // Delayed from an earlier incarnation, or from a process whose clock was set back: it learns its
-        // state here, which it can refute.
+        // The datagram was delayed and has an earlier incarnation, or the process restarted with a wall clock
+        // that was set back. The reply contains the state of the sender in this table, which the sender can
+        // refute.
         ++counters_.outdated;
-        notify_accused(now, message->from, *address_index);
+        send_reported_state(now, message->from, *address_index);
         return;
     }
-    note_sender(now, *address_index, *message);
-    for (const Update& update : message->updates) merge(now, update, message->from);
+    update_sender(now, *address_index, *message);
+    for (const Update& update : message->updates) apply_update(now, update, message->from);
     correct_outdated(now, *message);
-    if (message->digest != table_.digest()) sync_.note_difference(message->from);
+    if (message->digest != table_.digest()) table_sync_.record_difference(message->from);
     dispatch(now, *message);
 }
 
-std::optional<Message> Membership::read(std::string_view bytes) {
+std::optional<Message> Membership::decode_message(std::string_view bytes) {
     std::optional<Message> message = decode(bytes);
-    // A sender's own counter may be as far ahead again: it may have refuted one that was as far ahead as an
-    // update's may be.
-    const std::uint32_t highest = clock_.max_plausible_counter(due_) + IncarnationClock::kMaxClockAhead;
+    // A sender's own counter may exceed the limit for updates by kMaxCounterLead: the sender may have refuted
+    // an update whose counter was at that limit.
+    const std::uint32_t highest = clock_.max_plausible_counter(due_at_) + IncarnationClock::kMaxCounterLead;
     if (!message || message->from >= table_.size() || message->incarnation.counter > highest ||
         message->state == MemberState::expected) {
         ++counters_.malformed;
@@ -55,38 +57,40 @@
     return message;
 }
 
-// From another process under this member's id, or this member's own datagram, returned.
-void Membership::on_own_name(Millis now, const Message& message) {
+// Handles a message with this member's own id. Its sender is another process with the same id, unless a
+// datagram of this process was sent back to it.
+void Membership::on_message_from_own_id(Millis now, const Message& message) {
     if (message.incarnation.nonce == table_.self().incarnation.nonce) return;
-    on_claim_about_self(now, {message.from, message.incarnation, message.state, message.uptime});
+    on_update_about_self(now, {message.from, message.incarnation, message.state, message.uptime_seconds});
 }
 
-// What the arrival of a datagram shows of its sender.
-void Membership::note_sender(Millis now, std::uint32_t address_index, const Message& message) {
+// Updates the entry of the sender of a datagram.
+void Membership::update_sender(Millis now, std::uint32_t address_index, const Message& message) {
     Member& sender = table_[message.from];
-    const bool later = message.incarnation > sender.incarnation;
+    const bool is_later = message.incarnation > sender.incarnation;
     sender.address_index = address_index;
     sender.view = message.view;
     sender.present_count = message.present_count;
-    sender.uptime = message.uptime;
-    if (later) {
-        const bool is_news = needs_gossip(sender, message.incarnation, message.state);
-        set(now, message.from, message.incarnation, message.state, "heard itself");
-        if (is_news) gossip_.add(message.from);
+    sender.uptime_seconds = message.uptime_seconds;
+    if (is_later) {
+        const bool must_gossip = needs_gossip(sender, message.incarnation, message.state);
+        set_state(now, message.from, message.incarnation, message.state, "received its datagram");
+        if (must_gossip) gossip_.add(message.from);
     } else if (message.state > sender.state && message.state == MemberState::left) {
-        set(now, message.from, message.incarnation, message.state, "said so itself");
+        set_state(now, message.from, message.incarnation, message.state, "announced by itself");
         gossip_.add(message.from);
     } else if (sender.state < message.state && message.state <= MemberState::alive) {
-        set(now, message.from, message.incarnation, message.state, "heard itself");
+        set_state(now, message.from, message.incarnation, message.state, "received its datagram");
     } else if (sender.state >= MemberState::failed) {
-        notify_accused(now, message.from, address_index);
+        send_reported_state(now, message.from, address_index);
     }
-    sender.heard = now;
-    heard_any_at_ = now;
+    sender.last_datagram_at = now;
+    last_datagram_at_ = now;
     if (sender.state == MemberState::suspect) end_suspicion(now, message.from);
     if (table_.self().state == MemberState::joining) {
         const Incarnation incarnation = table_.self().incarnation;
-        set(now, setup_.self, incarnation, MemberState::alive, "heard " + std::to_string(message.from));
+        set_state(now, setup_.self, incarnation, MemberState::alive,
+                  "received a datagram of member " + std::to_string(message.from));
     }
 }
 
@@ -121,10 +125,11 @@
 void Membership::on_ack(Millis now, const Message& message) {
     const std::optional<Relay> relay = relays_.complete(message.sequence, message.from);
     if (!relay) return on_probe_answered(now, message.sequence, message.from, {});
-    send(now, relay->asker, make_message(Message::Kind::indirect_ack, relay->asker_sequence, relay->target));
+    send(now, relay->requester,
+         make_message(Message::Kind::indirect_ack, relay->requester_sequence, relay->target));
 }
 
-// ---- out -----------------------------------------------------------------------------------------------
+// ---- sent messages -------------------------------------------------------------------------------------
 
 Message Membership::make_message(Message::Kind kind, std::uint32_t sequence, MemberId subject) {
     Message message;
@@ -136,34 +141,35 @@
 
 void Membership::fill_header(Millis now, Message& message) {
     Member& self = table_[setup_.self];
-    self.uptime = static_cast<std::uint32_t>((now - started_at_) / kSecond);
+    self.uptime_seconds = static_cast<std::uint32_t>((now - started_at_) / kSecond);
     message.from = setup_.self;
     message.incarnation = self.incarnation;
     message.state = self.state;
-    message.uptime = self.uptime;
+    message.uptime_seconds = self.uptime_seconds;
     message.digest = table_.digest();
     message.view = view(now);
-    message.present_count = table_.headcount().present;
+    message.present_count = table_.member_counts().present;
 }
 
 void Membership::piggyback(Message& message, MemberId to) {
-    // A receiver that is suspected or worse learns that first, so that it can refute it.
-    if (table_[to].state >= MemberState::suspect) message.updates.push_back(update_on(to));
+    // A receiver that is not alive in this table gets the update on itself first, so that it can refute it.
+    if (table_[to].state >= MemberState::suspect) message.updates.push_back(make_update(to));
     GossipQueue::Selection selection;
     selection.max_updates = Message::kMaxUpdates - std::min(Message::kMaxUpdates, message.updates.size());
     selection.receiver = to;
     selection.skip_receiver = !message.updates.empty() && message.updates.front().member_id == to;
-    // Sending a member news of itself spreads the news no further, unless the two are alone.
-    selection.count_receiver = table_.headcount().present <= 2;
-    // A member that hears no other does not spread suspicions: it is the one that is cut off.
-    if (message.view == View::alone) selection.only = setup_.self;
-    for (const MemberId id : gossip_.take(selection)) message.updates.push_back(update_on(id));
+    // An update that is sent to its own subject is not disseminated further, so it does not count as a
+    // transmission, except in a fleet of two present members.
+    selection.count_receiver = table_.member_counts().present <= 2;
+    // An isolated member does not disseminate suspicions, because its own link is the likely cause.
+    if (message.view == View::isolated) selection.only_member = setup_.self;
+    for (const MemberId id : gossip_.take(selection)) message.updates.push_back(make_update(id));
 }
 
 void Membership::send(Millis now, MemberId to, Message message) {
     if (yielded_) return;
     fill_header(now, message);
-    // A page has its updates already.
+    // The updates of a table page are its content.
     if (message.kind != Message::Kind::table_page) piggyback(message, to);
     std::string bytes = encode(message);
     ++counters_.sent;
@@ -172,23 +178,23 @@
 }
 
 void Membership::send_gossip(Millis now) {
-    for (const MemberId id : pick_present(kGossipFanout, setup_.self)) {
+    for (const MemberId id : pick_present_members(kGossipFanout, setup_.self)) {
         send(now, id, make_message(Message::Kind::gossip));
     }
-    const bool more_than_fits = gossip_.size() > Message::kMaxUpdates;
-    const double pace = more_than_fits ? 0.5 : 1;
-    next_gossip_at_ = now + setup_.timing.gossip_interval * health_.multiplier() * pace;
+    const bool exceeds_one_datagram = gossip_.size() > Message::kMaxUpdates;
+    const double interval_factor = exceeds_one_datagram ? 0.5 : 1;
+    next_gossip_at_ = now + setup_.timing.gossip_interval * health_.multiplier() * interval_factor;
 }
 
-std::vector<MemberId> Membership::pick_present(std::uint32_t max, MemberId except,
-                                               std::optional<MemberId> preferred) {
+std::vector<MemberId> Membership::pick_present_members(std::uint32_t max, MemberId except,
+                                                       std::optional<MemberId> preferred) {
     std::vector<MemberId> picked;
     const auto add = [&](MemberId id) {
-        const bool known = std::find(picked.begin(), picked.end(), id) != picked.end();
-        if (table_.is_present_peer(id) && id != except && !known) picked.push_back(id);
+        const bool already_picked = std::find(picked.begin(), picked.end(), id) != picked.end();
+        if (table_.is_present_peer(id) && id != except && !already_picked) picked.push_back(id);
     };
     if (preferred) add(*preferred);
-    // Random picks first, which is cheap while most are present; then the first present ones in order.
+    // Tries random members first, which is cheap while most members are present, then all members in order.
     for (std::uint32_t tries = 0; tries < 4 * max && picked.size() < max; ++tries) {
         add(static_cast<MemberId>(random_.below(table_.size())));
     }
--- a/src/cluster/membership_probing.cpp
+++ b/src/cluster/membership_probing.cpp
@@ -1,4 +1,4 @@
-// Probes, and what follows from those that are not answered: suspicion and failure.
+// Membership: probes, suspicions and failures.
 #include <algorithm>
 
 #include "cluster/membership.hpp"
@@ -19,16 +19,17 @@
     if (const auto target = present_round_.next(random_, table_.size(), present)) {
         start_probe(now, *target, ProbePurpose::regular);
     }
-    // A member that is not present may be back, or its side of a partition: one of them is probed besides.
-    if (table_.headcount().silent > 0 || table_.headcount().ended > 0) {
+    // One member that is not present is probed as well, to detect restarted members and the end of
+    // partitions.
+    if (table_.member_counts().failed > 0 || table_.member_counts().ended > 0) {
         const auto absent = [this](MemberId id) {
             return id != setup_.self && !is_present(table_[id].state);
         };
         if (const auto target = absent_round_.next(random_, table_.size(), absent)) {
-            start_probe(now, *target, ProbePurpose::courtesy);
+            start_probe(now, *target, ProbePurpose::rejoin_check);
         }
     }
-    const bool quick = burst_.take_quick(view(now) != View::alone);
+    const bool quick = failure_burst_.take_quick_probe(view(now) != View::isolated);
     const Millis period = quick ? setup_.timing.burst_period : setup_.timing.probe_period;
     next_probe_at_ = now + period * health_.multiplier() * (0.9 + 0.2 * random_.uniform());
 }
@@ -44,19 +45,19 @@
 void Membership::probe_indirectly(Millis now, const ProbeStep& step) {
     const bool final_check = step.purpose == ProbePurpose::final_check;
     const std::uint32_t max = final_check ? kFinalIndirectProbes : kIndirectProbes;
-    const std::vector<MemberId> helpers = pick_present(max, step.target, last_helper_[step.target]);
+    const std::vector<MemberId> helpers = pick_present_members(max, step.target, last_helpers_[step.target]);
     probes_.set_helpers(step.sequence, static_cast<std::uint32_t>(helpers.size()));
     for (const MemberId helper : helpers) {
         send(now, helper, make_message(Message::Kind::ping_req, step.sequence, step.target));
     }
 }
 
-// For others: pings the target once more, and sends a nack, by which the asker learns that it is heard
-// itself.
+// For each due relay, repeats the ping and sends a nack. The nack shows the requester that its link to this
+// member works.
 void Membership::run_relays(Millis now) {
     for (const Relay& relay : relays_.take_due(now)) {
         send(now, relay.target, make_message(Message::Kind::ping, relay.sequence, relay.target));
-        send(now, relay.asker, make_message(Message::Kind::nack, relay.asker_sequence, relay.target));
+        send(now, relay.requester, make_message(Message::Kind::nack, relay.requester_sequence, relay.target));
     }
     relays_.drop_expired(now);
 }
@@ -65,58 +66,61 @@
                                    std::optional<MemberId> helper) {
     if (!probes_.complete(sequence, target)) return;
     table_[target].indirect_only = helper.has_value();
-    if (helper) last_helper_[target] = helper;
-    burst_.probe_succeeded();
+    if (helper) last_helpers_[target] = helper;
+    failure_burst_.probe_succeeded();
     health_.improve();
     if (table_[target].state == MemberState::suspect) end_suspicion(now, target);
 }
 
 void Membership::on_probe_failed(Millis now, const Probe& probe) {
-    // Helpers that send not even a nack are a sign that this process is slow (Lifeguard), but only if no
-    // other datagram has come either: in a partition they would slow down all members that have to detect it.
-    const bool helpers_silent = probe.helpers > 0 && probe.nacks < probe.helpers;
-    if (helpers_silent && heard_any_at_ < probe.started_at) health_.worsen();
-    if (probe.purpose == ProbePurpose::courtesy) return;
-    burst_.probe_failed();
+    // Missing nacks of helpers indicate that this process is slow (Lifeguard). They count only if no other
+    // datagram has arrived either; otherwise a partition would lengthen the timeouts of all members that have
+    // to detect it.
+    const bool nacks_missing = probe.helpers > 0 && probe.nacks < probe.helpers;
+    if (nacks_missing && last_datagram_at_ < probe.started_at) health_.worsen();
+    if (probe.purpose == ProbePurpose::rejoin_check) return;
+    failure_burst_.probe_failed();
     const Member& member = table_[probe.target];
     if (!is_present(member.state)) return;
-    // Another datagram of the member has come meanwhile: it runs, though its answer was lost.
-    if (member.heard >= 0 && now - member.heard < kRecentlyHeard) return;
-    // A member that hears no other suspects nobody: it is the one that is cut off.
-    if (view(now) == View::alone || view(now) == View::unknown) return;
+    // A recent datagram of the member shows that it runs and that only its answer was lost.
+    if (member.last_datagram_at >= 0 && now - member.last_datagram_at < kRecentDatagramPeriod) return;
+    // A member that receives no datagrams suspects no other member, because its own link is the likely cause.
+    if (view(now) == View::isolated || view(now) == View::unknown) return;
     if (probe.purpose == ProbePurpose::regular) return suspect(now, probe.target, setup_.self);
-    if (!suspicions_.in_final_probe(probe.target)) return;  // it was refuted while the probe ran
+    if (!suspicions_.in_final_probe(probe.target)) return;  // refuted while the probe was pending
     const Incarnation incarnation = member.incarnation;
-    set(now, probe.target, incarnation, MemberState::failed, "no answer, by itself or by way of others");
+    set_state(now, probe.target, incarnation, MemberState::failed, "no answer to direct and indirect pings");
     gossip_.add(probe.target);
 }
 
-// The kernel reports that the process is not there. If it has started since, its own datagram is on its way
-// and outranks this.
+// Sets the members at the address to terminated. A process that has started there in the meantime sends
+// datagrams with a later incarnation, which overrides this state.
 void Membership::on_port_unreachable(Millis now, std::uint32_t address_index) {
     detect_stall(now);
     for (MemberId id = 0; id < table_.size(); ++id) {
         const Member& member = table_[id];
         if (id == setup_.self || member.address_index != address_index || has_ended(member.state)) continue;
         const Incarnation incarnation{std::max(member.incarnation.counter, 1U), member.incarnation.nonce};
-        set(now, id, incarnation, MemberState::gone, "its machine says that nobody listens there");
+        set_state(now, id, incarnation, MemberState::terminated,
+                  "its host reported the port as unreachable (ICMP)");
         gossip_.add(id);
     }
 }
 
 // ---- suspicions ----------------------------------------------------------------------------------------
 
-void Membership::suspect(Millis now, MemberId target, MemberId accuser) {
+void Membership::suspect(Millis now, MemberId target, MemberId reporter) {
     if (table_[target].state < MemberState::suspect) {
         ++counters_.suspicions;
         const Incarnation incarnation = table_[target].incarnation;
-        set(now, target, incarnation, MemberState::suspect, "suspected by " + std::to_string(accuser));
+        set_state(now, target, incarnation, MemberState::suspect,
+                  "suspected by member " + std::to_string(reporter));
         suspicions_.start(now, target);
     }
     if (table_[target].state != MemberState::suspect) return;
-    if (!suspicions_.add_accuser(target, accuser)) return;
+    if (!suspicions_.add_reporter(target, reporter)) return;
     gossip_.add(target);
-    if (accuser == setup_.self) notify_accused(now, target, table_[target].address_index);
+    if (reporter == setup_.self) send_reported_state(now, target, table_[target].address_index);
 }
 
 void Membership::start_final_probes(Millis now) {
@@ -130,17 +134,17 @@
     restart_unfinished_suspicions(now);
 }
 
-// A final probe that ended without a verdict, as no other member was heard, is made again.
+// Restarts suspicions whose final probe ended without a result, which happens while this member is isolated.
 void Membership::restart_unfinished_suspicions(Millis now) {
     for (const MemberId id : suspicions_.suspects()) {
         if (suspicions_.in_final_probe(id) && !probes_.has_final_probe(id)) suspicions_.restart(now, id);
     }
 }
 
-// Whichever member suspected it: its answer has come here.
+// Ends the suspicion of a member whose datagram has arrived, regardless of the members that reported it.
 void Membership::end_suspicion(Millis now, MemberId target) {
     const Incarnation incarnation = table_[target].incarnation;
-    set(now, target, incarnation, MemberState::alive, "answers");
+    set_state(now, target, incarnation, MemberState::alive, "answered");
 }
 
 }  // namespace elmbay::cluster
--- a/src/cluster/message.hpp
+++ b/src/cluster/message.hpp
@@ -1,8 +1,8 @@
 /// @file
-/// What sidecars say to one another, as bytes: MessagePack and an XXH32 of it (big-endian) behind, read by
-/// the libraries and checked here field by field: UDP's own sum has 16 bits, and may be left out.
-/// docs/reference/cluster-protocol.md has each field. Fields that a later version adds stand behind ours and
-/// are passed over.
+/// Encoding of the messages between sidecars: a MessagePack array, followed by its XXH32 checksum
+/// (big-endian). Libraries parse both, and decode() validates each field. The message has a checksum of its
+/// own because UDP's checksum has only 16 bits and is optional. docs/reference/cluster-protocol.md describes
+/// each field. A later version appends its fields, and decode() ignores them.
 #pragma once
 
 #include <compare>
@@ -14,110 +14,117 @@
 
 namespace elmbay::cluster {
 
-/// A member's place in the settings' count of sidecars, the same at all of them: from 0, at most 65535.
+/// A member's index among the sidecars in the settings, the same at all members: 0 to 65535.
 using MemberId = std::uint32_t;
 
-/// The state of a member as another sees it, in the order in which states outrank one another within one
-/// incarnation.
+/// The state of a member in another member's table. Within one incarnation a higher state overrides a lower
+/// one. The status JSON and the log name the states expected, joining, alive, suspect, failed, gone and left.
 enum class MemberState : std::uint8_t {
-    expected,  ///< it should be there; nothing has been heard of it
-    joining,   ///< it has started and has not heard of anybody yet
-    alive,     ///< it was heard of
-    suspect,   ///< a probe of it was not answered
-    failed,    ///< silent: it has died or is cut off; which of the two is not known
-    gone,      ///< its machine says that the process is not there
-    left       ///< it ended in good order and said so
+    expected,    ///< it is configured, and nothing has been received about it
+    joining,     ///< it has started and has not received a datagram yet
+    alive,       ///< it answers, or another member reports that it does
+    suspect,     ///< a probe of it was not answered
+    failed,      ///< it does not answer: it has crashed, or a partition separates it
+    terminated,  ///< its host reports that its port is closed (ICMP); "gone" in the JSON and the log
+    left         ///< it announced that it shuts down
 };
 /// @return the state's name in the status JSON and in log lines.
 const char* to_string(MemberState state);
 
-/// One run of a process under a member's id, and what it has refuted since: the higher outranks the lower,
-/// whatever clocks say.
+/// Identifies one run of a process under a member's id and the last refutation by it. A higher incarnation
+/// overrides a lower one, regardless of wall clocks.
 struct Incarnation {
-    /// Begins with the start's time (IncarnationClock) and rises with each refutation; 0: never heard of.
+    /// Starts at the time of the process start (IncarnationClock) and increases with each refutation; 0:
+    /// unknown.
     std::uint32_t counter = 0;
-    /// Drawn at the start of the process: tells two processes of one counter apart.
+    /// Drawn at random at the start of the process, to distinguish two processes with equal counters.
     std::uint16_t nonce = 0;
-    // The check takes the comparison with 0 that the compiler generates for a null pointer.
+    // clang-tidy mistakes the comparison with 0 that the compiler generates for a null pointer.
     auto operator<=>(const Incarnation&) const = default;  // NOLINT(modernize-use-nullptr)
 };
 
-/// What is said of one member.
+/// A report about one member, as members send it to each other.
 struct Update {
     MemberId member_id = 0;
     Incarnation incarnation;
     MemberState state = MemberState::expected;
-    /// suspect: who says so; alive and joining: seconds since its start, as it said itself; else 0.
+    /// For suspect, the id of the member that suspects it. For alive and joining, its uptime in seconds, as
+    /// it last reported. Else 0.
     std::uint32_t detail = 0;
     bool operator==(const Update&) const = default;
 };
 
-/// How much of the fleet a member hears.
+/// From how much of the fleet a member receives datagrams. The status JSON names the views unknown, whole,
+/// part and alone.
 enum class View : std::uint8_t {
-    unknown,  ///< it has just started
-    whole,    ///< everybody who is not known to have ended
-    part,     ///< some are silent
-    alone     ///< no other member, though others should be there
+    unknown,   ///< it has just started and has received nothing yet
+    complete,  ///< all members that are not known to have ended
+    partial,   ///< some members have failed
+    isolated   ///< no other member, although others are configured
 };
 /// @return the view's name in the status JSON.
 const char* to_string(View view);
 
-/// One datagram, as its fields.
+/// The fields of one datagram.
 struct Message {
-    /// Of the layout; others are not read.
+    /// Version of the layout. Messages of another version are rejected.
     static constexpr std::uint32_t kVersion = 1;
-    /// Bytes of an encoded message: PROTOCOL, "Between sidecars".
+    /// Maximum number of bytes of an encoded message (PROTOCOL, "Between sidecars").
     static constexpr std::size_t kMaxBytes = 256;
-    /// Of ids, counts of members and seconds since a start, which stand at it from then on: 3 bytes each.
+    /// Maximum of ids, member counts and uptimes, so that each takes at most 3 bytes. Higher numbers are
+    /// clamped to it.
     static constexpr std::uint32_t kMaxShortField = 65535;
-    /// So many fit whatever the numbers in them: 15 bytes each at most beside 44 of the rest.
+    /// Number of updates that fit whatever their values: each takes at most 15 bytes, and the other fields
+    /// take at most 44.
     static constexpr std::size_t kMaxUpdates = 14;
 
-    /// What the datagram asks for or answers.
+    /// The type of the message.
     enum class Kind : std::uint8_t {
-        ping,          ///< answer me
-        ack,           ///< the answer: same sequence
-        ping_req,      ///< ping `subject` for me
-        indirect_ack,  ///< it answered me: same sequence
-        nack,          ///< it has not answered me yet: same sequence. Shows the asker that it is heard itself
-        gossip,        ///< updates alone
-        table_request,  ///< tell me whom you hold for not present, from member `subject` on
-        table_page      ///< that: the next page begins at `subject`, 0 if this is the last
+        ping,          ///< request for an ack from the receiver
+        ack,           ///< answer to a ping, with the sequence of the ping
+        ping_req,      ///< request to ping the member `subject` for the sender
+        indirect_ack,  ///< `subject` answered the receiver's ping_req, whose sequence it has
+        // The arrival of a nack shows the requester that its own link works.
+        nack,           ///< `subject` has not answered the receiver's ping_req yet
+        gossip,         ///< only carries updates
+        table_request,  ///< request for the members that are not present, from `subject` on
+        table_page      ///< answer to it; `subject` is the start of the next page, 0 if there is none
     };
     Kind kind = Kind::gossip;
     MemberId from = 0;
-    Incarnation incarnation;  ///< the sender's own
+    Incarnation incarnation;  ///< the sender's incarnation
     MemberState state = MemberState::alive;
-    std::uint32_t uptime = 0;  ///< seconds
+    std::uint32_t uptime_seconds = 0;  ///< of the sender's process
     std::uint32_t sequence = 0;
     MemberId subject = 0;
-    std::uint32_t digest = 0;  ///< of the sender's table
+    std::uint32_t digest = 0;  ///< digest of the sender's table
     View view = View::unknown;
-    std::uint32_t present_count = 0;       ///< members that the sender counts as present
-    std::uint32_t max_version = kVersion;  ///< the highest version that the sender reads
-    std::vector<Update> updates;           ///< those beyond kMaxUpdates are not written
+    std::uint32_t present_count = 0;       ///< number of members present in the sender's table
+    std::uint32_t max_version = kVersion;  ///< highest version that the sender can read
+    std::vector<Update> updates;           ///< encode() writes the first kMaxUpdates of them
     bool operator==(const Message&) const = default;
 };
 
-/// Why bytes are no message.
+/// The reason why bytes are not a valid message.
 enum class DecodeFault : std::uint8_t {
     too_long,       ///< more than Message::kMaxBytes
-    not_a_message,  ///< too short, or no array with as many fields
+    not_a_message,  ///< too short, or not an array with all fields
     bad_checksum,
-    bad_field  ///< one field is missing, of another type or out of range
+    bad_field  ///< a field has the wrong type or is out of range
 };
-/// Why bytes are no message, and where.
+/// The reason why bytes are not a valid message, and the invalid field.
 struct DecodeError {
     DecodeFault fault = DecodeFault::not_a_message;
-    std::string_view field;  ///< its name in the protocol's table, for bad_field; else empty
+    std::string_view field;  ///< for bad_field, the field's name in the protocol's table; else empty
     bool operator==(const DecodeError&) const = default;
 };
 
-/// @return the message as bytes, Message::kMaxBytes at most. Numbers beyond their range stand at its end.
+/// @return the encoded message, at most Message::kMaxBytes long. Numbers beyond their range are clamped to
+/// it.
 std::string encode(const Message& message);
-/// Reads any bytes. Ids are not checked against the fleet's size.
-/// @param error where to say why, if anybody wants to know.
-/// @return nothing for what is no message.
+/// Decodes a message from untrusted bytes. Ids are not checked against the fleet's size.
+/// @param error receives the reason if decoding fails; may be null.
+/// @return the message, or nothing if the bytes are not a valid message.
 std::optional<Message> decode(std::string_view bytes, DecodeError* error = nullptr);
 
 }  // namespace elmbay::cluster
--- a/src/cluster/probe_schedule.hpp
+++ b/src/cluster/probe_schedule.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Which member is probed next, and how soon.
+/// The order in which members are probed, and the decision whether the next probe is quick.
 #pragma once
 
 #include <algorithm>
@@ -13,67 +13,72 @@
 
 namespace elmbay::cluster {
 
-/// Members in turn, in an order drawn anew for each round, so that nobody waits longer than two rounds (SWIM,
-/// 4.3). A value; not thread-safe.
+/// Round-robin over the members, shuffled at the start of each round, so that no member waits longer than two
+/// rounds (SWIM, 4.3). A value type; not thread-safe.
 class ProbeRound {
 public:
-    /// @param members how many there are.
-    /// @param wanted  whether a member is to be probed now; asked again when its turn comes.
-    /// @return the next that is wanted; nothing if nobody is.
-    template <class Wanted>
-    std::optional<MemberId> next(balancer::Random& random, std::uint32_t members, Wanted wanted) {
-        // What is left of this round, and then one whole round.
-        if (const auto id = next_left(wanted)) return id;
+    /// @param members     the number of members.
+    /// @param is_eligible returns whether a member is to be probed now; called again when its turn comes.
+    /// @return the next eligible member; nothing if no member is eligible.
+    template <class Eligible>
+    std::optional<MemberId> next(balancer::Random& random, std::uint32_t members, Eligible is_eligible) {
+        // The rest of this round comes first, then one whole round.
+        if (const auto id = next_remaining(is_eligible)) return id;
         for (MemberId id = 0; id < members; ++id) {
-            if (wanted(id)) left_.push_back(id);
+            if (is_eligible(id)) remaining_.push_back(id);
         }
-        for (std::size_t i = left_.size(); i > 1; --i) std::swap(left_[i - 1], left_[random.below(i)]);
-        return next_left(wanted);
+        for (std::size_t i = remaining_.size(); i > 1; --i)
+            std::swap(remaining_[i - 1], remaining_[random.below(i)]);
+        return next_remaining(is_eligible);
     }
 
 private:
-    template <class Wanted>
-    std::optional<MemberId> next_left(Wanted wanted) {
-        while (!left_.empty()) {
-            const MemberId id = left_.back();
-            left_.pop_back();
-            if (wanted(id)) return id;
+    template <class Eligible>
+    std::optional<MemberId> next_remaining(Eligible is_eligible) {
+        while (!remaining_.empty()) {
+            const MemberId id = remaining_.back();
+            remaining_.pop_back();
+            if (is_eligible(id)) return id;
         }
         return std::nullopt;
     }
 
-    std::vector<MemberId> left_;  // of this round, the next one last
+    std::vector<MemberId> remaining_;  // members that this round has not visited yet, the next one last
 };
 
-/// Whether probes follow each other quickly: while many fail, and for so many in a row that it stays cheap.
-/// A value; not thread-safe.
+/// Decides whether the next probe is quick, which means that it follows after a shorter period. Probes are
+/// quick while many of them fail. The number of quick probes in a row is bounded, to limit their cost. A
+/// value type; not thread-safe.
 class FailureBurst {
 public:
-    /// Quick probes in a row; one is earned back with each that is not quick.
+    /// Maximum number of quick probes in a row. Each probe that is not quick allows one more of them.
     static constexpr std::uint32_t kMaxQuickProbes = 50;
 
-    /// A probe was answered.
+    /// Records that a probe was answered.
     void probe_succeeded() { recent_failures_ -= recent_failures_ > 0 ? 1 : 0; }
-    /// A probe was not answered; two answers make up for it.
-    void probe_failed() { recent_failures_ = std::min(kWindow, recent_failures_ + 2); }
-    /// @param allowed whether quick probes make sense at all now.
-    /// @return whether the next probe is to follow quickly. Counts as that probe.
-    bool take_quick(bool allowed) {
-        const bool quick = allowed && recent_failures_ > kManyFail * kWindow && quick_left_ > 0;
+    /// Records that a probe was not answered. Two answered probes offset it.
+    void probe_failed() { recent_failures_ = std::min(kWindowProbes, recent_failures_ + 2); }
+    /// Decides whether the next probe is quick, and counts that probe.
+    /// @param allowed whether the caller permits a quick probe now.
+    /// @return whether the next probe is quick.
+    bool take_quick_probe(bool allowed) {
+        const bool quick =
+            allowed && recent_failures_ > kBurstFailureFraction * kWindowProbes && quick_probes_left_ > 0;
         if (quick) {
-            --quick_left_;
-        } else if (quick_left_ < kMaxQuickProbes) {
-            ++quick_left_;
+            --quick_probes_left_;
+        } else if (quick_probes_left_ < kMaxQuickProbes) {
+            ++quick_probes_left_;
         }
         return quick;
     }
 
 private:
-    static constexpr std::uint32_t kWindow = 10;  // probes that are looked back on, about
-    static constexpr double kManyFail = 0.2;      // of them
+    static constexpr std::uint32_t kWindowProbes = 10;  // approximate number of probes taken into account
+    static constexpr double kBurstFailureFraction =
+        0.2;  // fraction of failed probes above which probes are quick
 
     std::uint32_t recent_failures_ = 0;
-    std::uint32_t quick_left_ = kMaxQuickProbes;
+    std::uint32_t quick_probes_left_ = kMaxQuickProbes;
 };
 
 }  // namespace elmbay::cluster
--- a/src/cluster/probes.cpp
+++ b/src/cluster/probes.cpp
@@ -9,34 +9,36 @@
 
 namespace {
 
-// Of the probe period: a regular probe ends before the next begins.
-constexpr double kProbePart = 0.9;
+// Fraction of the probe period after which a regular probe ends, which is before the next one starts.
+constexpr double kProbePeriodFraction = 0.9;
 
 }  // namespace
 
 void ProbeTracker::start(Millis now, MemberId target, ProbePurpose purpose, std::uint32_t sequence,
-                         double stretch) {
+                         double timeout_multiplier) {
     const bool is_final = purpose == ProbePurpose::final_check;
     Probe probe;
     probe.sequence = sequence;
     probe.target = target;
     probe.purpose = purpose;
     probe.started_at = now;
-    probe.retry_at = now + timing_.ping_retry;
-    probe.indirect_at = now + timing_.direct_timeout * stretch;
-    probe.ends_at = now + (is_final ? timing_.final_probe : timing_.probe_period * kProbePart) * stretch;
+    probe.retry_at = now + timing_.ping_retry_delay;
+    probe.indirect_at = now + timing_.direct_timeout * timeout_multiplier;
+    probe.ends_at =
+        now + (is_final ? timing_.final_probe_timeout : timing_.probe_period * kProbePeriodFraction) *
+                  timeout_multiplier;
     probes_.push_back(probe);
 }
 
 std::vector<ProbeStep> ProbeTracker::take_due(Millis now) {
     std::vector<ProbeStep> steps;
     for (Probe& probe : probes_) {
-        const bool courtesy = probe.purpose == ProbePurpose::courtesy;
+        const bool rejoin_check = probe.purpose == ProbePurpose::rejoin_check;
         if (probe.retry_at > 0 && probe.retry_at <= now) {
-            probe.retry_at = courtesy ? 0 : now + 2 * timing_.ping_retry;
+            probe.retry_at = rejoin_check ? 0 : now + 2 * timing_.ping_retry_delay;
             steps.push_back({ProbeStep::Kind::ping, probe.sequence, probe.target, probe.purpose});
         }
-        if (!probe.indirect_started && !courtesy && probe.indirect_at <= now) {
+        if (!probe.indirect_started && !rejoin_check && probe.indirect_at <= now) {
             probe.indirect_started = true;
             steps.push_back({ProbeStep::Kind::indirect_ping, probe.sequence, probe.target, probe.purpose});
         }
@@ -85,22 +87,23 @@
     Millis next = INFINITY;
     for (const Probe& probe : probes_) {
         if (probe.retry_at > 0) next = std::min(next, probe.retry_at);
-        const bool will_ask = !probe.indirect_started && probe.purpose != ProbePurpose::courtesy;
-        if (will_ask) next = std::min(next, probe.indirect_at);
+        const bool will_ping_indirectly =
+            !probe.indirect_started && probe.purpose != ProbePurpose::rejoin_check;
+        if (will_ping_indirectly) next = std::min(next, probe.indirect_at);
         next = std::min(next, probe.ends_at);
     }
     return next;
 }
 
-void RelayTracker::start(Millis now, MemberId target, MemberId asker, std::uint32_t sequence,
-                         std::uint32_t asker_sequence) {
+void RelayTracker::start(Millis now, MemberId target, MemberId requester, std::uint32_t sequence,
+                         std::uint32_t requester_sequence) {
     Relay relay;
     relay.sequence = sequence;
-    relay.asker_sequence = asker_sequence;
+    relay.requester_sequence = requester_sequence;
     relay.target = target;
-    relay.asker = asker;
+    relay.requester = requester;
     relay.nack_at = now + timing_.direct_timeout;
-    // As long as the asker's probe may run, however slow it believes itself to be.
+    // The longest time that the requester's probe can take, at its highest local health score.
     relay.ends_at = now + timing_.probe_period * (1 + LocalHealth::kMaxScore);
     relays_.push_back(relay);
 }
@@ -118,8 +121,8 @@
 std::vector<Relay> RelayTracker::take_due(Millis now) {
     std::vector<Relay> due;
     for (Relay& relay : relays_) {
-        if (relay.nacked || relay.nack_at > now) continue;
-        relay.nacked = true;
+        if (relay.nack_sent || relay.nack_at > now) continue;
+        relay.nack_sent = true;
         due.push_back(relay);
     }
     return due;
@@ -131,7 +134,7 @@
 
 Millis RelayTracker::next_due() const {
     Millis next = INFINITY;
-    for (const Relay& relay : relays_) next = std::min(next, relay.nacked ? relay.ends_at : relay.nack_at);
+    for (const Relay& relay : relays_) next = std::min(next, relay.nack_sent ? relay.ends_at : relay.nack_at);
     return next;
 }
 
--- a/src/cluster/probes.hpp
+++ b/src/cluster/probes.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The probes that are under way, and the probes that are made for others (SWIM's failure detector).
+/// Pending probes and pending relayed pings of SWIM's failure detector.
 #pragma once
 
 #include <cstdint>
@@ -11,33 +11,33 @@
 
 namespace elmbay::cluster {
 
-/// Why a member is probed.
+/// The purpose of a probe.
 enum class ProbePurpose : std::uint8_t {
-    regular,      ///< its turn has come; without an answer it is suspected
-    final_check,  ///< its suspicion has ended; without an answer it has failed
-    courtesy,     ///< it is not present; an answer shows that it is back
+    regular,       ///< periodic probe; if it fails, the target is suspected
+    final_check,   ///< probe at the end of a suspicion; if it fails, the target is set to failed
+    rejoin_check,  ///< probe of a member that is not present; an answer shows that it is back
 };
 
-/// A probe of one member, direct first and then by way of others.
+/// A probe of one member: direct pings first, then pings through helpers.
 struct Probe {
     std::uint32_t sequence = 0;
     MemberId target = 0;
     ProbePurpose purpose = ProbePurpose::regular;
     Millis started_at = 0;
-    Millis retry_at = 0;     ///< when the ping is repeated; 0: no more
-    Millis indirect_at = 0;  ///< when helpers are asked to ping the target
-    Millis ends_at = 0;      ///< without an answer by then the probe has failed
+    Millis retry_at = 0;     ///< time of the next repetition of the ping; 0: none
+    Millis indirect_at = 0;  ///< time of the requests to helpers
+    Millis ends_at = 0;      ///< time at which the probe fails without an answer
     bool indirect_started = false;
-    std::uint32_t helpers = 0;  ///< that were asked
-    std::uint32_t nacks = 0;    ///< that said that they have no answer yet
+    std::uint32_t helpers = 0;  ///< number of helpers that were requested to ping the target
+    std::uint32_t nacks = 0;    ///< number of helpers that reported that they have no answer yet
 };
 
-/// What is to be sent for a probe now.
+/// A message to send for a probe.
 struct ProbeStep {
-    /// Who is pinged.
+    /// The type of the step.
     enum class Kind : std::uint8_t {
-        ping,          ///< the target, once more
-        indirect_ping  ///< some helpers on our behalf, and the target once more
+        ping,          ///< ping the target once more
+        indirect_ping  ///< request helpers to ping the target, and ping it once more directly
     };
     Kind kind = Kind::ping;
     std::uint32_t sequence = 0;
@@ -45,38 +45,41 @@
     ProbePurpose purpose = ProbePurpose::regular;
 };
 
-/// The probes that are under way. A value without I/O and clock; not thread-safe. Times are monotonic
-/// milliseconds.
+/// The pending probes. A value type without I/O and clock; not thread-safe. Times are monotonic milliseconds.
 class ProbeTracker {
 public:
-    /// At once; who would begin one more waits.
+    /// Maximum number of pending probes. While it is reached, the caller delays further probes.
     static constexpr std::size_t kMaxProbes = 64;
 
     explicit ProbeTracker(const Timing& timing) : timing_(timing) {}
 
-    /// Whether kMaxProbes are under way.
+    /// @return whether kMaxProbes are pending.
     bool full() const { return probes_.size() >= kMaxProbes; }
-    /// Begins a probe; its first ping is the caller's to send. Only while not full().
-    /// @param stretch what timeouts are multiplied by: LocalHealth::multiplier().
-    void start(Millis now, MemberId target, ProbePurpose purpose, std::uint32_t sequence, double stretch);
-    /// @return what is due, in order; each step is returned once.
+    /// Starts a probe. The caller sends its first ping. Precondition: not full().
+    /// @param timeout_multiplier factor for the timeouts: LocalHealth::multiplier().
+    void start(Millis now, MemberId target, ProbePurpose purpose, std::uint32_t sequence,
+               double timeout_multiplier);
+    /// @return the steps that are due, in order; each step is returned once.
     std::vector<ProbeStep> take_due(Millis now);
-    /// @return the probes that ended without an answer, which are under way no longer.
+    /// Removes the probes that ended without an answer.
+    /// @return the removed probes.
     std::vector<Probe> take_expired(Millis now);
-    /// An answer came.
-    /// @return whether it belongs to a probe, which is then under way no longer.
+    /// Handles an answer, and removes the probe that it belongs to.
+    /// @return whether the answer belongs to a pending probe.
     bool complete(std::uint32_t sequence, MemberId target);
-    /// So many helpers were asked to ping the target; nothing for a probe that has ended.
+    /// Sets how many helpers were requested to ping the target. Has no effect on a probe that has ended.
     void set_helpers(std::uint32_t sequence, std::uint32_t helpers);
-    /// A helper reports that the target has not answered it yet; nothing for a probe that has ended.
+    /// Counts the nack of a helper that has no answer from the target yet. Has no effect on a probe that has
+    /// ended.
     void add_nack(std::uint32_t sequence, MemberId target);
-    /// @return whether a final probe of that member is under way.
+    /// @return whether a final probe of the member is pending.
     bool has_final_probe(MemberId target) const;
-    /// Drops all probes; nobody fails by it.
+    /// Drops all probes without a result.
     void clear() { probes_.clear(); }
-    /// @return when take_due() or take_expired() has something next; infinity if never.
+    /// @return the next time at which take_due() or take_expired() returns something; infinity if there is
+    /// none.
     Millis next_due() const;
-    /// @return the probes that are under way, the oldest first.
+    /// @return the pending probes, oldest first.
     const std::vector<Probe>& running() const { return probes_; }
 
 private:
@@ -86,39 +89,41 @@
 
 /// A ping that is sent on behalf of another member.
 struct Relay {
-    std::uint32_t sequence = 0;        ///< of our ping
-    std::uint32_t asker_sequence = 0;  ///< of the asker's probe
+    std::uint32_t sequence = 0;            ///< sequence of the relayed ping
+    std::uint32_t requester_sequence = 0;  ///< sequence of the requester's probe
     MemberId target = 0;
-    MemberId asker = 0;
+    MemberId requester = 0;
     Millis nack_at = 0;
     Millis ends_at = 0;
-    bool nacked = false;
+    bool nack_sent = false;
 };
 
-/// Pings that were sent for others and are not answered yet. A value without I/O and clock; not thread-safe.
+/// The pending pings that were sent on behalf of other members. A value type without I/O and clock; not
+/// thread-safe. Times are monotonic milliseconds.
 class RelayTracker {
 public:
-    /// At once; requests beyond that are dropped.
+    /// Maximum number of pending relays. The caller drops requests beyond it.
     static constexpr std::size_t kMaxRelays = 32;
 
     explicit RelayTracker(const Timing& timing) : timing_(timing) {}
 
-    /// Whether kMaxRelays are under way.
+    /// @return whether kMaxRelays are pending.
     bool full() const { return relays_.size() >= kMaxRelays; }
-    /// Only while not full(); the ping is the caller's to send.
-    void start(Millis now, MemberId target, MemberId asker, std::uint32_t sequence,
-               std::uint32_t asker_sequence);
-    /// @return the relay that this answer belongs to, which ends; nothing if it belongs to none.
+    /// Starts a relay. The caller sends the ping. Precondition: not full().
+    void start(Millis now, MemberId target, MemberId requester, std::uint32_t sequence,
+               std::uint32_t requester_sequence);
+    /// Handles an answer, and removes the relay that it belongs to.
+    /// @return the removed relay; nothing if the answer belongs to none.
     std::optional<Relay> complete(std::uint32_t sequence, MemberId target);
-    /// @return relays whose asker is to hear now that there is no answer yet; each once.
+    /// @return the relays for which a nack is due, each once.
     std::vector<Relay> take_due(Millis now);
-    /// Drops the relays that have no answer by their end.
+    /// Drops the relays that have ended without an answer.
     void drop_expired(Millis now);
     /// Drops all relays.
     void clear() { relays_.clear(); }
-    /// @return when something is due next; infinity if never.
+    /// @return the time of the next nack or expiry; infinity if there is none.
     Millis next_due() const;
-    /// @return the relays that are under way, the oldest first.
+    /// @return the pending relays, oldest first.
     const std::vector<Relay>& running() const { return relays_; }
 
 private:
--- a/src/cluster/settings.hpp
+++ b/src/cluster/settings.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// [cluster] of the operator's file, and what the platform's configuration says beside it.
+/// The settings in section [cluster] of the operator's file. The platform's configuration supplies some of
+/// them.
 #pragma once
 
 #include <boost/asio/ip/udp.hpp>
@@ -10,16 +11,16 @@
 
 namespace elmbay::cluster {
 
-/// Where a member is reached.
+/// The UDP address of a member.
 using PeerAddress = boost::asio::ip::udp::endpoint;
 
 /// The keys of [cluster].
 struct Settings {
-    bool on = false;                 ///< off: nothing listens, nothing is sent
-    std::string listen;              ///< address:port of this member; empty: as the platform says
-    std::vector<std::string> peers;  ///< address:port of each, by id; empty: as the platform says
-    std::uint64_t number = 0;        ///< this member's id; the platform's word where that has one
-    Millis period = 1000;            ///< between two probes
+    bool on = false;                 ///< if false, the sidecar opens no socket and sends no messages
+    std::string listen;              ///< address:port of this member; if empty, from the platform
+    std::vector<std::string> peers;  ///< address:port of each member, by id; if empty, from the platform
+    std::uint64_t number = 0;        ///< this member's id, unless the platform supplies peers and id
+    Millis period = 1000;            ///< milliseconds between two probes
 };
 
 }  // namespace elmbay::cluster
--- a/src/cluster/sibling_estimate.cpp
+++ b/src/cluster/sibling_estimate.cpp
@@ -5,27 +5,27 @@
 
 namespace elmbay::cluster {
 
-double SiblingEstimate::target(const Headcount& count, View view) const {
-    // A member that has just started, or hears no other, knows less than the configuration.
-    if (view == View::unknown || view == View::alone) return configured_;
-    // If the list of peers and the settings' count differ, one of them is wrong, and which can't be known
-    // here. With the higher one each sidecar takes less.
-    const double all = std::max<double>(configured_, count.all);
-    const double there = std::max(1.0, all - count.ended);
-    return all / std::min(all / there, 1 + kMaxTakeover * all / there);
+double SiblingEstimate::target(const MemberCounts& counts, View view) const {
+    // Without datagrams from other members, the configured number is the better estimate.
+    if (view == View::unknown || view == View::isolated) return configured_;
+    // The length of the list of peers and the number in the settings should be equal. If they differ, the
+    // higher one is safer, as each sidecar then uses a smaller share.
+    const double total = std::max<double>(configured_, counts.total);
+    const double remaining = std::max(1.0, total - counts.ended);
+    return total / std::min(total / remaining, 1 + kMaxTakeoverFraction * total / remaining);
 }
 
-std::uint32_t SiblingEstimate::update(Millis now, const Headcount& count, View view) {
+std::uint32_t SiblingEstimate::update(Millis now, const MemberCounts& counts, View view) {
     const Millis elapsed = updated_at_ < 0 ? 0 : std::max(0.0, now - updated_at_);
-    const double lowest = value_ * std::exp2(-elapsed / kHalfLife);
-    value_ = std::max(target(count, view), lowest);
+    const double lower_bound = value_ * std::exp2(-elapsed / kHalfLife);
+    value_ = std::max(target(counts, view), lower_bound);
     updated_at_ = now;
     return value();
 }
 
 std::uint32_t SiblingEstimate::value() const {
-    constexpr double rounding = 1e-9;  // so that a whole number stays itself
-    return static_cast<std::uint32_t>(std::ceil(value_ - rounding));
+    constexpr double tolerance = 1e-9;  // so that rounding errors do not raise a whole number
+    return static_cast<std::uint32_t>(std::ceil(value_ - tolerance));
 }
 
 }  // namespace elmbay::cluster
--- a/src/cluster/suspicion.cpp
+++ b/src/cluster/suspicion.cpp
@@ -14,18 +14,19 @@
     suspects_.push_back(id);
 }
 
-bool SuspicionTimers::add_accuser(MemberId id, MemberId accuser) {
+bool SuspicionTimers::add_reporter(MemberId id, MemberId reporter) {
     Suspicion& suspicion = suspicions_[id];
-    if (suspicion.accuser_count >= kMaxAccusers) return false;
-    const std::span known(suspicion.accusers.data(), suspicion.accuser_count);
-    if (std::find(known.begin(), known.end(), accuser) != known.end()) return false;
-    suspicion.accusers[suspicion.accuser_count] = accuser;
-    ++suspicion.accuser_count;
+    if (suspicion.reporter_count >= kMaxReporters) return false;
+    const std::span stored_reporters(suspicion.reporters.data(), suspicion.reporter_count);
+    if (std::find(stored_reporters.begin(), stored_reporters.end(), reporter) != stored_reporters.end())
+        return false;
+    suspicion.reporters[suspicion.reporter_count] = reporter;
+    ++suspicion.reporter_count;
     return true;
 }
 
 void SuspicionTimers::clear(MemberId id) {
-    suspicions_[id].accuser_count = 0;
+    suspicions_[id].reporter_count = 0;
     suspicions_[id].final_probe = false;
     std::erase(suspects_, id);
 }
@@ -45,16 +46,17 @@
 
 Millis SuspicionTimers::deadline(MemberId id) const {
     const Suspicion& suspicion = suspicions_[id];
-    const double others = std::max(0.0, suspicion.accuser_count - 1.0);
-    const double part = std::log(others + 1) / std::log(static_cast<double>(kMaxAccusers));
-    const Millis shortened = timing_.max_suspicion - (timing_.max_suspicion - timing_.min_suspicion) * part;
-    return suspicion.started_at + std::max(timing_.min_suspicion, shortened);
+    const double other_reporters = std::max(0.0, suspicion.reporter_count - 1.0);
+    const double fraction = std::log(other_reporters + 1) / std::log(static_cast<double>(kMaxReporters));
+    const Millis shortened = timing_.max_suspicion_timeout -
+                             (timing_.max_suspicion_timeout - timing_.min_suspicion_timeout) * fraction;
+    return suspicion.started_at + std::max(timing_.min_suspicion_timeout, shortened);
 }
 
-std::optional<MemberId> SuspicionTimers::last_accuser(MemberId id) const {
+std::optional<MemberId> SuspicionTimers::last_reporter(MemberId id) const {
     const Suspicion& suspicion = suspicions_[id];
-    if (suspicion.accuser_count == 0) return std::nullopt;
-    return suspicion.accusers[suspicion.accuser_count - 1];
+    if (suspicion.reporter_count == 0) return std::nullopt;
+    return suspicion.reporters[suspicion.reporter_count - 1];
 }
 
 }  // namespace elmbay::cluster
--- a/src/cluster/suspicion.hpp
+++ b/src/cluster/suspicion.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The timers of suspicions (Lifeguard, 4.2): the more members share one, the sooner it ends.
+/// Timers of suspicions (Lifeguard, 4.2). The more members report a suspicion, the earlier it expires.
 #pragma once
 
 #include <array>
@@ -12,48 +12,49 @@
 
 namespace elmbay::cluster {
 
-/// Who is suspected, since when and by whom. A value without I/O and clock; not thread-safe. Ids must be
-/// below the number of members; times are monotonic milliseconds. Memory: by the number of members.
+/// The suspected members, with the start of each suspicion and the members that reported it. A value type
+/// without I/O and clock; not thread-safe. Ids must be below the number of members; times are monotonic
+/// milliseconds. Memory: proportional to the number of members.
 class SuspicionTimers {
 public:
-    /// Members that must share a suspicion until it is as short as it gets.
-    static constexpr std::uint32_t kMaxAccusers = 3;
+    /// Number of reporters with which a suspicion reaches its shortest timeout. Further ones are not stored.
+    static constexpr std::uint32_t kMaxReporters = 3;
 
     SuspicionTimers(std::uint32_t members, const Timing& timing);
 
-    /// Begins a suspicion without an accuser yet.
+    /// Starts a suspicion without reporters.
     void start(Millis now, MemberId id);
-    /// Adds one that shares the suspicion.
-    /// @return whether it is a new one, and there were fewer than kMaxAccusers.
-    bool add_accuser(MemberId id, MemberId accuser);
-    /// The member has another state: the suspicion ends.
+    /// Adds a member that reports the suspicion.
+    /// @return whether the reporter is new and fewer than kMaxReporters were stored.
+    bool add_reporter(MemberId id, MemberId reporter);
+    /// Ends the suspicion, because the member has another state.
     void clear(MemberId id);
-    /// The timer begins anew; who shares the suspicion is kept.
+    /// Restarts the timer of the suspicion, and keeps its reporters.
     void restart(Millis now, MemberId id);
-    /// This process stood still for `span`: all timers are put off by it, and final probes are void.
+    /// Postpones all timers by `span`, during which this process stalled, and cancels final probes.
     void postpone_all(Millis now, Millis span);
 
-    /// @return when the final probe is due.
+    /// @return the time at which the final probe is due.
     Millis deadline(MemberId id) const;
-    /// @return who shared the suspicion last, if anybody.
-    std::optional<MemberId> last_accuser(MemberId id) const;
-    /// @return how many members share the suspicion; kMaxAccusers at most.
-    std::uint32_t accusers(MemberId id) const { return suspicions_[id].accuser_count; }
-    /// @return when the suspicion began last; 0 if never.
+    /// @return the reporter that was added last, if there is one.
+    std::optional<MemberId> last_reporter(MemberId id) const;
+    /// @return the number of stored reporters, at most kMaxReporters.
+    std::uint32_t reporters(MemberId id) const { return suspicions_[id].reporter_count; }
+    /// @return the start of the last suspicion of the member; 0 if there was none.
     Millis started_at(MemberId id) const { return suspicions_[id].started_at; }
 
-    /// The suspicion has ended and a final probe runs.
+    /// Records that the timer has expired and a final probe is pending.
     void begin_final_probe(MemberId id) { suspicions_[id].final_probe = true; }
-    /// @return whether a final probe runs whose suspicion has not ended meanwhile.
+    /// @return whether a final probe is pending and the suspicion has not ended since its start.
     bool in_final_probe(MemberId id) const { return suspicions_[id].final_probe; }
-    /// @return all suspects, in the order of their suspicions.
+    /// @return all suspected members, in the order in which their suspicions started.
     const std::vector<MemberId>& suspects() const { return suspects_; }
 
 private:
-    /// Of one member.
+    /// The suspicion of one member.
     struct Suspicion {
-        std::array<MemberId, kMaxAccusers> accusers{};
-        std::uint32_t accuser_count = 0;
+        std::array<MemberId, kMaxReporters> reporters{};
+        std::uint32_t reporter_count = 0;
         Millis started_at = 0;
         bool final_probe = false;
     };
--- a/src/cluster/table_sync.cpp
+++ b/src/cluster/table_sync.cpp
@@ -6,28 +6,28 @@
 namespace elmbay::cluster {
 
 std::optional<MemberId> TableSync::take_timeout(Millis now) {
-    if (!running_ || gives_up_at_ > now) return std::nullopt;
+    if (!running_ || times_out_at_ > now) return std::nullopt;
     running_ = false;
     return request_.to;
 }
 
 void TableSync::retry_with(Millis now, MemberId other) {
-    differs_ = other;
+    differing_member_ = other;
     next_at_ = now;
 }
 
 void TableSync::start(Millis now, std::uint32_t sequence, Millis timeout) {
     running_ = true;
-    request_.to = differs_.value_or(0);
+    request_.to = differing_member_.value_or(0);
     request_.sequence = sequence;
     request_at_ = now;
-    gives_up_at_ = now + timeout;
-    differs_.reset();
+    times_out_at_ = now + timeout;
+    differing_member_.reset();
 }
 
 std::optional<TableSync::Request> TableSync::take_request(Millis now) {
     if (!running_ || request_at_ > now) return std::nullopt;
-    request_at_ = gives_up_at_;
+    request_at_ = times_out_at_;
     return request_;
 }
 
@@ -35,13 +35,14 @@
     return running_ && request_.sequence == sequence && request_.to == from;
 }
 
-bool TableSync::page_arrived(Millis now, MemberId next, Millis timeout) {
-    // A page that leads back is none of a whole table.
+bool TableSync::on_page(Millis now, MemberId next, Millis timeout) {
+    // Pages are in ascending order of ids. A next page that does not continue after this one ends the
+    // transfer.
     const bool last = next == 0 || next <= request_.first;
     request_.first = last ? 0 : next;
     if (last) return true;
     request_at_ = now + timing_.page_interval;
-    gives_up_at_ = request_at_ + timeout;
+    times_out_at_ = request_at_ + timeout;
     return false;
 }
 
@@ -51,8 +52,8 @@
 }
 
 Millis TableSync::next_due() const {
-    if (running_) return std::min(request_at_, gives_up_at_);
-    return differs_ ? next_at_ : INFINITY;
+    if (running_) return std::min(request_at_, times_out_at_);
+    return differing_member_ ? next_at_ : INFINITY;
 }
 
 }  // namespace elmbay::cluster
--- a/src/cluster/table_sync.hpp
+++ b/src/cluster/table_sync.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Anti-entropy: updates that gossip lost, or that came while a partition stood, are got by asking one whose
-/// digest differs for its table, page by page.
+/// Anti-entropy: a member fetches the table of a member with another digest, page by page. This recovers
+/// updates that gossip lost and updates from the other side of a partition.
 #pragma once
 
 #include <cstdint>
@@ -11,54 +11,56 @@
 
 namespace elmbay::cluster {
 
-/// The asking side of one table transfer at a time. A value without I/O and clock; not thread-safe. Times are
-/// monotonic milliseconds.
+/// The requesting side of table transfers, one at a time. A value type without I/O and clock; not
+/// thread-safe. Times are monotonic milliseconds.
 class TableSync {
 public:
-    /// A page that is to be asked for.
+    /// A request for one page of a table.
     struct Request {
         MemberId to = 0;
         std::uint32_t sequence = 0;
-        MemberId first = 0;  ///< the page begins at this member
+        MemberId first = 0;  ///< id of the first member on the page
     };
 
-    /// @param first_at when a table may be asked for first.
+    /// @param first_at earliest time of the first transfer.
     TableSync(const Timing& timing, Millis first_at) : timing_(timing), next_at_(first_at) {}
 
-    /// That member's table differs from ours.
-    void note_difference(MemberId member) { differs_ = member; }
-    /// Both tables are equal.
-    void note_equal() { differs_.reset(); }
+    /// Records that the member's table differs from this member's.
+    void record_difference(MemberId member) { differing_member_ = member; }
+    /// Records that the tables are equal.
+    void record_equal() { differing_member_.reset(); }
 
-    /// @return who did not answer in time, if the transfer that runs has ended so.
+    /// Ends the current transfer if the requested page is overdue.
+    /// @return the member that did not answer in time, if the transfer has ended by this call.
     std::optional<MemberId> take_timeout(Millis now);
-    /// Goes on with another member, at once, from the page that was not answered.
+    /// Makes a transfer due at once from another member, starting at the page that was not answered.
     void retry_with(Millis now, MemberId other);
 
-    /// @return whether a transfer may begin: none runs, a table differs, and the last one is long enough ago.
-    bool due(Millis now) const { return !running_ && differs_ && now >= next_at_; }
-    /// No transfer begins before that time.
+    /// @return whether a transfer may start: none runs, a table differs, and the last transfer is long enough
+    /// ago.
+    bool is_due(Millis now) const { return !running_ && differing_member_ && now >= next_at_; }
+    /// Prevents transfers before the time `until`.
     void postpone(Millis until) { next_at_ = until; }
-    /// Begins a transfer. Only while due().
-    /// @param timeout milliseconds until a page is given up.
+    /// Starts a transfer. Precondition: is_due().
+    /// @param timeout milliseconds until the request of the page fails.
     void start(Millis now, std::uint32_t sequence, Millis timeout);
-    /// @return the page that is to be asked for now, once.
+    /// @return the request to send now; each request is returned once.
     std::optional<Request> take_request(Millis now);
 
-    /// @return whether that is the page that was asked for.
+    /// @return whether a page from this member with this sequence number answers the current request.
     bool expects(MemberId from, std::uint32_t sequence) const;
-    /// The page that was asked for has come.
-    /// @param next     where the next page begins, as the sender says; 0 after the last.
-    /// @param timeout  milliseconds until the next page is given up.
-    /// @return whether it was the last one: then finish() is due.
-    bool page_arrived(Millis now, MemberId next, Millis timeout);
+    /// Handles the arrival of the requested page.
+    /// @param next     id of the first member on the next page, as sent by the peer; 0 after the last page.
+    /// @param timeout  milliseconds until the request of the next page fails.
+    /// @return whether it was the last page. The caller then calls finish().
+    bool on_page(Millis now, MemberId next, Millis timeout);
     /// Ends the transfer.
-    /// @param next_at when another may begin.
+    /// @param next_at earliest time of the next transfer.
     void finish(Millis next_at);
 
-    /// @return whether a transfer is under way.
+    /// @return whether a transfer is in progress.
     bool running() const { return running_; }
-    /// @return when something is due next; infinity if never.
+    /// @return the time of the next request, timeout or transfer; infinity if there is none.
     Millis next_due() const;
 
 private:
@@ -66,9 +68,9 @@
     bool running_ = false;
     Request request_;
     Millis request_at_ = 0;
-    Millis gives_up_at_ = 0;
-    Millis next_at_;                   // when a transfer may begin
-    std::optional<MemberId> differs_;  // who holds another table
+    Millis times_out_at_ = 0;
+    Millis next_at_;                            // earliest time of the next transfer
+    std::optional<MemberId> differing_member_;  // a member with another table
 };
 
 }  // namespace elmbay::cluster
--- a/src/cluster/timing.hpp
+++ b/src/cluster/timing.hpp
@@ -8,38 +8,41 @@
 
 using balancer::Millis;
 
-/// Periods and timeouts, each with its reason. All are milliseconds above 0. The platform's messages take
-/// 1.5 to 14 ms one way, and its sidecars stand still for up to 270 ms.
+/// Periods and timeouts, in milliseconds above 0. On the platform, messages between sidecars take 1.5 to 14
+/// ms one way, and sidecars stall for up to 270 ms.
 struct Timing {
-    /// Between two probes. It sets the cost: about two datagrams a member a second.
+    /// Time between two probes. It determines the cost: about two datagrams per member per second.
     Millis probe_period = 1000;
-    /// Until a ping is repeated: over twice the longest round trip.
-    Millis ping_retry = 80;
-    /// Until others are asked to probe: a datagram lost twice is rarer than a slow member.
+    /// Time until a ping is repeated. It is more than twice the longest round trip.
+    Millis ping_retry_delay = 80;
+    /// Time until the indirect probe starts. It leaves time for a slow member to answer, because a slow
+    /// member is more likely than the loss of both pings.
     Millis direct_timeout = 200;
-    /// Of a suspicion that enough others share: a frozen member needs 270 ms and a ping to refute it.
-    Millis min_suspicion = 2000;
-    /// Of a suspicion that only one member has.
-    Millis max_suspicion = 5000;
-    /// Of the final probe, after which a suspect has failed.
-    Millis final_probe = 600;
-    /// Between two datagrams that carry gossip alone, while there is any.
+    /// Duration of a suspicion that enough members have reported. A stalled member refutes it after up to 270
+    /// ms and one ping.
+    Millis min_suspicion_timeout = 2000;
+    /// Duration of a suspicion that only one member has reported.
+    Millis max_suspicion_timeout = 5000;
+    /// Timeout of the final probe, after which a suspect is set to failed.
+    Millis final_probe_timeout = 600;
+    /// Time between two rounds of gossip messages while updates are queued.
     Millis gossip_interval = 200;
-    /// A member that has received nothing for so long after its start is isolated.
-    Millis discovery = 5000;
-    /// A member that has received something, and then nothing for so long, is isolated.
+    /// Time after its start at which a member that has received no datagram counts itself as isolated.
+    Millis discovery_timeout = 5000;
+    /// Time since the last received datagram after which a member counts itself as isolated.
     Millis isolated_after = 4000;
-    /// Woken later than this after the due time, this process is taken to have stalled.
+    /// Delay of a call beyond its due time above which this process counts as having stalled.
     Millis stall_threshold = 150;
-    /// Between probes while many fail; FailureBurst bounds how often.
+    /// Time between two probes while many fail. FailureBurst bounds the number of such probes.
     Millis burst_period = 200;
-    /// Between two requests for a whole table, while digests differ.
+    /// Time between two table transfers while digests differ.
     Millis sync_interval = 5000;
-    /// The same for a member that has just started; spread at random, as many may have started with it.
-    Millis first_sync = 500;
-    /// Between two pages of a table.
+    /// The same for a member that has just started. A random factor applies to it, because many members may
+    /// have started at the same time.
+    Millis first_sync_delay = 500;
+    /// Time between two pages of a table.
     Millis page_interval = 50;
-    /// Until a page that was asked for is given up.
+    /// Time after the request of a page at which the request fails.
     Millis page_timeout = 400;
 };
 
--- a/tests/cluster/explore_test.cpp
+++ b/tests/cluster/explore_test.cpp
@@ -1,13 +1,14 @@
-// The state machine of three and four members, explored exhaustively to a stated depth: at each state every
-// datagram that is on its way may come next, be lost or come twice, time may pass to the next waking, and a
-// member may crash, start again (its clock behind) or stand still. Each kind of fault has a budget for a
-// path. States that go on alike but for chance (Membership::fingerprint) are gone into once.
+// Exhaustive exploration of the Membership state machines of three and four members, up to a fixed depth.
+// From each state the successors are: the first datagram of any link is delivered, lost or duplicated; time
+// advances to the next timer; a member crashes, restarts with its wall clock set back, or stalls. Each kind
+// of fault has a budget per path. States that are equal apart from random choices (Membership::fingerprint)
+// are explored once.
 //
-// Invariants, at each state: (1) a table adds up; (2) nobody holds itself for worse than alive; (3) nobody
-// holds an incarnation of another that this one has not had, nor one that another process under its id has
-// had; (4) whoever holds one for failed has suspected it for Timing::min_suspicion first, or was told; (5)
-// two tables with equal digests agree. From some of the last states the network is then still, and all must
-// come to hold what is.
+// Invariants of each state: (1) the counts of a table add up; (2) no member sets itself to a state worse than
+// alive; (3) no table has an incarnation of a member that none of the member's own processes has had; (4) a
+// member is set to failed only after a suspicion of Timing::min_suspicion_timeout, by the observer or by a
+// member that reported it; (5) two tables with equal digests agree. From some of the final states the test
+// continues without faults, and all tables must converge to the running members.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -20,31 +21,31 @@
 namespace elmbay::cluster {
 namespace {
 
-constexpr Millis kUnix = IncarnationClock::kEpoch + 5e10;
-constexpr Millis kOneWay = 5;    // a datagram's way
-constexpr Millis kStart = 1000;  // of all members
+constexpr Millis kUnixAtStart = IncarnationClock::kEpoch + 5e10;
+constexpr Millis kOneWayDelay = 5;   // milliseconds from sender to receiver
+constexpr Millis kStartTime = 1000;  // start of all members, in milliseconds
 
-struct Budget {
-    int lose = 2, repeat = 1, crash = 1, start = 1, freeze = 1;
+struct FaultBudget {
+    int losses = 2, duplicates = 1, crashes = 1, restarts = 1, stalls = 1;
 };
 
-struct World {
+struct SystemState {
     std::vector<std::optional<Membership>> members;
-    std::vector<bool> frozen;
-    std::vector<std::vector<std::pair<MemberId, std::string>>> unread;
-    std::map<std::pair<MemberId, MemberId>, std::vector<std::string>> links;  // from, to
-    std::map<MemberId, std::set<Incarnation>> incarnations_used;              // all that each has been
-    Millis now = kStart;
-    Budget left;
+    std::vector<bool> stalled;
+    std::vector<std::vector<std::pair<MemberId, std::string>>> unread_datagrams;
+    std::map<std::pair<MemberId, MemberId>, std::vector<std::string>> links;  // by sender and receiver
+    std::map<MemberId, std::set<Incarnation>> incarnations_used;  // by id: incarnations of all its processes
+    Millis now = kStartTime;
+    FaultBudget remaining;
     std::uint64_t next_seed = 1;
 
-    void start(MemberId id, Millis clock_off) {
+    void start(MemberId id, Millis clock_offset) {
         const auto count = static_cast<std::uint32_t>(members.size());
         members[id].emplace(Membership::Setup{id, count, count, 77 * ++next_seed, {}}, now,
-                            kUnix + now + clock_off);
-        settle(id);
+                            kUnixAtStart + now + clock_offset);
+        flush_outputs(id);
     }
-    void settle(MemberId id) {
+    void flush_outputs(MemberId id) {
         for (Datagram& datagram : members[id]->take_datagrams()) {
             links[{id, datagram.to}].push_back(std::move(datagram.bytes));
         }
@@ -53,65 +54,65 @@
     }
     void deliver(MemberId from, MemberId to, const std::string& bytes) {
         if (!members[to]) return;
-        if (frozen[to]) {
-            unread[to].emplace_back(from, bytes);
+        if (stalled[to]) {
+            unread_datagrams[to].emplace_back(from, bytes);
             return;
         }
         members[to]->on_datagram(now, from, bytes);
-        settle(to);
+        flush_outputs(to);
     }
-    void thaw(MemberId id) {
-        frozen[id] = false;
-        for (const auto& [from, bytes] : std::exchange(unread[id], {})) deliver(from, id, bytes);
+    void resume(MemberId id) {
+        stalled[id] = false;
+        for (const auto& [from, bytes] : std::exchange(unread_datagrams[id], {})) deliver(from, id, bytes);
     }
-    std::optional<MemberId> next_to_wake() const {
+    std::optional<MemberId> next_member_with_timer() const {
         std::optional<MemberId> first;
         for (MemberId id = 0; id < members.size(); ++id)
-            if (members[id] && !frozen[id] &&
+            if (members[id] && !stalled[id] &&
                 (!first || members[id]->next_due() < members[*first]->next_due()))
                 first = id;
         return first;
     }
-    bool wake_next() {
-        const auto id = next_to_wake();
+    bool run_next_timer() {
+        const auto id = next_member_with_timer();
         if (!id || !(members[*id]->next_due() < 1e300)) return false;
         now = std::max(now, members[*id]->next_due());
         members[*id]->on_timer(now);
-        settle(*id);
+        flush_outputs(*id);
         return true;
     }
     std::uint64_t fingerprint() const {
-        std::uint64_t sum = 17;
+        std::uint64_t hash = 17;
         const auto add = [&](std::uint64_t value) {
-            sum = (sum * 0x9e3779b97f4a7c15ULL) ^ value ^ (sum >> 31);
+            hash = (hash * 0x9e3779b97f4a7c15ULL) ^ value ^ (hash >> 31);
         };
         for (std::size_t id = 0; id < members.size(); ++id) {
             add(members[id] ? members[id]->fingerprint(now) : 3);
-            add(frozen[id]);
-            add(unread[id].size());
+            add(stalled[id]);
+            add(unread_datagrams[id].size());
         }
-        for (const auto& [ends, bytes] : links)
+        for (const auto& [link_ends, bytes] : links)
             for (const std::string& datagram : bytes)
-                add(std::hash<std::string>()(datagram) + ends.first * 8 + ends.second);
-        add(static_cast<std::uint64_t>(left.lose * 256 + left.repeat * 64 + left.crash * 16 + left.start * 4 +
-                                       left.freeze));
-        return sum;
+                add(std::hash<std::string>()(datagram) + link_ends.first * 8 + link_ends.second);
+        add(static_cast<std::uint64_t>(remaining.losses * 256 + remaining.duplicates * 64 +
+                                       remaining.crashes * 16 + remaining.restarts * 4 + remaining.stalls));
+        return hash;
     }
-    // All on its way comes, nothing more goes wrong: whether all come to hold what is.
+    // Continues without faults. Returns whether all tables converge to the running members in time.
     bool converges(Millis within) {
         for (MemberId id = 0; id < members.size(); ++id)
-            if (frozen[id]) thaw(id);
+            if (stalled[id]) resume(id);
         const Millis end = now + within;
         while (now < end) {
-            auto coming = std::exchange(links, {});
-            if (coming.empty()) {
-                if (!wake_next()) return false;
+            auto in_flight = std::exchange(links, {});
+            if (in_flight.empty()) {
+                if (!run_next_timer()) return false;
             } else {
-                now += kOneWay;
-                for (const auto& [ends, list] : coming)
-                    for (const std::string& bytes : list) deliver(ends.first, ends.second, bytes);
-                const auto due = next_to_wake();
-                if (due && members[*due]->next_due() <= now) wake_next();
+                now += kOneWayDelay;
+                for (const auto& [link_ends, list] : in_flight)
+                    for (const std::string& bytes : list) deliver(link_ends.first, link_ends.second, bytes);
+                const auto next_member = next_member_with_timer();
+                if (next_member && members[*next_member]->next_due() <= now) run_next_timer();
             }
             if (is_converged()) return true;
         }
@@ -121,8 +122,8 @@
         for (MemberId observer = 0; observer < members.size(); ++observer) {
             if (!members[observer]) continue;
             for (MemberId id = 0; id < members.size(); ++id) {
-                const bool is_held_present = members[observer]->member(id).state <= MemberState::suspect;
-                if (is_held_present != members[id].has_value()) return false;
+                const bool is_counted_present = members[observer]->member(id).state <= MemberState::suspect;
+                if (is_counted_present != members[id].has_value()) return false;
                 if (members[id] && members[observer]->digest() != members[id]->digest()) return false;
             }
         }
@@ -130,218 +131,224 @@
     }
 };
 
-// Whether two tables whose digests are equal disagree on somebody who is not present.
-bool digests_hide_difference(const Membership& one, const Membership& other) {
-    if (one.digest() != other.digest()) return false;
-    for (MemberId id = 0; id < one.member_count(); ++id) {
-        const Member& here = one.member(id);
-        const Member& there = other.member(id);
+// Returns whether two tables with equal digests disagree on a member that is not present.
+bool digests_hide_difference(const Membership& first, const Membership& second) {
+    if (first.digest() != second.digest()) return false;
+    for (MemberId id = 0; id < first.member_count(); ++id) {
+        const Member& first_entry = first.member(id);
+        const Member& second_entry = second.member(id);
         const bool is_present_in_both =
-            here.state <= MemberState::suspect && there.state <= MemberState::suspect;
-        if (!is_present_in_both && here.incarnation != there.incarnation) return true;
+            first_entry.state <= MemberState::suspect && second_entry.state <= MemberState::suspect;
+        if (!is_present_in_both && first_entry.incarnation != second_entry.incarnation) return true;
     }
     return false;
 }
 
-// Whether one holds an incarnation that the other has never been.
-bool holds_unknown_incarnation(const World& world, MemberId id, const Member& held) {
-    if (held.incarnation.counter == 0) return false;
-    const auto known = world.incarnations_used.find(id);
-    return known == world.incarnations_used.end() || !known->second.contains(held.incarnation);
+// Returns whether a table entry has an incarnation that no process of the member has had.
+bool has_unknown_incarnation(const SystemState& state, MemberId id, const Member& entry) {
+    if (entry.incarnation.counter == 0) return false;
+    const auto known = state.incarnations_used.find(id);
+    return known == state.incarnations_used.end() || !known->second.contains(entry.incarnation);
 }
 
-// The first invariant that a world breaks; empty if none.
-std::string violated_invariant(const World& world) {
-    for (MemberId observer = 0; observer < world.members.size(); ++observer) {
-        if (!world.members[observer]) continue;
-        const Membership& membership = *world.members[observer];
-        const Headcount count = membership.headcount();
-        if (count.present + count.silent + count.ended != world.members.size())
-            return "a table does not add up";
+// Returns a description of the first violated invariant; empty if there is none.
+std::string violated_invariant(const SystemState& state) {
+    for (MemberId observer = 0; observer < state.members.size(); ++observer) {
+        if (!state.members[observer]) continue;
+        const Membership& membership = *state.members[observer];
+        const MemberCounts counts = membership.member_counts();
+        if (counts.present + counts.failed + counts.ended != state.members.size())
+            return "the counts of a table do not add up";
         if (membership.member(observer).state > MemberState::alive)
-            return "one holds itself for worse than alive";
-        for (MemberId id = 0; id < world.members.size(); ++id) {
-            const Member& held = membership.member(id);
-            if (holds_unknown_incarnation(world, id, held))
-                return "an incarnation is held that was never said";
-            const bool is_failed = held.state == MemberState::failed;
-            if (is_failed && held.since < kStart + Timing{}.min_suspicion) {
-                return "failed before a suspicion could have lasted";
+            return "a member sets itself to a state worse than alive";
+        for (MemberId id = 0; id < state.members.size(); ++id) {
+            const Member& entry = membership.member(id);
+            if (has_unknown_incarnation(state, id, entry))
+                return "a table has an incarnation that no process has had";
+            const bool is_failed = entry.state == MemberState::failed;
+            if (is_failed && entry.state_since < kStartTime + Timing{}.min_suspicion_timeout) {
+                return "a member failed before the shortest suspicion could expire";
             }
-            const bool is_other_and_runs = world.members[id] && id != observer;
-            if (is_other_and_runs && digests_hide_difference(membership, *world.members[id])) {
-                return "equal digests of unequal tables";
+            const bool is_other_running = state.members[id] && id != observer;
+            if (is_other_running && digests_hide_difference(membership, *state.members[id])) {
+                return "two different tables have equal digests";
             }
         }
     }
     return "";
 }
 
-// What becomes of the datagram that is first on its link.
-enum class Fate { arrives, is_lost, arrives_and_is_repeated };
+// What the network does with the first datagram of a link.
+enum class Delivery { delivered, lost, duplicated };
 
-// The world after the first datagram of a link has met its fate; none if the budget forbids it.
-std::optional<World> after_datagram(const World& world, std::pair<MemberId, MemberId> ends, Fate fate) {
-    if (fate == Fate::is_lost && world.left.lose == 0) return {};
-    if (fate == Fate::arrives_and_is_repeated && world.left.repeat == 0) return {};
-    World next = world;
-    auto& link = next.links[ends];
+// Returns the state after the network has handled the first datagram of a link; none if the budget is used
+// up.
+std::optional<SystemState> after_datagram(const SystemState& state, std::pair<MemberId, MemberId> link_ends,
+                                          Delivery delivery) {
+    if (delivery == Delivery::lost && state.remaining.losses == 0) return {};
+    if (delivery == Delivery::duplicated && state.remaining.duplicates == 0) return {};
+    SystemState next = state;
+    auto& link = next.links[link_ends];
     const std::string bytes = link.front();
-    if (fate != Fate::arrives_and_is_repeated) link.erase(link.begin());
-    if (fate == Fate::is_lost) {
-        --next.left.lose;
+    if (delivery != Delivery::duplicated) link.erase(link.begin());
+    if (delivery == Delivery::lost) {
+        --next.remaining.losses;
         return next;
     }
-    if (fate == Fate::arrives_and_is_repeated) --next.left.repeat;
-    next.now += kOneWay;
-    next.deliver(ends.first, ends.second, bytes);
+    if (delivery == Delivery::duplicated) --next.remaining.duplicates;
+    next.now += kOneWayDelay;
+    next.deliver(link_ends.first, link_ends.second, bytes);
     return next;
 }
 
-std::optional<World> after_crash(const World& world, MemberId id) {
-    if (!world.members[id] || world.frozen[id] || world.left.crash == 0) return {};
-    World next = world;
+std::optional<SystemState> after_crash(const SystemState& state, MemberId id) {
+    if (!state.members[id] || state.stalled[id] || state.remaining.crashes == 0) return {};
+    SystemState next = state;
     next.members[id].reset();
-    --next.left.crash;
+    --next.remaining.crashes;
     return next;
 }
 
-std::optional<World> after_restart(const World& world, MemberId id) {
-    if (world.members[id] || world.left.start == 0) return {};
-    constexpr Millis kClockBehind = -60000;  // against the clock of its earlier process
-    World next = world;
-    --next.left.start;
-    next.start(id, kClockBehind);
+std::optional<SystemState> after_restart(const SystemState& state, MemberId id) {
+    if (state.members[id] || state.remaining.restarts == 0) return {};
+    constexpr Millis kClockOffset = -60000;  // milliseconds relative to the wall clock of the earlier process
+    SystemState next = state;
+    --next.remaining.restarts;
+    next.start(id, kClockOffset);
     return next;
 }
 
-// Stands still, or runs again.
-std::optional<World> after_freeze_or_thaw(const World& world, MemberId id) {
-    const bool may_change = world.frozen[id] || world.left.freeze > 0;
-    if (!world.members[id] || !may_change) return {};
-    World next = world;
-    if (world.frozen[id]) {
-        next.thaw(id);
+// Stalls a member, or resumes a stalled one.
+std::optional<SystemState> after_stall_or_resume(const SystemState& state, MemberId id) {
+    const bool may_change = state.stalled[id] || state.remaining.stalls > 0;
+    if (!state.members[id] || !may_change) return {};
+    SystemState next = state;
+    if (state.stalled[id]) {
+        next.resume(id);
     } else {
-        next.frozen[id] = true;
-        --next.left.freeze;
+        next.stalled[id] = true;
+        --next.remaining.stalls;
     }
     return next;
 }
 
-// Calls visit with a copy of the world for every step that may come next.
+// Calls visit with each possible successor of the state.
 template <class Visit>
-void for_each_successor(const World& world, Visit visit) {
-    const auto visit_if_possible = [&visit](std::optional<World> next) {
+void for_each_successor(const SystemState& state, Visit visit) {
+    const auto visit_if_possible = [&visit](std::optional<SystemState> next) {
         if (next) visit(*next);
     };
-    for (const auto& [ends, list] : world.links) {
+    for (const auto& [link_ends, list] : state.links) {
         if (list.empty()) continue;
-        for (const Fate fate : {Fate::arrives, Fate::is_lost, Fate::arrives_and_is_repeated}) {
-            visit_if_possible(after_datagram(world, ends, fate));
+        for (const Delivery delivery : {Delivery::delivered, Delivery::lost, Delivery::duplicated}) {
+            visit_if_possible(after_datagram(state, link_ends, delivery));
         }
     }
-    World woken = world;
-    if (woken.wake_next()) visit(woken);
-    for (MemberId id = 0; id < world.members.size(); ++id) {
-        visit_if_possible(after_crash(world, id));
-        visit_if_possible(after_restart(world, id));
-        visit_if_possible(after_freeze_or_thaw(world, id));
+    SystemState after_timer = state;
+    if (after_timer.run_next_timer()) visit(after_timer);
+    for (MemberId id = 0; id < state.members.size(); ++id) {
+        visit_if_possible(after_crash(state, id));
+        visit_if_possible(after_restart(state, id));
+        visit_if_possible(after_stall_or_resume(state, id));
     }
 }
 
-struct Explored {
-    std::size_t states = 0, ends = 0;
-    std::string wrong;
+struct ExplorationResult {
+    std::size_t states = 0, end_states = 0;
+    std::string violation;
 };
 
-Explored explore(const World& from, int depth) {
-    Explored result;
-    std::unordered_set<std::uint64_t> seen{from.fingerprint()};
-    std::vector<World> level{from};
-    for (int steps = 0; steps < depth && result.wrong.empty(); ++steps) {
-        std::vector<World> next_level;
-        for (const World& world : level)
-            for_each_successor(world, [&](World& next) {
-                if (!result.wrong.empty() || !seen.insert(next.fingerprint()).second) return;
+ExplorationResult explore(const SystemState& from, int depth) {
+    ExplorationResult result;
+    std::unordered_set<std::uint64_t> visited{from.fingerprint()};
+    std::vector<SystemState> level{from};
+    for (int steps = 0; steps < depth && result.violation.empty(); ++steps) {
+        std::vector<SystemState> next_level;
+        for (const SystemState& state : level)
+            for_each_successor(state, [&](SystemState& next) {
+                if (!result.violation.empty() || !visited.insert(next.fingerprint()).second) return;
                 ++result.states;
-                result.wrong = violated_invariant(next);
+                result.violation = violated_invariant(next);
                 next_level.push_back(std::move(next));
             });
         level = std::move(next_level);
     }
-    constexpr std::size_t kEvery = 97;  // of the last states
-    for (std::size_t i = 0; i < level.size() && result.wrong.empty(); i += kEvery) {
-        ++result.ends;
-        if (!level[i].converges(60000)) result.wrong = "it does not come right";
+    constexpr std::size_t kCheckInterval = 97;  // checks convergence from each 97th final state
+    for (std::size_t i = 0; i < level.size() && result.violation.empty(); i += kCheckInterval) {
+        ++result.end_states;
+        if (!level[i].converges(60000)) result.violation = "the tables do not converge";
     }
     return result;
 }
 
-World world_of(std::uint32_t count) {
-    World world;
-    world.members.resize(count);
-    world.frozen.resize(count);
-    world.unread.resize(count);
-    for (MemberId id = 0; id < count; ++id) world.start(id, 0);
-    return world;
+SystemState started_system(std::uint32_t count) {
+    SystemState state;
+    state.members.resize(count);
+    state.stalled.resize(count);
+    state.unread_datagrams.resize(count);
+    for (MemberId id = 0; id < count; ++id) state.start(id, 0);
+    return state;
 }
 
-// From where: just started; calm; one silent for long enough that others suspect it; a split that has just
-// healed.
-std::vector<std::pair<std::string, World>> initial_worlds(std::uint32_t count) {
-    std::vector<std::pair<std::string, World>> list;
-    list.emplace_back("just started", world_of(count));
-    World calm = world_of(count);
-    EXPECT_TRUE(calm.converges(10000));
-    list.emplace_back("calm", calm);
-    const auto run = [](World world, Millis span, auto lost) {
-        const Millis end = world.now + span;
-        while (world.now < end) {
-            auto coming = std::exchange(world.links, {});
-            for (const auto& [ends, bytes] : coming)
+// Returns the states from which the exploration starts: all members have just started; the tables have
+// converged; one member has stalled long enough to be suspected; a partition has just ended.
+std::vector<std::pair<std::string, SystemState>> initial_states(std::uint32_t count) {
+    std::vector<std::pair<std::string, SystemState>> states;
+    states.emplace_back("just started", started_system(count));
+    SystemState converged = started_system(count);
+    EXPECT_TRUE(converged.converges(10000));
+    states.emplace_back("converged", converged);
+    const auto run = [](SystemState state, Millis span, auto is_dropped) {
+        const Millis end = state.now + span;
+        while (state.now < end) {
+            auto in_flight = std::exchange(state.links, {});
+            for (const auto& [link_ends, bytes] : in_flight)
                 for (const std::string& datagram : bytes)
-                    if (!lost(ends.first, ends.second)) world.deliver(ends.first, ends.second, datagram);
-            world.now += kOneWay;
-            const auto due = world.next_to_wake();
-            if (due && world.members[*due]->next_due() <= world.now) world.wake_next();
+                    if (!is_dropped(link_ends.first, link_ends.second))
+                        state.deliver(link_ends.first, link_ends.second, datagram);
+            state.now += kOneWayDelay;
+            const auto next_member = state.next_member_with_timer();
+            if (next_member && state.members[*next_member]->next_due() <= state.now) state.run_next_timer();
         }
-        world.links.clear();
-        return world;
+        state.links.clear();
+        return state;
     };
-    World silent = calm;
-    silent.frozen[1] = true;
-    silent.left.freeze = 0;
-    list.emplace_back("one is silent", run(silent, 3500, [](MemberId, MemberId) { return false; }));
-    list.emplace_back("a split has healed",
-                      run(calm, 9000, [](MemberId from, MemberId to) { return (from == 0) != (to == 0); }));
-    return list;
+    SystemState with_stalled_member = converged;
+    with_stalled_member.stalled[1] = true;
+    with_stalled_member.remaining.stalls = 0;
+    states.emplace_back("one member is stalled",
+                        run(with_stalled_member, 3500, [](MemberId, MemberId) { return false; }));
+    states.emplace_back("a partition has ended", run(converged, 9000, [](MemberId from, MemberId to) {
+                            return (from == 0) != (to == 0);
+                        }));
+    return states;
 }
 
-class Explore : public testing::TestWithParam<std::pair<std::uint32_t, int>> {};
+class StateExploration : public testing::TestWithParam<std::pair<std::uint32_t, int>> {};
 
-TEST_P(Explore, KeepsInvariantsAndConvergesInEveryOrderOfEvents) {
+TEST_P(StateExploration, KeepsInvariantsAndConvergesInEveryOrderOfEvents) {
     const auto [count, depth] = GetParam();
-    std::size_t states = 0, ends = 0;
-    for (const auto& [name, from] : initial_worlds(count)) {
-        const Explored explored = explore(from, depth);
-        EXPECT_EQ(explored.wrong, "") << name << ", " << explored.states << " states";
+    std::size_t states = 0, end_states = 0;
+    for (const auto& [name, from] : initial_states(count)) {
+        const ExplorationResult explored = explore(from, depth);
+        EXPECT_EQ(explored.violation, "") << name << ", " << explored.states << " states";
         EXPECT_GT(explored.states, 100U) << name;
         states += explored.states;
-        ends += explored.ends;
+        end_states += explored.end_states;
     }
     RecordProperty("states", std::to_string(states));
-    std::printf("%u members, depth %d: %zu states, %zu of the last let come right\n", count, depth, states,
-                ends);
+    std::printf("%u members, depth %d: %zu states, convergence checked from %zu\n", count, depth, states,
+                end_states);
 }
 
 #ifdef __SANITIZE_ADDRESS__
-constexpr int kThree = 4, kFour = 3;
+constexpr int kDepthOfThree = 4, kDepthOfFour = 3;
 #else
-constexpr int kThree = 6, kFour = 5;
+constexpr int kDepthOfThree = 6, kDepthOfFour = 5;
 #endif
-INSTANTIATE_TEST_SUITE_P(Membership, Explore, testing::Values(std::pair(3U, kThree), std::pair(4U, kFour)),
-                         [](const auto& info) { return "Of" + std::to_string(info.param.first); });
+INSTANTIATE_TEST_SUITE_P(Membership, StateExploration,
+                         testing::Values(std::pair(3U, kDepthOfThree), std::pair(4U, kDepthOfFour)),
+                         [](const auto& info) { return "Members" + std::to_string(info.param.first); });
 
 }  // namespace
 }  // namespace elmbay::cluster
--- a/tests/cluster/limits_test.cpp
+++ b/tests/cluster/limits_test.cpp
@@ -1,5 +1,5 @@
-// What bounds the rest: the local health score, budgets of datagrams, and how far ahead a counter is
-// believed.
+// Tests of LocalHealth, TokenBucket and IncarnationClock, which limit timeouts, datagrams and accepted
+// counters.
 #include <gtest/gtest.h>
 
 #include "cluster/incarnation_clock.hpp"
@@ -30,13 +30,13 @@
     EXPECT_FALSE(bucket.take(1049));
     EXPECT_TRUE(bucket.take(1050));
     for (int i = 0; i < 3; ++i) EXPECT_TRUE(bucket.take(100000));
-    EXPECT_FALSE(bucket.take(100000)) << "never more than its capacity";
+    EXPECT_FALSE(bucket.take(100000)) << "the refill stops at the capacity";
 }
 
 TEST(IncarnationClock, CountsTenthsOfASecondByMonotonicClockAfterStart) {
     const IncarnationClock clock(500, IncarnationClock::kEpoch + 2 * kDay);
     EXPECT_EQ(clock.first_counter(), 2 * 864000U);
-    EXPECT_EQ(clock.max_plausible_counter(500), 3 * 864000U) << "a day ahead";
+    EXPECT_EQ(clock.max_plausible_counter(500), 3 * 864000U) << "one day ahead of the clock";
     EXPECT_EQ(clock.max_plausible_counter(1500), 3 * 864000U + 10);
 }
 
--- a/tests/cluster/suspicion_test.cpp
+++ b/tests/cluster/suspicion_test.cpp
@@ -1,4 +1,4 @@
-// The timers of suspicions by themselves.
+// Tests of SuspicionTimers.
 #include "cluster/suspicion.hpp"
 
 #include <gtest/gtest.h>
@@ -8,41 +8,41 @@
 
 constexpr Timing kTiming{};
 
-TEST(SuspicionTimers, ShortenTimeoutWithEachAccuser) {
+TEST(SuspicionTimers, ShortenTimeoutWithEachReporter) {
     SuspicionTimers timers(4, kTiming);
     timers.start(100, 2);
-    EXPECT_TRUE(timers.add_accuser(2, 0));
-    EXPECT_EQ(timers.deadline(2), 100 + kTiming.max_suspicion);
-    EXPECT_TRUE(timers.add_accuser(2, 1));
-    const Millis shared_by_two = timers.deadline(2);
-    EXPECT_LT(shared_by_two, 100 + kTiming.max_suspicion);
-    EXPECT_GT(shared_by_two, 100 + kTiming.min_suspicion);
-    EXPECT_TRUE(timers.add_accuser(2, 3));
-    EXPECT_NEAR(timers.deadline(2), 100 + kTiming.min_suspicion, 1e-6);
+    EXPECT_TRUE(timers.add_reporter(2, 0));
+    EXPECT_EQ(timers.deadline(2), 100 + kTiming.max_suspicion_timeout);
+    EXPECT_TRUE(timers.add_reporter(2, 1));
+    const Millis deadline_with_two_reporters = timers.deadline(2);
+    EXPECT_LT(deadline_with_two_reporters, 100 + kTiming.max_suspicion_timeout);
+    EXPECT_GT(deadline_with_two_reporters, 100 + kTiming.min_suspicion_timeout);
+    EXPECT_TRUE(timers.add_reporter(2, 3));
+    EXPECT_NEAR(timers.deadline(2), 100 + kTiming.min_suspicion_timeout, 1e-6);
 }
 
-TEST(SuspicionTimers, CountEachAccuserOnceUpToMaximum) {
+TEST(SuspicionTimers, CountEachReporterOnceUpToMaximum) {
     SuspicionTimers timers(9, kTiming);
     timers.start(0, 2);
-    EXPECT_FALSE(timers.last_accuser(2).has_value());
-    EXPECT_TRUE(timers.add_accuser(2, 5));
-    EXPECT_FALSE(timers.add_accuser(2, 5));
-    EXPECT_EQ(timers.last_accuser(2), 5U);
-    EXPECT_TRUE(timers.add_accuser(2, 6));
-    EXPECT_TRUE(timers.add_accuser(2, 7));
-    EXPECT_FALSE(timers.add_accuser(2, 8));
-    EXPECT_EQ(timers.accusers(2), SuspicionTimers::kMaxAccusers);
+    EXPECT_FALSE(timers.last_reporter(2).has_value());
+    EXPECT_TRUE(timers.add_reporter(2, 5));
+    EXPECT_FALSE(timers.add_reporter(2, 5));
+    EXPECT_EQ(timers.last_reporter(2), 5U);
+    EXPECT_TRUE(timers.add_reporter(2, 6));
+    EXPECT_TRUE(timers.add_reporter(2, 7));
+    EXPECT_FALSE(timers.add_reporter(2, 8));
+    EXPECT_EQ(timers.reporters(2), SuspicionTimers::kMaxReporters);
 }
 
 TEST(SuspicionTimers, ClearEndsSuspicionAndItsFinalProbe) {
     SuspicionTimers timers(4, kTiming);
     timers.start(0, 2);
-    timers.add_accuser(2, 0);
+    timers.add_reporter(2, 0);
     timers.begin_final_probe(2);
     EXPECT_TRUE(timers.in_final_probe(2));
     timers.clear(2);
     EXPECT_FALSE(timers.in_final_probe(2));
-    EXPECT_EQ(timers.accusers(2), 0U);
+    EXPECT_EQ(timers.reporters(2), 0U);
     EXPECT_TRUE(timers.suspects().empty());
 }
 
@@ -54,7 +54,7 @@
     EXPECT_EQ(timers.started_at(2), 3500);
     EXPECT_FALSE(timers.in_final_probe(2));
     timers.postpone_all(4100, 9000);
-    EXPECT_EQ(timers.started_at(2), 4100) << "no later than now";
+    EXPECT_EQ(timers.started_at(2), 4100) << "a suspicion does not start in the future";
 }
 
 }  // namespace
--- a/tests/cluster/virtual_fleet.hpp
+++ b/tests/cluster/virtual_fleet.hpp
@@ -1,5 +1,6 @@
-// Membership in virtual time on a network that loses, delays, repeats and garbles what they send, with
-// splits, crashes, freezes and restarts: for tests and bench/members.cpp. The same seed gives the same run.
+// A fleet of Membership state machines in virtual time, for the tests and bench/members.cpp. Its network
+// loses, delays, duplicates and corrupts datagrams and has partitions. Processes crash, stall and restart.
+// Runs with the same seed are equal.
 #pragma once
 
 #include <functional>
@@ -13,68 +14,68 @@
 
 class VirtualFleet {
 public:
-    static constexpr Millis kUnix = 1796000000000;  // the fleet's clock at its time 0
-    static constexpr std::size_t kMaxUnread = 256;  // of a frozen process, as in src/simulation
+    static constexpr Millis kUnixAtStart = 1796000000000;    // Unix milliseconds at the fleet's time 0
+    static constexpr std::size_t kMaxUnreadDatagrams = 256;  // per stalled process, as in src/simulation
 
-    struct Net {
-        double loss = 0, repeat = 0, garble = 0;
-        Millis min_delay = 1.5, max_delay = 14;  // as the platform has it
+    struct NetworkConditions {
+        double loss = 0, duplication = 0, corruption = 0;
+        Millis min_delay = 1.5, max_delay = 14;  // milliseconds one way, as on the platform
     };
 
     explicit VirtualFleet(std::uint32_t count, std::uint64_t seed = 1, Timing timing = {})
-        : sent_by(count, 0), timing_(timing), random_(seed), nodes_(count) {}
+        : sent_datagrams(count, 0), timing_(timing), random_(seed), processes_(count) {}
 
-    Net net;
-    // Whether nothing gets from one to the other now.
-    std::function<bool(MemberId from, MemberId to)> cut = [](MemberId, MemberId) { return false; };
-    // Looks after every step.
+    NetworkConditions net;
+    // Returns whether the network currently drops all datagrams of that direction.
+    std::function<bool(MemberId from, MemberId to)> is_link_cut = [](MemberId, MemberId) { return false; };
+    // Called after each step, for checks.
     std::function<void()> after_step;
-    // Whom one finds at a place of its list of peers, if that is not right: a permutation that undoes itself.
-    std::function<MemberId(MemberId of, std::uint32_t place)> member_at = [](MemberId, std::uint32_t place) {
-        return place;
-    };
-    bool refuses = true;  // a machine says that its process is not there
+    // Returns the member that `owner` reaches at an index of its list of peers. The default is a correct
+    // list. Any other function must be a permutation that is its own inverse.
+    std::function<MemberId(MemberId owner, std::uint32_t address_index)> member_at_address =
+        [](MemberId, std::uint32_t address_index) { return address_index; };
+    bool hosts_report_closed_ports = true;  // hosts answer datagrams to ended processes with an ICMP error
 
-    // as: the number that it takes itself for, where that is not its own.
-    void start(MemberId id, Millis clock_offset = 0, std::optional<MemberId> as = {}) {
-        Node& node = nodes_[id];
-        ++node.generation;
-        node.frozen = false;
-        node.unread.clear();
-        node.clock_offset = clock_offset;
-        node.members = std::make_unique<Membership>(
-            Membership::Setup{as.value_or(id), count(), count(), random_.next(), timing_}, now_,
-            kUnix + now_ + clock_offset);
-        settle(id);
+    // Starts the process of a member. claimed_id: the member id that the process uses, if it is another one.
+    void start(MemberId id, Millis clock_offset = 0, std::optional<MemberId> claimed_id = {}) {
+        Process& process = processes_[id];
+        ++process.generation;
+        process.stalled = false;
+        process.unread_datagrams.clear();
+        process.clock_offset = clock_offset;
+        process.membership = std::make_unique<Membership>(
+            Membership::Setup{claimed_id.value_or(id), count(), count(), random_.next(), timing_}, now_,
+            kUnixAtStart + now_ + clock_offset);
+        flush_outputs(id);
     }
     void start_all() {
         for (MemberId id = 0; id < count(); ++id) start(id);
     }
     void kill(MemberId id) {
-        nodes_[id].members.reset();
-        ++nodes_[id].generation;
-        nodes_[id].unread.clear();
+        processes_[id].membership.reset();
+        ++processes_[id].generation;
+        processes_[id].unread_datagrams.clear();
     }
-    void end(MemberId id) {
-        nodes_[id].members->leave(now_);
-        settle(id);
+    void leave(MemberId id) {
+        processes_[id].membership->leave(now_);
+        flush_outputs(id);
         kill(id);
     }
-    void freeze(MemberId id) { nodes_[id].frozen = true; }
-    void thaw(MemberId id) {
-        Node& node = nodes_[id];
-        node.frozen = false;
-        if (!node.members) return;
-        // Its timers may be seen before its socket: what lies unread has not been heard then.
-        if (node.members->next_due() <= now_) node.members->on_timer(now_);
-        for (const auto& [from, bytes] : std::exchange(node.unread, {}))
-            node.members->on_datagram(now_, from, bytes);
-        settle(id);
+    void stall(MemberId id) { processes_[id].stalled = true; }
+    void resume(MemberId id) {
+        Process& process = processes_[id];
+        process.stalled = false;
+        if (!process.membership) return;
+        // An event loop may run the timers before it reads the socket, so the timer comes first here.
+        if (process.membership->next_due() <= now_) process.membership->on_timer(now_);
+        for (const auto& [from, bytes] : std::exchange(process.unread_datagrams, {}))
+            process.membership->on_datagram(now_, from, bytes);
+        flush_outputs(id);
     }
-    // Into its socket, as if from there.
-    void inject(MemberId to, std::optional<std::uint32_t> place, const std::string& bytes) {
-        if (nodes_[to].members) nodes_[to].members->on_datagram(now_, place, bytes);
-        settle(to);
+    // Delivers a datagram to a member, with the source address at the given index of its list of peers.
+    void inject(MemberId to, std::optional<std::uint32_t> address_index, const std::string& bytes) {
+        if (processes_[to].membership) processes_[to].membership->on_datagram(now_, address_index, bytes);
+        flush_outputs(to);
     }
 
     void run_for(Millis span) {
@@ -82,69 +83,73 @@
         while (!queue_.empty() && queue_.top().at <= end) step();
         now_ = end;
     }
-    // Whether it came to hold; looked at every so often.
-    bool until(const std::function<bool()>& holds, Millis within, Millis every = 50) {
+    // Runs until the condition holds, which is checked at intervals. Returns whether it did hold in time.
+    bool run_until(const std::function<bool()>& condition, Millis within, Millis check_interval = 50) {
         const Millis end = now_ + within;
-        while (!holds()) {
+        while (!condition()) {
             if (now_ >= end) return false;
-            run_for(every);
+            run_for(check_interval);
         }
         return true;
     }
 
     Millis now() const { return now_; }
-    std::uint32_t count() const { return static_cast<std::uint32_t>(nodes_.size()); }
-    bool runs(MemberId id) const { return nodes_[id].members != nullptr; }
-    bool frozen(MemberId id) const { return nodes_[id].frozen; }
-    Membership& operator[](MemberId id) { return *nodes_[id].members; }
-    View view(MemberId id) { return nodes_[id].members->view(now_); }
-    MemberState held(MemberId by, MemberId of) { return nodes_[by].members->member(of).state; }
-    // Of all who run, whether they hold the same.
-    bool agree() {
+    std::uint32_t count() const { return static_cast<std::uint32_t>(processes_.size()); }
+    bool is_running(MemberId id) const { return processes_[id].membership != nullptr; }
+    bool is_stalled(MemberId id) const { return processes_[id].stalled; }
+    Membership& operator[](MemberId id) { return *processes_[id].membership; }
+    View view(MemberId id) { return processes_[id].membership->view(now_); }
+    MemberState state_at(MemberId observer, MemberId member) {
+        return processes_[observer].membership->member(member).state;
+    }
+    // Returns whether the tables of all running members have the same digest.
+    bool digests_agree() {
         std::set<std::uint32_t> digests;
-        for (const Node& node : nodes_)
-            if (node.members && !node.members->yielded()) digests.insert(node.members->digest());
+        for (const Process& process : processes_)
+            if (process.membership && !process.membership->yielded())
+                digests.insert(process.membership->digest());
         return digests.size() <= 1;
     }
-    // Who runs holds who runs for there, and nobody else.
-    bool right() {
-        for (MemberId a = 0; a < count(); ++a)
-            for (MemberId b = 0; runs(a) && b < count(); ++b)
-                if ((held(a, b) <= MemberState::suspect) != runs(b)) return false;
+    // Returns whether each running member counts exactly the running members as present.
+    bool is_accurate() {
+        for (MemberId observer = 0; observer < count(); ++observer)
+            for (MemberId id = 0; is_running(observer) && id < count(); ++id)
+                if ((state_at(observer, id) <= MemberState::suspect) != is_running(id)) return false;
         return true;
     }
-    std::uint64_t false_failures = 0;  // changes to failed of one that ran and was not frozen
-    struct Sent {
+    std::uint64_t false_failures = 0;  // changes to failed of reachable members that were running
+    struct Traffic {
         std::uint64_t datagrams = 0, bytes = 0;
     } delivered;
-    std::vector<std::uint64_t> sent_by;
-    // Over all datagrams that were sent, lost ones too: when, from whom, to where and each byte (FNV-1a).
+    std::vector<std::uint64_t> sent_datagrams;  // number of sent datagrams, by member id
+    // FNV-1a hash of all sent datagrams, including lost ones: time, sender, destination and bytes.
     std::uint64_t traffic_hash = 0xcbf29ce484222325ULL;
-    std::function<void(MemberId at, const MemberChange&)> changed = [](MemberId, const MemberChange&) {};
+    std::function<void(MemberId observer, const MemberChange&)> on_member_changed =
+        [](MemberId, const MemberChange&) {};
 
 private:
-    struct Node {
-        std::unique_ptr<Membership> members;
+    struct Process {
+        std::unique_ptr<Membership> membership;
         std::uint64_t generation = 0;
-        bool frozen = false;
-        Millis clock_offset = 0, waking = -1;
-        std::vector<std::pair<std::uint32_t, std::string>> unread;
+        bool stalled = false;
+        Millis clock_offset = 0, next_timer_at = -1;
+        std::vector<std::pair<std::uint32_t, std::string>> unread_datagrams;
     };
     struct Event {
         Millis at = 0;
-        std::uint64_t order = 0;  // of two at one time the first scheduled comes first
+        std::uint64_t sequence = 0;  // order of events with equal times: first scheduled, first run
         MemberId to = 0, from = 0;
-        bool wake = false;
+        bool is_timer = false;
         std::uint64_t generation = 0;
         std::shared_ptr<const std::string> bytes;
-        bool refused = false;
+        bool is_port_unreachable = false;
         bool operator>(const Event& other) const {
-            return at != other.at ? at > other.at : order > other.order;
+            return at != other.at ? at > other.at : sequence > other.sequence;
         }
     };
 
     void schedule(Event event) {
-        event.order = ++last_order_;
+        event.sequence = ++last_sequence_;
         queue_.push(std::move(event));
     }
     void hash_traffic(MemberId from, const Datagram& datagram) {
@@ -159,68 +164,70 @@
     }
     Millis delay() { return net.min_delay + (net.max_delay - net.min_delay) * random_.uniform(); }
     // Schedules the datagrams and the next on_timer() of a member, and counts false failures.
-    void settle(MemberId id) {
-        Node& node = nodes_[id];
-        if (!node.members) return;
-        for (Datagram& datagram : node.members->take_datagrams()) {
-            ++sent_by[id];
+    void flush_outputs(MemberId id) {
+        Process& process = processes_[id];
+        if (!process.membership) return;
+        for (Datagram& datagram : process.membership->take_datagrams()) {
+            ++sent_datagrams[id];
             hash_traffic(id, datagram);
-            const MemberId to = member_at(id, datagram.address_index);
-            if (cut(id, to) || random_.uniform() < net.loss) continue;
-            int copies = 1 + (random_.uniform() < net.repeat);
-            if (net.garble > 0 && random_.uniform() < net.garble)
+            const MemberId to = member_at_address(id, datagram.address_index);
+            if (is_link_cut(id, to) || random_.uniform() < net.loss) continue;
+            int copies = 1 + (random_.uniform() < net.duplication);
+            if (net.corruption > 0 && random_.uniform() < net.corruption)
                 datagram.bytes[random_.below(datagram.bytes.size())] ^=
                     static_cast<char>(1 + random_.below(255));
             const auto bytes = std::make_shared<const std::string>(std::move(datagram.bytes));
             for (; copies > 0; --copies) schedule({now_ + delay(), 0, to, id, false, 0, bytes});
         }
-        for (const MemberChange& change : node.members->take_changes()) {
-            false_failures += change.after == MemberState::failed && runs(change.member_id) &&
-                              !nodes_[change.member_id].frozen && !cut(id, change.member_id) &&
-                              !cut(change.member_id, id) &&
-                              node.members->member(change.member_id).incarnation ==
-                                  nodes_[change.member_id].members->member(change.member_id).incarnation;
-            changed(id, change);
+        for (const MemberChange& change : process.membership->take_changes()) {
+            false_failures +=
+                change.after == MemberState::failed && is_running(change.member_id) &&
+                !processes_[change.member_id].stalled && !is_link_cut(id, change.member_id) &&
+                !is_link_cut(change.member_id, id) &&
+                process.membership->member(change.member_id).incarnation ==
+                    processes_[change.member_id].membership->member(change.member_id).incarnation;
+            on_member_changed(id, change);
         }
-        const Millis next = node.members->next_due();
-        if (next < 1e300 && (node.waking < 0 || next < node.waking)) {
-            node.waking = std::max(next, now_);
-            schedule({node.waking, 0, id, id, true, node.generation, nullptr});
+        const Millis next = process.membership->next_due();
+        if (next < 1e300 && (process.next_timer_at < 0 || next < process.next_timer_at)) {
+            process.next_timer_at = std::max(next, now_);
+            schedule({process.next_timer_at, 0, id, id, true, process.generation, nullptr});
         }
     }
     void step() {
         const Event event = queue_.top();
         queue_.pop();
         now_ = std::max(now_, event.at);
-        Node& node = nodes_[event.to];
-        if (event.wake) {
-            if (event.generation == node.generation && node.waking == event.at) {
-                node.waking = -1;
-                if (node.members && !node.frozen) {
-                    if (node.members->next_due() <= now_) node.members->on_timer(now_);
-                    settle(event.to);
+        Process& process = processes_[event.to];
+        if (event.is_timer) {
+            if (event.generation == process.generation && process.next_timer_at == event.at) {
+                process.next_timer_at = -1;
+                if (process.membership && !process.stalled) {
+                    if (process.membership->next_due() <= now_) process.membership->on_timer(now_);
+                    flush_outputs(event.to);
                 }
-            } else if (event.generation != node.generation && node.waking == event.at) {
-                node.waking = -1;
-                settle(event.to);
+            } else if (event.generation != process.generation && process.next_timer_at == event.at) {
+                process.next_timer_at = -1;
+                flush_outputs(event.to);
             }
-        } else if (event.refused) {
-            if (node.members && !node.frozen) {
-                node.members->on_port_unreachable(now_, member_at(event.to, event.from));
-                settle(event.to);
+        } else if (event.is_port_unreachable) {
+            if (process.membership && !process.stalled) {
+                process.membership->on_port_unreachable(now_, member_at_address(event.to, event.from));
+                flush_outputs(event.to);
             }
-        } else if (!cut(event.from, event.to)) {
-            if (!node.members) {
-                if (refuses && !cut(event.to, event.from))
+        } else if (!is_link_cut(event.from, event.to)) {
+            if (!process.membership) {
+                if (hosts_report_closed_ports && !is_link_cut(event.to, event.from))
                     schedule({now_ + delay(), 0, event.from, event.to, false, 0, nullptr, true});
-            } else if (node.frozen) {
-                if (node.unread.size() < kMaxUnread)
-                    node.unread.emplace_back(member_at(event.to, event.from), *event.bytes);
+            } else if (process.stalled) {
+                if (process.unread_datagrams.size() < kMaxUnreadDatagrams)
+                    process.unread_datagrams.emplace_back(member_at_address(event.to, event.from),
+                                                          *event.bytes);
             } else {
                 ++delivered.datagrams;
                 delivered.bytes += event.bytes->size();
-                node.members->on_datagram(now_, member_at(event.to, event.from), *event.bytes);
-                settle(event.to);
+                process.membership->on_datagram(now_, member_at_address(event.to, event.from), *event.bytes);
+                flush_outputs(event.to);
             }
         }
         if (after_step) after_step();
@@ -228,9 +235,9 @@
 
     const Timing timing_;
     Random random_;
-    std::vector<Node> nodes_;
+    std::vector<Process> processes_;
     std::priority_queue<Event, std::vector<Event>, std::greater<>> queue_;
-    std::uint64_t last_order_ = 0;
+    std::uint64_t last_sequence_ = 0;
     Millis now_ = 0;
 };
 
