--- a/include/elmbay/balancer.hpp
+++ b/include/elmbay/balancer.hpp
@@ -1,10 +1,11 @@
 /// @file
-/// elmbay::balancer: the decisions of a load-balancing sidecar, without I/O and without a clock.
+/// elmbay::balancer: the decisions of a load-balancing sidecar. The module does no I/O and reads no clock.
 ///
-/// One Balancer serves one sidecar. Feed it every event in order, with the time at which it happened, and
-/// carry out the actions that it appends, in their order, at that same time. Times are milliseconds on any
-/// clock that never goes back. Servers, zones, requests and tenants are named by integers that the caller
-/// chooses; their values carry no meaning. The same settings, seed and events give the same actions.
+/// One Balancer serves one sidecar. The caller passes every event to handle() in order, with the time at
+/// which it happened, and carries out the resulting actions in their order at that same time. Times are
+/// milliseconds on any monotonic clock. The caller chooses integers as identifiers of servers, zones,
+/// requests and tenants; the module does not interpret their values. The same settings, seed and events give
+/// the same actions.
 #pragma once
 
 #include <cstdint>
@@ -20,104 +21,105 @@
 
 namespace elmbay::balancer {
 
-/// Milliseconds: a span, or a moment on the caller's monotonic clock.
+/// A duration in milliseconds, or a point in time in milliseconds on the caller's monotonic clock.
 using Millis = double;
-/// Names a server. The caller chooses the integer.
+/// Identifies a server. Chosen by the caller.
 using ServerId = std::uint32_t;
-/// Names a zone. The caller chooses the integer.
+/// Identifies a zone. Chosen by the caller.
 using ZoneId = std::uint32_t;
-/// Names a request. The caller chooses the integer and never uses it twice.
+/// Identifies a request. Chosen by the caller, which must not reuse it.
 using RequestId = std::uint64_t;
-/// Names a timer. The Balancer chooses the integer and never uses it twice.
+/// Identifies a timer. Chosen by the Balancer, which never reuses it.
 using TimerToken = std::uint64_t;
 
 // ---- Settings -------------------------------------------------------------------------------------------
 
-/// Whether the effect of a request may happen twice.
+/// Whether it is safe to execute a request more than once.
 enum class Idempotency {
-    idempotent,       ///< it may, at any server
-    idempotency_key,  ///< servers that share their deduplication drop repeats, for a time
-    non_idempotent    ///< it may not
+    idempotent,       ///< a repeated execution is harmless at any server
+    idempotency_key,  ///< servers that share deduplication drop repeats within the deduplication window
+    non_idempotent    ///< a second execution is never allowed
 };
 
-/// Which servers share the memory of idempotency keys that they have seen.
+/// Which servers share their record of processed idempotency keys.
 enum class DedupScope {
     all,   ///< all servers
-    zone,  ///< those of one zone
-    cell   ///< those of one cell
+    zone,  ///< the servers of one zone
+    cell   ///< the servers of one cell
 };
 
-/// How requests of one class are treated.
+/// The properties of one class of requests.
 struct RequestClass {
-    /// Whether the effect may happen twice.
+    /// Whether a request may be executed more than once.
     Idempotency idempotency = Idempotency::non_idempotent;
-    /// For Idempotency::idempotency_key: which servers drop each other's repeats.
+    /// For Idempotency::idempotency_key: the servers that deduplicate requests together.
     DedupScope dedup_scope = DedupScope::cell;
-    /// For Idempotency::idempotency_key: how long repeats are dropped, from the first attempt that may have
-    /// run on. Milliseconds, 0 or more.
+    /// For Idempotency::idempotency_key: the deduplication window, counted from the first attempt that may
+    /// have run. Milliseconds, 0 or more.
     Millis dedup_window = 0;
-    /// A response within this time earns the full weight. Milliseconds, above 0.
+    /// The response time up to which a response earns the full priority weight. Milliseconds, above 0.
     Millis latency_objective = 1000;
-    /// The objective grows by this multiple of the request's own expected work. 0 or more.
+    /// The multiple of the request's expected work that is added to the latency objective. 0 or more.
     double objective_work_multiple = 0;
-    /// What one request is worth against those of other classes. 0 or more.
+    /// The value of one request relative to requests of other classes. 0 or more.
     double priority_weight = 1;
-    /// The share of the weight that a response past the objective still earns, 0 to 1.
+    /// The share of the priority weight that a response after the latency objective earns, 0 to 1.
     double late_weight = 0;
 };
 
-/// Somebody whose requests are limited by quota while the servers are busy.
+/// A tenant. Its quota limits its requests while the servers are busy.
 struct Tenant {
-    /// Requests per second within the tenant's share, summed over all sidecars. 0 or more.
+    /// The requests per second that the tenant is entitled to, summed over all sidecars. 0 or more.
     double quota = 0;
 };
 
-/// Costs, as shares of the whole result. At 0 a matter is left out of account.
+/// Costs as shares of the total value of all requests. A cost of 0 is ignored.
 struct Costs {
     /// The cost of each attempt that leaves the sidecar's zone. 0 or more.
     double cross_zone = 0;
 };
 
-/// What a Balancer is created with.
+/// The configuration of a Balancer.
 struct Settings {
-    /// The request classes, at least one. Requests name them by index.
+    /// The request classes, at least one. Requests refer to them by index.
     std::vector<RequestClass> classes;
-    /// The tenants, any number. Requests name them by index.
+    /// The tenants, any number. Requests refer to them by index.
     std::vector<Tenant> tenants;
-    /// The zone of this sidecar. None: it is not known, and zones do not matter.
+    /// The zone of this sidecar. If absent, server selection ignores zones.
     std::optional<ZoneId> local_zone;
-    /// Sidecars that share these servers, this one included. 0 counts as 1.
+    /// The number of sidecars that share these servers, including this one. 0 counts as 1.
     std::uint32_t siblings = 1;
-    /// Whether the endpoint list must be subscribed to (action Subscribe). If not, it comes by itself.
+    /// Whether the endpoint list has to be requested with the action Subscribe. Otherwise the list is
+    /// delivered without a request.
     bool requires_subscription = false;
-    /// Attempts of one request, the first one included. 1 or more.
+    /// The maximum number of attempts of one request, including the first. 1 or more.
     std::uint32_t max_attempts = 3;
-    /// Whether two attempts of one request may be in flight together.
+    /// Whether two attempts of one request may be in flight at the same time.
     bool allow_hedging = false;
-    /// Whether the caller can carry out Cancel.
+    /// Whether the caller supports the action Cancel.
     bool supports_cancel = true;
-    /// A server that starts can do at least this share of the work of a warm one, 0 to 1.
+    /// The share of a warm server's capacity that a server has at least when it starts, 0 to 1.
     double slow_start_min_share = 1;
-    /// A server can do all of the work of a warm one this long after its start. Milliseconds, 0 or more; at 0
-    /// there is no slow start.
+    /// The time after its start at which a server reaches the full capacity of a warm server. Milliseconds, 0
+    /// or more; 0 disables slow start.
     Millis slow_start_duration = 0;
-    /// Sessions that this sidecar may hold, those that are being upgraded included. At 0 each is rejected.
+    /// The maximum number of sessions of this sidecar, including upgrades in progress. At 0 every session is
+    /// rejected.
     std::uint32_t max_sessions = 0;
-    /// Sessions that this sidecar may hold at one server, those that are being upgraded included.
+    /// The maximum number of sessions of this sidecar at one server, including upgrades in progress.
     std::uint32_t max_sessions_per_server = UINT32_MAX;
-    /// A server in slow start that is sent more than this multiple of what it can do is overloaded. 1 or
-    /// more.
+    /// The multiple of its capacity above which a server in slow start counts as overloaded. 1 or more.
     double overload_multiple = 2;
-    /// What there is to be saved.
+    /// The costs that server selection takes into account.
     Costs costs;
 };
 
-/// Settings make no sense. what() names the setting by the key that operators know it by.
+/// Reports an invalid setting. what() names the setting by its key in the operator's file.
 class InvalidSetting : public std::invalid_argument {
 public:
-    /// @param setting the key, as in "classes[0].aim"
+    /// @param setting the key, such as "classes[0].aim"
     explicit InvalidSetting(const std::string& setting);
-    /// The key alone.
+    /// Returns only the key.
     const std::string& setting() const { return setting_; }
 
 private:
@@ -126,254 +128,262 @@
 
 // ---- Events ---------------------------------------------------------------------------------------------
 
-/// What the endpoint list says of a server.
+/// The state of a server in the endpoint list.
 enum class EndpointState {
-    active,    ///< new requests may go there
-    draining,  ///< it finishes what it has and gets nothing new
-    removed    ///< it has left the list
+    active,    ///< the server accepts new requests
+    draining,  ///< the server finishes its requests and accepts no new ones
+    removed    ///< the server is no longer listed
 };
 
 /// An entry of the endpoint list.
 struct ServerInfo {
     /// The server.
     ServerId id = 0;
-    /// The zone that it is in.
+    /// The server's zone.
     ZoneId zone = 0;
-    /// Its kind of machine, as opaque as the zone. Servers of one type are likely to be alike.
+    /// The server's machine type; the module does not interpret the value. Servers of one type are expected
+    /// to perform alike.
     std::uint32_t machine_type = 0;
-    /// The cell that it is in, as opaque as the zone (DedupScope::cell).
+    /// The server's cell, used by DedupScope::cell; the module does not interpret the value.
     std::uint32_t cell = 0;
-    /// Whether it takes new requests.
+    /// Whether the server accepts new requests.
     EndpointState state = EndpointState::active;
-    /// When its process started. Milliseconds on the clock that ServerList::wall_time tells of; 0: long ago.
+    /// The start time of the server's process. Milliseconds on the clock described at ServerList::wall_time;
+    /// 0: long ago.
     Millis online_since = 0;
-    /// Its size against that of other servers. Finite, above 0.
+    /// The server's capacity relative to other servers. Finite, above 0.
     double weight = 1;
 };
 
-/// What a ServerList holds.
+/// The content of a ServerList.
 enum class ListKind {
-    incremental,  ///< entries that have changed, and no others
+    incremental,  ///< only the entries that have changed
     snapshot,     ///< the whole list
-    cached,       ///< the whole list as an earlier run last had it, possibly stale
-    failed        ///< nothing: a call failed or the subscription broke; the list at hand stays in force
+    cached,       ///< the whole list as an earlier run last received it, possibly stale
+    failed        ///< no entries: a call failed or the subscription broke; the current list stays in force
 };
 
-/// How an attempt ended.
+/// The outcome of an attempt.
 enum class Outcome {
-    success,           ///< the server has responded, completely
-    error_response,    ///< the server has responded with an error; the request may have run
-    rejected,          ///< the server has turned it away unseen; it never ran
-    timed_out,         ///< no response in time; it may have run or be running
-    connect_failed,    ///< no connection; it never ran
-    connection_reset,  ///< the connection was lost while it was in flight; it may have run
-    cancelled,         ///< this sidecar has withdrawn it; it may have run
-    not_sent           ///< it was not written at all; it never ran
+    success,           ///< the server sent a complete response
+    error_response,    ///< the server sent an error response; the request may have run
+    rejected,          ///< the server rejected the request without processing it; it never ran
+    timed_out,         ///< no response arrived in time; the request may have run or may still be running
+    connect_failed,    ///< no connection could be established; the request never ran
+    connection_reset,  ///< the connection was lost during the attempt; the request may have run
+    cancelled,         ///< this sidecar cancelled the attempt; the request may have run
+    not_sent           ///< nothing was written to the server; the request never ran
 };
 
-/// The first event of a run. A ServerList of kind ListKind::cached follows if there is one.
+/// The first event of a run. A ServerList of kind ListKind::cached follows if a cached list exists.
 struct Started {};
 
-/// The endpoint list, or a change of it.
+/// The endpoint list, or changes to it.
 struct ServerList {
-    /// What `servers` holds.
+    /// Whether `servers` holds the whole list, changes or nothing.
     ListKind kind = ListKind::snapshot;
     /// The entries, in any order.
     std::vector<ServerInfo> servers{};
-    /// What this machine's wall clock read as the list came, in Unix milliseconds. With it,
-    /// ServerInfo::online_since is on the wall clocks of other machines, none of which is trusted alone.
-    /// None: online_since is on the clock of `now`, and exact.
+    /// The local wall-clock time at which the list arrived, in Unix milliseconds. If present,
+    /// ServerInfo::online_since values come from the wall clocks of other machines, none of which is trusted
+    /// alone. If absent, online_since is on the clock of `now` and exact.
     std::optional<Millis> wall_time{};
-    /// How long before the list a change may have happened without being reported: the time since the list
-    /// service last said anything, also that nothing has changed. Milliseconds, 0 or more; infinity: since
-    /// before this run. Only used with wall_time.
+    /// An upper bound for the time between a change of the list and its report: the time since the list
+    /// service last sent any message, including a message without changes. Milliseconds, 0 or more; infinity:
+    /// the change may be older than this run. Only used with wall_time.
     Millis list_age_bound = 0;
 };
 
-/// What an earlier run of this sidecar had learned. Comes before the first list; later it has no effect.
+/// The learned state of an earlier run of this sidecar. It must precede the first list; later it has no
+/// effect.
 struct StateRestored {
-    /// What it had learned. Values out of range are ignored one by one.
+    /// The learned state. Each value out of range is ignored.
     LearnedState learned_state{};
-    /// Milliseconds since the state was taken, downtime included. Below 0: not known, and nothing of it is
-    /// used.
+    /// The time since the state was saved, including the downtime, in milliseconds. A negative value means
+    /// that the age is unknown; then none of the state is used.
     Millis age = -1;
 };
 
-/// A request has come.
+/// A request has arrived.
 struct RequestArrived {
     /// The request.
     RequestId id = 0;
-    /// Its class, an index into Settings::classes. Out of range: it is handled as non-idempotent.
+    /// The index of its class in Settings::classes. A request with an index out of range is treated as
+    /// non-idempotent.
     std::uint32_t class_index = 0;
-    /// Its tenant, an index into Settings::tenants. None or out of range: it counts as nobody's.
+    /// The index of its tenant in Settings::tenants. A request without a tenant, or with an index out of
+    /// range, is not limited by quota.
     std::optional<std::uint32_t> tenant{};
-    /// Milliseconds until the client abandons this try. Less than 0 or not finite counts as 0.
+    /// Milliseconds until the client abandons this try. A value that is negative or not finite counts as 0.
     Millis time_left = 0;
-    /// The work that is expected of it, in milliseconds of a standard core. 0: not known.
+    /// The expected work of the request, in milliseconds of a standard core. 0: unknown.
     Millis expected_work = 0;
-    /// Whether it is known to be the client's retry.
+    /// Whether the request is marked as a retry by the client.
     bool is_client_retry = false;
-    /// Whether the caller cannot keep it: it needs its final response at once.
+    /// Whether the caller has no capacity to hold the request and needs its final response at once.
     bool needs_immediate_response = false;
-    /// Whether its attempts are upgrades to a session. Then time_left is what they may take in all, and the
-    /// class says how often one may take effect. Once AttemptEnded tells of a success, it belongs to its
-    /// client until SessionEnded, without a deadline.
+    /// Whether the attempts of this request are upgrades to a session. Then time_left bounds the upgrade as a
+    /// whole, and the request class limits how often it may be executed. After a successful AttemptEnded the
+    /// session has no deadline and lasts until SessionEnded.
     bool session = false;
 };
 
-/// A streamed response has begun. The request belongs to its client from here on: no other response is given.
+/// The server has started to stream its response to the client. No other response is possible from here on.
 struct ResponseStarted {
     /// The request.
     RequestId id = 0;
-    /// The attempt, counted as in AttemptEnded.
+    /// The attempt, numbered as in AttemptEnded.
     std::uint32_t attempt = 0;
 };
 
-/// An attempt is over.
+/// An attempt has ended.
 struct AttemptEnded {
     /// The request.
     RequestId id = 0;
-    /// The attempt. Those of one request count from 0, in the order of their StartAttempt.
+    /// The attempt. The attempts of one request are numbered from 0 in the order of their StartAttempt
+    /// actions.
     std::uint32_t attempt = 0;
-    /// How it ended.
+    /// The outcome of the attempt.
     Outcome outcome = Outcome::success;
-    /// How long it took, in milliseconds. 0 or more.
+    /// The duration of the attempt in milliseconds. 0 or more.
     Millis duration = 0;
-    /// Whether the client has its final response, by this outcome or before.
+    /// Whether the client has received its final response, from this attempt or earlier.
     bool request_ended = false;
 };
 
-/// The client has gone before it had its response.
+/// The client disconnected before it received its final response.
 struct ClientDisconnected {
     /// The request.
     RequestId id = 0;
 };
 
-/// A session is over. No effect on one that is unknown or was over before.
+/// A session has ended. No effect on a session that is unknown or has already ended.
 struct SessionEnded {
-    /// The request that was upgraded to it.
+    /// The request that was upgraded to the session.
     RequestId id = 0;
-    /// Whether it was broken by its server, or on the way there, without a close in good order.
-    /// What the client did does not count.
+    /// Whether the server or the network broke the session without an orderly close. A break caused by the
+    /// client does not count.
     bool broken_by_server = false;
 };
 
-/// A timer that SetTimer asked for is due.
+/// A timer set by SetTimer is due.
 struct TimerFired {
-    /// As in SetTimer.
+    /// The token from SetTimer.
     TimerToken token = 0;
 };
 
-/// The number of sidecars has changed. It replaces Settings::siblings. Whoever tells it has bounded and
-/// checked it, see cluster/sibling_estimate.hpp.
+/// The number of sidecars has changed. The count replaces Settings::siblings. The caller has validated and
+/// bounded it, see cluster/sibling_estimate.hpp.
 struct SiblingCountChanged {
-    /// Sidecars that share the servers now, this one included. 0 has no effect.
+    /// The current number of sidecars that share the servers, including this one. 0 has no effect.
     std::uint32_t count = 0;
 };
 
-/// Anything that a Balancer is told.
+/// Any input of a Balancer.
 using Event = std::variant<Started, StateRestored, ServerList, RequestArrived, ResponseStarted, AttemptEnded,
                            ClientDisconnected, SessionEnded, TimerFired, SiblingCountChanged>;
 
 // ---- Actions --------------------------------------------------------------------------------------------
-// A caller must be able to carry out all of them; Cancel only if Settings::supports_cancel is set.
+// The caller must support every action; Cancel only if Settings::supports_cancel is set.
 
-/// Send the request to that server. The caller answers with AttemptEnded, once.
+/// Send the request to the given server. The caller reports the end of the attempt with exactly one
+/// AttemptEnded.
 struct StartAttempt {
     /// The request.
     RequestId id = 0;
-    /// Where it goes.
+    /// The target server.
     ServerId server = 0;
-    /// When the caller ends the attempt as Outcome::timed_out. Milliseconds on the clock of `now`.
+    /// The time at which the caller ends the attempt with Outcome::timed_out. Milliseconds on the clock of
+    /// `now`.
     Millis attempt_deadline = 0;
-    /// The last byte must be written before this time, else the attempt ends as Outcome::not_sent: by then
-    /// servers may have forgotten the attempt that it repeats. Milliseconds on the clock of `now`; infinity:
-    /// at any time.
+    /// The time by which the last byte must be written; otherwise the attempt ends with Outcome::not_sent,
+    /// because servers may no longer deduplicate the earlier attempt that this one repeats. Milliseconds on
+    /// the clock of `now`; infinity: no limit.
     Millis write_by = std::numeric_limits<Millis>::infinity();
 };
 
-/// Withdraw an attempt. The caller answers with AttemptEnded, as for each attempt.
+/// Cancel an attempt. The caller reports its end with AttemptEnded, as for every attempt.
 struct Cancel {
     /// The request.
     RequestId id = 0;
-    /// The attempt, counted as in AttemptEnded.
+    /// The attempt, numbered as in AttemptEnded.
     std::uint32_t attempt = 0;
 };
 
-/// Give the request its final response: it was not served, and trying again is harmless.
+/// Send the final response that the request was not served and may be retried safely.
 struct Reject {
     /// The request.
     RequestId id = 0;
-    /// When the client should try again, in milliseconds from now. 0: no advice.
+    /// The recommended delay before the client's retry, in milliseconds from now. 0: no recommendation.
     Millis retry_after = 0;
 };
 
-/// Give the request its final response: it has failed, and nothing is said about trying again.
+/// Send the final response that the request failed, without a statement about retries.
 struct Fail {
     /// The request.
     RequestId id = 0;
 };
 
-/// Answer with TimerFired at that time.
+/// Report TimerFired at the given time.
 struct SetTimer {
     /// Milliseconds on the clock of `now`.
     Millis at = 0;
-    /// Names the timer in TimerFired.
+    /// Identifies the timer in TimerFired.
     TimerToken token = 0;
 };
 
-/// Call for the endpoint list.
+/// Request the endpoint list.
 struct Subscribe {
     /// Always true.
     bool active = true;
 };
 
-/// Write a line to the log.
+/// Write a log line.
 struct Log {
-    /// What has happened.
+    /// The message.
     std::string text{};
-    /// The server that it is about.
+    /// The server that the message refers to.
     std::optional<ServerId> server{};
 };
 
-/// Anything that a Balancer asks for.
+/// Any output of a Balancer.
 using Action = std::variant<StartAttempt, Cancel, Reject, Fail, SetTimer, Subscribe, Log>;
 
 // ---- The balancer ---------------------------------------------------------------------------------------
 
-/// The decisions of one sidecar. Movable, not copyable, not thread-safe: one thread at a time.
+/// Makes the decisions of one sidecar. Movable, not copyable, not thread-safe.
 class Balancer {
 public:
-    /// @param seed of all random choices
-    /// @throws InvalidSetting for the first setting that makes no sense
+    /// @param seed the seed of all random choices
+    /// @throws InvalidSetting for the first invalid setting
     Balancer(Settings settings, std::uint64_t seed);
     ~Balancer();
     Balancer(Balancer&&) noexcept;
     Balancer& operator=(Balancer&&) noexcept;
 
-    /// Takes in an event and appends the actions that follow from it. Events about unknown requests, or about
-    /// things that are over, have no effect. A `now` that is not finite, or before that of an earlier event,
-    /// counts as that one's.
+    /// Processes an event and appends the resulting actions to `actions`. Events about unknown requests, or
+    /// about requests, attempts, sessions or timers that have ended, have no effect. If `now` is not finite
+    /// or is before the time of an earlier event, that earlier time is used.
     void handle(Millis now, const Event& event, std::vector<Action>& actions);
 
-    /// What a Balancer holds at present.
+    /// The current resource usage of a Balancer.
     struct ResourceUsage {
-        /// Requests without a final response, or with an attempt in flight.
+        /// Requests without a final response or with an attempt in flight.
         std::size_t requests = 0;
-        /// Servers that are listed, or have an attempt or a session of this sidecar left.
+        /// Servers that are listed or still have an attempt or a session of this sidecar.
         std::size_t servers = 0;
         /// Timers that have been set and have not fired.
         std::size_t timers = 0;
-        /// Entries of the wait queue, at most twice the requests and 64.
+        /// Entries of the wait queue: at most 64 plus twice the number of requests.
         std::size_t waiting = 0;
-        /// Sessions that stand, at most Settings::max_sessions.
+        /// Established sessions, at most Settings::max_sessions.
         std::size_t sessions = 0;
     };
-    /// Counts what the Balancer holds. Constant time.
+    /// Returns the current resource usage in constant time.
     ResourceUsage resource_usage() const;
 
-    /// What it has learned, to be given to the next run (event StateRestored). Linear in the servers; changes
-    /// nothing.
+    /// Returns the learned state, to be passed to the next run with the event StateRestored. Linear in the
+    /// number of servers; does not change the Balancer.
     LearnedState learned_state(Millis now) const;
 
 private:
--- a/include/elmbay/learned_state.hpp
+++ b/include/elmbay/learned_state.hpp
@@ -1,9 +1,10 @@
-// What a Balancer has learned, as a value: taken from one run of a sidecar (Balancer::learned_state) and
-// given to the next one (event StateRestored). Servers are named by the caller's integers, as everywhere.
+// The learned state of a Balancer as a value: saved by one run of a sidecar (Balancer::learned_state) and
+// passed to the next run (event StateRestored). Servers are identified by the caller's integers, as in
+// balancer.hpp.
 //
-// Times are spans before the moment at which the value was taken, so it needs no clock. A field that is not
-// finite or is out of the range stated here is treated as not known. Nothing that a file holds can make the
-// module break a rule, keep requests from a healthy server or throw.
+// Times are durations before the moment at which the state was saved, so the state needs no clock. A field
+// that is not finite or is outside its documented range is treated as unknown. No file content can make the
+// module violate a rule, withhold requests from a healthy server or throw an exception.
 #pragma once
 
 #include <cstdint>
@@ -12,48 +13,48 @@
 
 namespace elmbay::balancer {
 
-/// A mean in which samples count less the older they are.
+/// A mean in which older samples have less weight.
 struct DecayedMean {
-    /// The mean itself, 0 to 100. Its unit is that of the field that holds it.
+    /// The mean, 0 to 100, in the unit of the field that holds it.
     double value = 0;
-    /// The number of samples that the mean is worth, 0 to 10. At 0 nothing is known.
+    /// The total weight of the samples, 0 to 10. At 0 the mean is unknown.
     double weight = 0;
-    /// How long ago the last sample came: milliseconds, 0 to a day.
+    /// The age of the last sample: milliseconds, 0 to one day.
     double last_sample_age_ms = 0;
 };
 
-/// What is known of one process of one server.
+/// The learned state of one process of one server.
 struct LearnedServerState {
-    /// The server, by the caller's integer.
+    /// The server's identifier.
     std::uint32_t server = 0;
-    /// When the process started that this was learned of, as in ServerInfo::online_since: milliseconds, 0 to
-    /// 1e15. The record is only used for the same process.
+    /// The start time of the process, as in ServerInfo::online_since: milliseconds, 0 to 1e15. The record
+    /// applies only to the same process.
     double online_since = 0;
-    /// The last outcomes, one bit each; 1 is a success and the newest is the lowest bit.
+    /// The last outcomes, one bit each: 1 is a success, and the lowest bit is the newest outcome.
     std::uint32_t outcome_bits = 0;
-    /// How many of those bits are in use, 0 to 20.
+    /// The number of bits in use, 0 to 20.
     std::uint32_t outcome_count = 0;
-    /// How much longer the server was to stay ejected: milliseconds, 0 to 10,000. None if it was not ejected.
+    /// The remaining ejection time: milliseconds, 0 to 10,000. Absent if the server was not ejected.
     std::optional<double> ejection_remaining_ms;
-    /// Requests that the server might still take if it was in slow start, -1 to 1.
+    /// The slow start tokens of the server, -1 to 1. One token permits one request.
     double slow_start_tokens = 1;
 };
 
-/// What one sidecar has learned of its servers and of the load on them.
+/// The learned state of one sidecar: its servers and the load on them.
 struct LearnedState {
-    /// The servers, each once.
+    /// The servers, without duplicates.
     std::vector<LearnedServerState> servers;
     /// Mean response time of warm servers, as a multiple of the latency objective.
     DecayedMean load_ratio;
-    /// Attempts that might be in flight at warm servers, 0 to 100,000. At 0 it is not known.
+    /// The maximum number of attempts in flight at warm servers, 0 to 100,000. At 0 it is unknown.
     double concurrency_limit = 0;
-    /// The largest concurrency at which responses were seen to meet the target, 0 to 100,000 attempts.
+    /// The largest concurrency at which response times met the target, 0 to 100,000 attempts.
     double learned_limit = 0;
-    /// Warm servers that carried learned_limit, 0 to 100,000, in the mean.
+    /// The mean number of warm servers at the time learned_limit was measured, 0 to 100,000.
     double learned_limit_warm_servers = 0;
     /// Requests per millisecond that warm servers completed for this sidecar, 0 to 10,000.
     double completion_rate = 0;
-    /// Retries that the retry budget still allowed, 0 to 10.
+    /// Retries that the retry budget still permitted, 0 to 10.
     double retries_left = 10;
 };
 
