--- a/bench/balancer_cost.cpp
+++ b/bench/balancer_cost.cpp
@@ -1,11 +1,11 @@
 /// @file
-/// What one request costs in the decision module: nanoseconds and allocations, by the number of servers and
-/// of requests in flight. Usage: balancer_cost [--benchmark_filter=...]   (Google Benchmark; built with
-/// -DELMBAY_BENCH=ON)
+/// Measures the cost of one request in the decision module: nanoseconds and allocations, by the number of
+/// servers and of requests in flight. Usage: balancer_cost [--benchmark_filter=...]   (Google Benchmark;
+/// built with -DELMBAY_BENCH=ON)
 ///
-/// Each turn completes the oldest request and adds a new one, so that `in_flight` of them stay in flight.
-/// Time passes as if each took 40 ms. Only the public interface is used, so the same file measures other
-/// versions of the module.
+/// Each iteration completes the oldest request and adds a new one, so that `in_flight` requests stay in
+/// flight. Virtual time advances as if each request took 40 ms. Only the public interface is used, so the
+/// same file can measure other versions of the module.
 #include <benchmark/benchmark.h>
 
 #include <cstdlib>
@@ -42,7 +42,7 @@
     settings.classes = {
         balancer::RequestClass{balancer::Idempotency::idempotent, balancer::DedupScope::all, 0, 400}};
     settings.slow_start_duration = 15000;
-    settings.siblings = 1000;  // with fewer the pool would be the whole fleet
+    settings.siblings = 1000;  // with fewer sidecars the pool would be the whole fleet
     return settings;
 }
 
@@ -60,7 +60,7 @@
     }
 
     /// Fires the timers that are due, completes the attempts that are due, and adds one request.
-    void turn() {
+    void step() {
         now_ += interval_;
         fire_timers(wait_timers_);
         fire_timers(deadline_timers_);
@@ -72,7 +72,7 @@
         handle(balancer::RequestArrived{next_request_++, 0, {}, kTimeLeft});
     }
 
-    /// Rejected requests, as a share of all.
+    /// Returns the share of rejected requests.
     double rejected_share() const {
         return static_cast<double>(rejected_) / static_cast<double>(next_request_);
     }
@@ -110,7 +110,7 @@
     balancer::Balancer balancer_;
     std::vector<balancer::Action> actions_;
     Millis now_ = 1e9;
-    // Each in order of time.
+    // Each queue is in order of time.
     std::deque<SentAttempt> attempts_;
     std::deque<balancer::SetTimer> wait_timers_;
     std::deque<balancer::SetTimer> deadline_timers_;
@@ -122,10 +122,10 @@
     const auto servers = static_cast<balancer::ServerId>(state.range(0));
     const auto in_flight = static_cast<std::size_t>(state.range(1));
     Sidecar sidecar(servers, in_flight);
-    // Until the concurrency limit has settled and the pool has its width.
-    for (std::size_t i = 0; i < 20 * in_flight + 2000; ++i) sidecar.turn();
+    // Runs until the concurrency limit is steady and the pool has its width.
+    for (std::size_t i = 0; i < 20 * in_flight + 2000; ++i) sidecar.step();
     allocations = 0;
-    for (auto _ : state) sidecar.turn();
+    for (auto _ : state) sidecar.step();
     state.counters["allocations"] =
         benchmark::Counter(static_cast<double>(allocations), benchmark::Counter::kAvgIterations);
     state.counters["refused"] = sidecar.rejected_share();
--- a/src/balancer/admission.cpp
+++ b/src/balancer/admission.cpp
@@ -17,8 +17,8 @@
     min_ceiling_ =
         std::max(kCircuitClosedLimit, kMinCeilingMultiple * min_attempts_per_server_ * warm_servers_);
     limit_ = std::max(limit_, std::min(min_limit_, kCircuitClosedLimit));
-    const bool has_seen_a_response = load_ratio_.count != 0;
-    if (has_seen_a_response) return;
+    const bool has_load_ratio = load_ratio_.count != 0;
+    if (has_load_ratio) return;
     limit_ = std::max(kCircuitClosedLimit, kInitialLimitMultiple * min_attempts_per_server_ * warm_servers_);
 }
 
@@ -27,13 +27,13 @@
     learned_limit_ *= std::exp((updated_at_ - now) / kLearnedLimitDecay);
     updated_at_ = now;
 
-    load_ratio_.add(latency_ratio, now, kAnswerDecay);
-    recent_answers_.add(now, kAnswerDecay);
-    mean_in_flight_ += (in_flight + 1 - mean_in_flight_) / recent_answers_.count;
-    mean_warm_servers_ += (warm_servers_ - mean_warm_servers_) / recent_answers_.count;
+    load_ratio_.add(latency_ratio, now, kResponseDecay);
+    recent_responses_.add(now, kResponseDecay);
+    mean_in_flight_ += (in_flight + 1 - mean_in_flight_) / recent_responses_.count;
+    mean_warm_servers_ += (warm_servers_ - mean_warm_servers_) / recent_responses_.count;
     learn_limit();
 
-    const double peak_step = (in_flight - recent_peak_in_flight_) * 2 / kPeakAnswers;
+    const double peak_step = (in_flight - recent_peak_in_flight_) * 2 / kPeakResponses;
     recent_peak_in_flight_ = std::max<double>(recent_peak_in_flight_ + peak_step, in_flight);
 
     const bool circuit_may_open = uses_circuit_breaker() && limit_ <= kCircuitClosedLimit;
@@ -41,14 +41,14 @@
     adjust_limit(in_flight);
 }
 
-// Little's law: at the target latency the servers would hold this many attempts.
+// Learns by Little's law how many attempts the servers would hold at the target latency.
 void Admission::learn_limit() {
     const double sustainable_concurrency =
         mean_in_flight_ * kTargetLoadRatio / std::max(kMinLoadRatio, load_ratio_.value);
     const bool meets_target = load_ratio_.value <= kTargetLoadRatio;
     if (!meets_target || !(sustainable_concurrency >= learned_limit_)) return;
     learned_limit_ = sustainable_concurrency;
-    servers_behind_learned_limit_ = mean_warm_servers_;
+    learned_limit_warm_servers_ = mean_warm_servers_;
 }
 
 void Admission::adjust_limit(int in_flight) {
@@ -63,13 +63,14 @@
     limit_ = std::min(limit_ceiling(), limit_ + (grows_quickly ? kQuickGrowth : step));
 }
 
-// Fewer servers than those that it was learned with carry their share of it only.
+// The learned limit is scaled down when fewer warm servers are left than when it was measured.
 double Admission::limit_ceiling() const {
-    const double servers_left = std::min(1.0, warm_servers_ / std::max(1.0, servers_behind_learned_limit_));
+    const double servers_left = std::min(1.0, warm_servers_ / std::max(1.0, learned_limit_warm_servers_));
     return std::max(min_ceiling_, learned_limit_ * servers_left);
 }
 
-// A late response while the mean is in time is chance: it does not open the circuit.
+// A late response does not open the circuit while the mean meets the target, because a single late response
+// may be random.
 bool Admission::update_circuit_breaker(double latency_ratio, int in_flight) {
     const bool mean_meets_target = load_ratio_.value <= kTargetLoadRatio;
     if (latency_ratio >= 1 && load_ratio_.value > kTargetLoadRatio) {
@@ -85,20 +86,20 @@
 }
 
 void Admission::save_to(LearnedState& learned_state, Millis now) const {
-    learned_state.load_ratio = LearnedStateRestorer::saved(load_ratio_, now);
+    learned_state.load_ratio = LearnedStateRestorer::save_mean(load_ratio_, now);
     learned_state.concurrency_limit = load_ratio_.count > 0 ? concurrency_limit(now) : 0;
     learned_state.learned_limit = learned_limit_ * std::exp((updated_at_ - now) / kLearnedLimitDecay);
-    learned_state.learned_limit_warm_servers = servers_behind_learned_limit_;
+    learned_state.learned_limit_warm_servers = learned_limit_warm_servers_;
 }
 
-// The learned limit goes on decaying. The limit itself is as good as the responses that it follows: once
-// these weigh less than one sample, the limit of a new sidecar is better.
+// The learned limit continues to decay. The concurrency limit is only restored while the responses behind it
+// weigh at least one sample; otherwise the initial limit of a new sidecar is more accurate.
 void Admission::restore(const LearnedState& learned_state, Millis taken_at, Millis now) {
     learned_limit_ = learned_state.learned_limit;
-    servers_behind_learned_limit_ = learned_state.learned_limit_warm_servers;
+    learned_limit_warm_servers_ = learned_state.learned_limit_warm_servers;
     updated_at_ = taken_at;
-    const DecayingAverage load_ratio = LearnedStateRestorer::restored(learned_state.load_ratio, taken_at);
-    const bool is_recent = load_ratio.value_at(now, kAnswerDecay) >= 1;
+    const DecayingAverage load_ratio = LearnedStateRestorer::restore_mean(learned_state.load_ratio, taken_at);
+    const bool is_recent = load_ratio.value_at(now, kResponseDecay) >= 1;
     if (!(learned_state.concurrency_limit > 0) || !is_recent) return;
     load_ratio_ = load_ratio;
     limit_ = learned_state.concurrency_limit;
--- a/src/balancer/aperture.cpp
+++ b/src/balancer/aperture.cpp
@@ -39,9 +39,9 @@
 
 double Aperture::coverage_width(Millis now) const {
     const double servers_per_sidecar = static_cast<double>(ranked_.size()) / siblings_;
-    const double most = std::max({kMaxCoverageWidth, completion_rate(now) * kMaxRevisitInterval,
-                                  kMinSidecarsPerServer * servers_per_sidecar});
-    return std::min(kSidecarsPerServer * servers_per_sidecar, most);
+    const double max_width = std::max({kMaxCoverageWidth, completion_rate(now) * kMaxRevisitInterval,
+                                       kMinSidecarsPerServer * servers_per_sidecar});
+    return std::min(kSidecarsPerServer * servers_per_sidecar, max_width);
 }
 
 void Aperture::draw_pool(Millis now, int in_flight) {
@@ -72,11 +72,12 @@
     }
 }
 
-// Divided by the servers that are left, the work of those that have just gone would look like the work of
-// one, and servers in slow start would be sent a share of that.
+// The completed work is divided by the servers that did it, including those that have just left. Divided by
+// the remaining servers only, it would overestimate the rate of one server, and slow start sends servers a
+// share of that rate.
 void Aperture::count_contributors(Millis now) {
-    if (restored_ && listed_count_ > 0) {
-        restored_ = false;
+    if (has_uncounted_restored_rate_ && listed_count_ > 0) {
+        has_uncounted_restored_rate_ = false;
         contributors_.set(std::min(width_, static_cast<double>(listed_count_)), now, kRateDecay);
     }
     contributors_.set(static_cast<double>(warm_count_), now, kRateDecay);
--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -1,15 +1,15 @@
 /// @file
-/// The Balancer: composes the parts of the module and passes each event to those that it concerns. The
-/// interface is include/elmbay/balancer.hpp.
+/// The Balancer: composes the components of the module and dispatches each event to them. The interface is
+/// include/elmbay/balancer.hpp.
 ///
-/// The path of a request: on(RequestArrived) takes it into RequestTable and sets its timer. Dispatcher finds
-/// a server: an ejected one whose probe is due (OutlierEjection), else one of the pool (ServerPool, Aperture)
-/// by Pick. It sends the request there, to run to the client's deadline at the longest. If no server may have
-/// it now, it waits briefly (WaitQueue). on(AttemptEnded) has the outcome recorded (OutcomeAccounting), and
-/// the request dispatched again or answered.
+/// The path of a request: on(RequestArrived) adds the request to RequestTable and sets its timer. Dispatcher
+/// chooses a server: an ejected server whose probe is due (OutlierEjection), otherwise a server of the pool
+/// (ServerPool, Aperture) selected by Pick. The attempt lasts until the client's deadline at most. If no
+/// server may receive the request now, the request waits briefly (WaitQueue). on(AttemptEnded) records the
+/// outcome (OutcomeAccounting) and dispatches the request again or gives its final response.
 ///
-/// No attempt leaves the module without passing SendGate::may_send(), and no rejection without passing
-/// Request::may_be_rejected(). FinalResponder::finish() gives the only final response.
+/// Every attempt passes SendGate::may_send() and every rejection passes Request::may_be_rejected(). Only
+/// FinalResponder::finish() gives final responses.
 #include "elmbay/balancer.hpp"
 
 #include <algorithm>
@@ -58,18 +58,18 @@
 
 }  // namespace
 
-/// Owns every part and passes events on. Parts refer to each other in the order of their construction: none
-/// knows one below it.
+/// Owns every component and dispatches events. A component refers only to components constructed before it.
 struct Balancer::Impl {
-    Impl(Settings given, std::uint64_t seed) : settings(validated(std::move(given))), random(seed) {}
+    Impl(Settings initial_settings, std::uint64_t seed)
+        : settings(validated(std::move(initial_settings))), random(seed) {}
 
     Settings settings;
     Random random;
     EventContext context;
 
-    // Parts that decide.
+    // Components that decide.
     SlowStart slow_start{settings};
-    ServerAges ages;
+    ServerAges server_ages;
     Aperture aperture{settings.siblings, slow_start};
     OutlierEjection ejection;
     LatencyEstimate latency;
@@ -80,25 +80,25 @@
     Sessions sessions{settings};
     Pick pick{settings, random, latency};
 
-    // Parts that hold requests, servers and timers.
+    // Components that hold requests, servers and timers.
     RequestTable requests;
-    WaitQueue queue;
+    WaitQueue wait_queue;
     TimerTable timers{context};
     SubscriptionBackoff subscription_backoff;
-    ServerTable servers{random, latency, state_restorer, aperture, ages};
+    ServerTable servers{random, latency, state_restorer, aperture, server_ages};
     ServerPool pool{aperture, ejection, admission, sessions};
 
-    // Parts that act.
+    // Components that emit actions.
     SendGate gate{settings, slow_start, aperture, latency, sessions};
     FinalResponder responder{settings, context, admission, requests};
     OutcomeAccounting accounting{{context, slow_start, latency, admission, aperture, ejection, pool}};
     Dispatcher dispatcher{{settings, context, random, admission, aperture, ejection, pick, retry_budget, gate,
-                           pool, requests, timers, queue, responder}};
+                           pool, requests, timers, wait_queue, responder}};
 
     // ---- Learned state ----------------------------------------------------------------------------------
 
     void on(const StateRestored& event) {
-        const bool is_too_late = !servers.empty();  // what this run has seen itself is better
+        const bool is_too_late = !servers.empty();  // the state of this run is more recent
         if (is_too_late) return;
         const LearnedState learned_state = sanitize(event.learned_state);
         state_restorer.load(learned_state, event.age, context.now());
@@ -125,8 +125,8 @@
         if (settings.requires_subscription) context.emit(Subscribe{true});
     }
 
-    // Attempts in flight and all that was learned stay. Only the number that they are divided by is another
-    // one.
+    // Attempts in flight and all learned state stay. Only the number of sidecars, which shares are computed
+    // from, changes.
     void on(const SiblingCountChanged& event) {
         if (event.count == 0) return;
         aperture.set_siblings(event.count);
@@ -136,7 +136,7 @@
 
     void on(const ServerList& list) {
         if (list.kind == ListKind::failed) {
-            timers.set_timer(context.now() + subscription_backoff.next(random), std::nullopt);
+            timers.set_timer(context.now() + subscription_backoff.next_delay(random), std::nullopt);
             return;
         }
         if (list.kind != ListKind::cached) subscription_backoff.reset();
@@ -158,13 +158,14 @@
         request.tenant_share = fairness.record_arrival(event.tenant, context.now());
         request.session = event.session && sessions.has_capacity();
         if (request.session) sessions.begin_upgrade();
-        const bool session_without_place = event.session && !request.session;
-        if (event.needs_immediate_response || session_without_place) return responder.finish(request);
+        const bool session_limit_reached = event.session && !request.session;
+        if (event.needs_immediate_response || session_limit_reached) return responder.finish(request);
         timers.set_timer(request.deadline, request.id);
         dispatcher.dispatch(request);
     }
 
-    // An unknown class is handled with most care: non-idempotent, with its time left as its objective.
+    // A request of an unknown class gets the strictest treatment: it is non-idempotent, and its latency
+    // objective is its remaining time.
     RequestClass class_of(const RequestArrived& event) const {
         RequestClass request_class;
         request_class.latency_objective = std::max(1.0, event.time_left);
@@ -176,22 +177,23 @@
 
     void set_time_limits(Request& request, Millis time_left) const {
         const Millis now = context.now();
-        const Millis sound_time_left = std::isfinite(time_left) ? std::max(0.0, time_left) : 0.0;
+        const Millis valid_time_left = std::isfinite(time_left) ? std::max(0.0, time_left) : 0.0;
         const Millis max_wait = request.request_class.latency_objective * FinalResponder::kMaxWaitShare;
-        request.deadline = now + sound_time_left;
-        request.cutoff = cutoff_of(request);
+        request.deadline = now + valid_time_left;
+        request.attempt_deadline = attempt_deadline_of(request);
         request.wait_until = std::min(request.deadline, now + max_wait);
     }
 
-    // Not the objective: an attempt that ends there makes its client retry what a server is still working on,
-    // while a late response keeps the client quiet. It is the objective where a late response is worth
-    // nothing, a failure is never retried, and this sidecar's count of attempts in flight, which misses work
-    // that goes on after a cutoff, is a small part of any queue anyway.
-    Millis cutoff_of(const Request& request) const {
+    // Usually the client's deadline and not the latency objective: if an attempt ended at the objective, the
+    // client would retry a request that a server is still processing, while a late response prevents the
+    // retry. The objective applies if late responses have no weight, failures are never retried, and this
+    // sidecar's count of attempts in flight is only a small part of any queue. That count does not include
+    // work that continues after an attempt's deadline.
+    Millis attempt_deadline_of(const Request& request) const {
         const RequestClass& request_class = request.request_class;
-        const bool late_is_worthless = request_class.late_weight == 0;
+        const bool late_has_no_weight = request_class.late_weight == 0;
         const bool is_never_retried = request_class.idempotency == Idempotency::non_idempotent;
-        if (!late_is_worthless || !is_never_retried || !aperture.is_subset()) return request.deadline;
+        if (!late_has_no_weight || !is_never_retried || !aperture.is_subset()) return request.deadline;
         return std::min(request.deadline, context.now() + request_class.latency_objective);
     }
 
@@ -207,21 +209,21 @@
         if (!attempt.in_flight) return;
         end_attempt(*request, attempt, event);
         if (event.request_ended) request->ended = true;
-        if (request->ended) requests.mark_ended(request->id);
+        if (request->ended) requests.mark_for_removal(request->id);
         retry_or_finish(*request);
         dispatcher.dispatch_waiting();
     }
 
-    // Records the end of an attempt with its request, its server and, if it was an upgrade, with Sessions.
+    // Records the end of an attempt in its request, its server and, for an upgrade, in Sessions.
     void end_attempt(Request& request, Attempt& attempt, AttemptEnded event) {
-        // Our own timer and the end of the attempt are due at the same moment. Whichever comes first, a
-        // server that lets the client's time run out has failed; else one that never responds would not be
-        // found out.
+        // The timer of this module and the end of the attempt are due at the same time, in either order. In
+        // both cases the server has failed, because it did not respond before the client's deadline;
+        // otherwise a server that never responds would not be detected.
         if (attempt.timed_out && event.outcome == Outcome::cancelled) event.outcome = Outcome::timed_out;
         attempt.in_flight = false;
         attempt.may_have_run = !proves_never_ran(event.outcome);
         pool.attempt_ended(attempt.slow_start);
-        // A client that has gone leaves no session behind, though its upgrade has succeeded.
+        // A disconnected client has no session, even if its upgrade succeeded.
         const bool has_succeeded = event.request_ended && event.outcome == Outcome::success;
         const bool session_begins = request.session && !request.ended && has_succeeded;
         if (session_begins) sessions.begin(request.id, attempt.server);
@@ -229,13 +231,13 @@
         if (!server) return;
         if (request.session && !session_begins) --server->sessions;
         accounting.record(*server, request, attempt, event);
-        servers.forget_if_unused(*server);
+        servers.remove_if_unused(*server);
     }
 
     void retry_or_finish(Request& request) {
         const bool is_idle = !request.any_in_flight();
         const bool has_no_budget = is_idle && !retry_budget.may_retry();
-        if (context.now() >= request.cutoff || has_no_budget) {
+        if (context.now() >= request.attempt_deadline || has_no_budget) {
             responder.finish(request);
         } else if (!request.ended && is_idle) {
             dispatcher.dispatch(request);
@@ -247,19 +249,20 @@
         if (!request) return;
         responder.cancel_all(*request);
         request->ended = true;
-        requests.mark_ended(event.id);
+        requests.mark_for_removal(event.id);
     }
 
-    // A session that its server broke counts against the server: one that takes every upgrade and keeps none
-    // would look like the least loaded. Any other end, and the duration, say nothing.
+    // A session broken by its server counts as a failure of the server; otherwise a server that accepts every
+    // upgrade and breaks every session would appear to be the least loaded. Any other end of a session, and
+    // its duration, carry no information about the server.
     void on(const SessionEnded& event) {
-        const std::optional<ServerId> holder = sessions.end(event.id);
-        Server* server = holder ? servers.find(*holder) : nullptr;
+        const std::optional<ServerId> server_id = sessions.end(event.id);
+        Server* server = server_id ? servers.find(*server_id) : nullptr;
         if (!server) return;
         --server->sessions;
         if (event.broken_by_server)
             accounting.record_outcome(*server, Outcome::connection_reset, false, false);
-        servers.forget_if_unused(*server);
+        servers.remove_if_unused(*server);
     }
 
     void on(const TimerFired& event) {
@@ -285,8 +288,8 @@
 void Balancer::handle(Millis now, const Event& event, std::vector<Action>& actions) {
     impl_->context.begin(now, actions);
     std::visit([this](const auto& specific_event) { impl_->on(specific_event); }, event);
-    impl_->requests.forget_ended(impl_->sessions);
-    impl_->queue.purge_ended(impl_->requests);
+    impl_->requests.remove_ended(impl_->sessions);
+    impl_->wait_queue.purge_ended(impl_->requests);
 }
 
 LearnedState Balancer::learned_state(Millis now) const {
@@ -294,7 +297,7 @@
 }
 
 Balancer::ResourceUsage Balancer::resource_usage() const {
-    return {impl_->requests.size(), impl_->servers.size(), impl_->timers.size(), impl_->queue.size(),
+    return {impl_->requests.size(), impl_->servers.size(), impl_->timers.size(), impl_->wait_queue.size(),
             impl_->sessions.count()};
 }
 
--- a/src/balancer/decaying.hpp
+++ b/src/balancer/decaying.hpp
@@ -1,8 +1,8 @@
 /// @file
-/// Counts and means that decay exponentially with time. Every part of the module remembers in this way.
+/// Counts and means that decay exponentially with time. The whole module uses them for its statistics.
 ///
-/// Decay times are time constants: after `decay_time` milliseconds 1/e of a value is left. The same decay
-/// time must be given in every call for one object.
+/// Decay times are time constants: after `decay_time` milliseconds, 1/e of a value is left. Every call on one
+/// object must pass the same decay time.
 #pragma once
 
 #include <algorithm>
@@ -13,18 +13,18 @@
 
 namespace elmbay::balancer {
 
-/// A number of events in which each counts less the older it is.
+/// A count of events in which older events have less weight.
 struct DecayingCounter {
     /// The count at `updated_at`.
     double count = 0;
-    /// When an event was last added: milliseconds on the module's clock.
+    /// The time at which the last event was added: milliseconds on the module's clock.
     Millis updated_at = 0;
 
-    /// The count at `now`.
+    /// Returns the count at `now`.
     double value_at(Millis now, Millis decay_time) const {
         return count * std::exp((updated_at - now) / decay_time);
     }
-    /// Events per millisecond, in the mean over about the last `decay_time`.
+    /// Returns the mean number of events per millisecond over about the last `decay_time`.
     double rate(Millis now, Millis decay_time) const { return value_at(now, decay_time) / decay_time; }
     /// Adds one event.
     void add(Millis now, Millis decay_time) {
@@ -33,10 +33,11 @@
     }
 };
 
-/// How many servers did the work that a DecayingCounter of the same decay time still counts.
+/// The number of servers that did the work counted by a DecayingCounter of the same decay time.
 ///
-/// These are the servers present and those that have gone. The latter decay as slowly as the counter forgets
-/// their work. Without them the work of servers that have just gone would count as that of the rest.
+/// The number includes present and departed servers. Departed servers decay at the same rate as the count of
+/// their work; without them, the work of servers that have just left would be attributed to the remaining
+/// servers.
 class DecayingServerCount {
 public:
     /// Sets the number of servers present.
@@ -45,7 +46,7 @@
         present_ = present;
         updated_at_ = now;
     }
-    /// Servers present, and what is left of those that have gone.
+    /// Returns the number of present servers plus the decayed number of departed servers.
     double count(Millis now, Millis decay_time) const {
         return present_ + departed_ * std::exp((updated_at_ - now) / decay_time);
     }
@@ -56,11 +57,12 @@
     Millis updated_at_ = 0;
 };
 
-/// A mean in which samples count less the older they are, and which spans about kMaxSamples of them at most.
+/// A mean in which older samples have less weight, over about kMaxSamples samples at most.
 ///
-/// Decay bounds the age of samples under light traffic, kMaxSamples bounds their number under heavy traffic.
+/// The decay limits the age of samples under light traffic; kMaxSamples limits their number under heavy
+/// traffic.
 struct DecayingAverage : DecayingCounter {
-    /// The weight that all earlier samples and the newest have together, at most.
+    /// The maximum total weight of all samples, including the newest.
     static constexpr double kMaxSamples = 10;
 
     /// The mean; 0 before the first sample.
--- a/src/balancer/dispatcher.hpp
+++ b/src/balancer/dispatcher.hpp
@@ -16,17 +16,17 @@
 
 namespace elmbay::balancer {
 
-/// Decides where a request goes: to a server, into the wait queue, or to its final response.
+/// Dispatches a request: to a server, to the wait queue, or to its final response.
 ///
-/// An ejected server whose probe is due comes first, else Pick chooses one of the pool. Admission limits the
-/// attempts at warm servers; a server in slow start is limited by its tokens alone. Each attempt passes
-/// SendGate.
+/// A due probe of an ejected server takes precedence; otherwise Pick selects a server of the pool. Admission
+/// limits the attempts at warm servers; a server in slow start is limited by its tokens only. Every attempt
+/// passes SendGate.
 ///
-/// Owned by Balancer::Impl, as all that it works with; not thread-safe. Holds no state of its own.
+/// Owned by Balancer::Impl, as are all referenced objects; not thread-safe. Stateless.
 class Dispatcher {
 public:
-    /// What it works with. All of it outlives the dispatcher.
-    struct Parts {
+    /// The components that the dispatcher uses. All of them must outlive it.
+    struct Components {
         const Settings& settings;
         EventContext& context;
         Random& random;
@@ -42,24 +42,25 @@
         WaitQueue& queue;
         FinalResponder& responder;
     };
-    explicit Dispatcher(const Parts& parts) : parts_(parts) {}
+    explicit Dispatcher(const Components& components) : components_(components) {}
 
-    /// Sends a request that has no attempt in flight. Where no server may have it, it waits, or is answered
-    /// if it has waited for long enough or has used its attempts.
+    /// Dispatches a request without an attempt in flight. If no server may receive it, the request waits; it
+    /// gets its final response if its wait time is over or its attempts are used up.
     void dispatch(Request& request);
-    /// Dispatches the requests that wait, if there is capacity.
+    /// Dispatches the waiting requests if there is capacity.
     void dispatch_waiting();
 
 private:
-    // The server that the request goes to now; nullptr: none may have it.
+    // Returns the server to send the request to now; nullptr if no server may receive it.
     Server* choose_server(const Request& request);
     bool may_start_attempt(const Request& request) const;
-    // An ejected server whose probe is due and which may have the request; nullptr: none.
+    // Returns an ejected server whose probe is due and that may receive the request; nullptr if there is
+    // none.
     Server* due_probe(const Request& request);
     void start_attempt(Request& request, Server& server);
     void wait_or_finish(Request& request);
 
-    Parts parts_;
+    Components components_;
 };
 
 }  // namespace elmbay::balancer
--- a/src/balancer/ejection.cpp
+++ b/src/balancer/ejection.cpp
@@ -5,43 +5,43 @@
 
 namespace elmbay::balancer {
 
-OutlierEjection::Verdict OutlierEjection::record_outcome(Server& server, const AttemptResult& result,
-                                                         Millis now) {
+OutlierEjection::Transition OutlierEjection::record_outcome(Server& server, const AttemptResult& result,
+                                                            Millis now) {
     const bool success = result.outcome == Outcome::success && !result.late;
     const bool is_conclusive = result.outcome != Outcome::cancelled && result.outcome != Outcome::not_sent;
     if (server.ejection_state == EjectionState::probing && result.probe) {
         return end_probe(server, is_conclusive, success, now);
     }
-    if (!is_conclusive || server.ejection_state != EjectionState::healthy) return Verdict::none;
+    if (!is_conclusive || server.ejection_state != EjectionState::healthy) return Transition::none;
 
-    // A failed connection is another matter than the responses before it: the process, or the way there, is
-    // no longer what gave them. So they do not excuse it, nor does what other servers do; only may_eject()
-    // limits it.
+    // A failed connection indicates that the process or the network path has changed since the earlier
+    // responses. Neither earlier successes nor failures of other servers therefore excuse it; only
+    // may_eject() limits the ejection.
     const bool connect_failed = result.outcome == Outcome::connect_failed;
     if (connect_failed && server.window.successes() > 0) clear_window(server);
     add_outcome(server, success);
-    if (success || !is_below_threshold(server, !connect_failed)) return Verdict::none;
+    if (success || !is_below_threshold(server, !connect_failed)) return Transition::none;
     const bool is_for_slowness = result.late || result.outcome == Outcome::timed_out;
-    return may_eject(result, is_for_slowness) ? eject(server, now) : Verdict::none;
+    return may_eject(result, is_for_slowness) ? eject(server, now) : Transition::none;
 }
 
-OutlierEjection::Verdict OutlierEjection::end_probe(Server& server, bool is_conclusive, bool success,
-                                                    Millis now) {
+OutlierEjection::Transition OutlierEjection::end_probe(Server& server, bool is_conclusive, bool success,
+                                                       Millis now) {
     if (!is_conclusive) {
-        server.ejection_state = EjectionState::ejected;  // the next request is the probe
-        return Verdict::none;
+        server.ejection_state = EjectionState::ejected;  // the next request becomes the probe
+        return Transition::none;
     }
     if (!success) return eject(server, now);
     server.ejection_state = EjectionState::healthy;
     server.window.clear();
-    return Verdict::restored;
+    return Transition::restored;
 }
 
-OutlierEjection::Verdict OutlierEjection::eject(Server& server, Millis now) {
+OutlierEjection::Transition OutlierEjection::eject(Server& server, Millis now) {
     const bool was_healthy = server.ejection_state == EjectionState::healthy;
     server.ejection_state = EjectionState::ejected;
     server.backoff_until = now + kEjectionTime;
-    return was_healthy ? Verdict::ejected : Verdict::ejected_again;
+    return was_healthy ? Transition::ejected : Transition::ejected_again;
 }
 
 void OutlierEjection::add_outcome(Server& server, bool success) {
@@ -84,8 +84,9 @@
     return success_rate < kMinSuccessRate * others_rate - kStandardErrors * standard_error;
 }
 
-// Envoy's panic threshold: half of the listed servers stay in the pool, whatever their windows say. Three
-// quarters stay if the failure is slowness: in an overload the slow machines are still needed.
+// As with Envoy's panic threshold, half of the listed servers stay in the pool regardless of their outcome
+// windows. If the failures are slowness, three quarters stay, because an overload needs the slow machines
+// too.
 bool OutlierEjection::may_eject(const AttemptResult& result, bool is_for_slowness) {
     const std::size_t min_servers_per_ejected = is_for_slowness ? 4 : 2;
     return min_servers_per_ejected * (result.ejected_servers + 1) <= result.listed_servers;
--- a/src/balancer/event_context.hpp
+++ b/src/balancer/event_context.hpp
@@ -9,21 +9,23 @@
 
 namespace elmbay::balancer {
 
-/// The event at hand: its time and the list that its actions are appended to.
+/// The event being processed: its time and the list that its actions are appended to.
 ///
-/// Owned by Balancer::Impl. Balancer::handle() calls begin() once for each event; the parts of the module
-/// read the time and add actions. Holds no actions itself.
+/// Owned by Balancer::Impl. Balancer::handle() calls begin() once for each event; the components of the
+/// module read the time and append actions. Does not own the actions.
 class EventContext {
 public:
-    /// Starts an event. Time never goes back, and a reading that is not finite is ignored: one bad clock
-    /// reading must not stay. `actions` must outlive the event.
+    /// Starts the processing of an event. Time never decreases, and a value of `now` that is not finite is
+    /// ignored, so that one wrong clock reading has no lasting effect. `actions` must stay valid until the
+    /// event has been processed.
     void begin(Millis now, std::vector<Action>& actions) {
         if (std::isfinite(now)) now_ = std::max(now_, now);
         actions_ = &actions;
     }
-    /// The time of the event at hand in ms.
+    /// Returns the time of the current event in milliseconds.
     Millis now() const { return now_; }
-    /// Appends an action, built in place. Only between begin() and the end of the event.
+    /// Constructs an action in place at the end of the list. Call only between begin() and the end of the
+    /// event.
     template <class ActionType>
     void emit(ActionType&& action) {
         actions_->emplace_back(std::forward<ActionType>(action));
--- a/src/balancer/final_responder.cpp
+++ b/src/balancer/final_responder.cpp
@@ -18,11 +18,11 @@
         context_->emit(Fail{request.id});
     }
     request.ended = true;
-    requests_->mark_ended(request.id);
+    requests_->mark_for_removal(request.id);
 }
 
-// What is in flight now has half its time left in the mean, and then leaves its place. No sooner than what
-// the request might have waited for capacity.
+// An attempt in flight has on average half of its time left before it frees its capacity. The delay is at
+// least the time that the request might have waited for capacity.
 Millis FinalResponder::retry_after(const Request& request) const {
     const double remaining_share = std::min(1.0, admission_->load_ratio()) / 2;
     return request.request_class.latency_objective * std::max(kMaxWaitShare, remaining_share);
--- a/src/balancer/final_responder.hpp
+++ b/src/balancer/final_responder.hpp
@@ -6,15 +6,15 @@
 
 namespace elmbay::balancer {
 
-/// Gives the module's final responses: a rejection where that is true (Request::may_be_rejected), else a
-/// failure. It is the only place of both.
+/// Emits the final responses of the module: a rejection if Request::may_be_rejected() allows it, otherwise a
+/// failure. No other class emits either.
 ///
-/// Owned by Balancer::Impl; not thread-safe. Holds no state: Request::ended says that a request has its final
-/// response, so each has one at most (rule 1).
+/// Owned by Balancer::Impl; not thread-safe. Stateless: Request::ended records that a request has its final
+/// response, so each request gets at most one (rule 1).
 class FinalResponder {
 public:
-    /// How long a request may wait for capacity, as a share of its objective. What cannot be sent by then had
-    /// better be tried anew. Nor is a rejected client asked to come back sooner.
+    /// The maximum wait for capacity, as a share of the latency objective. A request that cannot be sent by
+    /// then is better retried by the client. It is also the minimum delay recommended for a client's retry.
     static constexpr double kMaxWaitShare = 1.0 / 16;
 
     /// All arguments must outlive the responder.
@@ -22,14 +22,14 @@
                    RequestTable& requests)
         : settings_(&settings), context_(&context), admission_(&admission), requests_(&requests) {}
 
-    /// Gives the final response and cancels what is in flight. No effect on a request that has one, or whose
-    /// response has begun.
+    /// Emits the final response and cancels the attempts in flight. No effect on a request that has its final
+    /// response or whose response is being streamed.
     void finish(Request& request);
-    /// Cancels all attempts in flight, where the settings permit it.
+    /// Cancels all attempts in flight if the settings permit it.
     void cancel_all(const Request& request);
 
 private:
-    // When the client should come back, in milliseconds from now.
+    // Returns the recommended delay before the client's retry, in milliseconds from now.
     Millis retry_after(const Request& request) const;
 
     const Settings* settings_;
--- a/src/balancer/latency_estimate.hpp
+++ b/src/balancer/latency_estimate.hpp
@@ -7,36 +7,37 @@
 
 namespace elmbay::balancer {
 
-/// Estimates how quick a server is: its response time as a share of the latency objective.
+/// Estimates the response time of a server as a share of the latency objective.
 ///
-/// It is the mean of the server's own recent responses. While there are few of them, those of all warm
-/// servers of its machine type stand in: with w the weight of its own responses,
+/// The estimate is the mean of the server's own recent responses. While they are few, the responses of all
+/// warm servers of its machine type supplement them: with w the weight of the server's own responses,
 ///
 ///     estimate = (w * own mean + kMachineTypeWeight * type mean) / (w + kMachineTypeWeight)
 ///
-/// Pick and SlowStart use it. Owned by Balancer::Impl; not thread-safe. Holds one mean for each machine type
-/// that was ever listed; the means of single servers stand in Server.
+/// Used by Pick and SlowStart. Owned by Balancer::Impl; not thread-safe. Holds one mean for each machine type
+/// that was ever listed; Server holds the means of single servers.
 class LatencyEstimate {
 public:
     /// Decay time of a server's own mean, in milliseconds.
     static constexpr Millis kServerDecay = 10000;
     /// Decay time of a machine type's mean, in milliseconds.
     static constexpr Millis kMachineTypeDecay = 60000;
-    /// The machine type counts as much as this many responses of the server's own.
+    /// The weight of the machine type's mean, in responses of the server itself.
     static constexpr double kMachineTypeWeight = 2;
 
-    /// Points the server at the mean of its machine type. Called whenever the list tells of a server.
+    /// Sets the server's pointer to the mean of its machine type. Called for each server of a list.
     void set_machine_type(Server& server) {
         server.machine_type_latency = &machine_types_[server.info.machine_type];
     }
     /// Records a response.
     /// @param latency_ratio the response time over the latency objective
-    /// @param warming_up    the server is in slow start: slow by nature, it says nothing of its machine type
+    /// @param warming_up    the server is in slow start; its responses are slower and do not represent its
+    /// machine type
     void record(Server& server, double latency_ratio, bool warming_up, Millis now) const {
         server.latency.add(latency_ratio, now, kServerDecay);
         if (!warming_up) server.machine_type_latency->add(latency_ratio, now, kMachineTypeDecay);
     }
-    /// The estimate; 0: at once, 1: responses take all of their objective.
+    /// Returns the estimate. 0: immediate responses; 1: responses take the whole latency objective.
     double latency_ratio(const Server& server, Millis now) const {
         const double own_weight = server.latency.value_at(now, kServerDecay);
         const double type_mean = server.machine_type_latency->value;
@@ -45,7 +46,8 @@
     }
 
 private:
-    std::map<std::uint32_t, DecayingAverage> machine_types_;  // servers point at the means: a node container
+    std::map<std::uint32_t, DecayingAverage>
+        machine_types_;  // a node-based container, because servers hold pointers to the means
 };
 
 }  // namespace elmbay::balancer
--- a/src/balancer/learned_state_restorer.cpp
+++ b/src/balancer/learned_state_restorer.cpp
@@ -47,7 +47,7 @@
             state.ejection_remaining_ms = std::max(0.0, server.backoff_until - now);
             break;
         case EjectionState::probing:
-            state.ejection_remaining_ms = 0;  // undecided: the next run probes it at once
+            state.ejection_remaining_ms = 0;  // no result yet: the next run probes the server at once
             break;
     }
     return state;
--- a/src/balancer/learned_state_restorer.hpp
+++ b/src/balancer/learned_state_restorer.hpp
@@ -7,46 +7,52 @@
 
 namespace elmbay::balancer {
 
-/// Restores what an earlier run of the sidecar had learned of its servers, trusted less the older it is
+/// Restores the learned state of servers from an earlier run of the sidecar; older state has less weight
 /// (docs/design/state.md). Also converts between the decaying means of the module and their saved form.
 ///
-/// Restored state may make a server be tried with care, never keep requests from it:
-/// - An ejected server is probed as soon as its ejection time is over, counted on while the sidecar was down.
-/// - A server that has restarted since is another process: nothing but its tokens is restored.
-/// - What the first whole list does not name is forgotten.
-/// - No budget is given anew: tokens of servers in slow start and retries are the lesser of saved and fresh.
+/// Restored state may reduce the requests to a server temporarily, but never withholds requests from it
+/// permanently:
+/// - An ejected server is probed as soon as its ejection time is over. The ejection time continues while the
+///   sidecar is down.
+/// - For a server that has restarted in the meantime, only the slow start tokens are restored, because its
+///   process is another one.
+/// - State of servers that are missing from the first whole list is discarded.
+/// - A restart does not refill budgets: slow start tokens and retries are the minimum of the saved and the
+///   initial values.
 ///
-/// Owned by Balancer::Impl; not thread-safe. Holds kMaxSavedServers servers at most, each until it is listed.
+/// Owned by Balancer::Impl; not thread-safe. Holds the state of at most kMaxSavedServers servers, each until
+/// the server is listed.
 class LearnedStateRestorer {
 public:
-    /// Milliseconds. The record of a server that is older says nothing of now. Means decay by themselves.
+    /// The maximum age of the state of a server, in milliseconds; older state does not describe the present.
+    /// Means decay by themselves.
     static constexpr Millis kMaxAge = 300000;
-    /// Decay time of a saved outcome window, in milliseconds: the oldest outcomes go first.
+    /// Decay time of a saved outcome window, in milliseconds. The oldest outcomes are discarded first.
     static constexpr Millis kOutcomeDecay = 60000;
 
-    /// Takes in a saved state.
-    /// @param learned_state a sanitized one (learned_state_validation.hpp)
-    /// @param age           milliseconds since it was taken. Below 0, above kMaxAge, or not a number: not
-    ///                      trusted, and nothing of it is used.
+    /// Loads a saved state.
+    /// @param learned_state a sanitized state (learned_state_validation.hpp)
+    /// @param age           milliseconds since the state was saved. If it is negative, above kMaxAge or not a
+    ///                      number, none of the state is used.
     void load(const LearnedState& learned_state, Millis age, Millis now);
-    /// Whether a state has been loaded that is recent enough to be used.
+    /// Whether a state that is recent enough has been loaded.
     bool is_trusted() const { return trusted_; }
-    /// When the loaded state was taken: milliseconds on the module's clock.
+    /// Returns the time at which the loaded state was saved: milliseconds on the module's clock.
     Millis taken_at() const { return taken_at_; }
-    /// Gives a server that is new to this run what is known of it, once.
-    /// @param may_eject whether the pool can do without it
+    /// Applies the saved state of a server that is new in this run. Each server's state is applied once.
+    /// @param may_eject whether the pool has enough servers without this one
     void restore(Server& server, bool may_eject, Millis now);
-    /// Forgets the servers that have not been listed.
-    void forget_servers() { servers_.clear(); }
+    /// Discards the state of servers that have not been listed.
+    void discard_servers() { servers_.clear(); }
 
-    /// What is known of a server as of `now`, to be saved.
+    /// Returns the state of a server as of `now`, to be saved.
     static LearnedServerState state_of(const Server& server, Millis now);
-    /// A mean as of `now`, to be saved.
-    static DecayedMean saved(const DecayingAverage& mean, Millis now) {
+    /// Converts a mean to its saved form as of `now`.
+    static DecayedMean save_mean(const DecayingAverage& mean, Millis now) {
         return {mean.value, mean.count, now - mean.updated_at};
     }
-    /// A saved mean. It goes on decaying from `taken_at`.
-    static DecayingAverage restored(const DecayedMean& mean, Millis taken_at) {
+    /// Converts a saved mean back. It continues to decay from `taken_at`.
+    static DecayingAverage restore_mean(const DecayedMean& mean, Millis taken_at) {
         return {{mean.weight, taken_at - mean.last_sample_age_ms}, mean.value};
     }
 
--- a/src/balancer/learned_state_validation.cpp
+++ b/src/balancer/learned_state_validation.cpp
@@ -7,42 +7,42 @@
 
 namespace {
 
-// The ranges that learned_state.hpp states.
-constexpr double kMaxSampleAge = 24 * 3600 * 1000.0;  // a day in milliseconds
+// The ranges documented in learned_state.hpp.
+constexpr double kMaxSampleAge = 24 * 3600 * 1000.0;  // one day in milliseconds
 constexpr double kMaxMean = 100;
 constexpr double kMaxWeight = 10;
 constexpr double kMaxAttempts = 100000;
 constexpr double kMaxCompletionRate = 10000;  // requests per millisecond
 constexpr double kMaxRetries = 10;
-constexpr double kMaxEjection = 10000;  // milliseconds
+constexpr double kMaxEjectionTime = 10000;  // milliseconds
 constexpr double kMaxTokens = 1;
-constexpr double kMaxStart = 1e15;  // Unix milliseconds
+constexpr double kMaxStartTime = 1e15;  // Unix milliseconds
 constexpr std::uint32_t kMaxOutcomes = 20;
 
-// No server can have started then, so nothing is restored but its tokens.
-constexpr double kNoStart = -1;
+// Matches the start time of no server, so that only the tokens of the record are restored.
+constexpr double kUnknownStartTime = -1;
 
-// False for what is not a number.
-bool is_within(double value, double least, double most) { return value >= least && value <= most; }
+// Returns false if the value is not a number.
+bool is_within(double value, double minimum, double maximum) { return value >= minimum && value <= maximum; }
 
-void sanitize(double& value, double least, double most, double unknown) {
-    if (!is_within(value, least, most)) value = unknown;
+void sanitize(double& value, double minimum, double maximum, double fallback) {
+    if (!is_within(value, minimum, maximum)) value = fallback;
 }
 
 void sanitize(DecayedMean& mean) {
-    const bool is_sound = is_within(mean.value, 0, kMaxMean) && is_within(mean.weight, 0, kMaxWeight) &&
+    const bool is_valid = is_within(mean.value, 0, kMaxMean) && is_within(mean.weight, 0, kMaxWeight) &&
                           is_within(mean.last_sample_age_ms, 0, kMaxSampleAge);
-    if (!is_sound) mean = {0, 0, kMaxSampleAge};
+    if (!is_valid) mean = {0, 0, kMaxSampleAge};
 }
 
 void sanitize(LearnedServerState& server) {
-    sanitize(server.online_since, 0, kMaxStart, kNoStart);
+    sanitize(server.online_since, 0, kMaxStartTime, kUnknownStartTime);
     if (server.outcome_count > kMaxOutcomes) {
         server.outcome_count = 0;
         server.outcome_bits = 0;
     }
     const bool has_ejection = server.ejection_remaining_ms.has_value();
-    if (has_ejection && !is_within(*server.ejection_remaining_ms, 0, kMaxEjection)) {
+    if (has_ejection && !is_within(*server.ejection_remaining_ms, 0, kMaxEjectionTime)) {
         server.ejection_remaining_ms.reset();
     }
     sanitize(server.slow_start_tokens, -kMaxTokens, kMaxTokens, kMaxTokens);
--- a/src/balancer/learned_state_validation.hpp
+++ b/src/balancer/learned_state_validation.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Makes a learned state safe to use, whatever file it came from. What follows from it is decided elsewhere.
+/// Validates a learned state, which may come from any file. Its use is implemented elsewhere.
 #pragma once
 
 #include <cstddef>
@@ -8,11 +8,11 @@
 
 namespace elmbay::balancer {
 
-/// Servers in a learned state, at most: as many as a sidecar lists.
+/// The maximum number of servers in a learned state: the number of servers that a sidecar can list.
 constexpr std::size_t kMaxSavedServers = 4096;
 
-/// Brings each field into the range that learned_state.hpp states. One that is not finite or out of range
-/// becomes what stands for 'not known'. Of the servers, the first kMaxSavedServers stay.
+/// Restricts each field to the range documented in learned_state.hpp. A field that is not finite or is out of
+/// range gets the value for unknown. Only the first kMaxSavedServers servers are kept.
 LearnedState sanitize(LearnedState learned_state);
 
 }  // namespace elmbay::balancer
--- a/src/balancer/outcome_accounting.hpp
+++ b/src/balancer/outcome_accounting.hpp
@@ -10,14 +10,14 @@
 
 namespace elmbay::balancer {
 
-/// Records how attempts ended with each part that learns from it: LatencyEstimate, Admission, Aperture
+/// Passes the outcomes of attempts to the components that use them: LatencyEstimate, Admission, Aperture
 /// (completion rates) and OutlierEjection.
 ///
-/// Owned by Balancer::Impl, as all that it records with; not thread-safe. Holds no state of its own.
+/// Owned by Balancer::Impl, as are all referenced objects; not thread-safe. Stateless.
 class OutcomeAccounting {
 public:
-    /// What it records with. All of it outlives the accounting.
-    struct Parts {
+    /// The components that receive the outcomes. All of them must outlive the accounting.
+    struct Components {
         EventContext& context;
         const SlowStart& slow_start;
         LatencyEstimate& latency;
@@ -26,22 +26,22 @@
         OutlierEjection& ejection;
         ServerPool& pool;
     };
-    explicit OutcomeAccounting(const Parts& parts) : parts_(parts) {}
+    explicit OutcomeAccounting(const Components& components) : components_(components) {}
 
-    /// Records the end of an attempt at that server.
+    /// Records the end of an attempt at the given server.
     void record(Server& server, const Request& request, const Attempt& attempt, const AttemptEnded& event);
-    /// Records what an outcome says of the server as an outlier. Logs an ejection or a restoration, and draws
-    /// the pool anew where the server leaves it or comes back.
-    /// @param probe the attempt was the server's probe
-    /// @param late  the attempt ended past its objective
+    /// Passes an outcome to OutlierEjection. Logs an ejection or a restoration, and redraws the pool if the
+    /// server leaves or rejoins it.
+    /// @param probe the attempt was a probe of the server
+    /// @param late  the attempt ended after its latency objective
     void record_outcome(Server& server, Outcome outcome, bool probe, bool late);
 
 private:
-    // What the duration of an attempt says of the server and of the load.
+    // Records the duration of an attempt as a sample of the server's latency and of the load.
     void record_duration(Server& server, const Request& request, const AttemptEnded& event, bool warming_up);
     void record_latency(Server& server, double latency_ratio, bool warming_up);
 
-    Parts parts_;
+    Components components_;
 };
 
 }  // namespace elmbay::balancer
--- a/src/balancer/pick.cpp
+++ b/src/balancer/pick.cpp
@@ -4,32 +4,32 @@
 
 std::size_t Pick::draw_by_weight(std::size_t count, std::size_t excluded) {
     double total_weight = 0;
-    for (std::size_t i = 0; i < count; ++i) {
-        if (i != excluded) total_weight += candidates_[i]->info.weight;
+    for (std::size_t index = 0; index < count; ++index) {
+        if (index != excluded) total_weight += candidates_[index]->info.weight;
     }
     double remaining = random_->uniform() * total_weight;
     std::size_t drawn = 0;
-    for (std::size_t i = 0; i < count; ++i) {
-        if (i == excluded) continue;
-        drawn = i;
-        remaining -= candidates_[i]->info.weight;
+    for (std::size_t index = 0; index < count; ++index) {
+        if (index == excluded) continue;
+        drawn = index;
+        remaining -= candidates_[index]->info.weight;
         if (remaining < 0) break;
     }
     return drawn;
 }
 
 std::size_t Pick::move_preferred_zone_first() {
-    spare_.clear();
+    fallback_candidates_.clear();
     std::size_t preferred_count = 0;
     for (Server* server : candidates_) {
         if (server->info.zone == *preferred_zone_) {
             candidates_[preferred_count++] = server;
         } else {
-            spare_.push_back(server);
+            fallback_candidates_.push_back(server);
         }
     }
     const auto others = candidates_.begin() + static_cast<std::ptrdiff_t>(preferred_count);
-    std::copy(spare_.begin(), spare_.end(), others);
+    std::copy(fallback_candidates_.begin(), fallback_candidates_.end(), others);
     return preferred_count;
 }
 
@@ -46,21 +46,21 @@
         draw_by_weight(preferred_count > 0 ? preferred_count : candidates_.size(), nothing_excluded);
     if (candidates_.size() == 1) return candidates_[first];
     const std::size_t second = draw_by_weight(candidates_.size(), first);
-    const Server& a = *candidates_[first];
-    const Server& b = *candidates_[second];
+    const Server& first_server = *candidates_[first];
+    const Server& second_server = *candidates_[second];
 
-    // How many requests more the first may have in flight and still win.
+    // The number of additional requests that the first server may have in flight and still be chosen.
     const bool only_first_is_near = preferred_count > 0 && second >= preferred_count;
     const int allowance = only_first_is_near && crossing_costs_more_than_delay(load_level) ? 1 : 0;
 
-    const auto load = [&](const Server& server, int more) {
-        const int held = session ? static_cast<int>(server.sessions) : server.in_flight;
-        return (held + more) / server.info.weight;
+    const auto load = [&](const Server& server, int extra) {
+        const int held_count = session ? static_cast<int>(server.sessions) : server.in_flight;
+        return (held_count + extra) / server.info.weight;
     };
-    if (load(b, allowance) < load(a, 0)) return candidates_[second];
-    const bool latency_decides = load(b, 0) == load(a, 0) && !only_first_is_near;
-    const bool second_is_quicker =
-        latency_decides && latency_->latency_ratio(b, now) < latency_->latency_ratio(a, now);
+    if (load(second_server, allowance) < load(first_server, 0)) return candidates_[second];
+    const bool latency_decides = load(second_server, 0) == load(first_server, 0) && !only_first_is_near;
+    const bool second_is_quicker = latency_decides && latency_->latency_ratio(second_server, now) <
+                                                          latency_->latency_ratio(first_server, now);
     return candidates_[second_is_quicker ? second : first];
 }
 
--- a/src/balancer/request.cpp
+++ b/src/balancer/request.cpp
@@ -22,7 +22,8 @@
     return nullptr;
 }
 
-// The window runs from the decision on the first attempt: no server can have seen it sooner.
+// The deduplication window counts from the time of the decision to send the first attempt. No server can have
+// received the attempt earlier.
 Millis Request::write_by() const {
     const Attempt* first = first_possible_execution();
     if (!first || request_class.idempotency == Idempotency::idempotent) {
@@ -49,7 +50,7 @@
     if (!server.accepts_requests()) return false;  // rule 3
     const bool may_hedge = settings.allow_hedging && request_class.idempotency != Idempotency::non_idempotent;
     if (any_in_flight() && !may_hedge) return false;
-    if (now >= write_by()) return false;  // rule 2, as what follows
+    if (now >= write_by()) return false;  // rule 2, as are the checks below
     if (request_class.idempotency != Idempotency::idempotency_key) return true;
     return std::all_of(attempts.begin(), attempts.end(), [&](const Attempt& attempt) {
         return !attempt.may_have_run || in_dedup_scope(attempt, server.info);
@@ -60,7 +61,7 @@
     if (ended || streaming) return false;
     const bool may_run_again = request_class.idempotency == Idempotency::idempotent;
     if (!first_possible_execution() || may_run_again) return true;
-    // The client's next try may reach any server.
+    // The client's retry may reach any server.
     return request_class.dedup_scope == DedupScope::all && retry_at < write_by();
 }
 
--- a/src/balancer/request_table.cpp
+++ b/src/balancer/request_table.cpp
@@ -12,8 +12,8 @@
     return &entry->second;
 }
 
-void RequestTable::forget_ended(Sessions& sessions) {
-    for (const RequestId id : ended_) {
+void RequestTable::remove_ended(Sessions& sessions) {
+    for (const RequestId id : marked_) {
         const auto entry = requests_.find(id);
         if (entry == requests_.end()) continue;
         const Request& request = entry->second;
@@ -21,7 +21,7 @@
         if (request.session) sessions.end_upgrade();
         requests_.erase(entry);
     }
-    ended_.clear();
+    marked_.clear();
 }
 
 }  // namespace elmbay::balancer
--- a/src/balancer/send_gate.hpp
+++ b/src/balancer/send_gate.hpp
@@ -8,13 +8,14 @@
 
 namespace elmbay::balancer {
 
-/// Decides whether the four rules let a request go to a server now. Every attempt passes it.
+/// Decides whether the four rules allow sending a request to a server now. Every attempt must pass this
+/// check.
 ///
-/// Rules 1 to 3 (one final response, no effect twice, no request to a draining server) are
-/// Request::may_be_sent_to(); rule 4 (no server in slow start is overloaded) is SlowStart.
+/// Rules 1 to 3 (one final response, no effect twice, no request to a draining server) are checked by
+/// Request::may_be_sent_to(); rule 4 (no server in slow start is overloaded) is checked by SlowStart.
 ///
-/// Owned by Balancer::Impl, as all that it refers to. Dispatcher asks it for each server that it considers,
-/// and sends to no other. Holds no state.
+/// Owned by Balancer::Impl, as are all referenced objects. Dispatcher checks each server that it considers
+/// and sends requests to no other server. Stateless.
 class SendGate {
 public:
     /// All arguments must outlive the gate.
@@ -31,7 +32,7 @@
         return slow_start_->is_warming_up(server, now);
     }
 
-    /// Whether the request may go to that server. Brings the tokens of a server in slow start up to date.
+    /// Whether the request may be sent to the given server. Refills the tokens of a server in slow start.
     bool may_send(const Request& request, Server& server, Millis now) const {
         if (request.session && !sessions_->has_capacity_at(server)) return false;
         if (!request.may_be_sent_to(server, *settings_, now)) return false;                // rules 1 to 3
--- a/src/balancer/server.hpp
+++ b/src/balancer/server.hpp
@@ -10,13 +10,13 @@
 
 namespace elmbay::balancer {
 
-/// The last outcomes of one server, kSize of them at most.
+/// The last outcomes of one server, at most kSize.
 class OutcomeWindow {
 public:
-    /// Outcomes in a full window, as Linkerd's successRate failure accrual has it (DESIGN).
+    /// The number of outcomes in a full window, as in Linkerd's successRate failure accrual (DESIGN).
     static constexpr std::uint32_t kSize = 20;
 
-    /// Adds an outcome. The oldest one of a full window goes.
+    /// Adds an outcome. If the window is full, the oldest outcome is removed.
     void add(bool success) {
         bits_ = ((bits_ << 1) | (success ? 1U : 0U)) & ((1U << kSize) - 1);
         filled_ = std::min(filled_ + 1, kSize);
@@ -26,11 +26,11 @@
         bits_ = 0;
         filled_ = 0;
     }
-    /// Outcomes in the window, 0 to kSize.
+    /// Returns the number of outcomes in the window, 0 to kSize.
     std::uint32_t filled() const { return filled_; }
-    /// One bit for each outcome, 1 for a success. The newest is the lowest bit.
+    /// Returns one bit for each outcome, 1 for a success. The lowest bit is the newest outcome.
     std::uint32_t bits() const { return bits_; }
-    /// Successes in the window, 0 to filled().
+    /// Returns the number of successes in the window, 0 to filled().
     std::uint32_t successes() const { return static_cast<std::uint32_t>(std::popcount(bits_)); }
 
 private:
@@ -38,48 +38,50 @@
     std::uint32_t filled_ = 0;
 };
 
-/// What OutlierEjection has decided on a server.
+/// The ejection state of a server, set by OutlierEjection.
 ///
 ///     healthy --(success rate too low)--> ejected --(ejection time over, a request is sent)--> probing
 ///     probing --(the request succeeds)--> healthy
-///     probing --(it fails, or says nothing)--> ejected
+///     probing --(the request fails, or its outcome is inconclusive)--> ejected
 enum class EjectionState { healthy, ejected, probing };
 
-/// All that is known of one server.
+/// The state of one server.
 ///
-/// Owned by ServerTable. Each field is kept by the class that its comment names; others only read it.
+/// Owned by ServerTable. The comment of each field names the class that maintains the field; other classes
+/// only read it.
 struct Server {
     /// The latest entry of the endpoint list.
     ServerInfo info;
-    /// ServerAges: which process it is, and when that started on the module's clock.
+    /// ServerAges: the current process of the server and its start time on the module's clock.
     ServerAges::Process process;
-    /// ServerTable: whether the endpoint list names it.
+    /// ServerTable: whether the server is in the endpoint list.
     bool listed = true;
-    /// Dispatcher and OutcomeAccounting: attempts of this sidecar in flight there.
+    /// Dispatcher and OutcomeAccounting: attempts of this sidecar in flight at the server.
     int in_flight = 0;
-    /// Dispatcher and Balancer::Impl: sessions of this sidecar there, and upgrades in flight there.
+    /// Dispatcher and Balancer::Impl: sessions of this sidecar at the server, including upgrades in flight.
     std::size_t sessions = 0;
-    /// ServerTable: drawn once at random, for Aperture; sidecars differ by it.
+    /// ServerTable: a random rank, drawn once and used by Aperture. Different sidecars draw different ranks.
     std::uint64_t rank = 0;
-    /// Aperture: whether it is in the pool.
+    /// Aperture: whether the server is in the pool.
     bool in_pool = false;
-    /// OutlierEjection: whether it is ejected.
+    /// OutlierEjection: whether the server is ejected.
     EjectionState ejection_state = EjectionState::healthy;
-    /// OutlierEjection: its last outcomes.
+    /// OutlierEjection: the last outcomes of the server.
     OutcomeWindow window;
-    /// OutlierEjection: when an ejected server is due for a probe, in milliseconds.
+    /// OutlierEjection: the time at which the probe of an ejected server is due, in milliseconds.
     Millis backoff_until = 0;
-    /// SlowStart: requests that a server in slow start may still be sent, -1 to 1, as of
+    /// SlowStart: the tokens of a server in slow start, one for each request, -1 to 1, as of
     /// slow_start_tokens_at.
     double slow_start_tokens = 0;
-    /// SlowStart: when the tokens were last brought up to date, in milliseconds.
+    /// SlowStart: the time of the last refill of the tokens, in milliseconds.
     Millis slow_start_tokens_at = 0;
-    /// LatencyEstimate: the latency ratio of all warm servers of its machine type. Never null once listed.
+    /// LatencyEstimate: the mean latency ratio of all warm servers of the same machine type. Not null once
+    /// listed.
     DecayingAverage* machine_type_latency = nullptr;
-    /// LatencyEstimate: the latency ratio of its own responses.
+    /// LatencyEstimate: the mean latency ratio of the server's own responses.
     DecayingAverage latency;
 
-    /// Whether the endpoint list lets new requests go there (rule 3).
+    /// Whether the endpoint list allows new requests to the server (rule 3).
     bool accepts_requests() const { return listed && info.state == EndpointState::active; }
 };
 
--- a/src/balancer/server_table.cpp
+++ b/src/balancer/server_table.cpp
@@ -11,19 +11,19 @@
     list_size_ = std::max(list.servers.size(), servers_.size());
     ages_->record_list(list, now);
     if (list.kind == ListKind::incremental) {
-        change(list.servers, now);
+        apply_changes(list.servers, now);
     } else {
-        replace(list.servers, now);
+        apply_snapshot(list.servers, now);
     }
-    if (list.kind == ListKind::snapshot) restorer_->forget_servers();
+    if (list.kind == ListKind::snapshot) restorer_->discard_servers();
 }
 
-void ServerTable::replace(const std::vector<ServerInfo>& list, Millis now) {
+void ServerTable::apply_snapshot(const std::vector<ServerInfo>& list, Millis now) {
     for (auto& [id, server] : servers_) server.listed = false;
     for (const ServerInfo& info : list) update_server(info, now);
     std::erase_if(servers_, [this](const auto& entry) {
         if (!is_unused(entry.second)) return false;
-        ages_->forget(entry.first);
+        ages_->mark_departed(entry.first);
         return true;
     });
     std::vector<Server*> all;
@@ -31,19 +31,19 @@
     aperture_->set_servers(all);
 }
 
-void ServerTable::change(const std::vector<ServerInfo>& list, Millis now) {
+void ServerTable::apply_changes(const std::vector<ServerInfo>& list, Millis now) {
     for (const ServerInfo& info : list) {
         if (Server* known = find(info.id)) aperture_->remove(known);
         aperture_->add(&update_server(info, now));
     }
     for (const ServerInfo& info : list) {
-        if (Server* server = find(info.id)) forget_if_unused(*server);
+        if (Server* server = find(info.id)) remove_if_unused(*server);
     }
 }
 
-void ServerTable::forget_if_unused(Server& server) {
+void ServerTable::remove_if_unused(Server& server) {
     if (!is_unused(server)) return;
-    ages_->forget(server.info.id);
+    ages_->mark_departed(server.info.id);
     aperture_->remove(&server);
     servers_.erase(server.info.id);
 }
@@ -66,7 +66,7 @@
     return server;
 }
 
-// Half of the list stays in the pool, whatever the restored state says of it.
+// Half of the listed servers stay in the pool, regardless of the restored state.
 void ServerTable::restore(Server& server, Millis now) {
     const bool may_eject = 2 * (restored_ejected_ + 1) <= list_size_;
     restorer_->restore(server, may_eject, now);
--- a/src/balancer/server_table.hpp
+++ b/src/balancer/server_table.hpp
@@ -12,12 +12,12 @@
 
 namespace elmbay::balancer {
 
-/// The servers that the endpoint list names, and those that it no longer names but where an attempt or a
-/// session of this sidecar is left.
+/// The servers of the endpoint list, and unlisted servers that still have an attempt or a session of this
+/// sidecar.
 ///
-/// Owned by Balancer::Impl; owns the Server records. Aperture points at them, so the table removes a server
-/// there before it destroys the record. Not thread-safe. Bound: the length of the list, which the driver
-/// limits, and what is in flight at servers that have left it.
+/// Owned by Balancer::Impl; owns the Server records. Aperture holds pointers to them, so the table removes a
+/// server from Aperture before destroying the record. Not thread-safe. Bounded by the length of the list,
+/// which the driver limits, plus the attempts and sessions at unlisted servers.
 class ServerTable {
 public:
     /// All arguments must outlive the table.
@@ -25,31 +25,32 @@
                 ServerAges& ages)
         : random_(&random), latency_(&latency), restorer_(&restorer), aperture_(&aperture), ages_(&ages) {}
 
-    /// Takes in a list of any kind but ListKind::failed. The pool has to be drawn anew next.
+    /// Applies a list of any kind except ListKind::failed. The caller redraws the pool next.
     void apply(const ServerList& list, Millis now);
-    /// Forgets a server that is not listed, once nothing of this sidecar is left there. `server` may dangle
-    /// then.
-    void forget_if_unused(Server& server);
+    /// Removes a server that is not listed and has no attempt or session of this sidecar. `server` may then
+    /// be dangling.
+    void remove_if_unused(Server& server);
 
-    /// nullptr: unknown, or forgotten.
+    /// Returns the server; nullptr if it is unknown or removed.
     Server* find(ServerId id);
-    /// All servers, by id.
+    /// Returns all servers by id.
     const std::map<ServerId, Server>& servers() const { return servers_; }
-    /// Whether no server is known.
+    /// Whether the table has no servers.
     bool empty() const { return servers_.empty(); }
-    /// Servers that are known.
+    /// Returns the number of servers in the table.
     std::size_t size() const { return servers_.size(); }
 
 private:
     static bool is_unused(const Server& server) {
         return !server.listed && server.in_flight == 0 && server.sessions == 0;
     }
-    // Takes in a whole list: what it does not name has left. Linear in the fleet.
-    void replace(const std::vector<ServerInfo>& list, Millis now);
-    // Takes in an incremental list. Its cost is that of the entries, whatever the fleet holds.
-    void change(const std::vector<ServerInfo>& list, Millis now);
+    // Applies a whole list; a server that is missing from it is no longer listed. Linear in the fleet.
+    void apply_snapshot(const std::vector<ServerInfo>& list, Millis now);
+    // Applies an incremental list. The cost depends on the number of its entries and not on the size of the
+    // fleet.
+    void apply_changes(const std::vector<ServerInfo>& list, Millis now);
     Server& update_server(const ServerInfo& info, Millis now);
-    // Gives a new server what an earlier run had learned of it.
+    // Restores the learned state of a new server.
     void restore(Server& server, Millis now);
 
     Random* random_;
@@ -58,8 +59,8 @@
     Aperture* aperture_;
     ServerAges* ages_;
     std::map<ServerId, Server> servers_;
-    std::size_t list_size_ = 0;  // entries of the list at hand, or servers known before it if those are more
-    std::size_t restored_ejected_ = 0;  // servers that were restored as ejected
+    std::size_t list_size_ = 0;  // entries of the current list, or servers before it if there were more
+    std::size_t restored_ejected_ = 0;  // number of servers restored as ejected
 };
 
 }  // namespace elmbay::balancer
--- a/src/balancer/settings_validation.cpp
+++ b/src/balancer/settings_validation.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-// Settings are named by the keys that operators know them by.
-void require(bool is_sound, const std::string& setting) {
-    if (!is_sound) throw InvalidSetting(setting);
+// Errors name a setting by its key in the operator's file.
+void require(bool is_valid, const std::string& setting) {
+    if (!is_valid) throw InvalidSetting(setting);
 }
 
 void require_not_negative(double value, const std::string& setting) {
@@ -27,22 +27,22 @@
     require_share(request_class.late_weight, prefix + "late_worth");
 }
 
-std::string element(const char* list, std::size_t index) {
-    return std::string(list) + "[" + std::to_string(index) + "].";
+std::string element_prefix(const char* list_key, std::size_t index) {
+    return std::string(list_key) + "[" + std::to_string(index) + "].";
 }
 
 }  // namespace
 
 InvalidSetting::InvalidSetting(const std::string& setting)
-    : std::invalid_argument("elmbay: setting makes no sense: " + setting), setting_(setting) {}
+    : std::invalid_argument("elmbay: invalid setting: " + setting), setting_(setting) {}
 
 void validate(const Settings& settings) {
-    require(!settings.classes.empty(), "classes (none given)");
+    require(!settings.classes.empty(), "classes (must not be empty)");
     for (std::size_t i = 0; i < settings.classes.size(); ++i) {
-        validate(settings.classes[i], element("classes", i));
+        validate(settings.classes[i], element_prefix("classes", i));
     }
     for (std::size_t i = 0; i < settings.tenants.size(); ++i) {
-        require_not_negative(settings.tenants[i].quota, element("tenants", i) + "quota");
+        require_not_negative(settings.tenants[i].quota, element_prefix("tenants", i) + "quota");
     }
     require(settings.max_attempts >= 1, "max_attempts");
     require_not_negative(settings.slow_start_duration, "warm_within");
--- a/src/balancer/slow_start.hpp
+++ b/src/balancer/slow_start.hpp
@@ -4,66 +4,70 @@
 
 namespace elmbay::balancer {
 
-/// Decides how many requests a server in slow start may be sent (rule 4: no server in slow start is
-/// overloaded).
+/// Limits the requests to a server in slow start (rule 4: no server in slow start is overloaded).
 ///
-/// A server of age a can do this share of the work of a warm one:
+/// A server of age a has this share of the capacity of a warm server:
 ///
 ///     share(a) = min_share + (1 - min_share) * min(1, a / duration)
 ///
-/// It is sent share(a) of what a warm server of its machine type completes for this sidecar, times a feed
-/// factor. The factor is kOverloadMargin of the overload multiple while the server responds in time, else 1.
-/// Summed over all sidecars that stays within what the server can do, without any agreement among them.
+/// The server is sent share(a) of the rate that a warm server of its machine type completes for this sidecar,
+/// times a rate factor. The factor is kOverloadMargin times the overload multiple while the server responds
+/// in time, and 1 otherwise. The sum over all sidecars stays within the capacity of the server, without
+/// coordination between sidecars.
 ///
-/// The measure is what servers complete, not what they are sent or asked for: in a storm of retries those are
-/// many times what a warm server can do. It is that of the server's own machine type, as what a large machine
-/// completes would overload a small one.
+/// The rate is based on completed requests and not on sent or arriving requests, because in a retry storm
+/// these exceed the capacity of a warm server many times. It is measured for each machine type, because the
+/// completion rate of a large machine would overload a small one.
 ///
-/// A token bucket of one keeps to the rate: one token is one request, and nothing is saved up for a burst.
-/// The tokens stand in Server; this class holds settings only.
+/// A token bucket with a capacity of one token enforces the rate: one token permits one request, and no burst
+/// can accumulate. Server holds the tokens; this class holds only settings.
 ///
-/// Owned by Balancer::Impl. Its const functions change the Server that they are given; not thread-safe.
+/// Owned by Balancer::Impl. Its const functions modify the Server passed to them; not thread-safe.
 class SlowStart {
 public:
-    /// The share of the overload multiple that is used. The rest covers machines that differ within a type.
+    /// The share of the overload multiple that is used. The remainder allows for differences between machines
+    /// of one type.
     static constexpr double kOverloadMargin = 0.7;
-    /// Above this share of the objective a server's responses are slow, and it gets its plain share only.
+    /// The share of the latency objective above which a server counts as slow and is sent its plain share
+    /// only.
     static constexpr double kSlowLatencyRatio = 0.55;
 
-    /// The traffic of this sidecar that the tokens are a share of.
+    /// The traffic that determines the tokens.
     struct Traffic {
         /// Requests per millisecond that a warm server of the same machine type completes for this sidecar.
         double completion_rate = 0;
-        /// Sidecars that have the server in their pool, at least 1.
+        /// The number of sidecars that have the server in their pool, at least 1.
         double sidecars = 1;
-        /// Milliseconds within which all these sidecars together may probe the server `probes` times.
+        /// The time within which all these sidecars together may probe the server `probes` times, in
+        /// milliseconds.
         Millis probe_interval = 10000;
-        /// Requests that all these sidecars together may send it in that time, whatever its share.
+        /// The number of requests that all these sidecars together may send in that time, regardless of the
+        /// share.
         double probes = 4;
     };
 
-    /// @param settings validated ones
+    /// @param settings validated settings
     explicit SlowStart(const Settings& settings)
         : min_share_(settings.slow_start_min_share),
           duration_(settings.slow_start_duration),
           overload_multiple_(settings.overload_multiple) {}
 
-    /// Whether the server is in slow start. If not, it is warm.
+    /// Whether the server is in slow start. Otherwise it is warm.
     bool is_warming_up(const Server& server, Millis now) const {
         return duration_ > 0 && now < server.process.started_at + duration_;
     }
     /// Empties the bucket of a server that is new or has restarted.
-    /// @param debt tokens below zero that it starts with, 0 to 1. Drawn at random, as the first requests of
-    ///             different sidecars must not fall together.
+    /// @param debt tokens below zero at the start, 0 to 1. Drawn at random, so that the first requests of
+    ///             different sidecars do not coincide.
     static void begin(Server& server, double debt, Millis now) {
         server.slow_start_tokens = -debt;
         server.slow_start_tokens_at = now;
     }
-    /// Brings the tokens of a server up to date and returns them, -1 to 1. One may be sent for each whole
+    /// Refills the tokens of a server and returns them, -1 to 1. One request may be sent for each whole
     /// token.
     /// @param latency_ratio the server's response time over the latency objective
     double refill_tokens(Server& server, const Traffic& traffic, double latency_ratio, Millis now) const;
-    /// A request is sent to the server.
+    /// Takes a token for a request that is sent to the server.
     static void take_token(Server& server) { server.slow_start_tokens -= 1; }
 
 private:
--- a/src/balancer/subscription_backoff.hpp
+++ b/src/balancer/subscription_backoff.hpp
@@ -7,30 +7,30 @@
 
 namespace elmbay::balancer {
 
-/// Exponential backoff with jitter between failed calls for the endpoint list.
+/// Exponential backoff with jitter between failed requests for the endpoint list.
 ///
-/// The list is one service for all sidecars, so each comes back later and not in step with the others.
+/// All sidecars use one list service, so the jitter keeps them from retrying at the same time.
 ///
-/// Owned by Balancer::Impl; not thread-safe. Of fixed size.
+/// Owned by Balancer::Impl; not thread-safe. Fixed size.
 class SubscriptionBackoff {
 public:
-    /// Mean wait after the first failure, in milliseconds.
-    static constexpr Millis kFirst = 1000;
-    /// Mean wait after many failures, in milliseconds.
-    static constexpr Millis kMost = 8 * kFirst;
+    /// Mean delay after the first failure, in milliseconds.
+    static constexpr Millis kInitialMeanDelay = 1000;
+    /// Mean delay after many failures, in milliseconds.
+    static constexpr Millis kMaxMeanDelay = 8 * kInitialMeanDelay;
 
-    /// The wait after a failed call, in milliseconds: half to one and a half of the mean. The mean then
-    /// doubles, up to kMost.
-    Millis next(Random& random) {
-        const Millis wait = mean_ * (0.5 + random.uniform());
-        mean_ = std::min(mean_ * 2, kMost);
+    /// Returns the delay after a failed request, in milliseconds: half to one and a half times the mean. The
+    /// mean then doubles, up to kMaxMeanDelay.
+    Millis next_delay(Random& random) {
+        const Millis wait = mean_delay_ * (0.5 + random.uniform());
+        mean_delay_ = std::min(mean_delay_ * 2, kMaxMeanDelay);
         return wait;
     }
-    /// The list service has answered.
-    void reset() { mean_ = kFirst; }
+    /// Resets the delay after a response of the list service.
+    void reset() { mean_delay_ = kInitialMeanDelay; }
 
 private:
-    Millis mean_ = kFirst;
+    Millis mean_delay_ = kInitialMeanDelay;
 };
 
 }  // namespace elmbay::balancer
--- a/src/balancer/timer_table.hpp
+++ b/src/balancer/timer_table.hpp
@@ -8,39 +8,39 @@
 
 namespace elmbay::balancer {
 
-/// The timers that have been set and have not fired, and what each is for.
+/// The timers that have been set and have not fired, with their purpose.
 ///
-/// Owned by Balancer::Impl; not thread-safe. Bound: two timers for each request (deadline, end of its wait)
-/// and one for each failed call for the endpoint list; each leaves when it fires. Tokens count up from 1 and
-/// are never used twice.
+/// Owned by Balancer::Impl; not thread-safe. Bounded by two timers for each request (its deadline and the end
+/// of its wait) and one for each failed request for the endpoint list; a timer is removed when it fires.
+/// Tokens are numbered from 1 and never reused.
 class TimerTable {
 public:
-    /// What a timer is for.
+    /// The purpose of a timer.
     struct Timer {
-        std::optional<RequestId> request;  ///< none: another call for the endpoint list
+        std::optional<RequestId> request;  ///< none: the next request for the endpoint list
     };
 
     /// @param context must outlive the table
     explicit TimerTable(EventContext& context) : context_(&context) {}
 
-    /// Asks the driver for a timer.
-    /// @param at milliseconds on the module's clock
+    /// Sets a timer in the driver.
+    /// @param at the due time, in milliseconds on the module's clock
     void set_timer(Millis at, std::optional<RequestId> request) {
         const TimerToken token = next_token_++;
         timers_[token] = Timer{request};
         context_->emit(SetTimer{at, token});
     }
-    /// Takes out the timer that has fired. None: the token is unknown or has fired before.
+    /// Removes and returns the timer that has fired. Empty if the token is unknown or has already fired.
     std::optional<Timer> take(TimerToken token) {
         const auto timer = timers_.extract(token);
         return timer ? std::optional(timer.mapped()) : std::nullopt;
     }
-    /// Timers that have not fired.
+    /// Returns the number of timers that have not fired.
     std::size_t size() const { return timers_.size(); }
 
 private:
     EventContext* context_;
-    std::unordered_map<TimerToken, Timer> timers_;  // never iterated: its order is not reproducible
+    std::unordered_map<TimerToken, Timer> timers_;  // not iterated, because the order is not reproducible
     TimerToken next_token_ = 1;
 };
 
--- a/src/balancer/wait_queue.cpp
+++ b/src/balancer/wait_queue.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-bool goes_first(const Request& left, const Request& right) {
+bool has_precedence(const Request& left, const Request& right) {
     const double left_weight = left.request_class.priority_weight;
     const double right_weight = right.request_class.priority_weight;
     if (left_weight != right_weight) return left_weight > right_weight;
@@ -23,13 +23,13 @@
         return !request || request->ended || request->any_in_flight();
     });
     std::sort(waiting.begin(), waiting.end(), [&](RequestId left, RequestId right) {
-        return goes_first(requests.at(left), requests.at(right));
+        return has_precedence(requests.at(left), requests.at(right));
     });
     return waiting;
 }
 
 void WaitQueue::purge_ended(const RequestTable& requests) {
-    if (waiting_.size() <= 2 * requests.size() + kSlack) return;
+    if (waiting_.size() <= 2 * requests.size() + kMaxExtraEntries) return;
     std::erase_if(waiting_, [&](RequestId id) {
         const Request* request = requests.find(id);
         return !request || request->ended;
--- a/src/balancer/wait_queue.hpp
+++ b/src/balancer/wait_queue.hpp
@@ -7,30 +7,31 @@
 
 namespace elmbay::balancer {
 
-/// The requests that wait for capacity or for a server, by id.
+/// The ids of requests that wait for capacity or for a server.
 ///
-/// Owned by Balancer::Impl; not thread-safe. It may name requests that have ended or have been sent since.
-/// purge_ended() bounds those: after each event the queue has at most twice the requests of the table and
-/// kSlack entries.
+/// Owned by Balancer::Impl; not thread-safe. The queue may contain requests that have ended or have been sent
+/// in the meantime. purge_ended() bounds their number: after each event the queue has at most
+/// kMaxExtraEntries entries plus twice the number of requests in the table.
 class WaitQueue {
 public:
-    /// Entries that the queue may always have, whatever the table holds.
-    static constexpr std::size_t kSlack = 64;
+    /// The number of entries that the queue may have in addition to twice the requests of the table.
+    static constexpr std::size_t kMaxExtraEntries = 64;
 
-    /// Adds a request. It may be in the queue already.
+    /// Adds a request, which may already be in the queue.
     void push(RequestId id) { waiting_.push_back(id); }
-    /// Whether the queue has no entries, not even those of ended requests.
+    /// Whether the queue has no entries, including entries of ended requests.
     bool empty() const { return waiting_.empty(); }
-    /// Entries, those of ended requests among them.
+    /// Returns the number of entries, including entries of ended requests.
     std::size_t size() const { return waiting_.size(); }
 
-    /// Empties the queue and returns the requests that still wait: the highest priority weight first, and of
-    /// one weight the newest first. In an overload the oldest is of least use to its client.
+    /// Empties the queue and returns the requests that still wait: the highest priority weight first, and for
+    /// equal weights the newest first. In an overload, serving the oldest request has the least value for its
+    /// client.
     std::vector<RequestId> take(const RequestTable& requests);
 
-    /// Removes entries of ended requests, once they could be half of the queue; that is one step for each
-    /// event in the mean. With no server, or with an open circuit, take() is not called and they would pile
-    /// up.
+    /// Removes entries of ended requests once they may be half of the queue; the mean cost is one step for
+    /// each event. Without servers, or with an open circuit, take() is not called and these entries would
+    /// accumulate.
     void purge_ended(const RequestTable& requests);
 
 private:
--- a/tests/balancer/admission_test.cpp
+++ b/tests/balancer/admission_test.cpp
@@ -1,4 +1,4 @@
-// How many attempts may be in flight, and whose (Admission).
+// Tests of Admission: how many attempts may be in flight, and for which requests.
 #include "balancer/admission.hpp"
 
 #include <gtest/gtest.h>
@@ -8,11 +8,12 @@
 namespace elmbay::balancer::test {
 namespace {
 
-// Draws for Admission::may_start_attempt: any share of the requests passes the first, hardly any the second.
+// Random draws for Admission::may_start_attempt. Any limit above 0 admits the lowest draw; hardly any limit
+// below 1 admits the highest.
 const auto kLowestDraw = [] { return 0.0; };
 const auto kHighestDraw = [] { return 0.999; };
 
-// The number of attempts that may be in flight at once, up to 5000.
+// Returns the number of attempts that may be in flight at once, up to 5000.
 std::size_t limit_of(const Admission& admission, Millis now,
                      const RequestClass& request_class = settings_of(1).classes[0], bool is_retry = false,
                      double tenant_share = 1) {
@@ -29,11 +30,11 @@
     Admission admission(settings_of(4));
     admission.set_warm_servers(12);
     EXPECT_EQ(limit_of(admission, kNow), 60U)
-        << "nothing learned yet: five times its share of four at each server";
-    // A long time with 20 in flight at a load ratio of 0.2: the ceiling is 20 * 0.55 / 0.2.
+        << "no limit learned yet: five times this sidecar's share of four attempts at each server";
+    // 20 attempts stay in flight for a long time at a load ratio of 0.2: the ceiling is 20 * 0.55 / 0.2.
     for (int i = 0; i < 5000; ++i) admission.record_latency(0.2, 19, kNow + i * 10);
     EXPECT_NEAR(limit_of(admission, kNow + 50000), 56, 2);
-    // A night without a request: all decays but the lowest ceiling.
+    // After ten hours without a request, everything has decayed except the lowest ceiling.
     EXPECT_NEAR(limit_of(admission, kNow + 50000), 56, 2);
     admission.record_latency(0.2, 0, kNow + 10 * 3600e3);
     EXPECT_NEAR(limit_of(admission, kNow + 10 * 3600e3), 24, 1);
@@ -68,7 +69,7 @@
     EXPECT_FALSE(quiet.is_busy());
 }
 
-TEST(AdmissionTest, CeilingShrinksWithTheWarmServers) {
+TEST(AdmissionTest, CeilingShrinksWithTheNumberOfWarmServers) {
     Admission admission(settings_of(4));
     admission.set_warm_servers(12);
     for (int i = 0; i < 5000; ++i) admission.record_latency(0.1, 39, kNow + i * 10);
@@ -78,20 +79,21 @@
     EXPECT_NEAR(limit_of(admission, kNow + 50000), all / 2.0, all / 8.0);
 }
 
-// Servers that are ejected and restored all the time, as those that fail fast are, carry as much as ever.
-TEST(AdmissionTest, ServersThatComeAndGoDoNotLowerTheCeiling) {
+// Servers that are ejected and restored repeatedly, such as servers that fail fast, keep their capacity. The
+// ceiling must not follow their absence.
+TEST(AdmissionTest, RepeatedEjectionAndRestorationDoNotLowerTheCeiling) {
     Admission steady(settings_of(4));
-    Admission coming_and_going(settings_of(4));
+    Admission ejecting_and_restoring(settings_of(4));
     for (int i = 0; i < 12000; ++i) {
         const Millis now = kNow + i * 10;
         steady.set_warm_servers(12);
-        if (i % 100 == 0) coming_and_going.set_warm_servers(8);
-        coming_and_going.set_warm_servers(12);
+        if (i % 100 == 0) ejecting_and_restoring.set_warm_servers(8);
+        ejecting_and_restoring.set_warm_servers(12);
         steady.record_latency(0.1, 39, now);
-        coming_and_going.record_latency(0.1, 39, now);
+        ejecting_and_restoring.record_latency(0.1, 39, now);
     }
     const Millis end = kNow + 120000;
-    EXPECT_GE(static_cast<double>(limit_of(coming_and_going, end)),
+    EXPECT_GE(static_cast<double>(limit_of(ejecting_and_restoring, end)),
               0.95 * static_cast<double>(limit_of(steady, end)));
 }
 
@@ -99,7 +101,7 @@
     Admission admission(settings_of(4));
     admission.set_warm_servers(12);
     for (int i = 0; i < 2000; ++i) admission.record_latency(1.5, 5, kNow + i);
-    EXPECT_EQ(limit_of(admission, kNow + 2000), 12U) << "one for each warm server";
+    EXPECT_EQ(limit_of(admission, kNow + 2000), 12U) << "one attempt for each warm server";
 }
 
 TEST(AdmissionTest, LimitsByPriorityWeightRetryAndTenantShare) {
@@ -107,17 +109,18 @@
     Admission admission(settings);
     admission.set_warm_servers(12);
     EXPECT_EQ(limit_of(admission, kNow, settings.classes[0]), 60U);
-    EXPECT_EQ(limit_of(admission, kNow, settings.classes[1]), 41U) << "kCommonShare and a fifth of the rest";
+    EXPECT_EQ(limit_of(admission, kNow, settings.classes[1]), 41U)
+        << "kCommonShare plus a fifth of the remainder";
     EXPECT_EQ(limit_of(admission, kNow, settings.classes[0], true), 36U);
     EXPECT_EQ(limit_of(admission, kNow, settings.classes[0], false, 0.5), 60U)
-        << "not busy: tenants are not looked at";
+        << "the pool is not busy: tenant shares are ignored";
     for (int i = 0; i < 30; ++i) admission.record_latency(0.45, 10, kNow);
     ASSERT_TRUE(admission.is_busy());
     EXPECT_NEAR(limit_of(admission, kNow, settings.classes[0], false, 0.5),
                 limit_of(admission, kNow, settings.classes[0]) / 2.0, 1);
 }
 
-TEST(AdmissionTest, CircuitBreakerOpensOnLateResponsesAndClosesByHalves) {
+TEST(AdmissionTest, CircuitBreakerOpensOnLateResponsesAndClosesThroughHalfOpen) {
     const Settings settings = settings_of(1000);
     Admission admission(settings);
     admission.set_warm_servers(4);
@@ -133,13 +136,13 @@
     admission.record_latency(0.2, 0, kNow + 50);
     admission.record_latency(0.2, 0, kNow + 100);
     admission.record_latency(1.5, 0, kNow + 150);
-    EXPECT_EQ(admitted_share(kNow + 150), 1) << "one late response among quick ones is chance";
+    EXPECT_EQ(admitted_share(kNow + 150), 1) << "one late response among fast ones may be random";
     for (int i = 0; i < 3; ++i) admission.record_latency(1.5, 0, kNow + 200);
     EXPECT_NEAR(admitted_share(kNow + 200), Admission::kCircuitOpenLimit, 0.002);
-    EXPECT_LT(admitted_share(kNow + 200, true), 0.005) << "first tries go before retries";
-    EXPECT_NEAR(admitted_share(kNow + 200 + Admission::kCircuitOpenGrowth),
+    EXPECT_LT(admitted_share(kNow + 200, true), 0.005) << "first tries take precedence over retries";
+    EXPECT_NEAR(admitted_share(kNow + 200 + Admission::kCircuitOpenGrowthTime),
                 Admission::kCircuitOpenLimit * 2.718, 0.005);
-    EXPECT_EQ(admitted_share(kNow + 60000), 1) << "time closes the circuit, too";
+    EXPECT_EQ(admitted_share(kNow + 60000), 1) << "the circuit also closes with time";
     admission.record_latency(0.2, 0, kNow + 300);
     EXPECT_NEAR(admitted_share(kNow + 300), Admission::kCircuitHalfOpenLimit, 0.002);
     admission.record_latency(0.2, 0, kNow + 300);
--- a/tests/balancer/balancer_test.cpp
+++ b/tests/balancer/balancer_test.cpp
@@ -1,4 +1,4 @@
-// The decisions of the whole module, one a test: each test fails when its decision is broken.
+// Tests the decisions of the whole module, one in each test.
 #include <limits>
 #include <set>
 #include <stdexcept>
@@ -8,8 +8,8 @@
 namespace elmbay::balancer::test {
 namespace {
 
-// Sends requests one after the other. Server `bad` ends each attempt with `outcome`, the others with a
-// success.
+// Sends requests one after the other. Attempts at server `bad` end with `outcome`, attempts at other servers
+// succeed.
 void run(Rig& rig, int requests, ServerId bad, Outcome outcome, std::set<ServerId>* used = nullptr) {
     for (int i = 0; i < requests; ++i) {
         const RequestId id = rig.request();
@@ -19,7 +19,7 @@
     }
 }
 
-// A sidecar that knows servers 1 to `servers`.
+// Returns a sidecar whose list contains servers 1 to `servers`.
 Rig fleet(ServerId servers, RequestClass request_class = make_class(Idempotency::idempotent),
           std::uint64_t seed = 1) {
     Rig rig(make_settings({request_class}), seed);
@@ -35,7 +35,7 @@
     std::set<ServerId> used;
     const Millis until = rig.now + 7000;
     while (rig.now < until) run(rig, 1, 2, Outcome::error_response, &used);
-    EXPECT_EQ(used.count(2), 0U) << "it is ejected for the whole time";
+    EXPECT_EQ(used.count(2), 0U) << "the server stays ejected for the whole ejection time";
     EXPECT_EQ(used.size(), 5U);
 }
 
@@ -45,7 +45,8 @@
     int failed = 0;
     for (int i = 0; i < 40; ++i) {
         const RequestId id = rig.request();
-        const bool fails = rig.last_server(id) == 2 && failed < 2;  // 18 of 20 is 0.9: not below it
+        // 18 of 20 is 0.9, which is not below the threshold.
+        const bool fails = rig.last_server(id) == 2 && failed < 2;
         failed += fails;
         rig.end(id, fails ? Outcome::error_response : Outcome::success, 20);
         while (rig.is_in_flight(id)) rig.end(id, Outcome::success, 20);
@@ -70,7 +71,7 @@
     }
 }
 
-TEST(BalancerEjection, DoesNotCountAttemptsOfClientsThatLeft) {
+TEST(BalancerEjection, IgnoresAttemptsOfDisconnectedClients) {
     Rig rig = fleet(4);
     for (int i = 0; i < 100; ++i) {
         const RequestId id = rig.request();
@@ -91,9 +92,9 @@
     for (const RequestId id : ids) probes += rig.last_server(id) == 2;
     EXPECT_EQ(probes, 1) << "half-open: one probe at a time";
     rig.complete_all(ids, 20);
-    EXPECT_EQ(rig.logs.back(), "restored after a trial");
+    EXPECT_EQ(rig.logs.back(), "restored after a successful probe");
     run(rig, 30, 2, Outcome::success);
-    EXPECT_EQ(rig.ejection_count(), 1) << "it returned with a fresh window";
+    EXPECT_EQ(rig.ejection_count(), 1) << "the server was restored with an empty window";
 }
 
 TEST(BalancerEjection, EjectsAgainAfterFailedProbe) {
@@ -107,10 +108,11 @@
     EXPECT_EQ(used.count(2), 0U);
 }
 
-TEST(BalancerEjection, KeepsHalfOfTheServersWhateverFails) {
+TEST(BalancerEjection, KeepsHalfOfTheServersWhenMostFail) {
     Rig rig = fleet(6);
     run(rig, 200, 0, Outcome::success);
-    for (ServerId bad = 1; bad <= 4; ++bad) {  // one after the other, so that each stands out from the rest
+    // The servers start to fail one after the other, so that each differs from the rest.
+    for (ServerId bad = 1; bad <= 4; ++bad) {
         for (int i = 0; i < 100; ++i) {
             const RequestId id = rig.request();
             while (rig.is_in_flight(id)) {
@@ -121,12 +123,12 @@
     EXPECT_EQ(rig.ejection_count(), 3);
 }
 
-TEST(BalancerEjection, EjectsNobodyWhenAllServersAreSlow) {
+TEST(BalancerEjection, EjectsNoServerWhenAllServersAreSlow) {
     Rig rig = fleet(6);
     run(rig, 200, 0, Outcome::success);
     for (int i = 0; i < 100; ++i) {
         const RequestId id = rig.request();
-        if (rig.is_in_flight(id)) rig.end(id, Outcome::success, 600);  // past the objective of 400
+        if (rig.is_in_flight(id)) rig.end(id, Outcome::success, 600);  // later than the objective of 400
     }
     EXPECT_EQ(rig.ejection_count(), 0);
 }
@@ -142,13 +144,13 @@
 
 TEST(BalancerPick, PrefersQuickerServerOnTies) {
     Rig rig = fleet(2);
-    std::vector<int> taken(3);
+    std::vector<int> attempts_by_server(3);
     for (int i = 0; i < 200; ++i) {
         const RequestId id = rig.request();
-        ++taken[rig.last_server(id)];
+        ++attempts_by_server[rig.last_server(id)];
         rig.end(id, Outcome::success, rig.last_server(id) == 1 ? 200 : 40);
     }
-    EXPECT_GT(taken[2], 2 * taken[1]);
+    EXPECT_GT(attempts_by_server[2], 2 * attempts_by_server[1]);
 }
 
 TEST(BalancerEndpointList, IncrementalListChangesAndSnapshotReplaces) {
@@ -164,7 +166,7 @@
     EXPECT_EQ(used, (std::set<ServerId>{4}));
 }
 
-TEST(BalancerEndpointList, FailedCallKeepsTheListAndIsRepeatedLater) {
+TEST(BalancerEndpointList, FailedCallKeepsTheListAndIsRetriedLater) {
     Settings settings = make_settings();
     settings.requires_subscription = true;
     Rig rig(settings);
@@ -192,19 +194,19 @@
     EXPECT_EQ(used.count(2), 1U);
 }
 
-// Rule 4: a server in slow start is sent its share by age.
+// Rule 4: a server in slow start is sent a share of requests that depends on its age.
 TEST(BalancerSlowStart, SendsServerInSlowStartLessThanItsEvenShare) {
     Rig rig = fleet(4);
     run(rig, 400, 0, Outcome::success);
     rig.apply_list(ListKind::incremental, {{4, 1, 0, 0, EndpointState::active, rig.now - 1}});
-    int to_slow_start = 0;
-    for (int i = 0; i < 200; ++i) {  // 4 s: a fifth of the capacity and rising
+    int sent_in_slow_start = 0;
+    for (int i = 0; i < 200; ++i) {  // 4 s, in which the server has a fifth of its capacity or slightly more
         const RequestId id = rig.request();
-        to_slow_start += rig.last_server(id) == 4;
+        sent_in_slow_start += rig.last_server(id) == 4;
         rig.end(id, Outcome::success, 20);
     }
-    EXPECT_GT(to_slow_start, 0);
-    EXPECT_LT(to_slow_start, 45) << "an even share would be 50";
+    EXPECT_GT(sent_in_slow_start, 0);
+    EXPECT_LT(sent_in_slow_start, 45) << "an even share would be 50";
 }
 
 // ---- One sidecar of many --------------------------------------------------------------------------------
@@ -216,7 +218,7 @@
     return settings;
 }
 
-TEST(BalancerAperture, LightSidecarKeepsToFewServersAndReplacesThem) {
+TEST(BalancerAperture, SidecarWithLightTrafficUsesFewServersAndReplacesRemovedOnes) {
     Rig rig(one_of_many(1000));
     rig.apply_list(ListKind::snapshot, make_servers(40));
     std::set<ServerId> used;
@@ -227,10 +229,10 @@
     std::set<ServerId> after;
     for (int i = 0; i < 100; ++i, rig.now += 500) run(rig, 1, 0, Outcome::success, &after);
     EXPECT_EQ(after.count(*used.begin()), 0U);
-    EXPECT_GE(after.size(), used.size()) << "the server of the next rank has come in";
+    EXPECT_GE(after.size(), used.size()) << "the server of the next rank has joined the pool";
 }
 
-TEST(BalancerAperture, SidecarsDrawDifferentPoolsAndBusyOneWidensIts) {
+TEST(BalancerAperture, SidecarsDrawDifferentPoolsAndHeavyTrafficWidensThePool) {
     std::set<ServerId> all;
     std::set<ServerId> busy;
     for (std::uint64_t seed = 1; seed <= 30; ++seed) {
@@ -238,7 +240,7 @@
         rig.apply_list(ListKind::snapshot, make_servers(40));
         for (int i = 0; i < 10; ++i, rig.now += 500) run(rig, 1, 0, Outcome::success, &all);
     }
-    EXPECT_GT(all.size(), 30U) << "the same few servers for all sidecars would be overloaded";
+    EXPECT_GT(all.size(), 30U) << "if all sidecars used the same few servers, these would be overloaded";
     Rig rig(one_of_many(1000));
     rig.apply_list(ListKind::snapshot, make_servers(40));
     run(rig, 2000, 0, Outcome::success, &busy);
@@ -251,38 +253,40 @@
     const RequestId first = rig.request();
     const ServerId bad = rig.last_server(first);
     rig.end(first, Outcome::error_response);
-    EXPECT_EQ(rig.ejection_count(), 0) << "one failure may be chance";
+    EXPECT_EQ(rig.ejection_count(), 0) << "one failure may be random";
     for (int i = 0; i < 300 && rig.ejection_count() == 0; ++i, rig.now += 300) {
         run(rig, 1, bad, Outcome::error_response);
     }
     EXPECT_EQ(rig.ejection_count(), 1);
 }
 
-// Rule 4: a floor of probes for each sidecar must not add up to what overloads a server in slow start.
+// Rule 4: a minimum of probes for each sidecar must not add up to a load that overloads a server in slow
+// start.
 TEST(BalancerSlowStart, SidecarsShareTheProbesOfAServerInSlowStart) {
     int sent = 0;
     const std::uint32_t siblings = 400;
-    for (std::uint64_t seed = 1; seed <= 40; ++seed) {  // a tenth of them
+    for (std::uint64_t seed = 1; seed <= 40; ++seed) {  // a tenth of the sidecars
         Rig rig(one_of_many(siblings), seed);
         rig.apply_list(ListKind::snapshot, {{1, 0, 0, 0, EndpointState::active, rig.now - 1}});
-        for (int i = 0; i < 200; ++i, rig.now += 100) {  // 20 s of waiting traffic
+        for (int i = 0; i < 200; ++i, rig.now += 100) {  // 20 s of requests that wait for the server
             const RequestId id = rig.request(0, 90);
             if (!rig.is_in_flight(id)) continue;
             ++sent;
             rig.end(id, Outcome::success, 0);
         }
     }
-    EXPECT_LE(sent, 8) << "4 probes in 10 s for all 400, so a tenth of that and chance";
+    EXPECT_LE(sent, 8) << "all 400 sidecars together may send 4 probes in 10 s; a tenth of them sends a "
+                          "tenth of that, with random variation";
 }
 
-TEST(BalancerAdmission, LightSidecarAdmitsSomeRequestsWhileServersAreSlow) {
+TEST(BalancerAdmission, SidecarWithLightTrafficAdmitsSomeRequestsWhileServersAreSlow) {
     Rig rig(one_of_many(1000));
     rig.apply_list(ListKind::snapshot, make_servers(40));
     const auto sent = [&](int requests, Millis duration) {
         int count = 0;
         for (int i = 0; i < requests; ++i) {
             const RequestId id = rig.request(0, 2000);
-            rig.advance(30);  // it may have waited
+            rig.advance(30);  // the request may have waited
             if (rig.is_in_flight(id)) {
                 ++count;
                 rig.end(id, Outcome::success, duration);
@@ -291,14 +295,14 @@
         }
         return count;
     };
-    const int under_overload = sent(200, 700);  // far past the objective of 400
-    EXPECT_LT(under_overload, 150) << "a thousand sidecars with one attempt each are an overload";
-    EXPECT_GT(under_overload, 20) << "probes go on";
+    const int under_overload = sent(200, 700);  // far later than the objective of 400
+    EXPECT_LT(under_overload, 150) << "a thousand sidecars with one attempt each would overload the servers";
+    EXPECT_GT(under_overload, 20) << "probes continue";
     sent(150, 40);
-    EXPECT_EQ(sent(50, 40), 50) << "responses are quick again: nothing is rejected";
+    EXPECT_EQ(sent(50, 40), 50) << "responses are fast again: no request is rejected";
 }
 
-TEST(BalancerAdmission, RejectsAtOnceWhenTheRequestTableIsFull) {
+TEST(BalancerAdmission, RejectsAtOnceWhenAnImmediateResponseIsNeeded) {
     Rig rig = fleet(4);
     const RequestId id = rig.next_id++;
     rig.requests[id] = {rig.settings.classes[0], rig.now + 1000, {}, 0, false, false};
@@ -306,12 +310,12 @@
     event.needs_immediate_response = true;
     rig.handle(event);
     EXPECT_TRUE(rig.requests.at(id).rejected);
-    EXPECT_EQ(rig.attempt_count(id), 0U) << "its response is the last that the driver can give it";
-    EXPECT_EQ(rig.count<SetTimer>(), 0) << "nothing is left to wait for";
+    EXPECT_EQ(rig.attempt_count(id), 0U) << "the driver needs the final response at once";
+    EXPECT_EQ(rig.count<SetTimer>(), 0) << "the request has ended";
     rig.finish_all();
 }
 
-TEST(BalancerCutoff, IsTheObjectiveOnlyWhereALateResponseIsWorthless) {
+TEST(BalancerAttemptDeadline, EqualsLatencyObjectiveOnlyForNonIdempotentClassWithoutLateWeight) {
     const auto until = [](Idempotency idempotency, double late_weight, std::uint32_t siblings = 1000) {
         RequestClass request_class = make_class(idempotency);
         request_class.late_weight = late_weight;
@@ -321,13 +325,14 @@
         return rig.requests.at(id).attempts.back().deadline - rig.now;
     };
     EXPECT_EQ(until(Idempotency::non_idempotent, 0), 400);
-    EXPECT_EQ(until(Idempotency::non_idempotent, 0.3), 1000) << "a late response is worth something";
-    EXPECT_EQ(until(Idempotency::idempotent, 0), 1000) << "clients would retry it";
+    EXPECT_EQ(until(Idempotency::non_idempotent, 0.3), 1000)
+        << "a late response still earns a part of the weight";
+    EXPECT_EQ(until(Idempotency::idempotent, 0), 1000) << "clients would retry the request";
     EXPECT_EQ(until(Idempotency::non_idempotent, 0, 3), 1000)
-        << "with few sidecars each must count the work that goes on";
+        << "with few sidecars, each must count the work that continues at the servers";
 }
 
-TEST(BalancerPick, AvoidsSlowMachineTypeBeforeEachOfItsServersIsKnown) {
+TEST(BalancerPick, AvoidsSlowMachineTypeBeforeEachOfItsServersIsMeasured) {
     Rig rig(make_settings());
     std::vector<ServerInfo> servers = make_servers(20);
     for (ServerInfo& server : servers) server.machine_type = server.id % 2;
@@ -338,11 +343,11 @@
         if (i >= 10) slow_type += rig.last_server(id) % 2;
         rig.end(id, Outcome::success, rig.last_server(id) % 2 ? 160 : 40);
     }
-    EXPECT_LT(slow_type, 18) << "by chance it would be 25";
+    EXPECT_LT(slow_type, 18) << "a random choice would give 25";
 }
 
-// Under light traffic there are no queues to compare: without weights a small machine would be sent as much
-// as a large one.
+// Under light traffic there are no queues to compare: without weights, a small machine would be sent as many
+// requests as a large one.
 TEST(BalancerPick, SendsSmallServersTheirShareByWeight) {
     Rig rig(make_settings());
     std::vector<ServerInfo> servers = make_servers(12);
@@ -355,8 +360,8 @@
         rig.end(id, Outcome::success, 40);
     }
     EXPECT_GT(small_server, 0);
-    EXPECT_LT(small_server, 50)
-        << "their part is 6 of 102; drawn alike and compared by size it would be 5 of 22";
+    EXPECT_LT(small_server, 50) << "their share of the weight is 6 of 102; drawn with equal probability and "
+                                   "compared by size, it would be 5 of 22";
 }
 
 TEST(BalancerFairness, TenantFarBeyondItsQuotaGetsLessWhileServersAreBusy) {
@@ -367,13 +372,15 @@
     std::vector<int> arrived(2);
     std::vector<int> admitted(2);
     for (int i = 0; i < 600; ++i) {
-        const std::uint32_t tenant = i % 6 == 0 ? 1 : 0;  // five sixths of the traffic, half of the quotas
+        // Tenant 0 sends five sixths of the traffic with half of the quotas.
+        const std::uint32_t tenant = i % 6 == 0 ? 1 : 0;
         const RequestId id = rig.next_id++;
         rig.requests[id] = {settings.classes[0], rig.now + 1500, {}, 0, false, false};
         rig.handle(RequestArrived{id, 0, tenant, 1500});
         ++arrived[tenant];
         admitted[tenant] += rig.is_in_flight(id);
-        if (rig.is_in_flight(id)) rig.end(id, Outcome::success, 260);  // busy: 0.65 of the objective
+        // Responses take 0.65 of the objective, so the pool is busy.
+        if (rig.is_in_flight(id)) rig.end(id, Outcome::success, 260);
         rig.advance(20);
     }
     const double first = 1.0 * admitted[0] / arrived[0];
@@ -384,11 +391,11 @@
 // ---- Bad input ------------------------------------------------------------------------------------------
 
 TEST(BalancerInput, IgnoresNonFiniteTimesAndTimesThatGoBack) {
-    const double inf = std::numeric_limits<double>::infinity(),
-                 nan = std::numeric_limits<double>::quiet_NaN();
+    const double infinity = std::numeric_limits<double>::infinity(),
+                 not_a_number = std::numeric_limits<double>::quiet_NaN();
     Rig rig = fleet(3);
     std::vector<Action> actions;
-    for (const double bad : {inf, -inf, nan, -5.0, 0.0}) {
+    for (const double bad : {infinity, -infinity, not_a_number, -5.0, 0.0}) {
         rig.balancer.handle(bad, ClientDisconnected{77}, actions);
     }
     EXPECT_TRUE(actions.empty());
@@ -396,12 +403,12 @@
     ASSERT_TRUE(rig.is_in_flight(id));
     EXPECT_EQ(rig.requests.at(id).attempts.back().deadline, rig.now + 1000);
     rig.end(id, Outcome::success);
-    for (const double bad : {inf, nan, -7.0}) {
+    for (const double bad : {infinity, not_a_number, -7.0}) {
         actions.clear();
         rig.balancer.handle(rig.now, RequestArrived{static_cast<RequestId>(900), 0, {}, bad}, actions);
         ASSERT_FALSE(actions.empty());
         for (const Action& action : actions) {
-            EXPECT_FALSE(std::holds_alternative<StartAttempt>(action)) << "no time left";
+            EXPECT_FALSE(std::holds_alternative<StartAttempt>(action)) << "the request has no time left";
         }
         rig.balancer.handle(rig.now, ClientDisconnected{900}, actions);
     }
@@ -418,7 +425,7 @@
     const RequestId id = rig.request();
     rig.balancer.handle(rig.now, RequestArrived{id, 0, 9, 1000}, actions);
     rig.balancer.handle(rig.now, AttemptEnded{id, 7}, actions);
-    EXPECT_TRUE(actions.empty()) << "an id used twice, an attempt never made";
+    EXPECT_TRUE(actions.empty()) << "the id exists already, and the attempt does not exist";
     rig.end(id, Outcome::success);
     rig.balancer.handle(rig.now, AttemptEnded{id, 0}, actions);
     EXPECT_TRUE(actions.empty());
@@ -436,7 +443,7 @@
     rig.finish_all();
 }
 
-// Without purge_ended() the queue grows by one entry a request until a server comes.
+// Without purge_ended(), the queue would grow by one entry for each request while there is no server.
 TEST(BalancerInput, WaitQueueStaysBoundedWithoutServers) {
     Rig rig = fleet(2);
     rig.apply_list(ListKind::snapshot, {});
@@ -447,59 +454,62 @@
     }
     const RequestId last = rig.request(0, 300);
     rig.apply_list(ListKind::snapshot, make_servers(1));
-    EXPECT_TRUE(rig.is_in_flight(last)) << "the request that waits is still there";
+    EXPECT_TRUE(rig.is_in_flight(last)) << "the waiting request is still in the queue";
     rig.end(last, Outcome::success);
     rig.finish_all();
 }
 
 TEST(BalancerSettings, ThrowsInvalidSettingWithItsName) {
-    const auto complaint = [](auto change) {
+    const auto error_message = [](auto change) {
         Settings settings = make_settings();
         change(settings);
         try {
             Balancer(settings, 1);
         } catch (const InvalidSetting& error) {
-            EXPECT_EQ(error.what(), "elmbay: setting makes no sense: " + error.setting());
+            EXPECT_EQ(error.what(), "elmbay: invalid setting: " + error.setting());
             return std::string(error.what());
         }
         return std::string("accepted");
     };
-    const auto names = [&](auto change, const std::string& setting) {
-        EXPECT_NE(complaint(change).find(setting), std::string::npos) << setting << ": " << complaint(change);
+    const auto expect_rejected = [&](auto change, const std::string& setting) {
+        EXPECT_NE(error_message(change).find(setting), std::string::npos)
+            << setting << ": " << error_message(change);
     };
-    names([](Settings& settings) { settings.classes.clear(); }, "classes");
-    names([](Settings& settings) { settings.classes[0].latency_objective = 0; }, "classes[0].aim");
-    names(
+    expect_rejected([](Settings& settings) { settings.classes.clear(); }, "classes");
+    expect_rejected([](Settings& settings) { settings.classes[0].latency_objective = 0; }, "classes[0].aim");
+    expect_rejected(
         [](Settings& settings) {
             settings.classes[0].latency_objective = std::numeric_limits<double>::quiet_NaN();
         },
         "classes[0].aim");
-    names([](Settings& settings) { settings.classes[0].priority_weight = -1; }, "classes[0].worth");
-    names([](Settings& settings) { settings.classes[0].dedup_window = -1; }, "classes[0].dedup_window");
-    names([](Settings& settings) { settings.classes[0].late_weight = 2; }, "classes[0].late_worth");
-    names([](Settings& settings) { settings.tenants = {{1}, {-1}}; }, "tenants[1].quota");
-    names([](Settings& settings) { settings.max_attempts = 0; }, "max_attempts");
-    names([](Settings& settings) { settings.slow_start_min_share = 1.5; }, "cold_from");
-    names([](Settings& settings) { settings.overload_multiple = 0; }, "fall_multiple");
-    names([](Settings& settings) { settings.slow_start_duration = -5; }, "warm_within");
-    names([](Settings& settings) { settings.costs.cross_zone = std::numeric_limits<double>::quiet_NaN(); },
-          "fees.cross_zone");
-    EXPECT_EQ(complaint([](Settings&) {}), "accepted");
-}
-
-// The module's own timer for the client's deadline may fire before the driver's for the attempt: both are due
-// at the same moment. The server has failed either way.
+    expect_rejected([](Settings& settings) { settings.classes[0].priority_weight = -1; }, "classes[0].worth");
+    expect_rejected([](Settings& settings) { settings.classes[0].dedup_window = -1; },
+                    "classes[0].dedup_window");
+    expect_rejected([](Settings& settings) { settings.classes[0].late_weight = 2; }, "classes[0].late_worth");
+    expect_rejected([](Settings& settings) { settings.tenants = {{1}, {-1}}; }, "tenants[1].quota");
+    expect_rejected([](Settings& settings) { settings.max_attempts = 0; }, "max_attempts");
+    expect_rejected([](Settings& settings) { settings.slow_start_min_share = 1.5; }, "cold_from");
+    expect_rejected([](Settings& settings) { settings.overload_multiple = 0; }, "fall_multiple");
+    expect_rejected([](Settings& settings) { settings.slow_start_duration = -5; }, "warm_within");
+    expect_rejected(
+        [](Settings& settings) { settings.costs.cross_zone = std::numeric_limits<double>::quiet_NaN(); },
+        "fees.cross_zone");
+    EXPECT_EQ(error_message([](Settings&) {}), "accepted");
+}
+
+// The module's own timer for the client's deadline may fire before the driver's timer for the attempt,
+// because both are due at the same time. The server has failed in both cases.
 TEST(BalancerEjection, EjectsServerWhoseAttemptsAreCancelledAtTheDeadline) {
     Rig rig(make_settings());
     rig.apply_list(ListKind::snapshot, make_servers(4));
-    // The other servers are busy, so server 1 is chosen whenever it is drawn.
+    // The other servers have attempts in flight, so server 1 is chosen whenever it is drawn.
     for (int i = 0; i < 40; ++i) {
         const RequestId id = rig.request(0, 1e6);
         if (rig.last_server(id) == 1) rig.end(id, Outcome::success, 0);
     }
     for (int i = 0; i < 100 && rig.ejection_count() == 0; ++i) {
         const RequestId id = rig.request(0, 500);
-        if (rig.last_server(id) != 1) {  // it was not drawn
+        if (rig.last_server(id) != 1) {  // server 1 was not drawn
             rig.end(id, Outcome::success, 0);
             continue;
         }
@@ -517,21 +527,21 @@
     EXPECT_EQ(rig.ejection_count(), 1);
 }
 
-// With fewer sidecars each keeps more servers in its pool. A count of 0 has no effect.
-TEST(BalancerAperture, PoolFollowsTheNumberOfSidecars) {
+// With fewer sidecars, each has more servers in its pool. A count of 0 has no effect.
+TEST(BalancerAperture, PoolSizeDependsOnTheNumberOfSidecars) {
     Settings settings = make_settings();
     settings.siblings = 1000;
     Rig rig(settings);
     rig.apply_list(ListKind::snapshot, make_servers(60));
     const auto pool_size = [&] {
-        std::set<ServerId> asked;
+        std::set<ServerId> used;
         for (int i = 0; i < 200; ++i) {
             const RequestId id = rig.request();
-            asked.insert(rig.last_server(id));
+            used.insert(rig.last_server(id));
             rig.end(id, Outcome::success);
-            rig.advance(450);  // two requests a second: traffic alone widens nothing
+            rig.advance(450);  // two requests per second do not widen the pool
         }
-        return asked.size();
+        return used.size();
     };
     EXPECT_LE(pool_size(), 6U);
     rig.handle(SiblingCountChanged{2});
--- a/tests/balancer/budgets_test.cpp
+++ b/tests/balancer/budgets_test.cpp
@@ -1,4 +1,4 @@
-// The shares of retries and of tenants (RetryBudget, Fairness).
+// Tests of RetryBudget and Fairness.
 #include <gtest/gtest.h>
 
 #include "balancer/fairness.hpp"
@@ -27,7 +27,7 @@
     Fairness fairness({{10}, {10}});
     double greedy = 1;
     double modest = 1;
-    for (int i = 0; i < 600; ++i) {  // five sixths of the arrivals are the first tenant's
+    for (int i = 0; i < 600; ++i) {  // five sixths of the arrivals belong to the first tenant
         const bool is_modest = i % 6 == 0;
         const double share = fairness.record_arrival(is_modest ? 1 : 0, kNow + i);
         (is_modest ? modest : greedy) = share;
@@ -35,7 +35,8 @@
     EXPECT_NEAR(greedy, 0.6, 0.05);
     EXPECT_EQ(modest, 1);
     EXPECT_EQ(fairness.record_arrival({}, kNow), 1);
-    EXPECT_EQ(fairness.record_arrival(7, kNow), 1) << "out of range: counts as nobody's";
+    EXPECT_EQ(fairness.record_arrival(7, kNow), 1)
+        << "index out of range: treated as a request without a tenant";
 }
 
 }  // namespace
--- a/tests/balancer/composition_test.cpp
+++ b/tests/balancer/composition_test.cpp
@@ -1,4 +1,5 @@
-// The parts of the module that hold requests, servers and timers, each alone against its header's contract.
+// Tests the components that hold requests, servers and timers, each one separately against the contract in
+// its header.
 #include <gtest/gtest.h>
 
 #include <limits>
@@ -20,9 +21,9 @@
 
 constexpr Millis kNow = 5000;
 
-Settings settings_with_sessions(std::uint32_t most) {
+Settings settings_with_sessions(std::uint32_t max_sessions) {
     Settings settings;
-    settings.max_sessions = most;
+    settings.max_sessions = max_sessions;
     return settings;
 }
 
@@ -48,7 +49,7 @@
 
 // ---- TimerTable -----------------------------------------------------------------------------------------
 
-TEST(TimerTableTest, GivesNewTokensThatFireOnce) {
+TEST(TimerTableTest, IssuesNewTokensThatFireOnce) {
     EventContext context;
     std::vector<Action> actions;
     context.begin(kNow, actions);
@@ -67,29 +68,30 @@
     EXPECT_EQ(fired->request, std::optional(RequestId{7}));
     EXPECT_FALSE(timers.take(first.token).has_value());
     EXPECT_FALSE(timers.take(99).has_value());
-    const auto for_list = timers.take(second.token);
-    ASSERT_TRUE(for_list.has_value());
-    EXPECT_FALSE(for_list->request.has_value());
+    const auto subscription_timer = timers.take(second.token);
+    ASSERT_TRUE(subscription_timer.has_value());
+    EXPECT_FALSE(subscription_timer->request.has_value());
     EXPECT_EQ(timers.size(), 0U);
 }
 
 // ---- SubscriptionBackoff --------------------------------------------------------------------------------
 
-TEST(SubscriptionBackoffTest, DoublesUpToBoundAndResetsAfterAnAnswer) {
+TEST(SubscriptionBackoffTest, DoublesUpToBoundAndResetsAfterASuccessfulCall) {
     Random random(1);
     SubscriptionBackoff backoff;
-    for (Millis mean = SubscriptionBackoff::kFirst; mean < SubscriptionBackoff::kMost; mean *= 2) {
-        const Millis wait = backoff.next(random);
+    for (Millis mean = SubscriptionBackoff::kInitialMeanDelay; mean < SubscriptionBackoff::kMaxMeanDelay;
+         mean *= 2) {
+        const Millis wait = backoff.next_delay(random);
         EXPECT_GE(wait, mean / 2);
         EXPECT_LT(wait, mean * 1.5);
     }
     for (int call = 0; call < 20; ++call) {
-        const Millis wait = backoff.next(random);
-        EXPECT_GE(wait, SubscriptionBackoff::kMost / 2);
-        EXPECT_LT(wait, SubscriptionBackoff::kMost * 1.5);
+        const Millis wait = backoff.next_delay(random);
+        EXPECT_GE(wait, SubscriptionBackoff::kMaxMeanDelay / 2);
+        EXPECT_LT(wait, SubscriptionBackoff::kMaxMeanDelay * 1.5);
     }
     backoff.reset();
-    EXPECT_LT(backoff.next(random), SubscriptionBackoff::kFirst * 1.5);
+    EXPECT_LT(backoff.next_delay(random), SubscriptionBackoff::kInitialMeanDelay * 1.5);
 }
 
 // ---- RequestTable ---------------------------------------------------------------------------------------
@@ -107,10 +109,10 @@
     EXPECT_EQ(requests.size(), 2U);
 }
 
-TEST(RequestTableTest, ForgetsEndedRequestOnceNothingIsInFlight) {
+TEST(RequestTableTest, RemovesEndedRequestOnceNothingIsInFlight) {
     Sessions sessions(settings_with_sessions(1));
     RequestTable requests;
-    Request& open = *requests.add(1);
+    Request& waiting_request = *requests.add(1);
     Request& with_attempt = *requests.add(2);
     Request& ended_session = *requests.add(3);
     with_attempt.ended = true;
@@ -118,17 +120,17 @@
     sessions.begin_upgrade();
     ended_session.session = true;
     ended_session.ended = true;
-    for (const RequestId id : {1, 2, 3, 3, 77}) requests.mark_ended(id);
+    for (const RequestId id : {1, 2, 3, 3, 77}) requests.mark_for_removal(id);
 
-    requests.forget_ended(sessions);
-    EXPECT_EQ(requests.find(1), &open);
+    requests.remove_ended(sessions);
+    EXPECT_EQ(requests.find(1), &waiting_request);
     EXPECT_EQ(requests.find(2), &with_attempt);
     EXPECT_EQ(requests.find(3), nullptr);
-    EXPECT_TRUE(sessions.has_capacity()) << "the place is given back, and only once";
+    EXPECT_TRUE(sessions.has_capacity()) << "the capacity is released exactly once";
 
     with_attempt.attempts.front().in_flight = false;
-    requests.mark_ended(2);
-    requests.forget_ended(sessions);
+    requests.mark_for_removal(2);
+    requests.remove_ended(sessions);
     EXPECT_EQ(requests.find(2), nullptr);
     EXPECT_EQ(requests.size(), 1U);
 }
@@ -146,7 +148,7 @@
     EXPECT_TRUE(queue.empty());
 }
 
-TEST(WaitQueueTest, LeavesOutEndedAndInFlightRequests) {
+TEST(WaitQueueTest, OmitsEndedAndInFlightRequests) {
     RequestTable requests;
     WaitQueue queue;
     for (RequestId id = 1; id <= 3; ++id) {
@@ -165,9 +167,9 @@
     requests.add(1);
     queue.push(1);
     for (RequestId id = 2; id < 1000; ++id) {
-        queue.push(id);  // ended and forgotten before it was released
+        queue.push(id);  // ended and removed before it was dispatched
         queue.purge_ended(requests);
-        ASSERT_LE(queue.size(), 2 * requests.size() + WaitQueue::kSlack);
+        ASSERT_LE(queue.size(), 2 * requests.size() + WaitQueue::kMaxExtraEntries);
     }
     EXPECT_EQ(queue.take(requests), std::vector<RequestId>{1});
 }
@@ -213,10 +215,10 @@
     Server* server = servers_.find(1);
     ASSERT_NE(server, nullptr);
     EXPECT_FALSE(server->accepts_requests());
-    servers_.forget_if_unused(*server);
+    servers_.remove_if_unused(*server);
     ASSERT_EQ(servers_.find(1), server);
     server->in_flight = 0;
-    servers_.forget_if_unused(*server);
+    servers_.remove_if_unused(*server);
     EXPECT_TRUE(servers_.empty());
 }
 
@@ -261,10 +263,10 @@
     ASSERT_EQ(actions_.size(), 2U);
     EXPECT_TRUE(std::holds_alternative<Cancel>(actions_[0]));
     EXPECT_TRUE(std::holds_alternative<Fail>(actions_[1]));
-    EXPECT_FALSE(request.attempts.front().timed_out) << "its client's time was not up";
+    EXPECT_FALSE(request.attempts.front().timed_out) << "the attempt ended before the client's deadline";
 }
 
-TEST_F(FinalResponderTest, LeavesStreamingRequestAlone) {
+TEST_F(FinalResponderTest, HasNoEffectOnStreamingRequest) {
     Request& request = add(Idempotency::idempotent);
     request.streaming = true;
     responder_.finish(request);
--- a/tests/balancer/fleet_change_test.cpp
+++ b/tests/balancer/fleet_change_test.cpp
@@ -1,5 +1,5 @@
-// Incremental lists in large fleets: the pool is the same as after a whole list, and nothing is allocated
-// that is as large as the fleet.
+// Tests of incremental lists in large fleets: the pool is the same as after a whole list, and the size of
+// allocations does not depend on the size of the fleet.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -14,8 +14,8 @@
 
 }  // namespace
 
-// Counts what is allocated, in this program only. Not inlined: with instrumentation GCC takes one half of the
-// pair for a mismatch of the other.
+// Counts the bytes allocated by this program. Not inlined, because with instrumentation GCC reports inlined
+// halves of the pair as mismatched.
 [[gnu::noinline]] void* operator new(std::size_t size) {
     allocated_bytes += size;
     if (void* memory = std::malloc(size > 0 ? size : 1)) return memory;
@@ -49,7 +49,7 @@
         balancer.handle(kNow, whole, actions);
         const ServerInfo leaving{fleet, 0, 0, 0, EndpointState::draining, 0};
         const Event event = ServerList{ListKind::incremental, {leaving}};
-        balancer.handle(kNow + 1, event, actions);  // whatever is allocated only once has been
+        balancer.handle(kNow + 1, event, actions);  // makes the allocations that happen only once
         const std::size_t before = allocated_bytes;
         balancer.handle(kNow + 2, event, actions);
         return allocated_bytes - before;
@@ -62,44 +62,45 @@
     const SlowStart slow_start(settings);
     std::mt19937_64 random(7);
     std::vector<Server> servers(300);
-    std::vector<Server*> there;
+    std::vector<Server*> present;
     for (std::size_t i = 0; i < servers.size(); ++i) {
         servers[i].info.id = static_cast<ServerId>(i + 1);
         servers[i].rank = random();
-        there.push_back(&servers[i]);
+        present.push_back(&servers[i]);
     }
-    Aperture changed(16, slow_start);
-    changed.set_servers(there);
-    changed.draw_pool(kNow, 0);
+    Aperture incremental(16, slow_start);
+    incremental.set_servers(present);
+    incremental.draw_pool(kNow, 0);
     for (int round = 0; round < 300; ++round) {
         for (std::size_t changes = random() % 4; changes > 0; --changes) {
             Server& server = servers[random() % servers.size()];
-            changed.remove(&server);
-            std::erase(there, &server);
+            incremental.remove(&server);
+            std::erase(present, &server);
             server.listed = random() % 4 != 0;
             server.info.state = random() % 3 == 0 ? EndpointState::draining : EndpointState::active;
             server.ejection_state = random() % 3 == 0 ? EjectionState::ejected : EjectionState::healthy;
-            if (random() % 5 == 0) continue;  // gone for good
-            changed.add(&server);
-            there.push_back(&server);
+            if (random() % 5 == 0) continue;  // the server does not return
+            incremental.add(&server);
+            present.push_back(&server);
         }
-        changed.draw_pool(kNow, 0);
-        const std::vector<Server*> pool = changed.pool();
+        incremental.draw_pool(kNow, 0);
+        const std::vector<Server*> pool = incremental.pool();
         for (const Server& server : servers) {
             ASSERT_EQ(server.in_pool, std::find(pool.begin(), pool.end(), &server) != pool.end());
         }
         Aperture whole(16, slow_start);
-        whole.set_servers(there);
+        whole.set_servers(present);
         whole.draw_pool(kNow, 0);
         ASSERT_EQ(pool, whole.pool()) << round;
-        ASSERT_EQ(changed.ejected(), whole.ejected()) << round;
-        ASSERT_EQ(changed.listed_count(), whole.listed_count()) << round;
-        ASSERT_EQ(changed.warm_count(), whole.warm_count()) << round;
-        ASSERT_EQ(changed.sidecars_per_server(), whole.sidecars_per_server()) << round;
+        ASSERT_EQ(incremental.ejected(), whole.ejected()) << round;
+        ASSERT_EQ(incremental.listed_count(), whole.listed_count()) << round;
+        ASSERT_EQ(incremental.warm_count(), whole.warm_count()) << round;
+        ASSERT_EQ(incremental.sidecars_per_server(), whole.sidecars_per_server()) << round;
     }
 }
 
-// The size of the pool of one of so many sidecars, after so many completions at once.
+// Returns the size of one sidecar's pool in a fleet with that many sidecars, after the given number of
+// completions at one time.
 std::size_t pool_size_of(std::size_t fleet, std::uint32_t sidecars, int completions = 0) {
     const Settings settings = make_settings();
     const SlowStart slow_start(settings);
@@ -117,15 +118,18 @@
     return aperture.pool().size();
 }
 
-// In a wider pool a light sidecar would open a connection for nearly each request.
-TEST(FleetChangeTest, LightSidecarOfALargeFleetKeepsANarrowPool) {
-    EXPECT_EQ(pool_size_of(3200, 300), 48U) << "sixteen of 300 sidecars would see each server with 171";
-    EXPECT_EQ(pool_size_of(3200, 900), 48U) << "with 57";
-    EXPECT_EQ(pool_size_of(3200, 300, 300), 120U) << "60 a second come back to as many within 2 s";
-    EXPECT_EQ(pool_size_of(3200, 300, 3000), 300U) << "windows of a pool that wide are filled: more than 171";
-    EXPECT_EQ(pool_size_of(200, 10), 80U) << "four sidecars see each";
+// In a wider pool, a sidecar with light traffic would open a connection for nearly every request.
+TEST(FleetChangeTest, SidecarWithLightTrafficInALargeFleetKeepsANarrowPool) {
+    EXPECT_EQ(pool_size_of(3200, 300), 48U)
+        << "with 171 servers in each pool, each server would be in the pools of sixteen of 300 sidecars";
+    EXPECT_EQ(pool_size_of(3200, 900), 48U) << "the same with 57 servers in each pool";
+    EXPECT_EQ(pool_size_of(3200, 300, 300), 120U)
+        << "60 requests per second return to 120 servers within 2 s";
+    EXPECT_EQ(pool_size_of(3200, 300, 3000), 300U)
+        << "the traffic fills the outcome windows of 300 servers, more than 171";
+    EXPECT_EQ(pool_size_of(200, 10), 80U) << "each server is in the pools of four sidecars";
     EXPECT_EQ(pool_size_of(48, 1), 48U) << "the whole fleet";
-    EXPECT_EQ(pool_size_of(240, 300), 13U) << "as ever";
+    EXPECT_EQ(pool_size_of(240, 300), 13U) << "limited by sixteen sidecars for each server";
 }
 
 }  // namespace
--- a/tests/balancer/outage_test.cpp
+++ b/tests/balancer/outage_test.cpp
@@ -1,5 +1,5 @@
-// Failures that begin after a long quiet period, or while the list has been unreachable for long. The rules
-// hold from the first request on, and healthy servers are found.
+// Tests failures that begin after a long quiet period or while the list has been unreachable for long. The
+// rules must hold from the first request on, and healthy servers must be found.
 #include "base/random.hpp"
 #include "rig.hpp"
 
@@ -8,7 +8,8 @@
 
 constexpr Millis kHour = 3600000;
 
-// Sends requests whose attempts end as `outcome_of` says of their servers. Returns how many succeeded.
+// Sends requests whose attempts end with `outcome_of` their server. Returns the number of successful
+// requests.
 template <class OutcomeOf>
 int count_served(Rig& rig, int requests, std::uint32_t class_index, OutcomeOf outcome_of) {
     int served = 0;
@@ -55,8 +56,8 @@
     }
 }
 
-// The list is unreachable for hours. When it comes back, most servers have been replaced.
-TEST(AfterListOutage, FollowsTheNewListAtOnce) {
+// The list is unreachable for hours. When it is available again, most servers have been replaced.
+TEST(AfterListOutage, AppliesTheNewListAtOnce) {
     Rig rig(make_settings(every_class()));
     rig.apply_list(ListKind::snapshot, make_servers(10));
     count_served(rig, 200, 0, healthy);
@@ -66,7 +67,7 @@
     }
     count_served(rig, 50, 0, half_unreachable);
     std::vector<ServerInfo> now = make_servers(4);
-    for (ServerInfo& s : now) s.id += 100;
+    for (ServerInfo& server : now) server.id += 100;
     now[0].state = EndpointState::draining;
     now.push_back({1, 1, 0, 1, EndpointState::active, 0});
     rig.apply_list(ListKind::snapshot, now);
--- a/tests/balancer/pick_test.cpp
+++ b/tests/balancer/pick_test.cpp
@@ -1,4 +1,4 @@
-// Which server of the pool a request goes to (Pick, LatencyEstimate).
+// Tests of Pick and LatencyEstimate: which server of the pool a request is sent to.
 #include "balancer/pick.hpp"
 
 #include <gtest/gtest.h>
@@ -23,14 +23,14 @@
         latency.record(same_type, 0.8, false, kNow);
     }
     EXPECT_NEAR(latency.latency_ratio(unknown, kNow), 0.8, 0.01);
-    // In slow start: the responses say nothing of the machine type.
+    // These responses come from a server in slow start and must not change the mean of the machine type.
     for (int i = 0; i < 10; ++i) latency.record(known, 0.1, true, kNow);
     EXPECT_NEAR(latency.latency_ratio(known, kNow), (10 * 0.1 + 2 * 0.8) / 12, 0.01);
     EXPECT_NEAR(latency.latency_ratio(unknown, kNow), 0.8, 0.01);
 }
 
-// A pool of servers with a weight of 1, in zones 0 (the sidecar's own) and 1 in turn, each of its own machine
-// type.
+// A pool of servers with a weight of 1, alternately in zone 0 (the sidecar's own) and zone 1, each with its
+// own machine type.
 struct Choice {
     Settings settings = settings_of(1);
     Random random{1};
@@ -48,7 +48,7 @@
             pool.push_back(&server);
         }
     }
-    // How often each server is chosen.
+    // Returns how often each server is chosen.
     std::map<ServerId, int> choose(int times, const Request& request = {},
                                    Pick::LoadLevel load_level = {0.1, false, 1}) {
         Pick pick(settings, random, latency);
@@ -71,8 +71,8 @@
     EXPECT_EQ(choice.choose(50)[2], 50);
 }
 
-// Under light traffic nothing is in flight at most servers. The draw decides, and no weight may get more than
-// its share.
+// Under light traffic most servers have no request in flight. The draw decides, and no weight may receive
+// more than its share.
 TEST(PickTest, DrawsIdleServersInProportionToWeight) {
     Choice choice(9);
     for (Server& server : choice.servers) {
@@ -83,7 +83,7 @@
     for (const auto& [id, count] : choice.choose(6300)) {
         by_weight[choice.servers[id - 1].info.weight] += count;
     }
-    EXPECT_NEAR(by_weight[1], 300, 60) << "drawn alike it would be 525";
+    EXPECT_NEAR(by_weight[1], 300, 60) << "with equal probabilities it would be 525";
     EXPECT_NEAR(by_weight[4], 1200, 150);
     EXPECT_NEAR(by_weight[16], 4800, 200) << "if the larger always won it would be 5,900";
 }
@@ -113,10 +113,11 @@
     Choice choice(2, 0.02);
     EXPECT_EQ(choice.choose(50)[1], 50);
     choice.servers[0].in_flight = 1;
-    EXPECT_EQ(choice.choose(50)[1], 50) << "the cost is more than the probability of a late response";
-    EXPECT_EQ(choice.choose(50, {}, {0.3, false, 1})[2], 50) << "now it is less";
+    EXPECT_EQ(choice.choose(50)[1], 50) << "the cost exceeds the probability of a late response";
+    EXPECT_EQ(choice.choose(50, {}, {0.3, false, 1})[2], 50)
+        << "the cost is less than the probability of a late response";
     choice.servers[0].in_flight = 0;
-    EXPECT_GT(choice.choose(50, {}, {0.9, true, 1})[2], 5) << "zones do not matter while the pool is busy";
+    EXPECT_GT(choice.choose(50, {}, {0.9, true, 1})[2], 5) << "zones are ignored while the pool is busy";
 }
 
 }  // namespace
--- a/tests/balancer/property_test.cpp
+++ b/tests/balancer/property_test.cpp
@@ -1,6 +1,6 @@
-// The whole module against a million random events. The rig checks every action against the rules. A failing
-// case is shrunk to its shortest; RC_PARAMS in the environment overrides the fixed seed (see rapidcheck's
-// docs).
+// Tests the whole module with a million random events. The rig checks every action against the rules. A
+// failing case is shrunk to the shortest one; RC_PARAMS in the environment overrides the fixed seed (see the
+// rapidcheck documentation).
 #include <rapidcheck.h>
 
 #include <cstdlib>
@@ -11,7 +11,7 @@
 namespace elmbay::balancer::test {
 namespace {
 
-// One event: its kind, and two numbers that its details are drawn from.
+// One event: its kind, and two random numbers that determine its details.
 using Step = std::tuple<std::uint8_t, std::uint16_t, std::uint16_t>;
 
 constexpr int kCases = 200;
@@ -34,61 +34,64 @@
     return settings;
 }
 
-void end_one(Rig& rig, std::uint16_t which, std::uint16_t how) {
-    std::vector<std::pair<RequestId, std::uint32_t>> out;
+void end_random_attempt(Rig& rig, std::uint16_t selection, std::uint16_t variation) {
+    std::vector<std::pair<RequestId, std::uint32_t>> in_flight_attempts;
     for (const auto& [id, request] : rig.requests) {
         for (std::uint32_t i = 0; i < request.attempts.size(); ++i) {
-            if (request.attempts[i].in_flight) out.emplace_back(id, i);
+            if (request.attempts[i].in_flight) in_flight_attempts.emplace_back(id, i);
         }
     }
-    if (out.empty()) return;
-    const auto [id, attempt] = out[which % out.size()];
+    if (in_flight_attempts.empty()) return;
+    const auto [id, attempt] = in_flight_attempts[selection % in_flight_attempts.size()];
     static const Outcome outcomes[] = {Outcome::success,          Outcome::success,        Outcome::success,
                                        Outcome::error_response,   Outcome::rejected,       Outcome::timed_out,
                                        Outcome::connection_reset, Outcome::connect_failed, Outcome::not_sent};
-    rig.end_attempt(id, attempt, rig.is_closed(rig.requests.at(id)) ? Outcome::cancelled : outcomes[how % 9]);
+    rig.end_attempt(id, attempt,
+                    rig.is_closed(rig.requests.at(id)) ? Outcome::cancelled : outcomes[variation % 9]);
 }
 
-void change_list(Rig& rig, std::uint16_t which, std::uint16_t how) {
+void change_list(Rig& rig, std::uint16_t selection, std::uint16_t variation) {
     static const EndpointState states[] = {EndpointState::active, EndpointState::active,
                                            EndpointState::draining, EndpointState::removed};
-    const ServerId id = 1 + which % 12;
-    const Millis since = how % 3 ? 0 : rig.now - how;
-    if (how % 16 == 15) return rig.apply_list(ListKind::failed, {});
-    if (how % 16 == 14) return rig.apply_list(ListKind::snapshot, make_servers(1 + which % 12, since));
-    rig.apply_list(ListKind::incremental, {{id, id % 3, id % 2, id % 2, states[how % 4], since}});
+    const ServerId id = 1 + selection % 12;
+    const Millis since = variation % 3 ? 0 : rig.now - variation;
+    if (variation % 16 == 15) return rig.apply_list(ListKind::failed, {});
+    if (variation % 16 == 14)
+        return rig.apply_list(ListKind::snapshot, make_servers(1 + selection % 12, since));
+    rig.apply_list(ListKind::incremental, {{id, id % 3, id % 2, id % 2, states[variation % 4], since}});
 }
 
-void disconnect_client(Rig& rig, std::uint16_t which) {
+void disconnect_client(Rig& rig, std::uint16_t selection) {
     if (rig.requests.empty()) return;
     auto entry = rig.requests.begin();
-    std::advance(entry, which % rig.requests.size());
+    std::advance(entry, selection % rig.requests.size());
     if (rig.is_closed(entry->second)) return;
     entry->second.client_disconnected = true;
     rig.handle(ClientDisconnected{entry->first});
 }
 
-void end_session(Rig& rig, std::uint16_t which, std::uint16_t how) {
+void end_session(Rig& rig, std::uint16_t selection, std::uint16_t variation) {
     if (rig.sessions.empty()) return;
     auto entry = rig.sessions.begin();
-    std::advance(entry, which % rig.sessions.size());
-    rig.end_session(*entry, how % 3 == 0);
+    std::advance(entry, selection % rig.sessions.size());
+    rig.end_session(*entry, variation % 3 == 0);
 }
 
-void feed(Rig& rig, const Step& step) {
-    const auto [what, a, b] = step;
-    if (what < 110) {
-        rig.request(a % 6, 20 + b % 1500, b % 4 == 0, a % 8 == 1);
-    } else if (what < 215) {
-        end_one(rig, a, b);
-    } else if (what < 222) {
-        change_list(rig, a, b);
-    } else if (what < 228) {
-        disconnect_client(rig, a);
-    } else if (what < 236) {
-        end_session(rig, a, b);
+void apply_step(Rig& rig, const Step& step) {
+    const auto [kind, first_number, second_number] = step;
+    if (kind < 110) {
+        rig.request(first_number % 6, 20 + second_number % 1500, second_number % 4 == 0,
+                    first_number % 8 == 1);
+    } else if (kind < 215) {
+        end_random_attempt(rig, first_number, second_number);
+    } else if (kind < 222) {
+        change_list(rig, first_number, second_number);
+    } else if (kind < 228) {
+        disconnect_client(rig, first_number);
+    } else if (kind < 236) {
+        end_session(rig, first_number, second_number);
     } else {
-        rig.advance(what == 255 ? b % 8000 : b % 60);
+        rig.advance(kind == 255 ? second_number % 8000 : second_number % 60);
     }
     std::erase_if(rig.requests, [&](const auto& entry) {
         return rig.is_closed(entry.second) && !rig.is_in_flight(entry.first);
@@ -100,17 +103,17 @@
     ::setenv("RC_PARAMS", fixed.c_str(), 0);
     std::size_t events = 0;
     const bool holds = rc::check([&] {
-        const auto steps = *rc::gen::inRange(kMinSteps, kMaxSteps);  // shrinks to the shortest that fails
+        const auto steps = *rc::gen::inRange(kMinSteps, kMaxSteps);  // shrinks to the smallest failing number
         const auto siblings = *rc::gen::element(1U, 4U, 64U, 1000U);
-        const auto parallel = *rc::gen::arbitrary<bool>();
+        const auto allow_hedging = *rc::gen::arbitrary<bool>();
         const auto seed = *rc::gen::arbitrary<std::uint64_t>();
-        Rig rig(settings_of_all_classes(siblings, parallel), seed);
+        Rig rig(settings_of_all_classes(siblings, allow_hedging), seed);
         Random random(seed);
         rig.handle(Started{});
         rig.apply_list(ListKind::cached, make_servers(8));
         for (int i = 0; i < steps; ++i) {
             const std::uint64_t draw = random.next();
-            feed(rig, Step{draw, draw >> 8, draw >> 24});
+            apply_step(rig, Step{draw, draw >> 8, draw >> 24});
             RC_ASSERT(!::testing::Test::HasFailure());
             RC_ASSERT(rig.balancer.resource_usage().sessions == rig.sessions.size());
             RC_ASSERT(rig.balancer.resource_usage().sessions <= rig.settings.max_sessions);
--- a/tests/balancer/request_test.cpp
+++ b/tests/balancer/request_test.cpp
@@ -1,4 +1,4 @@
-// What a request may do by rules 1 to 3 (Request).
+// Tests of Request: when a request may be sent or rejected by rules 1 to 3.
 #include "balancer/request.hpp"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 namespace elmbay::balancer::test {
 namespace {
 
-// A request with a second left, and a deduplication window of 500 ms.
+// Returns a request with one second left and a deduplication window of 500 ms.
 Request request_of(Idempotency idempotency, DedupScope scope = DedupScope::all) {
     Request request;
     request.request_class.idempotency = idempotency;
--- a/tests/balancer/rig.hpp
+++ b/tests/balancer/rig.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// What the tests of the whole module share: a balancer with a clock, its open requests and timers, and a
-/// checker that holds every action against rules 1 to 3. The checker is written from the rules, not from the
-/// module.
+/// Test harness for the whole module: a balancer with a virtual clock, its open requests and timers, and a
+/// checker that verifies every action against rules 1 to 3. The checker is written from the rules,
+/// independently of the module.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -17,7 +17,7 @@
 
 namespace elmbay::balancer::test {
 
-/// A class with an objective of 400 ms.
+/// Returns a class with a latency objective of 400 ms.
 inline RequestClass make_class(Idempotency idempotency, DedupScope scope = DedupScope::all,
                                Millis window = 3000) {
     RequestClass request_class;
@@ -28,7 +28,7 @@
     return request_class;
 }
 
-/// Settings of a single sidecar with four attempts a request and a slow start of 20 s.
+/// Returns settings of a single sidecar with four attempts for each request and a slow start of 20 s.
 inline Settings make_settings(std::vector<RequestClass> classes = {make_class(Idempotency::idempotent)}) {
     Settings settings;
     settings.classes = std::move(classes);
@@ -38,7 +38,7 @@
     return settings;
 }
 
-/// Servers 1 to `count`, in three zones and two cells.
+/// Returns servers 1 to `count` in three zones and two cells.
 inline std::vector<ServerInfo> make_servers(ServerId count, Millis online_since = 0) {
     std::vector<ServerInfo> servers;
     for (ServerId id = 1; id <= count; ++id) {
@@ -47,10 +47,10 @@
     return servers;
 }
 
-/// A sidecar in virtual time. Events go in by handle() and what builds on it; each action is checked and
-/// carried out. Time moves by advance(), and by those functions that say so.
+/// A sidecar in virtual time. handle() and the functions based on it feed events; each resulting action is
+/// checked and carried out. Time moves in advance() and in the functions whose comment says so.
 struct Rig {
-    /// An attempt that the balancer has asked for.
+    /// An attempt that the balancer has started.
     struct SentAttempt {
         ServerId server;
         Millis sent_at;
@@ -58,30 +58,30 @@
         bool in_flight = true;
         bool may_have_run = true;
     };
-    /// A request, as its client and its servers see it.
+    /// A request from the view of its client and its servers.
     struct OpenRequest {
         RequestClass request_class;
         Millis deadline;
         std::vector<SentAttempt> attempts;
-        int responses = 0;  ///< final ones
+        int responses = 0;  ///< number of final responses
         bool client_disconnected = false;
         bool rejected = false;
-        bool session = false;  ///< its attempts are upgrades
+        bool session = false;  ///< the attempts of the request are upgrades
     };
 
     Settings settings;
     Balancer balancer;
     Millis now = 100000;
     std::map<RequestId, OpenRequest> requests;
-    std::map<ServerId, ServerInfo> servers;  ///< as last listed
+    std::map<ServerId, ServerInfo> servers;  ///< the last listed entries
     std::multimap<Millis, TimerToken> timers;
-    std::vector<Action> last_actions;  ///< of the last event
-    std::set<RequestId> sessions;      ///< that stand
+    std::vector<Action> last_actions;  ///< the actions of the last event
+    std::set<RequestId> sessions;      ///< the established sessions
     RequestId next_id = 1;
     std::vector<std::string> logs;
 
-    explicit Rig(Settings given, std::uint64_t seed = 1)
-        : settings(given), balancer(std::move(given), seed) {}
+    explicit Rig(Settings initial_settings, std::uint64_t seed = 1)
+        : settings(initial_settings), balancer(std::move(initial_settings), seed) {}
 
     // ---- Events -----------------------------------------------------------------------------------------
 
@@ -102,26 +102,26 @@
         handle(ServerList{kind, infos});
     }
 
-    /// A request arrives.
+    /// Feeds the arrival of a request.
     RequestId request(std::uint32_t class_index = 0, Millis time_left = 1000, bool is_client_retry = false,
                       bool session = false) {
         const RequestId id = next_id++;
-        RequestClass request_class =
-            make_class(Idempotency::non_idempotent);  // what an unknown class counts as
+        // An unknown class is treated as non-idempotent.
+        RequestClass request_class = make_class(Idempotency::non_idempotent);
         if (class_index < settings.classes.size()) request_class = settings.classes[class_index];
         requests[id] = {request_class, now + time_left, {}, 0, false, false, session};
         handle(RequestArrived{id, class_index, {}, time_left, 0, is_client_retry, false, session});
         return id;
     }
 
-    /// Many requests arrive at once.
+    /// Feeds the arrival of many requests at one time.
     std::vector<RequestId> burst(int count, Millis time_left = 1000, bool is_client_retry = false) {
         std::vector<RequestId> ids;
         for (int i = 0; i < count; ++i) ids.push_back(request(0, time_left, is_client_retry));
         return ids;
     }
 
-    /// `after` milliseconds later, all of the requests that are in flight succeed at once.
+    /// Advances the time by `after` milliseconds; then all given requests in flight succeed.
     void complete_all(const std::vector<RequestId>& ids, Millis after) {
         now += after;
         for (const RequestId id : ids) {
@@ -129,17 +129,17 @@
         }
     }
 
-    /// `after` milliseconds later, the first attempt of the request that is in flight ends.
+    /// Advances the time by `after` milliseconds; then the first attempt in flight of the request ends.
     void end(RequestId id, Outcome outcome, Millis after = 50) {
         now += after;
         const OpenRequest& request = requests.at(id);
         for (std::uint32_t i = 0; i < request.attempts.size(); ++i) {
             if (request.attempts[i].in_flight) return end_attempt(id, i, outcome);
         }
-        FAIL() << "nothing is in flight for request " << id;
+        FAIL() << "no attempt is in flight for request " << id;
     }
 
-    /// An attempt ends now.
+    /// Ends an attempt at the current time.
     void end_attempt(RequestId id, std::uint32_t index, Outcome outcome) {
         OpenRequest& request = requests.at(id);
         SentAttempt& attempt = request.attempts.at(index);
@@ -153,13 +153,13 @@
         handle(AttemptEnded{id, index, outcome, now - attempt.sent_at, is_closed(request)});
     }
 
-    /// A session is over.
+    /// Ends a session.
     void end_session(RequestId id, bool broken_by_server = false) {
         sessions.erase(id);
         handle(SessionEnded{id, broken_by_server});
     }
 
-    /// Lets time pass: fires timers, and ends attempts that reach their deadline.
+    /// Advances the time: fires timers, and ends attempts that reach their deadline.
     void advance(Millis span) {
         const Millis until = now + span;
         for (;;) {
@@ -179,19 +179,20 @@
         }
     }
 
-    /// Lets a minute pass. Then every request must have been answered, and nothing of any may be left.
+    /// Advances the time by a minute, then checks that every request has its final response and that the
+    /// balancer holds none of them.
     void finish_all() {
         advance(60000);
         for (const auto& [id, request] : requests) {
-            EXPECT_TRUE(is_closed(request)) << "rule 1: request " << id << " unanswered";
+            EXPECT_TRUE(is_closed(request)) << "rule 1: request " << id << " has no final response";
         }
         EXPECT_EQ(balancer.resource_usage().requests, 0U);
         EXPECT_EQ(balancer.resource_usage().sessions, sessions.size());
     }
 
-    // ---- Questions --------------------------------------------------------------------------------------
+    // ---- Queries ----------------------------------------------------------------------------------------
 
-    /// Whether the request has its final response, or its client has gone.
+    /// Whether the request has its final response or its client has disconnected.
     bool is_closed(const OpenRequest& request) const {
         return request.responses > 0 || request.client_disconnected;
     }
@@ -201,18 +202,18 @@
         return std::any_of(attempts.begin(), attempts.end(),
                            [](const SentAttempt& attempt) { return attempt.in_flight; });
     }
-    /// How many of the requests have an attempt in flight.
+    /// Returns how many of the requests have an attempt in flight.
     int count_in_flight(const std::vector<RequestId>& ids) const {
         return static_cast<int>(
             std::count_if(ids.begin(), ids.end(), [&](RequestId id) { return is_in_flight(id); }));
     }
-    /// Where the last attempt of the request went.
+    /// Returns the server of the last attempt of the request.
     ServerId last_server(RequestId id) const { return requests.at(id).attempts.back().server; }
-    /// Attempts of the request so far.
+    /// Returns the number of attempts of the request.
     std::size_t attempt_count(RequestId id) const { return requests.at(id).attempts.size(); }
-    /// Servers that have been ejected so far, by the log.
-    auto ejection_count() const { return std::count(logs.begin(), logs.end(), "removed from the pool"); }
-    /// Actions of that type that followed from the last event.
+    /// Returns the number of ejections according to the log.
+    auto ejection_count() const { return std::count(logs.begin(), logs.end(), "ejected from the pool"); }
+    /// Returns the number of actions of the given type after the last event.
     template <class ActionType>
     int count() const {
         return static_cast<int>(std::count_if(last_actions.begin(), last_actions.end(), [](const Action& a) {
@@ -221,7 +222,8 @@
     }
 
 private:
-    // The first attempt whose deadline is before `next`, which is then set to its time. Request 0: none.
+    // Returns the first attempt whose deadline is before `next` and sets `next` to its deadline. Request 0:
+    // no such attempt.
     std::pair<RequestId, std::uint32_t> first_timeout(Millis& next) const {
         std::pair<RequestId, std::uint32_t> first{0, 0};
         for (const auto& [id, request] : requests) {
@@ -257,7 +259,7 @@
             const bool deduplicated_everywhere = request_class.idempotency == Idempotency::idempotency_key &&
                                                  request_class.dedup_scope == DedupScope::all;
             EXPECT_TRUE(request_class.idempotency == Idempotency::idempotent || deduplicated_everywhere)
-                << "rule 2: rejected after a possible run";
+                << "rule 2: rejected though an attempt may have run";
         }
         request.rejected = true;
         respond(request);
@@ -265,7 +267,7 @@
 
     void respond(OpenRequest& request) {
         EXPECT_FALSE(is_closed(request)) << "rule 1: a second final response";
-        EXPECT_LE(now, request.deadline) << "rule 1: too late a response";
+        EXPECT_LE(now, request.deadline) << "rule 1: response after the deadline";
         ++request.responses;
     }
 
@@ -283,25 +285,26 @@
         }
         const SentAttempt* first = first_possible_execution(request);
         if (first && request.request_class.idempotency == Idempotency::idempotency_key) {
-            EXPECT_LT(now, first->sent_at + request.request_class.dedup_window) << "rule 2: after the window";
+            EXPECT_LT(now, first->sent_at + request.request_class.dedup_window)
+                << "rule 2: sent after the deduplication window";
         }
         const Millis deadline = send.attempt_deadline > 0 ? send.attempt_deadline : request.deadline;
         request.attempts.push_back({send.server, now, deadline, true, true});
     }
 
-    // The request is sent to `target` though `earlier` may have run.
+    // Checks an attempt at `target` after `earlier`, which may have run.
     void check_rule_2(const OpenRequest& request, const SentAttempt& earlier,
                       const ServerInfo& target) const {
         const RequestClass& request_class = request.request_class;
         EXPECT_NE(request_class.idempotency, Idempotency::non_idempotent)
-            << "rule 2: sent again after a possible run";
+            << "rule 2: sent again though an attempt may have run";
         if (request_class.idempotency != Idempotency::idempotency_key) return;
         const ServerInfo& before = servers.at(earlier.server);
         if (request_class.dedup_scope == DedupScope::zone) {
-            EXPECT_EQ(target.zone, before.zone) << "rule 2: zone";
+            EXPECT_EQ(target.zone, before.zone) << "rule 2: sent outside the zone of the deduplication scope";
         }
         if (request_class.dedup_scope == DedupScope::cell) {
-            EXPECT_EQ(target.cell, before.cell) << "rule 2: cell";
+            EXPECT_EQ(target.cell, before.cell) << "rule 2: sent outside the cell of the deduplication scope";
         }
     }
 };
--- a/tests/balancer/samples.hpp
+++ b/tests/balancer/samples.hpp
@@ -1,6 +1,5 @@
 /// @file
-/// What the tests of single classes share: settings, servers and attempts with the figures that they build
-/// on.
+/// Shared test data for the tests of single classes: settings, servers and attempts with fixed values.
 #pragma once
 
 #include <vector>
@@ -10,10 +9,11 @@
 
 namespace elmbay::balancer::test {
 
-/// The time of the tests, in milliseconds on the module's clock.
+/// The current time in the tests, in milliseconds on the module's clock.
 constexpr Millis kNow = 1e6;
 
-/// One idempotent class with an objective of 400 ms for each weight; a slow start of 10 s.
+/// Returns settings with one idempotent class for each weight, with a latency objective of 400 ms, and a slow
+/// start of 10 s.
 inline Settings settings_of(std::uint32_t siblings, const std::vector<double>& priority_weights = {1}) {
     Settings settings;
     for (const double priority_weight : priority_weights) {
@@ -31,7 +31,7 @@
     return settings;
 }
 
-/// A warm server without a record.
+/// Returns a warm server without outcomes.
 inline Server server_of(ServerId id, std::uint64_t rank = 0) {
     Server server;
     server.info.id = id;
@@ -39,7 +39,7 @@
     return server;
 }
 
-/// An attempt that was sent 100 ms ago.
+/// Returns an attempt that was sent 100 ms ago.
 inline Attempt attempt_at(ServerId server, bool in_flight, bool may_have_run) {
     Attempt attempt;
     attempt.server = server;
--- a/tests/balancer/slow_start_budget_test.cpp
+++ b/tests/balancer/slow_start_budget_test.cpp
@@ -1,6 +1,6 @@
-// The budget of a server in slow start, over fleets of few and of many sidecars. What all of them together
-// send it within the span that the settings name must stay under what the settings allow then, and a little
-// for chance: N + 2 x root N + 2, under 30 requests N + 3 x root N + 3.
+// Tests the budget of a server in slow start with few and many sidecars. The requests that all sidecars
+// together send within kBudgetWindow must stay below the number N that the settings allow, plus a tolerance
+// for random variation: N + 2 x root N + 2, and below 30 requests N + 3 x root N + 3.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -17,30 +17,30 @@
 namespace elmbay::balancer::test {
 namespace {
 
-constexpr Millis kSpan = 1000;      // the settings' own
-constexpr Millis kWarmRun = 20000;  // until the servers restart
-constexpr Millis kSlowStartRun = 12000;
+constexpr Millis kBudgetWindow = 1000;   // the window of the settings
+constexpr Millis kWarmDuration = 20000;  // time before the servers restart
+constexpr Millis kSlowStartDuration = 12000;
 constexpr std::uint64_t kSeeds = 4;
 constexpr double kPerSecond = 1000;
-// Requests a second of a server, from which on one in slow start must get some for the test to prove
-// anything.
+// Requests per second of a server, above which a server in slow start must receive some requests for the test
+// to be meaningful.
 constexpr double kMinCapacityToCount = 60;
 
-// The most that chance makes of a mean of n requests.
-double upper_confidence_bound(double n) {
-    const double roots = n < 30 ? 3 : 2;
-    return n + roots * std::sqrt(n) + roots;
+// Returns an upper bound of a random number of requests with the given mean.
+double upper_confidence_bound(double mean) {
+    const double roots = mean < 30 ? 3 : 2;
+    return mean + roots * std::sqrt(mean) + roots;
 }
 
 struct Scenario {
     std::uint32_t sidecars = 1;
     ServerId servers = 10, restarted = 1;
-    double capacity = 60;            // requests a second of one warm server
-    double load = 0.6;               // of all of them together
-    bool restarts_sidecars = false;  // with the learned state of their earlier runs
+    double capacity = 60;            // requests per second of one warm server
+    double load = 0.6;               // share of the capacity of all servers
+    bool restarts_sidecars = false;  // the sidecars restart with the learned state of their earlier runs
 };
 
-// Sidecars and servers in virtual time. Servers work off one request after another; sidecars send as their
+// Sidecars and servers in virtual time. A server processes one request after another; sidecars send as their
 // balancers decide.
 class SlowStartRun {
 public:
@@ -57,8 +57,9 @@
         }
     }
 
-    // The most that a server in slow start got within kSpan, as a share of what it may get.
-    double worst() {
+    // Returns the largest number of requests that a server in slow start received within kBudgetWindow, as a
+    // share of the allowed number.
+    double max_budget_use() {
         std::vector<ServerInfo> infos;
         for (ServerId id = 1; id <= scenario_.servers; ++id) {
             infos.push_back({id, 0, 0, 0, EndpointState::active, 0});
@@ -67,29 +68,29 @@
             handle(i, ServerList{ListKind::snapshot, infos});
         }
         now_ = start_;
-        run_until(start_ + kWarmRun);
-        std::vector<LearnedState> known;
-        for (auto& sidecar : sidecars_) known.push_back(sidecar->learned_state(now_));
-        std::vector<ServerInfo> fresh;
+        run_until(start_ + kWarmDuration);
+        std::vector<LearnedState> learned_states;
+        for (auto& sidecar : sidecars_) learned_states.push_back(sidecar->learned_state(now_));
+        std::vector<ServerInfo> restarted_infos;
         for (ServerId id = 1; id <= scenario_.restarted; ++id) {
             servers_[id] = {now_, now_, {}};
-            fresh.push_back({id, 0, 0, 0, EndpointState::active, now_});
-            infos[id - 1] = fresh.back();
+            restarted_infos.push_back({id, 0, 0, 0, EndpointState::active, now_});
+            infos[id - 1] = restarted_infos.back();
         }
         if (scenario_.restarts_sidecars) {
             for (std::uint32_t i = 0; i < scenario_.sidecars; ++i) {
                 sidecars_[i] = start_balancer(77000 + i);
-                handle(i, StateRestored{known[i], 500});
+                handle(i, StateRestored{learned_states[i], 500});
                 handle(i, ServerList{ListKind::snapshot, infos});
             }
-            calls_.clear();
+            requests_.clear();
         } else {
             for (std::uint32_t i = 0; i < scenario_.sidecars; ++i) {
-                handle(i, ServerList{ListKind::incremental, fresh});
+                handle(i, ServerList{ListKind::incremental, restarted_infos});
             }
         }
-        run_until(now_ + kSlowStartRun);
-        return worst_;
+        run_until(now_ + kSlowStartDuration);
+        return max_budget_use_;
     }
     std::size_t sent_in_slow_start() const { return sent_in_slow_start_; }
 
@@ -98,16 +99,16 @@
         Millis started = 0, busy_until = 0;
         std::deque<Millis> received;
     };
-    struct Due {
+    struct ScheduledEvent {
         Millis at = 0;
         std::uint64_t order = 0;
         std::uint32_t sidecar = 0;
         Event event;
-        bool operator<(const Due& other) const {
+        bool operator<(const ScheduledEvent& other) const {
             return at != other.at ? at > other.at : order > other.order;
         }
     };
-    struct Call {
+    struct RequestState {
         std::uint32_t attempts = 0;
         bool ended = false;
     };
@@ -130,9 +131,9 @@
         const double rate = scenario_.load * scenario_.capacity * scenario_.servers / kPerSecond;
         Millis next = now_ + interval(rate);
         for (;;) {
-            if (!due_.empty() && due_.top().at <= std::min(next, until)) {
-                const Due due = due_.top();
-                due_.pop();
+            if (!scheduled_.empty() && scheduled_.top().at <= std::min(next, until)) {
+                const ScheduledEvent due = scheduled_.top();
+                scheduled_.pop();
                 now_ = due.at;
                 deliver(due);
             } else if (next <= until) {
@@ -148,13 +149,13 @@
     }
     Millis interval(double rate) { return -std::log(1 - random_.uniform()) / rate; }
 
-    void deliver(const Due& due) {
+    void deliver(const ScheduledEvent& due) {
         Event event = due.event;
         if (auto* end = std::get_if<AttemptEnded>(&event)) {
-            const auto call = calls_.find(end->id);
-            if (call == calls_.end()) return;
-            call->second.ended |= end->outcome == Outcome::success;
-            end->request_ended = call->second.ended;
+            const auto request = requests_.find(end->id);
+            if (request == requests_.end()) return;
+            request->second.ended |= end->outcome == Outcome::success;
+            end->request_ended = request->second.ended;
         }
         handle(due.sidecar, event);
     }
@@ -165,21 +166,21 @@
         for (const Action& action : actions) {
             if (const auto* send = std::get_if<StartAttempt>(&action)) serve(sidecar, *send);
             if (const auto* timer = std::get_if<SetTimer>(&action)) {
-                due_.push({timer->at, ++order_, sidecar, TimerFired{timer->token}});
+                scheduled_.push({timer->at, ++order_, sidecar, TimerFired{timer->token}});
             }
-            if (const auto* refuse = std::get_if<Reject>(&action)) calls_[refuse->id].ended = true;
-            if (const auto* failed = std::get_if<Fail>(&action)) calls_[failed->id].ended = true;
+            if (const auto* reject = std::get_if<Reject>(&action)) requests_[reject->id].ended = true;
+            if (const auto* failed = std::get_if<Fail>(&action)) requests_[failed->id].ended = true;
         }
     }
 
     void serve(std::uint32_t sidecar, const StartAttempt& send) {
         ServerState& server = servers_.at(send.server);
-        const std::uint32_t number = calls_[send.id].attempts++;
+        const std::uint32_t number = requests_[send.id].attempts++;
         if (server.started > 0) count(server);
         server.busy_until = std::max(now_, server.busy_until) + kPerSecond / capacity(server);
         const bool late = server.busy_until >= send.attempt_deadline;
         const Millis ends_at = late ? send.attempt_deadline : server.busy_until;
-        due_.push(
+        scheduled_.push(
             {ends_at, ++order_, sidecar,
              AttemptEnded{send.id, number, late ? Outcome::timed_out : Outcome::success, ends_at - now_}});
     }
@@ -187,10 +188,10 @@
     void count(ServerState& server) {
         ++sent_in_slow_start_;
         server.received.push_back(now_);
-        while (server.received.front() <= now_ - kSpan) server.received.pop_front();
-        const double allowed = settings_.overload_multiple * capacity(server) * kSpan / kPerSecond;
-        worst_ =
-            std::max(worst_, static_cast<double>(server.received.size()) / upper_confidence_bound(allowed));
+        while (server.received.front() <= now_ - kBudgetWindow) server.received.pop_front();
+        const double allowed = settings_.overload_multiple * capacity(server) * kBudgetWindow / kPerSecond;
+        max_budget_use_ = std::max(
+            max_budget_use_, static_cast<double>(server.received.size()) / upper_confidence_bound(allowed));
     }
 
     Scenario scenario_;
@@ -200,11 +201,11 @@
     const Millis start_ = now_;
     std::vector<std::unique_ptr<Balancer>> sidecars_;
     std::vector<ServerState> servers_;
-    std::map<RequestId, Call> calls_;
-    std::priority_queue<Due> due_;
+    std::map<RequestId, RequestState> requests_;
+    std::priority_queue<ScheduledEvent> scheduled_;
     RequestId last_request_ = 0;
     std::uint64_t order_ = 0;
-    double worst_ = 0;
+    double max_budget_use_ = 0;
     std::size_t sent_in_slow_start_ = 0;
 };
 
@@ -212,18 +213,20 @@
     std::size_t sent_in_slow_start = 0;
     for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
         SlowStartRun run(scenario, seed);
-        const double worst = run.worst();
-        EXPECT_LE(worst, 1) << scenario.sidecars << " sidecars, " << scenario.restarted << " of "
-                            << scenario.servers << " servers restarted, capacity " << scenario.capacity
-                            << "/s, load " << scenario.load << ", seed " << seed;
+        const double max_budget_use = run.max_budget_use();
+        EXPECT_LE(max_budget_use, 1) << scenario.sidecars << " sidecars, " << scenario.restarted << " of "
+                                     << scenario.servers << " servers restarted, capacity "
+                                     << scenario.capacity << "/s, load " << scenario.load << ", seed "
+                                     << seed;
         sent_in_slow_start += run.sent_in_slow_start();
     }
     if (scenario.capacity >= kMinCapacityToCount) {
-        EXPECT_GT(sent_in_slow_start, 0U) << "a server that gets nothing proves nothing";
+        EXPECT_GT(sent_in_slow_start, 0U)
+            << "without requests to servers in slow start, the test checks nothing";
     }
 }
 
-// However few or many sidecars there are, and however many of the servers start together.
+// The number of sidecars is the parameter; the tests vary the number of servers that start together.
 class SlowStartBudget : public testing::TestWithParam<std::uint32_t> {};
 
 TEST_P(SlowStartBudget, IsKeptWhenOneServerRestarts) {
--- a/tests/balancer/slow_start_test.cpp
+++ b/tests/balancer/slow_start_test.cpp
@@ -1,4 +1,4 @@
-// What a server in slow start may be sent (SlowStart).
+// Tests of SlowStart: the tokens of a server in slow start.
 #include "balancer/slow_start.hpp"
 
 #include <gtest/gtest.h>
@@ -10,16 +10,16 @@
 
 TEST(SlowStartTest, RefillsByShareOfAgeAndLessForSlowServer) {
     const SlowStart slow_start(settings_of(1));
-    const SlowStart::Traffic traffic{0.01, 1, 1e9, 1e-9};  // a warm server completes one in 100 ms
+    const SlowStart::Traffic traffic{0.01, 1, 1e9, 1e-9};  // a warm server completes one request in 100 ms
     const auto tokens_after_50_ms = [&](Millis age, double latency_ratio) {
         Server server = server_of(1);
         server.process.started_at = kNow - age;
         server.slow_start_tokens_at = kNow - 50;
         return slow_start.refill_tokens(server, traffic, latency_ratio, kNow);
     };
-    const double feed_factor = SlowStart::kOverloadMargin * 2.5;
-    EXPECT_NEAR(tokens_after_50_ms(0, 0), 50 * 0.01 * 0.2 * feed_factor, 1e-9);
-    EXPECT_NEAR(tokens_after_50_ms(5000, 0), 50 * 0.01 * 0.6 * feed_factor, 1e-9);
+    const double rate_factor = SlowStart::kOverloadMargin * 2.5;
+    EXPECT_NEAR(tokens_after_50_ms(0, 0), 50 * 0.01 * 0.2 * rate_factor, 1e-9);
+    EXPECT_NEAR(tokens_after_50_ms(5000, 0), 50 * 0.01 * 0.6 * rate_factor, 1e-9);
     EXPECT_NEAR(tokens_after_50_ms(5000, 0.9), 50 * 0.01 * 0.6, 1e-9);
     Server server = server_of(1);
     server.process.started_at = kNow - 9999;
--- a/tests/example.cpp
+++ b/tests/example.cpp
@@ -1,6 +1,7 @@
 /// @file
-/// How a sidecar uses elmbay::balancer: it feeds events with their time and carries out the actions. Here one
-/// request arrives, is sent, fails before it ran, is retried at another server and succeeds.
+/// Example use of elmbay::balancer: a sidecar feeds events with their time and carries out the actions. In
+/// this example one request arrives, is sent, fails before it runs, is retried at another server and
+/// succeeds.
 #include <cstdint>
 #include <iostream>
 #include <variant>
@@ -38,7 +39,7 @@
 
     std::uint32_t attempt = 0;
     for (std::size_t i = 0; i < actions.size(); ++i) {
-        const Action action = actions[i];  // handle() may move the vector's storage
+        const Action action = actions[i];  // a copy, because handle() may reallocate the vector
         if (const auto* send = std::get_if<StartAttempt>(&action)) {
             std::cout << "send request " << send->id << " to server " << send->server << '\n';
             AttemptEnded ended{send->id, attempt++};
@@ -46,7 +47,7 @@
             ended.request_ended = ended.outcome == Outcome::success;
             balancer.handle(1010 + 20 * attempt, ended, actions);
         } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
-            // A sidecar hands TimerFired{timer->token} back at that time.
+            // A sidecar feeds TimerFired{timer->token} at that time.
             std::cout << "timer at " << timer->at << '\n';
         }
     }
