--- a/src/base/byte_budget.hpp
+++ b/src/base/byte_budget.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Bounds the memory that long messages of the process take together.
+/// Bounds the total memory that long messages may occupy in this process.
 #pragma once
 
 #include <cstddef>
@@ -11,15 +11,15 @@
 
 /// Grants bytes for messages beyond the protocol's usual size.
 ///
-/// A connection takes a long message in only with a grant for the most that the message may come to, and
-/// keeps the grant for as long as it holds the message. Messages of the usual size need none: the number of
-/// descriptors bounds them.
+/// A connection reads a long message only with a grant for the message's maximum size, and keeps the grant
+/// for as long as it holds the message. Messages of the usual size need no grant, because the descriptor
+/// limit bounds their number.
 ///
-/// Not thread-safe: for the event loop's thread.
+/// Not thread-safe: used on the event loop's thread only.
 class ByteBudget {
 public:
-    /// Bytes that are in use until this is destroyed. May outlive its budget: connections live on in handlers
-    /// that the event loop destroys last.
+    /// A number of bytes that counts as used until the grant is destroyed. A grant may outlive its budget,
+    /// because the event loop destroys pending handlers, and with them connections, last.
     class Grant {
     public:
         Grant(Grant&&) noexcept = default;
@@ -40,26 +40,26 @@
             *used_ += bytes;
         }
 
-        std::shared_ptr<std::size_t> used_;  // the budget's; nullptr: moved from
+        std::shared_ptr<std::size_t> used_;  // the budget's counter; nullptr after a move
         std::size_t bytes_;
     };
 
-    /// @param limit bytes that all grants may come to together
+    /// @param limit the maximum sum of all grants, in bytes
     explicit ByteBudget(std::size_t limit) : limit_(limit) {}
     ByteBudget(const ByteBudget&) = delete;
     ByteBudget& operator=(const ByteBudget&) = delete;
 
-    /// A grant of so many bytes; none if fewer are left.
+    /// Returns a grant of the given number of bytes, or nothing if fewer bytes are available.
     std::optional<Grant> acquire(std::size_t bytes) {
-        const std::size_t left = limit_ - *used_;
-        if (bytes > left) return {};
+        const std::size_t available = limit_ - *used_;
+        if (bytes > available) return {};
         return Grant(used_, bytes);
     }
 
 private:
     std::size_t limit_;
     std::shared_ptr<std::size_t> used_ =
-        std::make_shared<std::size_t>(0);  // bytes granted, shared with grants
+        std::make_shared<std::size_t>(0);  // bytes granted; shared with the grants
 };
 
 }  // namespace elmbay
--- a/src/base/failpoints.hpp
+++ b/src/base/failpoints.hpp
@@ -1,8 +1,8 @@
 /// @file
-/// Failpoints: faults in the program itself, to prove that the tests of many processes find them.
+/// Failpoints: deliberate faults in the program, which prove that the multi-process tests detect such faults.
 ///
-/// Only a build with ELMBAY_FAILPOINTS (tests/process_testbed's own) has any. In every other build
-/// failpoint_enabled() is a constant false, and the compiler removes what it guards.
+/// Only builds with ELMBAY_FAILPOINTS, which tests/process_testbed makes, contain failpoints. In every other
+/// build failpoint_enabled() is always false, and the compiler removes the code that it guards.
 #pragma once
 
 #ifdef ELMBAY_FAILPOINTS
@@ -13,13 +13,13 @@
 namespace elmbay {
 
 #ifdef ELMBAY_FAILPOINTS
-/// Whether the environment variable ELMBAY_PLANT names this failpoint. It is read once.
+/// Returns whether the environment variable ELMBAY_PLANT names this failpoint. The variable is read once.
 inline bool failpoint_enabled(std::string_view name) {
     static const char* const enabled_name = std::getenv("ELMBAY_PLANT");
     return enabled_name && name == enabled_name;
 }
 #else
-/// Never: this build has no failpoints.
+/// Always returns false, because this build has no failpoints.
 constexpr bool failpoint_enabled(const char* /*name*/) { return false; }
 #endif
 
--- a/src/base/log_line.hpp
+++ b/src/base/log_line.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Log lines of the sidecar: one event a line on standard error, `elmbay: component=NAME event=NAME key=value
-/// ...`.
+/// Log lines of the sidecar on standard error. Each line reports one event in the form
+/// `elmbay: component=NAME event=NAME key=value ...`.
 #pragma once
 
 #include <iostream>
@@ -9,8 +9,8 @@
 
 namespace elmbay {
 
-/// Quotes a value that comes from outside or has spaces. `"`, `\` and control characters are escaped, so that
-/// no value can end its line or look like another key.
+/// Quotes a log value that comes from outside the process or contains spaces. The characters `"` and `\` and
+/// control characters are escaped, so that no value can end its line or imitate another key.
 inline std::string quoted_log_value(std::string_view text) {
     constexpr std::string_view hex_digits = "0123456789abcdef";
     constexpr unsigned char first_printable = 0x20;
@@ -30,8 +30,8 @@
     return quoted + "\"";
 }
 
-/// Writes one line and flushes it.
-/// @param line `component=NAME event=NAME key=value ...`.
+/// Writes one log line to standard error and flushes the stream.
+/// @param line the text after the prefix: `component=NAME event=NAME key=value ...`
 inline void write_log_line(std::string_view line) { std::cerr << "elmbay: " << line << std::endl; }
 
 }  // namespace elmbay
--- a/src/base/random.hpp
+++ b/src/base/random.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The balancer's source of random numbers: seeded, and the same with every standard library.
+/// A seeded random number generator whose output does not depend on the standard library.
 #pragma once
 
 #include <cstddef>
@@ -7,21 +7,24 @@
 
 namespace elmbay::balancer {
 
-/// SplitMix64 (Steele, Lea and Flood 2014). The standard library's distributions are not used, as they differ
-/// from one library to the next, and the same seed and events must give the same actions everywhere.
+/// Generates random numbers with SplitMix64 (Steele, Lea and Flood 2014). The distributions of the standard
+/// library are not used, because they differ between implementations, and the same seed and the same events
+/// must produce the same actions on every platform.
 ///
-/// Not for secrets. Not thread-safe.
+/// Not suitable for cryptography. Not thread-safe.
 class Random {
 public:
     explicit Random(std::uint64_t seed) : state_(seed) {}
 
-    /// Uniform in [0, 1), with the 53 bits that a double holds.
+    /// Returns a number that is uniform in [0, 1), with the 53 bits of precision of a double.
     double uniform() { return static_cast<double>(next() >> kDiscardedBits) * kUnitStep; }
 
-    /// Uniform in [0, n). 0 if n is 0.
-    std::size_t below(std::size_t n) { return static_cast<std::size_t>(uniform() * static_cast<double>(n)); }
+    /// Returns an integer that is uniform in [0, bound), or 0 if bound is 0.
+    std::size_t below(std::size_t bound) {
+        return static_cast<std::size_t>(uniform() * static_cast<double>(bound));
+    }
 
-    /// Uniform over all 64-bit numbers.
+    /// Returns a number that is uniform over all 64-bit numbers.
     std::uint64_t next() {
         state_ += kIncrement;
         std::uint64_t mixed = state_;
@@ -31,12 +34,12 @@
     }
 
 private:
-    // The algorithm's own constants; the shifts above belong to them.
+    // The constants of SplitMix64, as are the shifts in next().
     static constexpr std::uint64_t kIncrement = 0x9e3779b97f4a7c15;  // 2^64 divided by the golden ratio
     static constexpr std::uint64_t kFirstMultiplier = 0xbf58476d1ce4e5b9;
     static constexpr std::uint64_t kSecondMultiplier = 0x94d049bb133111eb;
 
-    static constexpr unsigned kDiscardedBits = 64 - 53;  // a double's significand has 53
+    static constexpr unsigned kDiscardedBits = 64 - 53;  // the significand of a double has 53 bits
     static constexpr double kUnitStep = 0x1.0p-53;
 
     std::uint64_t state_;
--- a/src/base/socket_state.hpp
+++ b/src/base/socket_state.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Looks at what a connection has for its reader, without reading it.
+/// Determines the state of a connection without reading data from it.
 #pragma once
 
 #include <sys/socket.h>
@@ -10,17 +10,18 @@
 
 namespace elmbay {
 
-/// What a look at a connection finds.
+/// The state of a connected stream socket, as its reader would find it.
 enum class SocketState {
-    idle,         ///< open, with nothing to read
-    readable,     ///< bytes wait to be read
-    peer_closed,  ///< the peer has ended its sending, and all that it sent has been read
+    idle,         ///< open, with no data to read
+    readable,     ///< data is available to read
+    peer_closed,  ///< the peer has closed its sending direction, and all received data has been read
     failed,       ///< reset, timed out or unreachable
-    interrupted,  ///< not known: signals interrupted every look
+    interrupted,  ///< unknown, because signals interrupted every attempt to read the state
 };
 
-/// The state of a connected stream socket, at the cost of one system call. Never blocks and takes nothing.
-/// @param socket its descriptor
+/// Returns the state of a connected stream socket, at the cost of one system call. Never blocks, and leaves
+/// the received data in the socket.
+/// @param socket the descriptor of the socket
 inline SocketState peek_socket_state(int socket) {
     char byte = 0;
     for (int i = 0; i < kMaxInterruptions; ++i) {
--- a/src/base/stream_socket.hpp
+++ b/src/base/stream_socket.hpp
@@ -1,12 +1,11 @@
 /// @file
-/// Stream sockets that stay correct where Linux lets a system call do less than it was asked, or interrupts
-/// it.
+/// Stream sockets that handle partial sends and interrupted system calls of Linux correctly.
 ///
-/// Asio registers descriptors edge-triggered. After a send that took only a part it waits for the next edge
-/// of EPOLLOUT before it sends again, and while the socket's buffer has space none comes: async_write()
-/// hangs. Its blocking-style read_some(), write_some() and connect() pass EINTR on as if the connection had
-/// failed. StreamSocket replaces these calls and leaves all others as they are, so that asio::async_write(),
-/// Beast's HTTP writers and WebSocket streams work on it unchanged.
+/// Asio registers descriptors edge-triggered. After a partial send it waits for the next edge of EPOLLOUT
+/// before it sends again. No edge occurs while the socket's buffer has space, so async_write() hangs. Asio's
+/// synchronous read_some(), write_some() and connect() report EINTR as if the connection had failed.
+/// StreamSocket replaces these calls and leaves all others as they are, so that asio::async_write(), Beast's
+/// HTTP writers and WebSocket streams work on it unchanged.
 #pragma once
 
 #include <poll.h>
@@ -26,14 +25,14 @@
 
 namespace elmbay {
 
-/// How often a call that a signal interrupts is made again; signals don't come in such numbers. After that
-/// the socket counts as not ready, and the event loop comes back to it.
+/// Maximum number of times that a system call is made while signals interrupt it. Signals do not arrive that
+/// often. After the last call the socket counts as not ready, and the event loop tries again later.
 constexpr int kMaxInterruptions = 64;
 
-/// Makes a system call until no signal interrupts it.
-/// @return the call's result; -1 with errno EAGAIN once it has been interrupted kMaxInterruptions times
+/// Repeats a system call until no signal interrupts it.
+/// @return the result of the call; -1 with errno EAGAIN if signals interrupted it kMaxInterruptions times
 template <class Call>
-auto uninterrupted(Call call) {
+auto retry_on_interrupt(Call call) {
     for (int i = 0; i < kMaxInterruptions; ++i) {
         const auto result = call();
         if (result >= 0 || errno != EINTR) return result;
@@ -42,8 +41,8 @@
     return decltype(call())(-1);
 }
 
-/// A stream socket of Asio, with the calls replaced that the file's comment names. Used like its base, and
-/// not thread-safe like it. The calls with an error argument do not throw; those without one throw
+/// An Asio stream socket that replaces the calls named in the file comment. Used like its base class, and
+/// like it not thread-safe. Functions with an error argument do not throw; functions without one throw
 /// boost::system::system_error.
 template <class Protocol>
 class StreamSocket : public boost::asio::basic_stream_socket<Protocol> {
@@ -54,12 +53,12 @@
     using Base::Base;
     using typename Base::endpoint_type;
 
-    /// Takes over a socket that an acceptor has made. Implicit, as accept handlers pass the base type.
+    /// Takes ownership of an accepted socket. Implicit, because accept handlers pass the base class.
     StreamSocket(Base&& accepted) : Base(std::move(accepted)) {}
 
-    /// Reads what is there. On a non-blocking socket: would_block where nothing has come, or where signals
-    /// interrupt every try.
-    /// @return bytes read
+    /// Reads the available data. On a non-blocking socket the error is would_block if no data is available or
+    /// if signals interrupt every call.
+    /// @return the number of bytes read
     template <class Buffers>
     std::size_t read_some(const Buffers& buffers, Error& error) {
         for (int i = 0; i < kMaxInterruptions; ++i) {
@@ -70,7 +69,7 @@
         return 0;
     }
 
-    /// The same; throws.
+    /// Like read_some(buffers, error), but throws boost::system::system_error.
     template <class Buffers>
     std::size_t read_some(const Buffers& buffers) {
         Error error;
@@ -79,9 +78,9 @@
         return received;
     }
 
-    /// Sends what the socket takes at once: would_block where that is nothing. Never blocks, whatever the
-    /// socket's mode is.
-    /// @return bytes sent
+    /// Sends as many bytes as the socket accepts at once. The error is would_block if it accepts none. Never
+    /// blocks, whether or not the socket is in non-blocking mode.
+    /// @return the number of bytes sent
     template <class Buffers>
     std::size_t write_some(const Buffers& buffers, Error& error) {
         std::array<iovec, kMaxBuffers> parts{};
@@ -101,13 +100,13 @@
         if (size == 0) return 0;
         const int socket = this->native_handle();
         const ssize_t sent =
-            uninterrupted([&] { return ::sendmsg(socket, &message, MSG_NOSIGNAL | MSG_DONTWAIT); });
+            retry_on_interrupt([&] { return ::sendmsg(socket, &message, MSG_NOSIGNAL | MSG_DONTWAIT); });
         if (sent >= 0) return static_cast<std::size_t>(sent);
         error = last_error();
         return 0;
     }
 
-    /// The same; throws.
+    /// Like write_some(buffers, error), but throws boost::system::system_error.
     template <class Buffers>
     std::size_t write_some(const Buffers& buffers) {
         Error error;
@@ -116,34 +115,34 @@
         return sent;
     }
 
-    /// Sends at once what the socket takes; where it takes nothing, as soon as it does. Completes after one
-    /// send: a long message goes through the event loop between its parts, so that other connections have
-    /// their turn. The handler is called as handler(error, bytes sent), never from within this call.
+    /// Sends as many bytes as the socket accepts, after waiting until it accepts some. Completes after one
+    /// send: a long message returns to the event loop between its parts, so that other connections are served
+    /// in between. The handler is called as handler(error, bytes sent), never from within this call.
     template <class Buffers, class Token>
     auto async_write_some(const Buffers& buffers, Token&& token) {
         return boost::asio::async_compose<Token, void(Error, std::size_t)>(
             WriteOperation<Buffers>{*this, buffers}, token, *this);
     }
 
-    /// Connects; opens the socket if it is not open. An interrupted connect goes on without its caller
-    /// (connect(2)), and is waited for like any other. The handler is called as handler(error), never from
-    /// within this call.
+    /// Connects the socket, and opens it first if it is not open. The kernel continues a connect that a
+    /// signal has interrupted (connect(2)), so the operation waits for it like for any other. The handler is
+    /// called as handler(error), never from within this call.
     template <class Token>
     auto async_connect(const endpoint_type& peer, Token&& token) {
         return boost::asio::async_compose<Token, void(Error)>(ConnectOperation{*this, peer}, token, *this);
     }
 
 private:
-    /// Buffers of one send; as many as Asio sends at a time.
+    /// Buffers per send. Asio uses the same limit.
     static constexpr std::size_t kMaxBuffers = 64;
 
     static Error last_error() { return {errno, boost::system::system_category()}; }
 
-    /// Of an operation below.
+    /// The step of a WriteOperation or ConnectOperation.
     enum class Step {
-        start,      ///< nothing has been tried
-        waiting,    ///< for the socket to become writable
-        completing  ///< the result is known, and on its way to the handler through the event loop
+        start,      ///< no system call has been made
+        waiting,    ///< the operation waits until the socket is writable
+        completing  ///< the result is known, and a posted call will pass it to the handler
     };
 
     /// The state of async_write_some(), which boost::asio calls again after each wait.
@@ -161,13 +160,14 @@
             if (!error) sent = socket.write_some(buffers, error);
             if (error == boost::asio::error::would_block) {
                 step = Step::waiting;
-                // Arms the descriptor anew: for one that is writable already the wait ends at once.
+                // Registers the descriptor anew, so that the wait ends at once if it is already writable.
                 return socket.async_wait(Base::wait_write, std::move(self));
             }
             if (step == Step::waiting) return self.complete(error, sent);
             result = error;
             step = Step::completing;
-            boost::asio::post(socket.get_executor(), std::move(self));  // never from within the call
+            boost::asio::post(socket.get_executor(),
+                              std::move(self));  // the handler must not run from within the call
         }
     };
 
@@ -189,26 +189,27 @@
             if (step == Step::waiting) return self.complete(error);
             result = error;
             step = Step::completing;
-            boost::asio::post(socket.get_executor(), std::move(self));  // never from within the call
+            boost::asio::post(socket.get_executor(),
+                              std::move(self));  // the handler must not run from within the call
         }
     };
 
-    // Returns no error for a socket that is connected, in_progress where it has to be waited for.
+    // Starts a connect. Returns no error if the socket is connected, and in_progress if the caller must wait.
     Error begin_connect(const endpoint_type& peer) {
         Error error;
         if (!this->is_open()) this->open(peer.protocol(), error);
         if (!error) this->native_non_blocking(true, error);
         if (error) return error;
         const int socket = this->native_handle();
-        const int result = uninterrupted(
+        const int result = retry_on_interrupt(
             [&] { return ::connect(socket, peer.data(), static_cast<socklen_t>(peer.size())); });
         if (result == 0 || errno == EISCONN) return {};
-        const bool interrupted_call_has_begun_it = errno == EALREADY;
-        if (interrupted_call_has_begun_it) return boost::asio::error::in_progress;
+        const bool is_already_connecting = errno == EALREADY;
+        if (is_already_connecting) return boost::asio::error::in_progress;
         return last_error();
     }
 
-    // What became of a connect that was in progress; in_progress if it still is.
+    // Returns the result of a connect that was in progress, or in_progress if it is not complete.
     Error connect_result() {
         const int socket = this->native_handle();
         int failure = 0;
--- a/src/base/timing.hpp
+++ b/src/base/timing.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Time for the event loop: the machine's clocks, and one queue of timers.
+/// Clocks and timers for the event loop.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -15,39 +15,41 @@
 
 namespace asio = boost::asio;
 
-/// Milliseconds, as in the decisions' interface (elmbay/balancer.hpp).
+/// Milliseconds, as in the interface of the decision module (elmbay/balancer.hpp).
 using Millis = double;
 
-/// The machine's monotonic clock and its wall clock, kept apart.
+/// The monotonic clock and the wall clock of the host, as two separate times.
 ///
-/// All deadlines, waits, windows and grace periods are differences of now(). The wall clock may be stepped,
-/// forward or back, at any time; docs/design/clocks.md lists the few uses of it.
+/// All deadlines, waits, windows and grace periods are differences of now(). The wall clock may be stepped
+/// forward or backward at any time; docs/design/clocks.md lists its few uses.
 ///
-/// Immutable after construction, so safe to read from any thread if the wall clock function is.
+/// Immutable after construction, and therefore thread-safe if the wall clock function is thread-safe.
 class Clock {
 public:
     using Steady = std::chrono::steady_clock;
     /// Returns Unix time in milliseconds.
-    using WallTime = std::function<Millis()>;
+    using WallClock = std::function<Millis()>;
 
-    /// @param wall the wall clock; another one than the machine's is for tests that step it
-    explicit Clock(WallTime wall = machine_wall_time)
-        : wall_(std::move(wall)), offset_(wall_() - to_millis(Steady::now().time_since_epoch())) {}
+    /// @param wall_clock the wall clock; tests that step the time pass one of their own
+    explicit Clock(WallClock wall_clock = host_wall_time)
+        : wall_clock_(std::move(wall_clock)),
+          epoch_offset_(wall_clock_() - to_millis(Steady::now().time_since_epoch())) {}
 
-    /// @param wall_offset milliseconds by which the wall clock is ahead of the machine's, for tests
-    explicit Clock(Millis wall_offset) : Clock([wall_offset] { return machine_wall_time() + wall_offset; }) {}
+    /// For tests.
+    /// @param wall_offset how far the wall clock is ahead of the host's, in milliseconds
+    explicit Clock(Millis wall_offset) : Clock([wall_offset] { return host_wall_time() + wall_offset; }) {}
 
-    /// Monotonic time, in milliseconds. It is near Unix time at the start, so that 0 is never a recent time.
-    /// It drifts from Unix time when the wall clock is stepped, and must not be compared with times of other
-    /// machines.
-    Millis now() const { return offset_ + to_millis(Steady::now().time_since_epoch()); }
+    /// Returns monotonic time in milliseconds. It equals Unix time at construction, so that 0 is never a
+    /// recent time. It departs from Unix time when the wall clock is stepped, and must not be compared with
+    /// times of other hosts.
+    Millis now() const { return epoch_offset_ + to_millis(Steady::now().time_since_epoch()); }
 
-    /// Unix time as the machine has it at this moment, in milliseconds.
-    Millis wall_time() const { return wall_(); }
+    /// Returns the current Unix time of the wall clock in milliseconds.
+    Millis wall_time() const { return wall_clock_(); }
 
-    /// A time of now() as the standard library has it, for timers of the system.
-    Steady::time_point steady(Millis at) const {
-        const std::chrono::duration<double, std::milli> since_epoch(at - offset_);
+    /// Converts a time of now() to the standard library's type, which system timers need.
+    Steady::time_point to_steady_time(Millis at) const {
+        const std::chrono::duration<double, std::milli> since_epoch(at - epoch_offset_);
         return Steady::time_point(std::chrono::duration_cast<Steady::duration>(since_epoch));
     }
 
@@ -57,75 +59,76 @@
         return std::chrono::duration<double, std::milli>(duration).count();
     }
 
-    static Millis machine_wall_time() {
-        return to_millis(std::chrono::system_clock::now().time_since_epoch());
-    }
+    static Millis host_wall_time() { return to_millis(std::chrono::system_clock::now().time_since_epoch()); }
 
-    WallTime wall_;
-    Millis offset_;  // milliseconds from the monotonic clock's epoch to that of now()
+    WallClock wall_clock_;
+    Millis epoch_offset_;  // time of now() at the epoch of the monotonic clock
 };
 
-/// All timers of the process behind one timer of the system.
+/// Multiplexes all timers of the process onto one system timer.
 ///
-/// A callback runs at its time or after, never before, in order of time and then of setting. It may set and
-/// cancel timers. An exception of a callback goes on to the event loop's caller; the other timers still run.
+/// A callback runs at or after its time, never earlier. Callbacks run in order of time, and in the order of
+/// the set() calls for equal times. A callback may set and cancel timers. An exception from a callback
+/// propagates to the caller of the event loop; the other timers still run.
 ///
-/// Not thread-safe: for the event loop's thread. Setting and cancelling take logarithmic time.
+/// Not thread-safe: used on the event loop's thread only. Setting and cancelling take logarithmic time.
 class TimerQueue {
 public:
-    /// Names a timer: its time and a number. {0, 0} names none.
+    /// Identifies a timer by its time and a sequence number. {0, 0} identifies no timer.
     using Key = std::pair<Millis, std::uint64_t>;
 
-    /// Both must outlive this.
+    /// @param io,clock must outlive the queue
     TimerQueue(asio::io_context& io, const Clock& clock) : system_timer_(io), clock_(clock) {}
 
-    /// @param at on the clock of Clock::now(); a time that has passed is due at once, but never within this
-    /// call
+    /// Sets a timer.
+    /// @param at a time of Clock::now(); the callback of a past time runs as soon as possible, but never from
+    /// within this call
     Key set(Millis at, std::function<void()> callback) {
-        const Key key{at, ++last_number_};
-        waiting_.emplace(key, std::move(callback));
+        const Key key{at, ++last_sequence_number_};
+        pending_.emplace(key, std::move(callback));
         const bool is_earliest = armed_at_ == kNotArmed || at < armed_at_;
         if (is_earliest) arm();
         return key;
     }
 
-    /// Withdraws a timer, if it has not run, and makes the key name none.
+    /// Cancels a timer that has not run, and resets the key to {0, 0}.
     void cancel(Key& key) {
-        waiting_.erase(key);
+        pending_.erase(key);
         key = {};
     }
 
-    /// Withdraws all timers.
+    /// Cancels all timers.
     void clear() {
-        waiting_.clear();
+        pending_.clear();
         system_timer_.cancel();
     }
 
 private:
     static constexpr Millis kNotArmed = 0;
-    /// Added to the system timer, so that rounding to its resolution never makes it early.
+    /// Added to the time of the system timer, so that rounding to its resolution never makes it expire early.
     static constexpr std::chrono::microseconds kRoundingMargin{1};
 
-    // Sets the system timer to the earliest timer, if there is one.
+    // Sets the system timer to the time of the earliest timer, if there is one.
     void arm() {
-        armed_at_ = waiting_.empty() ? kNotArmed : waiting_.begin()->first.first;
+        armed_at_ = pending_.empty() ? kNotArmed : pending_.begin()->first.first;
         if (armed_at_ == kNotArmed) return;
-        system_timer_.expires_at(clock_.steady(armed_at_) + kRoundingMargin);
+        system_timer_.expires_at(clock_.to_steady_time(armed_at_) + kRoundingMargin);
         system_timer_.async_wait([this](boost::system::error_code error) {
-            if (!error) run_due();
+            if (!error) run_due_timers();
         });
     }
 
-    void run_due() {
-        // Also when a callback throws: main goes on after that, and without this no timer would ever run
-        // again.
+    void run_due_timers() {
+        // Arms the system timer also when a callback throws. The program runs the event loop again after an
+        // exception, and without this no timer would run any more.
         const std::unique_ptr<TimerQueue, void (*)(TimerQueue*)> rearm(
             this, [](TimerQueue* queue) { queue->arm(); });
-        // Only what is due on entry: callbacks that set timers for at once must not keep the loop here.
+        // Runs only the timers that are due on entry: callbacks that set timers for the current time must not
+        // keep the event loop in this function.
         const Millis now = clock_.now();
-        while (!waiting_.empty() && waiting_.begin()->first.first <= now) {
-            const auto callback = std::move(waiting_.begin()->second);
-            waiting_.erase(waiting_.begin());
+        while (!pending_.empty() && pending_.begin()->first.first <= now) {
+            const auto callback = std::move(pending_.begin()->second);
+            pending_.erase(pending_.begin());
             armed_at_ = now;  // no callback needs to arm the timer while this loop runs
             callback();
         }
@@ -133,9 +136,9 @@
 
     asio::steady_timer system_timer_;
     const Clock& clock_;
-    std::map<Key, std::function<void()>> waiting_;
-    std::uint64_t last_number_ = 0;
-    Millis armed_at_ = kNotArmed;  // when the system timer goes off
+    std::map<Key, std::function<void()>> pending_;
+    std::uint64_t last_sequence_number_ = 0;
+    Millis armed_at_ = kNotArmed;  // when the system timer expires
 };
 
 }  // namespace elmbay
--- a/src/base/visitor.hpp
+++ b/src/base/visitor.hpp
@@ -1,17 +1,19 @@
 /// @file
-/// Makes one visitor of a std::variant out of several lambdas.
+/// Combines several lambdas into one visitor for std::visit.
 #pragma once
 
 namespace elmbay::balancer {
 
-/// std::visit(Visitor{[](const A&) {...}, [](const B&) {...}}, variant): a lambda for each alternative, and a
-/// missing one does not compile.
+/// A visitor that consists of one lambda for each alternative of a std::variant:
+/// std::visit(Visitor{[](const A&) {...}, [](const B&) {...}}, variant). A missing alternative is a
+/// compile-time error.
 template <class... Handlers>
 struct Visitor : Handlers... {
     using Handlers::operator()...;
 };
 
-/// Deduces the lambdas' types. (C++20 does it for aggregates on its own, but not every compiler yet.)
+/// Deduces the types of the lambdas. C++20 deduces them for aggregates without this guide, but some compilers
+/// do not implement that yet.
 template <class... Handlers>
 Visitor(Handlers...) -> Visitor<Handlers...>;
 
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -14,18 +14,19 @@
 
 namespace {
 
-/// MB, a terabyte: beyond it `limits.memory_mb` is no limit, and the conversion to bytes can't overflow.
+/// MB: one terabyte. Larger values of `limits.memory_mb` limit nothing, and clamping them keeps the
+/// conversion to bytes from overflowing.
 constexpr std::uint64_t kMaxMemoryMb = 1U << 20U;
 constexpr unsigned kBytesPerMbShift = 20;
 
-/// Real numbers without a fraction below this are written without a decimal point; a double holds each of
-/// them exactly.
+/// Whole real numbers below this are written without a decimal point. A double represents each of them
+/// exactly.
 constexpr double kMaxExactWholeNumber = 1e15;
 
-/// Base of the digits in which `seed` is written.
+/// Base of the digits of the field `seed`.
 constexpr int kSeedBase = 16;
 
-/// A setting's path and its value as text.
+/// The path of a setting and its value as text.
 using SettingPair = std::pair<std::string, std::string>;
 
 std::string joined_with_commas(const Json& list) {
@@ -43,8 +44,8 @@
     return std::floor(number) == number && std::abs(number) < kMaxExactWholeNumber;
 }
 
-// Appends the settings in the form of the simulator's first message, which read_deployment_settings() reads:
-// path and value, lists of objects with their count.
+// Appends the settings as pairs of path and value, with a count for each list of objects. The simulator's
+// START message has the same form, and read_deployment_settings() reads it.
 void flatten(const Json& value, const std::string& path, std::vector<SettingPair>& pairs) {
     const bool is_list_of_objects = value.is_array() && !value.empty() && value.front().is_object();
     if (value.is_object()) {
@@ -98,11 +99,11 @@
     if (limits == document.end()) return;
     if (!limits->is_object()) throw ConfigError("limits", FieldProblem::not_an_object);
     if (const auto sockets = limits->find("sockets"); sockets != limits->end()) {
-        config.sockets = static_cast<std::size_t>(as_whole_number(*sockets, "limits.sockets"));
+        config.max_descriptors = static_cast<std::size_t>(as_whole_number(*sockets, "limits.sockets"));
     }
     if (const auto memory = limits->find("memory_mb"); memory != limits->end()) {
         const std::uint64_t memory_mb = std::min(as_whole_number(*memory, "limits.memory_mb"), kMaxMemoryMb);
-        config.memory = static_cast<std::size_t>(memory_mb) << kBytesPerMbShift;
+        config.max_memory_bytes = static_cast<std::size_t>(memory_mb) << kBytesPerMbShift;
     }
 }
 
@@ -131,9 +132,9 @@
 }  // namespace
 
 Config parse_config(const std::string& text) {
-    // The first field that can't be used is the one that is reported: the order is part of the messages.
-    EndpointListParser known_list("known");
-    const Json document = known_list.parse(text, "the configuration");
+    // The first invalid field is reported, so the order of the calls below determines the error message.
+    EndpointListParser cached_list_parser("known");
+    const Json document = cached_list_parser.parse(text, "the configuration");
     if (!document.is_object()) throw ConfigError("the configuration is not an object");
     Config config;
     if (const auto name = document.find("name"); name != document.end()) config.name = as_text(*name, "name");
@@ -145,9 +146,9 @@
     if (!settings.is_object()) throw ConfigError("settings", FieldProblem::not_an_object);
     config.deployment = parse_deployment_settings(settings);
     read_peers(document, config);
-    const auto known = document.find("known");
-    const bool has_known_list = known != document.end() && !known->is_null();
-    if (has_known_list) config.known = known_list.listing(*known);
+    const auto cached_list = document.find("known");
+    const bool has_cached_list = cached_list != document.end() && !cached_list->is_null();
+    if (has_cached_list) config.cached_list = cached_list_parser.finish_list(*cached_list);
     return config;
 }
 
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The platform's configuration of a sidecar: environment variables and a JSON file, turned into types.
+/// The platform's configuration of a sidecar, read from environment variables and a JSON file.
 #pragma once
 
 #include <cstddef>
@@ -16,38 +16,45 @@
 
 namespace elmbay {
 
-/// Addresses that `peers` may have: a hundred times the sidecars of a deployment, so that a wrong file does
-/// not fill the memory.
+/// Maximum number of addresses in `peers`. It is a hundred times the number of sidecars of a deployment, and
+/// keeps a wrong file from filling the memory. The message for FieldProblem::not_a_peer_list states this
+/// number.
 constexpr std::size_t kMaxPeers = 30000;
 
-/// All that the platform tells a sidecar. Read once; SIGHUP changes the descriptor limit and discovery only.
+/// The platform's configuration of one sidecar. Read at the start; SIGHUP changes only the descriptor limit
+/// and the address of discovery.
 struct Config {
-    std::string name;    ///< of this sidecar, the same after a restart; empty: not given
-    Endpoint listen;     ///< where the application connects
-    Endpoint discovery;  ///< where the endpoint list is fetched
+    std::string name;    ///< of this sidecar; stays the same after a restart; empty if not configured
+    Endpoint listen;     ///< address on which the sidecar listens for the application
+    Endpoint discovery;  ///< address of the service that sends the endpoint list
     std::uint64_t seed = 0;
-    std::size_t sockets = 1024;       ///< file descriptors that the process may hold
-    std::size_t memory = 32U << 20U;  ///< bytes; the default is the least that the platform ever gives
+    std::size_t max_descriptors = 1024;  ///< file descriptors that the process may hold
+    /// Bytes. The default is the smallest limit that the platform configures.
+    std::size_t max_memory_bytes = 32U << 20U;
     balancer::DeploymentSettings deployment;
-    EndpointList known;  ///< the endpoint list as this sidecar last had it; may be old
-    /// Where this sidecar receives datagrams of others; none: it does not take part.
+    /// The endpoint list that this sidecar had received last before its configuration was written; may be
+    /// outdated.
+    EndpointList cached_list;
+    /// Address on which this sidecar receives datagrams of its siblings; nothing if it does not join the
+    /// cluster.
     std::optional<PeerEndpoint> peer_listen;
-    /// Where this sidecar sends to each other, by their numbers, its own among them.
+    /// Addresses to which this sidecar sends datagrams, by sidecar index. Includes its own address.
     std::vector<PeerEndpoint> peers;
 };
 
-/// Looks up an environment variable; nullptr: it is not set.
+/// Returns the value of an environment variable, or nullptr if it is not set.
 using Environment = std::function<const char*(const char*)>;
 
-/// Reads the text of the JSON file. Throws ConfigError for the first problem.
+/// Parses the text of the JSON file. Throws ConfigError for the first problem.
 Config parse_config(const std::string& text);
 
-/// Reads the environment and the file that RELAY_CONFIG names, at the start. Variables override the file.
-/// Throws ConfigError.
+/// Reads the configuration at the start: the environment, and the file that RELAY_CONFIG names. Environment
+/// variables override the file. Throws ConfigError.
 Config load_config(const Environment& environment);
 
-/// The same after SIGHUP, but without RELAY_DISCOVERY: the environment is as old as the process, so for what
-/// the operators move by a new file, discovery, the file is right. Throws ConfigError.
+/// Reads the configuration again after SIGHUP, like load_config() but without RELAY_DISCOVERY. Operators move
+/// discovery by writing a new file, whereas the environment dates from the start of the process, so the file
+/// takes precedence. Throws ConfigError.
 Config reload_config(const Environment& environment);
 
 }  // namespace elmbay
--- a/src/config/config_error.hpp
+++ b/src/config/config_error.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The exception of the configuration and of endpoint lists.
+/// The exception for an invalid configuration or endpoint list.
 #pragma once
 
 #include <optional>
@@ -11,26 +11,26 @@
 
 namespace elmbay {
 
-/// A configuration or an endpoint list that can't be used. what() is one line for a person.
+/// Reports an invalid configuration or endpoint list. what() is a message of one line.
 class ConfigError : public std::runtime_error {
 public:
-    /// Where no single field is at fault, for example where the text is not JSON.
+    /// For a problem that concerns no single field, for example text that is not JSON.
     explicit ConfigError(const std::string& message) : std::runtime_error(message) {}
 
     /// @param field the path of the field, for example "known.targets.3.uid"
-    /// @param detail stands behind the problem, for example the path of a file; may be empty
+    /// @param detail text appended to the message, for example the path of a file; may be empty
     ConfigError(const std::string& field, FieldProblem problem, const std::string& detail = "")
         : std::runtime_error("field '" + field + "' " + std::string(describe(problem)) + detail),
           field_(field),
           problem_(problem) {}
 
-    /// One of the deployment's settings.
+    /// For an invalid field of the deployment's settings.
     explicit ConfigError(const balancer::FieldError& error)
         : std::runtime_error(error.what()), field_(error.field()), problem_(error.problem()) {}
 
-    /// Empty where no single field is at fault.
+    /// Returns the path of the invalid field, or an empty string if the problem concerns no single field.
     const std::string& field() const { return field_; }
-    /// None where no single field is at fault.
+    /// Returns the problem of the field, or nothing if the problem concerns no single field.
     std::optional<FieldProblem> problem() const { return problem_; }
 
 private:
--- a/src/config/deployment_settings.cpp
+++ b/src/config/deployment_settings.cpp
@@ -7,15 +7,16 @@
 
 namespace {
 
-/// The operators' words for whether an effect may happen twice.
-const Names<Idempotency> kIdempotencyNames{{"repeatable", Idempotency::idempotent},
-                                           {"by_key", Idempotency::idempotency_key},
-                                           {"once", Idempotency::non_idempotent}};
-/// The operators' words for which servers drop a repeated idempotency key.
-const Names<DedupScope> kDedupScopeNames{
+/// Values of the setting `effect`: whether a request may be executed twice.
+const EnumNames<Idempotency> kIdempotencyNames{{"repeatable", Idempotency::idempotent},
+                                               {"by_key", Idempotency::idempotency_key},
+                                               {"once", Idempotency::non_idempotent}};
+/// Values of the setting `dedup-scope`: which servers discard a request with a repeated idempotency key.
+const EnumNames<DedupScope> kDedupScopeNames{
     {"all", DedupScope::all}, {"zone", DedupScope::zone}, {"cell", DedupScope::cell}};
 
-/// Weights are clamped to between this and its inverse: machines of one deployment differ by tens at most.
+/// Weights are clamped to the range from 1 / kMaxWeight to kMaxWeight. The capacities of the machines of one
+/// deployment differ by a factor of some tens at most.
 constexpr double kMaxWeight = 1000;
 
 std::vector<std::string> split_at_commas(std::string_view list) {
@@ -37,9 +38,9 @@
 
 RequestClass read_class(const Fields& fields, const std::string& prefix) {
     RequestClass request_class;
-    request_class.idempotency = named(fields, prefix + "effect", kIdempotencyNames);
+    request_class.idempotency = read_enum(fields, prefix + "effect", kIdempotencyNames);
     if (fields.has(prefix + "dedup-scope")) {
-        request_class.dedup_scope = named(fields, prefix + "dedup-scope", kDedupScopeNames);
+        request_class.dedup_scope = read_enum(fields, prefix + "dedup-scope", kDedupScopeNames);
     }
     request_class.dedup_window = fields.number_or(prefix + "dedup-window-ms", request_class.dedup_window);
     request_class.latency_objective = fields.number(prefix + "on-time-ms");
@@ -97,7 +98,7 @@
 }
 
 DeploymentSettings read_deployment_settings(const Fields& fields) {
-    // The first field that can't be used is the one that is reported: the order is part of the messages.
+    // The first invalid field is reported, so the order of the calls below determines the error message.
     DeploymentSettings deployment;
     Settings& settings = deployment.settings;
     read_zones(fields, deployment);
@@ -108,12 +109,12 @@
     }
     settings.siblings = static_cast<std::uint32_t>(fields.integer_or("siblings", settings.siblings));
     if (fields.has("my-number")) {
-        deployment.my_number = static_cast<std::uint32_t>(fields.integer("my-number"));
+        deployment.sidecar_index = static_cast<std::uint32_t>(fields.integer("my-number"));
     }
     deployment.peer_messages_allowed = fields.flag_or("limits.may-tell", deployment.peer_messages_allowed);
     read_limits_and_rules(fields, settings);
     deployment.connect_timeout = fields.number_or("limits.connect-timeout-ms", deployment.connect_timeout);
-    deployment.idle_close = fields.number_or("limits.idle-close-ms", deployment.idle_close);
+    deployment.server_idle_timeout = fields.number_or("limits.idle-close-ms", deployment.server_idle_timeout);
     return deployment;
 }
 
--- a/src/config/deployment_settings.hpp
+++ b/src/config/deployment_settings.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// What both programs, sidecar and simulator adapter, are configured with about the deployment: the one place
-/// that maps the operators' settings onto elmbay::balancer::Settings.
+/// Maps the operators' settings of a deployment to elmbay::balancer::Settings, for the sidecar and for the
+/// simulator adapter.
 #pragma once
 
 #include <cstdint>
@@ -14,38 +14,39 @@
 
 namespace elmbay::balancer {
 
-/// The balancer's settings, the names behind its integers, and what only a program with sockets has to know.
+/// The settings of the balancer, the names that its integers stand for, and the settings of the network code.
 struct DeploymentSettings {
     Settings settings;
 
-    // The names that the balancer's integers stand for: the integer is the name's index.
+    // Names that the balancer's integers stand for. The integer is the index of the name.
 
     std::vector<std::string> zones;          ///< ZoneId; the operators' `azs`
-    std::vector<std::string> machine_types;  ///< ServerInfo::machine_type; filled as endpoint lists name them
+    std::vector<std::string> machine_types;  ///< ServerInfo::machine_type; endpoint lists add names
     std::vector<std::string> classes;        ///< RequestArrived::class_index
     std::vector<std::string> tenants;        ///< RequestArrived::tenant
 
-    /// By class: how long a client waits for its request, all of the client's own retries together.
+    /// For each request class, how long a client waits for a response, including the client's own retries.
     std::vector<Millis> client_timeouts;
-    /// This sidecar's index among those that share the servers, from 0.
-    std::optional<std::uint32_t> my_number;
-    /// Whether sidecars may send messages to one another; the operators' `limits.may-tell`.
+    /// Index of this sidecar among its siblings, from 0; the operators' `my-number`.
+    std::optional<std::uint32_t> sidecar_index;
+    /// Whether sidecars may send messages to their siblings; the operators' `limits.may-tell`.
     bool peer_messages_allowed = true;
-    /// A connection to a server that is not up by then counts as failed.
+    /// Time after which an unfinished connect to a server counts as failed.
     Millis connect_timeout = 250;
-    /// Servers close a connection that has been idle for so long.
-    Millis idle_close = 15000;
+    /// Idle time after which servers close a connection; the operators' `limits.idle-close-ms`.
+    Millis server_idle_timeout = 15000;
 };
 
-/// A server's weight as its endpoint list gives it, made safe to divide by: 1 for what is not finite or not
-/// over 0, and clamped so that no single server gets all requests or none.
+/// Returns a weight from an endpoint list in a form that is safe to divide by: 1 if the weight is not finite
+/// or not positive, otherwise the weight clamped to 0.001 to 1000, so that no single server gets all requests
+/// or none.
 double sanitize_weight(double weight);
 
-/// The index of a name; a name that is not there is appended.
+/// Returns the index of a name. Appends the name first if the list does not contain it.
 std::uint32_t intern_name(std::vector<std::string>& names, std::string_view name);
 
-/// Reads the operators' settings: fields named by their path, such as "classes.0.effect". Keys that are not
-/// known are ignored, as other deployments have more of them. Throws FieldError.
+/// Reads the operators' settings from fields that are named by their path, such as "classes.0.effect".
+/// Unknown keys are ignored, because other deployments have additional ones. Throws FieldError.
 DeploymentSettings read_deployment_settings(const Fields& fields);
 
 }  // namespace elmbay::balancer
--- a/src/config/endpoint.hpp
+++ b/src/config/endpoint.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Addresses of streams and datagrams, and how the configuration writes them.
+/// Addresses of stream and datagram sockets, and their parsers.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -8,16 +8,16 @@
 
 namespace elmbay {
 
-/// Where a stream socket listens or connects to.
+/// Address on which a stream socket listens or to which it connects.
 using Endpoint = boost::asio::ip::tcp::endpoint;
-/// Where a sidecar receives datagrams.
+/// Address on which a sidecar receives datagrams.
 using PeerEndpoint = boost::asio::ip::udp::endpoint;
 
-/// Reads "address:port". The address is IPv4 or IPv6, the latter with or without brackets, and never a host
-/// name: nothing is looked up. Throws ConfigError that names the field.
+/// Parses "address:port". The address is IPv4 or IPv6, the latter with or without brackets. A host name is an
+/// error, because no name resolution takes place. Throws ConfigError with the name of the field.
 Endpoint parse_endpoint(const std::string& text, const std::string& field);
 
-/// The same for a datagram socket.
+/// Like parse_endpoint(), for the address of a datagram socket.
 PeerEndpoint parse_peer_endpoint(const std::string& text, const std::string& field);
 
 }  // namespace elmbay
--- a/src/config/endpoint_list.cpp
+++ b/src/config/endpoint_list.cpp
@@ -15,10 +15,10 @@
     if (word == "active") return EndpointState::active;
     if (word == "leaving") return EndpointState::draining;
     if (word == "left") return EndpointState::removed;
-    throw ConfigError(field, FieldProblem::unknown_word);
+    throw ConfigError(field, FieldProblem::unknown_value);
 }
 
-// The fields that a target may have beside its identity, state and address.
+// Reads the optional fields of a target: all except identity, state and address.
 void read_optional_fields(const Json& entry, const std::string& prefix, Target& target) {
     if (const auto zone = entry.find("az"); zone != entry.end()) {
         target.zone = as_text(*zone, prefix + "az");
@@ -64,55 +64,55 @@
 
 Json EndpointListParser::parse(std::string_view text, const std::string& document_name) {
     const auto callback = [this](int depth, Event event, const Json& value) {
-        return keeps(depth, event, value);
+        return should_keep(depth, event, value);
     };
-    constexpr bool allow_exceptions = false;  // text that is not JSON gives a discarded value instead
+    constexpr bool allow_exceptions = false;  // invalid JSON results in a discarded value instead
     Json document = Json::parse(text, callback, allow_exceptions);
     if (document.is_discarded()) throw ConfigError(document_name + " is not JSON");
     return document;
 }
 
-EndpointList EndpointListParser::listing(const Json& remainder) {
+EndpointList EndpointListParser::finish_list(const Json& remainder) {
     if (!remainder.is_object()) {
         throw ConfigError(field_.empty() ? "list" : field_, FieldProblem::not_an_object);
     }
-    listing_.revision = as_whole_number(required_field(remainder, "rev", path_prefix_), path_prefix_ + "rev");
+    list_.revision = as_whole_number(required_field(remainder, "rev", path_prefix_), path_prefix_ + "rev");
     const Json& all = required_field(remainder, "all", path_prefix_);
-    if (!all.is_boolean()) throw ConfigError(path_prefix_ + "all", FieldProblem::not_a_flag);
-    listing_.is_complete = all.get<bool>();
+    if (!all.is_boolean()) throw ConfigError(path_prefix_ + "all", FieldProblem::not_a_boolean);
+    list_.is_complete = all.get<bool>();
     if (!required_field(remainder, "targets", path_prefix_).is_array()) {
         throw ConfigError(path_prefix_ + "targets", FieldProblem::not_a_list);
     }
-    return std::move(listing_);
+    return std::move(list_);
 }
 
-bool EndpointListParser::keeps(int depth, Event event, const Json& value) {
+bool EndpointListParser::should_keep(int depth, Event event, const Json& value) {
     const bool is_key_of_interest = event == Event::key && depth <= list_depth_ + 1;
-    if (is_key_of_interest) return keeps_value_of(depth, value.get_ref<const std::string&>());
-    const bool begins_nesting = event == Event::object_start || event == Event::array_start;
+    if (is_key_of_interest) return should_keep_value_of(depth, value.get_ref<const std::string&>());
+    const bool is_object_or_array_start = event == Event::object_start || event == Event::array_start;
     switch (position_) {
         case Position::outside:
             return true;
         case Position::in_other_field:
-            return !begins_nesting;
+            return !is_object_or_array_start;
         case Position::in_targets:
-            return keeps_in_targets(depth, event, value);
+            return should_keep_in_targets(depth, event, value);
     }
     return true;
 }
 
-bool EndpointListParser::keeps_in_targets(int depth, Event event, const Json& value) {
-    const int target_depth = list_depth_ + 2;  // within the list's braces and the brackets of "targets"
-    const bool begins_nesting = event == Event::object_start || event == Event::array_start;
-    if (depth < target_depth) return true;             // the brackets of "targets"
-    if (depth > target_depth) return !begins_nesting;  // a field of a target
+bool EndpointListParser::should_keep_in_targets(int depth, Event event, const Json& value) {
+    const int target_depth = list_depth_ + 2;  // inside the list's braces and the brackets of "targets"
+    const bool is_object_or_array_start = event == Event::object_start || event == Event::array_start;
+    if (depth < target_depth) return true;                       // the brackets of "targets"
+    if (depth > target_depth) return !is_object_or_array_start;  // a field of a target
     if (event == Event::object_start || event == Event::key) return true;
-    add_target(value);  // a whole target, or something that is none
+    add_target(value);  // a complete target, or a value that is not a target
     return false;
 }
 
-// For a key of the list, or of the document that the list is a field of.
-bool EndpointListParser::keeps_value_of(int depth, const std::string& key) {
+// Decides for a key of the list, or of the document that contains the list.
+bool EndpointListParser::should_keep_value_of(int depth, const std::string& key) {
     const bool is_beside_list = depth == list_depth_;
     if (is_beside_list) is_in_list_ = key == field_;
     if (!is_in_list_ || is_beside_list) {
@@ -124,26 +124,26 @@
         return key == "rev" || key == "all";
     }
     position_ = Position::in_targets;
-    // Of a key that comes twice the last one counts.
-    listing_.targets.clear();
-    targets_seen_ = 0;
+    // The last value counts if a key is repeated.
+    list_.targets.clear();
+    parsed_targets_ = 0;
     return true;
 }
 
 void EndpointListParser::add_target(const Json& value) {
-    if (listing_.targets.size() >= kMaxTargets) {
-        ++listing_.dropped_targets;
+    if (list_.targets.size() >= kMaxTargets) {
+        ++list_.dropped_targets;
         return;
     }
-    const std::string path = path_prefix_ + "targets." + std::to_string(targets_seen_);
-    ++targets_seen_;
-    listing_.targets.push_back(parse_target(value, path));
+    const std::string path = path_prefix_ + "targets." + std::to_string(parsed_targets_);
+    ++parsed_targets_;
+    list_.targets.push_back(parse_target(value, path));
 }
 
 EndpointList parse_endpoint_list(std::string_view text) {
     EndpointListParser parser("");
     const Json remainder = parser.parse(text, "the list");
-    return parser.listing(remainder);
+    return parser.finish_list(remainder);
 }
 
 }  // namespace elmbay
--- a/src/config/endpoint_list.hpp
+++ b/src/config/endpoint_list.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The endpoint list: the servers that there are, as discovery sends it and as the configuration holds it.
+/// The endpoint list: the servers of the deployment, as sent by discovery and as stored in the configuration.
 #pragma once
 
 #include <cstddef>
@@ -17,34 +17,35 @@
 
 using balancer::Millis;
 
-/// Targets that are taken of one list: three times what a sidecar keeps listed (EndpointRegistry). A list of
-/// changes names the servers that have left as well; no honest one is as long as this.
+/// Maximum number of targets that are used of one list: three times as many as a sidecar keeps listed
+/// (EndpointRegistry). An incremental list also contains servers that have left; no correct list is as long
+/// as this.
 constexpr std::size_t kMaxTargets = 12288;
 
 /// One server of an endpoint list.
 struct Target {
-    std::string uid;           ///< the server's identity; a server keeps it when its address changes
-    Endpoint endpoint;         ///< where this sidecar reaches it; unset for one that has been removed
-    std::string zone;          ///< the operators' `az`; empty: not given
-    std::string machine_type;  ///< the operators' `model`; empty: not given
+    std::string uid;           ///< identity of the server; stays the same when its address changes
+    Endpoint endpoint;         ///< address on which the server listens; unset for a removed server
+    std::string zone;          ///< the operators' `az`; empty if the list has none
+    std::string machine_type;  ///< the operators' `model`; empty if the list has none
     std::uint32_t cell = 0;    ///< the operators' `pod_group`: servers that share their idempotency keys
     balancer::EndpointState state = balancer::EndpointState::active;
-    Millis online_since = 0;  ///< when it last started, Unix time by the server's clock; 0: long ago
-    double weight = 1;        ///< its size against other servers', within sanitize_weight()'s bounds
+    Millis online_since = 0;  ///< Unix time of the server's latest start, by its own clock; 0 if long ago
+    double weight = 1;        ///< capacity relative to other servers, within the bounds of sanitize_weight()
 };
 
-/// An endpoint list: a whole one, or the changes since an earlier one.
+/// An endpoint list: either complete, or the changes since an earlier list.
 struct EndpointList {
-    std::uint64_t revision = 0;       ///< its version; rises with each change
-    bool is_complete = false;         ///< whole: a server that it does not name has been removed
-    std::vector<Target> targets;      ///< kMaxTargets at most
-    std::size_t dropped_targets = 0;  ///< targets beyond kMaxTargets, which were dropped
-    /// How long before it arrived a change may have happened, milliseconds: see balancer::ServerList.
-    /// Infinity: since before this process began.
+    std::uint64_t revision = 0;       ///< increases with each change of the list
+    bool is_complete = false;         ///< true if servers that are not in the list have been removed
+    std::vector<Target> targets;      ///< at most kMaxTargets
+    std::size_t dropped_targets = 0;  ///< number of targets beyond kMaxTargets
+    /// Maximum time between a change and the arrival of the list that reports it, in milliseconds; see
+    /// balancer::ServerList. Infinity if the change may have happened before this process started.
     Millis list_age_bound = std::numeric_limits<Millis>::infinity();
 };
 
-/// Reads a list as discovery sends it, in JSON. Throws ConfigError; of a list that can't be read nothing is
+/// Parses a list in the JSON form that discovery sends. Throws ConfigError; nothing of an invalid list is
 /// used.
 EndpointList parse_endpoint_list(std::string_view text);
 
--- a/src/config/endpoint_list_parser.hpp
+++ b/src/config/endpoint_list_parser.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Reads an endpoint list out of a JSON document without holding it in memory as JSON.
+/// Parses an endpoint list from a JSON document without holding the whole list in memory as JSON.
 #pragma once
 
 #include <cstddef>
@@ -11,48 +11,51 @@
 
 namespace elmbay {
 
-/// Parses a JSON document that is an endpoint list, or that has one as a field at its top.
+/// Parses a JSON document that is an endpoint list, or that contains one as a top-level field.
 ///
-/// Each target becomes a Target as soon as the parser has read it and is dropped as JSON, so that thousands
-/// of them never stand in memory as JSON. What is nested within a target is skipped: no field of one is
-/// nested. Use: parse() once, then listing() with the value that parse() left at the list's place.
+/// The parser converts each target to a Target as soon as it has read the target, and discards the JSON, so
+/// that thousands of targets are never in memory as JSON. Objects and arrays within a target are skipped,
+/// because no known field of a target is nested. Call parse() once, and then finish_list() with the value
+/// that parse() has left in place of the list.
 class EndpointListParser {
 public:
-    /// @param field the document's field that is the list; empty if the whole document is one
+    /// @param field the top-level field that contains the list; empty if the whole document is the list
     explicit EndpointListParser(const std::string& field);
 
-    /// The document without the list's targets. Throws ConfigError: for text that is not JSON, which it calls
-    /// document_name, and for a target that can't be used.
+    /// Returns the document without the targets of the list. Throws ConfigError for text that is not JSON and
+    /// for an invalid target.
+    /// @param document_name names the document in error messages
     Json parse(std::string_view text, const std::string& document_name);
 
-    /// The list that parse() has read. Throws ConfigError.
-    /// @param remainder what stands at the list's place in the result of parse()
-    EndpointList listing(const Json& remainder);
+    /// Returns the list that parse() has read. Throws ConfigError if `rev`, `all` or `targets` is missing or
+    /// invalid.
+    /// @param remainder the value in place of the list in the result of parse()
+    EndpointList finish_list(const Json& remainder);
 
 private:
     using Event = Json::parse_event_t;
 
-    /// Where in the document the parser is.
+    /// The position of the parser in the document.
     enum class Position {
-        outside,         ///< beside the list, or at a key whose value is not known yet
-        in_targets,      ///< within the list's field "targets"
-        in_other_field,  ///< within another field of the list
+        outside,         ///< outside of the list's fields
+        in_targets,      ///< inside the list's field "targets"
+        in_other_field,  ///< inside another field of the list
     };
 
-    // nlohmann::json's callback. Returns whether the value stays in the document; depth counts the braces and
-    // brackets that it stands in.
-    bool keeps(int depth, Event event, const Json& value);
-    bool keeps_in_targets(int depth, Event event, const Json& value);
-    bool keeps_value_of(int depth, const std::string& key);
+    // The callback of nlohmann::json. Returns whether the value stays in the document. depth is the number of
+    // braces and brackets around the value.
+    bool should_keep(int depth, Event event, const Json& value);
+    bool should_keep_in_targets(int depth, Event event, const Json& value);
+    bool should_keep_value_of(int depth, const std::string& key);
     void add_target(const Json& value);
 
     const std::string field_;
-    const std::string path_prefix_;  // of the list's fields in errors: field_ and a '.', or empty
-    const int list_depth_;           // braces round the list
-    bool is_in_list_;                // else in a field beside it
+    const std::string path_prefix_;  // prefix of field paths in errors: field_ and a '.', or empty
+    const int list_depth_;           // number of braces around the list
+    bool is_in_list_;                // false in a field beside the list
     Position position_ = Position::outside;
-    std::size_t targets_seen_ = 0;
-    EndpointList listing_;
+    std::size_t parsed_targets_ = 0;
+    EndpointList list_;
 };
 
 }  // namespace elmbay
--- a/src/config/fields.hpp
+++ b/src/config/fields.hpp
@@ -1,6 +1,5 @@
 /// @file
-/// Named text fields with typed access: the form in which the deployment's settings and the simulator's
-/// messages are read.
+/// Typed access to named text fields. The deployment's settings and the simulator's messages have this form.
 #pragma once
 
 #include <cstdint>
@@ -14,15 +13,15 @@
 
 namespace elmbay::balancer {
 
-/// A field that is missing or can't be read. what() is "PLACE: field 'FIELD' PROBLEM".
+/// Reports a field that is missing or invalid. what() is "CONTEXT: field 'FIELD' PROBLEM".
 class FieldError : public std::runtime_error {
 public:
-    /// @param context what the field belongs to, for example "settings" or "line 9: ACCEPT"
+    /// @param context the object that the field belongs to, for example "settings" or "line 9: ACCEPT"
     FieldError(const std::string& context, std::string_view field, FieldProblem problem);
 
-    /// The field's name.
+    /// Returns the name of the field.
     const std::string& field() const { return field_; }
-    /// What is wrong with it.
+    /// Returns the problem of the field.
     FieldProblem problem() const { return problem_; }
 
 private:
@@ -30,39 +29,40 @@
     FieldProblem problem_;
 };
 
-/// Pairs of name and value in the order in which they were added. The texts belong to the caller and must
-/// outlive this. Of two fields of one name the first counts. A look-up is linear: there are tens of fields.
+/// A list of fields, each a pair of name and value, in the order in which they were added. The caller owns
+/// the texts, which must outlive the list. If several fields have the same name, the first one counts. A
+/// look-up takes linear time, which is sufficient for some tens of fields.
 class Fields {
 public:
-    /// @param context named in errors
+    /// @param context the object that the fields belong to, for error messages
     explicit Fields(std::string context) : context_(std::move(context)) {}
 
-    /// Adds a field behind the others.
+    /// Appends a field.
     void add(std::string_view name, std::string_view value) { fields_.emplace_back(name, value); }
 
-    /// Whether there is a field of that name, whatever its value.
+    /// Returns whether a field of that name exists, whatever its value.
     bool has(std::string_view field) const { return find(field) != nullptr; }
 
-    // The functions below throw FieldError if the value can't be read, and those without a fallback also if
+    // The functions below throw FieldError if the value is invalid. Those without a fallback also throw it if
     // the field is missing.
 
-    /// Any text.
+    /// Returns the value as text.
     std::string_view text(std::string_view field) const;
-    /// A finite real number.
+    /// Returns a finite real number.
     double number(std::string_view field) const;
-    /// The same; fallback if the field is missing.
+    /// Like number(), but returns the fallback if the field is missing.
     double number_or(std::string_view field, double fallback) const;
-    /// A whole number from 0.
+    /// Returns an integer of at least 0.
     std::uint64_t integer(std::string_view field) const;
-    /// The same; fallback if the field is missing.
+    /// Like integer(), but returns the fallback if the field is missing.
     std::uint64_t integer_or(std::string_view field, std::uint64_t fallback) const;
-    /// "1" or "true", "0" or "false".
+    /// Returns true for "1" or "true", false for "0" or "false", and the fallback if the field is missing.
     bool flag_or(std::string_view field, bool fallback) const;
 
-    /// Throws FieldError with this object's context.
-    [[noreturn]] void fail(std::string_view field, FieldProblem problem) const;
+    /// Throws FieldError for a field, with the context of this list.
+    [[noreturn]] void throw_error(std::string_view field, FieldProblem problem) const;
 
-    /// What the fields belong to, as errors name it.
+    /// Returns the name of the object that the fields belong to.
     const std::string& context() const { return context_; }
 
 private:
@@ -72,18 +72,19 @@
     std::vector<std::pair<std::string_view, std::string_view>> fields_;
 };
 
-/// The words that a field may have, each with its meaning.
+/// The texts that a field accepts, each with the value that it stands for.
 template <class T>
-using Names = std::vector<std::pair<std::string_view, T>>;
+using EnumNames = std::vector<std::pair<std::string_view, T>>;
 
-/// The meaning of a field's word. Throws FieldError if the field is missing or its word is none of names.
+/// Returns the value that the text of a field stands for. Throws FieldError if the field is missing or its
+/// text is not among the names.
 template <class T>
-T named(const Fields& fields, std::string_view field, const Names<T>& names) {
+T read_enum(const Fields& fields, std::string_view field, const EnumNames<T>& names) {
     const std::string_view text = fields.text(field);
     for (const auto& [name, value] : names) {
         if (name == text) return value;
     }
-    fields.fail(field, FieldProblem::unknown_word);
+    fields.throw_error(field, FieldProblem::unknown_value);
 }
 
 }  // namespace elmbay::balancer
--- a/src/config/json_fields.cpp
+++ b/src/config/json_fields.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-/// Below 2^64 by more than a double's rounding there, so that the conversion to an integer is defined.
+/// Less than 2^64 by more than the rounding error of a double, so that the conversion to an integer is
+/// defined.
 constexpr double kMaxWholeNumber = 1.8e19;
 
 }  // namespace
@@ -20,7 +21,7 @@
 }
 
 std::string as_text(const Json& value, const std::string& field) {
-    if (!value.is_string()) throw ConfigError(field, FieldProblem::not_text);
+    if (!value.is_string()) throw ConfigError(field, FieldProblem::not_a_string);
     return value.get<std::string>();
 }
 
--- a/src/daemon/command_line.cpp
+++ b/src/daemon/command_line.cpp
@@ -15,20 +15,21 @@
 namespace {
 
 constexpr const char* kDescription =
-    "The sidecar of voices-archive: takes the application's requests, balances them over the archive\n"
-    "servers that discovery names. Runs in the foreground until SIGTERM; SIGHUP re-reads the file.";
+    "The load-balancing sidecar of voices-archive. Receives the application's requests and balances them\n"
+    "across the archive servers of the endpoint list. Runs in the foreground until SIGTERM or SIGINT;\n"
+    "SIGHUP reloads the configuration file.";
 
 constexpr const char* kFooter =
-    "What it is told comes by the environment:\n"
-    "  RELAY_CONFIG     the configuration, a JSON file (README has a small one)\n"
-    "  RELAY_NAME, RELAY_LISTEN, RELAY_DISCOVERY  in place of name, listen and discovery there\n"
-    "Exit: 0 ended as told, 1 a command's work failed, 2 wrong use or a configuration that can't be "
-    "used.";
+    "Environment variables:\n"
+    "  RELAY_CONFIG     path of the configuration, a JSON file (README has an example)\n"
+    "  RELAY_NAME, RELAY_LISTEN, RELAY_DISCOVERY  override name, listen and discovery of the file\n"
+    "Exit codes: 0 normal end, 1 a subcommand failed, 2 invalid arguments or an invalid configuration.";
 
 void add_check_command(CLI::App& app, std::function<int()>& subcommand) {
-    CLI::App* const command = app.add_subcommand("check", "says what is wrong with an operator's file");
+    CLI::App* const command =
+        app.add_subcommand("check", "checks an operator's file and prints its problems");
     const auto path = std::make_shared<std::string>();
-    command->add_option("file", *path, "the file")->required();
+    command->add_option("file", *path, "path of the operator's file")->required();
     command->callback([path, &subcommand] { subcommand = [path] { return check_operator_file(*path); }; });
 }
 
@@ -38,7 +39,7 @@
 }
 
 void add_keys_command(CLI::App& app, std::function<int()>& subcommand) {
-    CLI::App* const command = app.add_subcommand("keys", "every key of the operator's file");
+    CLI::App* const command = app.add_subcommand("keys", "prints every key of the operator's file");
     command->callback([&subcommand] { subcommand = print_keys; });
 }
 
@@ -50,7 +51,7 @@
     app.set_version_flag("--version", "elmbay " ELMBAY_VERSION);
     app.footer(kFooter);
     app.add_option("--operator", result.operator_file,
-                   "the operator's own file (TOML; `elmbay keys` lists what it may say)");
+                   "path of the operator's file (TOML; `elmbay keys` prints its keys)");
     add_check_command(app, result.subcommand);
     add_keys_command(app, result.subcommand);
     state::add_command(app, result.subcommand);
@@ -60,7 +61,7 @@
         app.parse(argc, argv);
     } catch (const CLI::ParseError& error) {
         const bool is_help_or_version = app.exit(error) == 0;
-        result.exit_code = is_help_or_version ? kExitOk : kExitUnusable;
+        result.exit_code = is_help_or_version ? kExitOk : kExitInvalidUse;
     }
     return result;
 }
--- a/src/daemon/command_line.hpp
+++ b/src/daemon/command_line.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The command line of elmbay: options, subcommands, help.
+/// Parses the command line of elmbay: options, subcommands and help.
 #pragma once
 
 #include <functional>
@@ -8,14 +8,15 @@
 
 namespace elmbay {
 
-/// What the command line asks for.
+/// The parsed command line.
 struct CommandLine {
-    std::optional<int> exit_code;     ///< set: the program ends at once (help, version, wrong use)
-    std::function<int()> subcommand;  ///< returns the exit code; may throw; empty: run the sidecar
-    std::string operator_file;        ///< path given by --operator; empty: none
+    std::optional<int>
+        exit_code;  ///< set if the process must exit at once (help, version or invalid arguments)
+    std::function<int()> subcommand;  ///< returns the exit code and may throw; empty if the sidecar is to run
+    std::string operator_file;        ///< path from --operator; empty if not given
 };
 
-/// Prints help, version or what is wrong with the arguments.
+/// Parses the arguments. Prints the help, the version, or the error if the arguments are invalid.
 CommandLine parse_command_line(int argc, const char* const* argv);
 
 }  // namespace elmbay
--- a/src/daemon/daemon.cpp
+++ b/src/daemon/daemon.cpp
@@ -21,7 +21,8 @@
 
 namespace {
 
-// Until the loop is stopped. An exception that one request has caused must not end the others.
+// Runs the event loop until it is stopped. After an exception of a handler the loop continues, so that an
+// error in one request does not end the others.
 void run_event_loop(boost::asio::io_context& io) {
     while (!io.stopped()) {
         try {
@@ -38,7 +39,7 @@
     SignalHandling signals(io);
     Config config = load_config(environment_variable);
     std::optional<SnapshotPersistence> persistence;
-    if (!settings.state.folder.empty()) persistence.emplace(io, settings.state, config.name);
+    if (!settings.state.directory.empty()) persistence.emplace(io, settings.state, config.name);
     std::optional<Sidecar::RestoredState> restored_state;
     if (persistence) restored_state = persistence->load();
     Sidecar sidecar(io, std::move(config), std::move(restored_state), settings.websocket,
@@ -58,14 +59,14 @@
 
 int run_daemon(const std::string& operator_file) {
     const std::optional<OperatorFile> settings = load_operator_settings(operator_file);
-    if (!settings) return kExitUnusable;
+    if (!settings) return kExitInvalidUse;
     ignore_write_signals();
     try {
         run_sidecar(*settings);
         return kExitOk;
     } catch (const std::exception& error) {
         std::cerr << "elmbay: " << error.what() << std::endl;
-        return kExitUnusable;
+        return kExitInvalidUse;
     }
 }
 
--- a/src/daemon/environment.hpp
+++ b/src/daemon/environment.hpp
@@ -1,12 +1,12 @@
 /// @file
-/// The process's environment, as load_config() and reload_config() read it.
+/// Access to environment variables, for load_config() and reload_config().
 #pragma once
 
 #include <cstdlib>
 
 namespace elmbay {
 
-/// @return the value; nullptr if the variable is not set.
+/// @return the value of the environment variable; nullptr if it is not set.
 inline const char* environment_variable(const char* name) { return std::getenv(name); }
 
 }  // namespace elmbay
--- a/src/daemon/operator_settings.cpp
+++ b/src/daemon/operator_settings.cpp
@@ -19,8 +19,8 @@
     schema::Problems problems;
     read_operator_file(path, problems);
     std::cerr << schema::format_problems(path, problems);
-    if (!problems.empty()) return kExitUnusable;
-    std::cout << path << ": sound" << std::endl;
+    if (!problems.empty()) return kExitInvalidUse;
+    std::cout << path << ": no problems found" << std::endl;
     return kExitOk;
 }
 
--- a/src/daemon/operator_settings.hpp
+++ b/src/daemon/operator_settings.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The operator's file on the command line: loads it for a run, or only checks it. Problems go to standard
-/// error, one line each with file, line and key.
+/// Loads the operator's file for a run, or only checks it. Prints each problem to standard error, on one line
+/// with file, line and key.
 #pragma once
 
 #include <optional>
@@ -10,12 +10,13 @@
 
 namespace elmbay {
 
-/// @param path of the file; empty: there is none, and every key has its default.
-/// @return the settings; nothing if the file has problems, which are printed.
+/// Loads the operator's file and prints its problems.
+/// @param path path of the file; empty if there is none, in which case every key has its default.
+/// @return the settings; nothing if the file has problems.
 std::optional<OperatorFile> load_operator_settings(const std::string& path);
 
-/// The subcommand `check`.
-/// @return the exit code: kExitOk or kExitUnusable.
+/// Checks the operator's file for the subcommand `check`.
+/// @return the exit code: kExitOk or kExitInvalidUse.
 int check_operator_file(const std::string& path);
 
 }  // namespace elmbay
--- a/src/daemon/signal_handling.cpp
+++ b/src/daemon/signal_handling.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-// A configuration that can't be used changes nothing.
+// Reads and applies the configuration. An invalid configuration is logged and changes nothing.
 void reload_configuration(Sidecar& sidecar) {
     try {
         sidecar.reload(reload_config(environment_variable));
@@ -29,20 +29,20 @@
 }
 
 SignalHandling::SignalHandling(boost::asio::io_context& io)
-    : reload_signals_(io, SIGHUP), end_signals_(io, SIGTERM, SIGINT) {}
+    : reload_signals_(io, SIGHUP), shutdown_signals_(io, SIGTERM, SIGINT) {}
 
 void SignalHandling::attach(Sidecar& sidecar, std::function<void()> on_drained) {
-    await_reload(sidecar);
-    end_signals_.async_wait(
+    wait_for_reload(sidecar);
+    shutdown_signals_.async_wait(
         [&sidecar, on_drained = std::move(on_drained)](boost::system::error_code error, int) {
             if (!error) sidecar.drain(on_drained);
         });
 }
 
-void SignalHandling::await_reload(Sidecar& sidecar) {
+void SignalHandling::wait_for_reload(Sidecar& sidecar) {
     reload_signals_.async_wait([this, &sidecar](boost::system::error_code error, int) {
         if (error) return;
-        await_reload(sidecar);
+        wait_for_reload(sidecar);
         reload_configuration(sidecar);
     });
 }
--- a/src/daemon/signal_handling.hpp
+++ b/src/daemon/signal_handling.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Signals: SIGHUP reloads the configuration, SIGTERM and SIGINT shut the sidecar down gracefully.
+/// Signal handling: SIGHUP reloads the configuration; SIGTERM and SIGINT shut the sidecar down gracefully.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -10,28 +10,28 @@
 
 namespace elmbay {
 
-/// Ignores SIGPIPE and SIGXFSZ. Their default ends the process when the log's reader has gone, or when a file
-/// would grow beyond RLIMIT_FSIZE. The failing write reports EPIPE or EFBIG instead.
+/// Ignores SIGPIPE and SIGXFSZ. Their default action ends the process when the reader of the log closes its
+/// pipe, or when a file would grow beyond RLIMIT_FSIZE. The write then fails with EPIPE or EFBIG instead.
 void ignore_write_signals();
 
-/// Catches SIGHUP, SIGTERM and SIGINT from its construction on. Signals that come before attach() wait until
-/// then.
+/// Catches SIGHUP, SIGTERM and SIGINT from construction on. Signals that arrive before attach() are handled
+/// after it.
 ///
-/// Construct it before anything that takes time: without a handler SIGHUP ends the process. Must not outlive
-/// the event loop or the attached sidecar's use of it.
+/// Construct the object before any slow operation, because SIGHUP ends the process as long as there is no
+/// handler. The event loop and the attached sidecar must outlive it.
 class SignalHandling {
 public:
     explicit SignalHandling(boost::asio::io_context& io);
 
-    /// Acts on signals from now on.
-    /// @param on_drained called once after SIGTERM or SIGINT, when no connection is left.
+    /// Starts to apply signals to the sidecar.
+    /// @param on_drained called once after SIGTERM or SIGINT, when all connections are closed.
     void attach(Sidecar& sidecar, std::function<void()> on_drained);
 
 private:
-    void await_reload(Sidecar& sidecar);
+    void wait_for_reload(Sidecar& sidecar);
 
     boost::asio::signal_set reload_signals_;
-    boost::asio::signal_set end_signals_;
+    boost::asio::signal_set shutdown_signals_;
 };
 
 }  // namespace elmbay
--- a/src/daemon/snapshot_persistence.cpp
+++ b/src/daemon/snapshot_persistence.cpp
@@ -12,15 +12,15 @@
 
 SnapshotPersistence::SnapshotPersistence(boost::asio::io_context& io, const StateSettings& settings,
                                          const std::string& instance)
-    : writer_(state::posix_file_system(), settings.folder, instance),
-      folder_(settings.folder),
-      interval_(static_cast<std::int64_t>(settings.every)),
+    : writer_(state::posix_file_system(), settings.directory, instance),
+      directory_(settings.directory),
+      interval_(static_cast<std::int64_t>(settings.save_interval)),
       timer_(io) {}
 
 std::optional<Sidecar::RestoredState> SnapshotPersistence::load() {
     state::LoadResult loaded = writer_.start();
     failure_log_.record_start(writer_.status());
-    for (const std::string& line : state::format_load_events(loaded, folder_)) log(line);
+    for (const std::string& line : state::format_load_events(loaded, directory_)) log(line);
     if (!loaded.snapshot) return {};
     const double age = state::age_of(loaded.snapshot->taken_at, state::current_timestamp());
     return Sidecar::RestoredState{std::move(*loaded.snapshot), age};
@@ -30,7 +30,7 @@
     timer_.expires_after(interval_);
     timer_.async_wait([this, &sidecar](boost::system::error_code error) {
         if (error) return;
-        log_save_status();  // of the previous save, before the next one begins
+        log_save_status();  // reports the previous save before the next one begins
         post_snapshot(sidecar);
         save_periodically(sidecar);
     });
@@ -56,8 +56,8 @@
 }
 
 void SnapshotPersistence::log(const std::string& line) {
-    // The log may be on the disk that was full. Without this the stream stays failed and drops every later
-    // line.
+    // Clears the error state of the stream. The log may be on a disk that was full; without this the stream
+    // would drop every later line.
     std::cerr.clear();
     write_log_line(line);
 }
--- a/src/daemon/snapshot_persistence.hpp
+++ b/src/daemon/snapshot_persistence.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// [state] of the operator's file: restores what an earlier process had learned, and saves it while the
-/// sidecar runs and when it ends.
+/// Restores the learned state of an earlier process and saves that of this process, while the sidecar runs
+/// and when it ends. Configured by the table [state] of the operator's file.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -16,22 +16,25 @@
 
 namespace elmbay {
 
-/// Runs on the event loop's thread. The disk is the SnapshotWriter's, on a thread of its own.
+/// Loads and saves snapshots. Runs on the event loop's thread; SnapshotWriter accesses the disk on a thread
+/// of its own.
 class SnapshotPersistence {
 public:
-    /// The final save may take what a planned restart leaves of its time. The disk is not waited for beyond
-    /// it.
+    /// Maximum duration of the final save: the time that remains for it in a planned restart. A slower save
+    /// is abandoned.
     static constexpr std::chrono::milliseconds kFinalSaveTimeout{500};
 
-    /// @param instance whose snapshots are loaded and saved.
+    /// @param instance name of the sidecar whose snapshots are loaded and saved.
     SnapshotPersistence(boost::asio::io_context& io, const StateSettings& settings,
                         const std::string& instance);
 
-    /// Loads the newest whole snapshot; logs what could not be used. Once, before the others.
+    /// Loads the newest complete snapshot and logs the files that could not be used. Must be called once,
+    /// before the functions below.
     std::optional<Sidecar::RestoredState> load();
-    /// Saves at the interval of the settings from now on. The sidecar must live as long as the loop runs.
+    /// Starts to save snapshots at the interval of the settings. The sidecar must live as long as the event
+    /// loop runs.
     void save_periodically(const Sidecar& sidecar);
-    /// Saves once more and waits for it, at most kFinalSaveTimeout.
+    /// Saves a last snapshot and waits until it is written, at most kFinalSaveTimeout.
     void save_finally(const Sidecar& sidecar);
 
 private:
@@ -40,7 +43,7 @@
     static void log(const std::string& line);
 
     state::SnapshotWriter writer_;
-    const std::string folder_;
+    const std::string directory_;
     const std::chrono::milliseconds interval_;
     boost::asio::steady_timer timer_;
     state::WriteFailureLog failure_log_;
--- a/src/engine/engine.cpp
+++ b/src/engine/engine.cpp
@@ -58,13 +58,13 @@
 
 void Engine::dispatch(Millis now, balancer::Event event) {
     queued_events_.push_back({now, std::move(event)});
-    // An event that an action causes waits for the other actions of the current event.
+    // An event that an action causes is handled after the remaining actions of the current event.
     if (!is_dispatching_) handle_queued_events();
 }
 
 void Engine::handle_queued_events() {
     is_dispatching_ = true;
-    // Cleared also when a handler throws: later events must still be handled.
+    // Clears the flag also when a handler throws, so that later events are handled.
     const std::unique_ptr<bool, void (*)(bool*)> clear_on_exit(&is_dispatching_,
                                                                [](bool* flag) { *flag = false; });
     std::vector<balancer::Action> actions;
@@ -117,14 +117,15 @@
 
 void Engine::fail_request(const balancer::Fail& action) {
     const auto found = requests_.find(action.id);
-    // An attempt that is still in flight has had no response in time.
+    // An attempt that is still in flight has not received a response in time.
     const bool timed_out = found != requests_.end() && (found->second.attempts_in_flight > 0 ||
                                                         found->second.last_outcome == Outcome::timed_out);
     finish_request(action.id, {FinalOutcome::Kind::failed, 0, timed_out});
     release_if_settled(action.id);
 }
 
-// The only way to the caller: the first outcome is the final one.
+// Passes the first outcome of a request to the handler and ignores later ones. No other function reports
+// outcomes.
 void Engine::finish_request(RequestId id, const FinalOutcome& outcome) {
     const auto found = requests_.find(id);
     if (found == requests_.end() || found->second.is_finished) return;
--- a/src/engine/engine.hpp
+++ b/src/engine/engine.hpp
@@ -1,19 +1,19 @@
 /// @file
-/// The request engine: the one place where frontends meet the decision module.
+/// The request engine: connects frontends and backends to the decision module.
 ///
-/// A frontend speaks the callers' protocol (HTTP, WebSocket); a backend speaks the servers'. The engine keeps
-/// the request table, passes events to the balancer in order and carries its actions to an ActionHandler. It
-/// knows no socket, no protocol and no clock: the caller passes `now` with every call, and the ActionHandler
-/// sets the timers.
+/// A frontend implements the clients' protocol (HTTP, WebSocket); a backend implements the servers' protocol.
+/// The engine keeps the request table, passes events to the balancer in order, and passes the balancer's
+/// actions to an ActionHandler. It uses no sockets, protocols or clocks: the caller passes `now` with every
+/// call, and the ActionHandler sets the timers.
 ///
-/// Guarantees, whatever the frontend or backend:
+/// Guarantees for every frontend and backend:
 ///
 ///  - A request gets exactly one final outcome, and none after its client has disconnected.
-///  - An attempt starts only when the balancer asks for it. Each start_attempt() is answered by one
-///    on_attempt_ended().
-///  - Nothing is left of a request once it has its outcome and no attempt of it is in flight.
+///  - An attempt starts only when the balancer requests it. One on_attempt_ended() follows each
+///  start_attempt().
+///  - The engine releases a request once it has its outcome and no attempt of it is in flight.
 ///
-/// docs/design/engine.md has the reasons.
+/// docs/design/engine.md gives the reasons.
 #pragma once
 
 #include <cstdint>
@@ -30,88 +30,93 @@
 using balancer::RequestId;
 using balancer::ServerId;
 
-/// Names one attempt.
+/// Identifies one attempt.
 struct AttemptKey {
     RequestId request = 0;
-    std::uint32_t number = 0;  ///< attempts of one request count from 0 in the order of their start
+    std::uint32_t number =
+        0;  ///< index of the attempt within its request, from 0, in the order of their start
     auto operator<=>(const AttemptKey&) const = default;
 };
 
-/// How a request ended, for its caller.
+/// How a request ended, as reported to the frontend.
 struct FinalOutcome {
-    /// What the caller may conclude.
+    /// What the client may conclude from the outcome.
     enum class Kind {
-        success,   ///< the response of the attempt that just ended is the caller's
-        rejected,  ///< the request never ran: a retry is harmless
-        failed     ///< the request may or may not have run
+        success,   ///< the response of the attempt that has just ended is the response to the client
+        rejected,  ///< no server executed the request, so a retry is harmless
+        failed     ///< a server may have executed the request
     };
     Kind kind = Kind::failed;
-    Millis retry_after = 0;  ///< of a rejected request: milliseconds until a retry makes sense; 0: no advice
-    bool timed_out = false;  ///< of a failed request: no response came in time, rather than a bad one
+    Millis retry_after = 0;  ///< for a rejected request: milliseconds until a retry is useful; 0 if unknown
+    bool timed_out = false;  ///< for a failed request: true if no response arrived in time
 };
 
-/// Carries out what the engine decides. Must outlive the engine.
+/// Executes the actions of the engine. Must outlive the engine.
 ///
-/// A handler may call the engine's event functions from within these functions. The engine queues such an
-/// event and handles it after the remaining actions of the current one.
+/// A handler may call the engine's event functions from within the functions below. The engine queues such an
+/// event and handles it after the remaining actions of the current event.
 class ActionHandler {
 public:
     virtual ~ActionHandler() = default;
-    /// Starts an attempt. Its end is reported by Engine::on_attempt_ended(), never from within this call.
-    /// @param attempt_deadline at which the attempt ends as timed_out at the latest.
-    /// @param write_by before which its last byte is written; otherwise it ends as not_sent.
+    /// Starts an attempt. The handler reports its end to Engine::on_attempt_ended(), never from within this
+    /// call.
+    /// @param attempt_deadline time at which the attempt ends as timed_out, if it has not ended before.
+    /// @param write_by time by which the last byte of the request must be written; otherwise the attempt ends
+    /// as not_sent.
     virtual void start_attempt(AttemptKey key, ServerId server, Millis attempt_deadline, Millis write_by) = 0;
-    /// Cancels an attempt in flight. It ends as cancelled, or with an outcome that it had reached before.
+    /// Cancels an attempt in flight. It ends as cancelled, or with an outcome that occurred before this call.
     virtual void cancel_attempt(AttemptKey key) = 0;
-    /// Reports the request's one final outcome. Not called once the client has disconnected.
+    /// Reports the final outcome of a request, once. Not called after the client has disconnected.
     virtual void finish_request(RequestId id, const FinalOutcome& outcome) = 0;
-    /// The engine holds nothing of the request any more: whatever is kept for its attempts can be released.
+    /// Reports that the engine has released the request, so that the handler can release the data of its
+    /// attempts.
     virtual void release_request(RequestId id) = 0;
-    /// Arranges one call of Engine::on_timer(token) at that time or later.
+    /// Sets a timer that calls Engine::on_timer(token) once, at the given time or later.
     virtual void set_timer(Millis at, balancer::TimerToken token) = 0;
     /// Subscribes to the endpoint list, or ends the subscription.
     virtual void subscribe(bool active) = 0;
 };
 
-/// Request table and event queue round one Balancer.
+/// The request table and the event queue of one Balancer.
 ///
-/// Not thread-safe: one thread at a time. A process with many threads puts one Engine behind one executor and
-/// posts to it. The table holds the requests that the frontends have reported and that are not released; the
-/// frontends bound their number.
+/// Not thread-safe. A process with several threads runs an Engine on one executor and posts its calls there.
+/// The table contains the requests that frontends have reported and that are not released; the frontends
+/// bound their number.
 class Engine {
 public:
-    /// @param seed of all random choices of the balancer.
-    /// @throws std::invalid_argument naming the setting that makes no sense.
+    /// @param seed seed of all random choices of the balancer.
+    /// @throws std::invalid_argument with the name of the invalid setting.
     Engine(balancer::Settings settings, std::uint64_t seed, ActionHandler& action_handler);
     Engine(const Engine&) = delete;
     Engine& operator=(const Engine&) = delete;
 
-    /// The first call.
+    /// Starts the balancer. Must be called before all other functions.
     void begin(Millis now);
-    /// Passes on what an earlier process had learned. Between begin() and the first endpoint list.
-    /// @param age milliseconds since it was saved; negative: not known.
+    /// Passes the learned state of an earlier process to the balancer. Must be called after begin() and
+    /// before the first on_endpoint_list().
+    /// @param age milliseconds since the state was saved; negative if unknown.
     void restore_state(Millis now, balancer::LearnedState learned_state, Millis age);
-    /// @return what has been learned so far, for a snapshot.
+    /// @return the current learned state, for a snapshot.
     balancer::LearnedState learned_state(Millis now) const { return balancer_.learned_state(now); }
 
-    /// A frontend has received a request. Without effect if its id is in the table already.
+    /// Reports that a frontend has received a request. No effect if the table already contains its id.
     void on_request(Millis now, const balancer::RequestArrived& request);
-    /// The client no longer waits. Without effect for a request that is unknown or has its outcome.
+    /// Reports that the client has disconnected. No effect for a request that is unknown or has its outcome.
     void on_client_disconnected(Millis now, RequestId id);
-    /// An attempt has ended. Without effect for a request that is not in the table.
-    /// @param duration milliseconds since its start.
+    /// Reports that an attempt has ended. No effect for a request that is not in the table.
+    /// @param duration milliseconds since the start of the attempt.
     void on_attempt_ended(Millis now, AttemptKey key, Outcome outcome, Millis duration);
-    /// An established session has ended. Without effect when it is reported again.
-    /// @param broken as in balancer::SessionEnded.
+    /// Reports that an established session has ended. No effect if the end was reported before.
+    /// @param broken see balancer::SessionEnded.
     void on_session_ended(Millis now, RequestId id, bool broken);
-    /// The endpoint list, or a change of it, has been read.
+    /// Reports a new endpoint list, or a change of it.
     void on_endpoint_list(Millis now, balancer::ServerList list);
-    /// A timer that the balancer has set is due.
+    /// Reports that a timer of the balancer has expired.
     void on_timer(Millis now, balancer::TimerToken token);
-    /// The number of sidecars that share the servers has changed (balancer::SiblingCountChanged).
+    /// Reports the number of sidecars that share the servers (balancer::SiblingCountChanged), when it changes.
     void on_sibling_count(Millis now, std::uint32_t count);
 
-    /// @return size of the table: requests without an outcome, and those with attempts in flight.
+    /// @return the size of the table: requests without an outcome, and requests with attempts in flight.
     std::size_t requests() const { return requests_.size(); }
 
 private:
@@ -119,12 +124,12 @@
     struct RequestState {
         std::uint32_t attempts_started = 0;
         std::uint32_t attempts_in_flight = 0;
-        bool is_finished = false;  // it has its final outcome, or its client has disconnected
+        bool is_finished = false;  // the request has its final outcome, or its client has disconnected
         Outcome last_outcome = Outcome::not_sent;
     };
-    /// An event that waits for the current one's actions.
+    /// An event that is queued until the actions of the current event have run.
     struct QueuedEvent {
-        Millis now;  // when it happened
+        Millis now;  // time of the event
         balancer::Event event;
     };
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The program elmbay: runs one subcommand, or the sidecar.
+/// The main program of elmbay: runs a subcommand or the sidecar.
 #include <exception>
 #include <functional>
 #include <iostream>
--- a/src/operator/operator_file.cpp
+++ b/src/operator/operator_file.cpp
@@ -15,88 +15,95 @@
 using schema::Problems;
 using schema::Unit;
 
-/// Bytes. Far above any such file; a wrong path must not fill the memory.
+/// Maximum size of the file. It is far larger than any real file, and keeps a wrong path from filling the
+/// memory.
 constexpr std::streamsize kMaxFileBytes = 1 << 20;
 
-// ---- Keys, a list for each table ------------------------------------------------------------------------
+// ---- Keys of each table ------------------------------------------------------------------------
 
-// Limits, in milliseconds where a duration is limited.
-constexpr double kMaxMembers = 30000;    ///< as many as the platform may list (kMaxPeers)
-constexpr double kMaxSessions = 100000;  ///< far above what descriptors allow
-constexpr double kMinute = 60000;
-constexpr double kHour = 3600000;
-constexpr double kDay = 86400000;
+// Limits of values. Limits of durations are in milliseconds.
+constexpr double kMaxMembers = 30000;    ///< as many as the platform's configuration may list (kMaxPeers)
+constexpr double kMaxSessions = 100000;  ///< far more than descriptors allow
+constexpr double kMillisPerMinute = 60000;
+constexpr double kMillisPerHour = 3600000;
+constexpr double kMillisPerDay = 86400000;
 constexpr double kMaxMessageBytes = 1 << 30;
-constexpr double kMinMessageBytes = 125;  ///< the longest control frame of WebSocket (RFC 6455, 5.5)
+constexpr double kMinMessageBytes = 125;  ///< payload of the longest WebSocket control frame (RFC 6455, 5.5)
 constexpr double kMaxRelayBufferBytes = 1 << 24;
 constexpr double kMinRelayBufferBytes = 512;
 
 const std::vector<Key<StateSettings>> kStateKeys{
-    {"folder", Unit::word, &StateSettings::folder, "\"\"",
-     "where what was learned is kept over restarts, one folder a sidecar; empty: nothing is kept"},
-    {"every", Unit::duration, &StateSettings::every, "\"2s\"",
-     "between two writes, if there is something new; what was learned since the last is lost by a kill", 100,
-     kHour}};
+    {"folder", Unit::word, &StateSettings::directory, "\"\"",
+     "directory for learned state that survives restarts, one for each sidecar; empty: nothing is saved"},
+    {"every", Unit::duration, &StateSettings::save_interval, "\"2s\"",
+     "interval between saves of changed state; a kill loses what was learned since the last save", 100,
+     kMillisPerHour}};
 
 const std::vector<Key<StatusSettings>> kStatusKeys{
     {"socket", Unit::word, &StatusSettings::socket, "\"\"",
-     "path of a Unix socket that tells what this sidecar believes, as JSON; empty: nothing listens"}};
+     "path of a Unix socket that returns the status of this sidecar as JSON; empty: no status socket"}};
 
 const std::vector<Key<cluster::Settings>> kClusterKeys{
     {"on", Unit::flag, &cluster::Settings::on, "false",
-     "whether this sidecar takes part among the others; if not, it neither listens nor sends"},
+     "whether this sidecar joins the cluster of its siblings; if not, it sends and receives no datagrams"},
     {"listen", Unit::word, &cluster::Settings::listen, "peer_listen",
-     "address:port of datagrams, where the platform's configuration has none"},
+     "address:port for datagrams; overrides the platform's configuration"},
     {"peers", Unit::words, &cluster::Settings::peers, "peers",
-     "address:port of each sidecar, in the order of their numbers, this one's own among them"},
-    {"number", Unit::count, &cluster::Settings::number, "my-number", "of this one among peers, from 0", 0,
-     kMaxMembers},
+     "address:port of each sidecar in the order of their numbers, including this sidecar"},
+    {"number", Unit::count, &cluster::Settings::number, "my-number", "index of this sidecar in peers, from 0",
+     0, kMaxMembers},
     {"period", Unit::duration, &cluster::Settings::period, "\"1s\"",
-     "between two probes; failures are found in some of them, and the cost is two datagrams in each", 100,
-     kMinute}};
+     "interval between probes; a failure is detected within a few intervals, at two datagrams per interval",
+     100, kMillisPerMinute}};
 
 const std::vector<Key<ClockSkewSettings>> kProofKeys{
     {"clock_ahead", Unit::duration, &ClockSkewSettings::clock_ahead, "\"0s\"",
-     "for tests: this program's clock is ahead of the machine's by it", 0, kDay},
-    {"clock_behind", Unit::duration, &ClockSkewSettings::clock_behind, "\"0s\"", "or behind it", 0, kDay}};
+     "for tests: how far the clock of this process is ahead of the host's clock", 0, kMillisPerDay},
+    {"clock_behind", Unit::duration, &ClockSkewSettings::clock_behind, "\"0s\"",
+     "for tests: how far the clock of this process is behind the host's clock", 0, kMillisPerDay}};
 
 using Websocket = websocket::Settings;
 
 const std::vector<Key<Websocket>> kWebsocketKeys{
     {"on", Unit::flag, &Websocket::on, "false",
-     "whether clients may upgrade; if not, `Upgrade` is passed over"},
-    {"origins", Unit::words, &Websocket::origins, "[]", "that browsers may come from; none listed: any"},
+     "whether clients may upgrade to WebSocket; if not, the header `Upgrade` is ignored"},
+    {"origins", Unit::words, &Websocket::origins, "[]",
+     "accepted values of a browser's `Origin` header; empty: all are accepted"},
     {"most", Unit::count, &Websocket::max_sessions, "500",
-     "sessions of this sidecar; each takes two sockets, of half of all at most", 0, kMaxSessions},
-    {"most_at_server", Unit::count, &Websocket::max_sessions_per_server, "250", "of them at one server", 1,
+     "maximum number of sessions; each needs two sockets, and sessions get at most half of the sockets", 0,
      kMaxSessions},
+    {"most_at_server", Unit::count, &Websocket::max_sessions_per_server, "250",
+     "maximum number of sessions with one server", 1, kMaxSessions},
     {"most_of_client", Unit::count, &Websocket::max_sessions_per_client, "500",
-     "of them from one client address", 1, kMaxSessions},
+     "maximum number of sessions from one client address", 1, kMaxSessions},
     {"most_message", Unit::size, &Websocket::max_message_bytes, "\"1MiB\"",
-     "a longer message ends its session (1009)", kMinMessageBytes, kMaxMessageBytes},
+     "maximum length of a message; a longer message closes its session (1009)", kMinMessageBytes,
+     kMaxMessageBytes},
     {"waiting", Unit::size, &Websocket::relay_buffer_bytes, "\"4KiB\"",
-     "read from one side and not taken by the other; until it is, nothing more is read", kMinRelayBufferBytes,
-     kMaxRelayBufferBytes},
+     "buffer for data read from one side and not yet written to the other; reading pauses while it is full",
+     kMinRelayBufferBytes, kMaxRelayBufferBytes},
     {"handshake", Unit::duration, &Websocket::handshake_timeout, "\"3s\"",
-     "for a client to take its answer, and for either side to answer a close", 10, kHour},
+     "time for a client to receive the handshake response, and for either side to answer a close frame", 10,
+     kMillisPerHour},
     {"idle", Unit::duration, &Websocket::idle_timeout, "\"60s\"",
-     "without a byte; a ping goes out at half of it", 100, kHour},
+     "time without data after which a session closes; a ping is sent after half of it", 100, kMillisPerHour},
     {"drain", Unit::duration, &Websocket::drain_spread, "\"10s\"",
-     "over which sessions of a draining server are told (1012)", 0, kHour},
+     "period over which the sessions of a draining server are closed (1012)", 0, kMillisPerHour},
     {"ending", Unit::duration, &Websocket::shutdown_spread, "\"1s\"",
-     "over which all are told (1001) once the sidecar is to end", 0, kHour}};
+     "period over which all sessions are closed (1001) when the sidecar shuts down", 0, kMillisPerHour}};
 
 // ---- Tables ---------------------------------------------------------------------------------------------
 
-/// One table of the file: how it is read and how it is explained.
+/// One table of the file, with its reader and its manual.
 struct TableSchema {
     std::string name;
     std::function<void(const toml::table&, OperatorFile&, Problems&)> read;
     std::function<std::string()> manual;
 };
 
-/// @param member of the file that the table fills
-/// @param keys must live as long as the result
+/// Returns the schema of a table.
+/// @param member the member of the file that the table fills
+/// @param keys must outlive the result
 template <class Settings>
 TableSchema table_schema(const std::string& name, Settings OperatorFile::*member,
                          const std::vector<Key<Settings>>& keys) {
@@ -107,7 +114,7 @@
             [&keys] { return schema::manual(keys); }};
 }
 
-/// In the order of the manual.
+/// All tables, in the order of the manual.
 const std::vector<TableSchema> kTables{table_schema("state", &OperatorFile::state, kStateKeys),
                                        table_schema("websocket", &OperatorFile::websocket, kWebsocketKeys),
                                        table_schema("status", &OperatorFile::status, kStatusKeys),
@@ -131,8 +138,8 @@
         } else if (const toml::table* table = node.as_table()) {
             known->read(*table, file, problems);
         } else {
-            problems.push_back(
-                {node.source().begin.line, name, "is a table: [" + name + "]", ProblemReason::wrong_type});
+            problems.push_back({node.source().begin.line, name, "must be a table: [" + name + "]",
+                                ProblemReason::wrong_type});
         }
     }
 }
@@ -151,7 +158,7 @@
 
 OperatorFile read_operator_file(const std::string& path, Problems& problems) {
     std::ifstream input(path, std::ios::binary);
-    // One byte more than may be there, so that a file that is too long shows.
+    // Reads one byte more than the limit, to detect a file that is too long.
     std::string text(static_cast<std::size_t>(kMaxFileBytes) + 1, '\0');
     input.read(text.data(), kMaxFileBytes + 1);
     const bool is_readable = !input.bad() && (input.gcount() > 0 || input.eof());
--- a/src/operator/operator_file.hpp
+++ b/src/operator/operator_file.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The operator's own file: what the platform's configuration does not know, one TOML table a subsystem.
+/// The operator's file: settings beyond the platform's configuration, with one TOML table for each subsystem.
 #pragma once
 
 #include <string>
@@ -12,13 +12,13 @@
 
 namespace elmbay {
 
-/// The keys of [state]: what the balancer has learned, kept over restarts.
+/// The keys of [state]: persistence of the learned state.
 struct StateSettings {
-    std::string folder;   ///< path of the directory; empty: nothing is kept
-    Millis every = 2000;  ///< between two looks at whether there is something new to write
+    std::string directory;        ///< path; empty if nothing is saved
+    Millis save_interval = 2000;  ///< interval between saves
 };
 
-/// All tables of the file; of one that the file does not have, the defaults.
+/// All tables of the file. A table that the file does not contain has its defaults.
 struct OperatorFile {
     StateSettings state;
     websocket::Settings websocket;
@@ -27,14 +27,15 @@
     ClockSkewSettings proof;
 };
 
-/// Reads the text of the file and adds every problem that it has: none, and the result can be used. Keys that
-/// are not there or can't be used keep their defaults. Throws only std::bad_alloc.
+/// Parses the text of the file and appends all its problems; the result is valid if there are none. Keys that
+/// are missing or invalid keep their defaults. Throws only std::bad_alloc.
 OperatorFile parse_operator_file(const std::string& text, schema::Problems& problems);
 
-/// The same from a file. One that can't be read, or is longer than 1 MiB, is a problem.
+/// Like parse_operator_file(), for the file with that path. A file that can't be read or is larger than 1 MiB
+/// is a problem.
 OperatorFile read_operator_file(const std::string& path, schema::Problems& problems);
 
-/// Every table and key of the file, for a person.
+/// Returns the manual: a description of every table and key of the file.
 std::string operator_manual();
 
 }  // namespace elmbay
--- a/src/schema/document.hpp
+++ b/src/schema/document.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Reads a TOML document from its text: the step that every schema-checked file begins with.
+/// Parses the text of a TOML document, which is the first step for every file that is read with a schema.
 #pragma once
 
 #include <string>
@@ -10,9 +10,9 @@
 
 /// Parses `text` and calls `read` with the root table.
 ///
-/// Text that is not TOML becomes a Problem with the line of the syntax error, as unknown keys and values out
-/// of range do, so that a caller has one list to report. `read` is not called then. `file` is the name that
-/// toml++ keeps with each node's source position.
+/// Text that is not TOML becomes a Problem with the line of the syntax error, and `read` is not called.
+/// Unknown keys and values out of range become Problems as well, so that the caller has one list to report.
+/// toml++ stores `file` as the file name in the source position of each node.
 template <class Read>
 void read_document(const std::string& text, const std::string& file, Problems& problems, Read read) {
     toml::table root;
--- a/src/schema/schema.cpp
+++ b/src/schema/schema.cpp
@@ -13,16 +13,16 @@
 
 constexpr double kMillisecondsPerSecond = 1000;
 
-/// Column of the manual in which descriptions begin, and the two blanks before a key's name.
+/// Layout of the manual: the number of spaces before a key's name, and the width of the column for the names.
 constexpr std::size_t kManualIndent = 2;
 constexpr std::size_t kManualNameWidth = 18;
 
-/// A word is taken for a misspelt one within this many edits, or within a third of its letters if that is
-/// more.
+/// A known word is suggested for an unknown one if their edit distance is at most kMinEditsAllowed, or at
+/// most a third of the letters of the unknown word if that is more.
 constexpr std::size_t kMinEditsAllowed = 2;
 constexpr std::size_t kLettersPerEditAllowed = 3;
 
-/// What may stand behind a number, and what it multiplies the number by.
+/// A unit suffix of a number, and the factor that it stands for.
 struct Suffix {
     std::string_view text;
     double factor;
@@ -40,7 +40,7 @@
     return {};
 }
 
-// A text of one of the units that are written with a suffix.
+// Parses a value of a unit that is written with a suffix. Returns nothing for other units.
 std::optional<double> parse_text(std::string_view text, Unit unit) {
     switch (unit) {
         case Unit::duration:
@@ -87,18 +87,19 @@
         case Unit::flag:
             return "true or false";
         case Unit::word:
-            return "a text";
+            return "a string";
         case Unit::words:
-            return "a list of texts";
+            return "a list of strings";
     }
     return "";
 }
 
 bool has_range(Unit unit) { return unit != Unit::word && unit != Unit::words && unit != Unit::flag; }
 
-// Levenshtein's distance: insertions, deletions and replacements of one letter.
+// Returns the Levenshtein distance: the number of insertions, deletions and replacements of one letter.
 std::size_t edit_distance(std::string_view from, std::string_view to) {
-    // One row of the usual table at a time: row[j] is the distance of from's first i letters to to's first j.
+    // Computes the dynamic programming table row by row. row[j] is the distance between the first i letters
+    // of `from` and the first j letters of `to`.
     std::vector<std::size_t> row(to.size() + 1);
     std::iota(row.begin(), row.end(), 0);
     for (std::size_t i = 1; i <= from.size(); ++i) {
@@ -133,7 +134,7 @@
         if (problem.line > 0) text += ":" + std::to_string(problem.line);
         text += ": ";
         if (!problem.key.empty()) text += problem.key + ": ";
-        text += problem.what + "\n";
+        text += problem.message + "\n";
     }
     return text;
 }
@@ -142,7 +143,7 @@
     return {error.source().begin.line, "", std::string(error.description()), ProblemReason::malformed_toml};
 }
 
-std::string did_you_mean(std::string_view unknown, const std::vector<std::string>& known) {
+std::string closest_word(std::string_view unknown, const std::vector<std::string>& known) {
     const std::size_t max_distance = std::max(kMinEditsAllowed, unknown.size() / kLettersPerEditAllowed);
     std::size_t closest_distance = max_distance + 1;
     std::string closest;
@@ -159,11 +160,11 @@
                         Problems& problems) {
     const std::string name(key.str());
     const std::string full_name = table.empty() ? name : table + "." + name;
-    const std::string closest = did_you_mean(name, known);
-    const std::string advice =
-        closest.empty() ? "; there are " + joined(known) : "; did you mean '" + closest + "'?";
+    const std::string closest = closest_word(name, known);
+    const std::string suggestion =
+        closest.empty() ? "; known keys: " + joined(known) : "; did you mean '" + closest + "'?";
     problems.push_back(
-        {key.source().begin.line, full_name, "is not a key here" + advice, ProblemReason::unknown_key});
+        {key.source().begin.line, full_name, "is not a known key" + suggestion, ProblemReason::unknown_key});
 }
 
 // ---- Values ---------------------------------------------------------------------------------------------
@@ -197,7 +198,7 @@
     const bool is_finite = value && std::isfinite(*value);
     const bool is_of_unit = is_finite && (!must_be_whole || *value == std::floor(*value));
     if (!is_of_unit) {
-        problems.push_back({line, key, std::string("is ") + unit_text(unit), ProblemReason::wrong_type});
+        problems.push_back({line, key, std::string("must be ") + unit_text(unit), ProblemReason::wrong_type});
         return {};
     }
     if (*value < range.min || *value > range.max) {
@@ -212,16 +213,16 @@
     const std::uint32_t line = node.source().begin.line;
     const auto* text = node.as_string();
     if (!text) {
-        problems.push_back({line, key, "is a text", ProblemReason::wrong_type});
+        problems.push_back({line, key, "must be a string", ProblemReason::wrong_type});
         return {};
     }
     const std::string& word = text->get();
     const bool is_allowed = allowed_words.empty() || std::find(allowed_words.begin(), allowed_words.end(),
                                                                word) != allowed_words.end();
     if (is_allowed) return word;
-    const std::string closest = did_you_mean(word, allowed_words);
-    const std::string advice = closest.empty() ? "" : "; did you mean '" + closest + "'?";
-    problems.push_back({line, key, "'" + word + "' is not one of " + joined(allowed_words) + advice,
+    const std::string closest = closest_word(word, allowed_words);
+    const std::string suggestion = closest.empty() ? "" : "; did you mean '" + closest + "'?";
+    problems.push_back({line, key, "'" + word + "' is not one of " + joined(allowed_words) + suggestion,
                         ProblemReason::unknown_word});
     return {};
 }
@@ -230,26 +231,26 @@
                                                    Problems& problems) {
     if (const auto* text = node.as_string()) return std::vector<std::string>{text->get()};
     std::vector<std::string> words;
-    bool are_all_texts = node.is_array();
+    bool are_all_strings = node.is_array();
     if (const auto* list = node.as_array()) {
         for (const toml::node& item : *list) {
             const auto* text = item.as_string();
             if (text) {
                 words.push_back(text->get());
             } else {
-                are_all_texts = false;
+                are_all_strings = false;
             }
         }
     }
-    if (are_all_texts && !words.empty()) return words;
-    problems.push_back({node.source().begin.line, key, "is a text or a list of texts, not an empty one",
+    if (are_all_strings && !words.empty()) return words;
+    problems.push_back({node.source().begin.line, key, "must be a string or a non-empty list of strings",
                         ProblemReason::wrong_type});
     return {};
 }
 
 std::optional<bool> read_flag(const toml::node& node, const std::string& key, Problems& problems) {
     if (const auto* value = node.as_boolean()) return value->get();
-    problems.push_back({node.source().begin.line, key, "is true or false", ProblemReason::wrong_type});
+    problems.push_back({node.source().begin.line, key, "must be true or false", ProblemReason::wrong_type});
     return {};
 }
 
--- a/src/schema/schema.hpp
+++ b/src/schema/schema.hpp
@@ -1,13 +1,12 @@
 /// @file
-/// A TOML table read by one schema: the same list of keys is the checker, the defaults and the printed
-/// manual.
+/// Reads TOML tables by a schema: one list of keys that provides validation, defaults and the printed manual.
 ///
-/// A Key names a member of the struct that it fills, its unit, default and range. read_table() goes through a
-/// table of the file once: an unknown key, a value of the wrong type, a unit that can't be read or a value
-/// out of range becomes a Problem with line, key and what is allowed. It never throws for what the file says
-/// and does not stop at the first problem, so one run tells a person all that is wrong.
+/// A Key specifies the struct member that it fills, its unit, default and range. read_table() reads a table
+/// of the file once. An unknown key, a value of the wrong type, an invalid unit or a value out of range
+/// becomes a Problem with line, key and the accepted values. read_table() never throws for the content of the
+/// file and does not stop at the first problem, so that one run reports all problems.
 ///
-/// Parsing TOML itself is toml++'s (TOML 1.0).
+/// toml++ parses the TOML syntax (TOML 1.0).
 #pragma once
 
 #include <algorithm>
@@ -27,64 +26,68 @@
 
 // ---- Problems -------------------------------------------------------------------------------------------
 
-/// What kind of problem a file has.
+/// The kind of a problem.
 enum class ProblemReason {
-    other,           ///< a rule of the file's own reader, beyond a single key's schema: see the text
+    other,           ///< a rule of the code that reads the file, beyond the schema of a single key; see
+                     ///< Problem::message
     unreadable,      ///< the file can't be opened or read
-    too_large,       ///< the file is longer than its reader takes
-    malformed_toml,  ///< not TOML
-    unknown_key,     ///< a key or table that the schema does not have
-    missing_key,     ///< a required key that is not there
-    wrong_type,      ///< a value of another type, or with a unit that can't be read
-    out_of_range,    ///< a number beyond its limits
-    unknown_word,    ///< a text that is none of those allowed
+    too_large,       ///< the file is larger than the code that reads it accepts
+    malformed_toml,  ///< the text is not TOML
+    unknown_key,     ///< a key or table that is not in the schema
+    missing_key,     ///< a required key that the file does not contain
+    wrong_type,      ///< a value of another type or with an invalid unit
+    out_of_range,    ///< a number outside of its range
+    unknown_word,    ///< a string that is not one of the accepted ones
 };
 
-/// One thing that is wrong in a file.
+/// One problem of a file.
 struct Problem {
-    std::uint32_t line = 0;  ///< from 1; 0: the file as a whole
-    std::string key;         ///< with its table, for example "state.folder"; empty: the file as a whole
-    std::string what;        ///< for a person, stands behind the key: "is a whole number"
+    std::uint32_t line = 0;  ///< line of the problem, from 1; 0 if the problem concerns the whole file
+    std::string
+        key;  ///< with its table, for example "state.folder"; empty if the problem concerns the whole file
+    std::string message;  ///< follows the key, for example "must be a whole number"
     ProblemReason reason = ProblemReason::other;
 };
 using Problems = std::vector<Problem>;
 
-/// The problems for a person, a line each: "FILE:LINE: KEY: WHAT".
+/// Formats the problems, one on each line: "FILE:LINE: KEY: MESSAGE".
 std::string format_problems(const std::string& file, const Problems& problems);
 
-/// The problem of text that is not TOML.
+/// Returns the problem for text that is not TOML.
 Problem malformed_toml(const toml::parse_error& error);
 
-/// The known word closest to an unknown one; empty if none is close enough to be what was meant.
-std::string did_you_mean(std::string_view unknown, const std::vector<std::string>& known);
+/// Returns the known word that is most similar to an unknown one, or an empty string if none is similar
+/// enough.
+std::string closest_word(std::string_view unknown, const std::vector<std::string>& known);
 
-/// Adds the problem of a key that is not in the schema, with the known key closest to it.
-/// @param table the name of the table that the key stands in; empty: the top of the file
+/// Appends the problem for a key that is not in the schema, with the most similar known key.
+/// @param table the name of the table that contains the key; empty for the top level of the file
 void report_unknown_key(const toml::key& key, const std::string& table, const std::vector<std::string>& known,
                         Problems& problems);
 
 // ---- Values ---------------------------------------------------------------------------------------------
 
-/// What a value is, and how a person writes it.
+/// The type and notation of a value.
 enum class Unit {
     number,    ///< 0.25 or 3
     count,     ///< a whole number
-    duration,  ///< "250ms", "1.5s", "2m", "1h"; held in milliseconds
-    share,     ///< 0.25 or "25%"; held as 0.25
-    size,      ///< "64KiB", "1MiB", or a count of bytes
+    duration,  ///< "250ms", "1.5s", "2m", "1h"; stored in milliseconds
+    share,     ///< 0.25 or "25%"; stored as 0.25
+    size,      ///< "64KiB", "1MiB", or a number of bytes
     flag,      ///< true or false
-    word,      ///< one of the words that the key lists, or any text where it lists none
-    words,     ///< a list of texts, or one
+    word,      ///< one of the strings that the key lists, or any string if it lists none
+    words,     ///< a string or a list of strings
 };
 
-/// Milliseconds; none if the text is not a number and one of us, ms, s, m, h.
+/// Returns a duration in milliseconds, or nothing if the text is not a number followed by us, ms, s, m or h.
 std::optional<double> parse_duration(std::string_view text);
-/// A share of 1; none if the text is not a number, alone or with '%'.
+/// Returns a fraction of 1, or nothing if the text is not a number, optionally followed by '%'.
 std::optional<double> parse_share(std::string_view text);
-/// Bytes; none if the text is not a number, alone or with one of B, KiB, MiB, GiB.
+/// Returns a size in bytes, or nothing if the text is not a number, optionally followed by B, KiB, MiB or
+/// GiB.
 std::optional<double> parse_size(std::string_view text);
 
-/// The least and the greatest value that a number may have, both allowed; in the unit that it is held in.
+/// The minimum and the maximum of a number, both inclusive, in the unit in which it is stored.
 struct Range {
     double min = 0;
     double max = std::numeric_limits<double>::infinity();
@@ -92,44 +95,45 @@
 
 // ---- Keys -----------------------------------------------------------------------------------------------
 
-/// One key of a table, and the member of T that it fills.
+/// One key of a table, and the member of T in which its value is stored.
 template <class T>
 struct Key {
     std::string name;
     Unit unit = Unit::number;
-    /// Must fit the unit: numbers of any kind go into a double, those without a fraction also into an
-    /// integer.
+    /// The type of the member must match the unit: any number can be stored in a double, and whole numbers
+    /// also in an integer.
     std::variant<double T::*, std::uint64_t T::*, bool T::*, std::string T::*, std::vector<std::string> T::*>
         member;
-    /// The default as a person would write it, for the manual; what counts is the member's initialiser.
+    /// The default as text, for the manual. The initialiser of the member determines the actual default.
     std::string default_text;
     std::string description;
     double min = 0;  ///< see Range
     double max = std::numeric_limits<double>::infinity();
-    std::vector<std::string> allowed_words{};  ///< of a word; empty: any
+    std::vector<std::string> allowed_words{};  ///< for Unit::word; empty if any text is accepted
     bool required = false;
 };
 
 namespace detail {
 
-/// A number in the unit that it is held in; none, and a problem, if it can't be used.
+/// Returns a number in the unit in which it is stored. If it is invalid, appends a problem and returns
+/// nothing.
 std::optional<double> read_number(const toml::node& node, Unit unit, const Range& range,
                                   const std::string& key, Problems& problems);
-/// A text that is allowed; none, and a problem, if it can't be used.
+/// Returns an accepted string. If it is invalid, appends a problem and returns nothing.
 std::optional<std::string> read_word(const toml::node& node, const std::vector<std::string>& allowed_words,
                                      const std::string& key, Problems& problems);
-/// One text or more; none, and a problem, if it can't be used.
+/// Returns one or more strings. If they are invalid, appends a problem and returns nothing.
 std::optional<std::vector<std::string>> read_words(const toml::node& node, const std::string& key,
                                                    Problems& problems);
-/// A truth value; none, and a problem, if it can't be used.
+/// Returns a boolean. If it is invalid, appends a problem and returns nothing.
 std::optional<bool> read_flag(const toml::node& node, const std::string& key, Problems& problems);
 
-/// A key for the manual: what it is for on one line, unit, range and default on the next.
+/// Returns the manual entry of a key: its description on one line; its unit, range and default on the next.
 std::string manual_entry(const std::string& name, Unit unit, const Range& range,
                          const std::vector<std::string>& allowed_words, const std::string& default_text,
                          const std::string& description);
 
-/// Stores the value that a key has in the file.
+/// Stores the value of a key in its member.
 template <class T>
 void read_value(const toml::node& node, const Key<T>& key, const std::string& full_name, T& target,
                 Problems& problems) {
@@ -155,9 +159,9 @@
 
 // ---- Tables ---------------------------------------------------------------------------------------------
 
-/// Fills a struct from a table; members whose keys are missing or can't be used keep their values.
-/// @param where names the table in problems ("fleet", "fault 3"); empty: the top of the file
-/// @param other_names keys of the table that are read elsewhere
+/// Fills a struct from a table. Members whose keys are missing or invalid keep their values.
+/// @param where the name of the table in problems ("fleet", "fault 3"); empty for the top level of the file
+/// @param other_names keys of the table that other code reads
 template <class T>
 void read_table(const toml::table& table, const std::string& where, const std::vector<Key<T>>& keys,
                 T& target, Problems& problems, const std::vector<std::string>& other_names = {}) {
@@ -186,7 +190,7 @@
     }
 }
 
-/// The table [name] of a file, if it is there.
+/// Reads the table [name] of a file, if the file contains it.
 template <class T>
 void read_section(const toml::table& file, const char* name, const std::vector<Key<T>>& keys, T& target,
                   Problems& problems) {
@@ -195,14 +199,14 @@
     if (const toml::table* table = node->as_table()) {
         read_table(*table, name, keys, target, problems);
     } else {
-        problems.push_back({node->source().begin.line, name, std::string("is a table: [") + name + "]",
+        problems.push_back({node->source().begin.line, name, std::string("must be a table: [") + name + "]",
                             ProblemReason::wrong_type});
     }
 }
 
-/// Each of the tables [[name]], if there are any.
-/// @param max_items more of them are a problem, and none is read
-/// @param use called for each as use(T item, std::size_t number from 1, std::uint32_t line)
+/// Reads each of the tables [[name]] of a file.
+/// @param max_items maximum number of tables; a file with more has a problem, and none of them is read
+/// @param use called for each table as use(T item, std::size_t number from 1, std::uint32_t line)
 template <class T, class Use>
 void read_sections(const toml::table& file, const char* name, std::size_t max_items,
                    const std::vector<Key<T>>& keys, Problems& problems, Use use) {
@@ -213,7 +217,7 @@
     if (!is_list_of_tables || list->size() > max_items) {
         problems.push_back(
             {node->source().begin.line, name,
-             std::string("is a list of tables: [[") + name + "]], at most " + std::to_string(max_items),
+             std::string("must be a list of tables: [[") + name + "]], at most " + std::to_string(max_items),
              is_list_of_tables ? ProblemReason::out_of_range : ProblemReason::wrong_type});
         return;
     }
@@ -225,7 +229,7 @@
     }
 }
 
-/// The manual of a table: an entry for each key, with name, purpose, unit, range and default.
+/// Returns the manual of a table: an entry for each key, with name, description, unit, range and default.
 template <class T>
 std::string manual(const std::vector<Key<T>>& keys) {
     std::string text;
--- a/src/schema/toml.hpp
+++ b/src/schema/toml.hpp
@@ -1,13 +1,14 @@
 /// @file
-/// toml++ as this program reads files with it: the one place that includes it.
+/// Includes toml++ with its assertions disabled. No other file includes toml++ directly.
 ///
-/// Its parser asserts on some text that is not TOML ("[[[") before it reports the error as an exception. A
-/// file that a person wrote wrongly must not end the process, also where assertions are on, as in CI's
-/// sanitized build. This takes the library's own assertions out and leaves all others.
+/// For some text that is not TOML ("[[["), an assertion of the parser fails before the parser reports the
+/// error as an exception. A malformed file must not end the process, even where assertions are enabled, as in
+/// the sanitizer build of CI. This header disables the assertions of the library and leaves all others
+/// enabled.
 #pragma once
 
 #ifdef TOMLPLUSPLUS_H
-#error "toml++ is included by schema/toml.hpp alone"
+#error "include schema/toml.hpp instead of toml++"
 #endif
 #undef TOML_ASSERT
 #define TOML_ASSERT(condition) static_assert(true)
--- a/src/sidecar/cluster_setup.cpp
+++ b/src/sidecar/cluster_setup.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-// Keeps the cluster's random choices apart from the balancer's, which must not change when the cluster is
-// switched on. The letters "cluster" in ASCII.
+// Gives the cluster another seed than the balancer, whose random choices must not change when the cluster is
+// enabled. The value is "cluster" in ASCII.
 constexpr std::uint64_t kClusterSeedMask = 0x636c7573746572;
 
 std::optional<std::uint16_t> parse_port(const std::string& text) {
@@ -34,14 +34,15 @@
 
 cluster::PeerAddress required_peer_address(const std::string& text, const std::string& key) {
     const std::optional<cluster::PeerAddress> address = parse_peer_address(text);
-    if (!address) throw ConfigError("[cluster] " + key + ": '" + text + "' is not address:port");
+    if (!address)
+        throw ConfigError("[cluster] " + key + ": '" + text + "' does not have the form address:port");
     return *address;
 }
 
 cluster::PeerAddress listen_address(const Config& config, const cluster::Settings& settings) {
     if (!settings.listen.empty()) return required_peer_address(settings.listen, "listen");
     if (config.peer_listen) return *config.peer_listen;
-    throw ConfigError("[cluster] listen: neither it nor peer_listen of the configuration is there");
+    throw ConfigError("[cluster] listen: missing, and the configuration has no peer_listen");
 }
 
 std::vector<cluster::PeerAddress> peer_addresses(const Config& config, const cluster::Settings& settings) {
@@ -53,18 +54,19 @@
 }
 
 cluster::MemberId own_member_id(const Config& config, const cluster::Settings& settings) {
-    const std::optional<std::uint32_t>& platform_number = config.deployment.my_number;
+    const std::optional<std::uint32_t>& platform_number = config.deployment.sidecar_index;
     if (settings.peers.empty() && platform_number) return *platform_number;
     return static_cast<cluster::MemberId>(settings.number);
 }
 
 void require_own_member_among_peers(const cluster::Driver::Setup& setup) {
     if (setup.peers.empty()) {
-        throw ConfigError("[cluster] peers: neither they nor those of the configuration are there");
+        throw ConfigError("[cluster] peers: missing, and the configuration has no peers");
     }
     if (setup.self >= setup.peers.size()) {
-        throw ConfigError("[cluster] number: " + std::to_string(setup.self) + " is beyond the " +
-                          std::to_string(setup.peers.size()) + " peers");
+        throw ConfigError("[cluster] number: " + std::to_string(setup.self) +
+                          " must be less than the number of peers (" + std::to_string(setup.peers.size()) +
+                          ")");
     }
 }
 
--- a/src/sidecar/endpoint_registry.cpp
+++ b/src/sidecar/endpoint_registry.cpp
@@ -22,7 +22,7 @@
     update.changes.reserve(targets.size());
     for (const Target& target : targets) apply_target(target, update);
     for (const auto& [uid, position] : withdrawn_) {
-        ++visited_;
+        ++visit_count_;
         update.withdrawn.push_back(position->second.info.id);
     }
     return update;
@@ -39,7 +39,7 @@
     const auto position = find_or_add(target.uid);
     Entry& entry = position->second;
     set_info(entry, target);
-    set_listed(position, false);  // under its earlier address
+    set_listed(position, false);  // removes the entry under its earlier address
     entry.endpoint = target.endpoint;
     if (target.state != EndpointState::removed) claim_address(position, update);
     update.changes.push_back({entry.info, entry.endpoint, entry.info.state == EndpointState::active});
@@ -48,19 +48,19 @@
 
 bool EndpointRegistry::should_skip(const Target& target, Update& update) const {
     if (entries_.contains(target.uid)) return false;
-    if (target.state == EndpointState::removed) return true;  // never known, or forgotten
+    if (target.state == EndpointState::removed) return true;  // unknown or forgotten
     if (has_capacity(target)) return false;
     ++update.skipped;
     return true;
 }
 
 bool EndpointRegistry::has_capacity(const Target& target) const {
-    return listed() < kMaxListed && entries_.size() < kMaxEntries && target.uid.size() <= kMaxUidBytes;
+    return listed_count() < kMaxListed && entries_.size() < kMaxEntries && target.uid.size() <= kMaxUidBytes;
 }
 
 EndpointRegistry::Position EndpointRegistry::find_or_add(const std::string& uid) {
     const auto [position, added] = entries_.try_emplace(uid);
-    ++visited_;
+    ++visit_count_;
     if (!added) return position;
     const ServerId id = numbers_.assign(uid);
     position->second.info.id = id;
@@ -72,8 +72,8 @@
 void EndpointRegistry::set_info(Entry& entry, const Target& target) {
     const bool is_other_process = target.online_since > 0 && target.online_since != entry.info.online_since;
     if (entry.first_list == 0 || is_other_process) entry.first_list = lists_applied_;
-    entry.info.zone = number_of_name(zones_, target.zone);
-    entry.info.machine_type = number_of_name(machine_types_, target.machine_type);
+    entry.info.zone = name_number(zones_, target.zone);
+    entry.info.machine_type = name_number(machine_types_, target.machine_type);
     entry.info.cell = target.cell;
     entry.info.state = target.state;
     entry.info.online_since = target.online_since;
@@ -81,7 +81,7 @@
 }
 
 void EndpointRegistry::set_listed(Position position, bool listed) {
-    ++visited_;
+    ++visit_count_;
     Entry& entry = position->second;
     if (entry.listed == listed) return;
     entry.listed = listed;
@@ -116,8 +116,8 @@
     set_listed(claimant, true);
 }
 
-// Names beyond the bound share number 0.
-std::uint32_t EndpointRegistry::number_of_name(std::vector<std::string>& names, const std::string& name) {
+// Returns the number of a name. All names beyond kMaxNames share number 0.
+std::uint32_t EndpointRegistry::name_number(std::vector<std::string>& names, const std::string& name) {
     const bool is_known = std::find(names.begin(), names.end(), name) != names.end();
     if (!is_known && names.size() >= kMaxNames) return 0;
     return balancer::intern_name(names, name);
--- a/src/sidecar/log_events.cpp
+++ b/src/sidecar/log_events.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr Millis kSecond = 1000;
+constexpr Millis kMillisPerSecond = 1000;
 
 }  // namespace
 
@@ -18,8 +18,8 @@
 }
 
 std::optional<std::string> MemberChangeLog::observe(const cluster::MemberChange& change) {
-    if (change.at - second_began_at_ >= kSecond) {
-        second_began_at_ = change.at;
+    if (change.at - second_started_at_ >= kMillisPerSecond) {
+        second_started_at_ = change.at;
         changes_this_second_ = 0;
     }
     ++changes_this_second_;
@@ -32,8 +32,8 @@
 }
 
 std::optional<std::string> SkippedServersLog::observe(Millis now, std::size_t skipped) {
-    const bool logged_lately = last_logged_at_ && now < *last_logged_at_ + kMinInterval;
-    if (skipped == 0 || logged_lately) return {};
+    const bool is_within_min_interval = last_logged_at_ && now < *last_logged_at_ + kMinInterval;
+    if (skipped == 0 || is_within_min_interval) return {};
     last_logged_at_ = now;
     return fmt::format("component=discovery event=servers_skipped skipped={} max_listed={} max_uid_bytes={}",
                        skipped, EndpointRegistry::kMaxListed, EndpointRegistry::kMaxUidBytes);
--- a/src/sidecar/log_events.hpp
+++ b/src/sidecar/log_events.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Log lines of the assembly (format: base/log_line.hpp), and the limits on how often they appear. No I/O.
+/// Log lines of the sidecar (format: base/log_line.hpp), and limits on their rate. No I/O.
 #pragma once
 
 #include <cstddef>
@@ -11,32 +11,35 @@
 
 namespace elmbay {
 
-/// `[cluster]` is on, but the deployment's settings forbid messages between sidecars.
+/// Returns the log line for an enabled `[cluster]` while the deployment's settings forbid messages between
+/// sidecars.
 std::string cluster_not_allowed_event();
 
-/// One line for each change of a cluster member, with a bound: a partition of hundreds must not fill the log.
-/// Not thread-safe.
+/// Produces one line for each state change of a cluster member, at a limited rate, so that a partition of
+/// hundreds of members does not fill the log. Not thread-safe.
 class MemberChangeLog {
 public:
-    /// Lines per second. The last of them says that the rest of its second is suppressed.
+    /// Maximum number of lines per second. The last one reports that the other lines of its second are
+    /// suppressed.
     static constexpr std::size_t kMaxPerSecond = 20;
 
-    /// @return the line to log, if there is one.
+    /// @return the line to log, or nothing.
     std::optional<std::string> observe(const cluster::MemberChange& change);
 
 private:
     std::size_t changes_this_second_ = 0;
-    Millis second_began_at_ = 0;
+    Millis second_started_at_ = 0;
 };
 
-/// One line when an endpoint list has more servers than are kept. Not thread-safe.
+/// Produces one line when the registry skips servers of an endpoint list. Not thread-safe.
 class SkippedServersLog {
 public:
-    /// Milliseconds between two lines: each list of an oversized fleet has too many servers.
+    /// Minimum interval between two lines, in milliseconds. Without it, each list of an oversized fleet would
+    /// be logged.
     static constexpr Millis kMinInterval = 60000;
 
-    /// @param skipped servers of the list that were not taken over; may be 0.
-    /// @return the line to log, if there is one.
+    /// @param skipped number of servers of the list that were skipped; may be 0.
+    /// @return the line to log, or nothing.
     std::optional<std::string> observe(Millis now, std::size_t skipped);
 
 private:
--- a/src/sidecar/resource_limits.cpp
+++ b/src/sidecar/resource_limits.cpp
@@ -10,15 +10,15 @@
 
 namespace {
 
-// Descriptors that the process needs beside the counted ones: standard streams, epoll, timer, signals,
-// listener.
+// Descriptors that the socket budget does not count: standard streams, epoll, timer, signals, listener.
 constexpr std::size_t kProcessDescriptors = 24;
-// Sockets that are budgeted even where the limits leave fewer: below this the process could serve nobody.
+// Minimum of the socket budget, even if the limits are lower. With fewer sockets the process could not serve
+// requests.
 constexpr std::size_t kMinSockets = 8;
-// Messages beyond the usual size may take this part of the memory limit. Everything else takes some MB; half
-// as much again is left for the allocator, which does not return memory at once.
+// Long messages may occupy the memory limit divided by this number. All other data takes some MB; half as
+// much again is left for the allocator, which does not return memory at once.
 constexpr std::size_t kLongMessageDivisor = 4;
-// A session has a socket at its client and one at its server.
+// A session has one socket to its client and one to its server.
 constexpr std::size_t kSocketsPerSession = 2;
 
 std::uint32_t saturated(std::uint64_t count) {
@@ -28,7 +28,7 @@
 }  // namespace
 
 std::size_t socket_limit(const Config& config) {
-    std::size_t descriptors = config.sockets;
+    std::size_t descriptors = config.max_descriptors;
     rlimit system_limit{};
     const bool is_known = ::getrlimit(RLIMIT_NOFILE, &system_limit) == 0;
     if (is_known && system_limit.rlim_cur != RLIM_INFINITY) {
@@ -44,7 +44,7 @@
     return budget;
 }
 
-std::size_t long_message_bytes(const Config& config) { return config.memory / kLongMessageDivisor; }
+std::size_t long_message_bytes(const Config& config) { return config.max_memory_bytes / kLongMessageDivisor; }
 
 Config with_session_limits(Config config, const websocket::Settings& websocket) {
     balancer::Settings& settings = config.deployment.settings;
--- a/src/sidecar/resource_limits.hpp
+++ b/src/sidecar/resource_limits.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// How much this process may hold: descriptors, bytes of long messages, sessions. Derived from the
-/// configuration and the system's limits.
+/// Resource limits of this process: descriptors, bytes of long messages, sessions. Derived from the
+/// configuration and the limits of the system.
 #pragma once
 
 #include <cstddef>
@@ -12,18 +12,18 @@
 
 namespace elmbay {
 
-/// @return descriptors that may be sockets of clients, servers and sessions: the smaller of `limits.sockets`
-/// and RLIMIT_NOFILE, less those that the process needs for itself.
+/// @return the number of descriptors for sockets of clients, servers and sessions: the smaller of
+/// `limits.sockets` and RLIMIT_NOFILE, minus the descriptors for all other purposes.
 std::size_t socket_limit(const Config& config);
 
-/// @return the budget of descriptors, with a part for sessions if `[websocket]` is on.
+/// @return the socket budget, with an allocation for sessions if `[websocket]` is on.
 SocketBudget make_socket_budget(const Config& config, const websocket::Settings& websocket);
 
-/// @return bytes that messages beyond the usual size may take together.
+/// @return the maximum total size of messages beyond the usual size, in bytes.
 std::size_t long_message_bytes(const Config& config);
 
-/// @return the configuration with the session limits of `[websocket]` in the balancer's settings; no sessions
-/// if it is off.
+/// @return the configuration with the session limits of `[websocket]` in the balancer's settings. The limit
+/// is 0 sessions if `[websocket]` is off.
 Config with_session_limits(Config config, const websocket::Settings& websocket);
 
 /// @return the longest time, in milliseconds, that a client of any request class waits for its response.
--- a/src/sidecar/response_mapping.hpp
+++ b/src/sidecar/response_mapping.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The final HTTP response that a client gets for each outcome of its request.
+/// Maps each outcome of a request to the final HTTP response for the client.
 #pragma once
 
 #include "base/timing.hpp"
@@ -8,18 +8,21 @@
 
 namespace elmbay {
 
-/// 200 with the server's body and Content-Type. No other header of the server's is passed on.
-/// @param server_response its body is moved from.
+/// Returns a 200 response with the body and the Content-Type of the server's response. Other headers are not
+/// forwarded.
+/// @param server_response the response of the server, whose body is moved.
 HttpResponse success_response(HttpResponse&& server_response);
 
-/// 503: the request never ran, and a retry is harmless.
-/// @param retry_after milliseconds for Retry-After; 0: no such header.
+/// Returns a 503 response: no server executed the request, and a retry is harmless.
+/// @param retry_after milliseconds for the header Retry-After; 0 to omit the header.
 HttpResponse rejection_response(Millis retry_after);
 
-/// 504 if no response came in time, else 502. The request may have run.
+/// Returns a 504 response if no response arrived in time, otherwise 502. A server may have executed the
+/// request.
 HttpResponse failure_response(bool timed_out);
 
-/// @param outcome any but success, whose response is the server's.
+/// Returns the response for a rejected or failed request.
+/// @param outcome any outcome except success.
 HttpResponse error_response(const engine::FinalOutcome& outcome);
 
 }  // namespace elmbay
--- a/src/sidecar/server_numbers.hpp
+++ b/src/sidecar/server_numbers.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The numbers by which the balancer knows servers, and the uids by which the endpoint list does.
+/// Maps the uids of servers in the endpoint list to the numbers that the balancer uses.
 #pragma once
 
 #include <cstddef>
@@ -13,20 +13,21 @@
 
 /// Assigns a number to each uid.
 ///
-/// The balancer may remember something of a server that has left the list. So a server that is listed again
-/// gets the number that it had. The numbers of departed servers are retained up to kMaxRetained, the latest
-/// ones.
+/// A server that is listed again gets its earlier number, because the balancer may still hold state of a
+/// server that has left the list. The numbers of the kMaxRetained servers that departed last are retained.
 ///
 /// Not thread-safe.
 class ServerNumbers {
 public:
-    /// As many departed servers as the balancer remembers (ServerAges::kMaxDeparted).
+    /// Maximum number of retained numbers. Equals the number of departed servers in the balancer
+    /// (ServerAges::kMaxDeparted).
     static constexpr std::size_t kMaxRetained = 4096;
-    /// Bytes. Longer uids are not retained; none of a deployment is as long (state::kMaxNameBytes).
+    /// Maximum length of a retained uid, in bytes. No uid of a deployment is longer (state::kMaxNameBytes).
     static constexpr std::size_t kMaxRetainedUidBytes = 255;
 
-    /// @param uid of a server that is listed now and has no number.
-    /// @return the number retained or reserved for it, else a new one.
+    /// Assigns a number to a server when a list adds it.
+    /// @param uid uid of a server that has no assigned number.
+    /// @return the retained or reserved number of the server, otherwise a new one.
     balancer::ServerId assign(const std::string& uid) {
         const auto retained = retained_.find(uid);
         if (retained == retained_.end()) return next_++;
@@ -34,7 +35,7 @@
         retained_.erase(retained);
         return number;
     }
-    /// The server has left the list.
+    /// Retains the number of a server that has left the list.
     void retain(const std::string& uid, balancer::ServerId number) {
         if (uid.size() > kMaxRetainedUidBytes) return;
         const bool added = retained_.emplace(uid, number).second;
@@ -44,7 +45,7 @@
         retained_.erase(order_.front());
         order_.pop_front();
     }
-    /// @return the number that the server will have once a list names it.
+    /// @return the number that assign() will return for the server.
     balancer::ServerId reserve(const std::string& uid) {
         const auto retained = retained_.find(uid);
         if (retained != retained_.end()) return retained->second;
@@ -56,7 +57,7 @@
 private:
     balancer::ServerId next_ = 1;
     std::unordered_map<std::string, balancer::ServerId> retained_;
-    std::deque<std::string> order_;  // the oldest first; may name uids that were assigned meanwhile
+    std::deque<std::string> order_;  // oldest first; may contain uids that were assigned in the meantime
 };
 
 }  // namespace elmbay
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -18,18 +18,19 @@
 
 namespace {
 
-// Milliseconds by which the response leaves before the client's deadline, to reach it in time.
+// Milliseconds before the client's deadline at which a response is sent at the latest, so that it arrives in
+// time.
 constexpr Millis kResponseMargin = 8;
 
-// No list is cut shorter than the registry has entries for.
+// A list may contain at least as many targets as the registry has entries.
 static_assert(EndpointRegistry::kMaxEntries <= kMaxTargets);
 
-// The revision of the configured list. An empty list of revision 0 is no list: every list begins with that
-// revision.
-std::optional<std::uint64_t> held_revision(const EndpointList& known) {
-    const bool is_no_list = known.revision == 0 && known.targets.empty();
-    if (is_no_list) return {};
-    return known.revision;
+// Returns the revision of the list in the configuration. An empty list of revision 0 counts as no list,
+// because every list starts with that revision.
+std::optional<std::uint64_t> cached_revision(const EndpointList& cached_list) {
+    const bool has_no_list = cached_list.revision == 0 && cached_list.targets.empty();
+    if (has_no_list) return {};
+    return cached_list.revision;
 }
 
 Discovery::Mode discovery_mode(const Config& config) {
@@ -52,25 +53,27 @@
       engine_(config_.deployment.settings, config_.seed, *this),
       endpoints_(config_.deployment.zones, config_.deployment.machine_types),
       upstream_(io, socket_budget_, long_message_budget_, timers_, clock_,
-                {config_.deployment.connect_timeout, config_.deployment.idle_close},
+                {config_.deployment.connect_timeout, config_.deployment.server_idle_timeout},
                 [this](AttemptKey key, Outcome outcome, Millis duration, HttpResponse response) {
                     on_attempt_ended(key, outcome, duration, std::move(response));
                 },
                 {[this] { return discovery_.has_unread_data(); },
                  [this](RequestId id) { return listener_.is_client_disconnected(id); }}),
       websocket_proxy_(make_websocket_proxy(websocket)),
-      discovery_(io, {config_.discovery, held_revision(config_.known), config_.seed, discovery_mode(config_)},
-                 socket_budget_, timers_, clock_,
-                 [this](const EndpointList& listing) {
-                     const auto kind =
-                         listing.is_complete ? balancer::ListKind::snapshot : balancer::ListKind::incremental;
-                     on_endpoint_list(kind, listing);
-                 }),
+      discovery_(
+          io,
+          {config_.discovery, cached_revision(config_.cached_list), config_.seed, discovery_mode(config_)},
+          socket_budget_, timers_, clock_,
+          [this](const EndpointList& endpoint_list) {
+              const auto kind =
+                  endpoint_list.is_complete ? balancer::ListKind::snapshot : balancer::ListKind::incremental;
+              on_endpoint_list(kind, endpoint_list);
+          }),
       listener_(io, config_.listen, socket_budget_, long_message_budget_, timers_, clock_,
                 longest_client_deadline(config_.deployment), listener_handlers(websocket)) {
     engine_.begin(clock_.now());
     if (restored_state) restore_state(std::move(*restored_state));
-    on_endpoint_list(balancer::ListKind::cached, std::exchange(config_.known, {}));
+    on_endpoint_list(balancer::ListKind::cached, std::exchange(config_.cached_list, {}));
     if (!config_.deployment.settings.requires_subscription) discovery_.watch();
 }
 
@@ -199,26 +202,27 @@
 }
 
 void Sidecar::on_attempt_ended(AttemptKey key, Outcome outcome, Millis duration, HttpResponse response) {
-    // The end of one attempt may report the end of another from within. Each has a response of its own.
+    // The end of one attempt may cause a nested call for the end of another attempt. Each call has its own
+    // response.
     const auto restore = [this](HttpResponse** outer) { ended_attempt_response_ = *outer; };
     HttpResponse* outer = std::exchange(ended_attempt_response_, &response);
     const std::unique_ptr<HttpResponse*, decltype(restore)> restore_on_exit(&outer, restore);
     engine_.on_attempt_ended(clock_.now(), key, outcome, duration);
 }
 
-void Sidecar::on_endpoint_list(balancer::ListKind kind, const EndpointList& listing) {
-    const EndpointRegistry::Update update = endpoints_.apply(kind, listing.targets);
-    balancer::ServerList list{kind, {}, clock_.wall_time(), listing.list_age_bound};
+void Sidecar::on_endpoint_list(balancer::ListKind kind, const EndpointList& endpoint_list) {
+    const EndpointRegistry::Update update = endpoints_.apply(kind, endpoint_list.targets);
+    balancer::ServerList list{kind, {}, clock_.wall_time(), endpoint_list.list_age_bound};
     list.servers.reserve(update.changes.size());
     for (const EndpointRegistry::Change& change : update.changes) list.servers.push_back(change.info);
-    // The backends learn of a draining server before the engine does: no waiting attempt may be sent to it.
+    // Updates the backends before the engine, so that no queued attempt is sent to a draining server.
     update_backends(update);
     is_ready_ = is_ready_ || update.any_active;
-    const std::size_t skipped = listing.dropped_targets + update.skipped;
+    const std::size_t skipped = endpoint_list.dropped_targets + update.skipped;
     const auto skipped_line = skipped_servers_log_.observe(clock_.now(), skipped);
     if (skipped_line) write_log_line(*skipped_line);
     engine_.on_endpoint_list(clock_.now(), std::move(list));
-    forget_withdrawn_servers();
+    remove_withdrawn_servers();
 }
 
 void Sidecar::update_backends(const EndpointRegistry::Update& update) {
@@ -231,8 +235,8 @@
     if (websocket_proxy_) websocket_proxy_->set_server(change.info.id, change.may_send);
 }
 
-void Sidecar::forget_withdrawn_servers() {
-    endpoints_.forget_withdrawn([this](ServerId id) {
+void Sidecar::remove_withdrawn_servers() {
+    endpoints_.remove_withdrawn([this](ServerId id) {
         if (upstream_.attempt_and_connect_count(id) > 0) return false;
         upstream_.remove_server(id);
         if (websocket_proxy_) websocket_proxy_->forget_server(id);
@@ -253,8 +257,8 @@
         upstream_.start_attempt(key, server, attempt_deadline, write_by, forwarded_requests_.at(key.request));
         return;
     }
-    // The balancer chooses among listed servers only. An unknown one gets an address that refuses the
-    // connection.
+    // The balancer chooses only listed servers. An unknown server gets an unspecified address, to which the
+    // connect fails.
     const EndpointRegistry::Entry* const entry = endpoints_.find(server);
     const Endpoint endpoint = entry ? entry->endpoint : Endpoint{};
     websocket_proxy_->start_attempt(key, server, endpoint, attempt_deadline, write_by);
--- a/src/sidecar/sidecar.hpp
+++ b/src/sidecar/sidecar.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The assembly of the sidecar: engine, frontends, backends, endpoint list, cluster and clock in one object.
+/// Assembles the sidecar from engine, frontends, backends, endpoint list, cluster and clock.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -26,47 +26,47 @@
 
 namespace elmbay {
 
-/// One sidecar. It connects the parts and makes no decision of its own: which server, whether to retry or to
-/// reject is the balancer's.
+/// One sidecar. Connects its components and makes no decisions itself: the balancer chooses servers and
+/// decides on retries and rejections.
 ///
-/// Not thread-safe: everything runs on the event loop's thread. The loop must outlive it.
+/// Not thread-safe: everything runs on the event loop's thread. The event loop must outlive the sidecar.
 class Sidecar : private engine::ActionHandler {
 public:
-    /// What an earlier process had learned.
+    /// The learned state of an earlier process.
     struct RestoredState {
         state::Snapshot snapshot;
-        Millis age = -1;  ///< milliseconds since it was taken; negative: not known
+        Millis age = -1;  ///< milliseconds since the snapshot was taken; negative if unknown
     };
 
-    /// Listens at once, and watches the endpoint list unless the deployment asks for it on request.
-    /// @throws boost::system::system_error if it can't listen, std::invalid_argument for settings that make
-    /// no sense.
+    /// Starts to listen, and to watch the endpoint list unless the deployment fetches the list on request.
+    /// @throws boost::system::system_error if the sidecar can't listen, std::invalid_argument for invalid
+    /// settings.
     Sidecar(asio::io_context& io, Config config, std::optional<RestoredState> restored_state = {},
             const websocket::Settings& websocket = {}, Clock clock = Clock());
     Sidecar(const Sidecar&) = delete;
     Sidecar& operator=(const Sidecar&) = delete;
 
-    /// Applies what a new configuration may change while requests are in progress: the address of discovery
-    /// and the limit on sockets. Everything else needs a restart.
+    /// Applies the parts of a new configuration that may change at run time: the address of discovery and the
+    /// limit on sockets. Other changes require a restart.
     void reload(const Config& config);
-    /// Takes part in the cluster. No request waits for it. Logs and does nothing where the deployment forbids
-    /// messages between sidecars.
+    /// Joins the cluster; requests do not wait for it. If the deployment forbids messages between sidecars,
+    /// only logs that.
     /// @throws ConfigError if an address or the peers are missing or malformed, boost::system::system_error
-    /// if it can't listen.
+    /// if the sidecar can't listen.
     void join_cluster(const cluster::Settings& settings);
-    /// Shuts down gracefully: requests in progress are finished, sessions are closed.
-    /// @param done called from the loop when no connection is left.
+    /// Shuts down gracefully: completes requests in progress and closes sessions.
+    /// @param done called from the event loop when all connections are closed.
     void drain(std::function<void()> done);
 
-    /// @return where it listens for clients.
+    /// @return the address on which the sidecar listens for clients.
     Endpoint local_endpoint() const { return listener_.local_endpoint(); }
-    /// @return requests that the engine holds.
+    /// @return the number of requests in the engine.
     std::size_t requests() const { return engine_.requests(); }
-    /// @return established WebSocket sessions.
+    /// @return the number of established WebSocket sessions.
     std::size_t sessions() const { return websocket_proxy_ ? websocket_proxy_->sessions() : 0; }
     /// @return the JSON object for the status socket. docs/operate/status.md describes each field.
     nlohmann::json status();
-    /// @return what has been learned, by the servers' uids. `taken_at` is left to the caller.
+    /// @return the learned state with the servers' uids. The caller sets `taken_at`.
     state::Snapshot snapshot() const;
 
 private:
@@ -77,19 +77,19 @@
                                            const RequestArrivalInfo& received) const;
     void update_backends(const EndpointRegistry::Update& update);
     void set_server(const EndpointRegistry::Change& change);
-    void forget_withdrawn_servers();
+    void remove_withdrawn_servers();
     void count_outcome(const engine::FinalOutcome& outcome);
 
-    // Events, passed on to the engine.
+    // Events that are passed to the engine.
     void on_request(RequestId id, HttpRequest request, RequestArrivalInfo received);
     void on_upgrade_request(RequestId id, asio::ip::tcp::socket client, HttpRequest request,
                             RequestArrivalInfo received);
     void on_client_disconnected(RequestId id);
     void on_attempt_ended(AttemptKey key, Outcome outcome, Millis duration, HttpResponse response);
-    void on_endpoint_list(balancer::ListKind kind, const EndpointList& listing);
+    void on_endpoint_list(balancer::ListKind kind, const EndpointList& endpoint_list);
     void on_member_changed(const cluster::MemberChange& change);
 
-    // The engine's actions.
+    // Actions of the engine.
     void start_attempt(AttemptKey key, ServerId server, Millis attempt_deadline, Millis write_by) override;
     void cancel_attempt(AttemptKey key) override;
     void finish_request(RequestId id, const engine::FinalOutcome& outcome) override;
@@ -107,16 +107,16 @@
     SocketBudget socket_budget_;
     ByteBudget long_message_budget_;
     engine::Engine engine_;
-    // What goes to the servers, until the engine releases the request.
+    // Requests in the form in which they are sent to servers, until the engine releases them.
     std::unordered_map<RequestId, std::shared_ptr<const HttpRequest>> forwarded_requests_;
-    HttpResponse* ended_attempt_response_ = nullptr;  // while on_attempt_ended() runs
+    HttpResponse* ended_attempt_response_ = nullptr;  // set while on_attempt_ended() runs
     EndpointRegistry endpoints_;
-    bool is_ready_ = false;  // an active server has been listed
+    bool is_ready_ = false;  // whether a list has contained an active server
     Upstream upstream_;
-    std::unique_ptr<websocket::Proxy> websocket_proxy_;  // none if [websocket] is off
+    std::unique_ptr<websocket::Proxy> websocket_proxy_;  // null if [websocket] is off
     Discovery discovery_;
     Listener listener_;
-    std::optional<cluster::Driver> cluster_;  // none if [cluster] is off
+    std::optional<cluster::Driver> cluster_;  // empty if [cluster] is off
 };
 
 }  // namespace elmbay
--- a/src/sidecar/snapshot_conversion.cpp
+++ b/src/sidecar/snapshot_conversion.cpp
@@ -8,7 +8,7 @@
 
 namespace elmbay {
 
-// Every listed server can be kept over a restart.
+// A snapshot can hold every listed server.
 static_assert(EndpointRegistry::kMaxListed <= state::kMaxServers);
 
 state::Snapshot to_snapshot(std::string instance, balancer::LearnedState learned_state,
--- a/src/sidecar/snapshot_conversion.hpp
+++ b/src/sidecar/snapshot_conversion.hpp
@@ -1,7 +1,8 @@
 /// @file
-/// Learned state on its way into a snapshot and out of it.
+/// Converts learned state to a snapshot and back.
 ///
-/// The balancer knows servers by numbers, which end with the process. A snapshot knows them by uid.
+/// The balancer identifies servers by numbers that are valid within one process only. A snapshot identifies
+/// them by uid.
 #pragma once
 
 #include <string>
@@ -12,13 +13,14 @@
 
 namespace elmbay {
 
-/// Servers that the registry does not have, or whose uid is too long for a snapshot, are left out. Linear in
-/// the servers.
-/// @return a snapshot whose `taken` is left to the caller.
+/// Converts learned state to a snapshot. Omits servers that are not in the registry, or whose uid is too long
+/// for a snapshot. Takes time in proportion to the number of servers.
+/// @return a snapshot. The caller sets `taken`.
 state::Snapshot to_snapshot(std::string instance, balancer::LearnedState learned_state,
                             const EndpointRegistry& registry);
 
-/// Reserves a number for each server of the snapshot, so that the endpoint list gives it the same one later.
+/// Converts a snapshot to learned state. Reserves a number for each of its servers, so that the registry
+/// assigns the same number when an endpoint list adds the server.
 balancer::LearnedState to_learned_state(state::Snapshot snapshot, EndpointRegistry& registry);
 
 }  // namespace elmbay
--- a/src/sidecar/status_report.cpp
+++ b/src/sidecar/status_report.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-using LearnedByServer = std::unordered_map<ServerId, const balancer::LearnedServerState*>;
+using LearnedStateByServer = std::unordered_map<ServerId, const balancer::LearnedServerState*>;
 
-LearnedByServer by_server(const balancer::LearnedState& learned_state) {
-    LearnedByServer result;
+LearnedStateByServer learned_by_server(const balancer::LearnedState& learned_state) {
+    LearnedStateByServer result;
     for (const balancer::LearnedServerState& server : learned_state.servers) result[server.server] = &server;
     return result;
 }
@@ -41,7 +41,7 @@
 
 nlohmann::json servers_status(const EndpointRegistry& registry, const balancer::LearnedState& learned_state,
                               const Upstream& upstream) {
-    const LearnedByServer learned = by_server(learned_state);
+    const LearnedStateByServer learned = learned_by_server(learned_state);
     nlohmann::json servers = nlohmann::json::array();
     for (const auto& [uid, entry] : registry.entries()) {
         nlohmann::json server = {
--- a/src/sidecar/status_report.hpp
+++ b/src/sidecar/status_report.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Parts of the status JSON. docs/operate/status.md describes each field.
+/// Builds parts of the status JSON. docs/operate/status.md describes each field.
 #pragma once
 
 #include <cstddef>
@@ -13,21 +13,22 @@
 
 namespace elmbay {
 
-/// HTTP requests since the start. Each received request is counted once more by how it ended; upgrades count
-/// only there.
+/// Counts of HTTP requests since the start. Each received request also counts once in the member for its
+/// outcome. Upgrades count only in the members for outcomes.
 struct RequestCounts {
     std::uint64_t received = 0;
     std::uint64_t succeeded = 0;
     std::uint64_t rejected = 0;
     std::uint64_t failed = 0;
-    std::uint64_t disconnected = 0;  ///< the client left first
+    std::uint64_t disconnected = 0;  ///< the client disconnected before the outcome
 };
 
-/// @param open requests that the engine holds at present.
+/// Returns the counts of requests.
+/// @param open number of requests that are in the engine now.
 nlohmann::json requests_status(const RequestCounts& counts, std::size_t open);
-/// Sockets in use, by side.
+/// Returns the number of open sockets for each purpose.
 nlohmann::json sockets_status(const SocketBudget& budget);
-/// One object for each server of the registry, by uid.
+/// Returns one object for each server of the registry, ordered by uid.
 nlohmann::json servers_status(const EndpointRegistry& registry, const balancer::LearnedState& learned_state,
                               const Upstream& upstream);
 
--- a/src/simulator/host.cpp
+++ b/src/simulator/host.cpp
@@ -17,13 +17,13 @@
 constexpr int kExitWrongInput = 2;
 
 // The words of the wire.
-const Names<EndpointState> kStateNames{
+const EnumNames<EndpointState> kStateNames{
     {"on", EndpointState::active}, {"fading", EndpointState::draining}, {"off", EndpointState::removed}};
-const Names<ListKind> kListKindNames{{"INCREMENTAL", ListKind::incremental},
-                                     {"FULL", ListKind::snapshot},
-                                     {"SAVED", ListKind::cached},
-                                     {"FAILED", ListKind::failed}};
-const Names<Outcome> kOutcomeNames{
+const EnumNames<ListKind> kListKindNames{{"INCREMENTAL", ListKind::incremental},
+                                         {"FULL", ListKind::snapshot},
+                                         {"SAVED", ListKind::cached},
+                                         {"FAILED", ListKind::failed}};
+const EnumNames<Outcome> kOutcomeNames{
     {"completed", Outcome::success},           {"errored", Outcome::error_response},
     {"saturated", Outcome::rejected},          {"overdue", Outcome::timed_out},
     {"refused_conn", Outcome::connect_failed}, {"severed", Outcome::connection_reset},
@@ -36,7 +36,7 @@
 
 }  // namespace
 
-Outcome read_outcome(const Message& message) { return named(message, "rc", kOutcomeNames); }
+Outcome read_outcome(const Message& message) { return read_enum(message, "rc", kOutcomeNames); }
 
 const std::array<Host::EventRoute, Host::kEventRoutes> Host::kRoutes{{
     {"POWER_OFF", &Host::on_power_off},
@@ -74,7 +74,7 @@
     try {
         for (std::string line; next_line(line);) {
             const Message mark(line, line_number_);
-            if (mark.kind() != "MARK") mark.reject(mark.kind(), WireProblem::mark_expected);
+            if (mark.kind() != "MARK") mark.throw_wire_error(mark.kind(), WireProblem::mark_expected);
             run_batch(mark);
         }
     } catch (const WireError& error) {
@@ -106,7 +106,7 @@
                                            [kind](const EventRoute& known) { return known.kind == kind; });
     if (route == kRoutes.end()) return note_unknown_event(message);
     const auto instance = instances_.find(message.text("who"));
-    if (instance == instances_.end()) message.reject("who", WireProblem::unknown_instance);
+    if (instance == instances_.end()) message.throw_wire_error("who", WireProblem::unknown_instance);
     (this->*route->handle)(instance->second, message);
 }
 
@@ -124,7 +124,7 @@
 
 void Host::on_catalog(const Message& message) {
     const std::uint64_t number = message.integer("ref");
-    if (number >= catalogs_.size()) message.reject("ref", WireProblem::unknown_catalog);
+    if (number >= catalogs_.size()) message.throw_wire_error("ref", WireProblem::unknown_catalog);
     const std::uint64_t count = message.integer("items");
     std::vector<CatalogEntry> entries;
     for (std::uint64_t i = 0; i < count; ++i) entries.push_back(read_catalog_entry(message));
@@ -135,13 +135,13 @@
     std::string line;
     if (!next_line(line)) throw WireError(context("CATALOG"), WireProblem::input_ends_in_catalog);
     const Message message(line, line_number_);
-    if (message.kind() != "M") catalog.reject("items", WireProblem::wrong_catalog_entry);
+    if (message.kind() != "M") catalog.throw_wire_error("items", WireProblem::wrong_catalog_entry);
     CatalogEntry entry;
     entry.server = message.text("server");
     if (message.has("rack-zone")) entry.zone = message.text("rack-zone");
     if (message.has("kind")) entry.machine_type = message.text("kind");
     entry.cell = static_cast<std::uint32_t>(message.integer_or("pod", 0));
-    entry.state = named(message, "phase", kStateNames);
+    entry.state = read_enum(message, "phase", kStateNames);
     entry.online_since = message.number_or("online-since-ms", 0);
     entry.weight = sanitize_weight(message.number_or("units", 1));
     return entry;
@@ -149,7 +149,7 @@
 
 const std::vector<CatalogEntry>& Host::find_catalog(const Message& message) const {
     const std::uint64_t number = message.integer("ref");
-    if (number >= catalogs_.size()) message.reject("ref", WireProblem::unknown_catalog);
+    if (number >= catalogs_.size()) message.throw_wire_error("ref", WireProblem::unknown_catalog);
     return catalogs_[number];
 }
 
@@ -171,7 +171,7 @@
 }
 
 void Host::on_peers_known(Instance& instance, const Message& message) {
-    const ListKind kind = named(message, "mode", kListKindNames);
+    const ListKind kind = read_enum(message, "mode", kListKindNames);
     if (kind == ListKind::failed) return give(instance, ServerList{kind, {}});
     const ServerList list = apply_catalog(instance, kind, find_catalog(message));
     give(instance, list);
@@ -207,7 +207,7 @@
         if (tenant < deployment.tenants.size()) arrived.tenant = tenant;
     }
     const std::optional<RequestId> id = instance.add_request(std::string(message.text("rid")));
-    if (!id) message.reject("rid", WireProblem::repeated_request);
+    if (!id) message.throw_wire_error("rid", WireProblem::repeated_request);
     arrived.id = *id;
     give(instance, arrived);
 }
--- a/src/simulator/message.cpp
+++ b/src/simulator/message.cpp
@@ -61,12 +61,12 @@
         const std::string_view pair = rest.substr(0, space);
         rest = space == std::string_view::npos ? std::string_view() : rest.substr(space + 1);
         const auto equals = pair.find('=');
-        if (equals == std::string_view::npos || equals == 0) reject(pair, WireProblem::not_a_pair);
+        if (equals == std::string_view::npos || equals == 0) throw_wire_error(pair, WireProblem::not_a_pair);
         add(pair.substr(0, equals), pair.substr(equals + 1));
     }
 }
 
-void Message::reject(std::string_view field, WireProblem problem) const {
+void Message::throw_wire_error(std::string_view field, WireProblem problem) const {
     throw WireError(context(), field, problem);
 }
 
--- a/src/simulator/message.hpp
+++ b/src/simulator/message.hpp
@@ -54,7 +54,7 @@
     std::string_view kind() const { return kind_; }
 
     /// Throws WireError for one of this message's fields.
-    [[noreturn]] void reject(std::string_view field, WireProblem problem) const;
+    [[noreturn]] void throw_wire_error(std::string_view field, WireProblem problem) const;
 
 private:
     std::string_view kind_;
--- a/tests/config/config_error_test.cpp
+++ b/tests/config/config_error_test.cpp
@@ -1,4 +1,4 @@
-// Errors of the configuration: each names its field and says by an enum what is wrong with it.
+// Tests that each error of the configuration contains the name of the field and its problem.
 #include "config/config_error.hpp"
 
 #include <gtest/gtest.h>
@@ -22,7 +22,7 @@
             {"settings", {{"classes", {{{"name", "safe"}, {"effect", "repeatable"}, {"on-time-ms", 100}}}}}}};
 }
 
-// The field and the problem that a configuration is rejected for.
+// Returns the field and the problem that the error for a configuration contains, or "none" without an error.
 std::pair<std::string, std::optional<FieldProblem>> error_of(const Json& config) {
     try {
         parse_config(config.dump());
@@ -36,10 +36,10 @@
 
 TEST(ConfigError, NamesFieldAndProblemOfWrongValue) {
     const std::vector<std::pair<Json, Error>> wrong{
-        {{{"listen", 3}}, {"listen", FieldProblem::not_text}},
+        {{{"listen", 3}}, {"listen", FieldProblem::not_a_string}},
         {{{"listen", "127.0.0.1"}}, {"listen", FieldProblem::no_port_separator}},
-        {{{"listen", "127.0.0.1:65536"}}, {"listen", FieldProblem::unreadable_port}},
-        {{{"discovery", "localhost:80"}}, {"discovery", FieldProblem::unreadable_address}},
+        {{{"listen", "127.0.0.1:65536"}}, {"listen", FieldProblem::invalid_port}},
+        {{{"discovery", "localhost:80"}}, {"discovery", FieldProblem::invalid_address}},
         {{{"seed", "xyz"}}, {"seed", FieldProblem::not_hexadecimal}},
         {{{"limits", 1}}, {"limits", FieldProblem::not_an_object}},
         {{{"limits", {{"sockets", -1}}}}, {"limits.sockets", FieldProblem::not_a_whole_number}},
@@ -49,7 +49,7 @@
         {{{"known", {{"rev", 1}, {"all", true}, {"targets", {{{"uid", ""}}}}}}},
          {"known.targets.0.uid", FieldProblem::empty}},
         {{{"known", {{"rev", 1}, {"all", 1}, {"targets", Json::array()}}}},
-         {"known.all", FieldProblem::not_a_flag}},
+         {"known.all", FieldProblem::not_a_boolean}},
         {{{"settings", Json::object()}}, {"classes.count", FieldProblem::missing}}};
     EXPECT_EQ(error_of(valid_config()).first, "none");
     for (const auto& [change, error] : wrong) {
--- a/tests/config/config_test.cpp
+++ b/tests/config/config_test.cpp
@@ -1,5 +1,5 @@
-// Reading the platform's configuration: what an error names, where values come from, and the example of
-// README.
+// Tests reading of the platform's configuration: error messages, precedence of environment and file, and the
+// example of README.
 #include "config/config.hpp"
 
 #include <gtest/gtest.h>
@@ -14,7 +14,7 @@
 namespace elmbay::test {
 namespace {
 
-// What parse_config() says of a configuration; empty if it is valid.
+// Returns the error message of parse_config(), or an empty string if the configuration is valid.
 std::string error_of(const Json& config) {
     try {
         parse_config(config.dump());
@@ -48,16 +48,17 @@
     EXPECT_THROW(load_config([](const char*) { return nullptr; }), ConfigError);
 }
 
-// The example with which README starts.
+// README refers to this example.
 TEST(Config, LoadsMinimalExample) {
     const std::string path = EXAMPLES "/minimal/config.json";
     const Config config = load_config(
         [&](const char* name) { return std::string(name) == "RELAY_CONFIG" ? path.c_str() : nullptr; });
-    EXPECT_EQ(config.known.targets.size(), 1U);
+    EXPECT_EQ(config.cached_list.targets.size(), 1U);
     EXPECT_EQ(config.deployment.classes.size(), 3U);
 }
 
-// The environment still names the discovery address of the start. On a reload the file's address counts.
+// The environment of the process still contains the address of discovery from the start. A reload must use
+// the address from the file instead.
 TEST(Config, ReloadPrefersFileOverEnvironmentAndRejectsInvalidFile) {
     SidecarFixture fixture;
     const std::string path = testing::TempDir() + "elmbay-reload-" + std::to_string(::getpid()) + ".json";
--- a/tests/config/fields_test.cpp
+++ b/tests/config/fields_test.cpp
@@ -1,4 +1,4 @@
-// Typed access to named text fields.
+// Tests typed access to named text fields.
 #include "config/fields.hpp"
 
 #include <gtest/gtest.h>
@@ -9,9 +9,9 @@
 namespace {
 
 enum class Colour { red, green };
-const Names<Colour> kColours{{"red", Colour::red}, {"green", Colour::green}};
+const EnumNames<Colour> kColours{{"red", Colour::red}, {"green", Colour::green}};
 
-Fields sample() {
+Fields sample_fields() {
     Fields fields("sample");
     fields.add("whole", "18446744073709551615");
     fields.add("real", "-1.5e3");
@@ -23,11 +23,11 @@
     return fields;
 }
 
-// The problem that a read reports; none if it succeeds.
+// Returns the problem that a read reports, or nothing if the read succeeds.
 template <class Read>
 std::optional<FieldProblem> problem_of(Read read) {
     try {
-        read(sample());
+        read(sample_fields());
     } catch (const FieldError& error) {
         return error.problem();
     }
@@ -35,23 +35,23 @@
 }
 
 TEST(Fields, ReadsEachType) {
-    const Fields fields = sample();
-    EXPECT_EQ(fields.integer("whole"), UINT64_MAX) << "the first of two fields of one name counts";
+    const Fields fields = sample_fields();
+    EXPECT_EQ(fields.integer("whole"), UINT64_MAX) << "the first of two fields with the same name counts";
     EXPECT_EQ(fields.number("real"), -1500);
     EXPECT_TRUE(fields.flag_or("flag", false));
-    EXPECT_EQ(named(fields, "colour", kColours), Colour::green);
+    EXPECT_EQ(read_enum(fields, "colour", kColours), Colour::green);
     EXPECT_EQ(fields.text("word"), "blue");
 }
 
 TEST(Fields, UsesFallbackOnlyIfFieldIsMissing) {
-    EXPECT_EQ(sample().integer_or("other", 3), 3U);
-    EXPECT_EQ(sample().number_or("other", 0.5), 0.5);
-    EXPECT_FALSE(sample().flag_or("other", false));
+    EXPECT_EQ(sample_fields().integer_or("other", 3), 3U);
+    EXPECT_EQ(sample_fields().number_or("other", 0.5), 0.5);
+    EXPECT_FALSE(sample_fields().flag_or("other", false));
     EXPECT_EQ(problem_of([](const Fields& fields) { fields.integer_or("word", 3); }),
               FieldProblem::not_a_whole_number);
 }
 
-TEST(Fields, ReportsProblemOfUnusableField) {
+TEST(Fields, ReportsProblemOfInvalidField) {
     EXPECT_EQ(problem_of([](const Fields& fields) { fields.text("other"); }), FieldProblem::missing);
     EXPECT_EQ(problem_of([](const Fields& fields) { fields.number("word"); }), FieldProblem::not_a_number);
     EXPECT_EQ(problem_of([](const Fields& fields) { fields.number("infinite"); }),
@@ -59,14 +59,14 @@
     EXPECT_EQ(problem_of([](const Fields& fields) { fields.integer("real"); }),
               FieldProblem::not_a_whole_number);
     EXPECT_EQ(problem_of([](const Fields& fields) { fields.flag_or("word", true); }),
-              FieldProblem::not_a_flag);
-    EXPECT_EQ(problem_of([](const Fields& fields) { named(fields, "word", kColours); }),
-              FieldProblem::unknown_word);
+              FieldProblem::not_a_boolean);
+    EXPECT_EQ(problem_of([](const Fields& fields) { read_enum(fields, "word", kColours); }),
+              FieldProblem::unknown_value);
 }
 
-TEST(Fields, ErrorNamesPlaceAndField) {
+TEST(Fields, ErrorNamesContextAndField) {
     try {
-        sample().text("other");
+        sample_fields().text("other");
         FAIL() << "no error";
     } catch (const FieldError& error) {
         EXPECT_STREQ(error.what(), "sample: field 'other' is missing");
--- a/tests/engine/engine_test.cpp
+++ b/tests/engine/engine_test.cpp
@@ -1,4 +1,4 @@
-// The engine without sockets and clock: one outcome for each request, whatever the order of events.
+// Tests the engine without sockets and clock. Each request gets one outcome, whatever the order of events.
 #include "engine/engine.hpp"
 
 #include <gtest/gtest.h>
@@ -13,7 +13,8 @@
 
 using namespace elmbay::balancer;
 
-// Records the engine's actions. A test may react to a cancel or an outcome from within the call.
+// Records the actions of the engine. A test may set callbacks that run within cancel_attempt() and
+// finish_request().
 struct RecordingHandler : ActionHandler {
     struct Started {
         AttemptKey key;
@@ -47,11 +48,11 @@
 
 Settings settings() {
     Settings result;
-    RequestClass safe, once;
-    safe.idempotency = Idempotency::idempotent;
-    safe.latency_objective = once.latency_objective = 400;
-    once.idempotency = Idempotency::non_idempotent;
-    result.classes = {safe, once};
+    RequestClass idempotent, non_idempotent;
+    idempotent.idempotency = Idempotency::idempotent;
+    idempotent.latency_objective = non_idempotent.latency_objective = 400;
+    non_idempotent.idempotency = Idempotency::non_idempotent;
+    result.classes = {idempotent, non_idempotent};
     result.max_attempts = 4;
     return result;
 }
@@ -67,18 +68,18 @@
         for (ServerId id = 1; id <= 4; ++id) list.servers.push_back({id, 0, 0, 0, EndpointState::active, 0});
         engine.on_endpoint_list(now, list);
     }
-    void request_arrives(RequestId id, std::uint32_t class_index = 0, Millis left = 1000) {
+    void receive_request(RequestId id, std::uint32_t class_index = 0, Millis time_left = 1000) {
         RequestArrived event;
         event.id = id;
         event.class_index = class_index;
-        event.time_left = left;
+        event.time_left = time_left;
         engine.on_request(now, event);
     }
-    void attempt_ends(std::size_t nth, Outcome outcome) {
-        engine.on_attempt_ended(now += 10, handler.started.at(nth).key, outcome, 10);
+    void end_attempt(std::size_t attempt_index, Outcome outcome) {
+        engine.on_attempt_ended(now += 10, handler.started.at(attempt_index).key, outcome, 10);
     }
-    void time_passes(Millis span) {
-        now += span;
+    void advance_time(Millis duration) {
+        now += duration;
         while (!handler.timers.empty() && handler.timers.begin()->first <= now) {
             const TimerToken token = handler.timers.begin()->second;
             handler.timers.erase(handler.timers.begin());
@@ -88,25 +89,26 @@
 };
 
 TEST_F(EngineTest, ReportsOneSuccessAndReleasesTheRequest) {
-    request_arrives(1);
+    receive_request(1);
     ASSERT_EQ(handler.started.size(), 1U);
     EXPECT_EQ(engine.requests(), 1U);
-    attempt_ends(0, Outcome::success);
+    end_attempt(0, Outcome::success);
     ASSERT_EQ(handler.outcomes[1].size(), 1U);
     EXPECT_EQ(handler.outcomes[1][0].kind, FinalOutcome::Kind::success);
     EXPECT_EQ(engine.requests(), 0U);
     EXPECT_EQ(handler.released.count(1), 1U);
-    attempt_ends(0, Outcome::success);  // reported twice
-    time_passes(5000);
+    end_attempt(0, Outcome::success);  // the end is reported twice
+    advance_time(5000);
     EXPECT_EQ(handler.outcomes[1].size(), 1U);
 }
 
-// The upgrade is an attempt with one outcome. The session after it counts until its end is first reported.
+// An upgrade is an attempt with one outcome. The session that follows counts against the limit until its end
+// is reported for the first time.
 TEST_F(EngineTest, CountsSessionAgainstLimitUntilItEndsOnce) {
-    Settings one = settings();
-    one.max_sessions = 1;
+    Settings one_session = settings();
+    one_session.max_sessions = 1;
     RecordingHandler session_handler;
-    Engine sessions(one, 1, session_handler);
+    Engine sessions(one_session, 1, session_handler);
     sessions.begin(now);
     sessions.on_endpoint_list(now, {ListKind::snapshot, {{1, 0, 0, 0, EndpointState::active, 0}}});
     const auto upgrade = [&](RequestId id) {
@@ -128,24 +130,24 @@
     sessions.on_session_ended(now, 1, false);
     upgrade(3);
     upgrade(4);
-    EXPECT_EQ(session_handler.started.size(), 2U) << "one session ended, however often that is reported";
+    EXPECT_EQ(session_handler.started.size(), 2U) << "one session ended, although its end is reported twice";
     EXPECT_EQ(session_handler.outcomes[4].at(0).kind, FinalOutcome::Kind::rejected);
 }
 
 TEST_F(EngineTest, IgnoresRequestWhoseIdIsInTheTable) {
-    request_arrives(1);
-    request_arrives(1);
+    receive_request(1);
+    receive_request(1);
     EXPECT_EQ(handler.started.size(), 1U);
-    attempt_ends(0, Outcome::success);
+    end_attempt(0, Outcome::success);
     EXPECT_EQ(handler.outcomes[1].size(), 1U);
 }
 
 TEST_F(EngineTest, ReportsNoOutcomeAfterClientDisconnected) {
-    request_arrives(1);
+    receive_request(1);
     engine.on_client_disconnected(now, 1);
     EXPECT_EQ(handler.cancelled.size(), 1U);
-    EXPECT_EQ(handler.released.count(1), 0U);  // its attempt is still in flight
-    attempt_ends(0, Outcome::success);
+    EXPECT_EQ(handler.released.count(1), 0U);  // the attempt is still in flight
+    end_attempt(0, Outcome::success);
     EXPECT_TRUE(handler.outcomes[1].empty());
     EXPECT_EQ(handler.released.count(1), 1U);
     engine.on_client_disconnected(now, 1);
@@ -153,24 +155,24 @@
 }
 
 TEST_F(EngineTest, MarksFailureAsTimedOutOnlyWithoutTimelyResponse) {
-    request_arrives(1, 1);
-    attempt_ends(0, Outcome::error_response);
+    receive_request(1, 1);
+    end_attempt(0, Outcome::error_response);
     ASSERT_EQ(handler.outcomes[1].size(), 1U);
     EXPECT_EQ(handler.outcomes[1][0].kind, FinalOutcome::Kind::failed);
     EXPECT_FALSE(handler.outcomes[1][0].timed_out);
-    request_arrives(2, 1);
-    time_passes(1000);
+    receive_request(2, 1);
+    advance_time(1000);
     ASSERT_EQ(handler.outcomes[2].size(), 1U);
     EXPECT_TRUE(handler.outcomes[2][0].timed_out);
-    EXPECT_EQ(engine.requests(), 1U);  // until its attempt has ended
-    attempt_ends(1, Outcome::cancelled);
+    EXPECT_EQ(engine.requests(), 1U);  // the attempt has not ended
+    end_attempt(1, Outcome::cancelled);
     EXPECT_EQ(engine.requests(), 0U);
 }
 
 TEST_F(EngineTest, HandlesEventCausedByCancelAfterOtherActions) {
     handler.on_cancel = [this](AttemptKey key) { engine.on_attempt_ended(now, key, Outcome::cancelled, 10); };
-    request_arrives(1, 1);
-    time_passes(1000);  // cancels the attempt, then fails the request: one outcome
+    receive_request(1, 1);
+    advance_time(1000);  // cancels the attempt and then fails the request, with one outcome
     ASSERT_EQ(handler.outcomes[1].size(), 1U);
     EXPECT_EQ(handler.released.count(1), 1U);
     EXPECT_EQ(engine.requests(), 0U);
@@ -178,66 +180,68 @@
 
 TEST_F(EngineTest, AcceptsNewRequestFromWithinFinishRequest) {
     handler.on_finish = [this](RequestId id) {
-        if (id < 5) request_arrives(id + 1);
+        if (id < 5) receive_request(id + 1);
     };
-    request_arrives(1);
-    for (std::size_t i = 0; i < 5; ++i) attempt_ends(i, Outcome::success);
+    receive_request(1);
+    for (std::size_t i = 0; i < 5; ++i) end_attempt(i, Outcome::success);
     for (RequestId id = 1; id <= 5; ++id) EXPECT_EQ(handler.outcomes[id].size(), 1U) << id;
     EXPECT_EQ(engine.requests(), 0U);
 }
 
 TEST_F(EngineTest, HandlesLaterEventsAfterHandlerThrows) {
-    handler.on_cancel = [](AttemptKey) { throw std::runtime_error("no"); };
-    request_arrives(1);
+    handler.on_cancel = [](AttemptKey) { throw std::runtime_error("handler failed"); };
+    receive_request(1);
     EXPECT_THROW(engine.on_client_disconnected(now, 1), std::runtime_error);
     handler.on_cancel = {};
-    request_arrives(2);
+    receive_request(2);
     ASSERT_EQ(handler.started.size(), 2U);
-    attempt_ends(1, Outcome::success);
+    end_attempt(1, Outcome::success);
     EXPECT_EQ(handler.outcomes[2].size(), 1U);
 }
 
-// Random events, impossible ones among them: each request ends once or its client has disconnected, and all
-// are released.
+// Applies random events, including events that no real frontend or backend reports. Each request must either
+// get one outcome or have a disconnected client, and the engine must release all requests.
 TEST_F(EngineTest, ReportsOneOutcomeUnlessClientDisconnectedForAnyOrderOfEvents) {
     std::uint64_t state = 7;
-    const auto draw = [&](std::uint64_t n) {
+    const auto random_below = [&](std::uint64_t bound) {
         state = state * 6364136223846793005ULL + 1442695040888963407ULL;
-        return (state >> 33) % n;
+        return (state >> 33) % bound;
     };
     std::set<RequestId> disconnected;
-    std::set<std::size_t> ended;
-    RequestId last = 0;
+    std::set<std::size_t> ended_attempts;
+    RequestId last_id = 0;
     for (int i = 0; i < 20000; ++i) {
-        switch (draw(5)) {
+        switch (random_below(5)) {
             case 0:
-                request_arrives(++last, static_cast<std::uint32_t>(draw(3)),
-                                1 + static_cast<Millis>(draw(900)));
+                receive_request(++last_id, static_cast<std::uint32_t>(random_below(3)),
+                                1 + static_cast<Millis>(random_below(900)));
                 break;
             case 1:
-                if (last > 0) {
-                    const RequestId id = 1 + draw(last);
+                if (last_id > 0) {
+                    const RequestId id = 1 + random_below(last_id);
                     if (handler.outcomes[id].empty()) disconnected.insert(id);
                     engine.on_client_disconnected(now, id);
                 }
                 break;
             case 2:
-                time_passes(static_cast<Millis>(draw(50)));
+                advance_time(static_cast<Millis>(random_below(50)));
                 break;
             default:
                 if (!handler.started.empty()) {
-                    const std::size_t nth =
-                        handler.started.size() - 1 - draw(std::min<std::size_t>(8, handler.started.size()));
-                    if (ended.insert(nth).second) attempt_ends(nth, static_cast<Outcome>(draw(7)));
+                    const std::size_t attempt_index =
+                        handler.started.size() - 1 -
+                        random_below(std::min<std::size_t>(8, handler.started.size()));
+                    if (ended_attempts.insert(attempt_index).second)
+                        end_attempt(attempt_index, static_cast<Outcome>(random_below(7)));
                 }
         }
     }
     for (std::size_t i = 0; i < handler.started.size(); ++i)
-        if (ended.insert(i).second) attempt_ends(i, Outcome::connection_reset);
-    time_passes(10000);
+        if (ended_attempts.insert(i).second) end_attempt(i, Outcome::connection_reset);
+    advance_time(10000);
     for (std::size_t i = 0; i < handler.started.size(); ++i)
-        if (ended.insert(i).second) attempt_ends(i, Outcome::connection_reset);
-    for (RequestId id = 1; id <= last; ++id) {
+        if (ended_attempts.insert(i).second) end_attempt(i, Outcome::connection_reset);
+    for (RequestId id = 1; id <= last_id; ++id) {
         EXPECT_EQ(handler.outcomes[id].size(), disconnected.contains(id) ? 0U : 1U) << id;
         EXPECT_EQ(handler.released.count(id), 1U) << id;
     }
--- a/tests/operator/operator_file_test.cpp
+++ b/tests/operator/operator_file_test.cpp
@@ -1,4 +1,4 @@
-// The operator's file: its defaults, and what is reported of a wrong one.
+// Tests the operator's file: its defaults, its keys, and the problems that an invalid file reports.
 #include "operator/operator_file.hpp"
 
 #include <gtest/gtest.h>
@@ -8,20 +8,20 @@
 
 TEST(OperatorFile, UsesDefaultsForEmptyFile) {
     schema::Problems problems;
-    EXPECT_TRUE(parse_operator_file("", problems).state.folder.empty());
+    EXPECT_TRUE(parse_operator_file("", problems).state.directory.empty());
     EXPECT_TRUE(problems.empty());
 }
 
-TEST(OperatorFile, ReadsKeysOfATable) {
+TEST(OperatorFile, ReadsKeysOfTable) {
     schema::Problems problems;
     const OperatorFile file =
         parse_operator_file("[state]\nfolder = \"/var/lib/elmbay\"\nevery = \"500ms\"\n", problems);
     EXPECT_TRUE(problems.empty());
-    EXPECT_EQ(file.state.folder, "/var/lib/elmbay");
-    EXPECT_EQ(file.state.every, 500);
+    EXPECT_EQ(file.state.directory, "/var/lib/elmbay");
+    EXPECT_EQ(file.state.save_interval, 500);
 }
 
-TEST(OperatorFile, ReportsEveryProblemWithItsLineAndKey) {
+TEST(OperatorFile, ReportsEachProblemWithLineAndKey) {
     schema::Problems problems;
     parse_operator_file("[state]\nfoldr = \"x\"\nevery = \"1ms\"\n[stat]\n", problems);
     ASSERT_EQ(problems.size(), 3U);
