--- a/tests/schema/schema_test.cpp
+++ b/tests/schema/schema_test.cpp
@@ -1,4 +1,4 @@
-// Units and words of files that people write.
+// Tests reading of TOML tables by a schema: units, suggestions, defaults and problems.
 #include "schema/schema.hpp"
 
 #include <gtest/gtest.h>
@@ -30,9 +30,9 @@
 
 TEST(Schema, SuggestsOnlyCloseWords) {
     const std::vector<std::string> known{"servers", "cores", "slots"};
-    EXPECT_EQ(did_you_mean("sever", known), "servers");
-    EXPECT_EQ(did_you_mean("slot", known), "slots");
-    EXPECT_EQ(did_you_mean("watermark", known), "");
+    EXPECT_EQ(closest_word("sever", known), "servers");
+    EXPECT_EQ(closest_word("slot", known), "slots");
+    EXPECT_EQ(closest_word("watermark", known), "");
 }
 
 struct Sample {
@@ -50,7 +50,7 @@
     {"mode", Unit::word, &Sample::mode, "fast", "how", 0, 0, {"fast", "slow"}, true},
     {"names", Unit::words, &Sample::names, "[]", "of whom"}};
 
-// Reads a table of one line, and the reasons of its problems.
+// Reads a table and returns the reasons of its problems.
 std::vector<ProblemReason> reasons_of(const std::string& text, Sample& sample) {
     Problems problems;
     read_table(toml::parse(text), "sample", kSampleKeys, sample, problems);
@@ -86,15 +86,15 @@
     }
 }
 
-// Every text of up to four of these characters is either TOML or told to be none. With the library's
-// assertions on some of them ("[[[") ended the process.
+// Parses every text of up to four of the given characters. The parser must either succeed or throw
+// parse_error. With the assertions of toml++ enabled, some of the texts ("[[[") end the process.
 TEST(Schema, ReportsAnyTextThatIsNotTomlAsException) {
     const std::string characters = "[]{}=.,\"'#-\n 1a";
-    std::size_t tables = 0, errors = 0;
-    const auto look = [&](const std::string& text) {
+    std::size_t documents = 0, errors = 0;
+    const auto parse = [&](const std::string& text) {
         try {
             (void)toml::parse(text);
-            ++tables;
+            ++documents;
         } catch (const toml::parse_error& error) {
             ++errors;
             EXPECT_GT(error.source().begin.line, 0U) << text;
@@ -102,12 +102,12 @@
     };
     std::vector<std::string> texts{""};
     for (std::size_t i = 0; i < texts.size(); ++i) {
-        look(texts[i]);
+        parse(texts[i]);
         if (texts[i].size() < 4)
-            for (const char c : characters) texts.push_back(texts[i] + c);
+            for (const char character : characters) texts.push_back(texts[i] + character);
     }
-    EXPECT_GT(tables, 0U);
-    EXPECT_GT(errors, tables);
+    EXPECT_GT(documents, 0U);
+    EXPECT_GT(errors, documents);
 }
 
 }  // namespace
--- a/tests/sidecar/endpoint_registry_test.cpp
+++ b/tests/sidecar/endpoint_registry_test.cpp
@@ -1,4 +1,4 @@
-// The contract of EndpointRegistry, as its header states it.
+// Tests the contract that the header of EndpointRegistry documents.
 #include "sidecar/endpoint_registry.hpp"
 
 #include <gtest/gtest.h>
@@ -12,9 +12,9 @@
 using balancer::ListKind;
 using balancer::ServerId;
 
-constexpr std::size_t kFleet = 3200;
-// Looking up, withdrawing and listing one server again, with one more that it displaces.
-constexpr std::uint64_t kMaxVisitsOfAChange = 8;
+constexpr std::size_t kFleetSize = 3200;
+// Finding, withdrawing and listing one server, and a second server that it displaces.
+constexpr std::uint64_t kMaxVisitsPerChange = 8;
 
 Endpoint address(std::size_t index) {
     const auto host = static_cast<std::uint32_t>(0x7f010000U + index);
@@ -22,14 +22,14 @@
 }
 
 Target target(std::size_t index, EndpointState state = EndpointState::active, Millis online_since = 0) {
-    Target t;
-    t.uid = "s-" + std::to_string(index);
-    t.endpoint = address(index);
-    t.zone = "a";
-    t.machine_type = "m";
-    t.state = state;
-    t.online_since = online_since;
-    return t;
+    Target result;
+    result.uid = "s-" + std::to_string(index);
+    result.endpoint = address(index);
+    result.zone = "a";
+    result.machine_type = "m";
+    result.state = state;
+    result.online_since = online_since;
+    return result;
 }
 
 std::vector<Target> fleet(std::size_t count, std::size_t from = 0) {
@@ -43,31 +43,31 @@
 
 TEST(EndpointRegistry, VisitsFewEntriesForIncrementalList) {
     EndpointRegistry registry;
-    registry.apply(ListKind::snapshot, fleet(kFleet));
-    registry.forget_withdrawn(no_attempts_in_flight);
-    ASSERT_EQ(registry.listed(), kFleet);
+    registry.apply(ListKind::snapshot, fleet(kFleetSize));
+    registry.remove_withdrawn(no_attempts_in_flight);
+    ASSERT_EQ(registry.listed_count(), kFleetSize);
 
     Target successor = target(9000, EndpointState::active, 5);
     successor.endpoint = address(7);
     for (const Target& change : {target(3199, EndpointState::draining), target(3199, EndpointState::removed),
                                  target(9001), successor}) {
-        const std::uint64_t before = registry.visited();
+        const std::uint64_t before = registry.visit_count();
         registry.apply(ListKind::incremental, {change});
-        registry.forget_withdrawn(no_attempts_in_flight);
-        EXPECT_LE(registry.visited() - before, kMaxVisitsOfAChange) << change.uid;
+        registry.remove_withdrawn(no_attempts_in_flight);
+        EXPECT_LE(registry.visit_count() - before, kMaxVisitsPerChange) << change.uid;
     }
-    EXPECT_EQ(registry.listed(), kFleet) << "one left, one came, one was replaced";
+    EXPECT_EQ(registry.listed_count(), kFleetSize) << "one server left, one was added, one was replaced";
 }
 
-TEST(EndpointRegistry, VisitsEntriesInProportionToLengthOfSnapshot) {
+TEST(EndpointRegistry, VisitsEntriesInProportionToLengthOfCompleteList) {
     EndpointRegistry registry;
-    registry.apply(ListKind::snapshot, fleet(kFleet));
-    const std::uint64_t before = registry.visited();
-    registry.apply(ListKind::snapshot, fleet(kFleet));
-    EXPECT_LE(registry.visited() - before, kMaxVisitsOfAChange * kFleet);
+    registry.apply(ListKind::snapshot, fleet(kFleetSize));
+    const std::uint64_t before = registry.visit_count();
+    registry.apply(ListKind::snapshot, fleet(kFleetSize));
+    EXPECT_LE(registry.visit_count() - before, kMaxVisitsPerChange * kFleetSize);
 }
 
-TEST(EndpointRegistry, GivesAddressToProcessNamedLastByLists) {
+TEST(EndpointRegistry, GivesAddressToProcessThatAppearedInListsLast) {
     EndpointRegistry registry;
     registry.apply(ListKind::snapshot, {target(1, EndpointState::active, 100)});
     Target second = target(2, EndpointState::active, 200), third = target(3, EndpointState::active, 50);
@@ -82,29 +82,30 @@
     EXPECT_TRUE(displaced.changes[1].may_send);
     EXPECT_EQ(displaced.withdrawn, std::vector<ServerId>{1});
 
-    // Its start is earlier by its own wall clock, which may have been set back.
-    const auto again = registry.apply(ListKind::incremental, {third});
-    ASSERT_EQ(again.changes.size(), 2U);
-    EXPECT_EQ(again.changes[0].info.id, 2U);
-    EXPECT_FALSE(again.changes[0].may_send);
-    EXPECT_TRUE(again.changes[1].may_send);
+    // The third process started earlier according to its own wall clock, which may have been stepped
+    // backward.
+    const auto third_update = registry.apply(ListKind::incremental, {third});
+    ASSERT_EQ(third_update.changes.size(), 2U);
+    EXPECT_EQ(third_update.changes[0].info.id, 2U);
+    EXPECT_FALSE(third_update.changes[0].may_send);
+    EXPECT_TRUE(third_update.changes[1].may_send);
     EXPECT_TRUE(registry.find(3)->listed);
 
-    // Another word about a process that was told before does not make it the last one.
-    const auto refused = registry.apply(ListKind::incremental, {second});
-    ASSERT_EQ(refused.changes.size(), 1U);
-    EXPECT_EQ(refused.changes[0].info.state, EndpointState::removed);
-    EXPECT_FALSE(refused.changes[0].may_send);
+    // A repeated entry of an earlier process does not make it the latest process.
+    const auto repeated = registry.apply(ListKind::incremental, {second});
+    ASSERT_EQ(repeated.changes.size(), 1U);
+    EXPECT_EQ(repeated.changes[0].info.state, EndpointState::removed);
+    EXPECT_FALSE(repeated.changes[0].may_send);
     EXPECT_TRUE(registry.find(3)->listed);
 }
 
-TEST(EndpointRegistry, GivesAddressToLaterStartWhenOneListNamesBoth) {
+TEST(EndpointRegistry, GivesAddressToLaterStartWhenOneListContainsBoth) {
     Target earlier = target(1, EndpointState::active, 100), later = target(2, EndpointState::active, 200);
     later.endpoint = earlier.endpoint = address(1);
     for (const auto& list : {std::vector<Target>{earlier, later}, std::vector<Target>{later, earlier}}) {
         EndpointRegistry registry;
         registry.apply(ListKind::snapshot, list);
-        EXPECT_EQ(registry.listed(), 1U);
+        EXPECT_EQ(registry.listed_count(), 1U);
         EXPECT_TRUE(registry.entries().at(later.uid).listed);
     }
 }
@@ -120,12 +121,12 @@
                                            other.endpoint = address(1);
                                            return other;
                                        }()});
-    EXPECT_EQ(update.changes.size(), 1U) << "no server is displaced";
+    EXPECT_EQ(update.changes.size(), 1U) << "the update displaces no server";
     EXPECT_EQ(registry.find(1)->endpoint, address(2));
-    EXPECT_EQ(registry.listed(), 2U);
+    EXPECT_EQ(registry.listed_count(), 2U);
 }
 
-TEST(EndpointRegistry, UsesReservedNumberOnceListNamesServer) {
+TEST(EndpointRegistry, UsesReservedNumberWhenListAddsServer) {
     EndpointRegistry registry;
     const ServerId first = registry.reserve_number("s-1"), second = registry.reserve_number("s-2");
     registry.apply(ListKind::cached, {target(1)});
@@ -134,7 +135,7 @@
     registry.apply(ListKind::incremental, {target(2)});
     ASSERT_NE(registry.find(second), nullptr);
     EXPECT_TRUE(registry.find(second)->listed);
-    EXPECT_EQ(registry.listed(), 2U);
+    EXPECT_EQ(registry.listed_count(), 2U);
 }
 
 TEST(EndpointRegistry, RestoresNumberOfServerThatIsListedAgain) {
@@ -142,7 +143,7 @@
     registry.apply(ListKind::snapshot, {target(1), target(2)});
     const ServerId before = registry.entries().at(target(1).uid).info.id;
     registry.apply(ListKind::incremental, {target(1, EndpointState::removed)});
-    registry.forget_withdrawn([](ServerId) { return true; });
+    registry.remove_withdrawn([](ServerId) { return true; });
     EXPECT_EQ(registry.find(before), nullptr);
     registry.apply(ListKind::incremental, {target(1)});
     ASSERT_NE(registry.find(before), nullptr);
@@ -153,36 +154,36 @@
     EndpointRegistry registry;
     registry.apply(ListKind::snapshot, fleet(EndpointRegistry::kMaxListed));
     registry.apply(ListKind::incremental, {target(0, EndpointState::removed)});
-    registry.forget_withdrawn(attempts_in_flight_everywhere);
+    registry.remove_withdrawn(attempts_in_flight_everywhere);
     const auto update = registry.apply(ListKind::incremental, {target(9000)});
     EXPECT_EQ(update.skipped, 0U);
-    EXPECT_EQ(registry.listed(), EndpointRegistry::kMaxListed);
+    EXPECT_EQ(registry.listed_count(), EndpointRegistry::kMaxListed);
 }
 
-TEST(EndpointRegistry, ReplacesEveryServerBySnapshotWhileAttemptsAreInFlight) {
+TEST(EndpointRegistry, ReplacesEveryServerByCompleteListWhileAttemptsAreInFlight) {
     EndpointRegistry registry;
-    constexpr std::size_t kMost = EndpointRegistry::kMaxListed;
-    registry.apply(ListKind::snapshot, fleet(kMost));
-    const auto update = registry.apply(ListKind::snapshot, fleet(kMost, 10000));
+    constexpr std::size_t kMaxListed = EndpointRegistry::kMaxListed;
+    registry.apply(ListKind::snapshot, fleet(kMaxListed));
+    const auto update = registry.apply(ListKind::snapshot, fleet(kMaxListed, 10000));
     EXPECT_EQ(update.skipped, 0U);
-    EXPECT_EQ(update.withdrawn.size(), kMost);
-    registry.forget_withdrawn(attempts_in_flight_everywhere);
-    EXPECT_EQ(registry.listed(), kMost);
-    EXPECT_EQ(registry.entries().size(), 2 * kMost);
-    registry.forget_withdrawn(no_attempts_in_flight);
-    EXPECT_EQ(registry.entries().size(), kMost);
+    EXPECT_EQ(update.withdrawn.size(), kMaxListed);
+    registry.remove_withdrawn(attempts_in_flight_everywhere);
+    EXPECT_EQ(registry.listed_count(), kMaxListed);
+    EXPECT_EQ(registry.entries().size(), 2 * kMaxListed);
+    registry.remove_withdrawn(no_attempts_in_flight);
+    EXPECT_EQ(registry.entries().size(), kMaxListed);
     EXPECT_EQ(registry.find(1), nullptr);
 }
 
-TEST(EndpointRegistry, SkipsAndCountsServersBeyondBounds) {
+TEST(EndpointRegistry, SkipsAndCountsServersBeyondLimits) {
     EndpointRegistry registry;
-    constexpr std::size_t kMost = EndpointRegistry::kMaxListed;
-    EXPECT_EQ(registry.apply(ListKind::snapshot, fleet(kMost + 5)).skipped, 5U);
-    EXPECT_EQ(registry.listed(), kMost);
-    // Servers whose attempts never end are never forgotten. Their number is bounded, too.
+    constexpr std::size_t kMaxListed = EndpointRegistry::kMaxListed;
+    EXPECT_EQ(registry.apply(ListKind::snapshot, fleet(kMaxListed + 5)).skipped, 5U);
+    EXPECT_EQ(registry.listed_count(), kMaxListed);
+    // Servers whose attempts never end are never removed, but their number is bounded.
     for (std::size_t round = 1; round < 6; ++round) {
-        registry.apply(ListKind::snapshot, fleet(kMost, round * 10000));
-        registry.forget_withdrawn(attempts_in_flight_everywhere);
+        registry.apply(ListKind::snapshot, fleet(kMaxListed, round * 10000));
+        registry.remove_withdrawn(attempts_in_flight_everywhere);
     }
     EXPECT_EQ(registry.entries().size(), EndpointRegistry::kMaxEntries);
 
@@ -190,7 +191,7 @@
     Target long_name = target(1);
     long_name.uid.assign(EndpointRegistry::kMaxUidBytes + 1, 'x');
     EXPECT_EQ(fresh.apply(ListKind::snapshot, {long_name, target(2)}).skipped, 1U);
-    EXPECT_EQ(fresh.listed(), 1U);
+    EXPECT_EQ(fresh.listed_count(), 1U);
 }
 
 }  // namespace
--- a/tests/sidecar/listing_test.cpp
+++ b/tests/sidecar/listing_test.cpp
@@ -1,4 +1,4 @@
-// Parsing of endpoint lists as discovery sends them, target by target.
+// Tests parsing of endpoint lists in the form that discovery sends.
 #include <gtest/gtest.h>
 
 #include <nlohmann/json.hpp>
@@ -29,14 +29,14 @@
     EXPECT_EQ(list.revision, 41U);
     EXPECT_TRUE(list.is_complete);
     ASSERT_EQ(list.targets.size(), 1U);
-    const Target& t = list.targets[0];
-    EXPECT_EQ(t.uid, "s-2") << "of a key that comes twice the last counts";
-    EXPECT_EQ(t.state, balancer::EndpointState::draining);
-    EXPECT_EQ(t.zone, "a");
-    EXPECT_EQ(t.machine_type, "m");
-    EXPECT_EQ(t.cell, 3U);
-    EXPECT_EQ(t.online_since, 12.5);
-    EXPECT_EQ(t.weight, 0.5);
+    const Target& target = list.targets[0];
+    EXPECT_EQ(target.uid, "s-2") << "the last value of a repeated key counts";
+    EXPECT_EQ(target.state, balancer::EndpointState::draining);
+    EXPECT_EQ(target.zone, "a");
+    EXPECT_EQ(target.machine_type, "m");
+    EXPECT_EQ(target.cell, 3U);
+    EXPECT_EQ(target.online_since, 12.5);
+    EXPECT_EQ(target.weight, 0.5);
 }
 
 TEST(EndpointList, UsesLastOfRepeatedTargetLists) {
@@ -45,7 +45,7 @@
     EXPECT_TRUE(list.targets.empty());
 }
 
-TEST(EndpointList, NamesInvalidField) {
+TEST(EndpointList, ReportsInvalidField) {
     EXPECT_EQ(error_of("{"), "the list is not JSON");
     EXPECT_EQ(error_of(R"({"rev":1,"all":true,"targets":[]} {})"), "the list is not JSON");
     EXPECT_EQ(error_of("[]"), "field 'list' is not an object");
@@ -54,16 +54,16 @@
     EXPECT_EQ(error_of(R"({"rev":1,"all":true,"targets":{}})"), "field 'targets' is not a list");
     EXPECT_EQ(error_of(R"({"rev":1,"all":true,"targets":3})"), "field 'targets' is not a list");
     EXPECT_EQ(error_of(R"({"rev":[1,2],"all":true,"targets":[]})"), "field 'rev' is not a number");
-    EXPECT_EQ(error_of(R"({"rev":1,"all":"yes","targets":[]})"), "field 'all' is not a truth value");
-    for (const char* no_target : {"1", "[1]", "[[]]", "null", "\"s\""})
-        EXPECT_EQ(error_of(R"({"rev":1,"all":true,"targets":[)" + kTarget + "," + no_target + "]}"),
+    EXPECT_EQ(error_of(R"({"rev":1,"all":"yes","targets":[]})"), "field 'all' is not a boolean");
+    for (const char* invalid_target : {"1", "[1]", "[[]]", "null", "\"s\""})
+        EXPECT_EQ(error_of(R"({"rev":1,"all":true,"targets":[)" + kTarget + "," + invalid_target + "]}"),
                   "field 'targets.1' is not an object")
-            << no_target;
+            << invalid_target;
     EXPECT_EQ(error_of(R"({"rev":1,"all":true,"targets":[)" + kTarget + R"(,{"uid":"s-2"}]})"),
               "field 'targets.1.state' is missing");
 }
 
-TEST(EndpointList, ParsesKnownListOfConfigurationLikeAnyList) {
+TEST(EndpointList, ParsesListInConfigurationLikeAnyList) {
     Json config = {
         {"listen", "127.0.0.1:0"},
         {"discovery", "127.0.0.1:1"},
@@ -73,14 +73,14 @@
          {{"classes",
            {{{"name", "safe"}, {"effect", "repeatable"}, {"on-time-ms", 100}, {"give-up-ms", 200}}}}}}};
     config["known"] = {{"rev", 9}, {"all", true}, {"targets", {Json::parse(kTarget)}}};
-    const Config read = parse_config(config.dump());
-    EXPECT_EQ(read.known.revision, 9U);
-    ASSERT_EQ(read.known.targets.size(), 1U);
-    EXPECT_EQ(read.known.targets[0].uid, "s-1");
+    const Config parsed = parse_config(config.dump());
+    EXPECT_EQ(parsed.cached_list.revision, 9U);
+    ASSERT_EQ(parsed.cached_list.targets.size(), 1U);
+    EXPECT_EQ(parsed.cached_list.targets[0].uid, "s-1");
     config["known"]["targets"].push_back(Json{{"uid", ""}});
     EXPECT_THROW(parse_config(config.dump()), ConfigError);
     config["known"] = nullptr;
-    EXPECT_TRUE(parse_config(config.dump()).known.targets.empty());
+    EXPECT_TRUE(parse_config(config.dump()).cached_list.targets.empty());
     config["known"] = 3;
     EXPECT_THROW(parse_config(config.dump()), ConfigError);
 }
--- a/tests/sidecar/log_events_test.cpp
+++ b/tests/sidecar/log_events_test.cpp
@@ -1,4 +1,4 @@
-// Log lines of the assembly, their limits, and how values from outside are quoted.
+// Tests the log lines of the sidecar, the limits on their rate, and the quoting of values from outside.
 #include "sidecar/log_events.hpp"
 
 #include <gtest/gtest.h>
@@ -30,7 +30,7 @@
               "rest_suppressed=no");
 }
 
-TEST(MemberChangeLog, SuppressesTheRestOfTheSecondAfterItsLastLine) {
+TEST(MemberChangeLog, SuppressesFurtherLinesOfSecondAfterMaximum) {
     MemberChangeLog log;
     for (std::size_t i = 1; i < MemberChangeLog::kMaxPerSecond; ++i) {
         ASSERT_TRUE(log.observe(change_at(5000))->ends_with("rest_suppressed=no")) << i;
--- a/tests/sidecar/response_mapping_test.cpp
+++ b/tests/sidecar/response_mapping_test.cpp
@@ -1,4 +1,4 @@
-// The final HTTP response for each outcome of a request.
+// Tests the final HTTP response for each outcome of a request.
 #include "sidecar/response_mapping.hpp"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 
 using Kind = engine::FinalOutcome::Kind;
 
-TEST(ResponseMapping, PassesOnBodyAndContentTypeOfServerAlone) {
+TEST(ResponseMapping, ForwardsOnlyBodyAndContentTypeOfServer) {
     HttpResponse server_response(http::status::accepted, 11);
     server_response.set(http::field::content_type, "application/json");
     server_response.set("X-Internal", "1");
@@ -27,11 +27,11 @@
     EXPECT_EQ(response.body(), "refused: trying again is harmless\n");
 }
 
-TEST(ResponseMapping, OmitsRetryAfterWithoutAdvice) {
+TEST(ResponseMapping, OmitsRetryAfterIfDelayIsUnknown) {
     EXPECT_EQ(error_response({Kind::rejected, 0}).count(http::field::retry_after), 0U);
 }
 
-TEST(ResponseMapping, FailsWith504WhenTimedOutAndElse502) {
+TEST(ResponseMapping, FailsWith504OnTimeoutAndOtherwise502) {
     EXPECT_EQ(error_response({Kind::failed, 0, true}).result_int(), 504U);
     EXPECT_EQ(error_response({Kind::failed, 0, false}).result_int(), 502U);
     EXPECT_EQ(error_response({Kind::failed, 0, false}).body(), "failed\n");
--- a/tests/simulation/scenario_test.cpp
+++ b/tests/simulation/scenario_test.cpp
@@ -35,22 +35,22 @@
 
 TEST(Scenario, RejectsUnknownKeyWithLineAndSuggestion) {
     EXPECT_PROBLEM("length = \"10s\"\n[fleet]\nserver = 3\n",
-                   "f.toml:3: fleet.server: is not a key here; did you mean 'servers'?");
+                   "f.toml:3: fleet.server: is not a known key; did you mean 'servers'?");
     EXPECT_PROBLEM("[flet]\n", "did you mean 'fleet'?");
 }
 
 TEST(Scenario, RejectsValuesOfWrongUnitRangeOrType) {
-    EXPECT_PROBLEM("length = 10\n", "f.toml:1: length: is a duration");
-    EXPECT_PROBLEM("length = \"10 parsecs\"\n", "is a duration such as");
+    EXPECT_PROBLEM("length = 10\n", "f.toml:1: length: must be a duration");
+    EXPECT_PROBLEM("length = \"10 parsecs\"\n", "must be a duration such as");
     EXPECT_PROBLEM("[fleet]\nservers = 0\n", "f.toml:2: fleet.servers: must be between 1 and 4096");
-    EXPECT_PROBLEM("[fleet]\nservers = 2.5\n", "is a whole number");
+    EXPECT_PROBLEM("[fleet]\nservers = 2.5\n", "must be a whole number");
     EXPECT_PROBLEM("[fleet]\ncold_from = \"200%\"\n", "must be between");
-    EXPECT_PROBLEM("[fleet]\ndrops_waiting = 1\n", "is true or false");
+    EXPECT_PROBLEM("[fleet]\ndrops_waiting = 1\n", "must be true or false");
     EXPECT_PROBLEM("[callers]\nshape = \"wavy\"\n",
                    "'wavy' is not one of steady, bursty, ramp, wave; did you mean 'wave'?");
-    EXPECT_PROBLEM("[fleet]\nservers = nan\n", "is a whole number");
-    EXPECT_PROBLEM("fleet = 3\n", "is a table");
-    EXPECT_PROBLEM("fault = [1]\n", "is a list of tables");
+    EXPECT_PROBLEM("[fleet]\nservers = nan\n", "must be a whole number");
+    EXPECT_PROBLEM("fleet = 3\n", "must be a table");
+    EXPECT_PROBLEM("fault = [1]\n", "must be a list of tables");
     EXPECT_PROBLEM("[[fault]]\nat = \"1s\"\n", "fault 1.kind: is missing");
 }
 
@@ -77,7 +77,8 @@
 TEST(Scenario, RejectsFaultsWithoutValidTargetOrTime) {
     EXPECT_PROBLEM("[[fault]]\nkind = \"die\"\nat = \"1s\"\nwho = [\"s-99\"]\n",
                    "'s-99' names nobody; there are s-0 to s-11");
-    EXPECT_PROBLEM("[[fault]]\nkind = \"die\"\nat = \"1s\"\nwho = []\n", "not an empty one");
+    EXPECT_PROBLEM("[[fault]]\nkind = \"die\"\nat = \"1s\"\nwho = []\n",
+                   "must be a string or a non-empty list of strings");
     EXPECT_PROBLEM("[[fault]]\nkind = \"die\"\nat = \"99s\"\n", "is after the end");
     EXPECT_PROBLEM("[[fault]]\nkind = \"join\"\nat = \"1s\"\nwho = \"all\"\n",
                    "no server is there at the start");
