--- a/src/base/byte_budget.hpp
+++ b/src/base/byte_budget.hpp
@@ -58,8 +58,8 @@
 
 private:
     std::size_t limit_;
-    std::shared_ptr<std::size_t> used_ =
-        std::make_shared<std::size_t>(0);  // bytes granted; shared with the grants
+    // Bytes that are granted; shared with the grants.
+    std::shared_ptr<std::size_t> used_ = std::make_shared<std::size_t>(0);
 };
 
 }  // namespace elmbay
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -14,8 +14,8 @@
 
 namespace {
 
-/// MB: one terabyte. Larger values of `limits.memory_mb` limit nothing, and clamping them keeps the
-/// conversion to bytes from overflowing.
+/// Maximum of `limits.memory_mb`, in MB: one terabyte. Larger values limit nothing in practice, and clamping
+/// them keeps the conversion to bytes from overflowing.
 constexpr std::uint64_t kMaxMemoryMb = 1U << 20U;
 constexpr unsigned kBytesPerMbShift = 20;
 
--- a/src/engine/engine.hpp
+++ b/src/engine/engine.hpp
@@ -33,8 +33,7 @@
 /// Identifies one attempt.
 struct AttemptKey {
     RequestId request = 0;
-    std::uint32_t number =
-        0;  ///< index of the attempt within its request, from 0, in the order of their start
+    std::uint32_t number = 0;  ///< index of the attempt within its request, from 0, in order of start
     auto operator<=>(const AttemptKey&) const = default;
 };
 
--- a/src/schema/schema.hpp
+++ b/src/schema/schema.hpp
@@ -42,10 +42,9 @@
 
 /// One problem of a file.
 struct Problem {
-    std::uint32_t line = 0;  ///< line of the problem, from 1; 0 if the problem concerns the whole file
-    std::string
-        key;  ///< with its table, for example "state.folder"; empty if the problem concerns the whole file
-    std::string message;  ///< follows the key, for example "must be a whole number"
+    std::uint32_t line = 0;  ///< from 1; 0 if the problem concerns the whole file
+    std::string key;         ///< with its table, for example "state.folder"; empty for the whole file
+    std::string message;     ///< follows the key, for example "must be a whole number"
     ProblemReason reason = ProblemReason::other;
 };
 using Problems = std::vector<Problem>;
--- a/src/sidecar/cluster_setup.cpp
+++ b/src/sidecar/cluster_setup.cpp
@@ -10,8 +10,9 @@
 
 namespace {
 
-// Gives the cluster another seed than the balancer, whose random choices must not change when the cluster is
-// enabled. The value is "cluster" in ASCII.
+// Combined with the seed of the configuration, so that the cluster and the balancer draw different random
+// numbers and enabling the cluster does not change the choices of the balancer. The value is "cluster" in
+// ASCII.
 constexpr std::uint64_t kClusterSeedMask = 0x636c7573746572;
 
 std::optional<std::uint16_t> parse_port(const std::string& text) {
--- a/src/simulator/action_writer.cpp
+++ b/src/simulator/action_writer.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-/// Times are written with microseconds, which is what the simulator counts in.
+/// Decimals of a time in milliseconds. The simulator counts in microseconds.
 constexpr int kTimeDecimals = 3;
-/// Characters of a time; the simulator's clock needs less than half of them.
+/// Maximum length of a time in characters. Times of the simulator's clock need less than half of it.
 constexpr std::size_t kMaxTimeLength = 40;
 
 }  // namespace
@@ -50,7 +50,7 @@
 
 void ActionWriter::operator()(const Log& action) {
     begin("PRINT");
-    // The last field of a line: its text goes on to the line's end and must not hold one.
+    // The text is the last field and extends to the end of the line, so it must not contain line breaks.
     add_text("words", "");
     if (action.server) reply_ += instance_.server_name(*action.server) + " ";
     for (const char character : action.text) {
--- a/src/simulator/action_writer.hpp
+++ b/src/simulator/action_writer.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Writes the balancer's actions as lines of the simulator's wire.
+/// Writes the actions of the balancer as lines of the simulator's wire protocol.
 #pragma once
 
 #include <string>
@@ -10,12 +10,12 @@
 
 namespace elmbay::balancer::wire {
 
-/// Appends one line for each action, without its newline, and notes in the instance what the action begins or
-/// ends. A visitor of balancer::Action. Throws std::out_of_range for an action on a request or server that
-/// the instance does not hold.
+/// Appends one line for each action, without its newline, and records in the instance the attempt that the
+/// action starts or the request that it ends. A visitor of balancer::Action. Throws std::out_of_range for an
+/// action on a request or server that the instance does not contain.
 class ActionWriter {
 public:
-    /// Both must outlive this.
+    /// @param instance,reply must outlive the writer
     ActionWriter(Instance& instance, std::string& reply) : instance_(instance), reply_(reply) {}
 
     void operator()(const StartAttempt& action);
--- a/src/simulator/adapter.cpp
+++ b/src/simulator/adapter.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The process that the simulator starts: its wire on standard input and output.
+/// The adapter process that the simulator starts. Implements the wire protocol on standard input and output.
 #include <iostream>
 
 #include "simulator/host.hpp"
--- a/src/simulator/host.cpp
+++ b/src/simulator/host.cpp
@@ -13,10 +13,10 @@
 
 namespace {
 
-/// The process's exit status for input that breaks the protocol.
-constexpr int kExitWrongInput = 2;
+/// Exit code of the process for input that violates the protocol.
+constexpr int kExitInvalidInput = 2;
 
-// The words of the wire.
+// Names of enumerators in the wire protocol.
 const EnumNames<EndpointState> kStateNames{
     {"on", EndpointState::active}, {"fading", EndpointState::draining}, {"off", EndpointState::removed}};
 const EnumNames<ListKind> kListKindNames{{"INCREMENTAL", ListKind::incremental},
@@ -29,7 +29,7 @@
     {"refused_conn", Outcome::connect_failed}, {"severed", Outcome::connection_reset},
     {"recalled", Outcome::cancelled},          {"superseded", Outcome::not_sent}};
 
-// The index of a name; the number of names if it is not among them.
+// Returns the index of a name, or the number of names if the list does not contain it.
 std::uint32_t index_of(const std::vector<std::string>& names, std::string_view name) {
     return static_cast<std::uint32_t>(std::find(names.begin(), names.end(), name) - names.begin());
 }
@@ -46,8 +46,8 @@
     {"VERDICT", &Host::on_verdict},
     {"EXPIRED", &Host::on_expired},
     {"TICK_DUE", &Host::on_tick_due},
-    {"HEALTH", &Host::ignore},  // the balancer makes no health checks
-    {"MEMO", &Host::ignore},    // nor does it send messages to other instances
+    {"HEALTH", &Host::ignore_event},  // the balancer makes no health checks
+    {"MEMO", &Host::ignore_event},    // the balancer sends no messages to other instances
 }};
 
 Host::Host(std::istream& input, std::ostream& output, std::ostream& error_output)
@@ -65,9 +65,9 @@
     return "line " + std::to_string(line_number_) + ": " + std::string(kind);
 }
 
-int Host::report(const std::string& what) {
+int Host::report_error(const std::string& what) {
     error_output_ << "elmbay_simulator_adapter: " << what << '\n';
-    return kExitWrongInput;
+    return kExitInvalidInput;
 }
 
 int Host::run() {
@@ -78,9 +78,9 @@
             run_batch(mark);
         }
     } catch (const WireError& error) {
-        return report(error.what());
+        return report_error(error.what());
     } catch (const FieldError& error) {
-        return report(error.what());
+        return report_error(error.what());
     }
     return 0;
 }
@@ -93,29 +93,29 @@
         if (!next_line(line)) throw WireError(context("MARK"), WireProblem::input_ends_in_batch);
         const Message message(line, line_number_);
         if (message.kind() == "OVER_TO_YOU") break;
-        handle(message);
+        handle_message(message);
     }
     output_ << reply_ << "END frame=" << frame << '\n' << std::flush;
 }
 
-void Host::handle(const Message& message) {
+void Host::handle_message(const Message& message) {
     const std::string_view kind = message.kind();
     if (kind == "CATALOG") return on_catalog(message);
     if (kind == "START") return on_start(message);
     const auto* const route = std::find_if(kRoutes.begin(), kRoutes.end(),
                                            [kind](const EventRoute& known) { return known.kind == kind; });
-    if (route == kRoutes.end()) return note_unknown_event(message);
+    if (route == kRoutes.end()) return report_unknown_event(message);
     const auto instance = instances_.find(message.text("who"));
     if (instance == instances_.end()) message.throw_wire_error("who", WireProblem::unknown_instance);
     (this->*route->handle)(instance->second, message);
 }
 
-void Host::note_unknown_event(const Message& message) {
+void Host::report_unknown_event(const Message& message) {
     const std::string_view kind = message.kind();
-    const bool is_noted =
-        std::find(unknown_kinds_.begin(), unknown_kinds_.end(), kind) != unknown_kinds_.end();
-    if (is_noted) return;
-    unknown_kinds_.emplace_back(kind);
+    const bool is_reported =
+        std::find(reported_kinds_.begin(), reported_kinds_.end(), kind) != reported_kinds_.end();
+    if (is_reported) return;
+    reported_kinds_.emplace_back(kind);
     error_output_ << "elmbay_simulator_adapter: line " << line_number_ << ": unknown event " << kind
                   << " skipped\n";
 }
@@ -160,7 +160,7 @@
     try {
         const auto [entry, is_new] =
             instances_.try_emplace(name, name, read_deployment_settings(message), seed);
-        give(entry->second, Started{});
+        handle_event(entry->second, Started{});
     } catch (const std::invalid_argument& error) {
         write_fault(name, error.what());
     }
@@ -172,10 +172,10 @@
 
 void Host::on_peers_known(Instance& instance, const Message& message) {
     const ListKind kind = read_enum(message, "mode", kListKindNames);
-    if (kind == ListKind::failed) return give(instance, ServerList{kind, {}});
+    if (kind == ListKind::failed) return handle_event(instance, ServerList{kind, {}});
     const ServerList list = apply_catalog(instance, kind, find_catalog(message));
-    give(instance, list);
-    instance.drop_unused_servers();
+    handle_event(instance, list);
+    instance.remove_unused_servers();
 }
 
 ServerList Host::apply_catalog(Instance& instance, ListKind kind, const std::vector<CatalogEntry>& catalog) {
@@ -209,20 +209,20 @@
     const std::optional<RequestId> id = instance.add_request(std::string(message.text("rid")));
     if (!id) message.throw_wire_error("rid", WireProblem::repeated_request);
     arrived.id = *id;
-    give(instance, arrived);
+    handle_event(instance, arrived);
 }
 
 void Host::on_head_received(Instance& instance, const Message& message) {
     const std::optional<RequestId> request = instance.find_request(std::string(message.text("rid")));
     const auto attempt = static_cast<std::uint32_t>(message.integer("hop"));
-    if (!request) return;  // it has ended earlier in this batch
-    give(instance, ResponseStarted{*request, attempt});
+    if (!request) return;  // the request has ended earlier in this batch
+    handle_event(instance, ResponseStarted{*request, attempt});
 }
 
 void Host::on_expired(Instance& instance, const Message& message) {
     const std::optional<RequestId> request = instance.find_request(std::string(message.text("rid")));
-    if (!request) return;  // it has ended earlier in this batch
-    give(instance, ClientDisconnected{*request});
+    if (!request) return;  // the request has ended earlier in this batch
+    handle_event(instance, ClientDisconnected{*request});
     instance.end_request(*request);
 }
 
@@ -237,20 +237,20 @@
     if (!request) return;
     ended.id = *request;
     instance.attempt_ended(*request, ended.request_ended);
-    give(instance, ended);
-    instance.drop_finished_request(*request);
-    if (server) instance.attempt_left_server(*server);
+    handle_event(instance, ended);
+    instance.remove_finished_request(*request);
+    if (server) instance.end_attempt_at_server(*server);
 }
 
 void Host::on_tick_due(Instance& instance, const Message& message) {
-    give(instance, TimerFired{message.integer("nonce")});
+    handle_event(instance, TimerFired{message.integer("nonce")});
 }
 
-void Host::ignore(Instance& /*instance*/, const Message& /*message*/) {}
+void Host::ignore_event(Instance& /*instance*/, const Message& /*message*/) {}
 
 // ---- Actions --------------------------------------------------------------------------------------------
 
-void Host::give(Instance& instance, const Event& event) {
+void Host::handle_event(Instance& instance, const Event& event) {
     actions_.clear();
     try {
         instance.balancer().handle(now_, event, actions_);
--- a/src/simulator/instance.cpp
+++ b/src/simulator/instance.cpp
@@ -23,10 +23,10 @@
 void Instance::end_request(RequestId id) {
     const auto found = requests_.find(id);
     if (found != requests_.end()) found->second.has_ended = true;
-    drop_finished_request(id);
+    remove_finished_request(id);
 }
 
-void Instance::drop_finished_request(RequestId id) {
+void Instance::remove_finished_request(RequestId id) {
     const auto found = requests_.find(id);
     if (found == requests_.end()) return;
     const Request& request = found->second;
@@ -54,14 +54,14 @@
     for (auto& [id, server] : servers_) server.listed = false;
 }
 
-void Instance::drop_unused_servers() {
+void Instance::remove_unused_servers() {
     std::vector<ServerId> ids;
     ids.reserve(servers_.size());
     for (const auto& [id, server] : servers_) ids.push_back(id);
-    for (const ServerId id : ids) drop_unused_server(id);
+    for (const ServerId id : ids) remove_unused_server(id);
 }
 
-void Instance::drop_unused_server(ServerId id) {
+void Instance::remove_unused_server(ServerId id) {
     const auto found = servers_.find(id);
     if (found == servers_.end()) return;
     const Server& server = found->second;
@@ -76,15 +76,15 @@
 }
 
 void Instance::attempt_ended(RequestId request, bool ends_request) {
-    Request& held = requests_.at(request);
-    if (held.attempts_in_flight > 0) --held.attempts_in_flight;
-    if (ends_request) held.has_ended = true;
+    Request& ended_request = requests_.at(request);
+    if (ended_request.attempts_in_flight > 0) --ended_request.attempts_in_flight;
+    if (ends_request) ended_request.has_ended = true;
 }
 
-void Instance::attempt_left_server(ServerId id) {
+void Instance::end_attempt_at_server(ServerId id) {
     Server& server = servers_.at(id);
     if (server.attempts_in_flight > 0) --server.attempts_in_flight;
-    drop_unused_server(id);
+    remove_unused_server(id);
 }
 
 }  // namespace elmbay::balancer::wire
--- a/src/simulator/instance.hpp
+++ b/src/simulator/instance.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// One simulated sidecar: its balancer, and the names on the wire behind the integers that the balancer sees.
+/// One simulated sidecar: its balancer, and the mapping between names of the wire protocol and integers of
+/// the balancer.
 #pragma once
 
 #include <cstdint>
@@ -14,74 +15,78 @@
 
 namespace elmbay::balancer::wire {
 
-/// Holds a request's name until the request and all its attempts have ended, and a server's while it is
-/// listed or has an attempt in flight. Integers rise from 1 and are never used again, so that the balancer
-/// can't take a new request or server for an earlier one.
+/// Keeps the name of a request until the request and all its attempts have ended, and the name of a server
+/// while the server is listed or has attempts in flight. Integers increase from 1 and are never reused, so
+/// that the balancer can't confuse a new request or server with an earlier one.
 class Instance {
 public:
-    /// Throws std::invalid_argument for settings that the balancer can't use.
+    /// Throws std::invalid_argument for settings that are invalid for the balancer.
     Instance(std::string name, DeploymentSettings deployment, std::uint64_t seed);
 
-    /// The instance's name on the wire.
+    /// Returns the name of the instance in the wire protocol.
     const std::string& name() const { return name_; }
-    /// Its settings; names of zones and machine types are added as endpoint lists name them.
+    /// Returns the settings. Endpoint lists add names of zones and machine types to them.
     DeploymentSettings& deployment() { return deployment_; }
-    /// What decides for it.
+    /// Returns the balancer of the instance.
     Balancer& balancer() { return balancer_; }
 
     // ---- Requests ----
 
-    /// The id of a new request; none if the name is that of a request which is still held.
+    /// Adds a request and returns its id. Returns nothing if the instance already contains a request of that
+    /// name.
     std::optional<RequestId> add_request(const std::string& request_name);
-    /// None if no such request is held.
+    /// Returns the id of a request, or nothing if the instance does not contain it.
     std::optional<RequestId> find_request(const std::string& request_name) const;
-    /// Throws std::out_of_range for a request that is no longer held.
+    /// Returns the name of a request. Throws std::out_of_range if the instance does not contain it.
     const std::string& request_name(RequestId id) const { return requests_.at(id).name; }
-    /// The request has its final response, or its client has gone. Nothing for one that is not held.
+    /// Marks a request as ended, after its final response or the disconnect of its client. No effect if the
+    /// instance does not contain it.
     void end_request(RequestId id);
 
     // ---- Servers ----
 
-    /// The id of a server; one that is not held is added, as not listed.
+    /// Returns the id of a server. Adds the server, as not listed, if the instance does not contain it.
     ServerId add_server(const std::string& server_name);
-    /// None if no such server is held.
+    /// Returns the id of a server, or nothing if the instance does not contain it.
     std::optional<ServerId> find_server(const std::string& server_name) const;
-    /// Throws std::out_of_range for a server that is not held.
+    /// Returns the name of a server. Throws std::out_of_range if the instance does not contain it.
     const std::string& server_name(ServerId id) const { return servers_.at(id).name; }
-    /// Whether the endpoint list has the server.
+    /// Sets whether the endpoint list contains the server.
     void set_listed(ServerId id, bool listed) { servers_[id].listed = listed; }
-    /// Before a whole list is applied.
+    /// Marks all servers as not listed. To be called before a complete list is applied.
     void unlist_all_servers();
-    /// After a list has been applied.
-    void drop_unused_servers();
+    /// Removes servers that are neither listed nor in use. To be called after a list has been applied.
+    void remove_unused_servers();
 
     // ---- Attempts ----
 
-    /// Throws std::out_of_range for a request or server that is not held.
+    /// Counts one more attempt in flight. Throws std::out_of_range if the instance does not contain the
+    /// request or server.
     void attempt_started(RequestId request, ServerId server);
-    /// Counts one attempt less; the request stays held until drop_finished_request().
-    /// @param ends_request nothing more is owed to the client
+    /// Counts one attempt in flight less for a request. The request remains until remove_finished_request().
+    /// @param ends_request whether the request has ended with this attempt
     void attempt_ended(RequestId request, bool ends_request);
-    /// Lets go of a request that has ended and has no attempt in flight.
-    void drop_finished_request(RequestId id);
-    /// Counts one attempt less, and lets go of a server that is neither listed nor in use.
-    void attempt_left_server(ServerId id);
+    /// Removes a request that has ended and has no attempts in flight.
+    void remove_finished_request(RequestId id);
+    /// Counts one attempt in flight less for a server, and removes the server if it is neither listed nor in
+    /// use.
+    void end_attempt_at_server(ServerId id);
 
 private:
-    /// A request that is held.
+    /// A request and its attempts.
     struct Request {
         std::string name;
         std::uint32_t attempts_in_flight = 0;
         bool has_ended = false;
     };
-    /// A server that is held.
+    /// A server and its attempts.
     struct Server {
         std::string name;
         std::uint32_t attempts_in_flight = 0;
         bool listed = false;
     };
 
-    void drop_unused_server(ServerId id);
+    void remove_unused_server(ServerId id);
 
     std::string name_;
     DeploymentSettings deployment_;
--- a/src/simulator/message.cpp
+++ b/src/simulator/message.cpp
@@ -21,25 +21,25 @@
 std::string_view describe(WireProblem problem) {
     switch (problem) {
         case WireProblem::empty_line:
-            return "empty line";
+            return "the line is empty";
         case WireProblem::not_a_pair:
-            return "is not name=value";
+            return "does not have the form name=value";
         case WireProblem::mark_expected:
-            return "stands where MARK is due";
+            return "is not MARK, which must start a batch";
         case WireProblem::unknown_instance:
             return "names an instance that is not running";
         case WireProblem::repeated_request:
-            return "was given before";
+            return "is the id of a request that has not ended";
         case WireProblem::unknown_catalog:
-            return "is out of range";
+            return "is out of range (0 to 15)";
         case WireProblem::wrong_catalog_entry:
-            return "does not match the entries that follow";
+            return "does not match the number of entries that follow";
         case WireProblem::input_ends_in_batch:
-            return "input ends before 'OVER_TO_YOU'";
+            return "the input ends before 'OVER_TO_YOU'";
         case WireProblem::input_ends_in_catalog:
-            return "input ends within 'items'";
+            return "the input ends before all entries of 'items'";
     }
-    return "can't be used";
+    return "is invalid";
 }
 
 WireError::WireError(const std::string& context, WireProblem problem)
--- a/src/simulator/message.hpp
+++ b/src/simulator/message.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// One line of the simulator's wire, taken apart: a name, then name=value pairs.
+/// Parses one line of the simulator's wire protocol: the name of the message, then name=value pairs.
 #pragma once
 
 #include <cstddef>
@@ -12,48 +12,49 @@
 
 namespace elmbay::balancer::wire {
 
-/// What can be wrong with a line or the order of lines, beside a field that can't be read (FieldError).
+/// Problems of a line or of the order of lines. FieldError reports invalid fields.
 enum class WireProblem {
-    empty_line,             ///< a line without a message's name
-    not_a_pair,             ///< a part without '=', or with nothing before it
-    mark_expected,          ///< another message where a batch begins
+    empty_line,             ///< a line without a message name
+    not_a_pair,             ///< a word without '=', or without a name before '='
+    mark_expected,          ///< a message other than MARK at the start of a batch
     unknown_instance,       ///< an event for an instance that is not running
-    repeated_request,       ///< a request id that the instance has in hand already
-    unknown_catalog,        ///< a number of a server list beyond kMaxCatalogs
-    wrong_catalog_entry,    ///< another message among the entries of a server list
-    input_ends_in_batch,    ///< no OVER_TO_YOU
-    input_ends_in_catalog,  ///< fewer entries than the server list announces
+    repeated_request,       ///< a request id that the instance already contains
+    unknown_catalog,        ///< the number of a server list is kMaxCatalogs or more
+    wrong_catalog_entry,    ///< a message other than M among the entries of a server list
+    input_ends_in_batch,    ///< the input ends without OVER_TO_YOU
+    input_ends_in_catalog,  ///< the input ends before all announced entries of a server list
 };
 
-/// The problem in words, for an error message.
+/// Returns the text of a problem for an error message.
 std::string_view describe(WireProblem problem);
 
-/// A line that breaks the protocol. what() names line number, message and field.
+/// Reports a line that violates the protocol. what() contains the line number, the message name and the
+/// field.
 class WireError : public std::runtime_error {
 public:
-    /// @param context for example "line 9: MARK"
+    /// @param context line number and message name, for example "line 9: MARK"
     WireError(const std::string& context, WireProblem problem);
     WireError(const std::string& context, std::string_view field, WireProblem problem);
 
-    /// What is wrong with the line.
+    /// Returns the problem of the line.
     WireProblem problem() const { return problem_; }
 
 private:
     WireProblem problem_;
 };
 
-/// A message of the simulator. Refers to the text of its line, which must outlive it.
+/// A message of the simulator. Refers to the text of its line, which must outlive the message.
 class Message : public Fields {
 public:
-    /// Throws WireError.
-    /// @param line without its newline; a carriage return at its end is ignored
-    /// @param line_number from 1, for errors
+    /// Parses a line. Throws WireError.
+    /// @param line the text without its newline; a trailing carriage return is ignored
+    /// @param line_number number of the line, from 1, for error messages
     Message(std::string_view line, std::size_t line_number);
 
-    /// The message's name, for example "ACCEPT".
+    /// Returns the name of the message, for example "ACCEPT".
     std::string_view kind() const { return kind_; }
 
-    /// Throws WireError for one of this message's fields.
+    /// Throws WireError for a field of this message.
     [[noreturn]] void throw_wire_error(std::string_view field, WireProblem problem) const;
 
 private:
--- a/tests/base/socket_budget_test.cpp
+++ b/tests/base/socket_budget_test.cpp
@@ -1,4 +1,4 @@
-// SocketBudget: how descriptors are divided between clients and servers.
+// Tests how SocketBudget divides descriptors among clients and servers.
 #include <gtest/gtest.h>
 
 #include "base/sockets.hpp"
@@ -6,8 +6,8 @@
 namespace elmbay::test {
 namespace {
 
-// Clients may hold a third of the descriptors for requests. When the sidecar let more of them connect, idle
-// clients took the places of those that had requests to send.
+// Clients may use less than a third of the descriptors. With a larger allocation, idle clients used the
+// sockets of clients with requests to send.
 TEST(SocketBudget, GivesClientsLessThanAThirdOfTheSockets) {
     constexpr std::size_t kSockets = 360;
     SocketBudget budget(kSockets);
--- a/tests/config/config_test.cpp
+++ b/tests/config/config_test.cpp
@@ -29,7 +29,7 @@
     EXPECT_EQ(error_of(valid), "");
 
     Json invalid = valid;
-    invalid["listen"] = "nowhere";
+    invalid["listen"] = "no-address";
     EXPECT_NE(error_of(invalid).find("'listen'"), std::string::npos);
 
     invalid = valid;
@@ -37,11 +37,11 @@
     EXPECT_NE(error_of(invalid).find("'discovery'"), std::string::npos);
 
     invalid = valid;
-    invalid["settings"]["classes"][0]["effect"] = "odd";
+    invalid["settings"]["classes"][0]["effect"] = "unknown";
     EXPECT_NE(error_of(invalid).find("'classes.0.effect'"), std::string::npos);
 
     invalid = valid;
-    invalid["known"]["targets"][0]["state"] = "asleep";
+    invalid["known"]["targets"][0]["state"] = "unknown";
     EXPECT_NE(error_of(invalid).find("'known.targets.0.state'"), std::string::npos);
 
     EXPECT_THROW(parse_config("{"), ConfigError);
--- a/tests/schema/schema_test.cpp
+++ b/tests/schema/schema_test.cpp
@@ -44,11 +44,11 @@
 };
 
 const std::vector<Key<Sample>> kSampleKeys{
-    {"share", Unit::share, &Sample::share, "0.5", "a part", 0, 1},
-    {"count", Unit::count, &Sample::count, "7", "how many"},
-    {"enabled", Unit::flag, &Sample::enabled, "false", "whether"},
-    {"mode", Unit::word, &Sample::mode, "fast", "how", 0, 0, {"fast", "slow"}, true},
-    {"names", Unit::words, &Sample::names, "[]", "of whom"}};
+    {"share", Unit::share, &Sample::share, "0.5", "a share", 0, 1},
+    {"count", Unit::count, &Sample::count, "7", "a count"},
+    {"enabled", Unit::flag, &Sample::enabled, "false", "a flag"},
+    {"mode", Unit::word, &Sample::mode, "fast", "a mode", 0, 0, {"fast", "slow"}, true},
+    {"names", Unit::words, &Sample::names, "[]", "a list of names"}};
 
 // Reads a table and returns the reasons of its problems.
 std::vector<ProblemReason> reasons_of(const std::string& text, Sample& sample) {
--- a/tests/simulator/wire_test.cpp
+++ b/tests/simulator/wire_test.cpp
@@ -1,4 +1,4 @@
-// The codec and the host, on text as the simulator would write it.
+// Tests the message codec and the protocol loop with text in the form that the simulator writes.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -41,9 +41,9 @@
     const int status = Host(in, out, err).run();
     return {status, out.str(), err.str()};
 }
-const std::string kOpening = mark(1) + kStartLine + kCatalog + kSavedList + kEndOfBatch;
+const std::string kFirstBatch = mark(1) + kStartLine + kCatalog + kSavedList + kEndOfBatch;
 
-TEST(Host, AnswersEmptyBatchAndStopsAtEndOfInput) {
+TEST(Host, RepliesToEmptyBatchAndStopsAtEndOfInput) {
     const AdapterRun result = run(mark(1) + kEndOfBatch);
     EXPECT_EQ(result.status, 0);
     EXPECT_EQ(result.out, "END frame=1\n");
@@ -51,7 +51,7 @@
 }
 
 TEST(Host, DispatchesAcceptedRequest) {
-    const AdapterRun result = run(kOpening + mark(2, 1010) + kAccept + kEndOfBatch);
+    const AdapterRun result = run(kFirstBatch + mark(2, 1010) + kAccept + kEndOfBatch);
     EXPECT_EQ(result.status, 0) << result.err;
     EXPECT_NE(result.out.find("DISPATCH who=sidecar-3 rid=r-1 server=server_"), std::string::npos)
         << result.out;
@@ -60,45 +60,46 @@
 }
 
 TEST(Host, RetriesOnAnotherServerAfterConnectFailure) {
-    const AdapterRun first = run(kOpening + mark(2, 1010) + kAccept + kEndOfBatch);
+    const AdapterRun first = run(kFirstBatch + mark(2, 1010) + kAccept + kEndOfBatch);
     const bool sent_to_a = first.out.find("server=server_a") != std::string::npos;
     const std::string sent = sent_to_a ? "server_a" : "server_b", other = sent_to_a ? "server_b" : "server_a";
     const AdapterRun result =
-        run(kOpening + mark(2, 1010) + kAccept + kEndOfBatch + mark(3, 1020) +
+        run(kFirstBatch + mark(2, 1010) + kAccept + kEndOfBatch + mark(3, 1020) +
             "VERDICT who=sidecar-3 rid=r-1 server=" + sent +
             " duration-ms=10 rc=refused_conn hop=0 metrics=active:3,cpu:0.5\n" + kEndOfBatch);
     EXPECT_NE(result.out.find("DISPATCH who=sidecar-3 rid=r-1 server=" + other), std::string::npos)
         << result.out;
 }
 
-TEST(Host, UsesLatestCatalogWhenItsNumberIsReusedWithinABatch) {
-    const std::string second = "CATALOG ref=0 items=1\nM server=server_c rack-zone=hall-a pod=0 phase=on\n";
+TEST(Host, UsesLatestCatalogIfItsNumberIsReusedWithinBatch) {
+    const std::string second_catalog =
+        "CATALOG ref=0 items=1\nM server=server_c rack-zone=hall-a pod=0 phase=on\n";
     const AdapterRun result =
-        run(mark(1) + kStartLine + kCatalog + kSavedList + second +
+        run(mark(1) + kStartLine + kCatalog + kSavedList + second_catalog +
             "PEERS_KNOWN who=sidecar-3 ref=0 index=42 mode=FULL\n" + kAccept + kEndOfBatch);
     EXPECT_EQ(result.status, 0) << result.err;
     EXPECT_NE(result.out.find("server=server_c"), std::string::npos) << result.out;
 }
 
-TEST(Host, AcceptsSameRequestIdAfterRestartWithinABatch) {
-    const AdapterRun result = run(kOpening + mark(2) + kAccept + "POWER_OFF who=sidecar-3\n" + kStartLine +
+TEST(Host, AcceptsSameRequestIdAfterRestartWithinBatch) {
+    const AdapterRun result = run(kFirstBatch + mark(2) + kAccept + "POWER_OFF who=sidecar-3\n" + kStartLine +
                                   kSavedList + kAccept + kEndOfBatch);
     EXPECT_EQ(result.status, 0) << result.err;
 }
 
-TEST(Host, KeepsInstancesApart) {
-    std::string other = kStartLine;
-    other.replace(other.find("sidecar-3"), 9, "sidecar-9");
+TEST(Host, IsolatesInstances) {
+    std::string other_start = kStartLine;
+    other_start.replace(other_start.find("sidecar-3"), 9, "sidecar-9");
     const AdapterRun result =
-        run(mark(1) + kStartLine + other + kCatalog + kSavedList + kEndOfBatch + mark(2) +
+        run(mark(1) + kStartLine + other_start + kCatalog + kSavedList + kEndOfBatch + mark(2) +
             "ACCEPT who=sidecar-9 rid=r-9 grade=listen time-left-ms=240\n" + kEndOfBatch);
     EXPECT_EQ(result.status, 0);
-    EXPECT_EQ(result.out.find("DISPATCH"), std::string::npos) << "sidecar-9 was told no list";
+    EXPECT_EQ(result.out.find("DISPATCH"), std::string::npos) << "sidecar-9 has received no list";
 }
 
 TEST(Host, SkipsStaleEventsAndReportsUnknownKindOnce) {
     const AdapterRun result =
-        run(kOpening + mark(2) + "EXPIRED who=sidecar-3 rid=never\n" +
+        run(kFirstBatch + mark(2) + "EXPIRED who=sidecar-3 rid=never\n" +
             "VERDICT who=sidecar-3 rid=never server=server_a rc=completed hop=0 terminal=1\n" +
             "TICK_DUE who=sidecar-3 nonce=77\nHEALTH who=sidecar-3 server=server_a rc=completed\n" +
             "MEMO who=sidecar-3 src-peer=2 msg=-\nNOVELTY who=sidecar-3 x=1\nNOVELTY x=2\n" + kEndOfBatch);
@@ -107,35 +108,41 @@
     EXPECT_NE(result.err.find("NOVELTY"), std::string::npos);
 }
 
-TEST(Host, ReportsMalformedInputInOneLineThatNamesThePlace) {
-    const auto complaint = [](const std::string& text) {
+TEST(Host, ReportsMalformedInputInOneLineWithLineNumber) {
+    const auto error_output_of = [](const std::string& text) {
         const AdapterRun result = run(text);
         EXPECT_NE(result.status, 0) << text;
         EXPECT_EQ(std::count(result.err.begin(), result.err.end(), '\n'), 1) << result.err;
         return result.err;
     };
-    const auto has = [](const std::string& text, const std::string& part) {
+    const auto expect_contains = [](const std::string& text, const std::string& part) {
         EXPECT_NE(text.find(part), std::string::npos) << text;
     };
-    has(complaint(kOpening + mark(2) + "ACCEPT who=sidecar-3 rid=r-1 grade=listen\n" + kEndOfBatch),
+    expect_contains(
+        error_output_of(kFirstBatch + mark(2) + "ACCEPT who=sidecar-3 rid=r-1 grade=listen\n" + kEndOfBatch),
         "line 9: ACCEPT: field 'time-left-ms'");
-    has(complaint(kOpening + mark(2) + "ACCEPT who=sidecar-3 rid=r grade=listen time-left-ms=abc\n" +
-                  kEndOfBatch),
+    expect_contains(
+        error_output_of(kFirstBatch + mark(2) + "ACCEPT who=sidecar-3 rid=r grade=listen time-left-ms=abc\n" +
+                        kEndOfBatch),
         "'time-left-ms'");
-    has(complaint(kOpening + mark(2) + "ACCEPT who=sidecar-8 rid=r grade=listen time-left-ms=1\n" +
-                  kEndOfBatch),
-        "'who'");
-    has(complaint(mark(1) + "CATALOG ref=0 items=2\nM server=a phase=on\n" + kEndOfBatch), "'items'");
-    has(complaint(mark(1) + "CATALOG ref=16 items=0\n" + kEndOfBatch), "'ref'");
-    has(complaint(kOpening + mark(2) + kAccept), "OVER_TO_YOU");
-    has(complaint(kOpening + mark(2) + "TICK_DUE who=sidecar-3 nonce=-4\n" + kEndOfBatch), "'nonce'");
-    has(complaint(kOpening + mark(2) + "VERDICT who=sidecar-3 rid=r-1 server=server_a hop=0 rc=odd\n" +
-                  kEndOfBatch),
+    expect_contains(error_output_of(kFirstBatch + mark(2) +
+                                    "ACCEPT who=sidecar-8 rid=r grade=listen time-left-ms=1\n" + kEndOfBatch),
+                    "'who'");
+    expect_contains(error_output_of(mark(1) + "CATALOG ref=0 items=2\nM server=a phase=on\n" + kEndOfBatch),
+                    "'items'");
+    expect_contains(error_output_of(mark(1) + "CATALOG ref=16 items=0\n" + kEndOfBatch), "'ref'");
+    expect_contains(error_output_of(kFirstBatch + mark(2) + kAccept), "OVER_TO_YOU");
+    expect_contains(
+        error_output_of(kFirstBatch + mark(2) + "TICK_DUE who=sidecar-3 nonce=-4\n" + kEndOfBatch),
+        "'nonce'");
+    expect_contains(
+        error_output_of(kFirstBatch + mark(2) +
+                        "VERDICT who=sidecar-3 rid=r-1 server=server_a hop=0 rc=odd\n" + kEndOfBatch),
         "'rc'");
-    has(complaint("OVER_TO_YOU\n"), "MARK");
+    expect_contains(error_output_of("OVER_TO_YOU\n"), "MARK");
 }
 
-TEST(Codec, NamesProblemOfMalformedLine) {
+TEST(Codec, ReportsProblemOfMalformedLine) {
     const auto problem_of = [](std::string_view line) -> std::optional<WireProblem> {
         try {
             const Message message(line, 3);
@@ -152,9 +159,9 @@
 }
 
 TEST(Host, ReportsInvalidSettingsAsFault) {
-    std::string bad = kStartLine;
-    bad.replace(bad.find("rules.cold-from=0.16"), 20, "rules.cold-from=1.60");
-    const AdapterRun result = run(mark(1) + bad + kEndOfBatch);
+    std::string invalid_start = kStartLine;
+    invalid_start.replace(invalid_start.find("rules.cold-from=0.16"), 20, "rules.cold-from=1.60");
+    const AdapterRun result = run(mark(1) + invalid_start + kEndOfBatch);
     EXPECT_NE(result.out.find("FAULT who=sidecar-3 words="), std::string::npos) << result.out;
     EXPECT_NE(result.out.find("cold_from"), std::string::npos) << result.out;
 }
@@ -172,8 +179,8 @@
     EXPECT_EQ(deployment.classes[1], "deposit");
 }
 
-TEST(Host, AnswersBatchOfAMegabyte) {
-    std::string batch = kOpening + mark(2);
+TEST(Host, RepliesToBatchOfOneMegabyte) {
+    std::string batch = kFirstBatch + mark(2);
     for (int i = 0; i < 20000; ++i)
         batch += "ACCEPT who=sidecar-3 rid=long-" + std::to_string(i) + " grade=deposit time-left-ms=500\n";
     const AdapterRun result = run(batch + kEndOfBatch + mark(3, 9000) + kEndOfBatch);
