--- a/src/engine/engine.hpp
+++ b/src/engine/engine.hpp
@@ -112,7 +112,8 @@
     void on_endpoint_list(Millis now, balancer::ServerList list);
     /// Reports that a timer of the balancer has expired.
     void on_timer(Millis now, balancer::TimerToken token);
-    /// Reports the number of sidecars that share the servers (balancer::SiblingCountChanged), when it changes.
+    /// Reports the number of sidecars that share the servers (balancer::SiblingCountChanged), when it
+    /// changes.
     void on_sibling_count(Millis now, std::uint32_t count);
 
     /// @return the size of the table: requests without an outcome, and requests with attempts in flight.
--- a/src/sidecar/snapshot_conversion.hpp
+++ b/src/sidecar/snapshot_conversion.hpp
@@ -15,7 +15,7 @@
 
 /// Converts learned state to a snapshot. Omits servers that are not in the registry, or whose uid is too long
 /// for a snapshot. Takes time in proportion to the number of servers.
-/// @return a snapshot. The caller sets `taken`.
+/// @return a snapshot. The caller sets `taken_at`.
 state::Snapshot to_snapshot(std::string instance, balancer::LearnedState learned_state,
                             const EndpointRegistry& registry);
 
