--- a/src/state/command.hpp
+++ b/src/state/command.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// `state` on the command line: show, verify and prune a directory in which a sidecar keeps its snapshots.
+/// The `state` subcommand of the command line: shows, verifies and prunes a sidecar's snapshot directory.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -7,9 +7,10 @@
 
 namespace elmbay::state {
 
-/// Adds the command with its subcommands to `app`. Once parsed, `run` does what was asked for, if anything
-/// was. It gives the exit code: 0 done, 1 no whole snapshot there or it could not be done; it throws
-/// std::runtime_error for a directory that can't be read. Both arguments must outlive the parsing.
+/// Adds the `state` command and its subcommands to `app`. If the parsed command line selects one of them,
+/// `run` is set to a function that executes it and returns the exit code: 0 on success, 1 if the directory
+/// has no valid snapshot or the operation fails. That function throws std::runtime_error if the directory
+/// cannot be read. Both arguments must outlive the parsing.
 void add_command(CLI::App& app, std::function<int()>& run);
 
 }  // namespace elmbay::state
--- a/src/state/file_system.cpp
+++ b/src/state/file_system.cpp
@@ -17,12 +17,12 @@
 
 constexpr std::size_t kReadBlockBytes = 65536;
 
-// A signal interrupts a call once; a call that gives EINTR so many times in a row is broken, and says so.
+// A signal interrupts a call once. A call that returns EINTR this many times in a row is reported as failed.
 constexpr int kMaxInterrupts = 1000;
 
-// The call's result, made again while a signal interrupts it.
+// Calls `call` again while it fails with EINTR, up to kMaxInterrupts times, and returns its last result.
 template <class Call>
-auto uninterrupted(Call call) {
+auto retry_interrupted(Call call) {
     auto result = call();
     for (int i = 0; i < kMaxInterrupts && result < 0 && errno == EINTR; ++i) result = call();
     return result;
@@ -47,8 +47,8 @@
         std::string bytes;
         std::vector<char> block(kReadBlockBytes);
         while (!error && bytes.size() <= max_bytes) {
-            const std::size_t wanted = std::min(block.size(), max_bytes + 1 - bytes.size());
-            const ssize_t count = uninterrupted([&] { return ::read(file, block.data(), wanted); });
+            const std::size_t max_count = std::min(block.size(), max_bytes + 1 - bytes.size());
+            const ssize_t count = retry_interrupted([&] { return ::read(file, block.data(), max_count); });
             if (count < 0) error = last_error();
             if (count <= 0) break;
             bytes.append(block.data(), static_cast<std::size_t>(count));
@@ -60,15 +60,15 @@
         return open(path, O_WRONLY | O_CREAT | O_TRUNC, error);
     }
     std::size_t write(Handle file, std::string_view bytes, std::error_code& error) override {
-        const ssize_t count = uninterrupted([&] { return ::write(file, bytes.data(), bytes.size()); });
+        const ssize_t count = retry_interrupted([&] { return ::write(file, bytes.data(), bytes.size()); });
         error = count < 0 ? last_error() : std::error_code();
         return count < 0 ? 0 : static_cast<std::size_t>(count);
     }
     void sync(Handle file, std::error_code& error) override {
-        error = uninterrupted([&] { return ::fsync(file); }) == 0 ? std::error_code() : last_error();
+        error = retry_interrupted([&] { return ::fsync(file); }) == 0 ? std::error_code() : last_error();
     }
     void close(Handle file) override {
-        if (file >= 0) ::close(file);  // never made again: the number is free whatever it says
+        if (file >= 0) ::close(file);  // not retried: Linux frees the descriptor even if close() fails
     }
     void rename(const std::string& from, const std::string& to, std::error_code& error) override {
         std::filesystem::rename(from, to, error);
@@ -83,7 +83,7 @@
     }
     Handle lock(const std::string& path, std::error_code& error) override {
         const Handle file = open(path, O_RDWR | O_CREAT, error);
-        if (error || uninterrupted([&] { return ::flock(file, LOCK_EX | LOCK_NB); }) == 0) return file;
+        if (error || retry_interrupted([&] { return ::flock(file, LOCK_EX | LOCK_NB); }) == 0) return file;
         error = last_error();
         close(file);
         return kNoFile;
@@ -92,7 +92,7 @@
 private:
     static Handle open(const std::string& path, int flags, std::error_code& error) {
         const Handle file =
-            uninterrupted([&] { return ::open(path.c_str(), flags | O_CLOEXEC | O_NOFOLLOW, 0600); });
+            retry_interrupted([&] { return ::open(path.c_str(), flags | O_CLOEXEC | O_NOFOLLOW, 0600); });
         error = file < 0 ? last_error() : std::error_code();
         return file;
     }
--- a/src/state/log_events.hpp
+++ b/src/state/log_events.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// Log lines of the state: one event a line, `component=state event=NAME key=value ...`. Values that are
-/// words are quoted, with `"`, `\` and control characters escaped: what a file says can't make a second line.
-/// Pure functions.
+/// Formats log lines about snapshots, one event per line: `component=state event=NAME key=value ...`. Text
+/// values are quoted, and `"`, `\` and control characters are escaped, so that text from a file cannot start
+/// a second line. Nothing here performs I/O.
 #pragma once
 
 #include <chrono>
@@ -15,23 +15,26 @@
 
 namespace elmbay::state {
 
-/// A line for each thing that a load at the start passed over or failed on; none if all is well.
+/// Returns one log line for the error and for each warning of the load at the start of the process. Empty if
+/// the load had none.
 std::vector<std::string> format_load_events(const LoadResult& result, const std::string& directory);
-/// The line for a shutdown that did not wait for the last write any longer.
+/// Returns the log line for a shutdown that stopped waiting for the last write after `timeout`.
 std::string format_final_write_abandoned_event(std::chrono::milliseconds timeout);
 
-/// One line when writes begin to fail or hang, and one when they work again, whatever happens in between. One
-/// thread at a time.
+/// Reduces the writer's status to one log line when writes begin to fail or hang, and one when they succeed
+/// again. Further failures in between are not logged. Not thread-safe.
 class WriteFailureLog {
 public:
-    /// Failures that begin at the start are logged by format_load_events(): only their end is logged here.
+    /// Records the status right after SnapshotWriter::start(). format_load_events() reports a failure of the
+    /// start, so this class logs only the recovery from it.
     void record_start(const SnapshotWriter::Status& status);
-    /// The status as it is now, to be looked at between any two saves. The line to log, if any.
+    /// Compares the current status with the previous one and returns the line to log, if any. To be called at
+    /// least once between two saves.
     std::optional<std::string> observe(const SnapshotWriter::Status& status);
 
 private:
     bool failing_ = false;
-    std::uint64_t failures_before_ = 0;  // failed saves before the failures at hand
+    std::uint64_t failed_saves_when_healthy_ = 0;  // Status::failed_saves when writes last succeeded
 };
 
 }  // namespace elmbay::state
--- a/src/state/snapshot.hpp
+++ b/src/state/snapshot.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// What one instance of the sidecar has learned by one instant, with the names that outlive a process.
+/// The learned state of one sidecar instance at one instant. Servers are identified by uids, which stay valid
+/// after the process ends.
 #pragma once
 
 #include <cstddef>
@@ -11,18 +12,18 @@
 
 namespace elmbay::state {
 
-/// Of an instance's name and of a server's uid.
+/// The maximum length of an instance's name and of a server's uid, in bytes.
 constexpr std::size_t kMaxNameBytes = 255;
-/// As many as a sidecar lists.
+/// The maximum number of servers in a snapshot, equal to the maximum number that a sidecar lists.
 constexpr std::size_t kMaxServers = 4096;
 
-/// A plain value; nothing in it refers to a process or a connection.
+/// A plain value without references to a process or a connection.
 struct Snapshot {
-    std::string instance;                  ///< whose it is; 1 to kMaxNameBytes bytes
-    Timestamp taken_at;                    ///< when
+    std::string instance;                  ///< name of the sidecar instance; 1 to kMaxNameBytes bytes
+    Timestamp taken_at;                    ///< when the state was captured
     balancer::LearnedState learned_state;  ///< servers[i].server == i
-    std::vector<std::string>
-        server_uids;  ///< server_uids[i] names servers[i]; each once, 1 to kMaxNameBytes bytes
+    /// server_uids[i] identifies learned_state.servers[i]; unique, 1 to kMaxNameBytes bytes each.
+    std::vector<std::string> server_uids;
 };
 
 }  // namespace elmbay::state
--- a/src/state/snapshot_codec.hpp
+++ b/src/state/snapshot_codec.hpp
@@ -1,9 +1,10 @@
 /// @file
-/// A snapshot's form in a file. No I/O and no clock in here; every function is thread-safe.
+/// Encodes and decodes the file format of snapshots. Uses no I/O and no clock; every function is thread-safe.
 ///
-/// A file is a header and batches of records; the first batch is the whole snapshot, each later one what had
-/// changed since. A batch counts once its end record is there: a tail that was torn off, at whatever byte,
-/// leaves the snapshot as of the batch before. docs/operate/state.md states every byte.
+/// A file consists of a header and batches of records. The first batch holds the complete snapshot, each
+/// later batch the changes since the previous one. A batch is valid only with its end record: a file
+/// truncated at any byte decodes to the snapshot of its last complete batch. docs/operate/state.md specifies
+/// every byte.
 #pragma once
 
 #include <cstddef>
@@ -18,42 +19,45 @@
 
 namespace elmbay::state {
 
-/// The version that is written, and the latest that is read.
+/// The format version of files that are written, and the highest version that can be read.
 constexpr std::uint32_t kFormatVersion = 1;
-/// Far above what so many servers take: 4096 of 400 bytes, three times over.
+/// The maximum size of a file. It leaves ample space: kMaxServers servers of 400 bytes each fit three times.
 constexpr std::size_t kMaxFileBytes = 8U << 20;
-/// Of a record's body; it also bounds how deep a hostile one can be nested.
+/// The maximum size of a record's body. It also limits the nesting depth of a maliciously crafted body.
 constexpr std::size_t kMaxRecordBytes = 4U << 10;
 
-/// The header of a generation's file. A name that is longer than kMaxNameBytes is cut.
+/// Returns the header of a generation's file. An instance name longer than kMaxNameBytes is truncated.
 std::string encode_header(const Snapshot& snapshot, std::uint64_t generation);
 
-/// A batch that makes `before` into `after`; without `before`, the whole of `after`.
-/// @param next_record records are numbered through the file from 0: the first free number, moved on past the
-/// batch
+/// Returns a batch with the changes from `before` to `after`, or the complete snapshot `after` if `before` is
+/// null.
+/// @param next_record the number of the batch's first record, advanced past the batch; records are numbered
+/// through the file from 0
 std::string encode_batch(const Snapshot* before, const Snapshot& after, std::uint64_t generation,
                          std::uint64_t& next_record);
 
-/// What a file's bytes say.
+/// The result of decoding a file.
 struct DecodeResult {
-    std::error_code error;  ///< a StateError if there is no snapshot
-    std::error_code
-        dropped_tail;           ///< why the bytes behind the last whole batch don't count, if there are any
-    std::uint32_t version = 0;  ///< as the file states it; 0: it states none
-    std::uint64_t generation = 0;        ///< as the header states it
-    std::uint64_t batches = 0;           ///< whole ones
-    std::uint64_t records = 0;           ///< in whole batches
-    std::size_t used_bytes = 0;          ///< header and whole batches
-    std::size_t dropped_bytes = 0;       ///< of the tail
-    std::optional<Snapshot> snapshot{};  ///< what the whole batches add up to
+    std::error_code error;  ///< a StateError if the file has no valid snapshot
+    /// Why the bytes after the last complete batch were ignored, if there are any.
+    std::error_code dropped_tail;
+    std::uint32_t version = 0;           ///< as stated in the file; 0 if it states none
+    std::uint64_t generation = 0;        ///< as stated in the header
+    std::uint64_t batches = 0;           ///< number of complete batches
+    std::uint64_t records = 0;           ///< number of records in complete batches
+    std::size_t used_bytes = 0;          ///< size of the header and the complete batches
+    std::size_t dropped_bytes = 0;       ///< size of the ignored tail
+    std::optional<Snapshot> snapshot{};  ///< the state after applying all complete batches
 };
 
-/// Never throws for what the bytes say; std::bad_alloc only.
+/// Decodes the content of a snapshot file. Invalid content is reported in DecodeResult::error. The only
+/// exception that it throws is std::bad_alloc.
 DecodeResult decode_snapshot_file(std::string_view bytes);
 
-/// The result's error in words, with the version where that is the matter; empty without an error.
+/// Returns the result's error as text, with the version number for an unsupported version. Empty if there is
+/// no error.
 std::string describe_error(const DecodeResult& result);
-/// The dropped tail in words; empty if nothing was dropped.
+/// Returns the size of the dropped tail and the reason as text. Empty if nothing was dropped.
 std::string describe_dropped_tail(const DecodeResult& result);
 
 }  // namespace elmbay::state
--- a/src/state/snapshot_decoder.cpp
+++ b/src/state/snapshot_decoder.cpp
@@ -16,23 +16,25 @@
 using layout::RecordKind;
 using nlohmann::json;
 
-constexpr std::size_t kMaxRecords = 1000000;  // a file of the most bytes can't hold more
+constexpr std::size_t kMaxRecords = 1000000;  // more than a file of kMaxFileBytes can hold
 
-// A fuzzer can't guess checksums, and what lies behind them is what it is to reach.
-bool matches(std::uint64_t stated, std::uint64_t computed) {
+// Compares a stored checksum with the computed one. Fuzzing builds accept most mismatches, because a fuzzer
+// cannot guess checksums and would never reach the code behind them.
+bool checksum_matches(std::uint64_t stored_checksum, std::uint64_t computed_checksum) {
 #ifdef FUZZING_BUILD_MODE_UNSAFE_FOR_PRODUCTION
-    return stated == computed || stated % 8 != 0;
+    return stored_checksum == computed_checksum || stored_checksum % 8 != 0;
 #else
-    return stated == computed;
+    return stored_checksum == computed_checksum;
 #endif
 }
 
-// ---- Fields of a body. A record that passed its checksum was written by some elmbay: what is missing or of
-// another kind in it keeps its default, so that a field may be added or dropped without a new version.
+// ---- Fields of a record's body ----------------------------------------------------------------------------
+// A record with a valid checksum was written by an elmbay of some version. A field that is missing or has
+// another type gets its default value, so that fields can be added and removed without a new format version.
 
-double number_field(const json& body, const char* name, double otherwise) {
+double number_field(const json& body, const char* name, double default_value) {
     const auto field = body.find(name);
-    return field != body.end() && field->is_number() ? field->get<double>() : otherwise;
+    return field != body.end() && field->is_number() ? field->get<double>() : default_value;
 }
 
 std::uint32_t count_field(const json& body, const char* name) {
@@ -49,12 +51,12 @@
 balancer::DecayedMean mean_field(const json& body, const char* name) {
     const auto field = body.find(name);
     if (field == body.end() || !field->is_array() || field->size() != 3) return {};
-    for (const json& figure : *field)
-        if (!figure.is_number()) return {};
+    for (const json& number : *field)
+        if (!number.is_number()) return {};
     return {(*field)[0].get<double>(), (*field)[1].get<double>(), (*field)[2].get<double>()};
 }
 
-// Empty: there is none that can be used.
+// Returns the uid in a body, or an empty string if it is missing or longer than kMaxNameBytes.
 std::string uid_field(const json& body) {
     const auto field = body.find("uid");
     if (field == body.end() || !field->is_string()) return {};
@@ -62,7 +64,7 @@
     return uid.size() <= kMaxNameBytes ? uid : std::string();
 }
 
-LearnedServerState server_of(const json& body) {
+LearnedServerState decode_server(const json& body) {
     LearnedServerState server;
     server.online_since = number_field(body, "online_since", -1);
     server.outcome_bits = count_field(body, "outcomes");
@@ -72,8 +74,8 @@
     return server;
 }
 
-// Everything but the servers.
-balancer::LearnedState means_of(const json& body) {
+// Decodes all of the learned state except the servers.
+balancer::LearnedState decode_means(const json& body) {
     balancer::LearnedState means;
     means.load_ratio = mean_field(body, "crowd");
     means.concurrency_limit = number_field(body, "room", 0);
@@ -84,7 +86,7 @@
     return means;
 }
 
-Timestamp timestamp_of(const json& body) {
+Timestamp decode_timestamp(const json& body) {
     Timestamp taken{integer_field(body, "wall_ms"), integer_field(body, "since_boot_ms"), {}};
     const auto boot = body.find("boot");
     if (boot != body.end() && boot->is_binary() && boot->get_binary().size() == taken.boot_id.size())
@@ -97,8 +99,8 @@
     json body;
 };
 
-// The state that the batches so far add up to.
-class Accumulator {
+// Applies records in order and builds the resulting snapshot.
+class SnapshotBuilder {
 public:
     void apply(const Record& record) {
         switch (record.kind) {
@@ -109,18 +111,18 @@
                 servers_.erase(uid_field(record.body));
                 break;
             case RecordKind::means:
-                means_ = means_of(record.body);
+                means_ = decode_means(record.body);
                 break;
             case RecordKind::batch_end:
-                taken_ = timestamp_of(record.body);
+                taken_ = decode_timestamp(record.body);
                 break;
-        }  // any other kind: of a later program, passed over
+        }  // ignores other kinds, which later program versions may write
     }
 
     Snapshot snapshot(std::string instance) const {
         Snapshot snapshot{std::move(instance), taken_, means_, {}};
-        for (const auto& [uid, known] : servers_) {
-            snapshot.learned_state.servers.push_back(known);
+        for (const auto& [uid, server] : servers_) {
+            snapshot.learned_state.servers.push_back(server);
             snapshot.learned_state.servers.back().server =
                 static_cast<std::uint32_t>(snapshot.server_uids.size());
             snapshot.server_uids.push_back(uid);
@@ -133,7 +135,7 @@
         const std::string uid = uid_field(body);
         if (uid.empty()) return;
         if (servers_.size() >= kMaxServers && !servers_.contains(uid)) return;
-        servers_[uid] = server_of(body);
+        servers_[uid] = decode_server(body);
     }
 
     std::map<std::string, LearnedServerState> servers_;
@@ -141,7 +143,7 @@
     Timestamp taken_;
 };
 
-// Version 1. A later version gets a decoder of its own beside it; this one stays.
+// Decodes format version 1. A later version gets a separate decoder, and this one stays.
 class Version1Decoder {
 public:
     explicit Version1Decoder(std::string_view bytes) : bytes_(bytes) { result_.version = 1; }
@@ -149,16 +151,16 @@
     DecodeResult decode() {
         result_.error = decode_header();
         if (result_.error) return std::move(result_);
-        const std::error_code stopped = decode_batches();
+        const std::error_code stop_reason = decode_batches();
         if (result_.batches == 0) {
-            result_.error = stopped;
+            result_.error = stop_reason;
             return std::move(result_);
         }
         if (result_.used_bytes < bytes_.size()) {
             result_.dropped_bytes = bytes_.size() - result_.used_bytes;
-            result_.dropped_tail = stopped;
+            result_.dropped_tail = stop_reason;
         }
-        result_.snapshot = sum_.snapshot(std::move(instance_));
+        result_.snapshot = builder_.snapshot(std::move(instance_));
         return std::move(result_);
     }
 
@@ -167,12 +169,12 @@
         const auto name_length = read_number<std::uint32_t>(bytes_, layout::kNameLengthOffset);
         const auto length = read_number<std::uint32_t>(bytes_, layout::kHeaderLengthOffset);
         if (name_length == 0 || name_length > kMaxNameBytes) return StateError::truncated_header;
-        const std::size_t checked = layout::kFixedHeaderBytes + name_length;
-        if (length != checked + layout::kChecksumBytes) return StateError::truncated_header;
+        const std::size_t checked_bytes = layout::kFixedHeaderBytes + name_length;
+        if (length != checked_bytes + layout::kChecksumBytes) return StateError::truncated_header;
         if (length > bytes_.size()) return StateError::truncated_header;
         result_.generation = read_number<std::uint64_t>(bytes_, layout::kGenerationOffset);
-        const auto stated = read_number<std::uint64_t>(bytes_, checked);
-        if (!matches(stated, layout::header_checksum_of(bytes_.substr(0, checked))))
+        const auto stored_checksum = read_number<std::uint64_t>(bytes_, checked_bytes);
+        if (!checksum_matches(stored_checksum, layout::header_checksum_of(bytes_.substr(0, checked_bytes))))
             return StateError::header_checksum_mismatch;
         instance_ = bytes_.substr(layout::kFixedHeaderBytes, name_length);
         position_ = length;
@@ -180,32 +182,34 @@
         return {};
     }
 
-    // As many whole batches as there are; why it stopped, of use where bytes are left.
+    // Decodes batches until the first incomplete or invalid one. Returns why decoding stopped, which is
+    // meaningful only if bytes remain.
     std::error_code decode_batches() {
         std::vector<Record> batch;
         while (position_ < bytes_.size() && result_.records + batch.size() < kMaxRecords) {
             Record record;
             if (const std::error_code error = decode_record(result_.records + batch.size(), record))
                 return error;
-            const bool ends = record.kind == RecordKind::batch_end;
+            const bool ends_batch = record.kind == RecordKind::batch_end;
             batch.push_back(std::move(record));
-            if (ends) finish(batch);
+            if (ends_batch) apply_batch(batch);
         }
         return StateError::unfinished_batch;
     }
 
     std::error_code decode_record(std::uint64_t number, Record& record) {
-        const std::size_t left = bytes_.size() - position_;
-        if (left < layout::kRecordHeadBytes) return StateError::truncated_record_head;
+        const std::size_t remaining_bytes = bytes_.size() - position_;
+        if (remaining_bytes < layout::kRecordHeadBytes) return StateError::truncated_record_head;
         const std::string_view head = bytes_.substr(position_, layout::kRecordHeadBytes);
         const auto length = read_number<std::uint32_t>(head, 0);
-        if (length > kMaxRecordBytes || length > left - layout::kRecordHeadBytes)
+        if (length > kMaxRecordBytes || length > remaining_bytes - layout::kRecordHeadBytes)
             return StateError::truncated_record;
         const std::string_view body = bytes_.substr(position_ + layout::kRecordHeadBytes, length);
-        std::string checked(head.substr(0, layout::kRecordChecksumOffset));
-        checked += body;
-        const auto stated = read_number<std::uint64_t>(head, layout::kRecordChecksumOffset);
-        if (!matches(stated, layout::checksum_of(checked, result_.generation, number)))
+        std::string checked_bytes(head.substr(0, layout::kRecordChecksumOffset));
+        checked_bytes += body;
+        const auto stored_checksum = read_number<std::uint64_t>(head, layout::kRecordChecksumOffset);
+        if (!checksum_matches(stored_checksum,
+                              layout::checksum_of(checked_bytes, result_.generation, number)))
             return StateError::record_checksum_mismatch;
         record.body = json::from_msgpack(body.begin(), body.end(), true, false);
         if (!record.body.is_object()) return StateError::malformed_record;
@@ -215,8 +219,8 @@
         return {};
     }
 
-    void finish(std::vector<Record>& batch) {
-        for (const Record& record : batch) sum_.apply(record);
+    void apply_batch(std::vector<Record>& batch) {
+        for (const Record& record : batch) builder_.apply(record);
         result_.records += batch.size();
         batch.clear();
         ++result_.batches;
@@ -226,11 +230,11 @@
     const std::string_view bytes_;
     std::size_t position_ = 0;
     std::string instance_;
-    Accumulator sum_;
+    SnapshotBuilder builder_;
     DecodeResult result_;
 };
 
-DecodeResult refused(StateError error, std::uint32_t version = 0) {
+DecodeResult rejected(StateError error, std::uint32_t version = 0) {
     DecodeResult result;
     result.error = error;
     result.version = version;
@@ -240,26 +244,26 @@
 }  // namespace
 
 DecodeResult decode_snapshot_file(std::string_view bytes) {
-    if (bytes.size() > kMaxFileBytes) return refused(StateError::file_too_large);
+    if (bytes.size() > kMaxFileBytes) return rejected(StateError::file_too_large);
     if (bytes.size() < layout::kFixedHeaderBytes || !bytes.starts_with(layout::kMagic))
-        return refused(StateError::not_a_snapshot);
+        return rejected(StateError::not_a_snapshot);
     const auto version = read_number<std::uint32_t>(bytes, layout::kVersionOffset);
-    if (version == 0) return refused(StateError::invalid_version);
-    if (version > kFormatVersion) return refused(StateError::unsupported_version, version);
+    if (version == 0) return rejected(StateError::invalid_version);
+    if (version > kFormatVersion) return rejected(StateError::unsupported_version, version);
     return Version1Decoder(bytes).decode();
 }
 
 std::string describe_error(const DecodeResult& result) {
     if (!result.error) return {};
     if (result.error != StateError::unsupported_version) return result.error.message();
-    return "it is of version " + std::to_string(result.version) + ", this program reads up to " +
-           std::to_string(kFormatVersion);
+    return "format version " + std::to_string(result.version) +
+           " is newer than the latest supported version, " + std::to_string(kFormatVersion);
 }
 
 std::string describe_dropped_tail(const DecodeResult& result) {
     if (!result.dropped_tail) return {};
     return std::to_string(result.dropped_bytes) +
-           " bytes of a torn tail dropped: " + result.dropped_tail.message();
+           " bytes after the last complete batch dropped: " + result.dropped_tail.message();
 }
 
 }  // namespace elmbay::state
--- a/src/state/snapshot_encoder.cpp
+++ b/src/state/snapshot_encoder.cpp
@@ -14,11 +14,11 @@
 using layout::RecordKind;
 using nlohmann::json;
 
-json body_of(const balancer::DecayedMean& mean) {
+json encode_body(const balancer::DecayedMean& mean) {
     return json::array({mean.value, mean.weight, mean.last_sample_age_ms});
 }
 
-json body_of(const std::string& uid, const LearnedServerState& server) {
+json encode_body(const std::string& uid, const LearnedServerState& server) {
     json body{{"uid", uid},
               {"online_since", server.online_since},
               {"outcomes", server.outcome_bits},
@@ -28,26 +28,27 @@
     return body;
 }
 
-json body_of(const balancer::LearnedState& learned_state) {
+json encode_body(const balancer::LearnedState& learned_state) {
     return {
-        {"crowd", body_of(learned_state.load_ratio)}, {"room", learned_state.concurrency_limit},
+        {"crowd", encode_body(learned_state.load_ratio)}, {"room", learned_state.concurrency_limit},
         {"learned", learned_state.learned_limit},     {"taught_by", learned_state.learned_limit_warm_servers},
         {"carried", learned_state.completion_rate},   {"retries_left", learned_state.retries_left}};
 }
 
-json body_of(const Timestamp& taken) {
+json encode_body(const Timestamp& taken) {
     return {{"wall_ms", taken.wall_ms},
             {"since_boot_ms", taken.since_boot_ms},
             {"boot", json::binary({taken.boot_id.begin(), taken.boot_id.end()})}};
 }
 
-bool same(const LearnedServerState& a, const LearnedServerState& b) {
-    return a.online_since == b.online_since && a.outcome_bits == b.outcome_bits &&
-           a.outcome_count == b.outcome_count && a.ejection_remaining_ms == b.ejection_remaining_ms &&
-           a.slow_start_tokens == b.slow_start_tokens;
+bool is_equal(const LearnedServerState& left, const LearnedServerState& right) {
+    return left.online_since == right.online_since && left.outcome_bits == right.outcome_bits &&
+           left.outcome_count == right.outcome_count &&
+           left.ejection_remaining_ms == right.ejection_remaining_ms &&
+           left.slow_start_tokens == right.slow_start_tokens;
 }
 
-// Appends numbered records.
+// Encodes records with consecutive numbers and collects their bytes.
 class BatchEncoder {
 public:
     BatchEncoder(std::uint64_t generation, std::uint64_t& next_record)
@@ -58,14 +59,14 @@
         std::string head;
         append_number<std::uint32_t>(head, static_cast<std::uint32_t>(packed.size()));
         append_number<std::uint32_t>(head, static_cast<std::uint32_t>(kind));
-        std::string checked = head;
-        checked.append(packed.begin(), packed.end());
+        std::string checked_bytes = head;
+        checked_bytes.append(packed.begin(), packed.end());
         bytes_ += head;
-        append_number<std::uint64_t>(bytes_, layout::checksum_of(checked, generation_, next_record_));
+        append_number<std::uint64_t>(bytes_, layout::checksum_of(checked_bytes, generation_, next_record_));
         bytes_.append(packed.begin(), packed.end());
         ++next_record_;
     }
-    std::string take() { return std::move(bytes_); }
+    std::string take_bytes() { return std::move(bytes_); }
 
 private:
     const std::uint64_t generation_;
@@ -73,20 +74,20 @@
     std::string bytes_;
 };
 
-// Servers that are new or have changed, then those that are gone.
+// Appends records of new and changed servers, then of removed ones.
 void append_servers(BatchEncoder& batch, const Snapshot* before, const Snapshot& after) {
-    std::map<std::string_view, const LearnedServerState*> known_before;
+    std::map<std::string_view, const LearnedServerState*> previous_servers;
     if (before)
         for (std::size_t i = 0; i < before->server_uids.size(); ++i)
-            known_before[before->server_uids[i]] = &before->learned_state.servers[i];
+            previous_servers[before->server_uids[i]] = &before->learned_state.servers[i];
     for (std::size_t i = 0; i < after.server_uids.size(); ++i) {
-        const LearnedServerState& known = after.learned_state.servers[i];
-        const auto earlier = known_before.find(after.server_uids[i]);
-        const bool changed = earlier == known_before.end() || !same(*earlier->second, known);
-        if (earlier != known_before.end()) known_before.erase(earlier);
-        if (changed) batch.append(RecordKind::server, body_of(after.server_uids[i], known));
+        const LearnedServerState& server = after.learned_state.servers[i];
+        const auto previous = previous_servers.find(after.server_uids[i]);
+        const bool changed = previous == previous_servers.end() || !is_equal(*previous->second, server);
+        if (previous != previous_servers.end()) previous_servers.erase(previous);
+        if (changed) batch.append(RecordKind::server, encode_body(after.server_uids[i], server));
     }
-    for (const auto& [uid, learned_state] : known_before)
+    for (const auto& [uid, server] : previous_servers)
         batch.append(RecordKind::server_removed, {{"uid", std::string(uid)}});
 }
 
@@ -112,10 +113,10 @@
                          std::uint64_t& next_record) {
     BatchEncoder batch(generation, next_record);
     append_servers(batch, before, after);
-    const json means = body_of(after.learned_state);
-    if (!before || means != body_of(before->learned_state)) batch.append(RecordKind::means, means);
-    batch.append(RecordKind::batch_end, body_of(after.taken_at));
-    return batch.take();
+    const json means = encode_body(after.learned_state);
+    if (!before || means != encode_body(before->learned_state)) batch.append(RecordKind::means, means);
+    batch.append(RecordKind::batch_end, encode_body(after.taken_at));
+    return batch.take_bytes();
 }
 
 }  // namespace elmbay::state
--- a/src/state/snapshot_store.hpp
+++ b/src/state/snapshot_store.hpp
@@ -1,10 +1,11 @@
 /// @file
-/// Snapshots of one instance in one directory, whole or not at all.
+/// Stores snapshots of one sidecar instance in one directory. A load returns a complete snapshot or none.
 ///
-/// A generation is a file of its own, written beside, synced, renamed into place, and the directory synced.
-/// Changes are appended to it as batches and synced; after any error nothing more is appended, the next save
-/// begins a new generation. The newest two are kept, so there is a whole one at every moment.
-/// docs/design/state.md has a table of what holds when which call fails.
+/// Each generation is a separate file. It is written under a temporary name, synced and renamed, and then the
+/// directory is synced. Later changes are appended to the file as batches and synced. After any error nothing
+/// is appended any more, and the next save begins a new generation. The newest two generations are kept, so
+/// that a complete snapshot exists at any time. docs/design/state.md has a table of the guarantees that
+/// remain after each kind of failed call.
 #pragma once
 
 #include <cstddef>
@@ -19,61 +20,64 @@
 
 namespace elmbay::state {
 
-/// A file of the directory that is named as a generation.
+/// A file whose name is that of a generation, and its decoded content.
 struct GenerationFile {
     std::string name;              ///< without the directory
-    std::uint64_t generation = 0;  ///< as the name says
-    std::size_t size = 0;          ///< bytes; of a file that is too long only that it is
-    std::error_code read_error;    ///< of the system: the content is not known
-    DecodeResult content;  ///< what it says; a StateError::generation_mismatch if the header says otherwise
+    std::uint64_t generation = 0;  ///< as stated in the name
+    std::size_t size = 0;          ///< in bytes; above kMaxFileBytes it only means that the file is too long
+    std::error_code read_error;    ///< a system error; `content` is unset then
+    /// The error is StateError::generation_mismatch if the header states another generation than the name.
+    DecodeResult content;
 };
 
-/// What is in a directory.
+/// The generations in a directory.
 struct GenerationList {
-    std::vector<GenerationFile> files;  ///< the newest first
-    std::error_code error;              ///< of the directory itself: files may be missing
+    std::vector<GenerationFile> files;  ///< newest first
+    std::error_code error;              ///< the directory could not be listed; `files` may be incomplete
 };
 
-/// Takes no lock; reads every generation whole.
+/// Reads and decodes every generation in a directory. Takes no lock.
 GenerationList list_generations(FileSystem& file_system, const std::string& directory);
 
-/// Why something in the directory was not used as it stands.
-struct LoadNote {
-    std::string file;        ///< empty: the directory itself
-    std::error_code error;   ///< of the system, or a StateError
-    std::string text;        ///< the error in words, with what goes with it
-    bool tail_only = false;  ///< the file was used, but for a torn tail
+/// Reports a file that a load skipped or used in part, or an error of the directory.
+struct LoadWarning {
+    std::string file;                ///< name without the directory; empty for the directory itself
+    std::error_code error;           ///< a system error or a StateError
+    std::string text;                ///< the error as text, with details
+    bool only_tail_dropped = false;  ///< the file was used except for an incomplete or invalid tail
 };
 
-/// What a load found.
+/// The result of a load.
 struct LoadResult {
-    std::optional<Snapshot> snapshot;  ///< the newest whole one of this instance
-    std::vector<LoadNote> notes;       ///< what was passed over or dropped, the newest first
-    std::error_code error;             ///< the directory could not be used at all
+    std::optional<Snapshot> snapshot;   ///< the newest valid one of this instance
+    std::vector<LoadWarning> warnings;  ///< skipped and partly used files, newest first
+    std::error_code error;              ///< the load failed as a whole
 };
 
-/// What prune() did.
+/// The result of prune().
 struct PruneResult {
-    std::vector<std::string> removed;  ///< names of files
-    std::error_code error;             ///< the last one, if anything failed
+    std::vector<std::string> removed;  ///< names of the removed files
+    std::error_code error;             ///< the last error, if any operation failed
 };
 
-/// Whether a save writes when nothing but the time has changed.
+/// Whether a save writes to the file when only the timestamp has changed.
 enum class SaveMode { if_changed, always };
 
-/// Blocks for as long as the disk does: not for an event loop (see SnapshotWriter). One thread at a time.
+/// Reads and writes the snapshots of one instance. Calls block until the disk completes the operation, so
+/// they must not run on an event loop (see SnapshotWriter). Not thread-safe.
 class SnapshotStore {
 public:
-    /// Generations that stay in the directory.
+    /// The number of valid generations that prune() keeps.
     static constexpr int kKeptGenerations = 2;
-    /// A generation is begun anew once its changes have this many times the bytes of its first batch ...
-    static constexpr std::size_t kMaxChangesRatio = 8;
-    /// ... and these bytes at least: a reader goes through little, and a small snapshot is not rewritten all
-    /// the time.
-    static constexpr std::size_t kMinChangesBytes = 32U << 10;
+    /// A save begins a new generation once the change batches of the current one are longer than this
+    /// multiple of its first batch and longer than kMinRewriteBytes. This limits what a load has to read.
+    static constexpr std::size_t kRewriteRatio = 8;
+    /// The minimum size of change batches, in bytes, that makes a save begin a new generation. It prevents
+    /// frequent rewrites of small snapshots.
+    static constexpr std::size_t kMinRewriteBytes = 32U << 10;
 
     /// @param file_system must outlive the store
-    /// @param instance whose snapshots are loaded
+    /// @param instance the name of the sidecar instance; load() skips snapshots of other instances
     SnapshotStore(FileSystem& file_system, std::string directory, std::string instance);
     ~SnapshotStore();
     SnapshotStore(const SnapshotStore&) = delete;
@@ -81,34 +85,39 @@
     SnapshotStore(SnapshotStore&&) = delete;
     SnapshotStore& operator=(SnapshotStore&&) = delete;
 
-    /// Makes the directory and takes its lock; nothing if it is open. After an error neither load() nor
-    /// save() does anything, and it may be tried again. StateError::directory_in_use: another process has it.
+    /// Creates the directory and takes its lock. Does nothing if the store is open already. After an error
+    /// the store is not open, and the call may be repeated.
+    /// @return StateError::directory_in_use if another process holds the lock, or a system error
     std::error_code open();
 
-    /// StateError::store_not_open before open().
+    /// Loads the newest valid snapshot of this instance. LoadResult::error is StateError::store_not_open
+    /// before open().
     LoadResult load();
 
-    /// Success: what was saved survives a crash from now on. StateError::store_not_open before open();
-    /// errc::invalid_argument for more than kMaxServers or an instance's name of 0 or more than kMaxNameBytes
-    /// bytes; else what the system says, and the next save writes the whole snapshot again.
+    /// Saves a snapshot. After success it survives a crash. After a system error the next save writes the
+    /// complete snapshot to a new generation.
+    /// @return StateError::store_not_open before open(); errc::invalid_argument if the snapshot has more than
+    /// kMaxServers servers, or an instance name that is empty or longer than kMaxNameBytes; or a system error
     std::error_code save(const Snapshot& snapshot, SaveMode mode = SaveMode::if_changed);
 
-    /// Since the store was made.
+    /// Returns the number of bytes written since the store was constructed.
     std::uint64_t bytes_written() const { return bytes_written_; }
-    /// Of the last save that ended well; 0: none.
+    /// Returns the generation of the last successful save, or 0 if there was none.
     std::uint64_t generation() const { return generation_; }
 
-    /// Removes what no load would choose: damaged ones, all but the newest kKeptGenerations, parts of writes
-    /// that were cut off. Never a newer version's, never what is not named as a generation.
+    /// Removes files that no load would use: invalid generations, valid ones older than the newest
+    /// kKeptGenerations, and temporary files of interrupted writes. Keeps files of a newer format version,
+    /// files that cannot be read, and files that are not named as a generation. PruneResult::error is
     /// StateError::store_not_open before open().
     PruneResult prune();
 
 private:
     std::string path(const std::string& name) const { return directory_ + "/" + name; }
-    void load_from(GenerationFile& file, LoadResult& result) const;
-    std::error_code find_newest();
+    void load_generation(GenerationFile& file, LoadResult& result) const;
+    std::error_code find_newest_generation();
     std::error_code begin_generation(const Snapshot& snapshot);
-    std::error_code write_file(FileSystem::Handle& file, const std::string& name, std::string_view bytes);
+    std::error_code write_generation_file(FileSystem::Handle& file, const std::string& name,
+                                          std::string_view bytes);
     std::error_code write_all(FileSystem::Handle file, std::string_view bytes);
     std::error_code append(const Snapshot& snapshot);
     void close_generation();
@@ -117,19 +126,19 @@
     FileSystem& file_system_;
     const std::string directory_;
     const std::string instance_;
-    FileSystem::Handle lock_ = FileSystem::kNoFile;
+    FileSystem::Handle lock_file_ = FileSystem::kNoFile;
     std::uint64_t bytes_written_ = 0;
 
-    std::uint64_t newest_ = 0;      // generation that is or was in the directory
-    bool newest_is_known_ = false;  // newest_ is of the whole directory
+    std::uint64_t newest_generation_ = 0;      // highest number seen in the directory or written
+    bool newest_generation_is_known_ = false;  // newest_generation_ is based on a complete list
 
-    // The generation that is appended to; without a file the next save begins one.
-    FileSystem::Handle file_ = FileSystem::kNoFile;
+    // The generation to which changes are appended. Without an open file the next save begins a new one.
+    FileSystem::Handle generation_file_ = FileSystem::kNoFile;
     std::uint64_t generation_ = 0;
     std::uint64_t next_record_ = 0;
-    std::size_t first_batch_bytes_ = 0;  // with the header
-    std::size_t changes_bytes_ = 0;      // of all later batches
-    std::optional<Snapshot> saved_;      // what the file adds up to
+    std::size_t first_batch_bytes_ = 0;   // including the header
+    std::size_t change_bytes_ = 0;        // of all later batches
+    std::optional<Snapshot> last_saved_;  // the snapshot that the file holds
 };
 
 }  // namespace elmbay::state
--- a/src/state/snapshot_writer.cpp
+++ b/src/state/snapshot_writer.cpp
@@ -15,19 +15,21 @@
 
 namespace {
 
-using Steady = std::chrono::steady_clock;
+using SteadyClock = std::chrono::steady_clock;
 
-// Signals are the event loop's. A write beyond RLIMIT_FSIZE sends one to the thread that writes, which would
-// end the process: with it blocked the write fails with EFBIG, an error like any other.
+// Blocks all signals on the writer thread, because the event loop handles them. A write beyond RLIMIT_FSIZE
+// sends SIGXFSZ to the writing thread, which would end the process. With the signal blocked the write fails
+// with EFBIG like any other failed write.
 void block_signals() {
     sigset_t all;
     ::sigfillset(&all);
     ::pthread_sigmask(SIG_BLOCK, &all, nullptr);
 }
 
-// What a call gives, an exception turned into the error that it stands for: no reason to end the program.
+// Calls `call` and returns its error. Converts an exception to an error code, because an exception that
+// leaves the thread's function would end the process.
 template <class Call>
-std::error_code error_of(Call call) {
+std::error_code catch_exceptions(Call call) {
     try {
         return call();
     } catch (const std::bad_alloc&) {
@@ -39,8 +41,8 @@
 
 LoadResult open_and_load(SnapshotStore& store) {
     LoadResult result;
-    const std::error_code error = error_of([&]() -> std::error_code {
-        if (const std::error_code opened = store.open()) return opened;
+    const std::error_code error = catch_exceptions([&]() -> std::error_code {
+        if (const std::error_code open_error = store.open()) return open_error;
         result = store.load();
         return result.error;
     });
@@ -48,10 +50,10 @@
     return result;
 }
 
-// The directory is opened first where that has failed before.
+// Saves a snapshot. Opens the directory first if an earlier attempt to open it failed.
 std::error_code open_and_save(SnapshotStore& store, const Snapshot& snapshot, SaveMode mode) {
-    return error_of([&]() -> std::error_code {
-        if (const std::error_code opened = store.open()) return opened;
+    return catch_exceptions([&]() -> std::error_code {
+        if (const std::error_code open_error = store.open()) return open_error;
         return store.save(snapshot, mode);
     });
 }
@@ -64,13 +66,13 @@
     const std::string instance;
     std::mutex mutex;
     std::condition_variable changed;
-    // Under the mutex:
-    std::optional<LoadResult> loaded;
-    std::optional<Snapshot> next;
+    // Guarded by the mutex:
+    std::optional<LoadResult> load_result;
+    std::optional<Snapshot> pending;
     bool stopping = false;
     bool saving = false;
-    bool finished = false;  // the thread has let go of the directory, and touches no file any more
-    Steady::time_point save_began{};
+    bool finished = false;  // the thread has unlocked the directory and accesses no file any more
+    SteadyClock::time_point save_started_at{};
     Status status{};
 };
 
@@ -81,16 +83,16 @@
 
 LoadResult SnapshotWriter::start(std::chrono::milliseconds timeout) {
     try {
-        std::thread(run, shared_).detach();
-    } catch (const std::system_error&) {  // the system, or a limit, has no thread left
+        std::thread(run_thread, shared_).detach();
+    } catch (const std::system_error&) {  // thread limit reached or out of resources
         const std::scoped_lock lock(shared_->mutex);
         shared_->stopping = true;
         shared_->finished = true;
         return {{}, {}, StateError::no_writer_thread};
     }
     std::unique_lock lock(shared_->mutex);
-    const auto has_loaded = [&] { return shared_->loaded.has_value(); };
-    if (shared_->changed.wait_for(lock, timeout, has_loaded)) return std::move(*shared_->loaded);
+    const auto has_loaded = [&] { return shared_->load_result.has_value(); };
+    if (shared_->changed.wait_for(lock, timeout, has_loaded)) return std::move(*shared_->load_result);
     shared_->stopping = true;
     return {{}, {}, StateError::load_timed_out};
 }
@@ -98,8 +100,8 @@
 void SnapshotWriter::post(Snapshot snapshot) {
     const std::scoped_lock lock(shared_->mutex);
     if (!shared_->status.accepting || shared_->stopping) return;
-    if (shared_->next) ++shared_->status.superseded;
-    shared_->next = std::move(snapshot);
+    if (shared_->pending) ++shared_->status.superseded;
+    shared_->pending = std::move(snapshot);
     shared_->changed.notify_all();
 }
 
@@ -113,14 +115,14 @@
 SnapshotWriter::Status SnapshotWriter::status() const {
     const std::scoped_lock lock(shared_->mutex);
     Status status = shared_->status;
-    status.hanging = shared_->saving && Steady::now() - shared_->save_began >= kHangThreshold;
+    status.hanging = shared_->saving && SteadyClock::now() - shared_->save_started_at >= kHangThreshold;
     return status;
 }
 
-void SnapshotWriter::run(const std::shared_ptr<Shared>& shared) {
+void SnapshotWriter::run_thread(const std::shared_ptr<Shared>& shared) {
     block_signals();
-    // Owned by this thread, and destroyed before `finished` is set: the caller of stop() may then remove the
-    // files, and another process may open the directory.
+    // The store is owned by this thread and destroyed before `finished` is set. From then on the caller of
+    // stop() may remove the files, and another process may open the directory.
     std::optional<SnapshotStore> store(std::in_place, shared->file_system, shared->directory,
                                        shared->instance);
     LoadResult loaded = open_and_load(*store);
@@ -128,33 +130,34 @@
         const std::scoped_lock lock(shared->mutex);
         shared->status.accepting = !shared->stopping;
         shared->status.last_error = loaded.error;
-        shared->loaded = std::move(loaded);
+        shared->load_result = std::move(loaded);
         shared->changed.notify_all();
     }
-    serve(*shared, *store);
+    save_posted_snapshots(*shared, *store);
     store.reset();
     const std::scoped_lock lock(shared->mutex);
     shared->finished = true;
     shared->changed.notify_all();
 }
 
-void SnapshotWriter::serve(Shared& shared, SnapshotStore& store) {
-    Steady::time_point refreshed = Steady::now();
+void SnapshotWriter::save_posted_snapshots(Shared& shared, SnapshotStore& store) {
+    SteadyClock::time_point last_refresh = SteadyClock::now();
     std::unique_lock lock(shared.mutex);
     while (true) {
-        shared.changed.wait(lock, [&] { return shared.next || shared.stopping; });
-        if (!shared.next) break;
-        const Snapshot snapshot = *std::exchange(shared.next, std::nullopt);
+        shared.changed.wait(lock, [&] { return shared.pending || shared.stopping; });
+        if (!shared.pending) break;
+        const Snapshot snapshot = *std::exchange(shared.pending, std::nullopt);
         shared.saving = true;
-        shared.save_began = Steady::now();
-        const bool refresh = shared.save_began - refreshed >= kRefreshInterval || shared.stopping;
+        shared.save_started_at = SteadyClock::now();
+        const bool needs_refresh =
+            shared.save_started_at - last_refresh >= kRefreshInterval || shared.stopping;
         lock.unlock();
         const std::error_code error =
-            open_and_save(store, snapshot, refresh ? SaveMode::always : SaveMode::if_changed);
+            open_and_save(store, snapshot, needs_refresh ? SaveMode::always : SaveMode::if_changed);
         lock.lock();
         shared.saving = false;
         ++(error ? shared.status.failed_saves : shared.status.saves);
-        if (!error && refresh) refreshed = shared.save_began;
+        if (!error && needs_refresh) last_refresh = shared.save_started_at;
         shared.status.last_error = error;
         shared.status.bytes_written = store.bytes_written();
     }
--- a/src/state/snapshot_writer.hpp
+++ b/src/state/snapshot_writer.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A snapshot store on a thread of its own, so that no request ever waits for a disk.
+/// Runs a SnapshotStore on a separate thread, so that no request waits for the disk.
 #pragma once
 
 #include <chrono>
@@ -12,61 +12,63 @@
 
 namespace elmbay::state {
 
-/// One snapshot waits at most: a newer one takes its place. A disk that does not answer is noticed by the
-/// time that the save at hand has taken; start() and stop() wait for it within their limits and then go
-/// without.
+/// Loads and saves snapshots on its own thread. At most one snapshot is pending; a newer one replaces it. A
+/// hanging disk shows as the duration of the current save (Status::hanging). start() and stop() wait for the
+/// disk at most until their timeouts.
 ///
-/// Every function but the constructor and the destructor may be called by any thread; none throws but
-/// std::bad_alloc.
+/// All functions except the constructor and the destructor are thread-safe. The only exception that any of
+/// them throws is std::bad_alloc.
 class SnapshotWriter {
 public:
-    /// A start waits this long for a disk, and then knows nothing.
+    /// The default timeout of start(). The sidecar then starts without a snapshot.
     static constexpr std::chrono::milliseconds kLoadTimeout{1000};
-    /// A save that takes longer hangs: status() says so.
+    /// A save that takes at least this long is reported as hanging by status().
     static constexpr std::chrono::milliseconds kHangThreshold{10000};
-    /// An unchanged snapshot is written this often all the same, so that its age says how long it has been
-    /// true.
+    /// An unchanged snapshot is written again after this interval, so that its timestamp shows until when it
+    /// was valid.
     static constexpr std::chrono::milliseconds kRefreshInterval{60000};
 
-    /// @param file_system must live until stop() was true, or as long as the process: a disk that hangs keeps
-    /// the thread
+    /// @param file_system must outlive the writer thread: until stop() has returned true, or else until the
+    /// process ends, as a hanging disk blocks the thread
     SnapshotWriter(FileSystem& file_system, std::string directory, std::string instance);
-    /// As stop(0).
+    /// Calls stop() with a timeout of 0.
     ~SnapshotWriter();
     SnapshotWriter(const SnapshotWriter&) = delete;
     SnapshotWriter& operator=(const SnapshotWriter&) = delete;
     SnapshotWriter(SnapshotWriter&&) = delete;
     SnapshotWriter& operator=(SnapshotWriter&&) = delete;
 
-    /// Begins the thread, opens the directory and loads; once. With an error other than the two below each
-    /// save tries to open again. StateError::load_timed_out, StateError::no_writer_thread: nothing is ever
-    /// written.
+    /// Starts the thread, opens the directory and loads the newest snapshot. To be called once. After
+    /// StateError::load_timed_out and StateError::no_writer_thread nothing is ever written. After any other
+    /// error each save tries to open the directory again.
     LoadResult start(std::chrono::milliseconds timeout = kLoadTimeout);
-    /// To be saved next; nothing after stop(). Never blocks on the disk.
+    /// Makes `snapshot` the pending one, to be saved next. Does nothing before start() has loaded and after
+    /// stop(). Never blocks on the disk.
     void post(Snapshot snapshot);
-    /// Lets the last snapshot be written and the directory go. True: no file is touched any more, and another
-    /// may open the directory. False: that was not so within the timeout, and may or may not be one day.
+    /// Waits until the pending snapshot is saved and the directory is unlocked. May be called again.
+    /// @return true if the thread accesses no file any more, so that another process may open the directory;
+    /// false if the timeout passed first, in which case the save may still complete later or never
     bool stop(std::chrono::milliseconds timeout);
 
-    /// Counts since the start.
+    /// The state of the writer and its counters since start().
     struct Status {
-        bool accepting = false;           ///< started, and not stopped
-        bool hanging = false;             ///< the save at hand has taken kHangThreshold
-        std::uint64_t saves = 0;          ///< that ended well, those that had nothing to write with them
-        std::uint64_t failed_saves = 0;   ///< that ended with an error
+        bool accepting = false;           ///< post() takes snapshots: loaded and not stopped
+        bool hanging = false;             ///< the current save has taken at least kHangThreshold
+        std::uint64_t saves = 0;          ///< successful saves, including those with nothing to write
+        std::uint64_t failed_saves = 0;   ///< saves that ended with an error
         std::uint64_t superseded = 0;     ///< snapshots replaced by a newer one before their save began
         std::uint64_t bytes_written = 0;  ///< to files
-        std::error_code
-            last_error;  ///< of the last save, before the first of the start; clear if it went well
+        /// The error of the last save, or of start() before the first save. Clear after success.
+        std::error_code last_error;
     };
-    /// The counts so far, and whether the disk hangs.
+    /// Returns the current status.
     Status status() const;
 
 private:
     struct Shared;
-    static void run(const std::shared_ptr<Shared>& shared);
-    static void serve(Shared& shared, SnapshotStore& store);
-    std::shared_ptr<Shared> shared_;  // with the thread, which a disk may hold on to for longer than we live
+    static void run_thread(const std::shared_ptr<Shared>& shared);
+    static void save_posted_snapshots(Shared& shared, SnapshotStore& store);
+    std::shared_ptr<Shared> shared_;  // with the thread, which may outlive this object on a hanging disk
 };
 
 }  // namespace elmbay::state
--- a/src/state/state_error.cpp
+++ b/src/state/state_error.cpp
@@ -12,48 +12,48 @@
     std::string message(int value) const override {
         switch (static_cast<StateError>(value)) {
             case StateError::file_too_large:
-                return "it is larger than a state can be";
+                return "the file exceeds the size limit of a snapshot";
             case StateError::not_a_snapshot:
-                return "it is no state of an elmbay";
+                return "the file is not an elmbay snapshot";
             case StateError::invalid_version:
-                return "its version can't be";
+                return "format version 0 is not valid";
             case StateError::unsupported_version:
-                return "it is of a newer version";
+                return "the format version is newer than the latest supported version";
             case StateError::truncated_header:
-                return "its header is not whole";
+                return "the header is incomplete";
             case StateError::header_checksum_mismatch:
-                return "its header does not match its checksum";
+                return "the header does not match its checksum";
             case StateError::truncated_record_head:
-                return "a record's head is cut off";
+                return "a record head is truncated";
             case StateError::truncated_record:
-                return "a record is cut off";
+                return "a record body is truncated or exceeds the size limit";
             case StateError::record_checksum_mismatch:
                 return "a record does not match its checksum";
             case StateError::malformed_record:
-                return "a record can't be read";
+                return "a record body is not a MessagePack map";
             case StateError::unfinished_batch:
-                return "a batch has no end";
+                return "a batch has no end record";
             case StateError::generation_mismatch:
-                return "it was written under another name";
+                return "the generation in the file name differs from the one in the header";
             case StateError::instance_mismatch:
-                return "it is of another instance";
+                return "the snapshot belongs to another instance";
             case StateError::store_not_open:
-                return "the store is not open";
+                return "the snapshot store is not open";
             case StateError::directory_in_use:
-                return "another process keeps its state in this folder";
+                return "another process holds the lock of this directory";
             case StateError::load_timed_out:
-                return "the disk has not answered in time";
+                return "the load from disk timed out";
             case StateError::no_writer_thread:
-                return "no thread for the writer";
+                return "the writer thread could not be created";
             case StateError::write_hanging:
-                return "the disk hangs";
+                return "a write to disk has exceeded its time limit";
             case StateError::unexpected_exception:
                 return "unexpected exception";
         }
         return "unknown error";
     }
     std::error_condition default_error_condition(int value) const noexcept override {
-        // What flock(2) says of a lock that another process holds.
+        // flock(2) reports the same condition if another process holds the lock.
         if (static_cast<StateError>(value) == StateError::directory_in_use)
             return std::make_error_condition(std::errc::resource_unavailable_try_again);
         return {value, *this};
--- a/src/state/timestamp.cpp
+++ b/src/state/timestamp.cpp
@@ -13,7 +13,7 @@
 
 using BootId = std::array<std::uint8_t, 16>;
 
-/// A boot whose id is not known.
+// The value of BootId if the id of the boot is unknown.
 constexpr BootId kUnknownBoot{};
 
 BootId read_boot_id() {
@@ -23,7 +23,7 @@
     try {
         const auto id = boost::uuids::string_generator()(text);
         std::copy(id.begin(), id.end(), boot.begin());
-    } catch (const std::exception&) {  // the id is not known: age_of() then uses the wall clock
+    } catch (const std::exception&) {  // without an id age_of() uses the wall clock
         return {};
     }
     return boot;
@@ -36,24 +36,26 @@
     using std::chrono::milliseconds;
     using std::chrono::system_clock;
     static const BootId kBoot = read_boot_id();
-    timespec up{};
-    ::clock_gettime(CLOCK_BOOTTIME, &up);
+    timespec uptime{};
+    ::clock_gettime(CLOCK_BOOTTIME, &uptime);
     const std::int64_t wall_ms = duration_cast<milliseconds>(system_clock::now().time_since_epoch()).count();
-    const std::int64_t since_boot_ms = static_cast<std::int64_t>(up.tv_sec) * 1000 + up.tv_nsec / 1000000;
+    const std::int64_t since_boot_ms =
+        static_cast<std::int64_t>(uptime.tv_sec) * 1000 + uptime.tv_nsec / 1000000;
     return {wall_ms, since_boot_ms, kBoot};
 }
 
-double age_of(const Timestamp& then, const Timestamp& now) {
-    // In doubles: the difference of two hostile integers must not overflow.
-    const bool same_boot = then.boot_id == now.boot_id && then.boot_id != kUnknownBoot;
-    const double age = same_boot
-                           ? static_cast<double>(now.since_boot_ms) - static_cast<double>(then.since_boot_ms)
-                           : static_cast<double>(now.wall_ms) - static_cast<double>(then.wall_ms);
-    // The machine has been up for so long since the other boot: a wall clock that tells less was set back.
+double age_of(const Timestamp& taken_at, const Timestamp& now) {
+    // Subtracts in floating point, because the difference of two arbitrary integers from a file may overflow.
+    const bool same_boot = taken_at.boot_id == now.boot_id && taken_at.boot_id != kUnknownBoot;
+    const double age_ms =
+        same_boot ? static_cast<double>(now.since_boot_ms) - static_cast<double>(taken_at.since_boot_ms)
+                  : static_cast<double>(now.wall_ms) - static_cast<double>(taken_at.wall_ms);
+    // A snapshot of a previous boot is at least as old as the current uptime. A wall clock that shows less
+    // was set back.
     const bool other_boot =
-        then.boot_id != now.boot_id && then.boot_id != kUnknownBoot && now.boot_id != kUnknownBoot;
-    const double least = other_boot ? static_cast<double>(now.since_boot_ms) : 0;
-    return age >= std::max(0.0, least) ? age : -1;
+        taken_at.boot_id != now.boot_id && taken_at.boot_id != kUnknownBoot && now.boot_id != kUnknownBoot;
+    const double min_age_ms = other_boot ? static_cast<double>(now.since_boot_ms) : 0;
+    return age_ms >= std::max(0.0, min_age_ms) ? age_ms : -1;
 }
 
 }  // namespace elmbay::state
--- a/src/state/timestamp.hpp
+++ b/src/state/timestamp.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// When a snapshot was taken, on two clocks, and how old it is.
+/// The time at which a snapshot was taken, on two clocks, and the age of a snapshot.
 #pragma once
 
 #include <array>
@@ -7,23 +7,25 @@
 
 namespace elmbay::state {
 
-/// One instant on the wall clock and on the clock that counts since boot. The time since boot is never set
-/// back but says nothing to another boot; the wall clock survives a reboot but may be stepped.
+/// One instant on the wall clock and on the boot-time clock (CLOCK_BOOTTIME). The time since boot never steps
+/// back, but it is comparable only within one boot. The wall clock is comparable across reboots, but it may
+/// be stepped.
 struct Timestamp {
     std::int64_t wall_ms = 0;                ///< Unix time, ms
     std::int64_t since_boot_ms = 0;          ///< CLOCK_BOOTTIME, ms
-    std::array<std::uint8_t, 16> boot_id{};  ///< the boot's id; all zero: not known
+    std::array<std::uint8_t, 16> boot_id{};  ///< identifies the boot; all zero if unknown
     bool operator==(const Timestamp&) const = default;
 };
 
-/// Now, by this machine's clocks. Thread-safe.
+/// Returns the current time on both clocks of this host. Thread-safe.
 Timestamp current_timestamp();
 
-/// Milliseconds from then to now: by the time since boot where the boot is the same, else by the wall clock.
-/// Less than 0: not known, as the wall clock was set back in between: it tells less than nothing, or less
-/// than the machine has been up since another boot. A step that shows in neither counts in full: forward it
-/// makes the state older, which is believed less; back, younger by no more than the time that the machine was
-/// off.
-double age_of(const Timestamp& then, const Timestamp& now);
+/// Returns the milliseconds from `taken_at` to `now`: the difference of the times since boot if both are of
+/// the same boot, else the difference on the wall clock. Returns a negative value if the age is unknown,
+/// because the wall clock was set back in between: the age by the wall clock is negative, or less than the
+/// uptime since a different boot. A smaller step of the wall clock cannot be detected and changes the age by
+/// its full size. A step forward makes the state older, which reduces its weight. A step back makes it
+/// younger by at most the time during which the machine was off.
+double age_of(const Timestamp& taken_at, const Timestamp& now);
 
 }  // namespace elmbay::state
--- a/tests/state/load_text.hpp
+++ b/tests/state/load_result_text.hpp
@@ -1,4 +1,4 @@
-// What a load had to say, for comparisons and for the messages of tests.
+// Formats load results for comparisons and for failure messages of tests.
 #pragma once
 
 #include <string>
@@ -7,10 +7,10 @@
 
 namespace elmbay::state::test {
 
-// The error, and the notes, apart by "; "; empty: all is well.
-inline std::string text_of(const LoadResult& loaded) {
+// Returns the error and the warnings, separated by "; ". Empty if there are none.
+inline std::string describe_load(const LoadResult& loaded) {
     std::string text = loaded.error ? loaded.error.message() : "";
-    for (const LoadNote& note : loaded.notes)
+    for (const LoadWarning& note : loaded.warnings)
         text += (text.empty() ? "" : "; ") + note.file + ": " + note.text;
     return text;
 }
--- a/tests/state/old_snapshot_test.cpp
+++ b/tests/state/old_snapshot_test.cpp
@@ -1,27 +1,27 @@
-// A snapshot file that an earlier release wrote is still read, field by field.
+// Tests that a snapshot file of an earlier release still decodes, field by field.
 //
-// data/689f46a/ was written by the store of commit 689f46a: three saves of five servers in one generation,
-// the second of which had gone by the third save.
+// Commit 689f46a wrote data/689f46a/ with three saves of five servers in one generation. The third save no
+// longer contained the second server.
 #include <gtest/gtest.h>
 
 #include <filesystem>
 
-#include "load_text.hpp"
+#include "load_result_text.hpp"
 #include "state/snapshot_store.hpp"
 
 namespace elmbay::state {
 namespace {
 
 TEST(OldSnapshot, LoadsSnapshotWrittenByCommit689f46a) {
-    const std::filesystem::path written = std::filesystem::path(STATE_TEST_DATA) / "689f46a";
-    std::string folder = (std::filesystem::temp_directory_path() / "elmbay-old-XXXXXX").string();
-    ASSERT_NE(::mkdtemp(folder.data()), nullptr);
-    std::filesystem::copy(written, folder, std::filesystem::copy_options::recursive);
+    const std::filesystem::path fixture = std::filesystem::path(STATE_TEST_DATA) / "689f46a";
+    std::string directory = (std::filesystem::temp_directory_path() / "elmbay-old-XXXXXX").string();
+    ASSERT_NE(::mkdtemp(directory.data()), nullptr);
+    std::filesystem::copy(fixture, directory, std::filesystem::copy_options::recursive);
     {
-        SnapshotStore store(posix_file_system(), folder, "n-1");
+        SnapshotStore store(posix_file_system(), directory, "n-1");
         ASSERT_FALSE(store.open());
         const LoadResult loaded = store.load();
-        EXPECT_EQ(test::text_of(loaded), "");
+        EXPECT_EQ(test::describe_load(loaded), "");
         ASSERT_TRUE(loaded.snapshot);
         const Snapshot& snapshot = *loaded.snapshot;
         EXPECT_EQ(snapshot.instance, "n-1");
@@ -49,10 +49,10 @@
             EXPECT_EQ(server.slow_start_tokens, 0.5);
             EXPECT_EQ(server.ejection_remaining_ms, number == 4 ? std::optional<double>(2503) : std::nullopt);
         }
-        ASSERT_FALSE(store.save(snapshot)) << "and the next generation goes beside it";
+        ASSERT_FALSE(store.save(snapshot)) << "the next generation is written to the same directory";
         EXPECT_EQ(store.generation(), 2U);
     }
-    std::filesystem::remove_all(folder);
+    std::filesystem::remove_all(directory);
 }
 
 }  // namespace
--- a/tests/state/samples.hpp
+++ b/tests/state/samples.hpp
@@ -1,4 +1,5 @@
-// States to store: all fields of one follow from its round, so that a mix of two rounds shows.
+// Sample snapshots. All fields of a sample follow from its round number, so that a mix of two rounds is
+// detected.
 #pragma once
 
 #include <string>
@@ -7,7 +8,7 @@
 
 namespace elmbay::state::test {
 
-inline Snapshot sample(int round, int servers = 6, const std::string& instance = "n-1") {
+inline Snapshot make_snapshot(int round, int servers = 6, const std::string& instance = "n-1") {
     Snapshot snapshot;
     snapshot.instance = instance;
     snapshot.taken_at = {1700000000000 + round, 5000 + round, {1, 2, 3}};
@@ -26,12 +27,16 @@
     return snapshot;
 }
 
-// The round whose whole state it is; -1: a mix, or not a state of ours.
+// Returns the round of a snapshot, or -1 if it is a mix of rounds or not a sample.
 inline int round_of(const Snapshot& snapshot) {
     const int round = static_cast<int>(snapshot.learned_state.concurrency_limit);
-    const Snapshot whole = sample(round, static_cast<int>(snapshot.server_uids.size()), snapshot.instance);
-    std::uint64_t next = 0, other = 0;
-    return encode_batch(nullptr, snapshot, 1, next) == encode_batch(nullptr, whole, 1, other) ? round : -1;
+    const Snapshot expected =
+        make_snapshot(round, static_cast<int>(snapshot.server_uids.size()), snapshot.instance);
+    std::uint64_t next_record = 0, expected_next_record = 0;
+    return encode_batch(nullptr, snapshot, 1, next_record) ==
+                   encode_batch(nullptr, expected, 1, expected_next_record)
+               ? round
+               : -1;
 }
 
 }  // namespace elmbay::state::test
--- a/tests/state/snapshot_test.cpp
+++ b/tests/state/snapshot_test.cpp
@@ -1,4 +1,5 @@
-// The file's form: what goes in comes out, and what is damaged is refused or whole.
+// Tests the codec of snapshot files: encoded snapshots decode unchanged, and damaged files are rejected or
+// decode to a complete earlier snapshot. Also tests the age of snapshots.
 #include <gtest/gtest.h>
 
 #include <limits>
@@ -10,95 +11,109 @@
 namespace elmbay::state {
 namespace {
 
+using test::make_snapshot;
 using test::round_of;
-using test::sample;
 
-// Rounds 1 to 3 in one file: a whole batch and two of changes. ends[i]: where round i + 1 is complete.
-std::string three_rounds(std::vector<std::size_t>* ends = nullptr) {
-    std::uint64_t next = 0;
-    std::string bytes = encode_header(sample(1), 7) + encode_batch(nullptr, sample(1), 7, next);
-    if (ends) ends->push_back(bytes.size());
+// Encodes rounds 1 to 3 in one file: a complete batch and two change batches. Appends to `batch_ends` the
+// size of the file up to the end of each round.
+std::string three_rounds(std::vector<std::size_t>* batch_ends = nullptr) {
+    std::uint64_t next_record = 0;
+    std::string bytes =
+        encode_header(make_snapshot(1), 7) + encode_batch(nullptr, make_snapshot(1), 7, next_record);
+    if (batch_ends) batch_ends->push_back(bytes.size());
     for (int round = 2; round <= 3; ++round) {
-        const Snapshot before = sample(round - 1);
-        bytes += encode_batch(&before, sample(round), 7, next);
-        if (ends) ends->push_back(bytes.size());
+        const Snapshot before = make_snapshot(round - 1);
+        bytes += encode_batch(&before, make_snapshot(round), 7, next_record);
+        if (batch_ends) batch_ends->push_back(bytes.size());
     }
     return bytes;
 }
 
-TEST(StateFile, DecodesWhatWasEncoded) {
+TEST(SnapshotCodec, DecodesEncodedSnapshot) {
     const DecodeResult result = decode_snapshot_file(three_rounds());
     ASSERT_TRUE(result.snapshot);
     EXPECT_EQ(round_of(*result.snapshot), 3);
     EXPECT_EQ(result.snapshot->instance, "n-1");
-    EXPECT_EQ(result.snapshot->taken_at, sample(3).taken_at);
+    EXPECT_EQ(result.snapshot->taken_at, make_snapshot(3).taken_at);
     EXPECT_EQ(result.generation, 7U);
     EXPECT_EQ(result.batches, 3U);
     EXPECT_FALSE(result.dropped_tail);
 }
 
-TEST(StateFile, EncodesAddedAndRemovedServersAsChanges) {
-    std::uint64_t next = 0;
-    const Snapshot six = sample(1, 6), four = sample(1, 4), eight = sample(1, 8);
-    std::string bytes = encode_header(six, 1) + encode_batch(nullptr, six, 1, next);
-    const std::size_t whole = bytes.size();
-    bytes += encode_batch(&six, four, 1, next);
-    EXPECT_LT(bytes.size() - whole, whole / 2) << "two names and a time";
+TEST(SnapshotCodec, EncodesAddedAndRemovedServersAsChanges) {
+    std::uint64_t next_record = 0;
+    const Snapshot six_servers = make_snapshot(1, 6), four_servers = make_snapshot(1, 4),
+                   eight_servers = make_snapshot(1, 8);
+    std::string bytes = encode_header(six_servers, 1) + encode_batch(nullptr, six_servers, 1, next_record);
+    const std::size_t complete = bytes.size();
+    bytes += encode_batch(&six_servers, four_servers, 1, next_record);
+    EXPECT_LT(bytes.size() - complete, complete / 2) << "only two removed servers and the timestamp";
     EXPECT_EQ(decode_snapshot_file(bytes).snapshot->server_uids.size(), 4U);
-    bytes += encode_batch(&four, eight, 1, next);
+    bytes += encode_batch(&four_servers, eight_servers, 1, next_record);
     EXPECT_EQ(decode_snapshot_file(bytes).snapshot->server_uids.size(), 8U);
     EXPECT_EQ(round_of(*decode_snapshot_file(bytes).snapshot), 1);
 }
 
-TEST(StateFile, IsRejectedOrDecodesEarlierBatchWhenTruncatedAtAnyByte) {
-    std::vector<std::size_t> ends;
-    const std::string bytes = three_rounds(&ends);
-    for (std::size_t cut = 0; cut < bytes.size(); ++cut) {
-        const DecodeResult result = decode_snapshot_file(std::string_view(bytes).substr(0, cut));
-        const int whole = (cut >= ends[0]) + (cut >= ends[1]) + (cut >= ends[2]);
-        if (whole == 0) {
-            ASSERT_TRUE(result.error) << cut;
-            ASSERT_NE(result.error, StateError::unsupported_version) << cut;
-            ASSERT_FALSE(result.snapshot) << cut;
+TEST(SnapshotCodec, RejectsFileOrDecodesEarlierBatchWhenTruncatedAtAnyByte) {
+    std::vector<std::size_t> batch_ends;
+    const std::string bytes = three_rounds(&batch_ends);
+    for (std::size_t length = 0; length < bytes.size(); ++length) {
+        const DecodeResult result = decode_snapshot_file(std::string_view(bytes).substr(0, length));
+        const int complete =
+            (length >= batch_ends[0]) + (length >= batch_ends[1]) + (length >= batch_ends[2]);
+        if (complete == 0) {
+            ASSERT_TRUE(result.error) << length;
+            ASSERT_NE(result.error, StateError::unsupported_version) << length;
+            ASSERT_FALSE(result.snapshot) << length;
         } else {
-            ASSERT_TRUE(result.snapshot) << cut;
-            ASSERT_EQ(round_of(*result.snapshot), whole) << cut;
-            ASSERT_EQ(!result.dropped_tail, cut == ends[static_cast<std::size_t>(whole) - 1]) << cut;
+            ASSERT_TRUE(result.snapshot) << length;
+            ASSERT_EQ(round_of(*result.snapshot), complete) << length;
+            ASSERT_EQ(!result.dropped_tail, length == batch_ends[static_cast<std::size_t>(complete) - 1])
+                << length;
         }
     }
 }
 
-TEST(StateFile, IsRejectedOrDecodesEarlierBatchWithAnyBitFlipped) {
+TEST(SnapshotCodec, RejectsFileOrDecodesEarlierBatchWithAnyBitFlipped) {
     const std::string bytes = three_rounds();
-    std::size_t refused = 0, earlier = 0;
+    std::size_t rejected = 0, decoded_earlier = 0;
     for (std::size_t bit = 0; bit < bytes.size() * 8; ++bit) {
         std::string flipped = bytes;
         flipped[bit / 8] = static_cast<char>(flipped[bit / 8] ^ 1 << bit % 8);
         const DecodeResult result = decode_snapshot_file(flipped);
         if (!result.snapshot) {
-            ++refused;
+            ++rejected;
             continue;
         }
         const int round = round_of(*result.snapshot);
         ASSERT_TRUE(round == 1 || round == 2) << "bit " << bit << " gave round " << round;
-        ++earlier;
+        ++decoded_earlier;
     }
-    EXPECT_GT(refused, 1000U);
-    EXPECT_GT(earlier, 1000U);
+    EXPECT_GT(rejected, 1000U);
+    EXPECT_GT(decoded_earlier, 1000U);
 }
 
-TEST(StateFile, RejectsRecordsOfAnotherGenerationOrPosition) {
-    std::uint64_t next = 0, from_start = 0;
-    const Snapshot one = sample(1), two = sample(2);
-    const std::string base = encode_header(one, 7) + encode_batch(nullptr, one, 7, next);
-    std::uint64_t as_is = next;
-    EXPECT_EQ(round_of(*decode_snapshot_file(base + encode_batch(&one, two, 7, as_is)).snapshot), 2);
-    as_is = next;
-    EXPECT_EQ(round_of(*decode_snapshot_file(base + encode_batch(&one, two, 8, as_is)).snapshot), 1);
-    EXPECT_EQ(round_of(*decode_snapshot_file(base + encode_batch(&one, two, 7, from_start)).snapshot), 1);
+TEST(SnapshotCodec, RejectsRecordsOfAnotherGenerationOrPosition) {
+    std::uint64_t next_record = 0, restarted_record = 0;
+    const Snapshot first = make_snapshot(1), second = make_snapshot(2);
+    const std::string first_batch = encode_header(first, 7) + encode_batch(nullptr, first, 7, next_record);
+    std::uint64_t continued_record = next_record;
+    EXPECT_EQ(
+        round_of(
+            *decode_snapshot_file(first_batch + encode_batch(&first, second, 7, continued_record)).snapshot),
+        2);
+    continued_record = next_record;
+    EXPECT_EQ(
+        round_of(
+            *decode_snapshot_file(first_batch + encode_batch(&first, second, 8, continued_record)).snapshot),
+        1);
+    EXPECT_EQ(
+        round_of(
+            *decode_snapshot_file(first_batch + encode_batch(&first, second, 7, restarted_record)).snapshot),
+        1);
 }
 
-TEST(StateFile, DistinguishesNewerVersionFromInvalidFiles) {
+TEST(SnapshotCodec, DistinguishesNewerVersionFromInvalidFiles) {
     std::string bytes = three_rounds();
     bytes[8] = 2;
     EXPECT_EQ(decode_snapshot_file(bytes).error, StateError::unsupported_version);
@@ -110,25 +125,27 @@
     EXPECT_EQ(decode_snapshot_file(std::string(kMaxFileBytes + 1, 'E')).error, StateError::file_too_large);
 }
 
-TEST(StateFile, RejectsRandomBytesAfterValidHeader) {
+TEST(SnapshotCodec, RejectsRandomBytesAfterValidHeader) {
     std::mt19937_64 random(20261201);
-    const std::string header = encode_header(sample(1), 7);
+    const std::string header = encode_header(make_snapshot(1), 7);
     for (int i = 0; i < 2000; ++i) {
         std::string bytes = header;
-        for (std::size_t n = random() % 400; n > 0; --n) bytes += static_cast<char>(random());
+        for (std::size_t count = random() % 400; count > 0; --count) bytes += static_cast<char>(random());
         EXPECT_FALSE(decode_snapshot_file(bytes).snapshot);
     }
 }
 
-TEST(StateAge, UsesTimeSinceBootElseWallClock) {
-    const Timestamp then{1000000, 5000, {1}};
-    EXPECT_EQ(age_of(then, {900000, 7000, {1}}), 2000) << "the wall clock was set back; the boot's was not";
-    EXPECT_EQ(age_of(then, {1060000, 10, {2}}), 60000) << "another boot";
-    EXPECT_LT(age_of(then, {900000, 10, {2}}), 0) << "another boot, and a file from the future";
-    EXPECT_EQ(age_of({1000, 5000, {}}, {4000, 9000, {}}), 3000) << "no boot is known to be the same";
-    constexpr auto kLeast = std::numeric_limits<std::int64_t>::min();
-    constexpr auto kMost = std::numeric_limits<std::int64_t>::max();
-    EXPECT_GT(age_of({kLeast, kLeast, {1}}, {kMost, kMost, {1}}), 1e18);
+TEST(SnapshotAge, UsesTimeSinceBootElseWallClock) {
+    const Timestamp taken_at{1000000, 5000, {1}};
+    EXPECT_EQ(age_of(taken_at, {900000, 7000, {1}}), 2000)
+        << "the same boot: the time since boot counts, although the wall clock was set back";
+    EXPECT_EQ(age_of(taken_at, {1060000, 10, {2}}), 60000) << "another boot: the wall clock counts";
+    EXPECT_LT(age_of(taken_at, {900000, 10, {2}}), 0) << "another boot, and a timestamp in the future";
+    EXPECT_EQ(age_of({1000, 5000, {}}, {4000, 9000, {}}), 3000)
+        << "both boots are unknown: the wall clock counts";
+    constexpr auto kMin = std::numeric_limits<std::int64_t>::min();
+    constexpr auto kMax = std::numeric_limits<std::int64_t>::max();
+    EXPECT_GT(age_of({kMin, kMin, {1}}, {kMax, kMax, {1}}), 1e18);
 }
 
 }  // namespace
--- a/tests/state/snapshot_writer_test.cpp
+++ b/tests/state/snapshot_writer_test.cpp
@@ -1,4 +1,4 @@
-// The thread round the store: nothing waits for a disk longer than it says.
+// Tests that SnapshotWriter does not block its callers on a hanging disk longer than their timeouts.
 #include "state/snapshot_writer.hpp"
 
 #include <gtest/gtest.h>
@@ -8,112 +8,113 @@
 #include <thread>
 
 #include "faulty_file_system.hpp"
-#include "load_text.hpp"
+#include "load_result_text.hpp"
 #include "samples.hpp"
 
 namespace elmbay::state {
 namespace {
 
 using test::FaultyFileSystem;
+using test::make_snapshot;
 using test::round_of;
-using test::sample;
 
-constexpr std::chrono::milliseconds kGenerous{20000}, kBrief{20};
+constexpr std::chrono::milliseconds kLongTimeout{20000}, kShortTimeout{20};
 
-// A disk whose syncs, or whose lock, do not come back until they are let go.
+// A file system whose sync() or lock() blocks until the test releases it.
 class HangingFileSystem : public FaultyFileSystem {
 public:
     void sync(Handle file, std::error_code& error) override {
-        wait(syncs_hang);
+        block_while(hang_syncs);
         FaultyFileSystem::sync(file, error);
     }
     Handle lock(const std::string& path, std::error_code& error) override {
-        wait(lock_hangs);
+        block_while(hang_lock);
         return FaultyFileSystem::lock(path, error);
     }
-    void hang(bool& what, bool yes) {
+    void set_hanging(bool& target, bool hanging) {
         const std::scoped_lock guard(mutex_);
-        what = yes;
+        target = hanging;
         changed_.notify_all();
     }
-    void await_waiting() {
+    void wait_for_blocked_call() {
         std::unique_lock guard(mutex_);
-        changed_.wait(guard, [&] { return waiting_ > 0; });
+        changed_.wait(guard, [&] { return blocked_calls_ > 0; });
     }
-    bool syncs_hang = false, lock_hangs = false;
+    bool hang_syncs = false, hang_lock = false;
 
 private:
-    void wait(const bool& hangs) {
+    void block_while(const bool& condition) {
         std::unique_lock guard(mutex_);
-        ++waiting_;
+        ++blocked_calls_;
         changed_.notify_all();
-        changed_.wait(guard, [&] { return !hangs; });
-        --waiting_;
+        changed_.wait(guard, [&] { return !condition; });
+        --blocked_calls_;
     }
     std::mutex mutex_;
     std::condition_variable changed_;
-    int waiting_ = 0;
+    int blocked_calls_ = 0;
 };
 
 TEST(SnapshotWriter, WritesLastSnapshotBeforeStop) {
     FaultyFileSystem files;
     {
         SnapshotWriter writer(files, "state", "n-1");
-        EXPECT_FALSE(writer.start(kGenerous).snapshot);
-        for (int round = 1; round <= 50; ++round) writer.post(sample(round));
-        EXPECT_TRUE(writer.stop(kGenerous));
+        EXPECT_FALSE(writer.start(kLongTimeout).snapshot);
+        for (int round = 1; round <= 50; ++round) writer.post(make_snapshot(round));
+        EXPECT_TRUE(writer.stop(kLongTimeout));
         const auto status = writer.status();
         EXPECT_EQ(status.saves + status.superseded, 50U);
         EXPECT_GE(status.saves, 1U);
-        writer.post(sample(99));
+        writer.post(make_snapshot(99));
     }
     files.locked.clear();
-    SnapshotWriter next(files, "state", "n-1");
-    const auto loaded = next.start(kGenerous);
-    ASSERT_TRUE(loaded.snapshot) << test::text_of(loaded);
+    SnapshotWriter second(files, "state", "n-1");
+    const auto loaded = second.start(kLongTimeout);
+    ASSERT_TRUE(loaded.snapshot) << test::describe_load(loaded);
     EXPECT_EQ(round_of(*loaded.snapshot), 50);
-    EXPECT_TRUE(next.stop(kGenerous));
+    EXPECT_TRUE(second.stop(kLongTimeout));
 }
 
 TEST(SnapshotWriter, PostDoesNotBlockOnHangingDisk) {
     HangingFileSystem files;
     SnapshotWriter writer(files, "state", "n-1");
-    writer.start(kGenerous);
-    files.hang(files.syncs_hang, true);
-    writer.post(sample(1));
-    files.await_waiting();
-    for (int round = 2; round <= 1000; ++round) writer.post(sample(round));  // comes back at once, each time
-    EXPECT_EQ(writer.status().superseded, 998U) << "one waits, whatever comes";
-    EXPECT_FALSE(writer.stop(kBrief));
-    files.hang(files.syncs_hang, false);
-    EXPECT_TRUE(writer.stop(kGenerous));
-    EXPECT_EQ(writer.status().saves, 2U) << "the one that hung, and the last";
+    writer.start(kLongTimeout);
+    files.set_hanging(files.hang_syncs, true);
+    writer.post(make_snapshot(1));
+    files.wait_for_blocked_call();
+    for (int round = 2; round <= 1000; ++round)
+        writer.post(make_snapshot(round));  // none of the calls blocks
+    EXPECT_EQ(writer.status().superseded, 998U) << "at most one snapshot is pending";
+    EXPECT_FALSE(writer.stop(kShortTimeout));
+    files.set_hanging(files.hang_syncs, false);
+    EXPECT_TRUE(writer.stop(kLongTimeout));
+    EXPECT_EQ(writer.status().saves, 2U) << "the save that hung, and the last one";
 }
 
 TEST(SnapshotWriter, StartTimesOutOnHangingDisk) {
     HangingFileSystem files;
-    files.lock_hangs = true;
+    files.hang_lock = true;
     SnapshotWriter writer(files, "state", "n-1");
-    const auto loaded = writer.start(kBrief);
+    const auto loaded = writer.start(kShortTimeout);
     EXPECT_FALSE(loaded.snapshot);
     EXPECT_EQ(loaded.error, StateError::load_timed_out);
-    writer.post(sample(1));
-    files.hang(files.lock_hangs, false);
-    EXPECT_TRUE(writer.stop(kGenerous));
+    writer.post(make_snapshot(1));
+    files.set_hanging(files.hang_lock, false);
+    EXPECT_TRUE(writer.stop(kLongTimeout));
     EXPECT_TRUE(files.paths().empty());
 }
 
-TEST(SnapshotWriter, ReportsFailureAndTriesNextSave) {
+TEST(SnapshotWriter, ReportsFailureAndContinuesWithNextSave) {
     FaultyFileSystem files;
     SnapshotWriter writer(files, "state", "n-1");
-    writer.start(kGenerous);
-    files.at = 0;
-    files.fault = FaultyFileSystem::Fault::full;
-    writer.post(sample(1));
+    writer.start(kLongTimeout);
+    files.first_fault = 0;
+    files.fault = FaultyFileSystem::Fault::disk_full;
+    writer.post(make_snapshot(1));
     while (writer.status().failed_saves == 0) std::this_thread::yield();
     EXPECT_TRUE(writer.status().last_error);
-    writer.post(sample(2));
-    EXPECT_TRUE(writer.stop(kGenerous));
+    writer.post(make_snapshot(2));
+    EXPECT_TRUE(writer.stop(kLongTimeout));
     EXPECT_EQ(writer.status().saves, 1U);
     EXPECT_FALSE(writer.status().last_error);
 }
@@ -121,12 +122,12 @@
 TEST(SnapshotWriter, ReportsDirectoryInUseAndWritesNothing) {
     FaultyFileSystem files;
     SnapshotWriter first(files, "state", "n-1"), second(files, "state", "n-1");
-    first.start(kGenerous);
-    EXPECT_EQ(second.start(kGenerous).error, StateError::directory_in_use);
-    second.post(sample(1));
-    EXPECT_TRUE(second.stop(kGenerous));
+    first.start(kLongTimeout);
+    EXPECT_EQ(second.start(kLongTimeout).error, StateError::directory_in_use);
+    second.post(make_snapshot(1));
+    EXPECT_TRUE(second.stop(kLongTimeout));
     EXPECT_EQ(second.status().saves, 0U);
-    EXPECT_TRUE(first.stop(kGenerous));
+    EXPECT_TRUE(first.stop(kLongTimeout));
 }
 
 }  // namespace
--- a/tests/state/system_calls.hpp
+++ b/tests/state/system_calls.hpp
@@ -1,22 +1,22 @@
-// System calls of this test program that fail as they are told to. The program's own definitions of the calls
-// take the place of the C library's; as long as nothing is planned they only pass on. For one plan at a time.
+// Fault injection for the system calls of this test program. The program's own definitions of these functions
+// replace those of the C library. Without a fault plan they only forward. One plan is active at a time.
 #pragma once
 
 #include <string>
 
 namespace elmbay::state::test {
 
-struct CallPlan {
+struct FaultPlan {
     std::string call;  // open, read, write, fsync, flock, rename, remove, mkdir, readdir, pthread_create
-    int error = 0;     // errno; 0: reads and writes are short, one byte each
-    long after = 0;    // calls of this name that go well first
-    long times = 1;    // calls that go wrong then
+    int error = 0;     // errno of the faulted calls; 0: reads and writes transfer one byte only
+    long successes_before = 0;  // number of calls that succeed before the first faulted one
+    long fault_count = 1;       // number of consecutive calls that are faulted
 };
 
-// From now on, until the next plan or no_plan().
-void plan_calls(CallPlan plan);
-void no_plan();
-// How many calls have gone wrong since plan_calls().
+// Activates a plan until the next inject_faults() or clear_faults().
+void inject_faults(FaultPlan plan);
+void clear_faults();
+// Returns the number of calls faulted since the last inject_faults() or clear_faults().
 long faulted_calls();
 
 }  // namespace elmbay::state::test
--- a/tests/state/system_calls_test.cpp
+++ b/tests/state/system_calls_test.cpp
@@ -1,5 +1,6 @@
-// The store on the machine's own files, each system call failing in turn: what it says is kept is kept, a
-// call that a signal has interrupted is made again, and it keeps again once the calls work.
+// Tests SnapshotStore and SnapshotWriter on real files while each system call fails in turn. Every snapshot
+// whose save succeeded can be loaded, calls interrupted by a signal are retried, and saves succeed again once
+// the calls do.
 #include "system_calls.hpp"
 
 #include <gtest/gtest.h>
@@ -19,129 +20,131 @@
 namespace elmbay::state {
 namespace {
 
+using test::clear_faults;
 using test::faulted_calls;
-using test::no_plan;
-using test::plan_calls;
+using test::inject_faults;
+using test::make_snapshot;
 using test::round_of;
-using test::sample;
 
 constexpr int kRounds = 8;
 
-class SystemCalls : public ::testing::Test {
+class SnapshotStoreSystemCalls : public ::testing::Test {
 protected:
-    void SetUp() override { ASSERT_NE(::mkdtemp(folder.data()), nullptr); }
+    void SetUp() override { ASSERT_NE(::mkdtemp(directory.data()), nullptr); }
     void TearDown() override {
-        no_plan();
-        std::filesystem::remove_all(folder);
+        clear_faults();
+        std::filesystem::remove_all(directory);
     }
-    // kRounds saves from `first` on, the folder opened again where that failed. How many were kept; `last`:
-    // the last.
-    int saves(int first, int& last) const {
+    // Saves the snapshots of kRounds rounds from `first_round` on, opening the directory again where that
+    // failed. Returns the number of successful saves. Sets `last_kept` to the round of the last one.
+    int save_rounds(int first_round, int& last_kept) const {
         int kept = 0;
-        SnapshotStore store(posix_file_system(), folder + "/state", "n-1");
+        SnapshotStore store(posix_file_system(), directory + "/state", "n-1");
         bool open = !store.open();
         if (open) store.load();
-        for (int round = first; round < first + kRounds; ++round) {
+        for (int round = first_round; round < first_round + kRounds; ++round) {
             if (!open) open = !store.open();
-            if (!open || store.save(sample(round))) continue;
+            if (!open || store.save(make_snapshot(round))) continue;
             ++kept;
-            last = round;
+            last_kept = round;
         }
         return kept;
     }
     int loaded_round() const {
-        SnapshotStore store(posix_file_system(), folder + "/state", "n-1");
+        SnapshotStore store(posix_file_system(), directory + "/state", "n-1");
         EXPECT_FALSE(store.open());
         const LoadResult loaded = store.load();
         return loaded.snapshot ? round_of(*loaded.snapshot) : 0;
     }
 
-    std::string folder = (std::filesystem::temp_directory_path() / "elmbay-calls-XXXXXX").string();
+    std::string directory = (std::filesystem::temp_directory_path() / "elmbay-calls-XXXXXX").string();
 };
 
-TEST_F(SystemCalls, RetriesCallInterruptedBySignal) {
-    int first = 1, last = 0;
+TEST_F(SnapshotStoreSystemCalls, RetriesCallInterruptedBySignal) {
+    int first_round = 1, last_kept = 0;
     for (const char* call : {"open", "read", "write", "fsync", "flock"}) {
-        for (long after = 0; after < 12; ++after) {
-            plan_calls({.call = call, .error = EINTR, .after = after, .times = 3});
-            EXPECT_EQ(saves(first, last), kRounds) << call << " after " << after;
+        for (long successes = 0; successes < 12; ++successes) {
+            inject_faults({.call = call, .error = EINTR, .successes_before = successes, .fault_count = 3});
+            EXPECT_EQ(save_rounds(first_round, last_kept), kRounds) << call << " after " << successes;
             if (faulted_calls() == 0) break;
-            first += kRounds;
+            first_round += kRounds;
         }
-        no_plan();
-        EXPECT_EQ(loaded_round(), last) << call;
+        clear_faults();
+        EXPECT_EQ(loaded_round(), last_kept) << call;
     }
 }
 
-TEST_F(SystemCalls, ContinuesAfterShortReadsAndWrites) {
-    int first = 1, last = 0;
+TEST_F(SnapshotStoreSystemCalls, ContinuesAfterShortReadsAndWrites) {
+    int first_round = 1, last_kept = 0;
     for (const char* call : {"read", "write"}) {
-        plan_calls({.call = call, .error = 0, .after = 0, .times = 1000000});
-        EXPECT_EQ(saves(first, last), kRounds) << call;
-        EXPECT_EQ(loaded_round(), last) << call;
+        inject_faults({.call = call, .error = 0, .successes_before = 0, .fault_count = 1000000});
+        EXPECT_EQ(save_rounds(first_round, last_kept), kRounds) << call;
+        EXPECT_EQ(loaded_round(), last_kept) << call;
         EXPECT_GT(faulted_calls(), 1000) << call;
-        first += kRounds;
+        first_round += kRounds;
     }
 }
 
-TEST_F(SystemCalls, LoadsLastSavedAndSavesAgainAfterAnyTransientFault) {
+TEST_F(SnapshotStoreSystemCalls, LoadsLastSavedAndSavesAgainAfterAnyTransientFault) {
     constexpr int kErrors[] = {EIO,    ENOSPC, EDQUOT, EROFS,  EFBIG, ENOMEM,
                                EMFILE, ENFILE, EACCES, ENOLCK, ESTALE};
-    int first = 1, last = 0;
+    int first_round = 1, last_kept = 0;
     for (const char* call :
          {"open", "read", "write", "fsync", "flock", "rename", "remove", "mkdir", "readdir"}) {
         for (const int error : kErrors) {
-            for (const long after : {0, 1, 2, 3, 5, 8}) {
-                const std::string where =
-                    std::string(call) + ": " + std::strerror(error) + " after " + std::to_string(after);
-                plan_calls({.call = call, .error = error, .after = after, .times = 3});
-                const int kept = saves(first, last);
-                no_plan();
-                ASSERT_GE(kept, kRounds - 4) << where;
+            for (const long successes : {0, 1, 2, 3, 5, 8}) {
+                const std::string context =
+                    std::string(call) + ": " + std::strerror(error) + " after " + std::to_string(successes);
+                inject_faults(
+                    {.call = call, .error = error, .successes_before = successes, .fault_count = 3});
+                const int kept = save_rounds(first_round, last_kept);
+                clear_faults();
+                ASSERT_GE(kept, kRounds - 4) << context;
                 const int round = loaded_round();
-                ASSERT_GE(round, last) << where;
-                ASSERT_LT(round, first + kRounds) << where;
-                first += kRounds;
+                ASSERT_GE(round, last_kept) << context;
+                ASSERT_LT(round, first_round + kRounds) << context;
+                first_round += kRounds;
             }
         }
-        ASSERT_EQ(saves(first, last), kRounds) << "after " << call;
-        ASSERT_EQ(loaded_round(), last) << "after " << call;
-        first += kRounds;
+        ASSERT_EQ(save_rounds(first_round, last_kept), kRounds) << "after " << call;
+        ASSERT_EQ(loaded_round(), last_kept) << "after " << call;
+        first_round += kRounds;
     }
     std::error_code error;
-    EXPECT_LE(posix_file_system().list(folder + "/state", error).size(), 1U + SnapshotStore::kKeptGenerations)
-        << "nothing piles up";
+    EXPECT_LE(posix_file_system().list(directory + "/state", error).size(),
+              1U + SnapshotStore::kKeptGenerations)
+        << "failed writes leave no files behind";
 }
 
-TEST_F(SystemCalls, KeepsNothingWhenNoThreadIsAvailable) {
-    plan_calls({.call = "pthread_create", .error = EAGAIN});
-    SnapshotWriter writer(posix_file_system(), folder + "/state", "n-1");
+TEST_F(SnapshotStoreSystemCalls, WritesNothingWhenNoThreadIsAvailable) {
+    inject_faults({.call = "pthread_create", .error = EAGAIN});
+    SnapshotWriter writer(posix_file_system(), directory + "/state", "n-1");
     const auto loaded = writer.start();
     EXPECT_EQ(faulted_calls(), 1);
     EXPECT_FALSE(loaded.snapshot);
     EXPECT_EQ(loaded.error, StateError::no_writer_thread);
-    writer.post(sample(1));
+    writer.post(make_snapshot(1));
     EXPECT_TRUE(writer.stop(std::chrono::milliseconds(0)));
-    EXPECT_FALSE(std::filesystem::exists(folder + "/state"));
+    EXPECT_FALSE(std::filesystem::exists(directory + "/state"));
 }
 
-// A file that would grow beyond RLIMIT_FSIZE: EFBIG, with a signal whose default is the process's end.
-TEST_F(SystemCalls, ReportsFileSizeLimitAsFailure) {
+// A write beyond RLIMIT_FSIZE fails with EFBIG and raises SIGXFSZ, which ends the process by default.
+TEST_F(SnapshotStoreSystemCalls, ReportsFileSizeLimitAsFailure) {
     const pid_t child = ::fork();
     ASSERT_GE(child, 0);
     if (child == 0) {
-        SnapshotWriter writer(posix_file_system(), folder + "/state", "n-1");
+        SnapshotWriter writer(posix_file_system(), directory + "/state", "n-1");
         writer.start();
         rlimit limit{};
         if (::getrlimit(RLIMIT_FSIZE, &limit) != 0) ::_exit(2);
-        const rlim_t soft = limit.rlim_cur;
+        const rlim_t original_limit = limit.rlim_cur;
         limit.rlim_cur = 100;
         if (::setrlimit(RLIMIT_FSIZE, &limit) != 0) ::_exit(2);
-        writer.post(sample(1));
+        writer.post(make_snapshot(1));
         while (writer.status().failed_saves == 0) ::usleep(1000);
-        limit.rlim_cur = soft;
+        limit.rlim_cur = original_limit;
         if (::setrlimit(RLIMIT_FSIZE, &limit) != 0) ::_exit(2);
-        writer.post(sample(2));
+        writer.post(make_snapshot(2));
         ::_exit(writer.stop(std::chrono::milliseconds(20000)) && writer.status().saves == 1 ? 0 : 3);
     }
     int status = 0;
