--- a/tests/syscall_faults/faults.hpp
+++ b/tests/syscall_faults/faults.hpp
@@ -1,18 +1,21 @@
 // Fault injection for system calls on loopback sockets, for tests only.
 //
-// faults.cpp defines the C library's socket calls and passes each on to the real one, or fails it as Linux
-// documents. It is built twice: as a library that a test loads into the program under test (LD_PRELOAD), and
-// into the test program whose own calls are to fail. The program itself never contains it.
+// faults.cpp defines replacements of the C library's socket calls. Each forwards to the original function or
+// fails with an error that Linux documents for it. The file is compiled into a library that a test loads into
+// the program under test (LD_PRELOAD), and into test programs whose own calls are to fail. The released
+// program never contains it.
 //
-// What fails is a specification of words, also in the environment as SYSCALL_FAULTS:
+// A specification consists of rules and an optional seed, separated by spaces. The environment variable
+// SYSCALL_FAULTS has the same format:
 //
 //     seed=7 send:SHORT=0.25 recv:EINTR=0.1 connect:ENETUNREACH=x20 recv@out:ETIMEDOUT=0.01
 //
-// A rule is CALL[@SIDE]:FAULT=HOW. HOW is the probability that a call fails, drawn by the seed, or xN: the
-// first N calls fail. SIDE is `in` for accepted connections and `out` for connections that this process
-// opened; without it the rule holds for both. SHORT transfers a part of the bytes only. An error that ends a
-// connection (ETIMEDOUT, EHOSTUNREACH, ECONNRESET, EPIPE) is reported once, and the connection has ended from
-// then on. Nothing fails before the process listens.
+// A rule has the form CALL[@SIDE]:FAULT=AMOUNT. AMOUNT is the probability that a call fails, drawn from the
+// seeded generator, or xN: the first N calls fail. SIDE is `in` for accepted connections and `out` for
+// connections that this process opened; a rule without a side applies to both. With the fault SHORT the call
+// transfers only a part of the bytes. An error that ends a connection (ETIMEDOUT, EHOSTUNREACH, ECONNRESET,
+// EPIPE) is reported once, and the connection is closed from then on. In a process with a preloaded library
+// no call fails before its first listen().
 #pragma once
 
 #include <cstdint>
@@ -20,10 +23,11 @@
 
 namespace elmbay::test::syscall_faults {
 
-/// Replaces the rules for this process. With an empty specification nothing fails. Throws
-/// std::invalid_argument.
+/// Replaces the rules of this process. With an empty specification no call fails. Throws
+/// std::invalid_argument for an invalid specification.
 void configure(const std::string& specification);
-/// How many calls of this process rule number `rule` of the specification, from 0, has made fail.
+/// Returns the number of calls of this process that failed because of rule `rule`, counted from 0 in the
+/// specification.
 std::uint64_t failed_calls(std::size_t rule);
 
 }  // namespace elmbay::test::syscall_faults
--- a/tests/syscall_faults/listener_faults_test.cpp
+++ b/tests/syscall_faults/listener_faults_test.cpp
@@ -1,5 +1,5 @@
-// The listener alone, while accept() fails and while a handler throws: each client gets its response all the
-// same.
+// Tests the listener while accept() fails and while a handler throws. Each client must still get its
+// response.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -15,7 +15,7 @@
 namespace elmbay::test {
 namespace {
 
-// A Listener whose handlers answer each request at once, unless a test sets `on_request`.
+// A Listener whose handlers respond to each request immediately, unless a test sets `on_request`.
 struct ListenerFixture {
     static constexpr Millis kLongestDeadline = 3000;
 
@@ -41,8 +41,8 @@
         response.body() = "served\n";
         listener.respond(id, std::move(response));
     }
-    // A new connection that has sent `text`.
-    std::shared_ptr<Peer> client(const std::string& text) {
+    // Opens a new connection and sends `text` on it.
+    std::shared_ptr<Peer> connect_client(const std::string& text) {
         tcp::socket socket(io);
         socket.connect(listener.local_endpoint());
         auto peer = std::make_shared<Peer>(std::move(socket));
@@ -50,51 +50,51 @@
         peer->send(text);
         return peer;
     }
-    // Runs the event loop until `happened` is true. Returns false if it has not happened within 10 s. As in
-    // the program, an exception ends only the handler that it came from.
+    // Runs the event loop until `condition` is true. Returns false if that takes longer than 10 s. As in the
+    // program, an exception ends only the handler that threw it.
     template <class Condition>
-    bool until(Condition happened) {
-        const auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(10);
-        while (!happened() && std::chrono::steady_clock::now() < limit) {
+    bool run_until(Condition condition) {
+        const auto deadline = std::chrono::steady_clock::now() + std::chrono::seconds(10);
+        while (!condition() && std::chrono::steady_clock::now() < deadline) {
             try {
                 io.run_one_for(std::chrono::milliseconds(100));
             } catch (const std::exception&) {
                 continue;
             }
         }
-        return happened();
+        return condition();
     }
 };
 
-// The decision module may not know of the request, so nothing else would ever answer it.
+// The decision module may not have received the request, so that no other code would respond to it.
 TEST(ThrowingHandler, Responds500WhenRequestHandlerThrows) {
     ListenerFixture fixture;
     fixture.on_request = [](RequestId) { throw std::bad_alloc(); };
-    const auto client = fixture.client(SidecarFixture::request("unsafe"));
-    ASSERT_TRUE(fixture.until([&] { return client->closed; }));
+    const auto client = fixture.connect_client(SidecarFixture::request("unsafe"));
+    ASSERT_TRUE(fixture.run_until([&] { return client->closed; }));
     EXPECT_EQ(status_of(*client), "HTTP/1.1 500") << client->received;
     EXPECT_EQ(client->close_error, asio::error::eof);
-    EXPECT_EQ(fixture.disconnected.size(), 1U) << "nothing of the request stays in flight";
+    EXPECT_EQ(fixture.disconnected.size(), 1U) << "the request is no longer in flight";
     // The next request is not affected.
     fixture.on_request = [&](RequestId id) { fixture.respond(id); };
-    const auto next = fixture.client(SidecarFixture::request("unsafe"));
-    ASSERT_TRUE(fixture.until([&] { return next->received.ends_with("served\n"); }));
+    const auto next = fixture.connect_client(SidecarFixture::request("unsafe"));
+    ASSERT_TRUE(fixture.run_until([&] { return next->received.ends_with("served\n"); }));
 }
 
-// A request has one outcome: the response that was given stands.
+// A request has exactly one outcome: an exception after the response does not replace the response.
 TEST(ThrowingHandler, KeepsResponseWhenHandlerThrowsAfterResponding) {
     ListenerFixture fixture;
     fixture.on_request = [&](RequestId id) {
         fixture.respond(id);
-        throw std::runtime_error("too late");
+        throw std::runtime_error("thrown after the response");
     };
-    const auto client = fixture.client(SidecarFixture::request("unsafe"));
-    ASSERT_TRUE(fixture.until([&] { return client->received.ends_with("served\n"); }));
+    const auto client = fixture.connect_client(SidecarFixture::request("unsafe"));
+    ASSERT_TRUE(fixture.run_until([&] { return client->received.ends_with("served\n"); }));
     EXPECT_EQ(status_of(*client), "HTTP/1.1 200");
     EXPECT_TRUE(fixture.disconnected.empty());
     const std::size_t response_size = client->received.size();
     client->send(SidecarFixture::request("unsafe"));
-    ASSERT_TRUE(fixture.until([&] { return client->received.size() == 2 * response_size; }));
+    ASSERT_TRUE(fixture.run_until([&] { return client->received.size() == 2 * response_size; }));
     EXPECT_FALSE(client->closed);
 }
 
@@ -103,7 +103,7 @@
     Listener::Handlers handlers;
     handlers.validate = [](const RequestHead&) -> std::optional<RequestProblem> { throw std::bad_alloc(); };
     handlers.on_request = [](RequestId, const HttpRequest&, RequestArrivalInfo) {
-        ADD_FAILURE() << "not validated";
+        ADD_FAILURE() << "the request was forwarded although validation failed";
     };
     handlers.on_client_disconnected = [](RequestId) {};
     handlers.is_ready = [] { return true; };
@@ -114,56 +114,57 @@
     const auto client = std::make_shared<Peer>(std::move(socket));
     client->read();
     client->send(SidecarFixture::request("unsafe"));
-    ASSERT_TRUE(fixture.until([&] { return client->closed; }));
+    ASSERT_TRUE(fixture.run_until([&] { return client->closed; }));
     EXPECT_EQ(status_of(*client), "HTTP/1.1 500") << client->received;
 }
 
-// A client waits behind a connection that was aborted. No further edge of EPOLLIN comes for it.
+// A client waits in the accept queue behind a connection that was aborted. EPOLLIN is edge-triggered, so no
+// further event reports the client.
 TEST(FailingAccept, AcceptsConnectionQueuedBehindAbortedOne) {
     for (const char* error : {"ECONNABORTED", "EPROTO", "ENETDOWN", "EPERM", "EINTR"}) {
         ListenerFixture fixture;
         syscall_faults::configure("accept:" + std::string(error) + "=x3");
-        const auto client = fixture.client(SidecarFixture::request("safe"));
-        ASSERT_TRUE(fixture.until([&] { return client->received.ends_with("served\n"); })) << error;
+        const auto client = fixture.connect_client(SidecarFixture::request("safe"));
+        ASSERT_TRUE(fixture.run_until([&] { return client->received.ends_with("served\n"); })) << error;
         EXPECT_EQ(syscall_faults::failed_calls(0), 3U) << error;
     }
 }
 
-// Closing an idle connection frees a descriptor of this process. It does not help when the machine's tables
-// are full.
+// Closing an idle connection frees a descriptor of this process, but does not help if the host's tables are
+// full.
 TEST(FailingAccept, ClosesIdleConnectionOnlyForLackOfOwnDescriptors) {
     for (const std::string error : {"ENFILE", "ENOBUFS", "ENOMEM", "ECONNABORTED", "EMFILE"}) {
         ListenerFixture fixture;
-        const auto idle = fixture.client(SidecarFixture::request("safe"));
-        const auto other = fixture.client(SidecarFixture::request("safe"));
-        ASSERT_TRUE(fixture.until(
+        const auto idle = fixture.connect_client(SidecarFixture::request("safe"));
+        const auto other = fixture.connect_client(SidecarFixture::request("safe"));
+        ASSERT_TRUE(fixture.run_until(
             [&] { return idle->received.ends_with("served\n") && other->received.ends_with("served\n"); }));
         syscall_faults::configure("accept:" + error + "=x2");
-        const auto client = fixture.client(SidecarFixture::request("safe"));
-        ASSERT_TRUE(fixture.until([&] { return client->received.ends_with("served\n"); })) << error;
+        const auto client = fixture.connect_client(SidecarFixture::request("safe"));
+        ASSERT_TRUE(fixture.run_until([&] { return client->received.ends_with("served\n"); })) << error;
         EXPECT_EQ(syscall_faults::failed_calls(0), 2U) << error;
         EXPECT_EQ(fixture.listener.connection_count() < 3, error == "EMFILE") << error;
     }
 }
 
-// A client connects right before the listener stops accepting, and waits in the kernel's queue. An error that
-// belongs to another connection, or that passes, must not leave it there.
+// A client connects immediately before the listener stops accepting and waits in the kernel's queue. An error
+// of another connection, or a temporary error, must not leave it there.
 TEST(FailingAccept, AcceptsConnectionQueuedAtTheEndOfDraining) {
     for (const char* error : {"ECONNABORTED", "EINTR", "ENFILE"}) {
         ListenerFixture fixture;
         std::shared_ptr<Peer> client;
         bool drained = false;
         const Millis stops_accepting = fixture.clock.now() + GracefulShutdown::kAcceptingPeriod;
-        // In the same turn of the loop as the listener's own timer, and before it: its pending accept has no
-        // turn in between.
+        // The timer runs in the same turn of the event loop as the listener's own timer and before it, so
+        // that the listener's pending accept cannot run in between.
         fixture.timers.set(stops_accepting - 1, [&] {
             syscall_faults::configure("accept:" + std::string(error) + "=x2");
-            client = fixture.client(SidecarFixture::request("safe"));
+            client = fixture.connect_client(SidecarFixture::request("safe"));
             while (fixture.clock.now() < stops_accepting + 1) continue;
         });
         fixture.listener.drain([&] { drained = true; });
-        ASSERT_TRUE(fixture.until([&] { return drained; })) << error;
-        ASSERT_TRUE(fixture.until([&] { return client->closed; })) << error;
+        ASSERT_TRUE(fixture.run_until([&] { return drained; })) << error;
+        ASSERT_TRUE(fixture.run_until([&] { return client->closed; })) << error;
         EXPECT_EQ(status_of(*client), "HTTP/1.1 200") << error;
     }
 }
--- a/tests/syscall_faults/stream_socket_test.cpp
+++ b/tests/syscall_faults/stream_socket_test.cpp
@@ -1,4 +1,5 @@
-// StreamSocket, peek_socket_state() and the classification of errors, while this process's own system calls
+// Tests StreamSocket, peek_socket_state() and the classification of socket errors while this process's own system
+// calls
 // fail.
 #include "base/stream_socket.hpp"
 
@@ -33,27 +34,27 @@
         accepted = acceptor.accept();
         opened.non_blocking(true);
     }
-    // Runs the event loop until nothing has happened for 50 ms.
+    // Runs the event loop until no handler has run for 50 ms.
     void run_until_idle() {
         io.restart();
         while (io.run_one_for(std::chrono::milliseconds(50)) > 0) {
         }
     }
 
-    // Runs the event loop until `happened` is true. Returns false if it has not happened within 10 s.
+    // Runs the event loop until `condition` is true. Returns false if that takes longer than 10 s.
     template <class Condition>
-    bool until(Condition happened) {
-        const auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(10);
-        while (!happened() && std::chrono::steady_clock::now() < limit) {
+    bool run_until(Condition condition) {
+        const auto deadline = std::chrono::steady_clock::now() + std::chrono::seconds(10);
+        while (!condition() && std::chrono::steady_clock::now() < deadline) {
             io.restart();
             io.run_one_for(std::chrono::milliseconds(100));
         }
-        return happened();
+        return condition();
     }
 };
 
-// Guards against waiting for EPOLLOUT after a short write: the socket's buffer has space all the time, so no
-// edge comes.
+// Guards against waiting for EPOLLOUT after a short write. The socket's buffer has space all the time, so no
+// edge is reported.
 TEST_F(StreamSocketTest, ContinuesAfterShortWrites) {
     connect();
     syscall_faults::configure("send@out:SHORT=1");
@@ -64,14 +65,14 @@
         EXPECT_EQ(size, text.size());
         written = true;
     });
-    ASSERT_TRUE(until([&] { return written; }));
-    std::string got(text.size(), '\0');
-    asio::read(accepted, asio::buffer(got));
-    EXPECT_EQ(got, text);
+    ASSERT_TRUE(run_until([&] { return written; }));
+    std::string received(text.size(), '\0');
+    asio::read(accepted, asio::buffer(received));
+    EXPECT_EQ(received, text);
     EXPECT_GT(syscall_faults::failed_calls(0), 1U);
 }
 
-// The peer reads nothing until the socket's buffer is full, and then everything.
+// The peer reads nothing until the socket's buffer is full, and then reads all data.
 TEST_F(StreamSocketTest, WaitsForBufferSpaceAndContinuesWrite) {
     connect();
     syscall_faults::configure("send@out:SHORT=0.5 send@out:EINTR=0.5 recv@in:SHORT=0.5");
@@ -83,11 +84,11 @@
     });
     run_until_idle();
     EXPECT_FALSE(written);
-    std::string got(text.size(), '\0');
+    std::string received(text.size(), '\0');
     bool read = false;
-    asio::async_read(accepted, asio::buffer(got), [&](Error, std::size_t) { read = true; });
-    ASSERT_TRUE(until([&] { return read && written; }));
-    EXPECT_TRUE(got == text);
+    asio::async_read(accepted, asio::buffer(received), [&](Error, std::size_t) { read = true; });
+    ASSERT_TRUE(run_until([&] { return read && written; }));
+    EXPECT_TRUE(received == text);
 }
 
 TEST_F(StreamSocketTest, AbortsWriteWhenSocketIsClosed) {
@@ -102,80 +103,80 @@
     run_until_idle();
     EXPECT_FALSE(ended);
     opened.close();
-    ASSERT_TRUE(until([&] { return ended; }));
+    ASSERT_TRUE(run_until([&] { return ended; }));
     EXPECT_EQ(result, asio::error::operation_aborted);
 }
 
-TEST_F(StreamSocketTest, AwaitsInterruptedConnect) {
+TEST_F(StreamSocketTest, CompletesInterruptedConnect) {
     syscall_faults::configure("connect:EINTR=x3");
     bool ended = false;
     opened.async_connect(acceptor.local_endpoint(), [&](Error error) {
         EXPECT_FALSE(error) << error.message();
         ended = true;
     });
-    ASSERT_TRUE(until([&] { return ended; }));
+    ASSERT_TRUE(run_until([&] { return ended; }));
     EXPECT_GT(syscall_faults::failed_calls(0), 0U);
     accepted = acceptor.accept();
     EXPECT_EQ(opened.remote_endpoint(), acceptor.local_endpoint());
 }
 
 TEST_F(StreamSocketTest, ReportsRefusedConnect) {
-    const auto nobody = acceptor.local_endpoint();
+    const auto closed_endpoint = acceptor.local_endpoint();
     acceptor.close();
     Error result;
     bool ended = false;
-    opened.async_connect(nobody, [&](Error error) {
+    opened.async_connect(closed_endpoint, [&](Error error) {
         result = error;
         ended = true;
     });
-    ASSERT_TRUE(until([&] { return ended; }));
+    ASSERT_TRUE(run_until([&] { return ended; }));
     EXPECT_EQ(result, asio::error::connection_refused);
 }
 
-TEST_F(StreamSocketTest, RepeatsInterruptedReadAndWrite) {
+TEST_F(StreamSocketTest, RetriesInterruptedReadAndWrite) {
     connect();
     syscall_faults::configure("recv@out:EINTR=x3 send@out:EINTR=x3");
     Error error;
     EXPECT_EQ(opened.write_some(asio::buffer("there", 5), error), 5U);
     EXPECT_FALSE(error);
     asio::write(accepted, asio::buffer("back", 4));
-    ASSERT_TRUE(until([&] { return opened.available() == 4; }));
-    std::array<char, 8> got{};
-    EXPECT_EQ(opened.read_some(asio::buffer(got), error), 4U);
+    ASSERT_TRUE(run_until([&] { return opened.available() == 4; }));
+    std::array<char, 8> received{};
+    EXPECT_EQ(opened.read_some(asio::buffer(received), error), 4U);
     EXPECT_FALSE(error) << error.message();
     EXPECT_EQ(syscall_faults::failed_calls(0), 3U);
     EXPECT_EQ(syscall_faults::failed_calls(1), 3U);
 }
 
-// No signal interrupts a call this often. The bound keeps the loop from spinning: it comes back to the socket
-// later.
-TEST_F(StreamSocketTest, TreatsEndlessInterruptionsAsNotReady) {
+// Signals never interrupt a call this often. The bound on retries keeps the event loop from spinning: the
+// call reports would_block, and the loop calls it again later.
+TEST_F(StreamSocketTest, ReportsWouldBlockAfterTooManyInterruptions) {
     connect();
     syscall_faults::configure("recv@out:EINTR=1 send@out:EINTR=1");
     asio::write(accepted, asio::buffer("back", 4));
     Error error;
-    std::array<char, 8> got{};
-    EXPECT_EQ(opened.read_some(asio::buffer(got), error), 0U);
+    std::array<char, 8> received{};
+    EXPECT_EQ(opened.read_some(asio::buffer(received), error), 0U);
     EXPECT_EQ(error, asio::error::would_block);
     EXPECT_EQ(opened.write_some(asio::buffer("there", 5), error), 0U);
     EXPECT_EQ(error, asio::error::would_block);
     EXPECT_EQ(peek_socket_state(opened.native_handle()), SocketState::interrupted);
 }
 
-TEST_F(StreamSocketTest, StateOfTellsEndFromInterruption) {
+TEST_F(StreamSocketTest, StateOfDistinguishesEndOfStreamFromInterruption) {
     connect();
     const int socket = opened.native_handle();
     syscall_faults::configure("recv@out:EINTR=x3");
     EXPECT_EQ(peek_socket_state(socket), SocketState::idle);
     asio::write(accepted, asio::buffer("x", 1));
-    ASSERT_TRUE(until([&] { return opened.available() == 1; }));
+    ASSERT_TRUE(run_until([&] { return opened.available() == 1; }));
     syscall_faults::configure("recv@out:EINTR=x3");
     EXPECT_EQ(peek_socket_state(socket), SocketState::readable);
     char byte = 0;
     opened.read_some(asio::buffer(&byte, 1));
 
     accepted.shutdown(tcp::socket::shutdown_send);
-    ASSERT_TRUE(until([&] { return peek_socket_state(socket) != SocketState::idle; }));
+    ASSERT_TRUE(run_until([&] { return peek_socket_state(socket) != SocketState::idle; }));
     syscall_faults::configure("recv@out:EINTR=x3");
     EXPECT_EQ(peek_socket_state(socket), SocketState::peer_closed);
     EXPECT_EQ(syscall_faults::failed_calls(0), 3U);
@@ -188,7 +189,7 @@
     }
 }
 
-TEST(SocketFailure, IsClassifiedByItsCause) {
+TEST(SocketFailure, IsClassifiedByCause) {
     const auto error = [](int number) { return Error(number, boost::system::system_category()); };
     EXPECT_EQ(classify_accept_error(error(EMFILE)), SocketFailure::process_limit);
     for (const int number : {ENFILE, ENOBUFS, ENOMEM}) {
