--- a/src/state/file_system.hpp
+++ b/src/state/file_system.hpp
@@ -11,9 +11,9 @@
 
 namespace elmbay::state {
 
-/// Each function that takes `error` sets it on failure and clears it on success. The only exception that any
-/// function throws is std::bad_alloc. Paths are absolute or relative to the working directory. Not
-/// thread-safe.
+/// Performs file operations. Each function that takes `error` sets it on failure and clears it on success.
+/// The only exception that any function throws is std::bad_alloc. Paths are absolute or relative to the
+/// working directory. Not thread-safe.
 class FileSystem {
 public:
     /// An open file. A negative value means no file.
--- a/src/state/snapshot.hpp
+++ b/src/state/snapshot.hpp
@@ -17,7 +17,7 @@
 /// The maximum number of servers in a snapshot, equal to the maximum number that a sidecar lists.
 constexpr std::size_t kMaxServers = 4096;
 
-/// A plain value without references to a process or a connection.
+/// A snapshot of the learned state. It is a plain value without references to a process or a connection.
 struct Snapshot {
     std::string instance;                  ///< name of the sidecar instance; 1 to kMaxNameBytes bytes
     Timestamp taken_at;                    ///< when the state was captured
--- a/src/state/snapshot_decoder.cpp
+++ b/src/state/snapshot_decoder.cpp
@@ -87,11 +87,12 @@
 }
 
 Timestamp decode_timestamp(const json& body) {
-    Timestamp taken{integer_field(body, "wall_ms"), integer_field(body, "since_boot_ms"), {}};
-    const auto boot = body.find("boot");
-    if (boot != body.end() && boot->is_binary() && boot->get_binary().size() == taken.boot_id.size())
-        std::copy(boot->get_binary().begin(), boot->get_binary().end(), taken.boot_id.begin());
-    return taken;
+    Timestamp timestamp{integer_field(body, "wall_ms"), integer_field(body, "since_boot_ms"), {}};
+    const auto boot_id = body.find("boot");
+    if (boot_id != body.end() && boot_id->is_binary() &&
+        boot_id->get_binary().size() == timestamp.boot_id.size())
+        std::copy(boot_id->get_binary().begin(), boot_id->get_binary().end(), timestamp.boot_id.begin());
+    return timestamp;
 }
 
 struct Record {
@@ -114,13 +115,13 @@
                 means_ = decode_means(record.body);
                 break;
             case RecordKind::batch_end:
-                taken_ = decode_timestamp(record.body);
+                taken_at_ = decode_timestamp(record.body);
                 break;
-        }  // ignores other kinds, which later program versions may write
+        }  // other kinds, which later program versions may write, are ignored
     }
 
-    Snapshot snapshot(std::string instance) const {
-        Snapshot snapshot{std::move(instance), taken_, means_, {}};
+    Snapshot build(std::string instance) const {
+        Snapshot snapshot{std::move(instance), taken_at_, means_, {}};
         for (const auto& [uid, server] : servers_) {
             snapshot.learned_state.servers.push_back(server);
             snapshot.learned_state.servers.back().server =
@@ -140,7 +141,7 @@
 
     std::map<std::string, LearnedServerState> servers_;
     balancer::LearnedState means_;
-    Timestamp taken_;
+    Timestamp taken_at_;
 };
 
 // Decodes format version 1. A later version gets a separate decoder, and this one stays.
@@ -160,7 +161,7 @@
             result_.dropped_bytes = bytes_.size() - result_.used_bytes;
             result_.dropped_tail = stop_reason;
         }
-        result_.snapshot = builder_.snapshot(std::move(instance_));
+        result_.snapshot = builder_.build(std::move(instance_));
         return std::move(result_);
     }
 
--- a/src/state/snapshot_encoder.cpp
+++ b/src/state/snapshot_encoder.cpp
@@ -35,10 +35,10 @@
         {"carried", learned_state.completion_rate},   {"retries_left", learned_state.retries_left}};
 }
 
-json encode_body(const Timestamp& taken) {
-    return {{"wall_ms", taken.wall_ms},
-            {"since_boot_ms", taken.since_boot_ms},
-            {"boot", json::binary({taken.boot_id.begin(), taken.boot_id.end()})}};
+json encode_body(const Timestamp& timestamp) {
+    return {{"wall_ms", timestamp.wall_ms},
+            {"since_boot_ms", timestamp.since_boot_ms},
+            {"boot", json::binary({timestamp.boot_id.begin(), timestamp.boot_id.end()})}};
 }
 
 bool is_equal(const LearnedServerState& left, const LearnedServerState& right) {
--- a/src/state/snapshot_store.hpp
+++ b/src/state/snapshot_store.hpp
@@ -129,7 +129,7 @@
     FileSystem::Handle lock_file_ = FileSystem::kNoFile;
     std::uint64_t bytes_written_ = 0;
 
-    std::uint64_t newest_generation_ = 0;      // highest number seen in the directory or written
+    std::uint64_t newest_generation_ = 0;      // the highest generation found in the directory or written
     bool newest_generation_is_known_ = false;  // newest_generation_ is based on a complete list
 
     // The generation to which changes are appended. Without an open file the next save begins a new one.
--- a/src/state/snapshot_writer.cpp
+++ b/src/state/snapshot_writer.cpp
@@ -60,6 +60,7 @@
 
 }  // namespace
 
+// The state that the SnapshotWriter shares with its thread.
 struct SnapshotWriter::Shared {
     FileSystem& file_system;
     const std::string directory;
--- a/src/state/snapshot_writer.hpp
+++ b/src/state/snapshot_writer.hpp
@@ -12,9 +12,9 @@
 
 namespace elmbay::state {
 
-/// Loads and saves snapshots on its own thread. At most one snapshot is pending; a newer one replaces it. A
-/// hanging disk shows as the duration of the current save (Status::hanging). start() and stop() wait for the
-/// disk at most until their timeouts.
+/// Loads and saves snapshots on its own thread. At most one snapshot is pending; a newer one replaces it.
+/// Status::hanging reports a hanging disk, detected by the duration of the current save. start() and stop()
+/// wait for the disk at most until their timeouts.
 ///
 /// All functions except the constructor and the destructor are thread-safe. The only exception that any of
 /// them throws is std::bad_alloc.
@@ -52,12 +52,12 @@
 
     /// The state of the writer and its counters since start().
     struct Status {
-        bool accepting = false;           ///< post() takes snapshots: loaded and not stopped
-        bool hanging = false;             ///< the current save has taken at least kHangThreshold
-        std::uint64_t saves = 0;          ///< successful saves, including those with nothing to write
+        bool accepting = false;   ///< post() accepts snapshots: the load is done and stop() was not called
+        bool hanging = false;     ///< the current save has taken at least kHangThreshold
+        std::uint64_t saves = 0;  ///< successful saves, including those with nothing to write
         std::uint64_t failed_saves = 0;   ///< saves that ended with an error
         std::uint64_t superseded = 0;     ///< snapshots replaced by a newer one before their save began
-        std::uint64_t bytes_written = 0;  ///< to files
+        std::uint64_t bytes_written = 0;  ///< bytes written to files since the writer was constructed
         /// The error of the last save, or of start() before the first save. Clear after success.
         std::error_code last_error;
     };
@@ -68,7 +68,8 @@
     struct Shared;
     static void run_thread(const std::shared_ptr<Shared>& shared);
     static void save_posted_snapshots(Shared& shared, SnapshotStore& store);
-    std::shared_ptr<Shared> shared_;  // with the thread, which may outlive this object on a hanging disk
+    // Also owned by the thread, which outlives this object if the disk hangs.
+    std::shared_ptr<Shared> shared_;
 };
 
 }  // namespace elmbay::state
--- a/src/state/state_error.cpp
+++ b/src/state/state_error.cpp
@@ -20,7 +20,7 @@
             case StateError::unsupported_version:
                 return "the format version is newer than the latest supported version";
             case StateError::truncated_header:
-                return "the header is incomplete";
+                return "the header is incomplete or its lengths are invalid";
             case StateError::header_checksum_mismatch:
                 return "the header does not match its checksum";
             case StateError::truncated_record_head:
--- a/src/state/state_error.hpp
+++ b/src/state/state_error.hpp
@@ -6,7 +6,8 @@
 
 namespace elmbay::state {
 
-/// Converts to std::error_code. The error message is a single clause without a final period.
+/// An error of a snapshot file, a store or a writer. Converts to std::error_code. The error message is a
+/// single clause without a final period.
 enum class StateError {
     file_too_large = 1,        ///< the file is longer than kMaxFileBytes
     not_a_snapshot,            ///< the file is too short or lacks the magic bytes
@@ -33,7 +34,8 @@
 /// Returns the category of StateError. It lives as long as the process.
 const std::error_category& state_error_category() noexcept;
 
-/// Found by argument-dependent lookup when a StateError becomes a std::error_code.
+/// Makes an error code of a StateError. Found by argument-dependent lookup when a StateError becomes a
+/// std::error_code.
 std::error_code make_error_code(StateError error) noexcept;
 
 }  // namespace elmbay::state
--- a/tests/state/faulty_file_system.hpp
+++ b/tests/state/faulty_file_system.hpp
@@ -34,7 +34,7 @@
     bool counts_reads = false;
     long crash_operation = -1;  // the operation at which a crash happens besides the fault; negative: none
     long operations = 0;  // number of operations so far; without counts_reads only those that change data
-    std::set<std::string> locked;
+    std::set<std::string> locked;  // paths of locked files
 
     void crash(CrashSurvival survival, std::uint64_t seed = 1) {
         std::mt19937_64 random(seed);
--- a/tests/state/snapshot_store_test.cpp
+++ b/tests/state/snapshot_store_test.cpp
@@ -93,7 +93,7 @@
             files.crash(survival);
             const int round = loaded_round(files);
             ASSERT_GE(round, progress.last_kept)
-                << "operation " << operation << ", survives " << static_cast<int>(survival);
+                << "operation " << operation << ", survival " << static_cast<int>(survival);
             ASSERT_LE(round, progress.last_tried) << "operation " << operation;
             ASSERT_EQ(run_two_stores(files).last_kept, kRounds) << "saves succeed after the crash";
         }
--- a/tests/state/snapshot_test.cpp
+++ b/tests/state/snapshot_test.cpp
@@ -45,9 +45,9 @@
     const Snapshot six_servers = make_snapshot(1, 6), four_servers = make_snapshot(1, 4),
                    eight_servers = make_snapshot(1, 8);
     std::string bytes = encode_header(six_servers, 1) + encode_batch(nullptr, six_servers, 1, next_record);
-    const std::size_t complete = bytes.size();
+    const std::size_t first_size = bytes.size();
     bytes += encode_batch(&six_servers, four_servers, 1, next_record);
-    EXPECT_LT(bytes.size() - complete, complete / 2) << "only two removed servers and the timestamp";
+    EXPECT_LT(bytes.size() - first_size, first_size / 2) << "only two removed servers and the timestamp";
     EXPECT_EQ(decode_snapshot_file(bytes).snapshot->server_uids.size(), 4U);
     bytes += encode_batch(&four_servers, eight_servers, 1, next_record);
     EXPECT_EQ(decode_snapshot_file(bytes).snapshot->server_uids.size(), 8U);
@@ -59,16 +59,17 @@
     const std::string bytes = three_rounds(&batch_ends);
     for (std::size_t length = 0; length < bytes.size(); ++length) {
         const DecodeResult result = decode_snapshot_file(std::string_view(bytes).substr(0, length));
-        const int complete =
+        const int complete_batches =
             (length >= batch_ends[0]) + (length >= batch_ends[1]) + (length >= batch_ends[2]);
-        if (complete == 0) {
+        if (complete_batches == 0) {
             ASSERT_TRUE(result.error) << length;
             ASSERT_NE(result.error, StateError::unsupported_version) << length;
             ASSERT_FALSE(result.snapshot) << length;
         } else {
             ASSERT_TRUE(result.snapshot) << length;
-            ASSERT_EQ(round_of(*result.snapshot), complete) << length;
-            ASSERT_EQ(!result.dropped_tail, length == batch_ends[static_cast<std::size_t>(complete) - 1])
+            ASSERT_EQ(round_of(*result.snapshot), complete_batches) << length;
+            ASSERT_EQ(!result.dropped_tail,
+                      length == batch_ends[static_cast<std::size_t>(complete_batches) - 1])
                 << length;
         }
     }
