--- a/tests/state/snapshot_store_test.cpp
+++ b/tests/state/snapshot_store_test.cpp
@@ -23,7 +23,7 @@
 
 // The rounds of the last successful save and of the last save.
 struct Progress {
-    int last_kept = 0, last_tried = 0;
+    int last_saved = 0, last_attempted = 0;
 };
 
 // Saves rounds 1 to kRounds with two stores, one after the other.
@@ -36,8 +36,8 @@
         store.load();
         for (int round = store_index == 0 ? 1 : kSecondStoreRound;
              round <= (store_index == 0 ? kSecondStoreRound - 1 : kRounds); ++round) {
-            progress.last_tried = round;
-            if (!store.save(make_snapshot(round))) progress.last_kept = round;
+            progress.last_attempted = round;
+            if (!store.save(make_snapshot(round))) progress.last_saved = round;
         }
     }
     return progress;
@@ -54,7 +54,7 @@
 TEST(SnapshotStore, LoadsLastSavedSnapshot) {
     FaultyFileSystem files;
     EXPECT_EQ(loaded_round(files), 0);
-    EXPECT_EQ(run_two_stores(files).last_kept, kRounds);
+    EXPECT_EQ(run_two_stores(files).last_saved, kRounds);
     EXPECT_EQ(loaded_round(files), kRounds);
 }
 
@@ -67,9 +67,9 @@
             const Progress progress = run_two_stores(files);
             if (files.operations <= operation) break;
             const int round = loaded_round(files);
-            ASSERT_GE(round, progress.last_kept) << "operation " << operation;
-            ASSERT_LE(round, progress.last_tried) << "operation " << operation;
-            ASSERT_GE(progress.last_kept, kRounds - 1)
+            ASSERT_GE(round, progress.last_saved) << "operation " << operation;
+            ASSERT_LE(round, progress.last_attempted) << "operation " << operation;
+            ASSERT_GE(progress.last_saved, kRounds - 1)
                 << "one fault fails at most one save, operation " << operation;
             SnapshotStore store(files, kDirectory, "n-1");
             files.locked.clear();
@@ -92,10 +92,10 @@
             if (files.operations <= operation) break;
             files.crash(survival);
             const int round = loaded_round(files);
-            ASSERT_GE(round, progress.last_kept)
+            ASSERT_GE(round, progress.last_saved)
                 << "operation " << operation << ", survival " << static_cast<int>(survival);
-            ASSERT_LE(round, progress.last_tried) << "operation " << operation;
-            ASSERT_EQ(run_two_stores(files).last_kept, kRounds) << "saves succeed after the crash";
+            ASSERT_LE(round, progress.last_attempted) << "operation " << operation;
+            ASSERT_EQ(run_two_stores(files).last_saved, kRounds) << "saves succeed after the crash";
         }
         EXPECT_GT(operation, 15) << "operations that a crash was injected into";
     }
@@ -147,7 +147,7 @@
     files.add_file("state/elmbay-0000000000000011.state",
                    encode_header(other, 0x11) + encode_batch(nullptr, other, 0x11, next_record));
     files.add_file("state/elmbay-ffffffffffffffff.state", "x");
-    files.add_file("state/notes.txt", "somebody's");
+    files.add_file("state/notes.txt", "not a snapshot");
     files.add_file("state/elmbay-0000000000000030.state.part", "half");
     next_record = 0;
     files.add_file(
@@ -200,11 +200,11 @@
 
 TEST_F(SnapshotStoreOnDisk, LoadsLastSavedSnapshotFromRealFiles) {
     {
-        SnapshotStore store(posix_file_system(), directory + "/deep/er", "n-1");
+        SnapshotStore store(posix_file_system(), directory + "/nested/directory", "n-1");
         ASSERT_FALSE(store.open());
         for (int round = 1; round <= 3; ++round) ASSERT_FALSE(store.save(make_snapshot(round)));
     }
-    SnapshotStore store(posix_file_system(), directory + "/deep/er", "n-1");
+    SnapshotStore store(posix_file_system(), directory + "/nested/directory", "n-1");
     ASSERT_FALSE(store.open());
     EXPECT_EQ(round_of(*store.load().snapshot), 3);
 }
@@ -219,9 +219,9 @@
 }
 
 TEST_F(SnapshotStoreOnDisk, ReportsErrorWhenDirectoryIsMissing) {
-    SnapshotStore store(posix_file_system(), directory + "/gone", "n-1");
+    SnapshotStore store(posix_file_system(), directory + "/removed", "n-1");
     ASSERT_FALSE(store.open());
-    std::filesystem::remove_all(directory + "/gone");
+    std::filesystem::remove_all(directory + "/removed");
     EXPECT_TRUE(store.save(make_snapshot(1)));
     EXPECT_FALSE(store.load().snapshot);
     std::error_code error;
--- a/tests/state/system_calls_test.cpp
+++ b/tests/state/system_calls_test.cpp
@@ -36,19 +36,19 @@
         std::filesystem::remove_all(directory);
     }
     // Saves the snapshots of kRounds rounds from `first_round` on, opening the directory again where that
-    // failed. Returns the number of successful saves. Sets `last_kept` to the round of the last one.
-    int save_rounds(int first_round, int& last_kept) const {
-        int kept = 0;
+    // failed. Returns the number of successful saves. Sets `last_saved` to the round of the last one.
+    int save_rounds(int first_round, int& last_saved) const {
+        int saved_count = 0;
         SnapshotStore store(posix_file_system(), directory + "/state", "n-1");
         bool open = !store.open();
         if (open) store.load();
         for (int round = first_round; round < first_round + kRounds; ++round) {
             if (!open) open = !store.open();
             if (!open || store.save(make_snapshot(round))) continue;
-            ++kept;
-            last_kept = round;
+            ++saved_count;
+            last_saved = round;
         }
-        return kept;
+        return saved_count;
     }
     int loaded_round() const {
         SnapshotStore store(posix_file_system(), directory + "/state", "n-1");
@@ -61,25 +61,25 @@
 };
 
 TEST_F(SnapshotStoreSystemCalls, RetriesCallInterruptedBySignal) {
-    int first_round = 1, last_kept = 0;
+    int first_round = 1, last_saved = 0;
     for (const char* call : {"open", "read", "write", "fsync", "flock"}) {
         for (long successes = 0; successes < 12; ++successes) {
             inject_faults({.call = call, .error = EINTR, .successes_before = successes, .fault_count = 3});
-            EXPECT_EQ(save_rounds(first_round, last_kept), kRounds) << call << " after " << successes;
+            EXPECT_EQ(save_rounds(first_round, last_saved), kRounds) << call << " after " << successes;
             if (faulted_calls() == 0) break;
             first_round += kRounds;
         }
         clear_faults();
-        EXPECT_EQ(loaded_round(), last_kept) << call;
+        EXPECT_EQ(loaded_round(), last_saved) << call;
     }
 }
 
 TEST_F(SnapshotStoreSystemCalls, ContinuesAfterShortReadsAndWrites) {
-    int first_round = 1, last_kept = 0;
+    int first_round = 1, last_saved = 0;
     for (const char* call : {"read", "write"}) {
         inject_faults({.call = call, .error = 0, .successes_before = 0, .fault_count = 1000000});
-        EXPECT_EQ(save_rounds(first_round, last_kept), kRounds) << call;
-        EXPECT_EQ(loaded_round(), last_kept) << call;
+        EXPECT_EQ(save_rounds(first_round, last_saved), kRounds) << call;
+        EXPECT_EQ(loaded_round(), last_saved) << call;
         EXPECT_GT(faulted_calls(), 1000) << call;
         first_round += kRounds;
     }
@@ -88,7 +88,7 @@
 TEST_F(SnapshotStoreSystemCalls, LoadsLastSavedAndSavesAgainAfterAnyTransientFault) {
     constexpr int kErrors[] = {EIO,    ENOSPC, EDQUOT, EROFS,  EFBIG, ENOMEM,
                                EMFILE, ENFILE, EACCES, ENOLCK, ESTALE};
-    int first_round = 1, last_kept = 0;
+    int first_round = 1, last_saved = 0;
     for (const char* call :
          {"open", "read", "write", "fsync", "flock", "rename", "remove", "mkdir", "readdir"}) {
         for (const int error : kErrors) {
@@ -97,17 +97,17 @@
                     std::string(call) + ": " + std::strerror(error) + " after " + std::to_string(successes);
                 inject_faults(
                     {.call = call, .error = error, .successes_before = successes, .fault_count = 3});
-                const int kept = save_rounds(first_round, last_kept);
+                const int saved_count = save_rounds(first_round, last_saved);
                 clear_faults();
-                ASSERT_GE(kept, kRounds - 4) << context;
+                ASSERT_GE(saved_count, kRounds - 4) << context;
                 const int round = loaded_round();
-                ASSERT_GE(round, last_kept) << context;
+                ASSERT_GE(round, last_saved) << context;
                 ASSERT_LT(round, first_round + kRounds) << context;
                 first_round += kRounds;
             }
         }
-        ASSERT_EQ(save_rounds(first_round, last_kept), kRounds) << "after " << call;
-        ASSERT_EQ(loaded_round(), last_kept) << "after " << call;
+        ASSERT_EQ(save_rounds(first_round, last_saved), kRounds) << "after " << call;
+        ASSERT_EQ(loaded_round(), last_saved) << "after " << call;
         first_round += kRounds;
     }
     std::error_code error;
--- a/tests/state/transient_faults_test.cpp
+++ b/tests/state/transient_faults_test.cpp
@@ -35,8 +35,8 @@
                                  std::errc::no_such_file_or_directory};
 
 struct Progress {
-    int last_kept = 0;   // the round of the last successful save
-    int last_tried = 0;  // the round of the last save
+    int last_saved = 0;      // the round of the last successful save
+    int last_attempted = 0;  // the round of the last save
 };
 
 // Runs two stores of one instance one after the other, with six saves each. A store that cannot open the
@@ -49,10 +49,10 @@
         bool open = !store.open();
         if (open) store.load();
         for (int round = 0; round < 6; ++round) {
-            ++progress.last_tried;
+            ++progress.last_attempted;
             if (!open) open = !store.open();
-            if (open && !store.save(make_snapshot(progress.last_tried, kServers)))
-                progress.last_kept = progress.last_tried;
+            if (open && !store.save(make_snapshot(progress.last_attempted, kServers)))
+                progress.last_saved = progress.last_attempted;
         }
     }
     return progress;
@@ -66,10 +66,10 @@
     return loaded.snapshot ? round_of(*loaded.snapshot) : 0;
 }
 
-void expect_last_kept(FaultyFileSystem& files, const Progress& progress, const std::string& context) {
+void expect_last_saved(FaultyFileSystem& files, const Progress& progress, const std::string& context) {
     const int round = loaded_round(files);
-    ASSERT_GE(round, progress.last_kept) << context;
-    ASSERT_LE(round, progress.last_tried) << context;
+    ASSERT_GE(round, progress.last_saved) << context;
+    ASSERT_LE(round, progress.last_attempted) << context;
 }
 
 TEST(TransientFaults, LoadsLastSavedAndSavesAgainAfterAnyTransientFault) {
@@ -87,11 +87,11 @@
                                             std::to_string(first_fault) + " for " +
                                             std::to_string(fault_count);
                 files.first_fault = -1;
-                expect_last_kept(files, progress, context);
-                ASSERT_GT(progress.last_kept, 0) << context;
+                expect_last_saved(files, progress, context);
+                ASSERT_GT(progress.last_saved, 0) << context;
                 const Progress second_progress = run_two_stores(files);
-                ASSERT_EQ(second_progress.last_kept, 12) << context;
-                expect_last_kept(files, second_progress, context);
+                ASSERT_EQ(second_progress.last_saved, 12) << context;
+                expect_last_saved(files, second_progress, context);
                 ASSERT_LE(files.paths().size(), 2U + SnapshotStore::kKeptGenerations)
                     << context << ": failed writes leave no files behind";
             }
@@ -115,11 +115,11 @@
                     const Progress progress = run_two_stores(files);
                     last_operation = std::min(files.operations, first_fault + 24);
                     files.crash(survival, static_cast<std::uint64_t>(crash_operation));
-                    expect_last_kept(files, progress,
-                                     "fault " + std::to_string(static_cast<int>(fault)) + " at " +
-                                         std::to_string(first_fault) + ", crash at " +
-                                         std::to_string(crash_operation) + ", survival " +
-                                         std::to_string(static_cast<int>(survival)));
+                    expect_last_saved(files, progress,
+                                      "fault " + std::to_string(static_cast<int>(fault)) + " at " +
+                                          std::to_string(first_fault) + ", crash at " +
+                                          std::to_string(crash_operation) + ", survival " +
+                                          std::to_string(static_cast<int>(survival)));
                     if (HasFatalFailure()) return;
                 }
                 if (last_operation == first_fault) break;
--- a/tests/syscall_faults/faults.cpp
+++ b/tests/syscall_faults/faults.cpp
@@ -153,9 +153,9 @@
 
 // A copy of a message whose buffers hold `size` bytes in total.
 struct ShortenedMessage {
-    ShortenedMessage(const msghdr& whole, std::size_t size) : message(whole) {
-        for (std::size_t i = 0; i < whole.msg_iovlen && size > 0; ++i) {
-            parts.push_back(whole.msg_iov[i]);
+    ShortenedMessage(const msghdr& original, std::size_t size) : message(original) {
+        for (std::size_t i = 0; i < original.msg_iovlen && size > 0; ++i) {
+            parts.push_back(original.msg_iov[i]);
             parts.back().iov_len = std::min(parts.back().iov_len, size);
             size -= parts.back().iov_len;
         }
--- a/tests/syscall_faults/fleet_faults_test.cpp
+++ b/tests/syscall_faults/fleet_faults_test.cpp
@@ -261,9 +261,9 @@
         cut.to = round % 4 == 3 ? std::vector<std::string>{"list"}
                                 : std::vector<std::string>{"s-" + std::to_string(round % 6)};
         testbed.context().put_rule(cut);
-        const bool all_answered = send_requests(testbed, kRequestsPerClass, kMaxInFlight);
+        const bool all_responses_received = send_requests(testbed, kRequestsPerClass, kMaxInFlight);
         testbed.context().remove_rule("cut");
-        ASSERT_TRUE(all_answered) << summary(testbed) << "\n" << testbed.explain();
+        ASSERT_TRUE(all_responses_received) << summary(testbed) << "\n" << testbed.explain();
     }
     EXPECT_EQ(testbed.request_history().count(Outcome::truncated), 0U);
     std::cout << summary(testbed) << std::endl;
