--- a/src/http/message.hpp
+++ b/src/http/message.hpp
@@ -1,6 +1,5 @@
 /// @file
-/// What both sides of the sidecar share about HTTP messages: their types, their bounds, and when framing is
-/// clear.
+/// HTTP message types, size limits and framing checks, which the frontend and the backend share.
 #pragma once
 
 #include <boost/beast/http.hpp>
@@ -20,30 +19,30 @@
 /// HTTP/1.1, as Beast numbers versions.
 constexpr unsigned kHttp11 = 11;
 
-/// Bytes of a body that any message may have. PROTOCOL names 64 KiB; the operators' acceptance has longer
-/// ones on some days (requests of 112 and responses of 223 KB were seen) and no figure. What is longer is
-/// held only with a grant of ByteBudget.
+/// Largest body, in bytes, that needs no grant of ByteBudget. PROTOCOL names 64 KiB as the maximum, but the
+/// operators' acceptance test sends longer bodies on some days without stating a limit (requests of 112 KB
+/// and responses of 223 KB occurred).
 constexpr std::size_t kMaxBodyBytesWithoutGrant = std::size_t{64} * 1024;
-/// Bytes of a request's body, with a grant.
+/// Largest request body, in bytes, with a grant.
 constexpr std::size_t kMaxRequestBodyBytes = std::size_t{256} * 1024;
-/// Bytes of a response's body, with a grant.
+/// Largest response body, in bytes, with a grant.
 constexpr std::size_t kMaxResponseBodyBytes = std::size_t{512} * 1024;
-/// Bytes of a head: many times what the protocol's headers need.
+/// Largest message head, in bytes: many times the size of the protocol's headers.
 constexpr std::size_t kMaxHeadBytes = std::size_t{16} * 1024;
 
-/// @return whether a server says that it rejected a request unprocessed: it never ran (PROTOCOL, Sidecars to
-///         servers).
+/// @return whether a response states that the server rejected the request without processing it, so that it
+/// has
+///         not run (PROTOCOL, Sidecars to servers).
 bool is_marked_unprocessed(const http::response_header<>& head);
 
-/// @return the value of the first header with this name, whatever its case; empty if there is none. Valid as
-/// long
-///         as the fields are.
+/// @return the value of the first header with this name, compared without regard to case; empty if there is
+///         none. It refers to `fields` and is valid as long as that.
 std::string_view header_value(const http::fields& fields, const char* name);
 
-/// @return whether the head says once and without contradiction where its message ends. The parser takes what
-/// is
-///         left of a mixture (it passes over a Transfer-Encoding other than chunked, for one), and a peer may
-///         take something else: that is how one request hides in another's body.
+/// @return whether the head defines the end of its message once and without contradiction. Beast's parser
+/// accepts
+///         contradictory framing (it ignores a Transfer-Encoding other than chunked, for example). A peer may
+///         interpret it differently, which allows request smuggling.
 bool has_unambiguous_framing(const http::fields& fields);
 
 }  // namespace elmbay
--- a/src/http/request_validation.cpp
+++ b/src/http/request_validation.cpp
@@ -14,11 +14,12 @@
 using balancer::DeploymentSettings;
 using balancer::Idempotency;
 
-// Bytes of a correlation id or an idempotency key; the protocol's have 16 and 32.
+// Largest size of a correlation id or an idempotency key. The protocol's have 16 and 32 bytes.
 constexpr std::size_t kMaxIdBytes = 256;
-// On a slow or shared core a short time must not go to the margin whole.
+// Largest share of the remaining time that the response margin may take. On a slow or shared core the margin
+// could otherwise use up a short deadline completely.
 constexpr double kMaxMarginShare = 0.1;
-// What the decisions are told at the least of the time that is left, in milliseconds.
+// Minimum of the remaining time that is passed to the engine, in milliseconds.
 constexpr Millis kMinTimeLeft = 1;
 constexpr double kMicrosPerMilli = 1000;
 
@@ -27,11 +28,11 @@
 constexpr const char* kTimeLeft = "X-Time-Left";
 constexpr const char* kIdempotencyKey = "Idempotency-Key";
 constexpr std::array kSingleHeaders{kCorrelationId, kServiceClass, kTimeLeft, kIdempotencyKey};
-// What else the protocol names: servers may use it, and need not.
+// Further headers of the protocol, which servers may use or ignore.
 constexpr std::array kOptionalHeaders{kServiceClass, "X-Account",     "Cookie",
                                       "X-Repeat",    "X-Weight-Hint", "X-Facts"};
 
-// The index of the request's class among the settings' classes; their number for an unknown class.
+// Returns the index of the request's class in the settings, or the number of classes if the class is unknown.
 std::size_t class_index_of(const RequestHead& head, const DeploymentSettings& deployment) {
     const auto& classes = deployment.classes;
     const auto found = std::find(classes.begin(), classes.end(), header_value(head, kServiceClass));
@@ -40,7 +41,7 @@
 
 RequestProblem bad_request(const char* text) { return {http::status::bad_request, text}; }
 
-// The whole text as a finite number; none if it is anything else.
+// Parses the whole text as a finite number. Returns none if it is anything else.
 std::optional<double> parse_finite(std::string_view text) {
     double value = 0;
     const char* const end = text.data() + text.size();
@@ -103,8 +104,7 @@
     balancer::RequestArrived event;
     event.id = id;
     event.class_index = static_cast<std::uint32_t>(class_index_of(head, deployment));
-    // A client never waits longer than its class is worth waiting for; what it says is not trusted beyond
-    // that.
+    // A client never waits longer than the timeout of its class, so a larger X-Time-Left is not trusted.
     const Millis left = std::min(parse_time_left(header_value(head, kTimeLeft)).value_or(0),
                                  deployment.client_timeouts.at(event.class_index));
     const Millis usable_margin = std::min(margin, left * kMaxMarginShare);
--- a/src/http/request_validation.hpp
+++ b/src/http/request_validation.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What a client's request must be to be used, what the decisions are told of it, and what of it goes on to a
+/// Validation of client requests, their description for the engine, and the request that is forwarded to a
 /// server.
 #pragma once
 
@@ -16,38 +16,39 @@
 using balancer::RequestId;
 using RequestHead = http::request_header<>;
 
-/// Why a request can't be used. It is answered by this and never sent on.
+/// Why a request is invalid. The listener responds with this and does not forward the request.
 struct RequestProblem {
     http::status status = http::status::bad_request;
-    const char* text = "";  ///< the response's body, with a line end; a literal
+    const char* text = "";  ///< the response body with a line end; a string literal
 };
 
-/// Checks method and headers. What is unknown, missing, repeated or contradicts itself is a problem: whoever
-/// sent it is not the application that the settings describe, and a guess at its meaning may run something
-/// twice.
-/// @return none if the request can be used.
+/// Checks the method and the headers. Unknown, missing, repeated or contradictory values are rejected: the
+/// application that the settings describe does not send them, and a wrong guess at their meaning could run a
+/// request twice.
+/// @return none if the request is valid.
 std::optional<RequestProblem> validate_request(const RequestHead& head,
                                                const balancer::DeploymentSettings& deployment);
-/// The part of validate_request() that holds for any method: the headers that the protocol names.
+/// Checks only the headers that the protocol names, without the method. validate_request() includes this
+/// check.
+/// @return none if the headers are valid.
 std::optional<RequestProblem> validate_headers(const RequestHead& head,
                                                const balancer::DeploymentSettings& deployment);
 
-/// Describes a request without a problem to the decisions.
-/// @param margin            milliseconds by which the response is to be written before the client's time is
-/// over.
-/// @param kernel_queue_time milliseconds of that time that are over already.
+/// Builds the engine's event for a valid request.
+/// @param margin            milliseconds before the client's deadline by which the response must be written.
+/// @param kernel_queue_time milliseconds of the client's time that have already passed in the kernel.
 balancer::RequestArrived make_request_arrived(RequestId id, const RequestHead& head,
                                               const balancer::DeploymentSettings& deployment, Millis margin,
                                               Millis kernel_queue_time = 0);
 
-/// Builds the request for a server anew from what the protocol names: nothing else that a client writes gets
-/// there.
+/// Builds the request for a server from the method, the target, the body and the headers that the protocol
+/// names. No other header of the client is forwarded.
 HttpRequest make_forwarded_request(HttpRequest request);
 
-/// Reads X-Time-Left: a number and a unit, `m` for milliseconds or `u` for microseconds.
-/// @return milliseconds; none if it can't be read.
+/// Parses X-Time-Left: a non-negative number and a unit, `m` for milliseconds or `u` for microseconds.
+/// @return milliseconds; none if the text is invalid.
 std::optional<Millis> parse_time_left(std::string_view text);
-/// Writes X-Time-Left, in whole microseconds.
+/// Formats the value of X-Time-Left in whole microseconds.
 std::string format_time_left(Millis left);
 
 }  // namespace elmbay
--- a/src/net/client_acceptor.cpp
+++ b/src/net/client_acceptor.cpp
@@ -28,18 +28,19 @@
       clock_(clock),
       handlers_(std::move(handlers)) {
     acceptor_.open(listen.protocol());
-    // After a restart the port's old connections are in TIME_WAIT; that must not keep us from listening.
+    // After a restart, connections of the previous process may still be in TIME_WAIT on this port. Without
+    // this option they would make bind() fail.
     acceptor_.set_option(tcp::acceptor::reuse_address(true));
     bind(listen);
     acceptor_.listen(kListenBacklog);
     acceptor_.non_blocking(true);
-    // Otherwise Asio keeps ECONNABORTED and EPROTO to itself and waits for the next edge: whoever stands in
-    // the queue behind such a connection would wait for another client to come.
+    // By default Asio hides ECONNABORTED and EPROTO and waits for the next readiness edge. Clients that are
+    // queued behind the aborted connection would then wait until another client connects.
     acceptor_.set_option(asio::socket_base::enable_connection_aborted(true));
 }
 
-// The process before may still be ending, or the kernel be clearing up behind it. Nothing else can be done
-// before we listen, so this blocks.
+// Retries while the address is in use: the previous process may still be exiting, or the kernel may still be
+// releasing its port. Blocks the thread, because the process has nothing else to do before it listens.
 void ClientAcceptor::bind(const Endpoint& listen) {
     const auto deadline = std::chrono::steady_clock::now() + std::chrono::milliseconds(kBindTimeout);
     for (;;) {
@@ -78,8 +79,8 @@
     });
 }
 
-// Closing a connection of our own helps only where this process lacks descriptors: not where the whole
-// machine lacks something, and not for a client that has left already.
+// Calls on_out_of_descriptors() only if this process has reached its descriptor limit. Closing a connection
+// does not help if the whole machine lacks a resource, or if the client aborted the queued connection.
 void ClientAcceptor::on_accept_failed(const Error& error) {
     const SocketFailure failure = accept_failure(error);
     if (failure == SocketFailure::connection) {
@@ -102,7 +103,7 @@
     });
 }
 
-// Posted, because the caller is a connection at work.
+// Posts accept() instead of calling it, because the caller may be a ClientConnection in one of its handlers.
 void ClientAcceptor::on_socket_released() {
     if (std::exchange(is_waiting_for_socket_, false)) asio::post(io_, [this] { accept(); });
 }
--- a/src/net/client_acceptor.hpp
+++ b/src/net/client_acceptor.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The listening socket: accepts connections of clients within the budget of sockets, whatever accept() fails
-/// with.
+/// The listening socket: accepts client connections within the socket budget and keeps accepting after any
+/// error of accept().
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -13,54 +13,59 @@
 
 namespace elmbay {
 
-/// Accepts one connection after the other and hands each to its owner.
+/// Accepts client connections one at a time and passes each to Handlers::on_accepted.
 ///
-/// No error ends the accepting. A connection that was aborted before it could be accepted is passed over.
-/// While sockets are lacking, the kernel's queue keeps the clients, and accepting is tried again after a
-/// pause or as soon as on_socket_released() is called.
+/// Accepting continues after every error. A connection that was aborted before it was accepted is skipped.
+/// While no socket is available, new connections stay in the kernel's accept queue, and accepting is retried
+/// after kRetryInterval or when on_socket_released() is called.
 ///
-/// Each accepted connection holds one descriptor of Side::clients; its owner gives it back. Not thread-safe.
-/// Owned by Listener.
+/// Each accepted connection holds one descriptor of Side::clients, which the owner of the connection returns
+/// to the budget. Not thread-safe. Owned by Listener.
 class ClientAcceptor {
 public:
-    /// How long a port that is taken is waited for, in milliseconds: a planned restart may begin before the
-    /// process before has ended (PROTOCOL: 3.7 s after SIGTERM at the latest).
+    /// How long the constructor retries bind() while the port is in use, in milliseconds. A planned restart
+    /// may start this process before the previous one has exited (PROTOCOL: at most 3.7 s after SIGTERM).
     static constexpr int kBindTimeout = 5000;
-    /// Between two tries to bind, in milliseconds.
+    /// Interval between two calls of bind() while the port is in use, in milliseconds.
     static constexpr int kBindRetryInterval = 20;
-    /// Between two tries to accept while no socket is to be had.
+    /// Interval between two attempts to accept while no socket is available.
     static constexpr Millis kRetryInterval = 20;
-    /// Aborted connections that are passed over in a row. After so many the event loop goes on with others.
+    /// Consecutive aborted connections that are skipped at once. After that accepting pauses for
+    /// kRetryInterval, so that the event loop can run other handlers.
     static constexpr int kMaxConsecutiveFailures = 64;
 
-    /// Called on the event loop's thread, never from the constructor.
+    /// Callbacks to the owner. They run on the event loop's thread, never inside the constructor.
     struct Handlers {
-        /// Takes over the connection and its descriptor.
+        /// Called with each accepted connection. The callee takes over the socket and its descriptor.
         std::function<void(asio::ip::tcp::socket)> on_accepted;
-        /// This process may open no more descriptors: closing one of its own helps.
+        /// Called when the process has reached its descriptor limit. The callee should close a connection.
         std::function<void()> on_out_of_descriptors;
     };
 
-    /// Listens; accepts nothing before start(). Blocks for up to kBindTimeout while the port is taken.
-    /// @throws boost::system::system_error if the address can't be listened on.
+    /// Starts to listen, but accepts no connection before start(). Blocks for up to kBindTimeout while the
+    /// port is in use.
+    /// @throws boost::system::system_error if the process can't listen on the address.
     ClientAcceptor(asio::io_context& io, const Endpoint& listen, SocketBudget& budget, TimerQueue& timers,
                    const Clock& clock, Handlers handlers);
 
-    /// Accepts from now on, until close().
+    /// Accepts connections from now on, until close().
     void start() { accept(); }
 
-    /// A socket has become free, or a connection that may be closed for a new one has.
+    /// To be called when a socket has become free, or when a connection has become idle and may be closed in
+    /// favour of a new one. Retries accepting if it was waiting for a socket.
     void on_socket_released();
 
-    /// Accepts all that waits in the kernel's queue.
-    /// @return false if some may be left there: a descriptor or the machine's memory is lacking. True also
-    ///         where the budget of sockets is used up.
+    /// Accepts all connections in the kernel's accept queue, as far as the socket budget allows.
+    /// @return false if connections may remain in the queue because a descriptor or memory of the machine is
+    ///         lacking. True if the queue is empty or the socket budget is used up.
     bool accept_pending();
 
-    /// Stops listening. The kernel resets what is left in its queue.
+    /// Stops listening. The kernel resets the connections that remain in its accept queue.
     void close();
 
-    /// Valid until close(). With port 0 asked for, the port that the kernel chose.
+    /// @return the address that the socket is bound to. If the configured port is 0, this has the port that
+    /// the
+    ///         kernel chose. Valid until close().
     Endpoint local_endpoint() const { return acceptor_.local_endpoint(); }
 
 private:
@@ -75,10 +80,10 @@
     TimerQueue& timers_;
     const Clock& clock_;
     const Handlers handlers_;
-    bool is_accepting_ = false;  // an accept is outstanding
-    bool is_waiting_for_socket_ =
-        false;                      // clients may wait in the kernel's queue, and no socket is to be had
-    int consecutive_failures_ = 0;  // of connections that were aborted before they were accepted
+    bool is_accepting_ = false;  // an asynchronous accept is outstanding
+    // The socket budget is used up, and connections may be waiting in the kernel's accept queue.
+    bool is_waiting_for_socket_ = false;
+    int consecutive_failures_ = 0;  // accept() errors in a row caused by aborted connections
     TimerQueue::Key retry_timer_{};
 };
 
--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -44,14 +44,16 @@
 void ClientConnection::close_if_idle(Millis silent_since) {
     if (state_ != ConnectionState::awaiting_request) return;
     if (has_unread_data()) {
-        // A request that has come is read now, or there is no time for it.
+        // Reads a request that has arrived without waiting for the pause to end: after kRequestCutoff of the
+        // shutdown there would be no time left to respond to it.
         if (std::exchange(reading_is_paused_, false)) await_next_request();
         return;
     }
     if (has_sent_request_ || idle_since_ < silent_since) begin_lingering_close();
 }
 
-// Only cancels. Until the read's handler has run, the parser belongs to the read.
+// Only cancels the read. The pending read uses the parser until its handler has run, so the
+// connection continues in that handler.
 void ClientConnection::stop_reading() {
     if (state_ != ConnectionState::reading_request) return;
     read_timed_out_ = true;
@@ -67,8 +69,9 @@
         case ConnectionState::reading_request:
             return !has_sent_request_ && age > kMinAgeWithoutRequest && !has_unread_data();
         case ConnectionState::lingering_close:
-            // What is read no more is not waited for: the response has gone out, or its client can't be told
-            // from a flood.
+            // Input beyond kMaxDiscardedBytes is not read: by then the response has been delivered, or the
+            // client can't be distinguished from a flood. Below that, unread bytes forbid the close, because
+            // it would reset the connection and destroy the response.
             return discarded_bytes_ >= kMaxDiscardedBytes || !has_unread_data();
         default:
             return false;
@@ -90,7 +93,7 @@
     state_ = state;
 }
 
-// ---- time and events of the socket
+// ---- timer and socket events
 
 void ClientConnection::set_timeout(Millis timeout) {
     context_.timers.cancel(timer_);
@@ -107,7 +110,7 @@
     }
     switch (state_) {
         case ConnectionState::awaiting_request:
-            if (has_unread_data()) {  // a request has just come, and its handler has not run
+            if (has_unread_data()) {  // bytes of a request have arrived, and their handler has not run yet
                 set_timeout(kMinAgeWithoutRequest);
                 read_request();
             } else if (has_been_answered_) {
@@ -117,10 +120,10 @@
             }
             return;
         case ConnectionState::reading_request:
-            stop_reading();  // on_read_timed_out() follows from the read's handler
+            stop_reading();  // the read's handler calls on_read_timed_out()
             return;
         default:
-            close();  // the client does not read its response, or does not close
+            close();  // the client has not read its response, or has not closed its end, within the limit
     }
 }
 
@@ -131,7 +134,7 @@
         self->is_waiting_readable_ = false;
         if (self->state_ == ConnectionState::closed) return;
         if (error == asio::error::operation_aborted) {
-            // stop_reading() cancelled this wait along with the read, whose handler goes on from here.
+            // stop_reading() cancels this wait together with the read. The read's handler continues.
             if (self->state_ != ConnectionState::reading_request) self->await_readable();
             return;
         }
@@ -169,10 +172,11 @@
             close();
         return;
     }
-    // While the response is being written its client may have read it already: the next request waits.
+    // The client may already have read the response that is being written here. Its next request stays
+    // unread until the write has completed.
     if (state_ != ConnectionState::request_in_progress) return;
-    // More bytes before the response has begun: nothing that the application does. What its client meant by
-    // the request in progress can't be known either.
+    // More bytes before the response are a pipelined request or garbage, which the application never sends.
+    // The request in progress can't be trusted either, so it is cancelled.
     notify_client_disconnected();
     reject(kPipelined, AfterResponse::close);
 }
@@ -208,8 +212,8 @@
                       [self = shared_from_this()](Error error, std::size_t) { self->on_written(error); });
 }
 
-// The client may already be writing on a connection that it was told will stay: only a response that said
-// Connection: close is the last.
+// Closes the connection only if the response had "Connection: close". After a keep-alive response the client
+// may already be sending its next request.
 void ClientConnection::on_written(Error error) {
     if (state_ != ConnectionState::writing_response) return;
     response_.reset();
@@ -247,10 +251,10 @@
 
 // ---- closing
 
-// The one way to end a connection whose client may still have something to read, or be sending (RFC 9112,
-// 9.6): closing over unread bytes would reset the connection and take the last response along. So our sending
-// ends, and what comes is read, for a while, until the client closes. None of it is looked at: a request
-// among it was written to a connection that was ending, and its client sends it once more elsewhere.
+// Closes a connection whose client may still be reading or sending (RFC 9112, section 9.6). Closing a socket
+// with unread bytes would reset the connection and destroy the last response. So the sidecar shuts down its
+// sending side, then reads and discards input until the client closes or kLingerTimeout expires. A request in
+// the discarded input was sent on a closing connection, and its client sends it again on another one.
 void ClientConnection::begin_lingering_close() {
     Error error;
     socket_.shutdown(tcp::socket::shutdown_send, error);
@@ -280,7 +284,8 @@
         }
         discarded_bytes_ += size;
     }
-    // The client goes on sending. Its response stays readable until kLingerTimeout; then the rest is reset.
+    // The client has sent kMaxDiscardedBytes and may send more, which stays unread. It can read its response
+    // until kLingerTimeout expires. Then the connection is reset.
 }
 
 // ---- exceptions
--- a/src/net/client_connection.hpp
+++ b/src/net/client_connection.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// One HTTP/1.1 connection of a client, as a state machine from its acceptance to its close.
+/// One HTTP/1.1 connection of a client, as a state machine from accept to close.
 #pragma once
 
 #include <boost/asio/buffer.hpp>
@@ -24,31 +24,36 @@
 
 class ClientConnection;
 
-/// The listener as its connections see it. Called on the event loop's thread.
+/// The interface that a ClientConnection uses to query and notify its listener. All functions are called on
+/// the event loop's thread.
 class ClientConnectionOwner {
 public:
     virtual ~ClientConnectionOwner() = default;
 
-    /// @return whether a graceful shutdown has begun: each response is the last of its connection.
+    /// @return whether a graceful shutdown has begun. Then each connection closes after its next response.
     virtual bool is_draining() const = 0;
-    /// @return whether the port is closed: what is not complete yet may be sent to another process.
+    /// @return whether the port is closed. Then a client can send an incomplete request again to another
+    /// process.
     virtual bool has_stopped_accepting() const = 0;
-    /// @return whether one more request may be in progress; if not, it is to be answered at once.
+    /// @return whether one more request may be in progress. If not, the request must be rejected at once.
     virtual bool has_capacity_for_request() const = 0;
-    /// @return false if a request with this correlation id is in progress, or was a moment ago.
+    /// Records the correlation id of a request.
+    /// @return false if a request with this id is in progress or was until recently (CorrelationIdRegistry).
     virtual bool register_correlation_id(std::string_view id) = 0;
-    /// @return an id that was not used before.
+    /// @return a request id that has not been used before.
     virtual RequestId next_request_id() = 0;
 
-    /// The connection's first request has come; called once, after has_sent_request() has become true.
+    /// Reports the first request on the connection. Called once, after has_sent_request() has become true.
     virtual void on_first_request(ClientConnection& connection) = 0;
-    /// A request is in progress until Listener::respond() or on_client_disconnected().
+    /// Reports that a request is in progress. It stays so until Listener::respond() or
+    /// on_client_disconnected().
     virtual void on_request_started(RequestId id, ClientConnection& connection) = 0;
-    /// The client has no further part in this request.
+    /// Reports that the client of a request in progress has disconnected or that the connection has cancelled
+    /// the request.
     virtual void on_client_disconnected(RequestId id) = 0;
-    /// The connection waits for its next request.
+    /// Reports that the connection has become idle and waits for its next request.
     virtual void on_idle(ClientConnection& connection) = 0;
-    /// The connection is closed, or was given away for an upgrade. Called once.
+    /// Reports that the connection is closed or that its socket was handed over for an upgrade. Called once.
     virtual void on_closed(ClientConnection& connection) = 0;
 
 protected:
@@ -57,28 +62,28 @@
     ClientConnectionOwner& operator=(const ClientConnectionOwner&) = default;
 };
 
-/// What all connections of a listener share. Outlives the run of their handlers.
+/// Dependencies that all connections of a listener share. Must outlive every call of their handlers.
 struct ClientConnectionContext {
     ClientConnectionOwner& owner;
     const Clock& clock;
     TimerQueue& timers;
-    ByteBudget& bytes;  ///< for messages beyond the usual size
+    ByteBudget& bytes;  ///< memory for bodies larger than kMaxBodyBytesWithoutGrant
     const ListenerHandlers& handlers;
-    Millis max_response_time = 0;         ///< how long any client waits for its response
-    asio::mutable_buffer discard_buffer;  ///< for bytes that nobody wants
+    Millis max_response_time = 0;         ///< the longest time that any client waits for its response
+    asio::mutable_buffer discard_buffer;  ///< receives input that is read and discarded
 };
 
-/// Where a client connection stands; ClientConnection has the transitions.
+/// The states of a client connection. The doc comment of ClientConnection lists the transitions.
 enum class ConnectionState {
-    awaiting_request,     ///< nothing of a request has been read
-    reading_request,      ///< its head or body is being read
-    request_in_progress,  ///< complete, and given to the handlers
+    awaiting_request,     ///< no byte of the next request has been read
+    reading_request,      ///< the head or body of a request is being read
+    request_in_progress,  ///< the request is complete and was passed to the handlers
     writing_response,     ///< the response is being written
-    lingering_close,      ///< our sending has ended; what still comes is read and dropped
+    lingering_close,      ///< the sending side is shut down; further input is read and discarded
     closed,
 };
 
-/// @return whether ClientConnection's table has this transition.
+/// @return whether the state table of ClientConnection has this transition.
 constexpr bool is_allowed_transition(ConnectionState from, ConnectionState to) {
     switch (from) {
         case ConnectionState::awaiting_request:
@@ -104,88 +109,91 @@
 ///
 /// | from | event | to |
 /// | --- | --- | --- |
-/// | awaiting_request | bytes have come | reading_request |
-/// | | never a byte within kRequestReadTimeout: 408 | writing_response |
-/// | | idle for kIdleTimeout after a response; idle in a shutdown | lingering_close |
-/// | | the socket fails; closed to free a socket | closed |
-/// | reading_request | complete and valid | request_in_progress |
-/// | | invalid, too large, too slow; GET /up; an exception | writing_response |
-/// | | too slow after the port was closed, on a connection that was used before | lingering_close |
-/// | | client has left; given away for an upgrade; closed to free a socket | closed |
-/// | request_in_progress | respond(); more bytes come: 400; an exception | writing_response |
-/// | | client has left | closed |
-/// | writing_response | written, and the connection is kept | awaiting_request |
-/// | | written, and it is the connection's last response | lingering_close |
-/// | | not written within the time limit, or the socket fails | closed |
-/// | lingering_close | client has closed; kLingerTimeout is over; closed to free a socket | closed |
+/// | awaiting_request | the socket is readable | reading_request |
+/// | | no byte arrives on a new connection within kRequestReadTimeout: 408 | writing_response |
+/// | | idle for kIdleTimeout after a response; idle during a shutdown | lingering_close |
+/// | | the socket fails; evicted to free a socket | closed |
+/// | reading_request | the request is complete and valid | request_in_progress |
+/// | | the request is invalid, too large or too slow; GET /up; an exception | writing_response |
+/// | | the request is too slow, the port is closed, and the connection was used before | lingering_close |
+/// | | the client disconnects; handed over for an upgrade; evicted to free a socket | closed |
+/// | request_in_progress | respond(); more bytes arrive: 400; an exception | writing_response |
+/// | | the client disconnects | closed |
+/// | writing_response | the response is written, and the connection is kept alive | awaiting_request |
+/// | | the response is written, and it had "Connection: close" | lingering_close |
+/// | | the response is not written within the time limit; the socket fails | closed |
+/// | lingering_close | the client closes; kLingerTimeout expires; evicted to free a socket | closed |
 ///
-/// Any state goes to closed where the lingering close can't begin. A client that ends its sending has left
-/// (PROTOCOL), but for one whose response is being written: it gets the rest of it.
+/// Any state changes to closed if the lingering close fails to start. A half-close by the client counts as a
+/// disconnect (PROTOCOL), except while its response is being written: then the client gets the rest of it.
 ///
-/// Between requests, and while one is in progress, the connection only waits to be readable. That tells at
-/// once when the client leaves, and reads nothing, so that an idle connection can be closed without losing a
-/// request that has come but whose handler has not run.
+/// Between requests, and while a request is in progress, the connection waits for readability without
+/// reading. The event reports a disconnect at once. Because nothing is read, an idle connection can be closed
+/// without losing a request that has arrived but whose handler has not run.
 ///
-/// Owned by ClientConnectionPool and by the handlers that wait for its socket and its timer. Not thread-safe.
+/// Owned by ClientConnectionPool and by the pending handlers of its socket and timer. Not thread-safe.
 class ClientConnection : public std::enable_shared_from_this<ClientConnection> {
 public:
     using List = std::list<std::shared_ptr<ClientConnection>>;
 
-    /// A request must be complete this long after its connection came or, on a kept one, after its first
-    /// byte. The usual client sends at once and gives up sooner. An error is due within 3 s (STANDING).
+    /// Time within which a request must be complete, from the accept of its connection or, on a connection
+    /// that was kept alive, from its first byte. Typical clients send at once and give up sooner. The client
+    /// must get an error within 3 s (STANDING).
     static constexpr Millis kRequestReadTimeout = 2500;
-    /// A kept connection that nobody uses costs a socket and some memory. The usual client comes back much
-    /// sooner; the others send one request and stay for good.
+    /// Time after which an idle connection is closed. An idle connection costs a socket and memory. Typical
+    /// clients send their next request much sooner; others send one request and never close.
     static constexpr Millis kIdleTimeout = 2000;
-    /// Whoever sends what can't be used tends to send it again as soon as it is rejected: the next request is
-    /// read no sooner than this.
+    /// Delay before the next request is read after a rejection. Clients that send invalid requests tend to
+    /// repeat them as soon as they are rejected.
     static constexpr Millis kPauseAfterRejection = 250;
-    /// How long a lingering close waits for the client to read what it was sent, and to close.
+    /// Time that a lingering close waits for the client to read its response and to close.
     static constexpr Millis kLingerTimeout = 1000;
-    /// Bytes that a lingering close reads and drops. Whoever sends no more than a request may have can read
-    /// its response; after that the connection is reset.
+    /// Bytes that a lingering close reads and discards. A client that sends no more than the largest allowed
+    /// request can read its response. With more input the connection is reset.
     static constexpr std::size_t kMaxDiscardedBytes = kMaxRequestBodyBytes + 2 * kMaxHeadBytes;
-    /// A response that is not written this long after the longest deadline is as good as lost.
+    /// Time added to the longest client deadline as the limit for writing a response. A response that has not
+    /// been written by then is of no use to its client.
     static constexpr Millis kResponseWriteMargin = 500;
-    /// With no socket left for a new client, a connection goes on which nothing has come for this long ...
+    /// Minimum age at which a connection without any received byte may be evicted when sockets run out.
     static constexpr Millis kMinAgeWithoutBytes = 50;
-    /// ... or on which no whole request has come for this long.
+    /// Minimum age at which a connection without a complete request may be evicted when sockets run out.
     static constexpr Millis kMinAgeWithoutRequest = 500;
-    /// The parser reads ahead of itself this far at most: a chunk's line or a trailer without end stops here.
+    /// Size limit of the parser's input buffer. It bounds endless chunk size lines and trailers.
     static constexpr std::size_t kMaxReadAhead = 2 * kMaxHeadBytes;
 
     ClientConnection(const ClientConnectionContext& context, asio::ip::tcp::socket socket);
 
-    /// Waits for the first request.
+    /// Starts to wait for the first request.
     void start();
 
     /// Writes the response to the request in progress.
     void respond(HttpResponse response);
 
-    /// Closes at once: nothing is due to the client, or nobody is there to read it.
+    /// Closes the socket at once. For a client that expects no response or that can't read one any more.
     void close();
 
-    /// For a shutdown: begins a lingering close if no request can be expected. A connection on which no
-    /// request ever came is left alone if it came after `silent_since`.
+    /// Begins a lingering close, during a shutdown, if the connection is idle and has no unread data. A
+    /// connection without any request so far is closed only if it was accepted before `silent_since`.
     void close_if_idle(Millis silent_since);
 
-    /// Lets a request that is being read end as too slow, if it is not complete.
+    /// Stops reading the current request. If it is incomplete, it ends as too slow.
     void stop_reading();
 
     bool is_idle() const { return state_ == ConnectionState::awaiting_request && !reading_is_paused_; }
-    /// @return when it became idle; before its first response, when it came.
+    /// @return when the connection became idle, or when it was accepted if it has had no response yet.
     Millis idle_since() const { return idle_since_; }
-    /// @return whether a request has come on it, whatever became of that. GET /up counts as none.
+    /// @return whether the connection has received a valid request, whatever its outcome. GET /up does not
+    /// count.
     bool has_sent_request() const { return has_sent_request_; }
-    /// @return whether it may be closed when sockets are needed.
+    /// @return whether the connection may be closed to free a socket.
     bool is_evictable(Millis now) const;
-    /// @return whether bytes have come that were not read: a request may be among them.
+    /// @return whether the kernel holds received bytes that were not read. They may contain a request.
     bool has_unread_data() const;
-    /// @return whether the client of the request in progress has left. Bytes count as much as an end: an end
-    ///         may stand behind them, and they end the request in any case.
+    /// @return whether the client of the request in progress has disconnected. Unread bytes count as a
+    ///         disconnect too: a disconnect may follow them, and they cancel the request in any case.
     bool has_client_disconnected();
 
-    /// For ClientConnectionPool alone.
+    /// The position in the list of ClientConnectionPool. Only that class uses it.
     List::iterator list_position;
 
 private:
@@ -193,7 +201,7 @@
 
     void enter(ConnectionState state);
 
-    // ---- time and events of the socket
+    // ---- timer and socket events
     void set_timeout(Millis timeout);
     void on_timeout();
     void await_readable();
@@ -227,8 +235,8 @@
     void discard_input();
 
     // ---- exceptions
-    // An exception on a request's way (no memory, say) must not leave its client without an outcome: whoever
-    // would have given it later may not know of the request.
+    // Runs `work` and responds to the client with an error if `work` throws (std::bad_alloc, for example).
+    // Otherwise the client might get no outcome, because the handlers may not have recorded the request.
     template <class Work>
     void run_guarded(Work work) {
         try {
@@ -241,22 +249,22 @@
 
     const ClientConnectionContext& context_;
     TcpSocket socket_;
-    // Only while a request is being read: idle connections are many.
+    // These two exist only while a request is being read, because most connections are idle.
     std::optional<boost::beast::flat_buffer> buffer_;
     std::optional<http::request_parser<http::string_body>> parser_;
-    std::optional<HttpResponse> response_;             // while it is being written
-    std::optional<ByteBudget::Grant> message_memory_;  // for a body beyond the usual size, in or out
-    std::optional<RequestProblem> problem_;            // of the request being read
-    RequestId request_id_ = 0;                         // of the request in progress; 0: none
+    std::optional<HttpResponse> response_;             // the response that is being written
+    std::optional<ByteBudget::Grant> message_memory_;  // for a body above kMaxBodyBytesWithoutGrant
+    std::optional<RequestProblem> problem_;            // why the request that is being read is rejected
+    RequestId request_id_ = 0;                         // the request in progress; 0 if there is none
     ConnectionState state_ = ConnectionState::awaiting_request;
     bool has_sent_request_ = false;
-    bool has_been_answered_ = false;    // a response was written, and the connection was kept
-    bool is_waiting_readable_ = false;  // a wait on the socket is outstanding
+    bool has_been_answered_ = false;    // a response was written, and the connection was kept alive
+    bool is_waiting_readable_ = false;  // an asynchronous wait on the socket is outstanding
     bool closes_after_response_ = false;
-    bool read_timed_out_ = false;  // the time for the request being read is over
+    bool read_timed_out_ = false;  // the time limit of the request that is being read has expired
     bool response_is_rejection_ = false;
-    bool reading_is_paused_ = false;   // after a rejection, in awaiting_request: bytes are left unread
-    std::size_t discarded_bytes_ = 0;  // in lingering_close
+    bool reading_is_paused_ = false;   // in awaiting_request, after a rejection: input is left unread
+    std::size_t discarded_bytes_ = 0;  // bytes that lingering_close has read and discarded
     Millis idle_since_;
     TimerQueue::Key timer_{};
 };
--- a/src/net/client_connection_pool.cpp
+++ b/src/net/client_connection_pool.cpp
@@ -4,7 +4,8 @@
 
 namespace {
 
-// Keeps a reference: closing removes the connection from its list.
+// Closes the connection and returns true. Holds a reference meanwhile, because closing removes the connection
+// from the list that owns it.
 bool close(ClientConnection& connection) {
     const auto keep_alive = connection.shared_from_this();
     keep_alive->close();
--- a/src/net/client_connection_pool.hpp
+++ b/src/net/client_connection_pool.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The open connections of clients, and which of them is closed when sockets run out.
+/// The open client connections, and the choice of the one that is closed when sockets run out.
 #pragma once
 
 #include <cstddef>
@@ -11,34 +11,36 @@
 
 namespace elmbay {
 
-/// All open connections of a listener, in two lists: those on which no request has come yet, in the order in
-/// which they came, and the others, the longest idle first.
+/// All open connections of a listener, in two lists: connections without a request so far in the order of
+/// their accept, and connections that have sent a request, the longest idle first.
 ///
-/// Not thread-safe. Owned by Listener; bounded by the descriptors of Side::clients.
+/// Not thread-safe. Owned by Listener. The descriptors of Side::clients bound its size.
 class ClientConnectionPool {
 public:
-    /// A connection that has been idle for longer is closed as readily as one on which no request ever came.
+    /// Idle time after which a connection that has sent a request may be evicted like one that has sent none.
     static constexpr Millis kUnusedAge = 2000;
 
-    /// A new connection, on which no request has come.
+    /// Adds a new connection, which has sent no request yet.
     void add(const std::shared_ptr<ClientConnection>& connection);
-    /// A first request has come on it.
+    /// Moves a connection that has sent its first request to the second list.
     void on_first_request(ClientConnection& connection);
-    /// It waits for its next request from now on.
+    /// Moves a connection that has just become idle to the end of its list.
     void on_idle(ClientConnection& connection);
-    /// The caller holds a reference to it.
+    /// Removes a connection. The caller must hold a reference to it.
     void remove(ClientConnection& connection);
 
-    /// Closes one that can go without harm: first one on which no request ever came, the oldest of them
-    /// first, then the one that has been idle longest.
+    /// Closes one evictable connection: the oldest one without a request or, if there is none, the longest
+    /// idle of those that have sent a request.
     ///
-    /// A flood of new connections, all too young to be told from clients about to send a request, does not
-    /// push out the few that have sent one: it waits until it is old enough itself.
-    /// @return whether one was closed.
+    /// New connections can't be distinguished from clients that are about to send a request until they reach
+    /// ClientConnection::kMinAgeWithoutBytes. While there are at least as many of them as evictable idle
+    /// connections, a connection that has sent a request is evicted only after kUnusedAge. So a flood of new
+    /// connections does not evict the active clients.
+    /// @return whether a connection was closed.
     bool close_one(Millis now);
 
     std::size_t size() const { return without_request_.size() + with_request_.size(); }
-    /// @return all of them as they are now, so that the caller may close some while it goes through them.
+    /// @return a copy of the current connections, so that the caller may close some while iterating.
     std::vector<std::shared_ptr<ClientConnection>> all() const;
 
 private:
--- a/src/net/client_connection_reading.cpp
+++ b/src/net/client_connection_reading.cpp
@@ -1,4 +1,5 @@
-// How a ClientConnection reads a request, from its first byte until it is given to the handlers.
+// The request reading part of ClientConnection: from the first byte until the request is passed to the
+// handlers.
 #include <netinet/in.h>
 #include <netinet/tcp.h>
 
@@ -16,13 +17,13 @@
 using tcp = asio::ip::tcp;
 
 constexpr const char* kHealthCheckPath = "/up";
-// What the kernel must fill of tcp_info to tell when the last byte came: older ones have less.
+// Size of tcp_info up to and including tcpi_last_data_recv. Older kernels return a shorter structure.
 constexpr std::size_t kTcpInfoBytes =
     offsetof(tcp_info, tcpi_last_data_recv) + sizeof(tcp_info::tcpi_last_data_recv);
 
-// How long the last byte has been here, as the kernel counts it (tcp(7), tcp_info: in milliseconds, as coarse
-// as its tick). A connection that waited to be accepted, or whose bytes lay there while this process had no
-// core, has used up that much of its client's time.
+// Returns the milliseconds since the kernel received the last byte, with the resolution of the kernel's tick
+// (tcp(7), tcp_info); 0 if unknown. This time counts against the client's deadline: the connection may have
+// waited in the accept queue, or this process may have had no CPU core.
 Millis kernel_queue_time(tcp::socket& socket) {
     tcp_info info{};
     socklen_t size = sizeof info;
@@ -38,7 +39,7 @@
 
 bool is_api_path(std::string_view path) { return path == "/api" || path.starts_with("/api/"); }
 
-// Whether the parser found something that is no HTTP, rather than an end of the connection.
+// Returns whether the parser rejected the input as invalid HTTP. False if the connection ended or failed.
 bool is_protocol_error(const boost::system::error_code& error) {
     const auto& parser_errors = http::make_error_code(http::error::end_of_stream).category();
     return error.category() == parser_errors && error != http::error::end_of_stream &&
@@ -50,7 +51,8 @@
 void ClientConnection::read_request() {
     enter(ConnectionState::reading_request);
     read_timed_out_ = false;
-    if (has_been_answered_) set_timeout(kRequestReadTimeout);  // the first one's time runs from the accept
+    // The time limit of the first request runs since the accept.
+    if (has_been_answered_) set_timeout(kRequestReadTimeout);
     buffer_.emplace(kMaxReadAhead);
     parser_.emplace();
     parser_->body_limit(kMaxRequestBodyBytes);
@@ -61,8 +63,8 @@
                             });
 }
 
-// What can't be used is rejected before its body is read, and what contradicts itself before it is decided
-// where its body ends.
+// Rejects an invalid request before its body is read. Contradictory framing is rejected first, before any
+// decision about where the body ends.
 void ClientConnection::on_head_read(Error error) {
     if (state_ != ConnectionState::reading_request) return;
     if (error) {
@@ -114,8 +116,8 @@
         reject(kMalformed, AfterResponse::close);
 }
 
-// In a shutdown, a client that has used the connection before sends its request once more on another one if
-// it gets no response.
+// On a connection that was used before, closes without a response during a shutdown: the client then sends
+// its request again on another connection. Otherwise responds with 408.
 void ClientConnection::on_read_timed_out() {
     if (context_.owner.has_stopped_accepting() && has_sent_request_)
         begin_lingering_close();
@@ -138,8 +140,9 @@
     return is_get && has_body ? kGetWithBody : problem;
 }
 
-// A body that is long, or does not say how long it is, needs memory of its own.
-// @return false if it may not be read.
+// Takes memory from the budget for a body that is long or of unknown length. Without a grant, a body of
+// unknown length is limited to kMaxBodyBytesWithoutGrant.
+// @return false if the body must not be read because its memory was not granted.
 bool ClientConnection::reserve_body() {
     const auto length = parser_->content_length();
     if (length && *length <= kMaxBodyBytesWithoutGrant) return true;
@@ -168,10 +171,11 @@
         answer_health_check();
         return;
     }
-    // A health check is no request: a client that sends nothing else is not the application at work.
+    // A health check does not count as a request: a client that sends only health checks is not an active
+    // client of the application.
     if (!std::exchange(has_sent_request_, true)) context_.owner.on_first_request(*this);
-    // The same id again may be somebody else's open request: two with one id must not be in progress
-    // together.
+    // The same id may belong to another client's request. Two requests with one id must not be in progress at
+    // the same time.
     if (!context_.owner.register_correlation_id(header_value(request, "X-Correlation-Id"))) {
         reject(kCorrelationIdInUse, AfterResponse::keep);
         return;
@@ -196,7 +200,7 @@
     request_id_ = context_.owner.next_request_id();
     context_.owner.on_request_started(request_id_, *this);
     const auto self = shared_from_this();
-    await_readable();  // to see the client leave
+    await_readable();  // detects a disconnect of the client
     context_.handlers.on_request(request_id_, std::move(request), received);
 }
 
--- a/src/net/client_responses.hpp
+++ b/src/net/client_responses.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Responses that the listener gives by itself, without asking for a server.
+/// Responses that the listener generates itself, without forwarding the request to a server.
 #pragma once
 
 #include "http/message.hpp"
@@ -7,8 +7,8 @@
 
 namespace elmbay {
 
-// Why the listener rejects a request by itself. What the settings say of a request is in
-// http/request_validation.hpp.
+// Reasons for which the listener rejects a request, independent of the deployment settings. For checks
+// against the settings see http/request_validation.hpp.
 constexpr RequestProblem kTooLarge{http::status::payload_too_large, "body too large\n"};
 constexpr RequestProblem kTooSlow{http::status::request_timeout, "no request came in time\n"};
 constexpr RequestProblem kPipelined{http::status::bad_request,
@@ -22,7 +22,7 @@
 constexpr RequestProblem kCorrelationIdInUse{http::status::conflict, "X-Correlation-Id has been used\n"};
 constexpr RequestProblem kInternalError{http::status::internal_server_error, "failed\n"};
 
-/// @return a response with a body in plain text and without framing headers.
+/// @return a response with a plain text body. The caller adds the framing headers (prepare_payload()).
 HttpResponse text_response(http::status status, const char* text);
 
 }  // namespace elmbay
--- a/src/net/correlation_id_registry.hpp
+++ b/src/net/correlation_id_registry.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Correlation ids that were used recently, so that an id is not used for two requests at a time.
+/// Recently used correlation ids. They are recorded so that one id is not used for two requests at a time.
 #pragma once
 
 #include <cstddef>
@@ -11,23 +11,26 @@
 
 namespace elmbay {
 
-/// A set of ids that forgets the old ones.
+/// A set of ids from which old ids expire.
 ///
-/// Ids are kept in two generations. A new generation begins after `retention`, or once the current one is
-/// full, and the one before the last is dropped. So an id stays known for one to two retentions, and for less
-/// only while more than kMaxIdsPerGeneration of them come in that time.
+/// Ids are kept in two generations. A new generation begins after `retention`, or when the current one is
+/// full. Then the previous generation is dropped and the current one becomes the previous one. So an id stays
+/// in the set for one to two retentions, and for less only if more than kMaxIdsPerGeneration ids are inserted
+/// within one retention.
 ///
 /// Not thread-safe. Owned by Listener.
 class CorrelationIdRegistry {
 public:
-    /// What the busiest sidecar sees within the longest deadline, twice over.
+    /// Twice the number of requests that the busiest sidecar receives within the longest deadline.
     static constexpr std::size_t kMaxIdsPerGeneration = 16384;
 
-    /// @param retention how long an id must at least stay known: a repeat of one whose request has just ended
-    ///                  may still run at a server.
+    /// @param retention minimum time that an id stays in the set. It covers requests that have just ended
+    /// here,
+    ///                  because such a request may still run at a server.
     explicit CorrelationIdRegistry(Millis retention) : retention_(retention) {}
 
-    /// @return false if the id is in use, or was a moment ago.
+    /// Inserts an id.
+    /// @return false if the set already contains the id: its request is in progress or has ended recently.
     bool insert(std::string_view id, Millis now);
 
 private:
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -21,21 +21,22 @@
 using tcp = asio::ip::tcp;
 using Error = boost::system::error_code;
 
-// The parser reads ahead of itself this far at most: a head, or a chunk's line.
+// Size limit of the parser's input buffer. It bounds the response head and chunk size lines.
 constexpr std::size_t kMaxReadAhead = std::size_t{64} * 1024;
-// Bytes of one list, or of one line of a watch. As many servers as a sidecar keeps, 4,096, in 1 KiB each: a
-// target takes 150 to 250 bytes, and up to 400 where the JSON is indented. While a list is parsed its text is
-// in memory once, and beside it only what it says: each target's JSON goes as soon as it has been parsed.
+// Size limit of a whole list and of one line of a watch: 1 KiB for each of the 4,096 servers that a sidecar
+// keeps. A target takes 150 to 250 bytes, and up to 400 in indented JSON. While a list is parsed, memory
+// holds its text once and the parsed entries; the JSON of each target is freed as soon as it has been parsed.
 constexpr std::size_t kMaxListBytes = std::size_t{4096} * 1024;
-// Memory that a watch keeps for its next line: many changes, and no whole list.
+// Capacity of the line buffer that a watch keeps between lines: enough for many changes, less than a whole
+// list.
 constexpr std::size_t kMaxKeptBytes = std::size_t{64} * 1024;
-// Bytes of a response's body that are read at a time.
+// Bytes of a response body that one read returns at most.
 constexpr std::size_t kPieceBytes = 8192;
 
 }  // namespace
 
-/// One call, on one connection: the whole list first, if that is needed, then the watch, read in whatever
-/// pieces it comes.
+/// One connection to the discovery service. It fetches the whole list first, if needed, then opens a watch
+/// and reads its lines incrementally.
 class Discovery::Call : public std::enable_shared_from_this<Call> {
 public:
     explicit Call(Discovery& owner) : owner_(owner), socket_(owner.io_) {}
@@ -60,7 +61,8 @@
         return !is_closed_ && socket_.available(error) > 0;
     }
 
-    /// Before the call is given up: what the service has sent counts as told.
+    /// Reads and applies what the kernel has received. To be called before the call is abandoned, because a
+    /// change that the service has already sent must be applied.
     void read_pending() {
         if (parser_ && has_unread_data()) read_available();
     }
@@ -98,14 +100,14 @@
 
     void begin_response() {
         parser_.emplace();
-        // A watch has no end; each line has its own limit. Not boost::none: Beast 1.74 compares a
-        // Content-Length with it as with the smallest number and refuses the whole list.
+        // A watch is unlimited in length; read_lines() limits each line. The limit is not boost::none,
+        // because Beast 1.74 treats that as smaller than any Content-Length and would reject the whole list.
         parser_->body_limit(std::numeric_limits<std::uint64_t>::max());
         await_readable();
     }
 
-    // Waits to be readable and reads then, within the same handler: what has come is either in the kernel,
-    // where has_unread_data() sees it, or has been handled.
+    // Waits for readability, then reads and handles the data in the same handler. So received bytes are
+    // either still in the kernel, where has_unread_data() detects them, or already handled.
     void await_readable() {
         socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](Error error) {
             if (self->is_closed_) return;
@@ -134,7 +136,7 @@
         }
     }
 
-    // Returns whether there is more to read of this response.
+    // Handles the bytes that one read returned. Returns whether more of this response is expected.
     bool on_piece(Error error) {
         if (error && error != http::error::need_buffer) {
             const bool is_end = error == http::error::end_of_stream;
@@ -152,17 +154,17 @@
         return false;
     }
 
-    // Returns whether the response can be read.
+    // Checks the status of the response. Returns whether its body is to be read.
     bool on_head() {
         if (parser_->get().result() != http::status::ok) return end(DiscoveryError::unexpected_status);
         if (!std::exchange(response_has_begun_, true)) set_timeout(kMaxSilence);
         return true;
     }
 
-    // The whole list is there. It becomes the watch's start.
+    // Applies the complete list, then opens the watch that starts at its version.
     void on_whole_list() {
         const bool can_reuse_connection = parser_->keep_alive();
-        const std::string list = std::exchange(text_, {});  // its memory goes once it has been read
+        const std::string list = std::exchange(text_, {});  // frees the text's memory on return
         if (!on_list(list)) return;
         owner_.needs_whole_list_ = false;
         if (can_reuse_connection)
@@ -171,7 +173,8 @@
             end(DiscoveryError::connection_closed);
     }
 
-    // Handles all whole lines of a watch; what is left waits for its rest. Returns whether the call goes on.
+    // Handles all complete lines of a watch and keeps the incomplete rest. Returns whether the call
+    // continues.
     bool read_lines() {
         if (text_.size() > kMaxListBytes) return end(DiscoveryError::line_too_long);
         if (!is_watch_) return true;
@@ -179,7 +182,7 @@
         for (;;) {
             const std::size_t line_end = text_.find('\n', begin);
             if (line_end == std::string::npos) break;
-            set_timeout(kMaxSilence);  // only for a whole line: one that drips without an end is silence too
+            set_timeout(kMaxSilence);  // only a complete line restarts the timeout, not single bytes of one
             if (!on_line(std::string_view(text_).substr(begin, line_end - begin))) return false;
             begin = line_end + 1;
         }
@@ -188,7 +191,7 @@
         return true;
     }
 
-    // An empty line is a heartbeat. Returns whether the call goes on.
+    // Handles one line of a watch. An empty line is a heartbeat. Returns whether the call continues.
     bool on_line(std::string_view line) {
         if (line.ends_with('\r')) line.remove_suffix(1);
         if (!line.empty() && !on_list(line)) return false;
@@ -196,8 +199,8 @@
         return true;
     }
 
-    // What can't be read must not touch the list that is held: it is dropped whole, and asked for again.
-    // Returns whether the call goes on.
+    // Parses a list and passes it on. A list that can't be parsed is discarded completely, so that it does
+    // not affect the current list, and the whole list is fetched again. Returns whether the call continues.
     bool on_list(std::string_view text) {
         Listing listing;
         try {
@@ -223,7 +226,7 @@
         });
     }
 
-    // Returns false: the call does not go on.
+    // Closes the call and reports why it ended. Returns false, because the call does not continue.
     bool end(DiscoveryError error) {
         if (is_closed_) return false;
         close();
@@ -237,7 +240,7 @@
     http::request<http::empty_body> request_;
     std::optional<http::response_parser<http::buffer_body>> parser_;
     std::array<char, kPieceBytes> piece_{};
-    std::string text_;  // of the whole list, or of the watch's line that has not ended
+    std::string text_;  // text of the whole list, or the incomplete line of the watch
     bool is_watch_ = true;
     bool is_closed_ = false;
     bool response_has_begun_ = false;
@@ -279,7 +282,7 @@
     if (const auto call = call_) call->read_pending();
     stop();
     endpoint_ = endpoint;
-    // Versions are each service's own: the one that is held says nothing of where the new service stands.
+    // Each service numbers its versions independently, so the current version is meaningless at the new one.
     needs_whole_list_ = true;
     version_ = 0;
     next_delay_ = backoff_.initial;
--- a/src/net/discovery.hpp
+++ b/src/net/discovery.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The endpoint list: fetched, watched, and watched again after every break.
+/// The discovery client: fetches the endpoint list, watches it, and reconnects after every failure.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -18,49 +18,50 @@
 
 namespace elmbay {
 
-/// Keeps a watch on the discovery service and hands on each list or change that it sends.
+/// Keeps a watch open at the discovery service and passes on each list or change that the service sends.
 ///
-/// One call at a time, on one connection: the whole list first, if none is held, then the watch. After each
-/// end of a call another follows, after a delay with jitter. What can't be read is dropped whole and the
-/// whole list asked for again; the list that is held stays in force meanwhile.
+/// Runs one call at a time, on one connection: it fetches the whole list if there is none yet, then opens the
+/// watch. When a call ends, another one starts after a delay with jitter. A message that can't be parsed is
+/// discarded completely, and the whole list is fetched again; meanwhile the current list stays in force.
 ///
 /// Not thread-safe: everything runs on the event loop's thread. Holds at most one descriptor of Side::servers
-/// and one line of a list.
+/// and the text of one list or one line.
 class Discovery {
 public:
-    /// What is missed counts as told so long after a watch fell silent, whether lists are pushed or asked
-    /// for, and so long after the service can be reached again (STANDING). The drains among it have their own
-    /// grace after that. All times below must leave room for a new call within it, which the assertions
-    /// check.
+    /// Deadline for receiving changes that were missed, from the moment a watch falls silent or the service
+    /// is reachable again (STANDING). After it the sidecar is expected to comply with those changes, whether
+    /// lists are pushed or polled; drains have their own grace period in addition. The timeouts and delays
+    /// below must leave time for a new call within this deadline. The static assertions check that.
     static constexpr Millis kReconnectDeadline = 6000;
-    /// A call that is silent for longer has been cut off: an empty line comes every 2 s, and one that is a
-    /// second late is not coming.
+    /// Time without a complete line after which a watch counts as broken. The service sends a heartbeat every
+    /// 2 s; one that is a second late is not expected to arrive.
     static constexpr Millis kMaxSilence = 3000;
-    /// A pushed list has its agent on this machine: what takes longer to be connected, or to begin its
-    /// response, is not coming. While discovery is down the agent accepts calls, is silent, and answers at
-    /// the return.
+    /// Time limits for connecting and for the start of a response, if lists are pushed. Then the service is
+    /// an agent on this machine, and a slower reply is not expected to arrive. While discovery is down, the
+    /// agent accepts calls without responding, and responds when discovery is back.
     static constexpr Millis kConnectTimeout = 500;
     static constexpr Millis kPushedResponseTimeout = 1500;
-    /// A list that is asked for is one service's for all. It answers calls in turn; one whose turn would come
-    /// later than this is refused at once (measured, docs/design/endings.md).
+    /// Longest time that a polled service queues a call. One service serves all sidecars and handles their
+    /// calls in turn. It rejects a call at once if the wait would be longer (docs/design/endings.md).
     static constexpr Millis kMaxTurn = 2000;
     static_assert(kMaxTurn < kMaxSilence);
 
-    /// Between two calls. What an agent that is back has been sent counts at once, so no delay is long. It
-    /// doubles only where the service refuses us.
+    /// Delays between two calls. They are short, because changes that a recovered agent has received take
+    /// effect at once. The delay doubles after each failed call, except after a timeout.
     struct Backoff {
         Millis initial;
         Millis max;
     };
     static constexpr Backoff kPushedBackoff{50, 250};
-    /// The one service for all is asked less often.
+    /// Backoff for the polled service. It is longer, because one service serves all sidecars.
     static constexpr Backoff kAskedBackoff{250, 400};
-    /// A delay is longer or shorter by up to this share: not in step with the other sidecars.
+    /// Random variation of a delay, as a share of it, so that sidecars do not call the service in step.
     static constexpr double kJitter = 0.5;
     static constexpr double kMaxJitterFactor = 1 + kJitter;
 
-    // One more call may fail: of a pushed list a whole one, or two that do not connect; of a list that is
-    // asked for one that is refused, and after an outage one that waited for its turn.
+    // The assertions leave time for further failed calls within the deadline. Pushed lists: a call that times
+    // out completely, or two that fail to connect. Polled lists: a call that is rejected and, after an
+    // outage, a call that waited in the service's queue.
     static_assert(kMaxSilence + kMaxJitterFactor * kPushedBackoff.initial + kConnectTimeout +
                       kPushedResponseTimeout + kMaxJitterFactor * kPushedBackoff.initial + kConnectTimeout <
                   kReconnectDeadline);
@@ -69,23 +70,23 @@
                   kReconnectDeadline);
     static_assert(2 * (kMaxJitterFactor * kAskedBackoff.max + kMaxTurn) < kReconnectDeadline);
 
-    /// Who begins the talk about a change.
+    /// How the sidecar learns of a change.
     enum class Mode {
-        pushed,  ///< an agent on this machine pushes it
-        polled,  ///< a service is asked for it
+        pushed,  ///< an agent on this machine pushes changes
+        polled,  ///< the sidecar polls a service that all sidecars share
     };
 
-    /// What the configuration says of discovery.
+    /// Options from the sidecar's configuration.
     struct Options {
         Endpoint endpoint;
-        /// Of the list that is held. None: no list is held, and the whole one is fetched first.
+        /// Version of the list that the sidecar already has. If absent, the whole list is fetched first.
         std::optional<std::uint64_t> known_version;
-        std::uint64_t seed = 0;  ///< of the jitter
+        std::uint64_t seed = 0;  ///< seed of the jitter
         Mode mode = Mode::pushed;
     };
 
-    /// Does nothing before watch(). The references must outlive it.
-    /// @param on_listing called with each list or change that could be read, in order.
+    /// Starts no call before watch(). The referenced objects must outlive this one.
+    /// @param on_listing called with each parsed list or change, in order of arrival.
     Discovery(asio::io_context& io, const Options& options, SocketBudget& budget, TimerQueue& timers,
               const Clock& clock, std::function<void(Listing)> on_listing);
     ~Discovery();
@@ -94,14 +95,14 @@
     Discovery(Discovery&&) = delete;
     Discovery& operator=(Discovery&&) = delete;
 
-    /// Watches from now on, until stop().
+    /// Keeps a watch open from now on, until stop().
     void watch();
-    /// Closes the call, if there is one. The list that is held stays in force.
+    /// Closes the current call, if any. The current list stays in force.
     void stop();
-    /// @return whether bytes of a list lie in the kernel that were not read.
+    /// @return whether the kernel holds bytes from the service that were not read.
     bool has_unread_data() const;
-    /// Goes to another address at once, fetches the whole list there, and starts with the shortest delay.
-    /// What the old address has already sent is handed on first.
+    /// Switches to another service address at once, fetches the whole list there, and resets the retry delay.
+    /// Data that the old service has already sent is applied first.
     void switch_endpoint(const Endpoint& endpoint);
 
 private:
@@ -115,16 +116,16 @@
     SocketBudget& budget_;
     TimerQueue& timers_;
     const Clock& clock_;
-    std::uint64_t version_;  // of the list that is held
-    bool needs_whole_list_;  // before the next watch
+    std::uint64_t version_;  // version of the current list
+    bool needs_whole_list_;  // the next call fetches the whole list before it opens a watch
     const Mode mode_;
     const Backoff backoff_;
     std::mt19937_64 random_;
     std::function<void(Listing)> on_listing_;
-    std::shared_ptr<Call> call_;  // none between two calls
+    std::shared_ptr<Call> call_;  // null between two calls
     TimerQueue::Key retry_timer_{};
-    Millis next_delay_;  // before jitter
-    // When the service last said what the list is, or that it has not changed; never: not in this run.
+    Millis next_delay_;  // delay before the next call, without jitter
+    // When the service last sent a list, a change or a heartbeat; minus infinity if not yet in this run.
     Millis last_heard_at_ = -std::numeric_limits<Millis>::infinity();
     bool is_watching_ = false;
 };
--- a/src/net/discovery_error.cpp
+++ b/src/net/discovery_error.cpp
@@ -12,21 +12,21 @@
     std::string message(int condition) const override {
         switch (static_cast<DiscoveryError>(condition)) {
             case DiscoveryError::no_socket:
-                return "no descriptor left for the call";
+                return "no descriptor available for the call";
             case DiscoveryError::connect_failed:
-                return "the service cannot be reached";
+                return "connecting to the service failed";
             case DiscoveryError::connection_broken:
-                return "the connection broke";
+                return "the connection was reset or ended within a message";
             case DiscoveryError::connection_closed:
                 return "the service closed the connection";
             case DiscoveryError::unexpected_status:
-                return "the service answered with a status other than 200";
+                return "the service responded with a status other than 200";
             case DiscoveryError::line_too_long:
                 return "the service sent a line of more than 4 MiB";
             case DiscoveryError::unreadable_list:
-                return "the service sent a list that cannot be read";
+                return "the service sent a list that cannot be parsed";
             case DiscoveryError::timed_out:
-                return "the service is silent";
+                return "the service sent no complete response or line within the timeout";
         }
         return "unknown error";
     }
--- a/src/net/discovery_error.hpp
+++ b/src/net/discovery_error.hpp
@@ -1,27 +1,27 @@
 /// @file
-/// Why a call to the discovery service has ended.
+/// The reasons for which a call to the discovery service ends.
 #pragma once
 
 #include <system_error>
 
 namespace elmbay {
 
-/// Each ends the call; the list that is held stays in force, and another call follows.
+/// Why a call ended. The current list stays in force, and another call follows.
 enum class DiscoveryError {
-    no_socket = 1,      ///< this process has no descriptor for the call
-    connect_failed,     ///< refused or unreachable
-    connection_broken,  ///< reset, or it ended within a message
-    connection_closed,  ///< the service has ended the call in good order
-    unexpected_status,  ///< a response other than 200
-    line_too_long,      ///< more than kMaxListBytes without an end
-    unreadable_list,    ///< a list or a change that can't be parsed
-    timed_out,          ///< nothing has come within the time that is due
+    no_socket = 1,      ///< the socket budget has no descriptor for the call
+    connect_failed,     ///< the service refused the connection or is unreachable
+    connection_broken,  ///< the connection was reset or ended within a message
+    connection_closed,  ///< the service closed the connection in an orderly way
+    unexpected_status,  ///< the response has a status other than 200
+    line_too_long,      ///< a line or list is longer than kMaxListBytes
+    unreadable_list,    ///< a list or a change can't be parsed
+    timed_out,          ///< the service sent no complete response or line in time
 };
 
-/// The category "discovery"; its messages are those of the log.
+/// @return the error category "discovery". Its messages appear in the log.
 const std::error_category& discovery_category() noexcept;
 
-/// For std::error_code's conversion from DiscoveryError.
+/// Converts a DiscoveryError. std::error_code finds this function by argument-dependent lookup.
 std::error_code make_error_code(DiscoveryError error) noexcept;
 
 }  // namespace elmbay
--- a/src/net/endpoint_list_barrier.hpp
+++ b/src/net/endpoint_list_barrier.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// How long writes to servers wait for an endpoint list that has come but was not read.
+/// Delays writes to servers while a received endpoint list has not been read yet.
 #pragma once
 
 #include <functional>
@@ -10,17 +10,17 @@
 
 namespace elmbay {
 
-/// Holds back writes while bytes of the endpoint list lie unread in the kernel.
+/// Delays writes while the kernel holds unread bytes of the endpoint list.
 ///
-/// A process that was stopped for seconds, or had no core, wakes with everything unread at once, in any
-/// order: a drain that forbids the write may be among it.
+/// After a process was stopped for seconds, or had no CPU core, all its sockets have unread data at once, and
+/// the event loop handles them in any order. The unread list may contain a drain that forbids the write.
 class EndpointListBarrier {
 public:
-    /// The longest delay. Reading the list takes the event loop one turn, and a discovery service that sends
-    /// what nobody reads must not stop everything.
+    /// The longest delay of a write. The event loop needs one turn to read the list. Data that is never read
+    /// must not block all writes.
     static constexpr Millis kMaxDelay = 50;
 
-    /// @param is_list_unread looks at the list's socket.
+    /// @param is_list_unread returns whether the discovery socket has unread bytes.
     explicit EndpointListBarrier(std::function<bool()> is_list_unread)
         : is_list_unread_(std::move(is_list_unread)) {}
 
@@ -34,8 +34,8 @@
         return now < *delayed_since_ + kMaxDelay;
     }
 
-    /// Ends the delay if the list was read. To be called in the next turn, also where nothing waits any more:
-    /// the next delay has its own time.
+    /// Ends the delay if the list has been read. To be called in the next turn of the event loop even if no
+    /// write is waiting any more, so that the next delay gets the full kMaxDelay.
     void end_if_read() {
         if (!is_list_unread_()) delayed_since_.reset();
     }
--- a/src/net/graceful_shutdown.cpp
+++ b/src/net/graceful_shutdown.cpp
@@ -14,8 +14,9 @@
     timers_.set(request_cutoff_, [this] { stop_reading(); });
 }
 
-// What the kernel accepted is ours, so none is left behind in its queue. For want of a descriptor or of the
-// machine's memory it is tried again while a request may still be received.
+// Accepts everything in the kernel's queue before the port is closed, because the kernel has already
+// completed those connections and would reset them. If a descriptor or memory is lacking, retries until the
+// request cutoff.
 void GracefulShutdown::stop_accepting() {
     const Millis retry_interval = ClientAcceptor::kRetryInterval;
     if (!acceptor_.accept_pending() && clock_.now() + retry_interval < request_cutoff_) {
--- a/src/net/graceful_shutdown.hpp
+++ b/src/net/graceful_shutdown.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The stages in which a listener ends without losing a request.
+/// The stages in which a listener shuts down without losing a request.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -14,15 +14,14 @@
 
 /// A listener's graceful shutdown. Its stages, by the time since start():
 ///
-/// - 0: connections are still accepted; each response says `Connection: close`;
-/// - kAcceptingPeriod: what waits in the kernel's queue is accepted, then the port is closed. From here on
-/// idle
-///   connections are closed, looked for every kIdleCheckInterval;
-/// - kRequestCutoff: reading requests is stopped, and none has capacity any more;
-/// - once no connection is left: `done` is called.
+/// - 0: connections are still accepted; each response has `Connection: close`;
+/// - kAcceptingPeriod: the connections in the kernel's queue are accepted, then the port is closed. From then
+///   on idle connections are closed, in a check every kIdleCheckInterval;
+/// - kRequestCutoff: reading requests stops, and every further request is rejected;
+/// - when no connection is left, `done` is called.
 ///
-/// The platform kills no sooner than the longest deadline and 0.7 s after it has told us to end (PROTOCOL): a
-/// request that was received before kRequestCutoff has its response by then.
+/// The platform kills the process no sooner than the longest deadline plus 0.7 s after SIGTERM (PROTOCOL). So
+/// a request that is received before kRequestCutoff gets its response before the kill.
 ///
 /// Not thread-safe. Owned by Listener.
 class GracefulShutdown {
@@ -30,24 +29,25 @@
     static constexpr Millis kAcceptingPeriod = 500;
     static constexpr Millis kRequestCutoff = 650;
     static constexpr Millis kIdleCheckInterval = 20;
-    /// A client that has been connected for this long and is silent is not about to send its first request.
+    /// Age at which a connection without any request counts as idle: such a client is not expected to send
+    /// its first request any more.
     static constexpr Millis kSilentConnectionAge = 100;
 
-    /// The references must outlive this object and the timers that it sets.
+    /// The referenced objects must outlive this one and the timers that it sets.
     GracefulShutdown(asio::io_context& io, const Clock& clock, TimerQueue& timers, ClientAcceptor& acceptor,
                      ClientConnectionPool& connections)
         : io_(io), clock_(clock), timers_(timers), acceptor_(acceptor), connections_(connections) {}
 
-    /// Begins; without effect if it has begun.
-    /// @param done is posted once no connection is left.
+    /// Starts the shutdown. Has no effect if it has already started.
+    /// @param done posted to the event loop when no connection is left.
     void start(std::function<void()> done);
 
     bool has_started() const { return has_started_; }
     bool has_stopped_accepting() const { return has_stopped_accepting_; }
-    /// @return whether a request that is complete now can have its response before the process is killed.
+    /// @return whether a request that is complete now can get its response before the process is killed.
     bool has_time_for_request() const { return clock_.now() < request_cutoff_; }
 
-    /// A connection has been removed from the pool.
+    /// To be called when a connection was removed from the pool.
     void on_connection_closed();
 
 private:
--- a/src/net/listener.hpp
+++ b/src/net/listener.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The HTTP/1.1 front: what the application's clients speak with the sidecar.
+/// The HTTP/1.1 frontend, which serves the application's clients.
 #pragma once
 
 #include <array>
@@ -23,23 +23,23 @@
 
 namespace elmbay {
 
-/// Accepts connections, reads requests, writes responses and answers GET /up. Decides nothing about requests:
-/// each complete and valid one goes to its handlers, which answer it by respond().
+/// Accepts connections, reads requests, writes responses and responds to GET /up. It makes no load-balancing
+/// decisions: each complete and valid request is passed to the handlers, whose owner responds by respond().
 ///
-/// Parts: ClientAcceptor accepts, ClientConnection is one connection, ClientConnectionPool holds them and
-/// closes idle ones when sockets run out, CorrelationIdRegistry rejects ids that are in use, GracefulShutdown
-/// ends all of it.
+/// Parts: ClientAcceptor accepts connections. ClientConnection handles one connection. ClientConnectionPool
+/// holds all of them and closes idle ones when sockets run out. CorrelationIdRegistry detects ids that are in
+/// use. GracefulShutdown runs the shutdown.
 ///
 /// Not thread-safe: everything runs on the event loop's thread.
 class Listener final : private ClientConnectionOwner {
 public:
     using Handlers = ListenerHandlers;
 
-    /// Listens and accepts from now on. Blocks while the port is taken, see ClientAcceptor::kBindTimeout. The
-    /// references must outlive the listener.
-    /// @param bytes             for messages beyond the usual size.
-    /// @param max_response_time how long any client waits for its response, by the settings.
-    /// @throws boost::system::system_error if the address can't be listened on.
+    /// Listens and accepts from now on. Blocks while the port is in use, for up to
+    /// ClientAcceptor::kBindTimeout. The referenced objects must outlive the listener.
+    /// @param bytes             memory budget for bodies larger than kMaxBodyBytesWithoutGrant.
+    /// @param max_response_time the longest time that any client waits for its response, by the settings.
+    /// @throws boost::system::system_error if the process can't listen on the address.
     Listener(asio::io_context& io, const Endpoint& listen, SocketBudget& budget, ByteBudget& bytes,
              TimerQueue& timers, const Clock& clock, Millis max_response_time, Handlers handlers);
     ~Listener() override;
@@ -48,29 +48,30 @@
     Listener(Listener&&) = delete;
     Listener& operator=(Listener&&) = delete;
 
-    /// Writes the final response of a request. Without effect where the client has gone.
+    /// Writes the final response to a request. Has no effect if the client has disconnected.
     void respond(RequestId id, HttpResponse response);
 
-    /// Ends gracefully, see GracefulShutdown.
-    /// @param done is posted once no connection is left.
+    /// Starts a graceful shutdown, see GracefulShutdown.
+    /// @param done posted to the event loop when no connection is left.
     void drain(std::function<void()> done);
 
-    /// @return whether the client of a request in progress has closed; ended its sending, which is the same;
-    ///         or sent more, which ends its request. Looks at the socket itself, ahead of the event that
-    ///         tells.
+    /// @return whether the client of a request in progress has closed or half-closed its connection, or has
+    /// sent
+    ///         more bytes, which cancel its request. Queries the socket directly, so the result is current
+    ///         even if the event loop has not handled the socket's event yet.
     bool is_client_disconnected(RequestId id) const;
 
     Endpoint local_endpoint() const { return acceptor_.local_endpoint(); }
-    /// @return how many are open, idle ones included.
+    /// @return the number of open connections, including idle ones.
     std::size_t connection_count() const { return connections_.size(); }
 
 private:
-    /// Bytes that are read at a time from a connection whose data is not wanted any more.
+    /// Size of the buffer into which a lingering close reads the input that it discards.
     static constexpr std::size_t kDiscardBufferBytes = std::size_t{64} * 1024;
 
     void add_connection(asio::ip::tcp::socket socket);
 
-    // What connections ask and tell.
+    // ClientConnectionOwner
     bool is_draining() const override { return shutdown_.has_started(); }
     bool has_stopped_accepting() const override { return shutdown_.has_stopped_accepting(); }
     bool has_capacity_for_request() const override;
@@ -89,7 +90,8 @@
     ClientConnectionPool connections_;
     CorrelationIdRegistry correlation_ids_;
     GracefulShutdown shutdown_;
-    std::array<char, kDiscardBufferBytes> discard_buffer_{};  // written to and never read
+    std::array<char, kDiscardBufferBytes>
+        discard_buffer_{};  // shared by all lingering closes; its content is never used
     const ClientConnectionContext connection_context_;
     std::unordered_map<RequestId, ClientConnection*> requests_in_progress_;
     RequestId next_request_id_ = 1;
--- a/src/net/listener_handlers.hpp
+++ b/src/net/listener_handlers.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What a Listener asks of the sidecar, and tells it about requests.
+/// The callbacks through which a Listener queries the sidecar and reports requests.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -12,27 +12,31 @@
 
 namespace elmbay {
 
-/// How a request came in.
+/// Circumstances of a request's arrival.
 struct RequestArrivalInfo {
-    /// In the kernel since the request's last byte came, in milliseconds; 0 where the kernel does not tell.
+    /// Time since the kernel received the request's last byte, in milliseconds; 0 if the kernel does not
+    /// report it.
     Millis kernel_queue_time = 0;
-    /// False: accepted on the reserve of sockets, or too late in a shutdown. It must be answered at once.
+    /// False if the connection uses a reserved socket or if a shutdown leaves no time for the request. Then
+    /// the request must be rejected at once.
     bool has_capacity = true;
 };
 
-/// All of them are called on the event loop's thread.
+/// Callbacks of a Listener. All are called on the event loop's thread.
 struct ListenerHandlers {
-    /// @return why a request with this head can't be used; none if it can.
+    /// @return why a request with this head is rejected; none if it is valid.
     std::function<std::optional<RequestProblem>(const RequestHead&)> validate;
-    /// A request is complete. Each one gets either one Listener::respond() or one on_client_disconnected.
+    /// Called with each complete and valid request. It ends by one Listener::respond() or by one call of
+    /// on_client_disconnected.
     std::function<void(RequestId, HttpRequest, RequestArrivalInfo)> on_request;
-    /// The client of a request in progress has left. Nothing more is sent to it.
+    /// Called when the client of a request in progress has disconnected. No response is written to it.
     std::function<void(RequestId)> on_client_disconnected;
-    /// @return the answer to GET /up.
+    /// @return whether the sidecar is ready. GET /up reports it.
     std::function<bool()> is_ready;
-    /// @return whether a request without a problem asks for the connection itself. Empty: none does.
+    /// @return whether a valid request is an upgrade request. If the function is empty, no request is.
     std::function<bool(const RequestHead&)> is_upgrade{};
-    /// Called in place of on_request for an upgrade. Takes over the connection and answers on it.
+    /// Called for an upgrade request instead of on_request. The callee takes over the socket and responds on
+    /// it.
     std::function<void(RequestId, asio::ip::tcp::socket, HttpRequest, RequestArrivalInfo)> on_upgrade{};
 };
 
--- a/src/net/log_events.hpp
+++ b/src/net/log_events.hpp
@@ -1,16 +1,17 @@
 /// @file
-/// Log lines of the front and the backs: one event a line, `elmbay: component=NAME event=NAME error="TEXT"`,
-/// on standard error.
+/// Log lines of the frontend and the server connections. Each event is one line on standard error:
+/// `elmbay: component=NAME event=NAME error="TEXT"`.
 #pragma once
 
 #include <string_view>
 
 namespace elmbay {
 
-/// Writes one line. Quotes, backslashes and control characters in the text are escaped, so that it stays one.
+/// Writes one log line. Quotes, backslashes and control characters in `error` are escaped, so that the event
+/// stays on one line.
 /// @param component the part of the program, one word
-/// @param event     what happened, one word
-/// @param error     why, in any words
+/// @param event     the name of the event, one word
+/// @param error     the cause, as free text
 void log_event(std::string_view component, std::string_view event, std::string_view error);
 
 }  // namespace elmbay
--- a/src/net/response_reader.cpp
+++ b/src/net/response_reader.cpp
@@ -6,15 +6,15 @@
 
 namespace {
 
-// Interim responses (1xx) ahead of the final one: a server has a few to send; with more it is no response.
+// Limit on interim responses (1xx) before the final one. Servers send only a few; more count as malformed.
 constexpr std::size_t kMaxInterimResponses = 8;
-// Bytes that may come for one request beside its body: head, interim responses, chunk sizes. An endless head,
-// chunk line or trailer ends here.
+// Limit on the bytes of one response outside of its body: head, interim responses, chunk sizes. It bounds
+// endless heads, chunk size lines and trailers.
 constexpr std::size_t kMaxBytesBesideBody = kMaxHeadBytes + kMaxBodyBytesWithoutGrant + kMaxHeadBytes;
-// All bytes that came and the body taken from them are held at the same time.
+// Memory for a large response. The received bytes and the body parsed from them are held at the same time.
 constexpr std::size_t kLargeResponseBytes = 2 * kMaxResponseBodyBytes;
-// Fewer bytes behind a response don't show whether they repeat it or are the rest of a body that was cut
-// short.
+// Minimum number of bytes after a response that identify them as a repetition of it. Fewer bytes could also
+// be the rest of a body whose stated length is too short.
 constexpr std::size_t kMinRepetitionBytes = 12;
 constexpr unsigned kFirstFinalStatus = 200;
 constexpr unsigned kSwitchingProtocols = 101;
@@ -24,7 +24,7 @@
 ResponseReader::State ResponseReader::feed(std::string_view bytes) {
     if (state_ == State::malformed) return state_;
     if (state_ == State::complete) {
-        // As much again is enough to see whether the response repeats itself.
+        // Bytes up to the response's own size are enough to detect whether it is repeated.
         if (bytes_.size() < 2 * parsed_size_) bytes_.append(bytes);
         state_ = is_end_certain() ? State::complete : State::malformed;
         return state_;
@@ -69,12 +69,12 @@
     parser_->body_limit(kMaxResponseBodyBytes);
 }
 
-// Parses one message, as far as its bytes are here.
+// Parses one message as far as its bytes have been received.
 ResponseReader::State ResponseReader::parse_message() {
     while (parsed_size_ < bytes_.size() && !parser_->is_done()) {
         const bool had_head = parser_->is_header_done();
-        // The head is judged before its body is looked at: a length that can't be must not make room for
-        // itself.
+        // The head is checked before the body is parsed, so that the parser allocates no memory for a length
+        // that is not allowed.
         parser_->eager(had_head);
         boost::system::error_code error;
         const char* const unparsed = bytes_.data() + parsed_size_;
@@ -87,7 +87,9 @@
     return parser_->is_done() ? State::complete : State::incomplete;
 }
 
-// A response that is long, or does not say how long it is, may be so only with a grant.
+// Returns whether the head has unambiguous framing and an allowed length. Takes memory from the budget for a
+// response that is long or of unknown length; without a grant its body is limited to
+// kMaxBodyBytesWithoutGrant.
 bool ResponseReader::has_sound_head() {
     if (!has_unambiguous_framing(parser_->get())) return false;
     const auto length = parser_->content_length();
@@ -99,9 +101,9 @@
     return true;
 }
 
-// Bytes behind a response: where its length was too short they are the rest of its body, and what was parsed
-// is no complete response. Only where they are this message once more, or its beginning, is it sure that it
-// ended there.
+// Returns whether the parsed response is known to be complete. Bytes after it may be the rest of a body whose
+// stated length is too short. The end is certain only if no bytes follow, or if they repeat the message or
+// its beginning.
 bool ResponseReader::is_end_certain() const {
     const std::string_view all(bytes_);
     const std::string_view message = all.substr(response_begin_, parsed_size_ - response_begin_);
--- a/src/net/response_reader.hpp
+++ b/src/net/response_reader.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Reads one response of a server from the bytes that come after its request.
+/// Reads one response of a server from the bytes that it sends after a request.
 #pragma once
 
 #include <cstddef>
@@ -12,39 +12,39 @@
 
 namespace elmbay {
 
-/// Collects the bytes of one response and judges it, at the first byte that decides.
+/// Collects the bytes of one response and classifies it as early as possible.
 ///
-/// A complete response says in one Content-Length, or in chunks, where it ends, and nothing but a repetition
-/// of itself follows it. Or it says neither and ends with its connection (RFC 9112, 6.3), in good order: a
-/// reset is no end.
+/// A complete response is framed by one Content-Length or by chunks, and no bytes follow it except a
+/// repetition of the response itself. A response without framing is complete when its connection ends (RFC
+/// 9112, section 6.3), but only by an orderly close, not by a reset.
 ///
-/// No I/O. Holds all bytes of the response until it is destroyed; what is longer than usual only with a grant
-/// of the budget. Not thread-safe.
+/// Does no I/O. Holds all bytes of the response until it is destroyed. Bodies above kMaxBodyBytesWithoutGrant
+/// need a grant of the budget. Not thread-safe.
 class ResponseReader {
 public:
-    /// What is known of the response so far.
+    /// The classification of the bytes received so far.
     enum class State {
         incomplete,
-        complete,   ///< get() and release() have it
-        malformed,  ///< no sound response, and none will follow
+        complete,   ///< the response is available by get() and release()
+        malformed,  ///< the bytes are no valid response; this state is final
     };
 
-    /// @param budget for what is longer than usual. It must outlive the reader.
+    /// @param budget memory budget for long bodies. It must outlive the reader.
     explicit ResponseReader(ByteBudget& budget) : budget_(budget) {}
 
-    /// More bytes have come. A complete response may still turn out malformed by what follows it.
+    /// Processes received bytes. A complete response becomes malformed if bytes other than a repetition
+    /// follow.
     State feed(std::string_view bytes);
-    /// The server has ended its sending, in good order. A response that is incomplete after this stays so.
+    /// Processes an orderly end of the server's sending. A response that is incomplete after this stays so.
     State on_end_of_stream();
     State state() const { return state_; }
 
-    /// Only of a complete response.
+    /// @return the response. Must be called only if it is complete.
     const HttpResponse& get() const { return parser_->get(); }
-    /// Moves the response out; get() has nothing after that.
+    /// Moves the response out. Must be called only if it is complete; get() must not be called afterwards.
     HttpResponse release() { return parser_->release(); }
-    /// @return whether the connection of a complete response can carry another request: nothing came behind
-    /// it,
-    ///         and the server keeps the connection.
+    /// @return whether the connection of a complete response can carry another request: no bytes followed the
+    ///         response, and the server keeps the connection alive.
     bool is_connection_reusable() const { return parsed_size_ == bytes_.size() && parser_->keep_alive(); }
 
 private:
@@ -59,9 +59,9 @@
     ByteBudget& budget_;
     std::optional<Parser> parser_;
     std::optional<ByteBudget::Grant> large_response_grant_;
-    std::string bytes_;               // all that came
-    std::size_t response_begin_ = 0;  // in bytes_: of the final response, behind interim ones (1xx)
-    std::size_t parsed_size_ = 0;     // of bytes_
+    std::string bytes_;               // all received bytes
+    std::size_t response_begin_ = 0;  // offset in bytes_ of the message after the interim responses (1xx)
+    std::size_t parsed_size_ = 0;     // number of parsed bytes at the start of bytes_
     std::size_t interim_count_ = 0;
     State state_ = State::incomplete;
 };
--- a/src/net/server_connection.cpp
+++ b/src/net/server_connection.cpp
@@ -40,8 +40,8 @@
     open();
 }
 
-// While this machine or this process lacks what a connection takes, the server has not been asked: it is
-// tried again, until the connect timeout.
+// Opens the socket and connects. If the connect fails for lack of a local resource, no packet has reached the
+// server; it is retried until the connect timeout.
 void ServerConnection::open() {
     socket_.async_connect(endpoint_, [self = shared_from_this()](Error error) {
         if (self->state_ == ServerConnectionState::closed) return;
@@ -97,11 +97,11 @@
         if (self->state_ == ServerConnectionState::in_use)
             self->read_response();
         else if (self->state_ == ServerConnectionState::idle)
-            self->close();  // the server has closed it, or sends what nobody asked for
+            self->close();  // the server has closed the connection or sent unsolicited bytes
     });
 }
 
-// ---- an exchange
+// ---- request and response
 
 void ServerConnection::send(const AttemptKey& attempt, std::shared_ptr<const HttpRequest> message,
                             Millis time_left) {
@@ -141,7 +141,7 @@
         finish_exchange({});
 }
 
-// Reads all that is there: what came behind a response belongs to the judgement on it.
+// Reads all received bytes. Bytes after a response are needed too, because they can make it malformed.
 void ServerConnection::read_available() {
     Exchange& exchange = *exchange_;
     const auto* const data = static_cast<const char*>(context_.read_buffer.data());
@@ -159,9 +159,9 @@
     }
 }
 
-// The exchange has broken, or was answered, before the write's end is known here. Whether the last byte went
-// out decides if the attempt may have run, and only the write's own result tells. Closing the socket brings
-// it at once.
+// Called when the exchange has failed or the response is complete before the write's handler has run. The
+// request may have run only if its last byte was written, and only the result of the write shows that.
+// Closing the socket makes the write complete at once.
 void ServerConnection::close_and_await_write_result() {
     enter(ServerConnectionState::awaiting_write_result);
     Error ignored;
@@ -194,14 +194,14 @@
 ExchangeResult ServerConnection::take_result(Error write_error) {
     Exchange& exchange = *exchange_;
     ExchangeResult result;
-    // Broken before the last byte was written: the request never ran. After that it may have.
+    // The request can have run only if its last byte was written before the failure.
     const bool may_have_run = exchange.is_written && !failpoint_enabled("resend");
     result.outcome = may_have_run ? Outcome::connection_reset : exchange.outcome_if_unwritten;
     switch (exchange.response.state()) {
         case ResponseReader::State::incomplete:
             return result;
         case ResponseReader::State::malformed:
-            // It has run, and nobody can tell how it ended.
+            // The request may have run, and its result is unknown.
             if (exchange.is_written) result.outcome = Outcome::error_response;
             return result;
         case ResponseReader::State::complete:
--- a/src/net/server_connection.hpp
+++ b/src/net/server_connection.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// One HTTP/1.1 connection to a server, as a state machine from the connect to its close.
+/// One HTTP/1.1 connection to a server, as a state machine from connect to close.
 #pragma once
 
 #include <array>
@@ -29,30 +29,33 @@
 
 class ServerConnection;
 
-/// What became of a request that was sent on a connection.
+/// The result of a request that was sent on a connection.
 struct ExchangeResult {
     Outcome outcome = Outcome::connection_reset;
-    HttpResponse response{};              ///< only if complete; else empty
-    bool is_response_complete = false;    ///< the server has said something whole
-    bool is_connection_reusable = false;  ///< else it is closed
+    HttpResponse response{};              ///< the response if it is complete; otherwise empty
+    bool is_response_complete = false;    ///< whether the server has sent a complete response
+    bool is_connection_reusable = false;  ///< whether the connection stays open for another request
 };
 
-/// Upstream as its connections see it. Called on the event loop's thread.
+/// The interface through which a ServerConnection notifies its Upstream. All functions are called on the
+/// event loop's thread.
 class ServerConnectionOwner {
 public:
     virtual ~ServerConnectionOwner() = default;
 
-    /// A connect has ended in one way or the other.
-    /// @param server_was_asked false: it failed for want of a socket, a port or a route on this machine.
+    /// Reports that one connect() has succeeded or failed.
+    /// @param server_was_asked false if it failed for lack of a socket, a port or a route on this machine.
     virtual void on_connect_tried(ServerId server, bool server_was_asked) = 0;
-    /// The connection is up and idle.
+    /// Reports that the connection is established and idle.
     virtual void on_connected(const std::shared_ptr<ServerConnection>& connection) = 0;
-    /// The server has refused it, or it was not up in time. The connection is closed.
+    /// Reports that the server refused the connection or that the connect timeout expired. The connection is
+    /// closed.
     virtual void on_connect_failed(const std::shared_ptr<ServerConnection>& connection) = 0;
-    /// The request of this attempt has had its end. The connection is idle if it is reusable, else closed.
+    /// Reports the result of an attempt's request. The connection is idle if it is reusable, otherwise
+    /// closed.
     virtual void on_exchange_ended(const std::shared_ptr<ServerConnection>& connection,
                                    const AttemptKey& attempt, ExchangeResult result) = 0;
-    /// The connection's descriptor is free. Called once.
+    /// Reports that the connection has closed its descriptor. Called once.
     virtual void on_closed(ServerConnection& connection) = 0;
 
 protected:
@@ -61,28 +64,28 @@
     ServerConnectionOwner& operator=(const ServerConnectionOwner&) = default;
 };
 
-/// What all connections of an Upstream share. Outlives the run of their handlers.
+/// Dependencies that all connections of an Upstream share. Must outlive every call of their handlers.
 struct ServerConnectionContext {
     ServerConnectionOwner& owner;
     asio::io_context& io;
     const Clock& clock;
     TimerQueue& timers;
-    ByteBudget& bytes;  ///< for responses beyond the usual size
+    ByteBudget& bytes;  ///< memory for bodies larger than kMaxBodyBytesWithoutGrant
     Millis connect_timeout = 0;
-    asio::mutable_buffer read_buffer;  ///< for what is being read, of one connection at a time
+    asio::mutable_buffer read_buffer;  ///< receives the bytes of one read; one connection uses it at a time
 };
 
-/// Where a server connection stands; ServerConnection has the transitions.
+/// The states of a server connection. The doc comment of ServerConnection lists the transitions.
 enum class ServerConnectionState {
     connecting,
-    idle,                   ///< up, with no request on it
-    in_use,                 ///< a request is being written, or its response awaited
-    awaiting_write_result,  ///< the socket is closed; whether the request's last byte had gone out is not
-                            ///< known
+    idle,                   ///< established, without a request
+    in_use,                 ///< a request is being written, or its response is awaited
+    awaiting_write_result,  ///< the socket is closed; the write's handler, which shows whether the request's
+                            ///< last byte was written, has not run yet
     closed,
 };
 
-/// @return whether ServerConnection's table has this transition.
+/// @return whether the state table of ServerConnection has this transition.
 constexpr bool is_allowed_transition(ServerConnectionState from, ServerConnectionState to) {
     switch (from) {
         case ServerConnectionState::connecting:
@@ -104,87 +107,89 @@
 ///
 /// | from | event | to |
 /// | --- | --- | --- |
-/// | connecting | it is up | idle |
-/// | | refused, or not up within the connect timeout | closed |
+/// | connecting | the connection is established | idle |
+/// | | the server refuses the connection; the connect timeout expires | closed |
 /// | idle | send() | in_use |
-/// | | readable: the server has closed it, or sends what nobody asked for; close() | closed |
-/// | in_use | complete response, and the connection can carry another request | idle |
-/// | | response or failure before the write's result; stop_writing() | awaiting_write_result |
+/// | | readable: the server has closed it or sends unsolicited bytes; close() | closed |
+/// | in_use | the response is complete, and the connection can carry another request | idle |
+/// | | a response or failure precedes the result of the write; stop_writing() | awaiting_write_result |
 /// | | any other response or failure; abandon(); close() | closed |
-/// | awaiting_write_result | stop_writing() once more | awaiting_write_result |
-/// | | the write's result | closed |
+/// | awaiting_write_result | stop_writing() is called again | awaiting_write_result |
+/// | | the write completes | closed |
 ///
-/// The connection always waits to be readable, and reads only for an attempt. While it is idle nothing is
-/// taken from the kernel, so that is_usable() sees all that came, and whatever comes before a request (an
-/// end, a second copy of a response, noise) closes the connection instead of passing for the request's
-/// response.
+/// The connection always waits for readability, but reads only while it is in use. While it is idle, received
+/// bytes stay in the kernel, where is_usable() detects them. Anything that arrives before a request (a close,
+/// a duplicate response, garbage) closes the connection, so it can't be taken for the response to that
+/// request.
 ///
-/// Owned by ServerConnectionPool while idle, by its attempt while in use, and by the handlers that wait for
-/// its socket. Holds one descriptor of Side::servers until on_closed(). Not thread-safe.
+/// Owned by ServerConnectionPool while idle, by its attempt while in use, and by the pending handlers of its
+/// socket. Holds one descriptor of Side::servers until on_closed(). Not thread-safe.
 class ServerConnection : public std::enable_shared_from_this<ServerConnection> {
 public:
     using List = std::list<std::shared_ptr<ServerConnection>>;
 
-    /// Between two tries to connect while a socket or a port is lacking. Such a shortage lasts for moments,
-    /// and an attempt's share of time for its connection, 50 ms or so at least, holds several tries.
+    /// Interval between two connects while a socket or a port is lacking. Such a shortage is short. An
+    /// attempt waits for its connection for at least about 50 ms, which allows several retries.
     static constexpr Millis kConnectRetryInterval = 10;
 
     ServerConnection(const ServerConnectionContext& context, ServerId server, const Endpoint& endpoint);
 
-    /// Begins to connect. Ends in on_connected() or on_connect_failed().
+    /// Starts to connect. on_connected() or on_connect_failed() reports the result.
     void connect();
 
-    /// @return whether a request may be written: the connection is idle, and neither bytes nor an end have
-    /// come.
+    /// @return whether a request may be written: the connection is idle, and the server has neither sent
+    /// bytes
+    ///         nor closed it.
     bool is_usable();
 
-    /// Writes the request of an attempt and reads its response. Ends in on_exchange_ended(), unless abandon()
-    /// or close() comes first.
-    /// @param time_left what the server is told of the client's deadline.
+    /// Writes the request of an attempt and reads its response. on_exchange_ended() reports the result,
+    /// unless abandon() or close() is called before.
+    /// @param time_left time until the client's deadline. The server gets it as X-Time-Left.
     void send(const AttemptKey& attempt, std::shared_ptr<const HttpRequest> message, Millis time_left);
 
-    /// @return whether the result of the request's write is not known yet.
+    /// @return whether the write of the request is still pending.
     bool is_writing() const { return exchange_ && exchange_->is_write_pending; }
 
-    /// For a request whose time to be written is over. Closes the socket. Whether the last byte had gone out
-    /// all the same, only the write's own result tells, which comes at once; on_exchange_ended() follows.
+    /// Closes the socket of a request whose write deadline has passed. The last byte may still have been
+    /// written; the result of the write, which follows at once, shows that. on_exchange_ended() reports the
+    /// result.
     void stop_writing();
 
-    /// For a request that was given up. Resets the connection, so that what the kernel still holds of the
-    /// request goes too: a path that is cut now may open again long after the request's deadline, and would
-    /// bring it to the server then.
+    /// Resets the connection of a request that was cancelled or timed out, so that the kernel discards the
+    /// unsent part of the request. Otherwise, if the network path is interrupted, the kernel could deliver
+    /// the request long after its deadline.
     void abandon();
 
-    /// Closes at once; no on_exchange_ended() follows.
+    /// Closes the socket at once. on_exchange_ended() is not called.
     void close();
 
     ServerId server() const { return server_; }
     const Endpoint& endpoint() const { return endpoint_; }
 
-    /// For ServerConnectionPool alone.
+    /// The position in ServerConnectionPool. Only that class uses it.
     struct PoolPosition {
-        List::iterator in_server;                       ///< among the idle ones of its server
-        std::list<ServerConnection*>::iterator in_all;  ///< among all idle ones
+        List::iterator in_server;                       ///< in the idle list of its server
+        std::list<ServerConnection*>::iterator in_all;  ///< in the list of all idle connections
         Millis idle_since = 0;
     };
-    std::optional<PoolPosition> pool_position;  ///< none while it is not in the pool
+    std::optional<PoolPosition> pool_position;  ///< empty while not in the pool
 
 private:
     using Error = boost::system::error_code;
 
-    // A request and its response.
+    // A request and its response on this connection.
     struct Exchange {
         Exchange(const AttemptKey& attempt, ByteBudget& bytes) : attempt(attempt), response(bytes) {}
 
         AttemptKey attempt;
         ResponseReader response;
-        // The body is the message's own: as many copies as attempts would take much of a small memory.
+        // `request` refers to the body of `message`. A copy for each attempt would take too much memory.
         std::shared_ptr<const HttpRequest> message;
         std::optional<http::request<http::span_body<const char>>> request;
         bool is_write_pending = true;
-        bool is_written = false;         // the kernel has taken the request's last byte
-        bool is_read = false;            // the response is complete or malformed, or none will come
-        bool has_server_closed = false;  // nothing more comes
+        bool is_written = false;         // the kernel has accepted the request's last byte
+        bool is_read = false;            // the response is complete or malformed, or the server has closed
+        bool has_server_closed = false;  // the server has closed or reset the connection
         Outcome outcome_if_unwritten = Outcome::connect_failed;
     };
 
@@ -208,9 +213,9 @@
     const ServerId server_;
     const Endpoint endpoint_;
     TcpSocket socket_;
-    std::optional<Exchange> exchange_;  // stays after close(): the write may still refer to it
+    std::optional<Exchange> exchange_;  // kept after close(), because a pending write may refer to it
     ServerConnectionState state_ = ServerConnectionState::connecting;
-    bool is_waiting_readable_ = false;  // a wait on the socket is outstanding
+    bool is_waiting_readable_ = false;  // an asynchronous wait on the socket is outstanding
     TimerQueue::Key connect_timer_{};
     TimerQueue::Key retry_timer_{};
 };
--- a/src/net/server_connection_pool.cpp
+++ b/src/net/server_connection_pool.cpp
@@ -23,7 +23,7 @@
     const auto position = std::exchange(connection.pool_position, std::nullopt);
     if (!position) return;
     by_last_use_.erase(position->in_all);
-    by_server_.at(connection.server()).erase(position->in_server);  // may have been the last reference
+    by_server_.at(connection.server()).erase(position->in_server);  // may drop the last reference
 }
 
 void ServerConnectionPool::close_all(ServerId server) {
--- a/src/net/server_connection_pool.hpp
+++ b/src/net/server_connection_pool.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Idle connections to servers.
+/// The pool of idle connections to servers.
 #pragma once
 
 #include <list>
@@ -11,36 +11,38 @@
 
 namespace elmbay {
 
-/// Holds the idle connections of all servers, in order of their last use. The most recently used one of a
-/// server is used next; the one that has been idle longest, of all servers, is closed first.
+/// Holds the idle connections to all servers in order of their last use. take() returns the most recently
+/// used connection of a server; when sockets run out, the longest idle connection of all servers is closed
+/// first.
 ///
-/// A connection that closes itself must be removed by remove(). Not thread-safe. Owned by Upstream; bounded
-/// by the descriptors of Side::servers.
+/// A connection that closes itself must be removed by remove(). Not thread-safe. Owned by Upstream. The
+/// descriptors of Side::servers bound its size.
 class ServerConnectionPool {
 public:
-    /// @param now when it became idle.
+    /// Adds an idle connection.
+    /// @param now the time at which the connection became idle.
     void add(const std::shared_ptr<ServerConnection>& connection, Millis now);
-    /// Takes out the most recently used connection to this server.
-    /// @return nothing if none is idle.
+    /// Removes and returns the most recently used connection to this server.
+    /// @return null if there is no idle connection to it.
     std::shared_ptr<ServerConnection> take(ServerId server);
-    /// Takes one out; without effect if it is not in the pool.
+    /// Removes a connection. Has no effect if it is not in the pool.
     void remove(ServerConnection& connection);
 
     /// Closes all idle connections to this server.
     void close_all(ServerId server);
-    /// The same for a server that is not used any more.
+    /// Closes all idle connections to a server that is not used any more and removes its entry.
     void remove_server(ServerId server);
-    /// Closes those that have been idle since before this time.
+    /// Closes all connections that became idle before this time.
     void close_idle_since_before(Millis time);
-    /// Closes the one that has been idle longest.
-    /// @return false if there is none.
+    /// Closes the connection that has been idle longest.
+    /// @return false if the pool is empty.
     bool close_longest_idle();
 
     std::size_t size() const { return by_last_use_.size(); }
 
 private:
-    std::unordered_map<ServerId, ServerConnection::List> by_server_;  // the most recently used last
-    std::list<ServerConnection*> by_last_use_;                        // of all servers, likewise
+    std::unordered_map<ServerId, ServerConnection::List> by_server_;  // most recently used last
+    std::list<ServerConnection*> by_last_use_;  // of all servers, most recently used last
 };
 
 }  // namespace elmbay
--- a/src/net/upstream.cpp
+++ b/src/net/upstream.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-// Idle connections are closed after this share of the servers' own limit: a request on one that the server
-// closes at that moment would be reset, and may have run.
+// Share of the servers' idle timeout after which idle connections are closed. If the server closed a
+// connection just as a request is sent on it, the request would be reset although it may have run.
 constexpr double kIdleLimitShare = 0.8;
-// How often idle connections are looked at, in milliseconds; if the servers' limit is short, so often within
-// it.
+// Longest interval, in milliseconds, between two checks for idle connections that are to be closed, and the
+// number of checks within the servers' idle timeout if that is short.
 constexpr Millis kMaxIdleCheckInterval = 500;
 constexpr double kIdleChecksPerLimit = 20;
 
@@ -23,14 +23,14 @@
 struct Upstream::Server {
     ServerId id = 0;
     Endpoint endpoint;
-    Millis online_since = 0;  // when its process started
+    Millis online_since = 0;  // start time of the server's process
     bool may_send = true;
-    // The last connect failed for want of a socket, a port or a route on this machine.
+    // Whether the last connect failed for lack of a socket, a port or a route on this machine.
     bool last_connect_failed_locally = false;
     std::size_t attempt_count = 0;
     std::size_t connecting_count = 0;
     Millis last_response_at = 0;
-    std::deque<AttemptKey> waiting;  // attempts that wait for a connection, the oldest first
+    std::deque<AttemptKey> waiting;  // attempts that wait for a connection, oldest first
 };
 
 Upstream::Upstream(asio::io_context& io, SocketBudget& budget, ByteBudget& bytes, TimerQueue& timers,
@@ -56,7 +56,8 @@
 void Upstream::set_server(ServerId id, const Endpoint& endpoint, bool may_send, Millis online_since) {
     Server& server = servers_[id];
     server.id = id;
-    // Any other start is another process: a server's wall clock may be set back between its runs.
+    // Any different start time, earlier or later, means another process: the wall clock of a server may be
+    // set back between two runs.
     const bool has_restarted = online_since > 0 && server.online_since != online_since;
     const bool has_moved = server.endpoint != endpoint;
     if (may_send) {
@@ -64,8 +65,8 @@
         server.online_since = online_since;
     }
     server.may_send = may_send;
-    // A server that wants nothing new has no use for idle connections; an old address or an earlier process
-    // has none at all.
+    // Idle connections are useless if the server accepts no new attempts, and invalid if they lead to an old
+    // address or an earlier process.
     if (has_moved || has_restarted || !may_send) pool_.close_all(id);
     if (!may_send) assign_connections(server);
 }
@@ -87,7 +88,7 @@
 
 // ---- waiting attempts
 
-// Gives idle connections to waiting attempts and opens what is missing.
+// Assigns idle connections to waiting attempts and opens connections for the others.
 void Upstream::assign_connections(Server& server) {
     if (!server.waiting.empty() && must_wait_for_list()) return;
     assign_idle_connections(server);
@@ -110,8 +111,9 @@
     }
 }
 
-// The server may have begun to drain, or the client have left, while the attempt waited. The timer that ends
-// the attempt may come later: a process that was held up handles connections first.
+// Checks again whether the attempt may be written. While it waited, the server may have started to drain, or
+// the client may have disconnected. The attempt's deadline may have passed without its timer having run,
+// because after a stall the event loop may handle connections first.
 bool Upstream::may_write(const Server& server, const UpstreamAttempt& attempt) const {
     const bool is_too_late = clock_.now() >= attempt.last_write_time();
     return server.may_send && !is_too_late && !write_checks_.is_client_disconnected(attempt.key.request);
@@ -120,7 +122,7 @@
 void Upstream::open_missing_connections(Server& server) {
     while (server.connecting_count < server.waiting.size()) {
         if (!budget_.take(Side::servers)) {
-            // Attempts that no connection is on its way for never ran.
+            // Without a connection being opened for it, the attempt was not sent.
             end(take_last_waiting(server), Outcome::not_sent);
             continue;
         }
@@ -141,7 +143,8 @@
     return attempt;
 }
 
-// What waits for the list is looked at again in the next turn of the event loop, which reads it.
+// Posts a new check of the waiting attempts if they must wait for the endpoint list. The event loop reads the
+// list in its next turn.
 bool Upstream::must_wait_for_list() {
     if (!list_barrier_.must_wait(clock_.now())) return false;
     if (!std::exchange(is_list_turn_posted_, true)) asio::post(io_, [this] { on_list_turn(); });
@@ -202,7 +205,8 @@
         on_deadline(attempt);
 }
 
-// That no connection came up is the server's failure only if it was asked for one.
+// Counts the missing connection as the server's failure only if a connect was sent to the server and the
+// write deadline has not passed.
 void Upstream::on_connect_time_over(UpstreamAttempt& attempt) {
     Server& server = servers_.at(attempt.server);
     std::erase(server.waiting, attempt.key);
@@ -218,13 +222,13 @@
         set_timer(attempt, attempt.deadline);
 }
 
-// The connection is closed first: whatever comes next for this request must not find an attempt still in
-// flight. A write was begun, and its result may not have been seen yet: the request may have run, whatever is
-// known.
+// Resets the connection first, so that a following attempt of this request does not run beside this one. The
+// outcome is timed_out even if the write's handler has not run yet: a write was started, so the request may
+// have run.
 void Upstream::on_deadline(UpstreamAttempt& attempt) {
     std::exchange(attempt.connection, nullptr)->abandon();
-    // If the machine has vanished, its idle connections are dead without knowing, and each would cost a
-    // request that may have run.
+    // If the server's machine has failed, its idle connections are dead without any event on this side. A
+    // request sent on one of them would also time out and count as possibly run.
     const bool server_is_silent = servers_.at(attempt.server).last_response_at < attempt.started_at;
     if (server_is_silent) pool_.close_all(attempt.server);
     end(attempt, Outcome::timed_out);
@@ -247,13 +251,14 @@
     const AttemptKey key = attempt.key;
     const Millis duration = clock_.now() - attempt.started_at;
     attempts_.erase(key);
-    // Posted, as start_attempt() may be among the callers. Order is kept.
+    // Posts the callback instead of calling it, because the caller may be start_attempt(), which must return
+    // first. The event loop runs posted callbacks in order.
     asio::post(io_, [this, key, outcome, duration, response = std::move(response)]() mutable {
         ended_(key, outcome, duration, std::move(response));
     });
 }
 
-// ---- what connections tell
+// ---- ServerConnectionOwner
 
 void Upstream::on_connect_tried(ServerId server, bool server_was_asked) {
     servers_.at(server).last_connect_failed_locally = !server_was_asked;
@@ -273,7 +278,8 @@
 void Upstream::on_connect_failed(const std::shared_ptr<ServerConnection>& connection) {
     Server& server = servers_.at(connection->server());
     --server.connecting_count;
-    // Attempts may have been given connections that became idle: then none was waiting for this one.
+    // No attempt fails if the remaining connects suffice for the waiting attempts: some attempts may have
+    // been assigned connections that became idle.
     if (server.waiting.size() <= server.connecting_count) return;
     const Outcome outcome = server.last_connect_failed_locally ? Outcome::not_sent : Outcome::connect_failed;
     end(take_first_waiting(server), outcome);
--- a/src/net/upstream.hpp
+++ b/src/net/upstream.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The servers' side: sends attempts to servers and says what became of each.
+/// The backend: sends attempts to servers and reports the outcome of each.
 #pragma once
 
 #include <array>
@@ -22,35 +22,37 @@
 
 namespace elmbay {
 
-/// Runs attempts: finds or opens a connection for each, writes its request, and reads its response, up to one
-/// outcome each. Decides nothing about requests.
+/// Runs attempts: takes an idle connection or opens one, writes the request, reads the response, and reports
+/// exactly one outcome for each attempt. It makes no load-balancing decisions.
 ///
-/// Parts: ServerConnection is one connection, ServerConnectionPool holds the idle ones, UpstreamAttempt is
-/// one attempt, EndpointListBarrier holds writes back while the endpoint list has come and was not read.
+/// Parts: ServerConnection handles one connection. ServerConnectionPool holds the idle ones. UpstreamAttempt
+/// is the state of one attempt. EndpointListBarrier delays writes while an endpoint list was received but not
+/// read.
 ///
 /// Not thread-safe: everything runs on the event loop's thread. Bounded by the descriptors of Side::servers.
 class Upstream final : private ServerConnectionOwner {
 public:
-    /// Times of the settings, in milliseconds.
+    /// Timeouts from the settings, in milliseconds.
     struct Limits {
         Millis connect_timeout = 250;
-        Millis idle_close = 15000;  ///< servers close a connection that has been idle for so long
+        Millis idle_close = 15000;  ///< idle time after which servers close a connection
     };
-    /// Called once for each start_attempt(), never from within it. The response is there if the outcome is
-    /// success.
+    /// Called once for each start_attempt(), never before it has returned. The response is set if the outcome
+    /// is success.
     using Ended = std::function<void(AttemptKey, Outcome, Millis duration, HttpResponse response)>;
 
-    /// Asked right before a request is written. A process that was stopped for seconds, or had no core, wakes
-    /// with everything unread at once, in any order: what would forbid the write may be among it.
+    /// Checks that run right before a request is written. After a process was stopped for seconds, or had no
+    /// CPU core, all its sockets have unread data at once, and the event loop handles them in any order. The
+    /// unread data may forbid the write.
     struct WriteChecks {
-        /// @return whether the endpoint list has said something that was not read.
+        /// @return whether the discovery connection has unread data.
         std::function<bool()> is_endpoint_list_unread = [] { return false; };
-        /// @return whether the client of the request has left, even if that was not handled yet.
+        /// @return whether the client of the request has disconnected, even if the event was not handled yet.
         std::function<bool(RequestId)> is_client_disconnected = [](RequestId) { return false; };
     };
 
-    /// The references must outlive the upstream.
-    /// @param bytes for responses beyond the usual size.
+    /// The referenced objects must outlive the upstream.
+    /// @param bytes memory budget for response bodies larger than kMaxBodyBytesWithoutGrant.
     Upstream(asio::io_context& io, SocketBudget& budget, ByteBudget& bytes, TimerQueue& timers,
              const Clock& clock, Limits limits, Ended ended, WriteChecks write_checks);
     ~Upstream() override;
@@ -59,34 +61,40 @@
     Upstream(Upstream&&) = delete;
     Upstream& operator=(Upstream&&) = delete;
 
-    /// What the endpoint list says of a server. One that may not be sent to gets no byte of a new attempt:
-    /// its idle connections are closed, and its waiting attempts end as not sent.
-    /// @param online_since when its process started. A process that started at another time has none of the
-    ///                     connections of the one before.
+    /// Adds a server or updates it from the endpoint list.
+    /// @param may_send     whether attempts may be sent to the server. If false, its idle connections are
+    /// closed,
+    ///                     and its waiting attempts end as not sent.
+    /// @param online_since start time of the server's process; 0 if unknown. If it changes, the connections
+    /// to
+    ///                     the previous process are closed.
     void set_server(ServerId id, const Endpoint& endpoint, bool may_send, Millis online_since = 0);
-    /// Without effect for a server that has attempts or connects.
+    /// Removes a server and closes its idle connections. Has no effect while it has attempts or pending
+    /// connects.
     void remove_server(ServerId id);
-    /// @return attempts and connects of a server.
+    /// @return the number of attempts and pending connects of a server.
     std::size_t attempt_and_connect_count(ServerId id) const;
 
-    /// Begins an attempt.
-    /// @param server     named by set_server() before.
-    /// @param deadline   the attempt ends as timed out, unless something else ends it before.
-    /// @param write_deadline its last byte is handed to the kernel before this time, or it ends as not sent.
+    /// Starts an attempt.
+    /// @param server         a server that was added by set_server().
+    /// @param deadline       time at which the attempt ends as timed out if it has no other outcome by then.
+    /// @param write_deadline time by which the kernel must have accepted the request's last byte. Otherwise
+    /// the
+    ///                       attempt ends as not sent.
     void start_attempt(AttemptKey key, ServerId server, Millis deadline, Millis write_deadline,
                        std::shared_ptr<const HttpRequest> request);
-    /// Closes the attempt's connection before it returns. The attempt ends as cancelled.
+    /// Cancels an attempt. Its connection is closed before this returns. The attempt ends as cancelled.
     void cancel_attempt(AttemptKey key);
 
     std::size_t idle_connection_count() const { return pool_.size(); }
 
 private:
-    /// Bytes of a response that are read at a time.
+    /// Bytes of a response that one read returns at most.
     static constexpr std::size_t kReadBufferBytes = std::size_t{32} * 1024;
 
     struct Server;
 
-    // ---- what connections tell
+    // ---- ServerConnectionOwner
     void on_connect_tried(ServerId server, bool server_was_asked) override;
     void on_connected(const std::shared_ptr<ServerConnection>& connection) override;
     void on_connect_failed(const std::shared_ptr<ServerConnection>& connection) override;
--- a/tests/net/client_disconnect_test.cpp
+++ b/tests/net/client_disconnect_test.cpp
@@ -1,5 +1,5 @@
-// Clients that leave while their request is in flight, waits for capacity or a server, or waits for its
-// connection. Nothing may be sent to a server for them afterwards.
+// Tests clients that disconnect while their request is in flight or waits for capacity, for a server or for a
+// connection. After the disconnect nothing may be sent to a server for them.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -19,7 +19,7 @@
     std::function<void(Peer&)> leave;
 };
 
-// To the sidecar all of these are the same: the client no longer waits for a response.
+// All of these mean the same to the sidecar: the client no longer waits for a response.
 const std::vector<WayToLeave>& ways_to_leave() {
     static const std::vector<WayToLeave> ways{
         {"close", [](Peer& client) { client.close(); }},
@@ -40,10 +40,10 @@
         fixture.until([&] { return server.last_connection().closed && fixture.sidecar->requests() == 0; }));
 }
 
-// ---- While the connection to the server opens -------------------------------------------------------------
+// ---- Disconnect during the connect to the server ----------------------------------------------------------
 
-// The connection opens, and right after that the client leaves. The loop stands still between the two, as for
-// a process without a core, and hears of the connection first.
+// The connection to the server is established, and right afterwards the client disconnects. The event loop
+// does not run in between, as if the process had no CPU core, and handles the new connection first.
 void expect_nothing_sent_after_leaving_during_connect(const std::function<void(Peer&)>& leave) {
     SidecarFixture fixture;
     fixture.start();
@@ -54,7 +54,7 @@
     EXPECT_TRUE(fixture.until([&] { return fixture.sidecar->requests() == 1; }));
     fixture.handle_pending_events();
     const tcp::socket filler = server.acceptor.accept();
-    // There is room now: the kernel's second try, a second after the first, succeeds.
+    // The accept queue has room now, so the SYN that the kernel sends again after a second succeeds.
     server.connections.push_back(std::make_shared<Peer>(server.acceptor.accept()));
     server.connections.back()->read();
     leave(*client);
@@ -83,15 +83,16 @@
     });
 }
 
-// ---- While the request waits for a server or for capacity -------------------------------------------------
+// ---- Disconnect while the request waits for a server or for capacity --------------------------------------
 
-// A server has rejected the first attempt and none is left, so the retry waits. When the loop goes on, the
-// list that names a server again and the client's end are both there, the list first.
+// The only server rejects the first attempt and starts to drain, so the retry waits. Then the endpoint list
+// with an active server and the client's disconnect arrive in the same turn of the event loop, the list
+// first.
 TEST(ClientDisconnect, SendsNothingMoreWhileRetryWaitsForServer) {
     for (const WayToLeave& way : ways_to_leave()) {
         SCOPED_TRACE(way.name);
         SidecarFixture fixture;
-        // A request waits for a sixteenth of its latency objective.
+        // A request waits for at most a sixteenth of its latency objective.
         fixture.config["settings"]["classes"][1]["on-time-ms"] = 60000.0;
         fixture.start();
         fixture.begin_watch();
@@ -104,7 +105,7 @@
         server.last_connection().respond("503 Draining", "", "X-Unprocessed: 1\r\n");
         ASSERT_TRUE(fixture.until([&] { return server.last_connection().closed; }));
         fixture.handle_pending_events();
-        ASSERT_EQ(fixture.sidecar->requests(), 1U) << "not waiting: " << client->received;
+        ASSERT_EQ(fixture.sidecar->requests(), 1U) << "the request is not waiting: " << client->received;
 
         fixture.send_chunk(fixture.watch_line(fixture.targets(), false));
         way.leave(*client);
@@ -114,8 +115,8 @@
     }
 }
 
-// More requests at once than there is capacity for. The one that came last is the first to be sent when
-// another has its response, on the connection that is free then.
+// Sends more requests at once than there is capacity for. When one of them gets its response, the request
+// that arrived last is sent first, on the connection that has become free.
 struct RequestWaitingForCapacity {
     static constexpr std::size_t kClients = 60;
     SidecarFixture fixture;
@@ -125,7 +126,7 @@
     std::size_t requests_sent = 0;
 
     RequestWaitingForCapacity() {
-        // A request waits for a sixteenth of its latency objective.
+        // A request waits for at most a sixteenth of its latency objective.
         fixture.config["settings"]["classes"][1]["on-time-ms"] = 60000.0;
         fixture.start();
         for (std::size_t i = 0; i < kClients; ++i) {
@@ -140,7 +141,7 @@
         run_ready_handlers(fixture.io);
         requests_sent = server.request_count();
         EXPECT_GT(requests_sent, 0U);
-        EXPECT_FALSE(last_request_arrived()) << "it waits";
+        EXPECT_FALSE(last_request_arrived()) << "the last request must wait for capacity";
     }
 
     bool last_request_arrived() const {
@@ -156,7 +157,8 @@
     }
 };
 
-// The client leaves after each single step of the loop in turn, up to the step that writes its request.
+// Repeats the scenario with the disconnect after 0, 1, 2, ... steps of the event loop, up to the step that
+// writes the client's request.
 TEST(ClientDisconnect, SendsNothingWhileRequestWaitsForCapacity) {
     for (const WayToLeave& way : ways_to_leave()) {
         bool written = false;
@@ -170,22 +172,22 @@
             way.leave(*waiting.clients.back());
             ASSERT_TRUE(waiting.fixture.until([&] {
                 return waiting.server.request_count() > waiting.requests_sent;
-            })) << "another request is sent in its place";
+            })) << "another request must be sent instead";
             waiting.fixture.handle_pending_events();
             EXPECT_FALSE(waiting.last_request_arrived());
-            ASSERT_LT(steps, 100) << "it is never written";
+            ASSERT_LT(steps, 100) << "the request is never written";
         }
     }
 }
 
-// The request and the client's end are both there as the loop goes on.
+// The request and the client's disconnect arrive in the same turn of the event loop.
 TEST(ClientDisconnect, SendsNothingWhenClientLeavesRightAfterRequest) {
     for (const WayToLeave& way : ways_to_leave()) {
         SCOPED_TRACE(way.name);
         SidecarFixture fixture;
         fixture.start();
         const auto earlier_client =
-            fixture.connect_served_client();  // leaves an idle connection to the server
+            fixture.connect_served_client();  // creates an idle connection to the server
         const auto client = fixture.connect_client();
         client->send(SidecarFixture::request("unsafe"));
         way.leave(*client);
--- a/tests/net/connection_pool_test.cpp
+++ b/tests/net/connection_pool_test.cpp
@@ -1,5 +1,5 @@
-// When a pooled connection to a server may carry another request: closed, reset and unsolicited bytes while
-// it is idle, and a reset under a request.
+// Tests when a pooled server connection is reused: after a close, a reset or unsolicited bytes while it is
+// idle, and after a reset during a request.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -9,8 +9,8 @@
 namespace elmbay::test {
 namespace {
 
-// Bytes on an idle connection must not be taken for the response to the next request, whether or not the loop
-// has seen them when that request comes.
+// Bytes that arrive on an idle connection must not be taken for the response to the next request, whether or
+// not the event loop has handled them before that request.
 TEST(ConnectionPool, DoesNotReuseConnectionWithUnsolicitedBytes) {
     SidecarFixture fixture;
     fixture.start();
@@ -28,7 +28,7 @@
             fixture.handle_pending_events();
             client->send(SidecarFixture::request("unsafe"));
         } else {
-            // The loop handles the request first, and the copy in the same turn.
+            // The event loop handles the request before the copy, in the same turn.
             client->send(SidecarFixture::request("unsafe"));
             server.last_connection().respond("200 OK", "a late copy");
         }
@@ -39,8 +39,8 @@
     }
 }
 
-// A request on a connection that the server has closed would be reset, and a non-idempotent one would fail
-// without need.
+// A request on a connection that the server has closed would be reset, and a non-idempotent request would
+// fail needlessly.
 TEST(ConnectionPool, DoesNotReuseConnectionClosedByServer) {
     SidecarFixture fixture;
     fixture.start();
@@ -81,8 +81,8 @@
     }
 }
 
-// A request that was written whole may have run, on a reused connection as on a new one: only an idempotent
-// one is sent again.
+// A completely written request may have run, on a reused connection as well as on a new one. So only an
+// idempotent request is retried.
 TEST(ConnectionPool, RetriesOnlyIdempotentRequestAfterResetOfReusedConnection) {
     for (const bool idempotent : {true, false}) {
         SidecarFixture fixture;
@@ -91,7 +91,7 @@
         const auto client = fixture.connect_served_client();
         client->send(SidecarFixture::request(idempotent ? "safe" : "unsafe"));
         ASSERT_TRUE(fixture.until([&] { return server.request_count() == 2; }));
-        ASSERT_EQ(server.connections.size(), 1U) << "the connection was reused";
+        ASSERT_EQ(server.connections.size(), 1U) << "the connection must be reused";
         server.last_connection().reset();
         if (idempotent) {
             ASSERT_TRUE(fixture.until([&] { return server.request_count() == 3; }));
@@ -106,7 +106,8 @@
     }
 }
 
-// Servers close connections that have been idle for long. A request that crosses such a close is reset.
+// Servers close connections that have been idle for too long. A request sent at the same moment would be
+// reset.
 TEST(ConnectionPool, ClosesIdleConnectionBeforeTheServerDoes) {
     SidecarFixture fixture;
     fixture.config["settings"]["limits"]["idle-close-ms"] = 500.0;
--- a/tests/net/discovery_test.cpp
+++ b/tests/net/discovery_test.cpp
@@ -1,5 +1,5 @@
-// The endpoint list: what a sidecar makes of its entries, watches that fall silent, and lists that are
-// polled.
+// Tests the discovery client: the handling of endpoint list entries, watches that fall silent, and polled
+// lists.
 #include <gtest/gtest.h>
 
 #include <chrono>
@@ -15,7 +15,7 @@
 
 using std::chrono::seconds;
 
-// A change that a sidecar missed counts as known to it this long after its watch fell silent.
+// Time after a watch fell silent within which the sidecar must have received the changes that it missed.
 constexpr seconds kChangesCountAsKnown{6};
 
 // ---- Entries of the list ----------------------------------------------------------------------------------
@@ -29,19 +29,20 @@
     fixture.send_chunk("{\"rev\":2,\"all\":true,\"targets\":[{\n");
     ASSERT_TRUE(fixture.until([&] { return fixture.discovery.request_count() == 2; }));
     EXPECT_NE(fixture.discovery.last_connection().received.find("GET /discovery/hosts "), std::string::npos)
-        << "the whole list";
+        << "the sidecar must fetch the whole list";
     fixture.discovery.last_connection().respond("200 OK", fixture.watch_line(fixture.targets(), true));
     ASSERT_TRUE(fixture.until([&] { return fixture.discovery.request_count() == 3; }));
     EXPECT_NE(fixture.discovery.last_connection().received.find("stream=1&index=2 "), std::string::npos)
-        << "watches from that version on";
+        << "the watch must start at the fetched version";
     const auto client = fixture.connect_client();
     client->send(SidecarFixture::request("safe"));
     ASSERT_TRUE(fixture.until([&] { return fixture.servers.front().request_count() == 1; }))
-        << "the list is in force";
+        << "the fetched list must be in force";
 }
 
-// The list names a new server at an address before it tells that the old server there has gone. Requests
-// meant for the old one would reach the new one, which is cold: it gets only what slow start allows.
+// The list adds a new server at an address before it removes the old server there. Requests for the old
+// server would reach the new one, which is cold, so the address gets only the requests that slow start
+// allows.
 TEST(Discovery, TreatsNewServerAtKnownAddressAsCold) {
     SidecarFixture fixture;
     fixture.config["settings"]["rules"] = {
@@ -59,17 +60,17 @@
     new_server["boot_ms"] = std::floor(Clock().now());
     fixture.send_chunk(fixture.watch_line(Json::array({new_server}), false));
     ASSERT_TRUE(fixture.until([&] { return server.last_connection().closed; }))
-        << "connections to the old server are closed";
+        << "connections to the old server must be closed";
     client->received.clear();
     client->send(SidecarFixture::request("safe", "1000m"));
     ASSERT_TRUE(fixture.until([&] { return client->received.size() > 12; }));
-    EXPECT_EQ(status_of(*client), "HTTP/1.1 503") << "a server that has just started gets next to nothing";
+    EXPECT_EQ(status_of(*client), "HTTP/1.1 503") << "slow start must limit a server that has just started";
     EXPECT_EQ(server.request_count(), 1U);
 }
 
-// Both servers are idle and have no response yet, so the first candidate that is drawn gets each request.
-// Responses would bring in the tie-break by latency, which depends on how fast the machine is: each client
-// leaves before its response.
+// Both servers are idle and have sent no response, so the first drawn candidate gets each request. Each
+// client disconnects before its response, because a response would enable the tie-break by latency, which
+// depends on the speed of the machine.
 TEST(Discovery, DrawsIdleServersInProportionToCapacityHint) {
     SidecarFixture fixture(2);
     fixture.config["known"]["targets"][0]["capacity_hint"] = 0.25;
@@ -84,11 +85,11 @@
         client->socket.close();
         ASSERT_TRUE(fixture.until([&] { return fixture.sidecar->requests() == 0; }));
     }
-    EXPECT_EQ(small.request_count(), 0U) << "drawn with equal probability it would be half of them";
+    EXPECT_EQ(small.request_count(), 0U) << "with equal probability the small server would get half of them";
 }
 
-// The large server may have 64 times as many requests in flight. The small one gets only the request that
-// finds it idle.
+// The large server may have 64 times as many requests in flight as the small one. So the small one gets a
+// request only while it is idle.
 TEST(Discovery, ComparesRequestsInFlightByCapacityHint) {
     SidecarFixture fixture(2);
     fixture.config["known"]["targets"][0]["capacity_hint"] = 0.25;
@@ -102,7 +103,7 @@
         clients.back()->send(SidecarFixture::request("safe"));
         ASSERT_TRUE(fixture.until([&] { return small.request_count() + large.request_count() == sent; }));
     }
-    EXPECT_EQ(small.request_count(), 1U) << "by count alone it would be half of them";
+    EXPECT_EQ(small.request_count(), 1U) << "by count alone the small server would get half of them";
 }
 
 TEST(Discovery, ClampsCapacityHintAndTakesNonsenseForOne) {
@@ -127,7 +128,7 @@
     EXPECT_EQ(moved.request_count(), 1U);
 }
 
-// A draining server finishes what it has and gets nothing new.
+// A draining server finishes its requests in flight and gets no new ones.
 TEST(Discovery, SendsNothingNewToDrainingServer) {
     SidecarFixture fixture;
     fixture.start();
@@ -141,18 +142,21 @@
     fixture.handle_pending_events();
     connection->respond("200 OK", "finished");
     ASSERT_TRUE(fixture.until([&] { return client->received.find("finished") != std::string::npos; }));
-    ASSERT_TRUE(fixture.until([&] { return connection->closed; })) << "no connection to it is kept idle";
+    ASSERT_TRUE(fixture.until([&] { return connection->closed; }))
+        << "no idle connection to a draining server is kept";
     client->received.clear();
     client->send(SidecarFixture::request("safe", "1000m"));
     ASSERT_TRUE(fixture.until([&] { return client->received.size() > 12; }));
-    EXPECT_EQ(status_of(*client), "HTTP/1.1 503") << "rejected, as there is no other server";
-    EXPECT_NE(client->received.find("Retry-After: "), std::string::npos) << "and told when to come back";
+    EXPECT_EQ(status_of(*client), "HTTP/1.1 503")
+        << "the request must be rejected, because there is no other server";
+    EXPECT_NE(client->received.find("Retry-After: "), std::string::npos)
+        << "the rejection must have a retry delay";
     EXPECT_EQ(server.request_count(), 1U);
 }
 
 // ---- Watches that fall silent -----------------------------------------------------------------------------
 
-// Discovery rejects nine calls, and the sidecar repeats each, all of them within the limit.
+// Rejects nine calls to discovery and expects the sidecar to retry each of them, all within the limit.
 void expect_nine_retries_within(SidecarFixture& fixture, seconds limit) {
     bool late = false;
     asio::steady_timer timer(fixture.io, limit);
@@ -181,34 +185,35 @@
     const auto client = fixture.connect_client();
     client->send(SidecarFixture::request("safe", "1000m"));
     ASSERT_TRUE(fixture.until([&] { return client->received.size() > 12; }));
-    EXPECT_EQ(status_of(*client), "HTTP/1.1 503") << "the drain is known";
+    EXPECT_EQ(status_of(*client), "HTTP/1.1 503") << "the drain must be in force";
 }
 
-// While discovery is down its agent accepts calls and sends nothing. A change that it sends on its return
-// counts at once, whatever the sidecar has tried before.
+// While discovery is down, its agent accepts calls and sends nothing. A change that the agent sends when
+// discovery is back must take effect at once, whatever calls the sidecar made before.
 TEST(DiscoveryWatch, AppliesListAsSoonAsSilentAgentReturns) {
     SidecarFixture fixture;
     fixture.start();
-    ASSERT_TRUE(fixture.until([&] { return fixture.discovery.request_count() == 4; })) << "it retries";
+    ASSERT_TRUE(fixture.until([&] { return fixture.discovery.request_count() == 4; }))
+        << "the sidecar must retry";
     fixture.begin_watch();
     fixture.send_chunk(fixture.watch_line(fixture.targets("leaving"), false));
     const auto client = fixture.connect_client();
     fixture.handle_pending_events();
     client->send(SidecarFixture::request("safe", "1000m"));
     ASSERT_TRUE(fixture.until([&] { return client->received.size() > 12; }));
-    EXPECT_EQ(status_of(*client), "HTTP/1.1 503") << "the drain is known";
+    EXPECT_EQ(status_of(*client), "HTTP/1.1 503") << "the drain must be in force";
 }
 
-// The wait between retries stays short for as long as calls are rejected. The seed of the configuration draws
-// its jitter.
+// The delay between retries stays short however many calls are rejected. The seed in the configuration
+// determines its jitter.
 TEST(DiscoveryWatch, RetriesSoonAfterRepeatedRejections) {
     SidecarFixture fixture;
     fixture.start();
     expect_nine_retries_within(fixture, seconds(4));
 }
 
-// A drain has been sent and lies unread in the kernel as a reload moves discovery. It counts as known, and
-// the new address may take seconds to tell of it.
+// The kernel holds an unread drain when a reload changes the address of discovery. The drain must take
+// effect, because it was sent in time, and the new address may take seconds to send it.
 TEST(DiscoveryWatch, AppliesUnreadListBeforeSwitchingAddress) {
     SidecarFixture fixture;
     fixture.start();
@@ -227,22 +232,22 @@
     EXPECT_EQ(status_of(*client), "HTTP/1.1 503");
 }
 
-// ---- Lists that are polled --------------------------------------------------------------------------------
+// ---- Polled lists -----------------------------------------------------------------------------------------
 
-// One service for all sidecars. It answers each call in turn, rejects calls that it can't answer in time, and
-// falls silent like any other.
+// A discovery service that all sidecars poll. It responds to the calls in turn, rejects calls that it can't
+// serve in time, and may fall silent.
 struct PolledDiscoveryFixture : SidecarFixture {
     bool changes_count = false;
 
     PolledDiscoveryFixture() { config["settings"]["membership-mode"] = "on_request"; }
 
-    // Starts the time after which missed changes count as known.
+    // Starts the timer that sets `changes_count` when the deadline for missed changes has passed.
     void fall_silent() {
         silence_timer_.expires_after(kChangesCountAsKnown);
         silence_timer_.async_wait([this](boost::system::error_code error) { changes_count = !error; });
     }
 
-    // Answers the last call in its turn, with a list in which the server drains.
+    // Waits as a queued call does, then responds to the last call with a list in which the server drains.
     void answer_with_drain() {
         constexpr std::chrono::milliseconds kTurn{1000};
         run_for(kTurn);
@@ -293,8 +298,8 @@
     expect_nine_retries_within(fixture, seconds(10));
 }
 
-// A fleet that starts makes one call a sidecar, not two: a sidecar that holds a list watches from its version
-// on.
+// When a fleet starts, each sidecar makes one call, not two: a sidecar that already has a list opens a watch
+// from its version.
 TEST(DiscoveryPoll, DoesNotFetchListThatItHolds) {
     PolledDiscoveryFixture fixture;
     fixture.config["known"]["rev"] = 0;
@@ -305,7 +310,7 @@
     without_list.start();
     EXPECT_NE(without_list.discovery.last_connection().received.find("GET /discovery/hosts "),
               std::string::npos)
-        << "the whole list";
+        << "a sidecar without a list must fetch the whole list";
 }
 
 }  // namespace
--- a/tests/net/listener_test.cpp
+++ b/tests/net/listener_test.cpp
@@ -1,5 +1,5 @@
-// Clients' connections: time limits on silent, slow and idle clients, a request that comes just as such a
-// limit expires, and handlers that throw.
+// Tests client connections: timeouts of silent, slow and idle clients, a request that arrives just as a
+// timeout expires, and handlers that throw.
 #include "net/listener.hpp"
 
 #include <gtest/gtest.h>
@@ -22,7 +22,7 @@
 
 // ---- Silent, slow and idle clients ------------------------------------------------------------------------
 
-// The error comes while the client may still be waiting, and its socket is free again.
+// The client gets the error while it may still be waiting, and its socket becomes free.
 TEST(ClientTimeout, Responds408ToSilentClientsAndIncompleteRequests) {
     SidecarFixture fixture;
     fixture.start();
@@ -39,7 +39,7 @@
     EXPECT_EQ(fixture.servers.front().request_count(), 0U);
 }
 
-// Some clients send one request and never close their connection.
+// Some clients send one request and never close their connection. The sidecar must close it.
 TEST(ClientTimeout, ClosesIdleConnectionWithoutResponse) {
     SidecarFixture fixture;
     fixture.start();
@@ -51,11 +51,11 @@
     ASSERT_TRUE(fixture.until([&] { return client->closed; }));
     EXPECT_NE(client->received.find("answer"), std::string::npos);
     EXPECT_EQ(client->received.find("HTTP/1.1", 1), std::string::npos)
-        << "no second response before the close";
+        << "there must be no second response before the close";
 }
 
-// The promise of an error within 3 s holds also on a connection that has been used before: by requests that
-// were served, or by one that was rejected.
+// The limit of 3 s for an error also applies to a connection that was used before, by a request that was
+// served or by one that was rejected.
 TEST(ClientTimeout, RespondsWithinThreeSecondsToIncompleteRequestOnUsedConnection) {
     SidecarFixture fixture;
     fixture.start();
@@ -82,8 +82,9 @@
     EXPECT_EQ(fixture.servers.front().request_count(), 3U);
 }
 
-// Nobody is owed a response half a second after the longest deadline of the settings. A client that has not
-// read its response by then is given up, and the Content-Length tells it that the response is not whole.
+// A response is useless to its client half a second after the longest deadline of the settings. If the client
+// has not read it by then, the connection is closed. The Content-Length shows the client that the response is
+// incomplete.
 TEST(ClientTimeout, GivesUpUnreadResponseHalfASecondAfterLongestDeadline) {
     SidecarFixture fixture;
     for (Json& request_class : fixture.config["settings"]["classes"]) request_class["give-up-ms"] = 500;
@@ -94,34 +95,35 @@
     client->send(SidecarFixture::request("safe"));
     ASSERT_TRUE(fixture.until([&] { return server.request_count() == 1; }));
     const std::string body(400000, 'a');
-    bool late = false;  // 3 s, the limit that once held whatever the deadlines, would be late
+    bool late = false;  // a fixed limit of 3 s, independent of the deadlines, would be late
     asio::steady_timer limit(fixture.io, milliseconds(2500));
     limit.async_wait([&](boost::system::error_code error) { late = !error; });
     server.last_connection().respond("200 OK", body);
     ASSERT_TRUE(fixture.until([&] { return client->socket.available() > 0; }));
     ASSERT_TRUE(fixture.until([&] { return fixture.sidecar->status()["sockets"]["clients"] == 1; }))
-        << "only the socket for the next client is left";
+        << "only the socket for the next client must remain";
     EXPECT_FALSE(late);
 
     client->read();
     ASSERT_TRUE(fixture.until([&] { return client->closed; }));
     EXPECT_EQ(status_of(*client), "HTTP/1.1 200");
     EXPECT_NE(client->received.find("Content-Length: 400000"), std::string::npos);
-    EXPECT_LT(client->received.size(), body.size()) << "shorter than its length tells";
+    EXPECT_LT(client->received.size(), body.size()) << "the response must be shorter than its Content-Length";
 }
 
-// ---- Requests that come as a limit expires ----------------------------------------------------------------
+// ---- Requests that arrive as a timeout expires ------------------------------------------------------------
 
 constexpr Millis kIdleTimeout = 2000;     // ClientConnection::kIdleTimeout
 constexpr Millis kRequestTimeout = 2500;  // ClientConnection::kRequestReadTimeout
 
-// Runs `act` as a timer that the sidecar has set just now for `span` expires, ahead of that timer's handler.
-// Both are due when the loop runs again, the test's first, and the loop collects in one turn all that is due.
+// Runs `act` when a timer of `span` that the sidecar has just set expires, before that timer's handler. Both
+// timers are due when the event loop runs again, the test's first, and the loop handles all due timers in one
+// turn.
 void run_as_timer_expires(SidecarFixture& fixture, Millis span, const std::function<void()>& act) {
     const Clock clock;
     const Millis set_at = clock.now();
     fixture.run_for(milliseconds(static_cast<int>(span) / 2));
-    run_ready_handlers(fixture.io);  // none of them may run ahead of the two timers
+    run_ready_handlers(fixture.io);  // no other handler may run before the two timers
     bool acted = false;
     asio::steady_timer timer(fixture.io, std::chrono::steady_clock::now() - std::chrono::seconds(1));
     timer.async_wait([&](boost::system::error_code) {
@@ -144,8 +146,8 @@
     EXPECT_EQ(status_of(*client), "HTTP/1.1 200") << client->received;
 }
 
-// Half a request is there as the idle timeout expires, and the rest never comes. A close without a response
-// would reset the connection, as bytes are unread.
+// Half a request has arrived when the idle timeout expires, and the rest never arrives. A close without a
+// response would reset the connection, because the bytes are unread.
 TEST(IdleTimeout, Responds408ToHalfRequestThatComesAsTimeoutExpires) {
     SidecarFixture fixture;
     fixture.start();
@@ -157,8 +159,8 @@
     EXPECT_EQ(status_of(*client), "HTTP/1.1 408") << client->received;
 }
 
-// The rest of the request comes ahead of the request timeout's handler: the request is whole on an open
-// connection.
+// The rest of the request arrives before the handler of the request timeout runs. So the request is complete
+// on an open connection and must get a response.
 TEST(IdleTimeout, AnswersRequestThatIsCompletedAsRequestTimeoutExpires) {
     SidecarFixture fixture;
     fixture.start();
@@ -178,7 +180,7 @@
 
 // ---- Handlers that throw ----------------------------------------------------------------------------------
 
-// The request gets its response and later requests are served.
+// The failed request must get a response, and later requests must be served.
 TEST(Listener, Responds500WhenRequestHandlerThrows) {
     asio::io_context io{1};
     const Clock clock;
@@ -210,12 +212,12 @@
             try {
                 io.run_one_for(milliseconds(100));
             } catch (const std::exception&) {
-                continue;  // as the program's main loop does
+                continue;  // the program's main loop continues after an exception too
             }
         }
         EXPECT_EQ(status_of(*client), expected);
     }
-    EXPECT_EQ(disconnects, 1U) << "nothing of the first request stays in flight";
+    EXPECT_EQ(disconnects, 1U) << "the first request must not stay in flight";
 }
 
 }  // namespace
--- a/tests/net/message_size_limit_test.cpp
+++ b/tests/net/message_size_limit_test.cpp
@@ -1,4 +1,4 @@
-// Long messages: each has a limit, and all of them together have a part of the memory.
+// Tests the limits on long messages: the limit of each message and the memory budget of all of them together.
 #include <gtest/gtest.h>
 
 #include <optional>
@@ -40,8 +40,8 @@
     EXPECT_EQ(status_of(*too_long), "HTTP/1.1 413");
 }
 
-// One long request in flight takes the whole budget for long messages. The next long one is rejected,
-// requests of the usual size are served, and the budget is free again once the first has its response.
+// One long request in flight takes the whole budget for long messages. The next long request is rejected,
+// requests of usual size are served, and the budget is free again when the first request has its response.
 TEST(MessageSizeLimit, LimitsLongMessagesTogether) {
     SidecarFixture fixture;
     fixture.config["limits"]["memory_mb"] = 1;
@@ -67,16 +67,17 @@
         ASSERT_TRUE(fixture.until([&] { return client->received.find("answer") != std::string::npos; }));
     }
     first->send(request_with_body(200000));
-    ASSERT_TRUE(fixture.until([&] { return server.request_count() == 3; })) << "the budget is free again";
+    ASSERT_TRUE(fixture.until([&] { return server.request_count() == 3; }))
+        << "the budget must be free again";
 
-    // Request and response together take more than the budget. Both connections get the response; only one of
-    // them has a request in flight.
+    // The request and its response together exceed the budget. The response is sent on both connections, of
+    // which only one has a request in flight.
     for (const auto& peer : server.connections) peer->respond("200 OK", std::string(100000, 'a'));
     ASSERT_TRUE(fixture.until([&] { return first->received.find("502") != std::string::npos; }));
 }
 
-// The sidecar is destroyed before the event loop, whose handlers still hold connections with long messages.
-// AddressSanitizer reports a grant that returns its bytes to a budget that is gone.
+// The sidecar is destroyed before the event loop, whose handlers still own connections with long messages.
+// AddressSanitizer reports a grant that returns its bytes to a destroyed budget.
 TEST(MessageSizeLimit, LetsSidecarBeDestroyedWithLongMessagesInFlight) {
     {
         std::optional<ByteBudget::Grant> grant;
--- a/tests/net/request_validation_test.cpp
+++ b/tests/net/request_validation_test.cpp
@@ -1,5 +1,5 @@
-// What the listener rejects before any server sees it: malformed requests, contradictory framing, duplicate
-// ids, pipelining and bodies that are too long.
+// Tests which requests the listener rejects without forwarding them: malformed requests, contradictory
+// framing, duplicate ids, pipelining and bodies that are too long.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -31,8 +31,8 @@
     EXPECT_EQ(fixture.servers.front().request_count(), 0U);
 }
 
-// A client that sends these is not the application that the settings describe. A guess at what it means could
-// run a request twice.
+// The application that the settings describe does not send these headers. A wrong guess at their meaning
+// could run a request twice.
 TEST(RequestValidation, RejectsInvalidHeadersWithoutForwarding) {
     const std::string id = "X-Correlation-Id: 1\r\n";
     const std::string length = "Content-Length: 4\r\n";
@@ -67,8 +67,8 @@
     EXPECT_EQ(fixture.servers.front().request_count(), 0U);
 }
 
-// Guards against request smuggling: where two readers differ on where a body ends, one request can hide in
-// another's body. None of it may reach a server.
+// Guards against request smuggling: if two parsers disagree about where a body ends, one request can be
+// hidden in the body of another. No part of it may reach a server.
 TEST(RequestValidation, RejectsContradictoryFramingAndClosesTheConnection) {
     const std::string smuggled =
         "GET /api?hidden HTTP/1.1\r\nX-Correlation-Id: 2\r\n" + kIdempotentHeaders + "\r\n";
@@ -100,13 +100,14 @@
         client->send(raw_request("POST", headers, "0\r\n\r\n" + smuggled));
         ASSERT_TRUE(fixture.until([&] { return client->closed; })) << framing;
         EXPECT_EQ(status_of(*client).substr(0, 10), "HTTP/1.1 4") << framing;
-        EXPECT_EQ(client->received.find("HTTP/1.1", 1), std::string::npos) << "one response: " << framing;
+        EXPECT_EQ(client->received.find("HTTP/1.1", 1), std::string::npos)
+            << "there must be one response: " << framing;
         EXPECT_EQ(fixture.servers.front().request_count(), 0U) << framing;
     }
 }
 
-// A correlation id names one request. A second request with the same id must not be sent while the first may
-// still run at a server.
+// A correlation id identifies one request. A second request with the same id must not be sent while the first
+// may still run at a server.
 TEST(RequestValidation, RejectsCorrelationIdInUseOrJustUsed) {
     SidecarFixture fixture;
     fixture.start();
@@ -130,7 +131,7 @@
     EXPECT_EQ(server.request_count(), 1U);
 }
 
-// A pipelined request ends the connection, whether it comes together with the first or later.
+// A pipelined request closes the connection, whether it arrives together with the first request or later.
 TEST(RequestValidation, RejectsPipelinedRequests) {
     SidecarFixture fixture;
     fixture.start();
@@ -147,7 +148,7 @@
     later->send(SidecarFixture::request("safe"));
     ASSERT_TRUE(fixture.until([&] { return later->closed && server.last_connection().closed; }));
     EXPECT_EQ(status_of(*later), "HTTP/1.1 400");
-    EXPECT_EQ(later->received.find("HTTP/1.1", 1), std::string::npos) << "one response";
+    EXPECT_EQ(later->received.find("HTTP/1.1", 1), std::string::npos) << "there must be one response";
     EXPECT_EQ(server.request_count(), 1U);
 }
 
@@ -159,7 +160,7 @@
     }
 }
 
-// The client reads its 413, or the connection ends. The sidecar does not read the whole body.
+// The client gets a 413, then the connection ends. The sidecar must not read the whole body.
 TEST(RequestValidation, StopsReadingRejectedBody) {
     SidecarFixture fixture;
     fixture.start();
--- a/tests/net/response_reader_test.cpp
+++ b/tests/net/response_reader_test.cpp
@@ -1,5 +1,6 @@
-// Which bytes of a server count as its response: interim and duplicate responses, malformed ones, and those
-// that end with their connection. Through the whole sidecar, as a client sees it.
+// Tests which bytes of a server are accepted as its response: interim, duplicate and malformed responses, and
+// responses that end with their connection. The tests run the whole sidecar and check what the client
+// receives.
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -11,8 +12,8 @@
 namespace elmbay::test {
 namespace {
 
-// A connection that breaks within a response ends the attempt, not the request. The client gets nothing of
-// the partial response.
+// A connection that fails within a response ends the attempt, not the request. No part of the response
+// reaches the client.
 TEST(ResponseReader, DiscardsPartialResponseAndRetries) {
     SidecarFixture fixture;
     fixture.start();
@@ -32,8 +33,9 @@
     EXPECT_EQ(client->received.find("half"), std::string::npos);
 }
 
-// Each of these is corrupt, or can't be told from one that is. The attempt fails at the first byte that shows
-// it, without waiting for the deadline, and nothing of it goes to the client.
+// Each of these responses is corrupt or can't be distinguished from a corrupt one. The attempt must fail at
+// the first byte that shows this, without waiting for the deadline, and no part of the response may reach the
+// client.
 TEST(ResponseReader, FailsAttemptAtOnceOnMalformedResponse) {
     const std::string status_line = "HTTP/1.1 200 OK\r\n";
     const std::string chunked = status_line + "Transfer-Encoding: chunked\r\n\r\n";
@@ -68,12 +70,12 @@
         ASSERT_TRUE(fixture.until([&] { return client->received.size() > 12; }));
         EXPECT_EQ(status_of(*client), "HTTP/1.1 502");
         ASSERT_TRUE(fixture.until([&] { return server.last_connection().closed; }))
-            << "the connection is not reused";
+            << "the connection must not be reused";
         EXPECT_EQ(client->received.find("body"), std::string::npos);
     }
 }
 
-// Interim responses (1xx) may precede a response and a copy of it may follow. The copy must not be taken for
+// Interim responses (1xx) may precede a response, and a copy of it may follow. The copy must not be taken for
 // the response to the next request.
 TEST(ResponseReader, AcceptsInterimResponsesAndDuplicates) {
     const auto response = [](const std::string& body) {
@@ -100,7 +102,7 @@
     EXPECT_EQ(server.connections.size(), 1U);
     expect_served(response("second") + response("second"), "second");
     expect_served(response("third"), "third");
-    EXPECT_EQ(server.connections.size(), 2U) << "a connection with bytes left over takes no request";
+    EXPECT_EQ(server.connections.size(), 2U) << "a connection with unread bytes must carry no request";
 
     std::string many_interim_responses;
     for (int i = 0; i < 20; ++i) many_interim_responses += "HTTP/1.1 102 Processing\r\n\r\n";
@@ -114,7 +116,7 @@
 
 enum class ConnectionEnd { clean_close, reset };
 
-// One non-idempotent request, to which the server sends `response` piece by piece and then ends its
+// Runs one non-idempotent request, to which the server sends `response` in pieces and then ends its
 // connection.
 class Exchange {
 public:
@@ -128,7 +130,7 @@
         constexpr std::size_t kPieceSize = 4096;
         for (std::size_t position = 0; position < response.size(); position += kPieceSize) {
             server.last_connection().send(response.substr(position, kPieceSize));
-            fixture_.handle_pending_events();  // the sidecar has read this piece
+            fixture_.handle_pending_events();  // the sidecar reads this piece
         }
         if (end == ConnectionEnd::clean_close) {
             boost::system::error_code
@@ -139,7 +141,7 @@
         }
         EXPECT_TRUE(fixture_.until([&] { return client_->received.find("\r\n\r\n") != std::string::npos; }));
         fixture_.handle_pending_events();
-        EXPECT_EQ(server.request_count(), 1U) << "it may have run";
+        EXPECT_EQ(server.request_count(), 1U) << "a request that may have run must not be retried";
     }
 
     bool served(const std::string& body) {
@@ -153,7 +155,7 @@
     std::shared_ptr<Peer> client_;
 };
 
-// RFC 9112, 6.3: a response without a length ends with its connection.
+// RFC 9112, section 6.3: a response without a length ends with its connection.
 TEST(ResponseReader, AcceptsCleanCloseAsEndWhenLengthIsUnknown) {
     constexpr ConnectionEnd kClose = ConnectionEnd::clean_close;
     EXPECT_TRUE(Exchange("HTTP/1.1 200 OK\r\n\r\nthe whole answer", kClose).served("the whole answer"));
@@ -165,10 +167,10 @@
 TEST(ResponseReader, TreatsResetAsFailureWhenLengthIsUnknown) {
     EXPECT_TRUE(Exchange("HTTP/1.1 200 OK\r\n\r\nthe whole answer", ConnectionEnd::reset).failed());
     EXPECT_TRUE(Exchange("HTTP/1.1 200 OK\r\n\r\n", ConnectionEnd::clean_close).failed())
-        << "a response that serves a request has a body";
+        << "a successful response must have a body";
     EXPECT_TRUE(
         Exchange("HTTP/1.1 200 OK\r\n\r\n" + std::string(600000, 'x'), ConnectionEnd::clean_close).failed())
-        << "longer than any response may be";
+        << "the response is longer than the limit";
 }
 
 TEST(ResponseReader, TreatsConnectionEndWithinFramingAsFailure) {
--- a/tests/net/shutdown_test.cpp
+++ b/tests/net/shutdown_test.cpp
@@ -1,5 +1,5 @@
-// Graceful shutdown: requests that were taken get their response, clients that stay do not keep the process,
-// and connections are closed without a reset that would destroy a response.
+// Tests the graceful shutdown: accepted requests get their response, clients that stay connected do not delay
+// the exit, and connections are closed without a reset, which would destroy a response.
 #include <gtest/gtest.h>
 
 #include <chrono>
@@ -16,10 +16,11 @@
 
 using std::chrono::milliseconds;
 
-// The platform kills the process this long after SIGTERM, beyond the longest deadline of the settings.
+// The platform kills the process this many milliseconds after SIGTERM plus the longest deadline of the
+// settings.
 constexpr int kKillMargin = 700;
 
-// A sidecar that is told to drain, and the platform that kills it if it takes too long.
+// A sidecar that drains, and a timer for the moment at which the platform would kill it.
 struct ShutdownFixture : SidecarFixture {
     bool drained = false;
     bool killed = false;
@@ -45,7 +46,8 @@
     asio::steady_timer kill_timer_{io};
 };
 
-// On SIGTERM requests in flight are finished and new connections are served for a while. Then all are closed.
+// After SIGTERM requests in flight are finished, and new connections are served for a while. Then all are
+// closed.
 TEST(Shutdown, FinishesRequestsInFlightAndServesLateClients) {
     SidecarFixture fixture;
     fixture.start();
@@ -74,8 +76,8 @@
 
 // ---- Lingering close --------------------------------------------------------------------------------------
 
-// A request crosses the close of its idle connection. It is not forwarded, and the close is a clean one,
-// which tells the client to send the request elsewhere. A reset would not.
+// A client sends a request while the sidecar closes the idle connection. The request must not be forwarded.
+// After a clean close the client sends the request again on another connection; after a reset it would not.
 TEST(LingeringClose, DoesNotForwardRequestThatCrossesTheClose) {
     ShutdownFixture fixture;
     const auto client = fixture.connect_served_client();
@@ -85,14 +87,14 @@
     client->send(SidecarFixture::request("safe"));
     boost::system::error_code error;
     asio::write(client->socket, asio::buffer(std::string("and more")), error);
-    EXPECT_FALSE(error) << "not reset: " << error.message();
+    EXPECT_FALSE(error) << "the connection must not be reset: " << error.message();
     client->close();
     ASSERT_TRUE(fixture.until([&] { return fixture.drained; }));
     EXPECT_EQ(fixture.servers.front().request_count(), 1U);
 }
 
-// The last response reaches a client that has sent more behind its request, also when the sidecar no longer
-// accepts connections.
+// The last response must reach a client that has sent more bytes after its request, even if the sidecar no
+// longer accepts connections.
 TEST(LingeringClose, DeliversLastResponseDespitePipelinedBytes) {
     ShutdownFixture fixture;
     FakeServer& server = fixture.servers.front();
@@ -103,11 +105,12 @@
     ASSERT_TRUE(fixture.until([&] { return server.request_count() == 1; }));
     fixture.drain();
     const auto idle = fixture.connect_client();
-    ASSERT_TRUE(fixture.until([&] { return idle->closed; })) << "no longer accepting";
+    ASSERT_TRUE(fixture.until([&] { return idle->closed; })) << "the sidecar must have stopped accepting";
 
     const std::string body(400000, 'a');
     server.last_connection().respond("200 OK", body);
-    ASSERT_TRUE(fixture.until([&] { return client->socket.available() > 0; })) << "it is being written";
+    ASSERT_TRUE(fixture.until([&] { return client->socket.available() > 0; }))
+        << "the response must be in progress";
     client->send(SidecarFixture::request("safe"));
     client->read();
     ASSERT_TRUE(fixture.until([&] { return client->closed; }));
@@ -118,9 +121,10 @@
     EXPECT_EQ(server.request_count(), 1U);
 }
 
-// ---- Clients that stay ------------------------------------------------------------------------------------
+// ---- Clients that stay connected --------------------------------------------------------------------------
 
-// A request whose head comes slowly is not waited for: its response would come after the kill.
+// The shutdown must not wait for a request whose head arrives slowly, because its response would follow the
+// kill.
 TEST(Shutdown, DoesNotWaitForIncompleteRequests) {
     constexpr Millis kLongestDeadline = 1000;
     ShutdownFixture fixture(kLongestDeadline);
@@ -131,7 +135,7 @@
     fixture.handle_pending_events();
     fixture.drain_or_be_killed(kLongestDeadline);
     ASSERT_TRUE(fixture.until([&] { return kept->closed && fresh->closed; }));
-    EXPECT_EQ(kept->received, "") << "the client sends the request once more elsewhere";
+    EXPECT_EQ(kept->received, "") << "without a response the client sends the request to another sidecar";
     EXPECT_EQ(status_of(*fresh), "HTTP/1.1 408");
     for (const auto& client : {kept, fresh}) client->close();
     ASSERT_TRUE(fixture.until([&] { return fixture.drained || fixture.killed; }));
@@ -139,7 +143,7 @@
     EXPECT_EQ(fixture.servers.front().request_count(), 1U);
 }
 
-// A client whose request was rejected, one that never sent anything, and one that was served.
+// Covers a client whose request was rejected, one that never sent anything, and one that was served.
 TEST(Shutdown, DoesNotWaitForIdleClients) {
     constexpr Millis kLongestDeadline = 1000;
     ShutdownFixture fixture(kLongestDeadline);
@@ -160,8 +164,8 @@
 
 // ---- Shutdown under load ----------------------------------------------------------------------------------
 
-// Clients that send a request whenever their connection is open and has none in flight, and new ones that
-// come during the first 400 ms.
+// Clients that send a request whenever their connection is open and has none in flight. New clients connect
+// during the first 400 ms.
 class ClientsUnderLoad {
 public:
     ClientsUnderLoad(SidecarFixture& fixture, std::size_t count)
@@ -169,7 +173,8 @@
         for (std::size_t i = 0; i < count; ++i) add(fixture_.connect_served_client());
     }
 
-    // Every client sends a request now, and then in turn every 10 ms until stop().
+    // Every client sends a request now. After that, a quarter of them sends every 10 ms in turn, until
+    // stop().
     void start() {
         started_at_ = clock_.now();
         for (Client& client : clients_) send(client, "unsafe");
@@ -241,7 +246,8 @@
     std::size_t ticks_ = 0;
 };
 
-// The ids of the requests that a server got. A retry has the id of its first attempt.
+// Returns the correlation ids of the requests that a server received. A retry has the id of its first
+// attempt.
 std::set<std::string> correlation_ids_at(const FakeServer& server) {
     const std::string name = "X-Correlation-Id: ";
     std::set<std::string> ids;
@@ -256,8 +262,8 @@
     return ids;
 }
 
-// Servers hang and clients go on sending wherever a connection stays open. The platform kills the process at
-// the longest deadline and 0.7 s: every request that was forwarded must have its response by then.
+// Servers hang, and clients keep sending on every connection that stays open. The platform kills the process
+// 0.7 s after the longest deadline. Every forwarded request must have its response by then.
 TEST(ShutdownUnderLoad, AnswersForwardedRequestsBeforeKillThoughServersHang) {
     constexpr Millis kLongestDeadline = 1000;
     ShutdownFixture fixture(kLongestDeadline);
@@ -269,13 +275,13 @@
     clients.stop();
     clients.expect_at_most_one_response_each();
     const std::size_t forwarded = correlation_ids_at(fixture.servers.front()).size();
-    EXPECT_GT(forwarded, served_before) << "some requests come during the shutdown";
+    EXPECT_GT(forwarded, served_before) << "some requests must arrive during the shutdown";
     EXPECT_LE(forwarded - served_before, clients.response_count())
-        << clients.requests_without_response() << " crossed the close of their connections";
+        << clients.requests_without_response() << " requests were sent while their connections closed";
 }
 
-// A client that reads its long response slowly keeps a connection without `Connection: close`. What it sends
-// after the last moment at which a response could come before the kill is rejected at once and not forwarded.
+// A client that reads its long response slowly keeps a connection without `Connection: close`. A request that
+// it sends too late for a response before the kill is rejected at once and not forwarded.
 TEST(ShutdownUnderLoad, RejectsRequestThatComesTooLateForItsResponse) {
     SidecarFixture fixture;
     fixture.config["limits"]["memory_mb"] = 64;
@@ -286,7 +292,8 @@
     ASSERT_TRUE(fixture.until([&] { return server.request_count() == 1; }));
     const std::string body(400000, 'a');
     server.last_connection().respond("200 OK", body);
-    ASSERT_TRUE(fixture.until([&] { return client->socket.available() > 0; })) << "it is being written";
+    ASSERT_TRUE(fixture.until([&] { return client->socket.available() > 0; }))
+        << "the response must be in progress";
     fixture.sidecar->drain([] {});
     fixture.run_for(milliseconds(static_cast<int>(GracefulShutdown::kRequestCutoff) + 50));
     client->send(SidecarFixture::request("unsafe"));
@@ -294,7 +301,7 @@
     ASSERT_TRUE(fixture.until([&] { return client->closed || server.request_count() == 2; }));
     EXPECT_EQ(server.request_count(), 1U);
     const std::size_t second_response = client->received.find("HTTP/1.1 ", 10);
-    ASSERT_NE(second_response, std::string::npos) << "no response to a request that was read";
+    ASSERT_NE(second_response, std::string::npos) << "a request that was read must get a response";
     EXPECT_EQ(client->received.substr(second_response, 12), "HTTP/1.1 503");
     EXPECT_EQ(client->close_error, asio::error::eof);
 }
--- a/tests/net/socket_limit_test.cpp
+++ b/tests/net/socket_limit_test.cpp
@@ -1,5 +1,5 @@
-// The limit on descriptors: which connections are closed to make room, and what becomes of requests that come
-// while no socket is free.
+// Tests the limit on descriptors: which connections are closed to free a socket, and how requests that arrive
+// while no socket is free are handled.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -15,7 +15,7 @@
 
 using std::chrono::milliseconds;
 
-// The part of `limits.sockets` that the sidecar keeps for itself.
+// The number of sockets out of `limits.sockets` that the sidecar reserves for itself.
 constexpr std::size_t kReservedSockets = 24;
 
 TEST(SocketLimit, ClosesIdleConnectionsToAcceptNewOnes) {
@@ -34,8 +34,8 @@
     }
 }
 
-// With all sockets in use, accepting waits. It goes on when a connection becomes idle, though none was
-// closed. Servers have sockets of their own, else every request would find itself without one.
+// While all sockets are in use, accepting pauses. It resumes when a connection becomes idle, even though none
+// was closed. Server connections have their own share of the sockets; otherwise no request could be sent.
 TEST(SocketLimit, ResumesAcceptingWhenConnectionBecomesIdle) {
     SidecarFixture fixture;
     fixture.config["limits"]["sockets"] = kReservedSockets + 16;
@@ -58,8 +58,8 @@
     EXPECT_GT(server.request_count(), 4U);
 }
 
-// Requests that come when every socket is in use must not wait in the kernel's queue, where their time runs
-// out without a response.
+// Requests that arrive while all sockets are in use must not wait in the kernel's queue, where their deadline
+// would pass without a response.
 TEST(SocketLimit, RejectsAtOnceWhenAllSocketsAreInUse) {
     SidecarFixture fixture;
     fixture.config["limits"]["sockets"] = kReservedSockets + 20;
@@ -83,7 +83,7 @@
     }
 }
 
-// A flood of silent clients takes neither the idle connections to servers nor the place of clients that send
+// A flood of silent clients must displace neither the idle connections to servers nor the clients that send
 // requests.
 TEST(SocketLimit, ClosesSilentClientsFirstAndKeepsServerConnections) {
     SidecarFixture fixture;
@@ -107,11 +107,12 @@
     expect_served(fixture.connect_client());
     expect_served(kept);
     EXPECT_FALSE(kept->closed);
-    EXPECT_EQ(server.connections.size(), 1U) << "one connection to the server carries all requests";
+    EXPECT_EQ(server.connections.size(), 1U) << "one connection to the server must carry all requests";
 }
 
-// Clients that send nothing, or only GET /up, and keep their connection must not delay the accepting of
-// others, whose time runs in the kernel's queue. They once limited it to some twenty connections a second.
+// Clients that keep their connection and send nothing, or only GET /up, must not delay accepting others,
+// whose deadlines run while they wait in the kernel's queue. An earlier version accepted only about twenty
+// connections a second in this case.
 TEST(SocketLimit, AcceptsRequestsPromptlyBesideManyIdleClients) {
     SidecarFixture fixture;
     fixture.config["limits"]["sockets"] = kReservedSockets + 48;
@@ -137,15 +138,15 @@
 // ---- Connections with unread bytes ------------------------------------------------------------------------
 
 constexpr std::size_t kSockets = 64;
-// 64 sockets leave clients 14, of which one is for the connection that is accepted next.
+// Of 64 sockets clients get 14. One of these is reserved for the connection that is accepted next.
 constexpr std::size_t kClientSockets = 13;
 
-// Further clients come while no socket is free and every connection that could make room has a request
-// unread. The loop hears of the further clients first. Each request must get exactly one response.
+// Further clients connect while no socket is free and every evictable connection has an unread request. The
+// event loop handles the further clients first. Each request must get exactly one response.
 struct ClientsInEverySocket {
     SidecarFixture fixture;
     std::vector<std::shared_ptr<Peer>> clients;
-    std::vector<std::string> unsent;  // of each client's request: sent right after the further clients come
+    std::vector<std::string> unsent;  // unsent part of each client's request; sent after the others connect
 
     ClientsInEverySocket() {
         fixture.config["limits"]["sockets"] = kSockets;
@@ -189,7 +190,7 @@
         full.clients.push_back(full.fixture.connect_client());
         full.unsent.push_back(SidecarFixture::request("safe"));
     }
-    full.fixture.run_for(milliseconds(100));  // silent for long enough to be closed for another client
+    full.fixture.run_for(milliseconds(100));  // silent for long enough to be evicted
     full.expect_one_response_each_when_more_clients_come();
 }
 
@@ -201,12 +202,12 @@
         full.clients.back()->send(request.substr(0, 30));
         full.unsent.push_back(request.substr(30));
     }
-    full.fixture.run_for(milliseconds(600));  // slow enough to be closed for another client
+    full.fixture.run_for(milliseconds(600));  // incomplete for long enough to be evicted
     full.expect_one_response_each_when_more_clients_come();
 }
 
-// A connection that has ended may still have its response on the way. If its client sends bytes in that
-// moment, closing the connection would be a reset, which destroys the response.
+// The response on a connection in lingering close may not have reached its client yet. If the client sends
+// bytes at that moment, closing the socket would reset the connection and destroy the response.
 TEST(SocketLimit, DoesNotCloseEndedConnectionWithUnreadBytes) {
     SidecarFixture fixture;
     fixture.config["limits"]["sockets"] = kSockets;
@@ -225,22 +226,23 @@
     const auto ended = clients.back();
     ASSERT_TRUE(fixture.until([&] { return ended->closed; }));
     EXPECT_EQ(ended->close_error, asio::error::eof);
-    // Clients within a request keep their sockets.
+    // Clients with a request in progress keep their sockets.
     for (const auto& client : clients) {
         if (client != ended) client->send("GET /api HT");
     }
     while (fixture.io.poll_one() > 0) {
     }
-    const auto next = fixture.connect_client();  // the loop hears of it before the bytes below
+    const auto next = fixture.connect_client();  // the event loop handles this before the bytes below
     ended->send("more");
     while (fixture.io.poll_one() > 0) {
     }
     boost::system::error_code error;
     asio::write(ended->socket, asio::buffer(std::string("and more")), error);
-    EXPECT_FALSE(error) << "not reset: " << error.message();
+    EXPECT_FALSE(error) << "the connection must not be reset: " << error.message();
     ended->close();
     next->send(SidecarFixture::request("safe"));
-    ASSERT_TRUE(fixture.until([&] { return server.request_count() == 14; })) << "it is accepted all the same";
+    ASSERT_TRUE(fixture.until([&] { return server.request_count() == 14; }))
+        << "the next client must still be accepted";
 }
 
 }  // namespace
--- a/tests/net/upstream_test.cpp
+++ b/tests/net/upstream_test.cpp
@@ -1,5 +1,5 @@
-// One attempt from its start to its outcome, on the pool of server connections alone: what is never written,
-// what is written in part, and events that come together in one turn of the loop.
+// Tests single attempts on an Upstream without the rest of the sidecar: attempts that are never written,
+// attempts that are partly written, and events that occur in the same turn of the event loop.
 #include <gtest/gtest.h>
 
 #include <vector>
@@ -13,7 +13,8 @@
 
 // ---- Attempts that are never written ----------------------------------------------------------------------
 
-// The endpoint list marks the server as draining after the attempt started and before its connection is up.
+// The endpoint list marks the server as draining after the attempt starts, before its connection is
+// established.
 TEST(Upstream, SendsNothingToServerThatDrainsDuringConnect) {
     UpstreamFixture fixture;
     fixture.start_attempt();
@@ -32,7 +33,7 @@
     EXPECT_EQ(fixture.outcomes, std::vector<Outcome>{Outcome::not_sent});
 }
 
-// The client leaves while the attempt waits for the endpoint list to be read.
+// The client disconnects while the attempt waits for the endpoint list to be read.
 TEST(Upstream, SendsNothingAfterClientDisconnectsWhileListIsRead) {
     UpstreamFixture fixture;
     fixture.is_endpoint_list_unread = true;
@@ -47,7 +48,8 @@
     EXPECT_EQ(fixture.server.request_count(), 0U);
 }
 
-// The process is held up until the attempt's time is over. The loop hears of the connection before the timer.
+// The event loop is blocked until the attempt's deadline has passed. It handles the new connection before the
+// timer.
 TEST(Upstream, SendsNothingAfterDeadlineWhenConnectionOpensLate) {
     constexpr Millis kTimeLeft = 400;
     UpstreamFixture fixture;
@@ -59,25 +61,26 @@
     ASSERT_EQ(fixture.outcomes.size(), 1U);
     EXPECT_TRUE(fixture.outcomes.front() == Outcome::not_sent ||
                 fixture.outcomes.front() == Outcome::connect_failed)
-        << "it never ran";
+        << "the request never ran";
     EXPECT_EQ(fixture.server.request_count(), 0U);
 }
 
 // ---- The deduplication window -----------------------------------------------------------------------------
 
-// Servers forget an idempotency key when its window ends. What is written later runs a second time.
+// Servers discard an idempotency key when its deduplication window ends. A request that is written later
+// would run a second time.
 TEST(Upstream, SendsNothingAfterDeduplicationWindow) {
     UpstreamFixture fixture;
     fixture.start_attempt(0);
     fixture.run_until_ended();
     EXPECT_EQ(fixture.outcomes, std::vector<Outcome>{Outcome::not_sent});
     fixture.outcomes.clear();
-    fixture.start_attempt();  // the connection that came up for the first attempt serves this one
+    fixture.start_attempt();  // uses the connection that was opened for the first attempt
     ASSERT_TRUE(fixture.until([&] { return fixture.server.request_count() != 0; }));
     EXPECT_EQ(fixture.server.request_count(), 1U);
 }
 
-// A server that stops reading holds up the request's last byte. Without that byte the request can't have run.
+// A server that does not read blocks the request's last byte. Without that byte the request can't have run.
 TEST(Upstream, AbortsWriteWhenDeduplicationWindowEnds) {
     UpstreamFixture fixture;
     fixture.server.reads_automatically = false;
@@ -103,9 +106,10 @@
     EXPECT_EQ(fixture.outcomes, std::vector<Outcome>{Outcome::success});
 }
 
-// ---- Requests that are written in part --------------------------------------------------------------------
+// ---- Partly written requests ------------------------------------------------------------------------------
 
-// What a server sends before it has the whole request can't be its response, and the request has not run.
+// Bytes that a server sends before it has the whole request can't be its response, and the request has not
+// run.
 TEST(Upstream, TreatsResponseBeforeWholeRequestAsNeverRun) {
     UpstreamFixture fixture;
     fixture.server.reads_automatically = false;
@@ -119,8 +123,8 @@
     EXPECT_EQ(fixture.outcomes, std::vector<Outcome>{Outcome::connect_failed});
 }
 
-// After a clean close the kernel would go on sending what it still holds, once a path that was cut is open
-// again. A reset drops it.
+// After a clean close the kernel would still deliver unsent bytes when an interrupted network path recovers.
+// A reset discards them.
 TEST(Upstream, ResetsConnectionOnTimeoutSoThatNothingArrivesLater) {
     UpstreamFixture fixture;
     fixture.server.reads_automatically = false;
@@ -132,9 +136,9 @@
     EXPECT_EQ(fixture.server.last_connection().close_error, asio::error::connection_reset);
 }
 
-// ---- Several events in one turn of the loop ---------------------------------------------------------------
+// ---- Several events in one turn of the event loop ---------------------------------------------------------
 
-// Long enough that a quarter of it, which the connection may take, suffices on a busy machine.
+// A quarter of this deadline is the limit for connecting, which must suffice on a busy machine.
 constexpr Millis kSimultaneousDeadline = 2000;
 
 TEST(SimultaneousEvents, ResponseAndTimeoutGiveOneOutcome) {
@@ -167,8 +171,8 @@
     EXPECT_EQ(fixture.upstream.attempt_and_connect_count(1), 0U);
 }
 
-// Only the write's own result tells whether the last byte was sent, and with it whether the request may have
-// run. The outcome waits for that result and is reported once.
+// Only the result of the write shows whether the last byte was sent and so whether the request may have run.
+// The outcome is reported once, after that result.
 TEST(SimultaneousEvents, ResetAndWriteDeadlineGiveOneOutcome) {
     UpstreamFixture fixture;
     fixture.server.reads_automatically = false;
@@ -185,7 +189,7 @@
     ASSERT_EQ(fixture.outcomes.size(), 1U);
     EXPECT_TRUE(fixture.outcomes.front() == Outcome::connect_failed ||
                 fixture.outcomes.front() == Outcome::not_sent)
-        << "its last byte was never sent";
+        << "the request's last byte was never sent";
     EXPECT_EQ(fixture.upstream.attempt_and_connect_count(1), 0U);
 }
 
