--- a/tests/support/event_loop.hpp
+++ b/tests/support/event_loop.hpp
@@ -1,4 +1,4 @@
-// Control over the event loop that a test shares with the code under test.
+// Helpers for running the event loop that a test shares with the code under test.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -9,16 +9,17 @@
 
 namespace elmbay::test {
 
-/// How long a test waits for what must happen. Far beyond what a busy machine needs: no test measures speed.
+/// Longest time that a test waits for an expected event. It is far more than a busy machine needs, because no
+/// test measures speed.
 constexpr std::chrono::seconds kWaitLimit{60};
 
-/// Holds the event loop up until `time`, as for a process that gets no core. Everything that becomes due or
-/// readable meanwhile is there in the loop's next turn.
+/// Blocks the event loop until `time`, as if the process had no CPU core. The loop's next turn finds all
+/// timers that expired and all sockets that became readable meanwhile.
 inline void block_event_loop_until(const Clock& clock, Millis time) {
     while (clock.now() < time) std::this_thread::sleep_for(std::chrono::milliseconds(1));
 }
 
-/// Runs handlers until `happened` is true or kWaitLimit has passed. Returns whether it happened.
+/// Runs handlers until `happened` returns true or kWaitLimit has passed. Returns whether `happened` was true.
 template <class Condition>
 bool run_until(boost::asio::io_context& io, Condition happened) {
     const auto limit = std::chrono::steady_clock::now() + kWaitLimit;
@@ -29,7 +30,7 @@
     return true;
 }
 
-/// Runs every handler that is ready, and those that become ready by it, without waiting.
+/// Runs every ready handler, and the handlers that become ready meanwhile, without waiting.
 inline void run_ready_handlers(boost::asio::io_context& io) {
     while (io.poll() > 0) {
     }
--- a/tests/support/fake_server.hpp
+++ b/tests/support/fake_server.hpp
@@ -1,4 +1,4 @@
-// A stand-in for a server or for discovery, in the test's own event loop.
+// A scripted server or discovery service, which runs in the test's own event loop.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -18,15 +18,15 @@
 
 namespace elmbay::test {
 
-/// An ephemeral port on loopback.
+/// A loopback address with port 0, for which the kernel chooses an ephemeral port.
 inline Endpoint ephemeral_loopback_endpoint() { return {asio::ip::address_v4::loopback(), 0}; }
 
-/// "127.0.0.1:8080", as configurations and endpoint lists write an address.
+/// Formats an address as in configurations and endpoint lists, for example "127.0.0.1:8080".
 inline std::string endpoint_text(const Endpoint& endpoint) {
     return endpoint.address().to_string() + ":" + std::to_string(endpoint.port());
 }
 
-/// Accepts every connection on an ephemeral port and answers nothing by itself: each test does.
+/// Accepts every connection on an ephemeral port. It sends no response by itself; each test scripts them.
 struct FakeServer {
     explicit FakeServer(asio::io_context& io) : acceptor(io, ephemeral_loopback_endpoint()) { accept(); }
 
@@ -39,14 +39,14 @@
         });
     }
 
-    /// How many requests have arrived whole, on all connections together.
+    /// The number of complete requests that were received on all connections together.
     std::size_t request_count() const {
         std::size_t count = 0;
         for (const auto& peer : connections) count += peer->request_count();
         return count;
     }
 
-    /// Answers each request that has arrived whole and that this has not answered before.
+    /// Responds to each complete request that has had no response from this function yet.
     void respond_to_all() {
         for (const auto& peer : connections) {
             while (!peer->closed && peer->answered_request_count < peer->request_count()) {
@@ -61,14 +61,14 @@
     std::string address() const { return endpoint_text(acceptor.local_endpoint()); }
 
     tcp::acceptor acceptor;
-    bool reads_automatically = true;  // false: what arrives stays in the kernel until the test reads it
+    bool reads_automatically = true;  // if false, received bytes stay in the kernel until the test reads them
     std::vector<std::shared_ptr<Peer>> connections;
 };
 
-/// Fills a server's accept queue, so that further connections stay in the making.
+/// Fills a server's accept queue, so that further connections can't be established.
 ///
-/// The kernel drops the SYN of a connection that finds the queue full (listen(2)); its client tries again a
-/// second later. open() lets the server accept as before.
+/// While the queue is full, the kernel drops the SYN of a new connection (listen(2)), and the client sends it
+/// again a second later. open() makes the server accept as before.
 class FullAcceptQueue {
 public:
     explicit FullAcceptQueue(FakeServer& server) : server_(server) {
--- a/tests/support/peer.hpp
+++ b/tests/support/peer.hpp
@@ -1,4 +1,4 @@
-// One end of a TCP connection as a test holds it: collects what arrives and sends what the test wants sent.
+// The test's end of a TCP connection: collects received bytes and sends the bytes that the test specifies.
 #pragma once
 
 #include <array>
@@ -15,16 +15,16 @@
 namespace asio = boost::asio;
 using tcp = asio::ip::tcp;
 
-/// A client's connection to the sidecar, or a stand-in server's connection from it.
+/// A client's connection to the sidecar, or a FakeServer's connection from it.
 ///
-/// Writes block until the kernel has taken all bytes. Reads run on the event loop, from read() until the
+/// Writes block until the kernel has accepted all bytes. Reads run on the event loop, from read() until the
 /// other end closes. Always owned by a std::shared_ptr, which a pending read keeps alive.
 struct Peer : std::enable_shared_from_this<Peer> {
     explicit Peer(tcp::socket connected) : socket(std::move(connected)) {
         socket.set_option(tcp::no_delay(true));
     }
 
-    /// Collects what arrives in `received`, until the connection ends.
+    /// Starts to append received bytes to `received`, until the connection ends.
     void read() {
         socket.async_read_some(asio::buffer(buffer), [self = shared_from_this()](
                                                          boost::system::error_code error, std::size_t size) {
@@ -38,7 +38,7 @@
         });
     }
 
-    /// Appends to `received` what lies in the kernel, without running the event loop.
+    /// Appends the bytes that the kernel holds to `received`, without running the event loop.
     void read_available() {
         boost::system::error_code error;
         while (socket.is_open() && socket.available(error) > 0 && !error) {
@@ -58,16 +58,16 @@
         socket.close(error);
     }
 
-    /// Resets the connection, as the kernel does for a process that dies.
+    /// Resets the connection, as the kernel does when a process is killed.
     void reset() {
         socket.set_option(asio::socket_base::linger(true, 0));
         close();
     }
 
-    /// How many requests have arrived whole. No test sends a body with a blank line in it.
+    /// The number of complete requests that were received. No test sends a body that contains a blank line.
     std::size_t request_count() const { return occurrences("\r\n\r\n"); }
 
-    /// How many responses have begun to arrive.
+    /// The number of responses whose status line was received.
     std::size_t response_count() const { return occurrences("HTTP/1.1 "); }
 
     /// Sends a response with a Content-Length.
@@ -78,7 +78,7 @@
 
     tcp::socket socket;
     std::array<char, 4096> buffer{};
-    std::string received;  // every byte that has arrived
+    std::string received;  // all bytes received so far
     bool closed = false;
     boost::system::error_code close_error;   // asio::error::eof for a clean close
     std::size_t answered_request_count = 0;  // requests that respond_to_all() has answered
@@ -95,7 +95,7 @@
     }
 };
 
-/// "HTTP/1.1 200": the start of the status line of the first response that `peer` has received.
+/// The version and status code of the first response that `peer` received, for example "HTTP/1.1 200".
 inline std::string status_of(const Peer& peer) {
     constexpr std::size_t kStatusLength = 12;
     return peer.received.substr(0, kStatusLength);
--- a/tests/support/sidecar_fixture.hpp
+++ b/tests/support/sidecar_fixture.hpp
@@ -1,4 +1,4 @@
-// A whole sidecar on loopback, with scripted servers, discovery and clients around it in one event loop.
+// A complete sidecar on loopback, with scripted servers, discovery and clients in the same event loop.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -27,21 +27,21 @@
 
 using Json = nlohmann::json;
 
-/// Runs one sidecar against servers, discovery and clients that the test plays.
+/// Runs one sidecar with servers, discovery and clients that the test scripts.
 ///
 /// Usage: construct it with the number of servers, change `config` where the test needs other settings, call
-/// start(), then script the peers. Every address has an ephemeral port. Everything runs on the caller's
-/// thread, inside until() and the functions that call it.
+/// start(), then script the connections. Every address has an ephemeral port. All handlers run on the
+/// caller's thread, inside until() and the functions that call it.
 ///
-/// The settings know three request classes: "safe" (idempotent), "unsafe" (non-idempotent) and "keyed"
-/// (idempotent by key). All times are far beyond what a test takes, unless the test sets others.
+/// The settings define three request classes: "safe" (idempotent), "unsafe" (non-idempotent) and "keyed"
+/// (idempotent by key). All timeouts are far longer than a test runs, unless the test sets others.
 struct SidecarFixture {
     asio::io_context io{1};
     FakeServer discovery{io};
     std::list<FakeServer> servers;
     Json config;
     std::unique_ptr<Sidecar> sidecar;
-    std::uint64_t list_version = 1;  // of the endpoint list that was sent last
+    std::uint64_t list_version = 1;  // version of the endpoint list that was sent last
 
     explicit SidecarFixture(std::size_t server_count = 1) {
         for (std::size_t i = 0; i < server_count; ++i) servers.emplace_back(io);
@@ -84,18 +84,19 @@
         return entries;
     }
 
-    /// A line of the watch with the next version. `all`: the whole list; else the entries that have changed.
+    /// A line of the watch with the next version. If `all`, `entries` is the whole list, otherwise the
+    /// changes.
     std::string watch_line(const Json& entries, bool all) {
         ++list_version;
         return Json{{"rev", list_version}, {"all", all}, {"targets", entries}}.dump() + "\n";
     }
 
-    /// Discovery accepts the call that it got last as a watch.
+    /// Sends the head of a watch response on the last connection to discovery.
     void begin_watch() {
         discovery.last_connection().send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     }
 
-    /// Discovery sends one chunk of the watch.
+    /// Sends one chunk of the watch on the last connection to discovery.
     void send_chunk(const std::string& text) {
         std::ostringstream message;
         message << std::hex << text.size() << "\r\n" << text << "\r\n";
@@ -104,7 +105,7 @@
 
     // ---- The sidecar --------------------------------------------------------------------------------------
 
-    /// Starts the sidecar by `config` and waits for its first call to discovery.
+    /// Starts the sidecar with `config` and waits for its first call to discovery.
     void start(std::optional<Sidecar::RestoredState> restored = {},
                const websocket::Settings& websocket = {}) {
         sidecar = std::make_unique<Sidecar>(io, parse_config(config.dump()), std::move(restored), websocket);
@@ -114,7 +115,7 @@
     /// Reloads the sidecar's configuration from `config`.
     void reload() { sidecar->reload(parse_config(config.dump())); }
 
-    /// Runs the event loop until `happened` is true. Returns false if it has not happened after kWaitLimit.
+    /// Runs the event loop until `happened` returns true. Returns false if kWaitLimit passes before.
     template <class Condition>
     bool until(Condition happened) {
         return run_until(io, happened);
@@ -128,7 +129,8 @@
         ASSERT_TRUE(until([&over] { return over; }));
     }
 
-    /// Sends a request through the whole event loop, so that whatever was pending before has been handled.
+    /// Sends a health check and waits for its response, so that all events that were pending before are
+    /// handled.
     void handle_pending_events() {
         const auto probe = connect_client();
         probe->send("GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -137,7 +139,7 @@
 
     // ---- Clients ------------------------------------------------------------------------------------------
 
-    /// A request of the class, with an id of its own. `time_left` is the value of X-Time-Left.
+    /// A request of the class with a unique correlation id. `time_left` is the value of X-Time-Left.
     static std::string request(const std::string& request_class, const std::string& time_left = "50000m",
                                const std::string& headers = "") {
         static int number = 0;
@@ -154,7 +156,7 @@
         return text;
     }
 
-    /// A client's new connection to the sidecar.
+    /// Opens a new client connection to the sidecar and starts to read from it.
     std::shared_ptr<Peer> connect_client() {
         tcp::socket socket(io);
         socket.connect(sidecar->local_endpoint());
@@ -163,7 +165,7 @@
         return peer;
     }
 
-    /// A client that the first server has served once, on a connection that it keeps.
+    /// Opens a client connection and has the first server serve one request on it. The connection stays open.
     std::shared_ptr<Peer> connect_served_client() {
         FakeServer& server = servers.front();
         const std::size_t requests_before = server.request_count();
@@ -177,8 +179,8 @@
         return peer;
     }
 
-    /// A client that does not read, on a connection with a small receive buffer and small segments: the
-    /// kernel can't hold a long response for it. Call read() on it to let it take what was sent.
+    /// Opens a client connection that does not read, with a small receive buffer and small segments, so that
+    /// the kernel can't buffer a long response for it. Call read() on it to receive the response.
     std::shared_ptr<Peer> connect_slow_client() {
         constexpr int kSmallestSegment = 536;
         tcp::socket socket(io);
--- a/tests/support/upstream_fixture.hpp
+++ b/tests/support/upstream_fixture.hpp
@@ -1,4 +1,4 @@
-// The pool of connections to servers without the rest of the sidecar, and one scripted server.
+// An Upstream without the rest of the sidecar, and one scripted server.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -18,8 +18,8 @@
 
 /// An Upstream with one server. Collects the outcomes that it reports.
 ///
-/// Usage: start_attempt(), script `server`, run the event loop, look at `outcomes`. What Upstream asks right
-/// before it writes a request is in the test's hands: `is_endpoint_list_unread` and `client_disconnected`.
+/// Usage: start_attempt(), script `server`, run the event loop, check `outcomes`. The test sets the results
+/// of Upstream::WriteChecks by `is_endpoint_list_unread` and `is_client_disconnected`.
 struct UpstreamFixture {
     asio::io_context io{1};
     Clock clock;
@@ -43,11 +43,11 @@
         set_server(true);
     }
 
-    /// What the endpoint list says of the server: whether new attempts may be sent to it.
+    /// Updates the server as the endpoint list does. `may_send` is whether new attempts may be sent to it.
     void set_server(bool may_send) { upstream.set_server(1, server.acceptor.local_endpoint(), may_send); }
 
-    /// Starts an attempt at the server. It times out after `time_left`, and its last byte is written within
-    /// `write_within` or not at all.
+    /// Starts an attempt at the server. It times out after `time_left`, and its last byte must be written
+    /// within `write_within`.
     void start_attempt(Millis write_within = kForever, std::size_t body_size = 0, Millis time_left = 50000) {
         auto request = std::make_shared<HttpRequest>(http::verb::post, "/api", 11);
         request->body().assign(body_size, 'x');
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Runs the event loop until `happened` is true. Returns false if it has not happened after kWaitLimit.
+    /// Runs the event loop until `happened` returns true. Returns false if kWaitLimit passes before.
     template <class Condition>
     bool until(Condition happened) {
         return run_until(io, happened);
