--- a/src/http/message.hpp
+++ b/src/http/message.hpp
@@ -31,8 +31,7 @@
 constexpr std::size_t kMaxHeadBytes = std::size_t{16} * 1024;
 
 /// @return whether a response states that the server rejected the request without processing it, so that it
-/// has
-///         not run (PROTOCOL, Sidecars to servers).
+///         has not run (PROTOCOL, Sidecars to servers).
 bool is_marked_unprocessed(const http::response_header<>& head);
 
 /// @return the value of the first header with this name, compared without regard to case; empty if there is
@@ -40,9 +39,8 @@
 std::string_view header_value(const http::fields& fields, const char* name);
 
 /// @return whether the head defines the end of its message once and without contradiction. Beast's parser
-/// accepts
-///         contradictory framing (it ignores a Transfer-Encoding other than chunked, for example). A peer may
-///         interpret it differently, which allows request smuggling.
+///         accepts contradictory framing (it ignores a Transfer-Encoding other than chunked, for example). A
+///         peer may interpret it differently, which allows request smuggling.
 bool has_unambiguous_framing(const http::fields& fields);
 
 }  // namespace elmbay
--- a/src/net/client_acceptor.hpp
+++ b/src/net/client_acceptor.hpp
@@ -64,8 +64,7 @@
     void close();
 
     /// @return the address that the socket is bound to. If the configured port is 0, this has the port that
-    /// the
-    ///         kernel chose. Valid until close().
+    ///         the kernel chose. Valid until close().
     Endpoint local_endpoint() const { return acceptor_.local_endpoint(); }
 
 private:
--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -52,8 +52,8 @@
     if (has_sent_request_ || idle_since_ < silent_since) begin_lingering_close();
 }
 
-// Only cancels the read. The pending read uses the parser until its handler has run, so the
-// connection continues in that handler.
+// Only cancels the read. The pending read uses the parser until its handler has run, so the connection
+// continues in that handler.
 void ClientConnection::stop_reading() {
     if (state_ != ConnectionState::reading_request) return;
     read_timed_out_ = true;
@@ -172,8 +172,8 @@
             close();
         return;
     }
-    // The client may already have read the response that is being written here. Its next request stays
-    // unread until the write has completed.
+    // The client may already have read the response that is being written here. Its next request stays unread
+    // until the write has completed.
     if (state_ != ConnectionState::request_in_progress) return;
     // More bytes before the response are a pipelined request or garbage, which the application never sends.
     // The request in progress can't be trusted either, so it is cancelled.
--- a/src/net/client_connection.hpp
+++ b/src/net/client_connection.hpp
@@ -33,7 +33,7 @@
     /// @return whether a graceful shutdown has begun. Then each connection closes after its next response.
     virtual bool is_draining() const = 0;
     /// @return whether the port is closed. Then a client can send an incomplete request again to another
-    /// process.
+    ///         process.
     virtual bool has_stopped_accepting() const = 0;
     /// @return whether one more request may be in progress. If not, the request must be rejected at once.
     virtual bool has_capacity_for_request() const = 0;
@@ -183,7 +183,7 @@
     /// @return when the connection became idle, or when it was accepted if it has had no response yet.
     Millis idle_since() const { return idle_since_; }
     /// @return whether the connection has received a valid request, whatever its outcome. GET /up does not
-    /// count.
+    ///         count.
     bool has_sent_request() const { return has_sent_request_; }
     /// @return whether the connection may be closed to free a socket.
     bool is_evictable(Millis now) const;
--- a/src/net/correlation_id_registry.hpp
+++ b/src/net/correlation_id_registry.hpp
@@ -25,8 +25,7 @@
     static constexpr std::size_t kMaxIdsPerGeneration = 16384;
 
     /// @param retention minimum time that an id stays in the set. It covers requests that have just ended
-    /// here,
-    ///                  because such a request may still run at a server.
+    ///                  here, because such a request may still run at a server.
     explicit CorrelationIdRegistry(Millis retention) : retention_(retention) {}
 
     /// Inserts an id.
--- a/src/net/listener.hpp
+++ b/src/net/listener.hpp
@@ -56,9 +56,8 @@
     void drain(std::function<void()> done);
 
     /// @return whether the client of a request in progress has closed or half-closed its connection, or has
-    /// sent
-    ///         more bytes, which cancel its request. Queries the socket directly, so the result is current
-    ///         even if the event loop has not handled the socket's event yet.
+    ///         sent more bytes, which cancel its request. Queries the socket directly, so the result is
+    ///         current even if the event loop has not handled the socket's event yet.
     bool is_client_disconnected(RequestId id) const;
 
     Endpoint local_endpoint() const { return acceptor_.local_endpoint(); }
--- a/src/net/server_connection.hpp
+++ b/src/net/server_connection.hpp
@@ -138,8 +138,7 @@
     void connect();
 
     /// @return whether a request may be written: the connection is idle, and the server has neither sent
-    /// bytes
-    ///         nor closed it.
+    ///         bytes nor closed it.
     bool is_usable();
 
     /// Writes the request of an attempt and reads its response. on_exchange_ended() reports the result,
--- a/src/net/upstream.hpp
+++ b/src/net/upstream.hpp
@@ -63,11 +63,9 @@
 
     /// Adds a server or updates it from the endpoint list.
     /// @param may_send     whether attempts may be sent to the server. If false, its idle connections are
-    /// closed,
-    ///                     and its waiting attempts end as not sent.
+    ///                     closed, and its waiting attempts end as not sent.
     /// @param online_since start time of the server's process; 0 if unknown. If it changes, the connections
-    /// to
-    ///                     the previous process are closed.
+    ///                     to the previous process are closed.
     void set_server(ServerId id, const Endpoint& endpoint, bool may_send, Millis online_since = 0);
     /// Removes a server and closes its idle connections. Has no effect while it has attempts or pending
     /// connects.
@@ -79,8 +77,7 @@
     /// @param server         a server that was added by set_server().
     /// @param deadline       time at which the attempt ends as timed out if it has no other outcome by then.
     /// @param write_deadline time by which the kernel must have accepted the request's last byte. Otherwise
-    /// the
-    ///                       attempt ends as not sent.
+    ///                       the attempt ends as not sent.
     void start_attempt(AttemptKey key, ServerId server, Millis deadline, Millis write_deadline,
                        std::shared_ptr<const HttpRequest> request);
     /// Cancels an attempt. Its connection is closed before this returns. The attempt ends as cancelled.
