--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -15,10 +15,10 @@
 }
 
 bool has_unambiguous_framing(const http::fields& fields) {
-    const std::size_t lengths = fields.count(http::field::content_length);
-    const std::size_t encodings = fields.count(http::field::transfer_encoding);
-    if (lengths + encodings > 1) return false;
-    return encodings == 0 || boost::beast::iequals(fields[http::field::transfer_encoding], "chunked");
+    const std::size_t length_count = fields.count(http::field::content_length);
+    const std::size_t encoding_count = fields.count(http::field::transfer_encoding);
+    if (length_count + encoding_count > 1) return false;
+    return encoding_count == 0 || boost::beast::iequals(fields[http::field::transfer_encoding], "chunked");
 }
 
 }  // namespace elmbay
--- a/src/http/message.hpp
+++ b/src/http/message.hpp
@@ -16,7 +16,7 @@
 /// A response with its whole body in memory.
 using HttpResponse = http::response<http::string_body>;
 
-/// HTTP/1.1, as Beast numbers versions.
+/// Beast's version number for HTTP/1.1.
 constexpr unsigned kHttp11 = 11;
 
 /// Largest body, in bytes, that needs no grant of ByteBudget. PROTOCOL names 64 KiB as the maximum, but the
--- a/src/http/request_validation.cpp
+++ b/src/http/request_validation.cpp
@@ -62,8 +62,8 @@
     return unit == 'u' ? *value / kMicrosPerMilli : *value;
 }
 
-std::string format_time_left(Millis left) {
-    return std::to_string(static_cast<std::int64_t>(left * kMicrosPerMilli)) + "u";
+std::string format_time_left(Millis time_left) {
+    return std::to_string(static_cast<std::int64_t>(time_left * kMicrosPerMilli)) + "u";
 }
 
 std::optional<RequestProblem> validate_request(const RequestHead& head,
@@ -105,17 +105,17 @@
     event.id = id;
     event.class_index = static_cast<std::uint32_t>(class_index_of(head, deployment));
     // A client never waits longer than the timeout of its class, so a larger X-Time-Left is not trusted.
-    const Millis left = std::min(parse_time_left(header_value(head, kTimeLeft)).value_or(0),
-                                 deployment.client_timeouts.at(event.class_index));
-    const Millis usable_margin = std::min(margin, left * kMaxMarginShare);
-    event.time_left = std::max(kMinTimeLeft, left - usable_margin - kernel_queue_time);
+    const Millis time_left = std::min(parse_time_left(header_value(head, kTimeLeft)).value_or(0),
+                                      deployment.client_timeouts.at(event.class_index));
+    const Millis usable_margin = std::min(margin, time_left * kMaxMarginShare);
+    event.time_left = std::max(kMinTimeLeft, time_left - usable_margin - kernel_queue_time);
     if (const std::string_view account = header_value(head, "X-Account"); !account.empty()) {
         const auto& tenants = deployment.tenants;
         const auto tenant = std::find(tenants.begin(), tenants.end(), account);
         if (tenant != tenants.end()) event.tenant = static_cast<std::uint32_t>(tenant - tenants.begin());
     }
-    if (const auto micros = parse_finite(header_value(head, "X-Weight-Hint")))
-        event.effort = std::max(0.0, *micros / kMicrosPerMilli);
+    if (const auto effort_micros = parse_finite(header_value(head, "X-Weight-Hint")))
+        event.effort = std::max(0.0, *effort_micros / kMicrosPerMilli);
     event.repeat = header_value(head, "X-Repeat") == "1";
     return event;
 }
--- a/src/http/request_validation.hpp
+++ b/src/http/request_validation.hpp
@@ -49,6 +49,6 @@
 /// @return milliseconds; none if the text is invalid.
 std::optional<Millis> parse_time_left(std::string_view text);
 /// Formats the value of X-Time-Left in whole microseconds.
-std::string format_time_left(Millis left);
+std::string format_time_left(Millis time_left);
 
 }  // namespace elmbay
--- a/src/net/client_acceptor.cpp
+++ b/src/net/client_acceptor.cpp
@@ -19,11 +19,11 @@
 
 }  // namespace
 
-ClientAcceptor::ClientAcceptor(asio::io_context& io, const Endpoint& listen, SocketBudget& budget,
+ClientAcceptor::ClientAcceptor(asio::io_context& io, const Endpoint& listen, SocketBudget& socket_budget,
                                TimerQueue& timers, const Clock& clock, Handlers handlers)
     : io_(io),
       acceptor_(io),
-      budget_(budget),
+      socket_budget_(socket_budget),
       timers_(timers),
       clock_(clock),
       handlers_(std::move(handlers)) {
@@ -42,7 +42,7 @@
 // Retries while the address is in use: the previous process may still be exiting, or the kernel may still be
 // releasing its port. Blocks the thread, because the process has nothing else to do before it listens.
 void ClientAcceptor::bind(const Endpoint& listen) {
-    const auto deadline = std::chrono::steady_clock::now() + std::chrono::milliseconds(kBindTimeout);
+    const auto deadline = std::chrono::steady_clock::now() + std::chrono::milliseconds(kBindTimeoutMs);
     for (;;) {
         Error error;
         acceptor_.bind(listen, error);
@@ -53,15 +53,15 @@
             throw boost::system::system_error(
                 error, "listening on " + listen.address().to_string() + ":" + std::to_string(listen.port()));
         }
-        std::this_thread::sleep_for(std::chrono::milliseconds(kBindRetryInterval));
+        std::this_thread::sleep_for(std::chrono::milliseconds(kBindRetryIntervalMs));
     }
 }
 
 void ClientAcceptor::accept() {
     if (is_accepting_ || !acceptor_.is_open()) return;
-    if (!budget_.take(Side::clients)) {
+    if (!socket_budget_.take(Side::clients)) {
         is_waiting_for_socket_ = true;
-        retry_later();
+        schedule_retry();
         return;
     }
     is_waiting_for_socket_ = false;
@@ -69,7 +69,7 @@
     acceptor_.async_accept([this](Error error, tcp::socket socket) {
         is_accepting_ = false;
         if (error) {
-            budget_.give_back(Side::clients);
+            socket_budget_.give_back(Side::clients);
             if (acceptor_.is_open()) on_accept_failed(error);
             return;
         }
@@ -92,12 +92,12 @@
     }
     consecutive_failures_ = 0;
     if (failure == SocketFailure::own_descriptors) handlers_.on_out_of_descriptors();
-    retry_later();
+    schedule_retry();
 }
 
-void ClientAcceptor::retry_later() {
+void ClientAcceptor::schedule_retry() {
     timers_.cancel(retry_timer_);
-    retry_timer_ = timers_.set(clock_.now() + kRetryInterval, [this] {
+    retry_timer_ = timers_.set(clock_.now() + kAcceptRetryInterval, [this] {
         retry_timer_ = {};
         accept();
     });
@@ -110,14 +110,14 @@
 
 bool ClientAcceptor::accept_pending() {
     int failures = 0;
-    while (failures < kMaxConsecutiveFailures && budget_.take(Side::clients)) {
+    while (failures < kMaxConsecutiveFailures && socket_budget_.take(Side::clients)) {
         Error error;
         tcp::socket socket = acceptor_.accept(error);
         if (!error) {
             handlers_.on_accepted(std::move(socket));
             continue;
         }
-        budget_.give_back(Side::clients);
+        socket_budget_.give_back(Side::clients);
         if (error == asio::error::would_block) return true;
         if (accept_failure(error) != SocketFailure::connection) return false;
         ++failures;
--- a/src/net/client_acceptor.hpp
+++ b/src/net/client_acceptor.hpp
@@ -17,7 +17,7 @@
 ///
 /// Accepting continues after every error. A connection that was aborted before it was accepted is skipped.
 /// While no socket is available, new connections stay in the kernel's accept queue, and accepting is retried
-/// after kRetryInterval or when on_socket_released() is called.
+/// after kAcceptRetryInterval or when on_socket_released() is called.
 ///
 /// Each accepted connection holds one descriptor of Side::clients, which the owner of the connection returns
 /// to the budget. Not thread-safe. Owned by Listener.
@@ -25,13 +25,13 @@
 public:
     /// How long the constructor retries bind() while the port is in use, in milliseconds. A planned restart
     /// may start this process before the previous one has exited (PROTOCOL: at most 3.7 s after SIGTERM).
-    static constexpr int kBindTimeout = 5000;
+    static constexpr int kBindTimeoutMs = 5000;
     /// Interval between two calls of bind() while the port is in use, in milliseconds.
-    static constexpr int kBindRetryInterval = 20;
+    static constexpr int kBindRetryIntervalMs = 20;
     /// Interval between two attempts to accept while no socket is available.
-    static constexpr Millis kRetryInterval = 20;
+    static constexpr Millis kAcceptRetryInterval = 20;
     /// Consecutive aborted connections that are skipped at once. After that accepting pauses for
-    /// kRetryInterval, so that the event loop can run other handlers.
+    /// kAcceptRetryInterval, so that the event loop can run other handlers.
     static constexpr int kMaxConsecutiveFailures = 64;
 
     /// Callbacks to the owner. They run on the event loop's thread, never inside the constructor.
@@ -42,11 +42,11 @@
         std::function<void()> on_out_of_descriptors;
     };
 
-    /// Starts to listen, but accepts no connection before start(). Blocks for up to kBindTimeout while the
+    /// Starts to listen, but accepts no connection before start(). Blocks for up to kBindTimeoutMs while the
     /// port is in use.
     /// @throws boost::system::system_error if the process can't listen on the address.
-    ClientAcceptor(asio::io_context& io, const Endpoint& listen, SocketBudget& budget, TimerQueue& timers,
-                   const Clock& clock, Handlers handlers);
+    ClientAcceptor(asio::io_context& io, const Endpoint& listen, SocketBudget& socket_budget,
+                   TimerQueue& timers, const Clock& clock, Handlers handlers);
 
     /// Accepts connections from now on, until close().
     void start() { accept(); }
@@ -71,11 +71,11 @@
     void bind(const Endpoint& listen);
     void accept();
     void on_accept_failed(const boost::system::error_code& error);
-    void retry_later();
+    void schedule_retry();
 
     asio::io_context& io_;
     asio::ip::tcp::acceptor acceptor_;
-    SocketBudget& budget_;
+    SocketBudget& socket_budget_;
     TimerQueue& timers_;
     const Clock& clock_;
     const Handlers handlers_;
--- a/src/net/client_connection.cpp
+++ b/src/net/client_connection.cpp
@@ -41,7 +41,7 @@
     context_.owner.on_closed(*this);
 }
 
-void ClientConnection::close_if_idle(Millis silent_since) {
+void ClientConnection::close_if_idle(Millis accepted_before) {
     if (state_ != ConnectionState::awaiting_request) return;
     if (has_unread_data()) {
         // Reads a request that has arrived without waiting for the pause to end: after kRequestCutoff of the
@@ -49,7 +49,7 @@
         if (std::exchange(reading_is_paused_, false)) await_next_request();
         return;
     }
-    if (has_sent_request_ || idle_since_ < silent_since) begin_lingering_close();
+    if (has_sent_request_ || idle_since_ < accepted_before) begin_lingering_close();
 }
 
 // Only cancels the read. The pending read uses the parser until its handler has run, so the connection
@@ -113,10 +113,10 @@
             if (has_unread_data()) {  // bytes of a request have arrived, and their handler has not run yet
                 set_timeout(kMinAgeWithoutRequest);
                 read_request();
-            } else if (has_been_answered_) {
+            } else if (has_sent_response_) {
                 begin_lingering_close();
             } else {
-                reject(kTooSlow, AfterResponse::close);
+                reject(kRequestTimeout, AfterResponse::close);
             }
             return;
         case ConnectionState::reading_request:
@@ -164,8 +164,8 @@
         await_readable();
         return;
     }
-    const bool has_left = socket_state != SocketState::readable;
-    if (has_left) {
+    const bool has_disconnected = socket_state != SocketState::readable;
+    if (has_disconnected) {
         if (state_ == ConnectionState::writing_response)
             closes_after_response_ = true;
         else
@@ -178,7 +178,7 @@
     // More bytes before the response are a pipelined request or garbage, which the application never sends.
     // The request in progress can't be trusted either, so it is cancelled.
     notify_client_disconnected();
-    reject(kPipelined, AfterResponse::close);
+    reject(kPipelinedRequest, AfterResponse::close);
 }
 
 void ClientConnection::notify_client_disconnected() {
@@ -198,7 +198,7 @@
     enter(ConnectionState::writing_response);
     release_message_memory();
     if (response.body().size() > kMaxBodyBytesWithoutGrant) {
-        message_memory_ = context_.bytes.take(kMaxResponseBodyBytes);
+        message_memory_ = context_.byte_budget.take(kMaxResponseBodyBytes);
         if (!message_memory_)
             response = text_response(http::status::bad_gateway, "no memory for so long an answer\n");
     }
@@ -236,7 +236,7 @@
 }
 
 void ClientConnection::await_next_request() {
-    has_been_answered_ = true;
+    has_sent_response_ = true;
     idle_since_ = context_.clock.now();
     context_.owner.on_idle(*this);
     set_timeout(kIdleTimeout);
--- a/src/net/client_connection.hpp
+++ b/src/net/client_connection.hpp
@@ -67,7 +67,7 @@
     ClientConnectionOwner& owner;
     const Clock& clock;
     TimerQueue& timers;
-    ByteBudget& bytes;  ///< memory for bodies larger than kMaxBodyBytesWithoutGrant
+    ByteBudget& byte_budget;  ///< memory for bodies larger than kMaxBodyBytesWithoutGrant
     const ListenerHandlers& handlers;
     Millis max_response_time = 0;         ///< the longest time that any client waits for its response
     asio::mutable_buffer discard_buffer;  ///< receives input that is read and discarded
@@ -169,12 +169,12 @@
     /// Writes the response to the request in progress.
     void respond(HttpResponse response);
 
-    /// Closes the socket at once. For a client that expects no response or that can't read one any more.
+    /// Closes the socket at once. Used if the client expects no response or can't read one any more.
     void close();
 
     /// Begins a lingering close, during a shutdown, if the connection is idle and has no unread data. A
-    /// connection without any request so far is closed only if it was accepted before `silent_since`.
-    void close_if_idle(Millis silent_since);
+    /// connection without any request so far is closed only if it was accepted before `accepted_before`.
+    void close_if_idle(Millis accepted_before);
 
     /// Stops reading the current request. If it is incomplete, it ends as too slow.
     void stop_reading();
@@ -218,9 +218,9 @@
     std::optional<RequestProblem> find_problem(const HttpRequest& head) const;
     bool reserve_body();
     void on_request_complete();
-    void answer_health_check();
+    void respond_to_health_check();
     void start_request(HttpRequest request);
-    void hand_over(HttpRequest request, const RequestArrivalInfo& received);
+    void hand_over_socket(HttpRequest request, const RequestArrivalInfo& arrival);
 
     // ---- responding
     enum class AfterResponse { keep, close };
@@ -258,7 +258,7 @@
     RequestId request_id_ = 0;                         // the request in progress; 0 if there is none
     ConnectionState state_ = ConnectionState::awaiting_request;
     bool has_sent_request_ = false;
-    bool has_been_answered_ = false;    // a response was written, and the connection was kept alive
+    bool has_sent_response_ = false;    // a response was written, and the connection was kept alive
     bool is_waiting_readable_ = false;  // an asynchronous wait on the socket is outstanding
     bool closes_after_response_ = false;
     bool read_timed_out_ = false;  // the time limit of the request that is being read has expired
--- a/src/net/client_connection_pool.cpp
+++ b/src/net/client_connection_pool.cpp
@@ -23,31 +23,31 @@
 }
 
 void ClientConnectionPool::on_idle(ClientConnection& connection) {
-    ClientConnection::List& list = list_of(connection);
+    ClientConnection::List& list = list_containing(connection);
     list.splice(list.end(), list, connection.list_position);
 }
 
 void ClientConnectionPool::remove(ClientConnection& connection) {
-    list_of(connection).erase(connection.list_position);
+    list_containing(connection).erase(connection.list_position);
 }
 
 bool ClientConnectionPool::close_one(Millis now) {
-    std::size_t too_young = 0;
+    std::size_t too_young_count = 0;
     for (const auto& connection : without_request_) {
         if (connection->is_evictable(now)) return close(*connection);
-        if (connection->is_idle() && !connection->has_unread_data()) ++too_young;
+        if (connection->is_idle() && !connection->has_unread_data()) ++too_young_count;
     }
-    std::size_t evictable = 0;
+    std::size_t evictable_count = 0;
     std::shared_ptr<ClientConnection> longest_idle;
     for (const auto& connection : with_request_) {
         if (!connection->is_evictable(now)) continue;
-        const bool is_unused = now - connection->idle_since() > kUnusedAge;
+        const bool is_unused = now - connection->idle_since() > kMinUnusedIdleTime;
         if (!connection->is_idle() || is_unused) return close(*connection);
         if (!longest_idle) longest_idle = connection;
-        ++evictable;
-        if (evictable > too_young) break;
+        ++evictable_count;
+        if (evictable_count > too_young_count) break;
     }
-    return longest_idle && evictable > too_young && close(*longest_idle);
+    return longest_idle && evictable_count > too_young_count && close(*longest_idle);
 }
 
 std::vector<std::shared_ptr<ClientConnection>> ClientConnectionPool::all() const {
@@ -57,7 +57,7 @@
     return connections;
 }
 
-ClientConnection::List& ClientConnectionPool::list_of(const ClientConnection& connection) {
+ClientConnection::List& ClientConnectionPool::list_containing(const ClientConnection& connection) {
     return connection.has_sent_request() ? with_request_ : without_request_;
 }
 
--- a/src/net/client_connection_pool.hpp
+++ b/src/net/client_connection_pool.hpp
@@ -18,7 +18,7 @@
 class ClientConnectionPool {
 public:
     /// Idle time after which a connection that has sent a request may be evicted like one that has sent none.
-    static constexpr Millis kUnusedAge = 2000;
+    static constexpr Millis kMinUnusedIdleTime = 2000;
 
     /// Adds a new connection, which has sent no request yet.
     void add(const std::shared_ptr<ClientConnection>& connection);
@@ -34,8 +34,8 @@
     ///
     /// New connections can't be distinguished from clients that are about to send a request until they reach
     /// ClientConnection::kMinAgeWithoutBytes. While there are at least as many of them as evictable idle
-    /// connections, a connection that has sent a request is evicted only after kUnusedAge. So a flood of new
-    /// connections does not evict the active clients.
+    /// connections, a connection that has sent a request is evicted only after kMinUnusedIdleTime. So a flood
+    /// of new connections does not evict the active clients.
     /// @return whether a connection was closed.
     bool close_one(Millis now);
 
@@ -44,7 +44,7 @@
     std::vector<std::shared_ptr<ClientConnection>> all() const;
 
 private:
-    ClientConnection::List& list_of(const ClientConnection& connection);
+    ClientConnection::List& list_containing(const ClientConnection& connection);
 
     ClientConnection::List without_request_;
     ClientConnection::List with_request_;
--- a/src/net/client_connection_reading.cpp
+++ b/src/net/client_connection_reading.cpp
@@ -52,7 +52,7 @@
     enter(ConnectionState::reading_request);
     read_timed_out_ = false;
     // The time limit of the first request runs since the accept.
-    if (has_been_answered_) set_timeout(kRequestReadTimeout);
+    if (has_sent_response_) set_timeout(kRequestReadTimeout);
     buffer_.emplace(kMaxReadAhead);
     parser_.emplace();
     parser_->body_limit(kMaxRequestBodyBytes);
@@ -77,7 +77,7 @@
         return;
     }
     if (!has_unambiguous_framing(parser_->get())) {
-        reject(kUnclearFraming, AfterResponse::close);
+        reject(kAmbiguousFraming, AfterResponse::close);
         return;
     }
     problem_ = find_problem(parser_->get());
@@ -86,7 +86,7 @@
     } else if (problem_) {
         reject(*problem_, AfterResponse::close);
     } else if (!reserve_body()) {
-        reject(kTooLarge, AfterResponse::close);
+        reject(kBodyTooLarge, AfterResponse::close);
     } else {
         http::async_read(socket_, *buffer_, *parser_,
                          [self = shared_from_this()](Error body_error, std::size_t) {
@@ -109,11 +109,11 @@
     else if (!is_protocol_error(error))
         close();
     else if (error == http::error::body_limit)
-        reject(kTooLarge, AfterResponse::close);
+        reject(kBodyTooLarge, AfterResponse::close);
     else if (error == http::error::header_limit)
         reject(kHeadTooLarge, AfterResponse::close);
     else
-        reject(kMalformed, AfterResponse::close);
+        reject(kMalformedRequest, AfterResponse::close);
 }
 
 // On a connection that was used before, closes without a response during a shutdown: the client then sends
@@ -122,7 +122,7 @@
     if (context_.owner.has_stopped_accepting() && has_sent_request_)
         begin_lingering_close();
     else
-        reject(kTooSlow, AfterResponse::close);
+        reject(kRequestTimeout, AfterResponse::close);
 }
 
 std::optional<RequestProblem> ClientConnection::find_problem(const HttpRequest& head) const {
@@ -146,7 +146,7 @@
 bool ClientConnection::reserve_body() {
     const auto length = parser_->content_length();
     if (length && *length <= kMaxBodyBytesWithoutGrant) return true;
-    message_memory_ = context_.bytes.take(kMaxRequestBodyBytes);
+    message_memory_ = context_.byte_budget.take(kMaxRequestBodyBytes);
     if (message_memory_) return true;
     if (length) return false;
     parser_->body_limit(kMaxBodyBytesWithoutGrant);
@@ -157,7 +157,7 @@
     context_.timers.cancel(timer_);
     closes_after_response_ = !parser_->keep_alive();
     if (buffer_->size() > 0 || has_unread_data()) {
-        reject(kPipelined, AfterResponse::close);
+        reject(kPipelinedRequest, AfterResponse::close);
         return;
     }
     HttpRequest request = parser_->release();
@@ -168,7 +168,7 @@
         return;
     }
     if (path_of(request) == kHealthCheckPath) {
-        answer_health_check();
+        respond_to_health_check();
         return;
     }
     // A health check does not count as a request: a client that sends only health checks is not an active
@@ -183,7 +183,7 @@
     start_request(std::move(request));
 }
 
-void ClientConnection::answer_health_check() {
+void ClientConnection::respond_to_health_check() {
     const bool is_ready = context_.handlers.is_ready() && !context_.owner.is_draining();
     write(is_ready ? text_response(http::status::ok, "up\n")
                    : text_response(http::status::service_unavailable, "not ready\n"));
@@ -191,9 +191,9 @@
 
 void ClientConnection::start_request(HttpRequest request) {
     const bool has_capacity = context_.owner.has_capacity_for_request();
-    const RequestArrivalInfo received{kernel_queue_time(socket_), has_capacity};
+    const RequestArrivalInfo arrival{kernel_queue_time(socket_), has_capacity};
     if (context_.handlers.is_upgrade && context_.handlers.is_upgrade(request)) {
-        hand_over(std::move(request), received);
+        hand_over_socket(std::move(request), arrival);
         return;
     }
     enter(ConnectionState::request_in_progress);
@@ -201,14 +201,14 @@
     context_.owner.on_request_started(request_id_, *this);
     const auto self = shared_from_this();
     await_readable();  // detects a disconnect of the client
-    context_.handlers.on_request(request_id_, std::move(request), received);
+    context_.handlers.on_request(request_id_, std::move(request), arrival);
 }
 
-void ClientConnection::hand_over(HttpRequest request, const RequestArrivalInfo& received) {
+void ClientConnection::hand_over_socket(HttpRequest request, const RequestArrivalInfo& arrival) {
     enter(ConnectionState::closed);
     context_.owner.on_closed(*this);
     context_.handlers.on_upgrade(context_.owner.next_request_id(), std::move(socket_), std::move(request),
-                                 received);
+                                 arrival);
 }
 
 }  // namespace elmbay
--- a/src/net/client_responses.hpp
+++ b/src/net/client_responses.hpp
@@ -9,13 +9,13 @@
 
 // Reasons for which the listener rejects a request, independent of the deployment settings. For checks
 // against the settings see http/request_validation.hpp.
-constexpr RequestProblem kTooLarge{http::status::payload_too_large, "body too large\n"};
-constexpr RequestProblem kTooSlow{http::status::request_timeout, "no request came in time\n"};
-constexpr RequestProblem kPipelined{http::status::bad_request,
-                                    "a request came before the answer to the last\n"};
-constexpr RequestProblem kUnclearFraming{http::status::bad_request, "framing that contradicts itself\n"};
+constexpr RequestProblem kBodyTooLarge{http::status::payload_too_large, "body too large\n"};
+constexpr RequestProblem kRequestTimeout{http::status::request_timeout, "no request came in time\n"};
+constexpr RequestProblem kPipelinedRequest{http::status::bad_request,
+                                           "a request came before the answer to the last\n"};
+constexpr RequestProblem kAmbiguousFraming{http::status::bad_request, "framing that contradicts itself\n"};
 constexpr RequestProblem kHeadTooLarge{http::status::request_header_fields_too_large, "head too large\n"};
-constexpr RequestProblem kMalformed{http::status::bad_request, "malformed request\n"};
+constexpr RequestProblem kMalformedRequest{http::status::bad_request, "malformed request\n"};
 constexpr RequestProblem kGetWithBody{http::status::bad_request, "GET with a body\n"};
 constexpr RequestProblem kUnknownPath{http::status::not_found, "no such path\n"};
 constexpr RequestProblem kHealthCheckMethod{http::status::method_not_allowed, "GET\n"};
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -29,9 +29,9 @@
 constexpr std::size_t kMaxListBytes = std::size_t{4096} * 1024;
 // Capacity of the line buffer that a watch keeps between lines: enough for many changes, less than a whole
 // list.
-constexpr std::size_t kMaxKeptBytes = std::size_t{64} * 1024;
+constexpr std::size_t kMaxIdleLineBufferBytes = std::size_t{64} * 1024;
 // Bytes of a response body that one read returns at most.
-constexpr std::size_t kPieceBytes = 8192;
+constexpr std::size_t kBodyBufferBytes = 8192;
 
 }  // namespace
 
@@ -46,7 +46,7 @@
         socket_.async_connect(owner_.endpoint_, [self = shared_from_this()](Error error) {
             if (self->is_closed_) return;
             if (error) {
-                self->end(DiscoveryError::connect_failed);
+                self->end_call(DiscoveryError::connect_failed);
                 return;
             }
             Error ignored;
@@ -73,7 +73,7 @@
         owner_.timers_.cancel(timer_);
         Error ignored;
         socket_.close(ignored);
-        owner_.budget_.give_back(Side::servers);
+        owner_.socket_budget_.give_back(Side::servers);
     }
 
 private:
@@ -86,13 +86,13 @@
         request_.method(http::verb::get);
         request_.set(http::field::host, "discovery");
         std::string target = "/discovery/hosts";
-        if (is_watch_) target += "?stream=1&index=" + std::to_string(owner_.version_);
+        if (is_watch_) target += "?stream=1&index=" + std::to_string(owner_.list_version_);
         request_.target(target);
-        text_.clear();
+        unparsed_text_.clear();
         http::async_write(socket_, request_, [self = shared_from_this()](Error error, std::size_t) {
             if (self->is_closed_) return;
             if (error)
-                self->end(DiscoveryError::connection_broken);
+                self->end_call(DiscoveryError::connection_broken);
             else
                 self->begin_response();
         });
@@ -100,7 +100,7 @@
 
     void begin_response() {
         parser_.emplace();
-        // A watch is unlimited in length; read_lines() limits each line. The limit is not boost::none,
+        // A watch is unlimited in length; handle_lines() limits each line. The limit is not boost::none,
         // because Beast 1.74 treats that as smaller than any Content-Length and would reject the whole list.
         parser_->body_limit(std::numeric_limits<std::uint64_t>::max());
         await_readable();
@@ -112,7 +112,7 @@
         socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](Error error) {
             if (self->is_closed_) return;
             if (error)
-                self->end(DiscoveryError::connection_broken);
+                self->end_call(DiscoveryError::connection_broken);
             else
                 self->read_available();
         });
@@ -122,8 +122,8 @@
         bool is_more_expected = true;
         while (is_more_expected) {
             if (parser_->is_header_done()) {
-                parser_->get().body().data = piece_.data();
-                parser_->get().body().size = piece_.size();
+                parser_->get().body().data = body_buffer_.data();
+                parser_->get().body().size = body_buffer_.size();
                 parser_->get().body().more = true;
             }
             Error error;
@@ -132,87 +132,88 @@
                 await_readable();
                 return;
             }
-            is_more_expected = on_piece(error);
+            is_more_expected = on_body_read(error);
         }
     }
 
     // Handles the bytes that one read returned. Returns whether more of this response is expected.
-    bool on_piece(Error error) {
+    bool on_body_read(Error error) {
         if (error && error != http::error::need_buffer) {
             const bool is_end = error == http::error::end_of_stream;
-            return end(is_end ? DiscoveryError::connection_closed : DiscoveryError::connection_broken);
+            return end_call(is_end ? DiscoveryError::connection_closed : DiscoveryError::connection_broken);
         }
-        if (parser_->is_header_done() && !on_head()) return false;
+        if (parser_->is_header_done() && !check_head()) return false;
         if (parser_->get().body().data) {
-            const std::size_t size = piece_.size() - parser_->get().body().size;
-            text_.append(piece_.data(), size);
-            if (!read_lines()) return false;
+            const std::size_t size = body_buffer_.size() - parser_->get().body().size;
+            unparsed_text_.append(body_buffer_.data(), size);
+            if (!handle_lines()) return false;
         }
         if (!parser_->is_done()) return true;
-        if (is_watch_) return end(DiscoveryError::connection_closed);
-        on_whole_list();
+        if (is_watch_) return end_call(DiscoveryError::connection_closed);
+        on_whole_list_received();
         return false;
     }
 
     // Checks the status of the response. Returns whether its body is to be read.
-    bool on_head() {
-        if (parser_->get().result() != http::status::ok) return end(DiscoveryError::unexpected_status);
+    bool check_head() {
+        if (parser_->get().result() != http::status::ok) return end_call(DiscoveryError::unexpected_status);
         if (!std::exchange(response_has_begun_, true)) set_timeout(kMaxSilence);
         return true;
     }
 
     // Applies the complete list, then opens the watch that starts at its version.
-    void on_whole_list() {
+    void on_whole_list_received() {
         const bool can_reuse_connection = parser_->keep_alive();
-        const std::string list = std::exchange(text_, {});  // frees the text's memory on return
-        if (!on_list(list)) return;
+        const std::string list = std::exchange(unparsed_text_, {});  // frees the text's memory on return
+        if (!apply_list(list)) return;
         owner_.needs_whole_list_ = false;
         if (can_reuse_connection)
             send_request();
         else
-            end(DiscoveryError::connection_closed);
+            end_call(DiscoveryError::connection_closed);
     }
 
     // Handles all complete lines of a watch and keeps the incomplete rest. Returns whether the call
     // continues.
-    bool read_lines() {
-        if (text_.size() > kMaxListBytes) return end(DiscoveryError::line_too_long);
+    bool handle_lines() {
+        if (unparsed_text_.size() > kMaxListBytes) return end_call(DiscoveryError::line_too_long);
         if (!is_watch_) return true;
         std::size_t begin = 0;
         for (;;) {
-            const std::size_t line_end = text_.find('\n', begin);
+            const std::size_t line_end = unparsed_text_.find('\n', begin);
             if (line_end == std::string::npos) break;
             set_timeout(kMaxSilence);  // only a complete line restarts the timeout, not single bytes of one
-            if (!on_line(std::string_view(text_).substr(begin, line_end - begin))) return false;
+            if (!handle_line(std::string_view(unparsed_text_).substr(begin, line_end - begin))) return false;
             begin = line_end + 1;
         }
-        text_.erase(0, begin);
-        if (text_.empty() && text_.capacity() > kMaxKeptBytes) text_.shrink_to_fit();
+        unparsed_text_.erase(0, begin);
+        if (unparsed_text_.empty() && unparsed_text_.capacity() > kMaxIdleLineBufferBytes)
+            unparsed_text_.shrink_to_fit();
         return true;
     }
 
     // Handles one line of a watch. An empty line is a heartbeat. Returns whether the call continues.
-    bool on_line(std::string_view line) {
+    bool handle_line(std::string_view line) {
         if (line.ends_with('\r')) line.remove_suffix(1);
-        if (!line.empty() && !on_list(line)) return false;
-        owner_.last_heard_at_ = owner_.clock_.now();
+        if (!line.empty() && !apply_list(line)) return false;
+        owner_.last_message_at_ = owner_.clock_.now();
         return true;
     }
 
     // Parses a list and passes it on. A list that can't be parsed is discarded completely, so that it does
     // not affect the current list, and the whole list is fetched again. Returns whether the call continues.
-    bool on_list(std::string_view text) {
+    bool apply_list(std::string_view text) {
         Listing listing;
         try {
             listing = parse_listing(text);
         } catch (const ConfigError& error) {
             log_event("discovery", "list_rejected", error.what());
             owner_.needs_whole_list_ = true;
-            return end(DiscoveryError::unreadable_list);
+            return end_call(DiscoveryError::invalid_list);
         }
         const Millis now = owner_.clock_.now();
-        listing.list_age_bound = now - std::exchange(owner_.last_heard_at_, now);
-        owner_.version_ = listing.rev;
+        listing.list_age_bound = now - std::exchange(owner_.last_message_at_, now);
+        owner_.list_version_ = listing.rev;
         owner_.next_delay_ = owner_.backoff_.initial;
         owner_.on_listing_(std::move(listing));
         return !is_closed_;
@@ -222,12 +223,12 @@
         owner_.timers_.cancel(timer_);
         timer_ = owner_.timers_.set(owner_.clock_.now() + timeout, [self = shared_from_this()] {
             self->timer_ = {};
-            self->end(DiscoveryError::timed_out);
+            self->end_call(DiscoveryError::timed_out);
         });
     }
 
     // Closes the call and reports why it ended. Returns false, because the call does not continue.
-    bool end(DiscoveryError error) {
+    bool end_call(DiscoveryError error) {
         if (is_closed_) return false;
         close();
         owner_.on_call_ended(error);
@@ -239,25 +240,25 @@
     boost::beast::flat_buffer buffer_{kMaxReadAhead};
     http::request<http::empty_body> request_;
     std::optional<http::response_parser<http::buffer_body>> parser_;
-    std::array<char, kPieceBytes> piece_{};
-    std::string text_;  // text of the whole list, or the incomplete line of the watch
+    std::array<char, kBodyBufferBytes> body_buffer_{};
+    std::string unparsed_text_;  // text of the whole list, or the incomplete line of the watch
     bool is_watch_ = true;
     bool is_closed_ = false;
     bool response_has_begun_ = false;
     TimerQueue::Key timer_{};
 };
 
-Discovery::Discovery(asio::io_context& io, const Options& options, SocketBudget& budget, TimerQueue& timers,
-                     const Clock& clock, std::function<void(Listing)> on_listing)
+Discovery::Discovery(asio::io_context& io, const Options& options, SocketBudget& socket_budget,
+                     TimerQueue& timers, const Clock& clock, std::function<void(Listing)> on_listing)
     : io_(io),
       endpoint_(options.endpoint),
-      budget_(budget),
+      socket_budget_(socket_budget),
       timers_(timers),
       clock_(clock),
-      version_(options.known_version.value_or(0)),
+      list_version_(options.known_version.value_or(0)),
       needs_whole_list_(!options.known_version),
       mode_(options.mode),
-      backoff_(options.mode == Mode::pushed ? kPushedBackoff : kAskedBackoff),
+      backoff_(options.mode == Mode::pushed ? kPushedBackoff : kPolledBackoff),
       random_(options.seed),
       on_listing_(std::move(on_listing)),
       next_delay_(backoff_.initial) {}
@@ -284,13 +285,13 @@
     endpoint_ = endpoint;
     // Each service numbers its versions independently, so the current version is meaningless at the new one.
     needs_whole_list_ = true;
-    version_ = 0;
+    list_version_ = 0;
     next_delay_ = backoff_.initial;
     watch();
 }
 
 void Discovery::begin_call() {
-    if (!budget_.take(Side::servers)) {
+    if (!socket_budget_.take(Side::servers)) {
         on_call_ended(DiscoveryError::no_socket);
         return;
     }
@@ -304,8 +305,8 @@
     if (next_delay_ >= backoff_.max) log_event("discovery", "call_failed", error.message());
     std::uniform_real_distribution<> jitter(1 - kJitter, 1 + kJitter);
     const Millis delay = next_delay_ * jitter(random_);
-    const bool was_refused = error != DiscoveryError::timed_out;
-    if (was_refused) next_delay_ = std::min(next_delay_ * 2, backoff_.max);
+    const bool should_back_off = error != DiscoveryError::timed_out;
+    if (should_back_off) next_delay_ = std::min(next_delay_ * 2, backoff_.max);
     retry_timer_ = timers_.set(clock_.now() + delay, [this] {
         retry_timer_ = {};
         begin_call();
--- a/src/net/discovery.hpp
+++ b/src/net/discovery.hpp
@@ -43,8 +43,8 @@
     static constexpr Millis kPushedResponseTimeout = 1500;
     /// Longest time that a polled service queues a call. One service serves all sidecars and handles their
     /// calls in turn. It rejects a call at once if the wait would be longer (docs/design/endings.md).
-    static constexpr Millis kMaxTurn = 2000;
-    static_assert(kMaxTurn < kMaxSilence);
+    static constexpr Millis kMaxQueueTime = 2000;
+    static_assert(kMaxQueueTime < kMaxSilence);
 
     /// Delays between two calls. They are short, because changes that a recovered agent has received take
     /// effect at once. The delay doubles after each failed call, except after a timeout.
@@ -54,7 +54,7 @@
     };
     static constexpr Backoff kPushedBackoff{50, 250};
     /// Backoff for the polled service. It is longer, because one service serves all sidecars.
-    static constexpr Backoff kAskedBackoff{250, 400};
+    static constexpr Backoff kPolledBackoff{250, 400};
     /// Random variation of a delay, as a share of it, so that sidecars do not call the service in step.
     static constexpr double kJitter = 0.5;
     static constexpr double kMaxJitterFactor = 1 + kJitter;
@@ -65,12 +65,12 @@
     static_assert(kMaxSilence + kMaxJitterFactor * kPushedBackoff.initial + kConnectTimeout +
                       kPushedResponseTimeout + kMaxJitterFactor * kPushedBackoff.initial + kConnectTimeout <
                   kReconnectDeadline);
-    static_assert(kMaxSilence + kMaxJitterFactor * kAskedBackoff.initial +
-                      kMaxJitterFactor * kAskedBackoff.max + kMaxTurn <
+    static_assert(kMaxSilence + kMaxJitterFactor * kPolledBackoff.initial +
+                      kMaxJitterFactor * kPolledBackoff.max + kMaxQueueTime <
                   kReconnectDeadline);
-    static_assert(2 * (kMaxJitterFactor * kAskedBackoff.max + kMaxTurn) < kReconnectDeadline);
+    static_assert(2 * (kMaxJitterFactor * kPolledBackoff.max + kMaxQueueTime) < kReconnectDeadline);
 
-    /// How the sidecar learns of a change.
+    /// How changes of the endpoint list reach the sidecar.
     enum class Mode {
         pushed,  ///< an agent on this machine pushes changes
         polled,  ///< the sidecar polls a service that all sidecars share
@@ -87,7 +87,7 @@
 
     /// Starts no call before watch(). The referenced objects must outlive this one.
     /// @param on_listing called with each parsed list or change, in order of arrival.
-    Discovery(asio::io_context& io, const Options& options, SocketBudget& budget, TimerQueue& timers,
+    Discovery(asio::io_context& io, const Options& options, SocketBudget& socket_budget, TimerQueue& timers,
               const Clock& clock, std::function<void(Listing)> on_listing);
     ~Discovery();
     Discovery(const Discovery&) = delete;
@@ -113,11 +113,11 @@
 
     asio::io_context& io_;
     Endpoint endpoint_;
-    SocketBudget& budget_;
+    SocketBudget& socket_budget_;
     TimerQueue& timers_;
     const Clock& clock_;
-    std::uint64_t version_;  // version of the current list
-    bool needs_whole_list_;  // the next call fetches the whole list before it opens a watch
+    std::uint64_t list_version_;  // version of the current list
+    bool needs_whole_list_;       // the next call fetches the whole list before it opens a watch
     const Mode mode_;
     const Backoff backoff_;
     std::mt19937_64 random_;
@@ -126,7 +126,7 @@
     TimerQueue::Key retry_timer_{};
     Millis next_delay_;  // delay before the next call, without jitter
     // When the service last sent a list, a change or a heartbeat; minus infinity if not yet in this run.
-    Millis last_heard_at_ = -std::numeric_limits<Millis>::infinity();
+    Millis last_message_at_ = -std::numeric_limits<Millis>::infinity();
     bool is_watching_ = false;
 };
 
--- a/src/net/discovery_error.cpp
+++ b/src/net/discovery_error.cpp
@@ -23,7 +23,7 @@
                 return "the service responded with a status other than 200";
             case DiscoveryError::line_too_long:
                 return "the service sent a line of more than 4 MiB";
-            case DiscoveryError::unreadable_list:
+            case DiscoveryError::invalid_list:
                 return "the service sent a list that cannot be parsed";
             case DiscoveryError::timed_out:
                 return "the service sent no complete response or line within the timeout";
--- a/src/net/discovery_error.hpp
+++ b/src/net/discovery_error.hpp
@@ -14,7 +14,7 @@
     connection_closed,  ///< the service closed the connection in an orderly way
     unexpected_status,  ///< the response has a status other than 200
     line_too_long,      ///< a line or list is longer than kMaxListBytes
-    unreadable_list,    ///< a list or a change can't be parsed
+    invalid_list,       ///< a list or a change can't be parsed
     timed_out,          ///< the service sent no complete response or line in time
 };
 
--- a/src/net/graceful_shutdown.cpp
+++ b/src/net/graceful_shutdown.cpp
@@ -18,7 +18,7 @@
 // completed those connections and would reset them. If a descriptor or memory is lacking, retries until the
 // request cutoff.
 void GracefulShutdown::stop_accepting() {
-    const Millis retry_interval = ClientAcceptor::kRetryInterval;
+    const Millis retry_interval = ClientAcceptor::kAcceptRetryInterval;
     if (!acceptor_.accept_pending() && clock_.now() + retry_interval < request_cutoff_) {
         timers_.set(clock_.now() + retry_interval, [this] { stop_accepting(); });
         return;
@@ -29,8 +29,8 @@
 }
 
 void GracefulShutdown::close_idle_connections() {
-    const Millis silent_since = clock_.now() - kSilentConnectionAge;
-    for (const auto& connection : connections_.all()) connection->close_if_idle(silent_since);
+    const Millis accepted_before = clock_.now() - kSilentConnectionAge;
+    for (const auto& connection : connections_.all()) connection->close_if_idle(accepted_before);
     if (connections_.size() > 0)
         timers_.set(clock_.now() + kIdleCheckInterval, [this] { close_idle_connections(); });
     else
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -7,19 +7,20 @@
 
 namespace elmbay {
 
-Listener::Listener(asio::io_context& io, const Endpoint& listen, SocketBudget& budget, ByteBudget& bytes,
-                   TimerQueue& timers, const Clock& clock, Millis max_response_time, Handlers handlers)
-    : budget_(budget),
+Listener::Listener(asio::io_context& io, const Endpoint& listen, SocketBudget& socket_budget,
+                   ByteBudget& byte_budget, TimerQueue& timers, const Clock& clock, Millis max_response_time,
+                   Handlers handlers)
+    : socket_budget_(socket_budget),
       clock_(clock),
       handlers_(std::move(handlers)),
-      acceptor_(io, listen, budget, timers, clock,
+      acceptor_(io, listen, socket_budget, timers, clock,
                 {[this](asio::ip::tcp::socket socket) { add_connection(std::move(socket)); },
                  [this] { connections_.close_one(clock_.now()); }}),
       correlation_ids_(max_response_time),
       shutdown_(io, clock, timers, acceptor_, connections_),
       connection_context_{
-          *this, clock, timers, bytes, handlers_, max_response_time, asio::buffer(discard_buffer_)} {
-    budget_.set_shedder(Side::clients, [this] { return connections_.close_one(clock_.now()); });
+          *this, clock, timers, byte_budget, handlers_, max_response_time, asio::buffer(discard_buffer_)} {
+    socket_budget_.set_shedder(Side::clients, [this] { return connections_.close_one(clock_.now()); });
     acceptor_.start();
 }
 
@@ -48,7 +49,7 @@
 }
 
 bool Listener::has_capacity_for_request() const {
-    return shutdown_.has_time_for_request() && requests_in_progress_.size() < budget_.places();
+    return shutdown_.has_time_for_request() && requests_in_progress_.size() < socket_budget_.places();
 }
 
 bool Listener::register_correlation_id(std::string_view id) {
@@ -73,7 +74,7 @@
 
 void Listener::on_closed(ClientConnection& connection) {
     connections_.remove(connection);
-    budget_.give_back(Side::clients);
+    socket_budget_.give_back(Side::clients);
     acceptor_.on_socket_released();
     shutdown_.on_connection_closed();
 }
--- a/src/net/listener.hpp
+++ b/src/net/listener.hpp
@@ -36,12 +36,13 @@
     using Handlers = ListenerHandlers;
 
     /// Listens and accepts from now on. Blocks while the port is in use, for up to
-    /// ClientAcceptor::kBindTimeout. The referenced objects must outlive the listener.
-    /// @param bytes             memory budget for bodies larger than kMaxBodyBytesWithoutGrant.
+    /// ClientAcceptor::kBindTimeoutMs. The referenced objects must outlive the listener.
+    /// @param byte_budget       memory budget for bodies larger than kMaxBodyBytesWithoutGrant.
     /// @param max_response_time the longest time that any client waits for its response, by the settings.
     /// @throws boost::system::system_error if the process can't listen on the address.
-    Listener(asio::io_context& io, const Endpoint& listen, SocketBudget& budget, ByteBudget& bytes,
-             TimerQueue& timers, const Clock& clock, Millis max_response_time, Handlers handlers);
+    Listener(asio::io_context& io, const Endpoint& listen, SocketBudget& socket_budget,
+             ByteBudget& byte_budget, TimerQueue& timers, const Clock& clock, Millis max_response_time,
+             Handlers handlers);
     ~Listener() override;
     Listener(const Listener&) = delete;
     Listener& operator=(const Listener&) = delete;
@@ -82,7 +83,7 @@
     void on_idle(ClientConnection& connection) override;
     void on_closed(ClientConnection& connection) override;
 
-    SocketBudget& budget_;
+    SocketBudget& socket_budget_;
     const Clock& clock_;
     const Handlers handlers_;
     ClientAcceptor acceptor_;
--- a/src/net/response_reader.cpp
+++ b/src/net/response_reader.cpp
@@ -10,7 +10,7 @@
 constexpr std::size_t kMaxInterimResponses = 8;
 // Limit on the bytes of one response outside of its body: head, interim responses, chunk sizes. It bounds
 // endless heads, chunk size lines and trailers.
-constexpr std::size_t kMaxBytesBesideBody = kMaxHeadBytes + kMaxBodyBytesWithoutGrant + kMaxHeadBytes;
+constexpr std::size_t kMaxBytesOutsideBody = kMaxHeadBytes + kMaxBodyBytesWithoutGrant + kMaxHeadBytes;
 // Memory for a large response. The received bytes and the body parsed from them are held at the same time.
 constexpr std::size_t kLargeResponseBytes = 2 * kMaxResponseBodyBytes;
 // Minimum number of bytes after a response that identify them as a repetition of it. Fewer bytes could also
@@ -32,8 +32,8 @@
     bytes_.append(bytes);
     state_ = parse();
     const std::size_t body_size = parser_ ? parser_->get().body().size() : 0;
-    const bool is_endless = bytes_.size() - body_size > kMaxBytesBesideBody;
-    if (state_ == State::incomplete && is_endless) state_ = State::malformed;
+    const bool exceeds_overhead_limit = bytes_.size() - body_size > kMaxBytesOutsideBody;
+    if (state_ == State::incomplete && exceeds_overhead_limit) state_ = State::malformed;
     return state_;
 }
 
@@ -72,17 +72,17 @@
 // Parses one message as far as its bytes have been received.
 ResponseReader::State ResponseReader::parse_message() {
     while (parsed_size_ < bytes_.size() && !parser_->is_done()) {
-        const bool had_head = parser_->is_header_done();
+        const bool was_head_parsed = parser_->is_header_done();
         // The head is checked before the body is parsed, so that the parser allocates no memory for a length
         // that is not allowed.
-        parser_->eager(had_head);
+        parser_->eager(was_head_parsed);
         boost::system::error_code error;
         const char* const unparsed = bytes_.data() + parsed_size_;
         parsed_size_ += parser_->put(boost::asio::buffer(unparsed, bytes_.size() - parsed_size_), error);
         if (error == http::error::need_more) return State::incomplete;
         if (error) return State::malformed;
-        const bool is_head_new = !had_head && parser_->is_header_done();
-        if (is_head_new && !has_sound_head()) return State::malformed;
+        const bool is_head_complete_now = !was_head_parsed && parser_->is_header_done();
+        if (is_head_complete_now && !has_valid_head()) return State::malformed;
     }
     return parser_->is_done() ? State::complete : State::incomplete;
 }
@@ -90,12 +90,12 @@
 // Returns whether the head has unambiguous framing and an allowed length. Takes memory from the budget for a
 // response that is long or of unknown length; without a grant its body is limited to
 // kMaxBodyBytesWithoutGrant.
-bool ResponseReader::has_sound_head() {
+bool ResponseReader::has_valid_head() {
     if (!has_unambiguous_framing(parser_->get())) return false;
     const auto length = parser_->content_length();
     if (length && *length <= kMaxBodyBytesWithoutGrant) return true;
     large_response_grant_.reset();
-    large_response_grant_ = budget_.take(kLargeResponseBytes);
+    large_response_grant_ = byte_budget_.take(kLargeResponseBytes);
     if (length) return large_response_grant_ && *length <= kMaxResponseBodyBytes;
     if (!large_response_grant_) parser_->body_limit(kMaxBodyBytesWithoutGrant);
     return true;
@@ -105,12 +105,12 @@
 // stated length is too short. The end is certain only if no bytes follow, or if they repeat the message or
 // its beginning.
 bool ResponseReader::is_end_certain() const {
-    const std::string_view all(bytes_);
-    const std::string_view message = all.substr(response_begin_, parsed_size_ - response_begin_);
-    const std::string_view behind = all.substr(parsed_size_);
-    if (behind.empty()) return true;
-    if (behind.size() < std::min(kMinRepetitionBytes, message.size())) return false;
-    return message.starts_with(behind) || behind.starts_with(message);
+    const std::string_view received(bytes_);
+    const std::string_view message = received.substr(response_begin_, parsed_size_ - response_begin_);
+    const std::string_view trailing = received.substr(parsed_size_);
+    if (trailing.empty()) return true;
+    if (trailing.size() < std::min(kMinRepetitionBytes, message.size())) return false;
+    return message.starts_with(trailing) || trailing.starts_with(message);
 }
 
 }  // namespace elmbay
--- a/src/net/response_reader.hpp
+++ b/src/net/response_reader.hpp
@@ -29,8 +29,8 @@
         malformed,  ///< the bytes are no valid response; this state is final
     };
 
-    /// @param budget memory budget for long bodies. It must outlive the reader.
-    explicit ResponseReader(ByteBudget& budget) : budget_(budget) {}
+    /// @param byte_budget memory budget for long bodies. It must outlive the reader.
+    explicit ResponseReader(ByteBudget& byte_budget) : byte_budget_(byte_budget) {}
 
     /// Processes received bytes. A complete response becomes malformed if bytes other than a repetition
     /// follow.
@@ -53,10 +53,10 @@
     void begin_message();
     State parse();
     State parse_message();
-    bool has_sound_head();
+    bool has_valid_head();
     bool is_end_certain() const;
 
-    ByteBudget& budget_;
+    ByteBudget& byte_budget_;
     std::optional<Parser> parser_;
     std::optional<ByteBudget::Grant> large_response_grant_;
     std::string bytes_;               // all received bytes
--- a/src/net/server_connection.cpp
+++ b/src/net/server_connection.cpp
@@ -45,10 +45,10 @@
 void ServerConnection::open() {
     socket_.async_connect(endpoint_, [self = shared_from_this()](Error error) {
         if (self->state_ == ServerConnectionState::closed) return;
-        const bool server_was_asked = !error || connect_failure(error) == SocketFailure::connection;
-        self->context_.owner.on_connect_tried(self->server_, server_was_asked);
-        if (!server_was_asked)
-            self->open_later();
+        const bool was_server_contacted = !error || connect_failure(error) == SocketFailure::connection;
+        self->context_.owner.on_connect_finished(self->server_, was_server_contacted);
+        if (!was_server_contacted)
+            self->schedule_reopen();
         else if (error)
             self->on_connect_failed();
         else
@@ -56,7 +56,7 @@
     });
 }
 
-void ServerConnection::open_later() {
+void ServerConnection::schedule_reopen() {
     Error ignored;
     socket_.close(ignored);
     retry_timer_ =
@@ -106,7 +106,7 @@
 void ServerConnection::send(const AttemptKey& attempt, std::shared_ptr<const HttpRequest> message,
                             Millis time_left) {
     enter(ServerConnectionState::in_use);
-    Exchange& exchange = exchange_.emplace(attempt, context_.bytes);
+    Exchange& exchange = exchange_.emplace(attempt, context_.byte_budget);
     exchange.message = std::move(message);
     auto& request = exchange.request.emplace(exchange.message->base());
     request.set("X-Time-Left", format_time_left(time_left));
@@ -213,7 +213,7 @@
     if (is_marked_unprocessed(result.response)) {
         result.outcome = Outcome::rejected;
     } else if (exchange.is_written) {
-        // PROTOCOL: a response that serves a request has a body.
+        // PROTOCOL: a successful response has a body.
         const bool is_served =
             result.response.result() == http::status::ok && !result.response.body().empty();
         result.outcome = is_served ? Outcome::success : Outcome::error_response;
--- a/src/net/server_connection.hpp
+++ b/src/net/server_connection.hpp
@@ -44,8 +44,9 @@
     virtual ~ServerConnectionOwner() = default;
 
     /// Reports that one connect() has succeeded or failed.
-    /// @param server_was_asked false if it failed for lack of a socket, a port or a route on this machine.
-    virtual void on_connect_tried(ServerId server, bool server_was_asked) = 0;
+    /// @param was_server_contacted false if it failed for lack of a socket, a port or a route on this
+    ///                             machine.
+    virtual void on_connect_finished(ServerId server, bool was_server_contacted) = 0;
     /// Reports that the connection is established and idle.
     virtual void on_connected(const std::shared_ptr<ServerConnection>& connection) = 0;
     /// Reports that the server refused the connection or that the connect timeout expired. The connection is
@@ -70,7 +71,7 @@
     asio::io_context& io;
     const Clock& clock;
     TimerQueue& timers;
-    ByteBudget& bytes;  ///< memory for bodies larger than kMaxBodyBytesWithoutGrant
+    ByteBudget& byte_budget;  ///< memory for bodies larger than kMaxBodyBytesWithoutGrant
     Millis connect_timeout = 0;
     asio::mutable_buffer read_buffer;  ///< receives the bytes of one read; one connection uses it at a time
 };
@@ -178,7 +179,8 @@
 
     // A request and its response on this connection.
     struct Exchange {
-        Exchange(const AttemptKey& attempt, ByteBudget& bytes) : attempt(attempt), response(bytes) {}
+        Exchange(const AttemptKey& attempt, ByteBudget& byte_budget)
+            : attempt(attempt), response(byte_budget) {}
 
         AttemptKey attempt;
         ResponseReader response;
@@ -194,7 +196,7 @@
 
     void enter(ServerConnectionState state);
     void open();
-    void open_later();
+    void schedule_reopen();
     void on_connected();
     void on_connect_failed();
     void await_readable();
--- a/src/net/upstream.cpp
+++ b/src/net/upstream.cpp
@@ -33,19 +33,20 @@
     std::deque<AttemptKey> waiting;  // attempts that wait for a connection, oldest first
 };
 
-Upstream::Upstream(asio::io_context& io, SocketBudget& budget, ByteBudget& bytes, TimerQueue& timers,
-                   const Clock& clock, Limits limits, Ended ended, WriteChecks write_checks)
+Upstream::Upstream(asio::io_context& io, SocketBudget& socket_budget, ByteBudget& byte_budget,
+                   TimerQueue& timers, const Clock& clock, Timeouts timeouts,
+                   AttemptEndedHandler on_attempt_ended, WriteChecks write_checks)
     : io_(io),
-      budget_(budget),
+      socket_budget_(socket_budget),
       timers_(timers),
       clock_(clock),
-      limits_(limits),
-      ended_(std::move(ended)),
+      timeouts_(timeouts),
+      on_attempt_ended_(std::move(on_attempt_ended)),
       write_checks_(std::move(write_checks)),
       list_barrier_(write_checks_.is_endpoint_list_unread),
       connection_context_{
-          *this, io, clock, timers, bytes, limits.connect_timeout, asio::buffer(read_buffer_)} {
-    budget_.set_shedder(Side::servers, [this] { return pool_.close_longest_idle(); });
+          *this, io, clock, timers, byte_budget, timeouts.connect_timeout, asio::buffer(read_buffer_)} {
+    socket_budget_.set_shedder(Side::servers, [this] { return pool_.close_longest_idle(); });
     timers_.set(clock_.now() + kMaxIdleCheckInterval, [this] { close_long_idle(); });
 }
 
@@ -98,7 +99,7 @@
 void Upstream::assign_idle_connections(Server& server) {
     while (!server.waiting.empty()) {
         if (!may_write(server, *attempts_.at(server.waiting.front()))) {
-            end(take_first_waiting(server), Outcome::not_sent);
+            end_attempt(take_first_waiting(server), Outcome::not_sent);
             continue;
         }
         const auto connection = pool_.take(server.id);
@@ -121,9 +122,9 @@
 
 void Upstream::open_missing_connections(Server& server) {
     while (server.connecting_count < server.waiting.size()) {
-        if (!budget_.take(Side::servers)) {
-            // Without a connection being opened for it, the attempt was not sent.
-            end(take_last_waiting(server), Outcome::not_sent);
+        if (!socket_budget_.take(Side::servers)) {
+            // No connection is being opened for this attempt, so its request was not sent.
+            end_attempt(take_last_waiting(server), Outcome::not_sent);
             continue;
         }
         ++server.connecting_count;
@@ -147,12 +148,12 @@
 // list in its next turn.
 bool Upstream::must_wait_for_list() {
     if (!list_barrier_.must_wait(clock_.now())) return false;
-    if (!std::exchange(is_list_turn_posted_, true)) asio::post(io_, [this] { on_list_turn(); });
+    if (!std::exchange(is_list_check_posted_, true)) asio::post(io_, [this] { on_list_check(); });
     return true;
 }
 
-void Upstream::on_list_turn() {
-    is_list_turn_posted_ = false;
+void Upstream::on_list_check() {
+    is_list_check_posted_ = false;
     list_barrier_.end_if_read();
     std::set<ServerId> servers_with_waiting;
     for (const auto& [key, attempt] : attempts_) {
@@ -172,7 +173,7 @@
     attempt->deadline = deadline;
     attempt->write_deadline = write_deadline;
     attempt->request = std::move(request);
-    set_timer(*attempt, attempt->connect_deadline(limits_.connect_timeout));
+    set_timer(*attempt, attempt->connect_deadline(timeouts_.connect_timeout));
     attempts_[key] = std::move(attempt);
     Server& server = servers_.at(server_id);
     ++server.attempt_count;
@@ -198,24 +199,24 @@
     UpstreamAttempt& attempt = *found->second;
     attempt.timer = {};
     if (attempt.is_waiting_for_connection())
-        on_connect_time_over(attempt);
+        on_connect_deadline(attempt);
     else if (clock_.now() < attempt.deadline)
-        on_write_time_over(attempt);
+        on_write_deadline(attempt);
     else
         on_deadline(attempt);
 }
 
 // Counts the missing connection as the server's failure only if a connect was sent to the server and the
 // write deadline has not passed.
-void Upstream::on_connect_time_over(UpstreamAttempt& attempt) {
+void Upstream::on_connect_deadline(UpstreamAttempt& attempt) {
     Server& server = servers_.at(attempt.server);
     std::erase(server.waiting, attempt.key);
-    const bool server_is_not_to_blame =
+    const bool is_not_server_failure =
         clock_.now() >= attempt.write_deadline || server.last_connect_failed_locally;
-    end(attempt, server_is_not_to_blame ? Outcome::not_sent : Outcome::connect_failed);
+    end_attempt(attempt, is_not_server_failure ? Outcome::not_sent : Outcome::connect_failed);
 }
 
-void Upstream::on_write_time_over(UpstreamAttempt& attempt) {
+void Upstream::on_write_deadline(UpstreamAttempt& attempt) {
     if (attempt.connection->is_writing())
         attempt.connection->stop_writing();
     else
@@ -229,9 +230,9 @@
     std::exchange(attempt.connection, nullptr)->abandon();
     // If the server's machine has failed, its idle connections are dead without any event on this side. A
     // request sent on one of them would also time out and count as possibly run.
-    const bool server_is_silent = servers_.at(attempt.server).last_response_at < attempt.started_at;
-    if (server_is_silent) pool_.close_all(attempt.server);
-    end(attempt, Outcome::timed_out);
+    const bool is_server_silent = servers_.at(attempt.server).last_response_at < attempt.started_at;
+    if (is_server_silent) pool_.close_all(attempt.server);
+    end_attempt(attempt, Outcome::timed_out);
 }
 
 void Upstream::cancel_attempt(AttemptKey key) {
@@ -242,10 +243,10 @@
         std::erase(servers_.at(attempt.server).waiting, key);
     else
         std::exchange(attempt.connection, nullptr)->abandon();
-    end(attempt, Outcome::cancelled);
+    end_attempt(attempt, Outcome::cancelled);
 }
 
-void Upstream::end(UpstreamAttempt& attempt, Outcome outcome, HttpResponse response) {
+void Upstream::end_attempt(UpstreamAttempt& attempt, Outcome outcome, HttpResponse response) {
     timers_.cancel(attempt.timer);
     --servers_.at(attempt.server).attempt_count;
     const AttemptKey key = attempt.key;
@@ -254,14 +255,14 @@
     // Posts the callback instead of calling it, because the caller may be start_attempt(), which must return
     // first. The event loop runs posted callbacks in order.
     asio::post(io_, [this, key, outcome, duration, response = std::move(response)]() mutable {
-        ended_(key, outcome, duration, std::move(response));
+        on_attempt_ended_(key, outcome, duration, std::move(response));
     });
 }
 
 // ---- ServerConnectionOwner
 
-void Upstream::on_connect_tried(ServerId server, bool server_was_asked) {
-    servers_.at(server).last_connect_failed_locally = !server_was_asked;
+void Upstream::on_connect_finished(ServerId server, bool was_server_contacted) {
+    servers_.at(server).last_connect_failed_locally = !was_server_contacted;
 }
 
 void Upstream::on_connected(const std::shared_ptr<ServerConnection>& connection) {
@@ -282,7 +283,7 @@
     // been assigned connections that became idle.
     if (server.waiting.size() <= server.connecting_count) return;
     const Outcome outcome = server.last_connect_failed_locally ? Outcome::not_sent : Outcome::connect_failed;
-    end(take_first_waiting(server), outcome);
+    end_attempt(take_first_waiting(server), outcome);
 }
 
 void Upstream::on_exchange_ended(const std::shared_ptr<ServerConnection>& connection, const AttemptKey& key,
@@ -296,12 +297,12 @@
     if (result.is_response_complete) servers_.at(attempt.server).last_response_at = clock_.now();
     attempt.connection.reset();
     if (result.is_connection_reusable) make_idle(connection);
-    end(attempt, result.outcome, std::move(result.response));
+    end_attempt(attempt, result.outcome, std::move(result.response));
 }
 
 void Upstream::on_closed(ServerConnection& connection) {
     pool_.remove(connection);
-    budget_.give_back(Side::servers);
+    socket_budget_.give_back(Side::servers);
 }
 
 // ---- idle connections
@@ -317,8 +318,9 @@
 }
 
 void Upstream::close_long_idle() {
-    pool_.close_idle_since_before(clock_.now() - limits_.idle_close * kIdleLimitShare);
-    const Millis interval = std::min(kMaxIdleCheckInterval, limits_.idle_close / kIdleChecksPerLimit);
+    pool_.close_idle_since_before(clock_.now() - timeouts_.server_idle_timeout * kIdleLimitShare);
+    const Millis interval =
+        std::min(kMaxIdleCheckInterval, timeouts_.server_idle_timeout / kIdleChecksPerLimit);
     timers_.set(clock_.now() + interval, [this] { close_long_idle(); });
 }
 
--- a/src/net/upstream.hpp
+++ b/src/net/upstream.hpp
@@ -33,13 +33,14 @@
 class Upstream final : private ServerConnectionOwner {
 public:
     /// Timeouts from the settings, in milliseconds.
-    struct Limits {
+    struct Timeouts {
         Millis connect_timeout = 250;
-        Millis idle_close = 15000;  ///< idle time after which servers close a connection
+        Millis server_idle_timeout = 15000;  ///< idle time after which servers close a connection
     };
     /// Called once for each start_attempt(), never before it has returned. The response is set if the outcome
     /// is success.
-    using Ended = std::function<void(AttemptKey, Outcome, Millis duration, HttpResponse response)>;
+    using AttemptEndedHandler =
+        std::function<void(AttemptKey, Outcome, Millis duration, HttpResponse response)>;
 
     /// Checks that run right before a request is written. After a process was stopped for seconds, or had no
     /// CPU core, all its sockets have unread data at once, and the event loop handles them in any order. The
@@ -52,9 +53,10 @@
     };
 
     /// The referenced objects must outlive the upstream.
-    /// @param bytes memory budget for response bodies larger than kMaxBodyBytesWithoutGrant.
-    Upstream(asio::io_context& io, SocketBudget& budget, ByteBudget& bytes, TimerQueue& timers,
-             const Clock& clock, Limits limits, Ended ended, WriteChecks write_checks);
+    /// @param byte_budget memory budget for response bodies larger than kMaxBodyBytesWithoutGrant.
+    Upstream(asio::io_context& io, SocketBudget& socket_budget, ByteBudget& byte_budget, TimerQueue& timers,
+             const Clock& clock, Timeouts timeouts, AttemptEndedHandler on_attempt_ended,
+             WriteChecks write_checks);
     ~Upstream() override;
     Upstream(const Upstream&) = delete;
     Upstream& operator=(const Upstream&) = delete;
@@ -92,7 +94,7 @@
     struct Server;
 
     // ---- ServerConnectionOwner
-    void on_connect_tried(ServerId server, bool server_was_asked) override;
+    void on_connect_finished(ServerId server, bool was_server_contacted) override;
     void on_connected(const std::shared_ptr<ServerConnection>& connection) override;
     void on_connect_failed(const std::shared_ptr<ServerConnection>& connection) override;
     void on_exchange_ended(const std::shared_ptr<ServerConnection>& connection, const AttemptKey& key,
@@ -105,7 +107,7 @@
     void open_missing_connections(Server& server);
     bool may_write(const Server& server, const UpstreamAttempt& attempt) const;
     bool must_wait_for_list();
-    void on_list_turn();
+    void on_list_check();
     UpstreamAttempt& take_first_waiting(Server& server);
     UpstreamAttempt& take_last_waiting(Server& server);
 
@@ -113,24 +115,24 @@
     void write(UpstreamAttempt& attempt, const std::shared_ptr<ServerConnection>& connection);
     void set_timer(UpstreamAttempt& attempt, Millis at);
     void on_timer(const AttemptKey& key);
-    void on_connect_time_over(UpstreamAttempt& attempt);
-    void on_write_time_over(UpstreamAttempt& attempt);
+    void on_connect_deadline(UpstreamAttempt& attempt);
+    void on_write_deadline(UpstreamAttempt& attempt);
     void on_deadline(UpstreamAttempt& attempt);
-    void end(UpstreamAttempt& attempt, Outcome outcome, HttpResponse response = {});
+    void end_attempt(UpstreamAttempt& attempt, Outcome outcome, HttpResponse response = {});
 
     // ---- idle connections
     void make_idle(const std::shared_ptr<ServerConnection>& connection);
     void close_long_idle();
 
     asio::io_context& io_;
-    SocketBudget& budget_;
+    SocketBudget& socket_budget_;
     TimerQueue& timers_;
     const Clock& clock_;
-    const Limits limits_;
-    const Ended ended_;
+    const Timeouts timeouts_;
+    const AttemptEndedHandler on_attempt_ended_;
     const WriteChecks write_checks_;
     EndpointListBarrier list_barrier_;
-    bool is_list_turn_posted_ = false;
+    bool is_list_check_posted_ = false;
     std::array<char, kReadBufferBytes> read_buffer_{};
     const ServerConnectionContext connection_context_;
     ServerConnectionPool pool_;
--- a/tests/net/connection_pool_test.cpp
+++ b/tests/net/connection_pool_test.cpp
@@ -15,7 +15,7 @@
     SidecarFixture fixture;
     fixture.start();
     FakeServer& server = fixture.servers.front();
-    for (const bool seen_by_loop : {true, false}) {
+    for (const bool handled_before_request : {true, false}) {
         const std::size_t requests_before = server.request_count();
         const auto client = fixture.connect_client();
         client->send(SidecarFixture::request("unsafe"));
@@ -23,7 +23,7 @@
         server.last_connection().respond("200 OK", "mine");
         ASSERT_TRUE(fixture.until([&] { return client->received.find("mine") != std::string::npos; }));
         client->received.clear();
-        if (seen_by_loop) {
+        if (handled_before_request) {
             server.last_connection().respond("200 OK", "a late copy");
             fixture.handle_pending_events();
             client->send(SidecarFixture::request("unsafe"));
@@ -45,7 +45,7 @@
     SidecarFixture fixture;
     fixture.start();
     FakeServer& server = fixture.servers.front();
-    for (const bool seen_by_loop : {true, false}) {
+    for (const bool handled_before_request : {true, false}) {
         const auto client = fixture.connect_client();
         const std::size_t requests_before = server.request_count();
         client->send(SidecarFixture::request("unsafe"));
@@ -53,7 +53,7 @@
         server.last_connection().respond("200 OK", "first");
         ASSERT_TRUE(fixture.until([&] { return client->received.find("first") != std::string::npos; }));
         server.connections.back()->close();
-        if (seen_by_loop) fixture.handle_pending_events();
+        if (handled_before_request) fixture.handle_pending_events();
         client->received.clear();
         client->send(SidecarFixture::request("unsafe"));
         ASSERT_TRUE(fixture.until([&] { return server.request_count() == requests_before + 2; }));
@@ -65,13 +65,13 @@
 }
 
 TEST(ConnectionPool, DoesNotReuseConnectionResetByServerWhileIdle) {
-    for (const bool seen_by_loop : {true, false}) {
+    for (const bool handled_before_request : {true, false}) {
         SidecarFixture fixture;
         fixture.start();
         FakeServer& server = fixture.servers.front();
         const auto client = fixture.connect_served_client();
         server.last_connection().reset();
-        if (seen_by_loop) fixture.handle_pending_events();
+        if (handled_before_request) fixture.handle_pending_events();
         client->send(SidecarFixture::request("unsafe"));
         ASSERT_TRUE(fixture.until([&] { return server.request_count() == 2; }));
         EXPECT_EQ(server.connections.size(), 2U);
--- a/tests/net/discovery_test.cpp
+++ b/tests/net/discovery_test.cpp
@@ -16,7 +16,7 @@
 using std::chrono::seconds;
 
 // Time after a watch fell silent within which the sidecar must have received the changes that it missed.
-constexpr seconds kChangesCountAsKnown{6};
+constexpr seconds kMissedChangeDeadline{6};
 
 // ---- Entries of the list ----------------------------------------------------------------------------------
 
@@ -106,15 +106,15 @@
     EXPECT_EQ(small.request_count(), 1U) << "by count alone the small server would get half of them";
 }
 
-TEST(Discovery, ClampsCapacityHintAndTakesNonsenseForOne) {
-    for (const double nonsense : {0.0, -3.0, std::nan(""), std::numeric_limits<double>::infinity()}) {
-        EXPECT_EQ(balancer::sanitize_weight(nonsense), 1) << nonsense;
+TEST(Discovery, ClampsCapacityHintAndReplacesInvalidValueByOne) {
+    for (const double invalid : {0.0, -3.0, std::nan(""), std::numeric_limits<double>::infinity()}) {
+        EXPECT_EQ(balancer::sanitize_weight(invalid), 1) << invalid;
     }
     EXPECT_EQ(balancer::sanitize_weight(1e300), 1000);
     EXPECT_EQ(balancer::sanitize_weight(1e-300), 0.001);
 }
 
-TEST(Discovery, FollowsServerToItsNewAddress) {
+TEST(Discovery, SendsRequestsToNewAddressOfServer) {
     SidecarFixture fixture;
     fixture.start();
     fixture.begin_watch();
@@ -129,7 +129,7 @@
 }
 
 // A draining server finishes its requests in flight and gets no new ones.
-TEST(Discovery, SendsNothingNewToDrainingServer) {
+TEST(Discovery, SendsNoNewRequestToDrainingServer) {
     SidecarFixture fixture;
     fixture.start();
     FakeServer& server = fixture.servers.front();
@@ -168,20 +168,20 @@
     EXPECT_FALSE(late);
 }
 
-TEST(DiscoveryWatch, ReopensSilentWatchBeforeMissedChangesCount) {
+TEST(DiscoveryWatch, ReopensSilentWatchBeforeMissedChangeDeadline) {
     SidecarFixture fixture;
     fixture.start();
     fixture.begin_watch();
     fixture.send_chunk("\n");
     fixture.handle_pending_events();
-    bool changes_count = false;
-    asio::steady_timer timer(fixture.io, kChangesCountAsKnown);
-    timer.async_wait([&](boost::system::error_code error) { changes_count = !error; });
+    bool deadline_passed = false;
+    asio::steady_timer timer(fixture.io, kMissedChangeDeadline);
+    timer.async_wait([&](boost::system::error_code error) { deadline_passed = !error; });
     ASSERT_TRUE(fixture.until([&] { return fixture.discovery.request_count() == 2; }));
     fixture.begin_watch();
     fixture.send_chunk(fixture.watch_line(fixture.targets("leaving"), false));
     fixture.handle_pending_events();
-    EXPECT_FALSE(changes_count);
+    EXPECT_FALSE(deadline_passed);
     const auto client = fixture.connect_client();
     client->send(SidecarFixture::request("safe", "1000m"));
     ASSERT_TRUE(fixture.until([&] { return client->received.size() > 12; }));
@@ -190,7 +190,7 @@
 
 // While discovery is down, its agent accepts calls and sends nothing. A change that the agent sends when
 // discovery is back must take effect at once, whatever calls the sidecar made before.
-TEST(DiscoveryWatch, AppliesListAsSoonAsSilentAgentReturns) {
+TEST(DiscoveryWatch, AppliesListAsSoonAsSilentAgentResponds) {
     SidecarFixture fixture;
     fixture.start();
     ASSERT_TRUE(fixture.until([&] { return fixture.discovery.request_count() == 4; }))
@@ -206,7 +206,7 @@
 
 // The delay between retries stays short however many calls are rejected. The seed in the configuration
 // determines its jitter.
-TEST(DiscoveryWatch, RetriesSoonAfterRepeatedRejections) {
+TEST(DiscoveryWatch, KeepsRetryDelayShortAfterRepeatedRejections) {
     SidecarFixture fixture;
     fixture.start();
     expect_nine_retries_within(fixture, seconds(4));
@@ -220,7 +220,7 @@
     fixture.begin_watch();
     fixture.send_chunk("\n");
     fixture.handle_pending_events();
-    FakeServer moved(fixture.io);  // sends nothing
+    FakeServer moved(fixture.io);  // a discovery service that sends no response
     fixture.send_chunk(fixture.watch_line(fixture.targets("leaving"), false));
     fixture.config["discovery"] = moved.address();
     fixture.reload();
@@ -237,26 +237,26 @@
 // A discovery service that all sidecars poll. It responds to the calls in turn, rejects calls that it can't
 // serve in time, and may fall silent.
 struct PolledDiscoveryFixture : SidecarFixture {
-    bool changes_count = false;
+    bool deadline_passed = false;
 
     PolledDiscoveryFixture() { config["settings"]["membership-mode"] = "on_request"; }
 
-    // Starts the timer that sets `changes_count` when the deadline for missed changes has passed.
-    void fall_silent() {
-        silence_timer_.expires_after(kChangesCountAsKnown);
-        silence_timer_.async_wait([this](boost::system::error_code error) { changes_count = !error; });
+    // Starts the timer that sets `deadline_passed` when the deadline for missed changes has passed.
+    void start_silence_timer() {
+        silence_timer_.expires_after(kMissedChangeDeadline);
+        silence_timer_.async_wait([this](boost::system::error_code error) { deadline_passed = !error; });
     }
 
     // Waits as a queued call does, then responds to the last call with a list in which the server drains.
-    void answer_with_drain() {
-        constexpr std::chrono::milliseconds kTurn{1000};
-        run_for(kTurn);
+    void respond_with_drain() {
+        constexpr std::chrono::milliseconds kQueueTime{1000};
+        run_for(kQueueTime);
         begin_watch();
         send_chunk(watch_line(targets("leaving"), false));
         handle_pending_events();
     }
 
-    bool drain_is_known() {
+    bool is_drain_in_force() {
         const auto probe = connect_client();
         probe->send(request("safe", "1000m"));
         return until([&] { return probe->received.size() > 12; }) && status_of(*probe) == "HTTP/1.1 503" &&
@@ -267,32 +267,32 @@
     asio::steady_timer silence_timer_{io};
 };
 
-TEST(DiscoveryPoll, ReopensSilentWatchInTimeThoughFirstCallIsRejected) {
+TEST(DiscoveryPoll, ReopensSilentWatchInTimeAfterOneRejectedCall) {
     PolledDiscoveryFixture fixture;
     fixture.start();
     fixture.begin_watch();
     fixture.send_chunk("\n");
     fixture.handle_pending_events();
-    fixture.fall_silent();
+    fixture.start_silence_timer();
     ASSERT_TRUE(fixture.until([&] { return fixture.discovery.request_count() == 2; }));
     fixture.discovery.last_connection().respond("503 Busy");
     ASSERT_TRUE(fixture.until([&] { return fixture.discovery.request_count() == 3; }));
-    fixture.answer_with_drain();
-    EXPECT_FALSE(fixture.changes_count);
-    EXPECT_TRUE(fixture.drain_is_known());
+    fixture.respond_with_drain();
+    EXPECT_FALSE(fixture.deadline_passed);
+    EXPECT_TRUE(fixture.is_drain_in_force());
 }
 
-TEST(DiscoveryPoll, RepeatsUnansweredCallInTime) {
+TEST(DiscoveryPoll, RetriesCallWithoutResponseInTime) {
     PolledDiscoveryFixture fixture;
     fixture.start();
-    fixture.fall_silent();
+    fixture.start_silence_timer();
     ASSERT_TRUE(fixture.until([&] { return fixture.discovery.request_count() == 2; }));
-    fixture.answer_with_drain();
-    EXPECT_FALSE(fixture.changes_count);
-    EXPECT_TRUE(fixture.drain_is_known());
+    fixture.respond_with_drain();
+    EXPECT_FALSE(fixture.deadline_passed);
+    EXPECT_TRUE(fixture.is_drain_in_force());
 }
 
-TEST(DiscoveryPoll, RetriesSoonAfterRepeatedRejections) {
+TEST(DiscoveryPoll, KeepsRetryDelayShortAfterRepeatedRejections) {
     PolledDiscoveryFixture fixture;
     fixture.start();
     expect_nine_retries_within(fixture, seconds(10));
@@ -300,7 +300,7 @@
 
 // When a fleet starts, each sidecar makes one call, not two: a sidecar that already has a list opens a watch
 // from its version.
-TEST(DiscoveryPoll, DoesNotFetchListThatItHolds) {
+TEST(DiscoveryPoll, DoesNotFetchWholeListWhenListIsConfigured) {
     PolledDiscoveryFixture fixture;
     fixture.config["known"]["rev"] = 0;
     fixture.start();
--- a/tests/net/listener_test.cpp
+++ b/tests/net/listener_test.cpp
@@ -85,7 +85,7 @@
 // A response is useless to its client half a second after the longest deadline of the settings. If the client
 // has not read it by then, the connection is closed. The Content-Length shows the client that the response is
 // incomplete.
-TEST(ClientTimeout, GivesUpUnreadResponseHalfASecondAfterLongestDeadline) {
+TEST(ClientTimeout, ClosesConnectionWithUnreadResponseHalfASecondAfterLongestDeadline) {
     SidecarFixture fixture;
     for (Json& request_class : fixture.config["settings"]["classes"]) request_class["give-up-ms"] = 500;
     fixture.config["limits"]["memory_mb"] = 64;
@@ -116,29 +116,29 @@
 constexpr Millis kIdleTimeout = 2000;     // ClientConnection::kIdleTimeout
 constexpr Millis kRequestTimeout = 2500;  // ClientConnection::kRequestReadTimeout
 
-// Runs `act` when a timer of `span` that the sidecar has just set expires, before that timer's handler. Both
-// timers are due when the event loop runs again, the test's first, and the loop handles all due timers in one
-// turn.
-void run_as_timer_expires(SidecarFixture& fixture, Millis span, const std::function<void()>& act) {
+// Runs `action` when a timer of `timeout` that the sidecar has just set expires, before that timer's handler.
+// Both timers are due when the event loop runs again, the test's first, and the loop handles all due timers
+// in one turn.
+void run_as_timeout_expires(SidecarFixture& fixture, Millis timeout, const std::function<void()>& action) {
     const Clock clock;
     const Millis set_at = clock.now();
-    fixture.run_for(milliseconds(static_cast<int>(span) / 2));
+    fixture.run_for(milliseconds(static_cast<int>(timeout) / 2));
     run_ready_handlers(fixture.io);  // no other handler may run before the two timers
-    bool acted = false;
+    bool has_run_action = false;
     asio::steady_timer timer(fixture.io, std::chrono::steady_clock::now() - std::chrono::seconds(1));
     timer.async_wait([&](boost::system::error_code) {
-        act();
-        acted = true;
+        action();
+        has_run_action = true;
     });
-    block_event_loop_until(clock, set_at + span + 50);
-    ASSERT_TRUE(fixture.until([&] { return acted; }));
+    block_event_loop_until(clock, set_at + timeout + 50);
+    ASSERT_TRUE(fixture.until([&] { return has_run_action; }));
 }
 
-TEST(IdleTimeout, ServesRequestThatComesAsTimeoutExpires) {
+TEST(IdleTimeout, ServesRequestThatArrivesAsTimeoutExpires) {
     SidecarFixture fixture;
     fixture.start();
     const auto client = fixture.connect_served_client();
-    run_as_timer_expires(fixture, kIdleTimeout, [&] { client->send(SidecarFixture::request("safe")); });
+    run_as_timeout_expires(fixture, kIdleTimeout, [&] { client->send(SidecarFixture::request("safe")); });
     ASSERT_TRUE(fixture.until([&] {
         fixture.servers.front().respond_to_all();
         return client->closed || client->received.find("answer") != std::string::npos;
@@ -148,12 +148,12 @@
 
 // Half a request has arrived when the idle timeout expires, and the rest never arrives. A close without a
 // response would reset the connection, because the bytes are unread.
-TEST(IdleTimeout, Responds408ToHalfRequestThatComesAsTimeoutExpires) {
+TEST(IdleTimeout, Responds408ToHalfRequestThatArrivesAsTimeoutExpires) {
     SidecarFixture fixture;
     fixture.start();
     const auto client = fixture.connect_served_client();
     const std::string request = SidecarFixture::request("safe");
-    run_as_timer_expires(fixture, kIdleTimeout, [&] { client->send(request.substr(0, 30)); });
+    run_as_timeout_expires(fixture, kIdleTimeout, [&] { client->send(request.substr(0, 30)); });
     ASSERT_TRUE(fixture.until([&] { return client->closed; }));
     EXPECT_EQ(client->close_error, asio::error::eof) << client->close_error.message();
     EXPECT_EQ(status_of(*client), "HTTP/1.1 408") << client->received;
@@ -161,14 +161,14 @@
 
 // The rest of the request arrives before the handler of the request timeout runs. So the request is complete
 // on an open connection and must get a response.
-TEST(IdleTimeout, AnswersRequestThatIsCompletedAsRequestTimeoutExpires) {
+TEST(IdleTimeout, RespondsToRequestCompletedAsRequestTimeoutExpires) {
     SidecarFixture fixture;
     fixture.start();
     const auto client = fixture.connect_served_client();
     const std::string request = SidecarFixture::request("safe");
-    run_as_timer_expires(fixture, kIdleTimeout, [&] { client->send(request.substr(0, 30)); });
+    run_as_timeout_expires(fixture, kIdleTimeout, [&] { client->send(request.substr(0, 30)); });
     fixture.handle_pending_events();
-    run_as_timer_expires(fixture, kRequestTimeout, [&] { client->send(request.substr(30)); });
+    run_as_timeout_expires(fixture, kRequestTimeout, [&] { client->send(request.substr(30)); });
     ASSERT_TRUE(fixture.until([&] {
         fixture.servers.front().respond_to_all();
         return client->closed;
@@ -185,8 +185,8 @@
     asio::io_context io{1};
     const Clock clock;
     TimerQueue timers(io, clock);
-    SocketBudget budget(100);
-    ByteBudget bytes(1U << 20U);
+    SocketBudget socket_budget(100);
+    ByteBudget byte_budget(1U << 20U);
     std::size_t requests = 0;
     std::size_t disconnects = 0;
     std::unique_ptr<Listener> listener;
@@ -199,8 +199,8 @@
     };
     handlers.on_client_disconnected = [&disconnects](RequestId) { ++disconnects; };
     handlers.is_ready = [] { return true; };
-    listener = std::make_unique<Listener>(io, ephemeral_loopback_endpoint(), budget, bytes, timers, clock,
-                                          3000, handlers);
+    listener = std::make_unique<Listener>(io, ephemeral_loopback_endpoint(), socket_budget, byte_budget,
+                                          timers, clock, 3000, handlers);
     for (const char* expected : {"HTTP/1.1 500", "HTTP/1.1 200"}) {
         tcp::socket socket(io);
         socket.connect(listener->local_endpoint());
--- a/tests/net/message_size_limit_test.cpp
+++ b/tests/net/message_size_limit_test.cpp
@@ -42,7 +42,7 @@
 
 // One long request in flight takes the whole budget for long messages. The next long request is rejected,
 // requests of usual size are served, and the budget is free again when the first request has its response.
-TEST(MessageSizeLimit, LimitsLongMessagesTogether) {
+TEST(MessageSizeLimit, LimitsTotalMemoryOfLongMessages) {
     SidecarFixture fixture;
     fixture.config["limits"]["memory_mb"] = 1;
     fixture.start();
@@ -78,7 +78,7 @@
 
 // The sidecar is destroyed before the event loop, whose handlers still own connections with long messages.
 // AddressSanitizer reports a grant that returns its bytes to a destroyed budget.
-TEST(MessageSizeLimit, LetsSidecarBeDestroyedWithLongMessagesInFlight) {
+TEST(MessageSizeLimit, SidecarCanBeDestroyedWithLongMessagesInFlight) {
     {
         std::optional<ByteBudget::Grant> grant;
         {
--- a/tests/net/response_reader_test.cpp
+++ b/tests/net/response_reader_test.cpp
@@ -118,9 +118,9 @@
 
 // Runs one non-idempotent request, to which the server sends `response` in pieces and then ends its
 // connection.
-class Exchange {
+class ScriptedExchange {
 public:
-    Exchange(const std::string& response, ConnectionEnd end) {
+    ScriptedExchange(const std::string& response, ConnectionEnd end) {
         fixture_.config["limits"]["memory_mb"] = 64;
         fixture_.start();
         FakeServer& server = fixture_.servers.front();
@@ -144,11 +144,11 @@
         EXPECT_EQ(server.request_count(), 1U) << "a request that may have run must not be retried";
     }
 
-    bool served(const std::string& body) {
+    bool is_served_with(const std::string& body) {
         return status_of(*client_) == "HTTP/1.1 200" &&
                fixture_.until([&] { return client_->received.ends_with("\r\n\r\n" + body); });
     }
-    bool failed() const { return status_of(*client_) == "HTTP/1.1 502"; }
+    bool has_failed() const { return status_of(*client_) == "HTTP/1.1 502"; }
 
 private:
     SidecarFixture fixture_;
@@ -158,18 +158,22 @@
 // RFC 9112, section 6.3: a response without a length ends with its connection.
 TEST(ResponseReader, AcceptsCleanCloseAsEndWhenLengthIsUnknown) {
     constexpr ConnectionEnd kClose = ConnectionEnd::clean_close;
-    EXPECT_TRUE(Exchange("HTTP/1.1 200 OK\r\n\r\nthe whole answer", kClose).served("the whole answer"));
-    EXPECT_TRUE(Exchange("HTTP/1.0 200 OK\r\nConnection: close\r\n\r\nolder", kClose).served("older"));
+    EXPECT_TRUE(ScriptedExchange("HTTP/1.1 200 OK\r\n\r\nthe whole answer", kClose)
+                    .is_served_with("the whole answer"));
+    EXPECT_TRUE(ScriptedExchange("HTTP/1.0 200 OK\r\nConnection: close\r\n\r\nolder", kClose)
+                    .is_served_with("older"));
     const std::string longer(150000, 'l');
-    EXPECT_TRUE(Exchange("HTTP/1.1 200 OK\r\n\r\n" + longer, kClose).served(longer));
+    EXPECT_TRUE(ScriptedExchange("HTTP/1.1 200 OK\r\n\r\n" + longer, kClose).is_served_with(longer));
 }
 
 TEST(ResponseReader, TreatsResetAsFailureWhenLengthIsUnknown) {
-    EXPECT_TRUE(Exchange("HTTP/1.1 200 OK\r\n\r\nthe whole answer", ConnectionEnd::reset).failed());
-    EXPECT_TRUE(Exchange("HTTP/1.1 200 OK\r\n\r\n", ConnectionEnd::clean_close).failed())
+    EXPECT_TRUE(
+        ScriptedExchange("HTTP/1.1 200 OK\r\n\r\nthe whole answer", ConnectionEnd::reset).has_failed());
+    EXPECT_TRUE(ScriptedExchange("HTTP/1.1 200 OK\r\n\r\n", ConnectionEnd::clean_close).has_failed())
         << "a successful response must have a body";
     EXPECT_TRUE(
-        Exchange("HTTP/1.1 200 OK\r\n\r\n" + std::string(600000, 'x'), ConnectionEnd::clean_close).failed())
+        ScriptedExchange("HTTP/1.1 200 OK\r\n\r\n" + std::string(600000, 'x'), ConnectionEnd::clean_close)
+            .has_failed())
         << "the response is longer than the limit";
 }
 
@@ -192,7 +196,7 @@
     for (const std::string& truncated : truncated_responses) {
         for (const ConnectionEnd end : {ConnectionEnd::clean_close, ConnectionEnd::reset}) {
             SCOPED_TRACE(truncated + (end == ConnectionEnd::clean_close ? " (close)" : " (reset)"));
-            EXPECT_TRUE(Exchange(truncated, end).failed());
+            EXPECT_TRUE(ScriptedExchange(truncated, end).has_failed());
         }
     }
 }
--- a/tests/net/shutdown_test.cpp
+++ b/tests/net/shutdown_test.cpp
@@ -18,7 +18,7 @@
 
 // The platform kills the process this many milliseconds after SIGTERM plus the longest deadline of the
 // settings.
-constexpr int kKillMargin = 700;
+constexpr int kKillMarginMs = 700;
 
 // A sidecar that drains, and a timer for the moment at which the platform would kill it.
 struct ShutdownFixture : SidecarFixture {
@@ -36,9 +36,9 @@
         sidecar->drain([this] { drained = true; });
     }
 
-    void drain_or_be_killed(Millis longest_deadline) {
+    void drain_with_kill_timer(Millis longest_deadline) {
         drain();
-        kill_timer_.expires_after(milliseconds(static_cast<int>(longest_deadline) + kKillMargin));
+        kill_timer_.expires_after(milliseconds(static_cast<int>(longest_deadline) + kKillMarginMs));
         kill_timer_.async_wait([this](boost::system::error_code error) { killed = !error; });
     }
 
@@ -48,7 +48,7 @@
 
 // After SIGTERM requests in flight are finished, and new connections are served for a while. Then all are
 // closed.
-TEST(Shutdown, FinishesRequestsInFlightAndServesLateClients) {
+TEST(Shutdown, FinishesRequestsInFlightAndServesNewClients) {
     SidecarFixture fixture;
     fixture.start();
     FakeServer& server = fixture.servers.front();
@@ -78,7 +78,7 @@
 
 // A client sends a request while the sidecar closes the idle connection. The request must not be forwarded.
 // After a clean close the client sends the request again on another connection; after a reset it would not.
-TEST(LingeringClose, DoesNotForwardRequestThatCrossesTheClose) {
+TEST(LingeringClose, DoesNotForwardRequestSentDuringClose) {
     ShutdownFixture fixture;
     const auto client = fixture.connect_served_client();
     fixture.drain();
@@ -100,7 +100,7 @@
     FakeServer& server = fixture.servers.front();
     tcp::socket socket(fixture.io);
     socket.connect(fixture.sidecar->local_endpoint());
-    const auto client = std::make_shared<Peer>(std::move(socket));  // it does not read yet
+    const auto client = std::make_shared<Peer>(std::move(socket));  // read() is not called yet
     client->send(SidecarFixture::request("safe"));
     ASSERT_TRUE(fixture.until([&] { return server.request_count() == 1; }));
     fixture.drain();
@@ -133,7 +133,7 @@
     const std::string request = SidecarFixture::request("safe");
     for (const auto& client : {kept, fresh}) client->send(request.substr(0, 40));
     fixture.handle_pending_events();
-    fixture.drain_or_be_killed(kLongestDeadline);
+    fixture.drain_with_kill_timer(kLongestDeadline);
     ASSERT_TRUE(fixture.until([&] { return kept->closed && fresh->closed; }));
     EXPECT_EQ(kept->received, "") << "without a response the client sends the request to another sidecar";
     EXPECT_EQ(status_of(*fresh), "HTTP/1.1 408");
@@ -152,7 +152,7 @@
     const auto kept = fixture.connect_served_client();
     rejected->send("GET /elsewhere HTTP/1.1\r\nHost: h\r\n\r\n");
     ASSERT_TRUE(fixture.until([&] { return rejected->received.size() > 12; }));
-    fixture.drain_or_be_killed(kLongestDeadline);
+    fixture.drain_with_kill_timer(kLongestDeadline);
     for (const auto& client : {rejected, silent, kept}) {
         ASSERT_TRUE(fixture.until([&] { return client->closed; }));
         EXPECT_EQ(client->close_error, asio::error::eof);
@@ -193,7 +193,7 @@
     }
     std::size_t requests_without_response() const { return request_count() - response_count(); }
 
-    void expect_at_most_one_response_each() const {
+    void expect_at_most_one_response_per_request() const {
         for (const Client& client : clients_) EXPECT_LE(client.peer->response_count(), client.requests);
     }
 
@@ -202,7 +202,7 @@
         std::shared_ptr<Peer> peer;
         std::size_t requests = 0;
     };
-    static constexpr std::size_t kTurns = 4;  // a quarter of the clients sends at each tick
+    static constexpr std::size_t kClientGroups = 4;  // a quarter of the clients sends at each tick
 
     void add(std::shared_ptr<Peer> peer) { clients_.push_back({std::move(peer)}); }
 
@@ -226,7 +226,7 @@
 
     void tick() {
         if (clock_.now() < started_at_ + 400) add(fixture_.connect_client());
-        for (std::size_t i = ticks_ % kTurns; i < clients_.size(); i += kTurns) {
+        for (std::size_t i = ticks_ % kClientGroups; i < clients_.size(); i += kClientGroups) {
             Client& client = clients_[i];
             const bool idle = !client.peer->closed && client.requests == client.peer->response_count();
             if (idle) send(client, i % 3 == 0 ? "safe" : "unsafe");
@@ -264,16 +264,16 @@
 
 // Servers hang, and clients keep sending on every connection that stays open. The platform kills the process
 // 0.7 s after the longest deadline. Every forwarded request must have its response by then.
-TEST(ShutdownUnderLoad, AnswersForwardedRequestsBeforeKillThoughServersHang) {
+TEST(ShutdownUnderLoad, RespondsToForwardedRequestsBeforeKillWhenServersHang) {
     constexpr Millis kLongestDeadline = 1000;
     ShutdownFixture fixture(kLongestDeadline);
     ClientsUnderLoad clients(fixture, 20);
     const std::size_t served_before = fixture.servers.front().request_count();
-    fixture.drain_or_be_killed(kLongestDeadline);
+    fixture.drain_with_kill_timer(kLongestDeadline);
     clients.start();
     ASSERT_TRUE(fixture.until([&] { return fixture.drained || fixture.killed; }));
     clients.stop();
-    clients.expect_at_most_one_response_each();
+    clients.expect_at_most_one_response_per_request();
     const std::size_t forwarded = correlation_ids_at(fixture.servers.front()).size();
     EXPECT_GT(forwarded, served_before) << "some requests must arrive during the shutdown";
     EXPECT_LE(forwarded - served_before, clients.response_count())
@@ -282,7 +282,7 @@
 
 // A client that reads its long response slowly keeps a connection without `Connection: close`. A request that
 // it sends too late for a response before the kill is rejected at once and not forwarded.
-TEST(ShutdownUnderLoad, RejectsRequestThatComesTooLateForItsResponse) {
+TEST(ShutdownUnderLoad, RejectsRequestThatArrivesAfterRequestCutoff) {
     SidecarFixture fixture;
     fixture.config["limits"]["memory_mb"] = 64;
     fixture.start();
--- a/tests/net/socket_limit_test.cpp
+++ b/tests/net/socket_limit_test.cpp
@@ -60,7 +60,7 @@
 
 // Requests that arrive while all sockets are in use must not wait in the kernel's queue, where their deadline
 // would pass without a response.
-TEST(SocketLimit, RejectsAtOnceWhenAllSocketsAreInUse) {
+TEST(SocketLimit, RejectsRequestsAtOnceWhenAllSocketsAreInUse) {
     SidecarFixture fixture;
     fixture.config["limits"]["sockets"] = kReservedSockets + 20;
     fixture.start();
@@ -113,7 +113,7 @@
 // Clients that keep their connection and send nothing, or only GET /up, must not delay accepting others,
 // whose deadlines run while they wait in the kernel's queue. An earlier version accepted only about twenty
 // connections a second in this case.
-TEST(SocketLimit, AcceptsRequestsPromptlyBesideManyIdleClients) {
+TEST(SocketLimit, AcceptsRequestsPromptlyDespiteManyIdleClients) {
     SidecarFixture fixture;
     fixture.config["limits"]["sockets"] = kReservedSockets + 48;
     fixture.start();
@@ -137,19 +137,19 @@
 
 // ---- Connections with unread bytes ------------------------------------------------------------------------
 
-constexpr std::size_t kSockets = 64;
+constexpr std::size_t kSocketLimit = 64;
 // Of 64 sockets clients get 14. One of these is reserved for the connection that is accepted next.
 constexpr std::size_t kClientSockets = 13;
 
 // Further clients connect while no socket is free and every evictable connection has an unread request. The
 // event loop handles the further clients first. Each request must get exactly one response.
-struct ClientsInEverySocket {
+struct AllSocketsInUseFixture {
     SidecarFixture fixture;
     std::vector<std::shared_ptr<Peer>> clients;
-    std::vector<std::string> unsent;  // unsent part of each client's request; sent after the others connect
+    std::vector<std::string> unsent_request_parts;  // sent after the further clients connect
 
-    ClientsInEverySocket() {
-        fixture.config["limits"]["sockets"] = kSockets;
+    AllSocketsInUseFixture() {
+        fixture.config["limits"]["sockets"] = kSocketLimit;
         fixture.start();
     }
 
@@ -159,7 +159,7 @@
             further_clients.push_back(fixture.connect_client());
             further_clients.back()->send(SidecarFixture::request("safe"));
         }
-        for (std::size_t i = 0; i < clients.size(); ++i) clients[i]->send(unsent[i]);
+        for (std::size_t i = 0; i < clients.size(); ++i) clients[i]->send(unsent_request_parts[i]);
         clients.insert(clients.end(), further_clients.begin(), further_clients.end());
         ASSERT_TRUE(fixture.until([&] {
             fixture.servers.front().respond_to_all();
@@ -176,31 +176,31 @@
 };
 
 TEST(SocketLimit, KeepsIdleConnectionWithUnreadRequest) {
-    ClientsInEverySocket full;
+    AllSocketsInUseFixture full;
     for (std::size_t i = 0; i < kClientSockets; ++i) {
         full.clients.push_back(full.fixture.connect_served_client());
-        full.unsent.push_back(SidecarFixture::request("safe"));
+        full.unsent_request_parts.push_back(SidecarFixture::request("safe"));
     }
     full.expect_one_response_each_when_more_clients_come();
 }
 
 TEST(SocketLimit, KeepsNewConnectionWithUnreadRequest) {
-    ClientsInEverySocket full;
+    AllSocketsInUseFixture full;
     for (std::size_t i = 0; i < kClientSockets; ++i) {
         full.clients.push_back(full.fixture.connect_client());
-        full.unsent.push_back(SidecarFixture::request("safe"));
+        full.unsent_request_parts.push_back(SidecarFixture::request("safe"));
     }
     full.fixture.run_for(milliseconds(100));  // silent for long enough to be evicted
     full.expect_one_response_each_when_more_clients_come();
 }
 
-TEST(SocketLimit, KeepsHalfReadRequestWhoseRestIsUnread) {
-    ClientsInEverySocket full;
+TEST(SocketLimit, KeepsPartlyReadRequestWithUnreadRest) {
+    AllSocketsInUseFixture full;
     for (std::size_t i = 0; i < kClientSockets; ++i) {
         const std::string request = SidecarFixture::request("safe");
         full.clients.push_back(full.fixture.connect_client());
         full.clients.back()->send(request.substr(0, 30));
-        full.unsent.push_back(request.substr(30));
+        full.unsent_request_parts.push_back(request.substr(30));
     }
     full.fixture.run_for(milliseconds(600));  // incomplete for long enough to be evicted
     full.expect_one_response_each_when_more_clients_come();
@@ -208,9 +208,9 @@
 
 // The response on a connection in lingering close may not have reached its client yet. If the client sends
 // bytes at that moment, closing the socket would reset the connection and destroy the response.
-TEST(SocketLimit, DoesNotCloseEndedConnectionWithUnreadBytes) {
+TEST(SocketLimit, DoesNotEvictLingeringConnectionWithUnreadBytes) {
     SidecarFixture fixture;
-    fixture.config["limits"]["sockets"] = kSockets;
+    fixture.config["limits"]["sockets"] = kSocketLimit;
     fixture.start();
     FakeServer& server = fixture.servers.front();
     std::vector<std::shared_ptr<Peer>> clients;
--- a/tests/net/upstream_test.cpp
+++ b/tests/net/upstream_test.cpp
@@ -26,7 +26,7 @@
     EXPECT_EQ(fixture.server.last_connection().received, "");
 }
 
-TEST(Upstream, EndsAttemptUnsentWithoutSocket) {
+TEST(Upstream, EndsAttemptAsNotSentWithoutSocket) {
     UpstreamFixture fixture(0);
     fixture.start_attempt();
     fixture.run_until_ended();
@@ -53,7 +53,7 @@
 TEST(Upstream, SendsNothingAfterDeadlineWhenConnectionOpensLate) {
     constexpr Millis kTimeLeft = 400;
     UpstreamFixture fixture;
-    fixture.start_attempt(kForever, 0, kTimeLeft);
+    fixture.start_attempt(kNoTimeLimit, 0, kTimeLeft);
     const Millis deadline = fixture.clock.now() + kTimeLeft;
     block_event_loop_until(fixture.clock, deadline + 1);
     fixture.run_until_ended();
@@ -93,7 +93,7 @@
     EXPECT_LT(fixture.server.last_connection().received.size(), kBodyBeyondSocketBuffers);
 }
 
-TEST(Upstream, AwaitsResponsePastDeduplicationWindowOnceWritten) {
+TEST(Upstream, AwaitsResponseAfterDeduplicationWindowOnceWritten) {
     UpstreamFixture fixture;
     fixture.start_attempt(1000);
     ASSERT_TRUE(fixture.until([&] { return fixture.server.request_count() != 0; }));
@@ -110,10 +110,10 @@
 
 // Bytes that a server sends before it has the whole request can't be its response, and the request has not
 // run.
-TEST(Upstream, TreatsResponseBeforeWholeRequestAsNeverRun) {
+TEST(Upstream, TreatsResponseBeforeWholeRequestAsNotRun) {
     UpstreamFixture fixture;
     fixture.server.reads_automatically = false;
-    fixture.start_attempt(kForever, kBodyBeyondSocketBuffers);
+    fixture.start_attempt(kNoTimeLimit, kBodyBeyondSocketBuffers);
     ASSERT_TRUE(fixture.until([&] {
         return !fixture.server.connections.empty() &&
                fixture.server.last_connection().socket.available() != 0;
@@ -128,7 +128,7 @@
 TEST(Upstream, ResetsConnectionOnTimeoutSoThatNothingArrivesLater) {
     UpstreamFixture fixture;
     fixture.server.reads_automatically = false;
-    fixture.start_attempt(kForever, std::size_t{8} << 20U, 300);
+    fixture.start_attempt(kNoTimeLimit, std::size_t{8} << 20U, 300);
     fixture.run_until_ended();
     EXPECT_EQ(fixture.outcomes, std::vector<Outcome>{Outcome::timed_out});
     fixture.server.last_connection().read();
@@ -143,7 +143,7 @@
 
 TEST(SimultaneousEvents, ResponseAndTimeoutGiveOneOutcome) {
     UpstreamFixture fixture;
-    fixture.start_attempt(kForever, 0, kSimultaneousDeadline);
+    fixture.start_attempt(kNoTimeLimit, 0, kSimultaneousDeadline);
     const Millis deadline = fixture.clock.now() + kSimultaneousDeadline;
     ASSERT_TRUE(fixture.until([&] { return fixture.server.request_count() != 0; }));
     fixture.server.last_connection().respond("200 OK", "answer");
@@ -156,9 +156,9 @@
     EXPECT_EQ(fixture.upstream.attempt_and_connect_count(1), 0U);
 }
 
-TEST(SimultaneousEvents, CancelBeforeResponseAndTimeoutIsTheOutcome) {
+TEST(SimultaneousEvents, CancelBeforeResponseAndTimeoutDeterminesOutcome) {
     UpstreamFixture fixture;
-    fixture.start_attempt(kForever, 0, kSimultaneousDeadline);
+    fixture.start_attempt(kNoTimeLimit, 0, kSimultaneousDeadline);
     const Millis deadline = fixture.clock.now() + kSimultaneousDeadline;
     ASSERT_TRUE(fixture.until([&] { return fixture.server.request_count() != 0; }));
     fixture.server.last_connection().respond("200 OK", "answer");
--- a/tests/support/event_loop.hpp
+++ b/tests/support/event_loop.hpp
@@ -19,11 +19,12 @@
     while (clock.now() < time) std::this_thread::sleep_for(std::chrono::milliseconds(1));
 }
 
-/// Runs handlers until `happened` returns true or kWaitLimit has passed. Returns whether `happened` was true.
+/// Runs handlers until `condition` returns true or kWaitLimit has passed. Returns whether `condition` was
+/// true.
 template <class Condition>
-bool run_until(boost::asio::io_context& io, Condition happened) {
+bool run_until(boost::asio::io_context& io, Condition condition) {
     const auto limit = std::chrono::steady_clock::now() + kWaitLimit;
-    while (!happened()) {
+    while (!condition()) {
         if (std::chrono::steady_clock::now() > limit) return false;
         io.run_one_for(std::chrono::milliseconds(100));
     }
--- a/tests/support/fake_server.hpp
+++ b/tests/support/fake_server.hpp
@@ -73,7 +73,7 @@
 public:
     explicit FullAcceptQueue(FakeServer& server) : server_(server) {
         server.acceptor.cancel();
-        // A backlog of 0 leaves one place, which `filler_` takes.
+        // A backlog of 0 leaves room for one connection, which is `filler_`.
         EXPECT_EQ(::listen(server.acceptor.native_handle(), 0), 0);
         tcp::socket filler(server.acceptor.get_executor());
         filler.connect(server.acceptor.local_endpoint());
--- a/tests/support/sidecar_fixture.hpp
+++ b/tests/support/sidecar_fixture.hpp
@@ -115,10 +115,10 @@
     /// Reloads the sidecar's configuration from `config`.
     void reload() { sidecar->reload(parse_config(config.dump())); }
 
-    /// Runs the event loop until `happened` returns true. Returns false if kWaitLimit passes before.
+    /// Runs the event loop until `condition` returns true. Returns false if kWaitLimit passes before.
     template <class Condition>
-    bool until(Condition happened) {
-        return run_until(io, happened);
+    bool until(Condition condition) {
+        return run_until(io, condition);
     }
 
     /// Runs the event loop for `span` of real time.
--- a/tests/support/upstream_fixture.hpp
+++ b/tests/support/upstream_fixture.hpp
@@ -14,7 +14,7 @@
 
 namespace elmbay::test {
 
-constexpr Millis kForever = std::numeric_limits<Millis>::infinity();
+constexpr Millis kNoTimeLimit = std::numeric_limits<Millis>::infinity();
 
 /// An Upstream with one server. Collects the outcomes that it reports.
 ///
@@ -24,8 +24,8 @@
     asio::io_context io{1};
     Clock clock;
     TimerQueue timers{io, clock};
-    SocketBudget budget;
-    ByteBudget bytes{16U << 20U};
+    SocketBudget socket_budget;
+    ByteBudget byte_budget{16U << 20U};
     FakeServer server{io};
     bool is_endpoint_list_unread = false;
     bool is_client_disconnected = false;
@@ -33,8 +33,8 @@
     Upstream upstream;
 
     explicit UpstreamFixture(std::size_t sockets = 10)
-        : budget(sockets),
-          upstream(io, budget, bytes, timers, clock, {10000, 15000},
+        : socket_budget(sockets),
+          upstream(io, socket_budget, byte_budget, timers, clock, {10000, 15000},
                    [this](AttemptKey, Outcome outcome, Millis, const HttpResponse&) {
                        outcomes.push_back(outcome);
                    },
@@ -48,7 +48,8 @@
 
     /// Starts an attempt at the server. It times out after `time_left`, and its last byte must be written
     /// within `write_within`.
-    void start_attempt(Millis write_within = kForever, std::size_t body_size = 0, Millis time_left = 50000) {
+    void start_attempt(Millis write_within = kNoTimeLimit, std::size_t body_size = 0,
+                       Millis time_left = 50000) {
         auto request = std::make_shared<HttpRequest>(http::verb::post, "/api", 11);
         request->body().assign(body_size, 'x');
         const Millis now = clock.now();
@@ -61,10 +62,10 @@
         }
     }
 
-    /// Runs the event loop until `happened` returns true. Returns false if kWaitLimit passes before.
+    /// Runs the event loop until `condition` returns true. Returns false if kWaitLimit passes before.
     template <class Condition>
-    bool until(Condition happened) {
-        return run_until(io, happened);
+    bool until(Condition condition) {
+        return run_until(io, condition);
     }
 };
 
