--- a/tests/net/response_reader_test.cpp
+++ b/tests/net/response_reader_test.cpp
@@ -134,7 +134,7 @@
         }
         if (end == ConnectionEnd::clean_close) {
             boost::system::error_code
-                ignored;  // the sidecar has closed it already if the response is too long
+                ignored;  // the sidecar may have closed the connection already, if the response is too long
             server.last_connection().socket.shutdown(tcp::socket::shutdown_send, ignored);
         } else {
             server.last_connection().reset();
--- a/tests/net/shutdown_test.cpp
+++ b/tests/net/shutdown_test.cpp
@@ -110,7 +110,7 @@
     const std::string body(400000, 'a');
     server.last_connection().respond("200 OK", body);
     ASSERT_TRUE(fixture.until([&] { return client->socket.available() > 0; }))
-        << "the response must be in progress";
+        << "the sidecar must be writing the response";
     client->send(SidecarFixture::request("safe"));
     client->read();
     ASSERT_TRUE(fixture.until([&] { return client->closed; }));
@@ -293,7 +293,7 @@
     const std::string body(400000, 'a');
     server.last_connection().respond("200 OK", body);
     ASSERT_TRUE(fixture.until([&] { return client->socket.available() > 0; }))
-        << "the response must be in progress";
+        << "the sidecar must be writing the response";
     fixture.sidecar->drain([] {});
     fixture.run_for(milliseconds(static_cast<int>(GracefulShutdown::kRequestCutoff) + 50));
     client->send(SidecarFixture::request("unsafe"));
