--- a/src/net/server_connection.cpp
+++ b/src/net/server_connection.cpp
@@ -40,15 +40,16 @@
     open();
 }
 
-// While this machine or this process lacks what a connection takes, the server has not been asked: it is
-// tried again, until the connect timeout.
+// Opens the socket and connects. If the connect fails for lack of a local resource, no packet has reached the
+// server; it is retried until the connect timeout.
 void ServerConnection::open() {
     socket_.async_connect(endpoint_, [self = shared_from_this()](Error error) {
         if (self->state_ == ServerConnectionState::closed) return;
-        const bool server_was_asked = !error || classify_connect_error(error) == SocketFailure::connection;
-        self->context_.owner.on_connect_tried(self->server_, server_was_asked);
-        if (!server_was_asked)
-            self->open_later();
+        const bool was_server_contacted =
+            !error || classify_connect_error(error) == SocketFailure::connection;
+        self->context_.owner.on_connect_finished(self->server_, was_server_contacted);
+        if (!was_server_contacted)
+            self->schedule_reopen();
         else if (error)
             self->on_connect_failed();
         else
@@ -56,7 +57,7 @@
     });
 }
 
-void ServerConnection::open_later() {
+void ServerConnection::schedule_reopen() {
     Error ignored;
     socket_.close(ignored);
     retry_timer_ =
@@ -98,16 +99,16 @@
         if (self->state_ == ServerConnectionState::in_use)
             self->read_response();
         else if (self->state_ == ServerConnectionState::idle)
-            self->close();  // the server has closed it, or sends what nobody asked for
+            self->close();  // the server has closed the connection or sent unsolicited bytes
     });
 }
 
-// ---- an exchange
+// ---- request and response
 
 void ServerConnection::send(const AttemptKey& attempt, std::shared_ptr<const HttpRequest> message,
                             Millis time_left) {
     enter(ServerConnectionState::in_use);
-    Exchange& exchange = exchange_.emplace(attempt, context_.bytes);
+    Exchange& exchange = exchange_.emplace(attempt, context_.byte_budget);
     exchange.message = std::move(message);
     auto& request = exchange.request.emplace(exchange.message->base());
     request.set("X-Time-Left", format_time_left(time_left));
@@ -142,7 +143,7 @@
         finish_exchange({});
 }
 
-// Reads all that is there: what came behind a response belongs to the judgement on it.
+// Reads all received bytes. Bytes after a response are needed too, because they can make it malformed.
 void ServerConnection::read_available() {
     Exchange& exchange = *exchange_;
     const auto* const data = static_cast<const char*>(context_.read_buffer.data());
@@ -160,9 +161,9 @@
     }
 }
 
-// The exchange has broken, or was answered, before the write's end is known here. Whether the last byte went
-// out decides if the attempt may have run, and only the write's own result tells. Closing the socket brings
-// it at once.
+// Called when the exchange has failed or the response is complete before the write's handler has run. The
+// request may have run only if its last byte was written, and only the result of the write shows that.
+// Closing the socket makes the write complete at once.
 void ServerConnection::close_and_await_write_result() {
     enter(ServerConnectionState::awaiting_write_result);
     Error ignored;
@@ -195,14 +196,14 @@
 ExchangeResult ServerConnection::take_result(Error write_error) {
     Exchange& exchange = *exchange_;
     ExchangeResult result;
-    // Broken before the last byte was written: the request never ran. After that it may have.
+    // The request can have run only if its last byte was written before the failure.
     const bool may_have_run = exchange.is_written && !failpoint_enabled("resend");
     result.outcome = may_have_run ? Outcome::connection_reset : exchange.outcome_if_unwritten;
     switch (exchange.response.state()) {
         case ResponseReader::State::incomplete:
             return result;
         case ResponseReader::State::malformed:
-            // It has run, and nobody can tell how it ended.
+            // The request may have run, and its result is unknown.
             if (exchange.is_written) result.outcome = Outcome::error_response;
             return result;
         case ResponseReader::State::complete:
@@ -214,7 +215,7 @@
     if (is_marked_unprocessed(result.response)) {
         result.outcome = Outcome::rejected;
     } else if (exchange.is_written) {
-        // PROTOCOL: a response that serves a request has a body.
+        // PROTOCOL: a successful response has a body.
         const bool is_served =
             result.response.result() == http::status::ok && !result.response.body().empty();
         result.outcome = is_served ? Outcome::success : Outcome::error_response;
--- a/tests/support/upstream_fixture.hpp
+++ b/tests/support/upstream_fixture.hpp
@@ -1,4 +1,4 @@
-// The pool of connections to servers without the rest of the sidecar, and one scripted server.
+// An Upstream without the rest of the sidecar, and one scripted server.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -14,18 +14,18 @@
 
 namespace elmbay::test {
 
-constexpr Millis kForever = std::numeric_limits<Millis>::infinity();
+constexpr Millis kNoTimeLimit = std::numeric_limits<Millis>::infinity();
 
 /// An Upstream with one server. Collects the outcomes that it reports.
 ///
-/// Usage: start_attempt(), script `server`, run the event loop, look at `outcomes`. What Upstream asks right
-/// before it writes a request is in the test's hands: `is_endpoint_list_unread` and `client_disconnected`.
+/// Usage: start_attempt(), script `server`, run the event loop, check `outcomes`. The test sets the results
+/// of Upstream::WriteChecks by `is_endpoint_list_unread` and `is_client_disconnected`.
 struct UpstreamFixture {
     asio::io_context io{1};
     Clock clock;
     TimerQueue timers{io, clock};
-    SocketBudget budget;
-    ByteBudget bytes{16U << 20U};
+    SocketBudget socket_budget;
+    ByteBudget byte_budget{16U << 20U};
     FakeServer server{io};
     bool is_endpoint_list_unread = false;
     bool is_client_disconnected = false;
@@ -33,8 +33,8 @@
     Upstream upstream;
 
     explicit UpstreamFixture(std::size_t sockets = 10)
-        : budget(sockets),
-          upstream(io, budget, bytes, timers, clock, {10000, 15000},
+        : socket_budget(sockets),
+          upstream(io, socket_budget, byte_budget, timers, clock, {10000, 15000},
                    [this](AttemptKey, Outcome outcome, Millis, const HttpResponse&) {
                        outcomes.push_back(outcome);
                    },
@@ -43,12 +43,13 @@
         set_server(true);
     }
 
-    /// What the endpoint list says of the server: whether new attempts may be sent to it.
+    /// Updates the server as the endpoint list does. `may_send` is whether new attempts may be sent to it.
     void set_server(bool may_send) { upstream.set_server(1, server.acceptor.local_endpoint(), may_send); }
 
-    /// Starts an attempt at the server. It times out after `time_left`, and its last byte is written within
-    /// `write_within` or not at all.
-    void start_attempt(Millis write_within = kForever, std::size_t body_size = 0, Millis time_left = 50000) {
+    /// Starts an attempt at the server. It times out after `time_left`, and its last byte must be written
+    /// within `write_within`.
+    void start_attempt(Millis write_within = kNoTimeLimit, std::size_t body_size = 0,
+                       Millis time_left = 50000) {
         auto request = std::make_shared<HttpRequest>(http::verb::post, "/api", 11);
         request->body().assign(body_size, 'x');
         const Millis now = clock.now();
@@ -61,10 +62,10 @@
         }
     }
 
-    /// Runs the event loop until `happened` is true. Returns false if it has not happened after kWaitLimit.
+    /// Runs the event loop until `condition` returns true. Returns false if kWaitLimit passes before.
     template <class Condition>
-    bool until(Condition happened) {
-        return run_until(io, happened);
+    bool until(Condition condition) {
+        return run_until(io, condition);
     }
 };
 
