--- a/src/simulation/baselines/oracle_policy.cpp
+++ b/src/simulation/baselines/oracle_policy.cpp
@@ -131,9 +131,9 @@
 Millis OraclePolicy::expected_time(std::uint32_t server_number, Millis work) const {
     const ServerModel& server = service_model_->server(server_number);
     const Millis model_time = now_ - kEpoch;
-    if (!server.running() || !server.reachable() || server.frozen(model_time)) return kUnavailable;
+    if (!server.is_running() || !server.is_reachable() || server.is_frozen(model_time)) return kUnavailable;
     const double cores = service_model_->cores();
-    const double requests = static_cast<double>(server.in_work() + server.waiting()) + 1;
+    const double requests = static_cast<double>(server.executing_count() + server.queued_count()) + 1;
     return work * std::max(1.0, requests / cores) * cores / server.capacity(model_time);
 }
 
--- a/src/simulation/checking/invariant_checker.cpp
+++ b/src/simulation/checking/invariant_checker.cpp
@@ -44,7 +44,7 @@
 }
 
 const ClassSpec& InvariantChecker::class_of(ClientRequestId id) const {
-    return scenario_.classes[clients_.ask(operation_of(id)).class_index];
+    return scenario_.classes[clients_.arrival_of(operation_of(id)).class_index];
 }
 
 InvariantChecker::RequestRecord* InvariantChecker::find_request(ClientRequestId id) {
@@ -83,12 +83,12 @@
 void InvariantChecker::on_request_sent(Millis now, const ClientRequest& request) {
     RequestRecord& record = requests_[request.id];
     record.last_attempt_ended_at = now;
-    record.deadline = now + request.time_left;
-    record.sidecar = clients_.ask(operation_of(request.id)).sidecar;
+    record.deadline = now + request.timeout;
+    record.sidecar = clients_.arrival_of(operation_of(request.id)).sidecar;
     record.may_be_late = paused_sidecars_.contains(record.sidecar);
 }
 
-void InvariantChecker::on_response(Millis now, ClientRequestId id, Answer answer, bool genuine) {
+void InvariantChecker::on_response(Millis now, ClientRequestId id, ResponseKind answer, bool genuine) {
     RequestRecord* const request = find_request(id);
     if (!request) return;
     if (!request->is_open) {
@@ -96,15 +96,15 @@
         if (!is_expected) add_violation(Invariant::one_final_outcome, now, id, "a second final answer");
         return;
     }
-    if (answer == Answer::none) {
+    if (answer == ResponseKind::none) {
         if (request->must_be_answered()) {
             add_violation(Invariant::one_final_outcome, now, id, "no final answer before the caller gave up");
         }
     } else {
         check_response_in_time(now, id, *request);
-        if (answer == Answer::served) check_response_genuine(now, id, *request, genuine);
-        if (answer == Answer::refused) check_rejection_is_safe(now, id, *request);
-        if (answer != Answer::served) count_delayed_failure(now, id, *request);
+        if (answer == ResponseKind::served) check_response_genuine(now, id, *request, genuine);
+        if (answer == ResponseKind::rejected) check_rejection_is_safe(now, id, *request);
+        if (answer != ResponseKind::served) count_delayed_failure(now, id, *request);
     }
     request->is_open = false;
     request->ended_at = now;
@@ -153,7 +153,7 @@
     RequestRecord* const request = find_request(id);
     if (!request) return;
     if (request->is_open && request->attempts.empty()) request->is_excused = true;
-    on_response(now, id, Answer::none);
+    on_response(now, id, ResponseKind::none);
 }
 
 void InvariantChecker::excuse(ClientRequestId id) {
--- a/src/simulation/checking/invariant_checker.hpp
+++ b/src/simulation/checking/invariant_checker.hpp
@@ -63,10 +63,10 @@
     /// \name Observations of clients
     /// \{
     void on_request_sent(Millis now, const ClientRequest& request);
-    /// The last byte of a response has arrived, or the client's time was over (Answer::none).
+    /// The last byte of a response has arrived, or the client's time was over (ResponseKind::none).
     ///
     /// \param genuine  whether the body of a served response was made for this request
-    void on_response(Millis now, ClientRequestId id, Answer answer, bool genuine = true);
+    void on_response(Millis now, ClientRequestId id, ResponseKind answer, bool genuine = true);
     void on_client_left(Millis now, ClientRequestId id);
     /// The connection was closed without a response. Without any attempt the client knows that its request
     /// was not taken, and it is excused; otherwise its outcome is lost.
--- a/src/simulation/drivers/sockets/client_emulator.cpp
+++ b/src/simulation/drivers/sockets/client_emulator.cpp
@@ -19,14 +19,14 @@
     void ask(const ClientRequest& t) {
         try_ = t;
         active_ = true;
-        patience_ = clients_->testbed_.at(t.at + t.time_left + kSlack, [self = shared_from_this()] {
+        patience_ = clients_->testbed_.at(t.at + t.timeout + kSlack, [self = shared_from_this()] {
             self->patience_ = {};
             self->over({End::silence});
         });
-        if (t.leaves > 0)
-            leaving_ = clients_->testbed_.at(t.at + t.leaves, [self = shared_from_this()] {
+        if (t.disconnect_after > 0)
+            leaving_ = clients_->testbed_.at(t.at + t.disconnect_after, [self = shared_from_this()] {
                 self->leaving_ = {};
-                self->over({End::left, Answer::none});
+                self->over({End::left, ResponseKind::none});
             });
         if (connected_) return write();
         socket_.async_connect(clients_->sidecar_, [self = shared_from_this()](error_code error) {
@@ -71,12 +71,12 @@
             if (!reused_) return over({End::closed});
             return again();
         }
-        if (error) return over({End::cut, Answer::failed});
+        if (error) return over({End::cut, ResponseKind::failed});
         const auto& response = parser_->get();
-        Outcome o{End::answered, Answer::failed};
-        if (response.result_int() == 200) o.answer = Answer::served;
-        if (response.result_int() == 429 || response.result_int() == 503) o.answer = Answer::refused;
-        if (o.answer == Answer::served) {
+        Outcome o{End::answered, ResponseKind::failed};
+        if (response.result_int() == 200) o.answer = ResponseKind::served;
+        if (response.result_int() == 429 || response.result_int() == 503) o.answer = ResponseKind::rejected;
+        if (o.answer == ResponseKind::served) {
             char start[24];
             std::snprintf(start, sizeof start, "%016llx ", static_cast<unsigned long long>(try_.id));
             o.genuine = response.body().starts_with(start);
@@ -142,11 +142,11 @@
 }
 
 std::string ClientEmulator::message(const ClientRequest& t) const {
-    const ClassSpec& c = scenario_.classes[clients_.ask(operation_of(t.id)).class_index];
+    const ClassSpec& c = scenario_.classes[clients_.arrival_of(operation_of(t.id)).class_index];
     const bool safe = c.idempotency() == balancer::Idempotency::idempotent;
     char id[24], left[32];
     std::snprintf(id, sizeof id, "%016llx", static_cast<unsigned long long>(t.id));
-    std::snprintf(left, sizeof left, "%.0fm", t.time_left);
+    std::snprintf(left, sizeof left, "%.0fm", t.timeout);
     std::string text = std::string(safe ? "GET" : "POST") + " /api HTTP/1.1\r\nHost: app.svc\r\n" +
                        "X-Correlation-Id: " + id + "\r\nX-Service-Class: " + c.name +
                        "\r\nX-Time-Left: " + left + "\r\n";
--- a/src/simulation/drivers/sockets/client_emulator.hpp
+++ b/src/simulation/drivers/sockets/client_emulator.hpp
@@ -29,7 +29,7 @@
     };
     struct Outcome {
         End end = End::silence;
-        Answer answer = Answer::none;
+        ResponseKind answer = ResponseKind::none;
         bool genuine = true;  // a served answer's body is the one made for this try
         Millis retry_after = 0;
     };
--- a/src/simulation/drivers/sockets/server_emulator.cpp
+++ b/src/simulation/drivers/sockets/server_emulator.cpp
@@ -195,14 +195,14 @@
 }
 
 void ServerEmulator::apply(const TimelineStep& step) {
-    const bool was_up = model().running(), was_cut_off = !model().reachable();
+    const bool was_up = model().is_running(), was_cut_off = !model().is_reachable();
     service_model_.apply(step, out_);
     if (step.kind == StepKind::stop && was_up) {
         out_.clear();  // each of them is told by its connection's end
         close(true);
     }
     if (step.kind == StepKind::cut_off && was_up) cut_off();
-    if (step.kind == StepKind::start && !was_up && model().running()) {
+    if (step.kind == StepKind::start && !was_up && model().is_running()) {
         if (was_cut_off) close(true);
         open();
     }
@@ -218,11 +218,11 @@
                                              "'");
         return connection->respond("400 Bad Request", "", "");
     }
-    const std::uint32_t sidecar = clients_.ask(operation_of(*id)).sidecar;
+    const std::uint32_t sidecar = clients_.arrival_of(operation_of(*id)).sidecar;
     connection->id = *id;
     connection->judged = checker_.on_attempt_started(sent_at ? sent_at(*id) : now, *id, number_, sidecar);
     const ServerLoad load{clients_.attempt_work(operation_of(*id), number_), model().capacity(now),
-                          model().started(), model().cold(now)};
+                          model().started_at(), model().is_cold(now)};
     connection->ticket = service_model_.arrive(now, number_, *id, out_);
     const Ticket ticket = connection->ticket;
     tickets_[ticket] = connection;
--- a/src/simulation/drivers/sockets/socket_run.cpp
+++ b/src/simulation/drivers/sockets/socket_run.cpp
@@ -88,13 +88,13 @@
           context_(testbed_.io, scenario.overview.seed),
           messages_(context_, {loopback(run_, kEverybody), 0}) {
         for (const FaultSpec& f : scenario.faults)
-            if (f.kind == FaultKind::sidecar_other_build && !options.builds.contains(f.build))
+            if (f.kind == FaultKind::sidecar_other_build && !options.build_commands.contains(f.build))
                 throw std::invalid_argument("a fault starts the build '" + f.build +
                                             "': say which command that is with --build " + f.build +
                                             "=COMMAND");
-        if (!options.log.empty()) {
-            log_.open(options.log);
-            if (!log_) throw std::runtime_error(options.log + ": can't be written");
+        if (!options.log_path.empty()) {
+            log_.open(options.log_path);
+            if (!log_) throw std::runtime_error(options.log_path + ": can't be written");
         }
         context_.restart_clock(kLongAhead);  // nothing of the file holds before time 0
         auto rules = scenario.link_rules();
@@ -230,7 +230,7 @@
                  service_model_.there_at_start(s) ? EndpointState::active : EndpointState::removed, 0});
         side.discovery =
             std::make_unique<DiscoveryEmulator>(testbed_, checker_, i, std::move(entries), address);
-        const std::string command = options_.sidecar;
+        const std::string command = options_.sidecar_command;
         side.process =
             std::make_unique<process_testbed::Process>("n-" + std::to_string(i), command, folder_.path());
         side.clients = std::make_unique<ClientEmulator>(
@@ -260,9 +260,10 @@
         std::string halls;
         for (const std::string& hall : scenario_.fleet.zones) halls += (halls.empty() ? "" : ",") + hall;
         char seed[24];
-        std::snprintf(seed, sizeof seed, "%016llx",
-                      static_cast<unsigned long long>(
-                          stream(scenario_.overview.seed, Purpose::balancer, i, ++side.life).next()));
+        std::snprintf(
+            seed, sizeof seed, "%016llx",
+            static_cast<unsigned long long>(
+                random_stream(scenario_.overview.seed, StreamPurpose::balancer, i, ++side.life).next()));
         const json config = {
             {"name", "n-" + std::to_string(i)},
             {"listen", text_of(side.listen)},
@@ -319,7 +320,8 @@
         std::ifstream file(side.process->log_path());
         std::string text((std::istreambuf_iterator<char>(file)), {});
         if (text.size() > kLogShown) text = "..." + text.substr(text.size() - kLogShown);
-        throw std::runtime_error("the sidecar '" + options_.sidecar + "' " + what + "; it said:\n" + text);
+        throw std::runtime_error("the sidecar '" + options_.sidecar_command + "' " + what + "; it said:\n" +
+                                 text);
     }
 
     // ---- the run
@@ -346,11 +348,11 @@
     void ask_next() {
         if (next_ask_ >= clients_.arrivals().size()) return;
         const OperationId request = next_ask_++;
-        testbed_.at(clients_.ask(request).at, [this, request] {
-            const ClientArrival& a = clients_.ask(request);
+        testbed_.at(clients_.arrival_of(request).at, [this, request] {
+            const ClientArrival& a = clients_.arrival_of(request);
             ask_hash_ = fnv1a(ask_text(request, a), ask_hash_);
             note(ask_text(request, a));
-            ask(clients_.first(request));
+            ask(clients_.first_request(request));
             ask_next();
         });
     }
@@ -364,7 +366,7 @@
     void ask(ClientRequest t) {
         t.at = testbed_.now();
         ++open_;
-        sides_[clients_.ask(operation_of(t.id)).sidecar].clients->ask(t);
+        sides_[clients_.arrival_of(operation_of(t.id)).sidecar].clients->ask(t);
     }
     void ended(const ClientRequest& t, const ClientEmulator::Outcome& o) {
         using End = ClientEmulator::End;
@@ -383,7 +385,7 @@
             default:
                 checker_.on_response(now, t.id, o.answer, o.genuine);
         }
-        if (const auto next = clients_.next(now, t, o.answer, o.retry_after)) {
+        if (const auto next = clients_.next_request(now, t, o.answer, o.retry_after)) {
             ++open_;
             testbed_.at(next->at, [this, again = *next] {
                 --open_;
@@ -486,13 +488,13 @@
         Side& side = sides_[who];
         configure(who);
         side.may_end = false;
-        std::string command = options_.sidecar, build = "elmbay";
+        std::string command = options_.sidecar_command, build = "elmbay";
         if (side.changed) {
             const FaultSpec& f = scenario_.faults[*side.changed];
             if (f.build.empty())
                 build += " (" + f.name + ")";
             else
-                build = f.build, command = options_.builds.at(f.build);
+                build = f.build, command = options_.build_commands.at(f.build);
         }
         messages_.set_listening(name_of_sidecar(who), true);
         side.process->set_command(command);
@@ -526,7 +528,7 @@
     Report report() {
         Report r = make_report(scenario_, clients_, checker_, metrics_);
         r.mode = "real";
-        r.balancer = options_.sidecar;
+        r.balancer = options_.sidecar_command;
         r.punctuality = testbed_.punctuality();
         r.notes = notes_;
         r.sidecar_activity =
@@ -562,7 +564,7 @@
     std::vector<Side> sides_;
     std::ofstream log_;
     std::vector<std::string> executed_, notes_;
-    std::uint64_t step_hash_ = kFnvStart, ask_hash_ = kFnvStart;
+    std::uint64_t step_hash_ = kFnvOffsetBasis, ask_hash_ = kFnvOffsetBasis;
     std::size_t next_ask_ = 0, open_ = 0;
     Millis shown_ = 0;
     bool over_ = false;
@@ -570,7 +572,7 @@
 
 }  // namespace
 
-Report run_real(const Scenario& scenario, const SocketRunOptions& options) {
+Report run_socket_simulation(const Scenario& scenario, const SocketRunOptions& options) {
     return SocketRun(scenario, options).run();
 }
 
--- a/src/simulation/drivers/sockets/socket_run.hpp
+++ b/src/simulation/drivers/sockets/socket_run.hpp
@@ -11,15 +11,15 @@
 namespace elmbay::simulation {
 
 struct SocketRunOptions {
-    std::string sidecar;                        // the command that starts one
-    std::map<std::string, std::string> builds;  // of faults other-build: the command of each name
-    std::string folder;  // for configurations and logs; empty: a temporary one, removed at the end
-    std::string log;     // every step and ask, a line each; empty: none
+    std::string sidecar_command;                        // the command that starts one
+    std::map<std::string, std::string> build_commands;  // of faults other-build: the command of each name
+    std::string folder;    // for configurations and logs; empty: a temporary one, removed at the end
+    std::string log_path;  // every step and ask, a line each; empty: none
     std::function<void(double)> progress{};
 };
 
 // Throws std::invalid_argument for a fault's build that builds does not name, std::runtime_error if the
 // sidecars don't come up, with the end of what one of them said.
-Report run_real(const Scenario& scenario, const SocketRunOptions& options);
+Report run_socket_simulation(const Scenario& scenario, const SocketRunOptions& options);
 
 }  // namespace elmbay::simulation
--- a/src/simulation/drivers/virtual/virtual_run.cpp
+++ b/src/simulation/drivers/virtual/virtual_run.cpp
@@ -119,7 +119,7 @@
 
 class VirtualRun {
 public:
-    VirtualRun(const Scenario& scenario, const VirtualOptions& options)
+    VirtualRun(const Scenario& scenario, const VirtualRunOptions& options)
         : scenario_(scenario),
           options_(options),
           clients_(scenario),
@@ -323,7 +323,8 @@
         Instance& n = instances_[who];
         n.agent.reset();
         if (scenario_.messages.heartbeat_interval <= 0 && !scenario_.sidecars.cluster_enabled) return;
-        const std::uint64_t seed = stream(scenario_.overview.seed, Purpose::messages, who, n.life).next();
+        const std::uint64_t seed =
+            random_stream(scenario_.overview.seed, StreamPurpose::membership_agent, who, n.life).next();
         if (scenario_.sidecars.cluster_enabled)
             n.agent = std::make_unique<ClusterMembershipAgent>(scenario_, who, seed, now_, kUnix);
         else
@@ -423,7 +424,7 @@
     // Arrivals enter the queue one at a time: millions of them need not be in it together.
     void ask_next() {
         if (next_ask_ >= clients_.arrivals().size()) return;
-        const ClientRequest t = clients_.first(next_ask_++);
+        const ClientRequest t = clients_.first_request(next_ask_++);
         ++pending_;
         waiting_.emplace(t.id, t);
         put(t.at, What::ask, 0, t.id, 1);
@@ -434,14 +435,15 @@
         const auto waiting = waiting_.find(h.a);
         const ClientRequest t = waiting->second;
         waiting_.erase(waiting);
-        const ClientArrival& a = clients_.ask(operation_of(t.id));
+        const ClientArrival& a = clients_.arrival_of(operation_of(t.id));
         Instance& n = instances_[a.sidecar];
         log("ask %llu n-%u %s", ull(t.id), a.sidecar, scenario_.classes[a.class_index].name.c_str());
-        if (!n.alive || n.draining) return after(t, Answer::none, 0);  // nobody there: it has not been taken
+        if (!n.alive || n.draining)
+            return after(t, ResponseKind::none, 0);  // nobody there: it has not been taken
         checker_.on_request_sent(now_, t);
         open_[t.id] = {t, n.life};
-        put(now_ + t.time_left, What::patience, 0, t.id);
-        if (t.leaves > 0) put(now_ + t.leaves, What::leave, a.sidecar, t.id, n.life);
+        put(now_ + t.timeout, What::patience, 0, t.id);
+        if (t.disconnect_after > 0) put(now_ + t.disconnect_after, What::leave, a.sidecar, t.id, n.life);
         n.requests[t.id];
         happen({now_, 0, What::intake, a.sidecar, t.id});
     }
@@ -450,24 +452,24 @@
         const auto open = open_.find(id);
         if (open == open_.end()) return;
         const ClientRequest& t = open->second.t;
-        const ClientArrival& a = clients_.ask(operation_of(id));
+        const ClientArrival& a = clients_.arrival_of(operation_of(id));
         RequestArrived event;
         event.id = t.id;
         event.class_index = a.class_index;
-        event.time_left = std::max(
-            1.0, t.time_left - (now_ - t.at) - std::min(kAnswerMargin, t.time_left * kMaxMarginShare));
+        event.time_left =
+            std::max(1.0, t.timeout - (now_ - t.at) - std::min(kAnswerMargin, t.timeout * kMaxMarginShare));
         event.is_client_retry = t.id % kMaxRequestsPerOperation > 0;
         give(a.sidecar, event);
     }
-    void answer(std::uint32_t who, ClientRequestId id, Answer what, Millis retry_after) {
+    void answer(std::uint32_t who, ClientRequestId id, ResponseKind what, Millis retry_after) {
         const auto at = instances_[who].requests.find(id);
         if (at == instances_[who].requests.end() || at->second.over) return;
         at->second.over = true;
         const auto open = open_.find(id);
         log("answer %llu %s", ull(id),
-            what == Answer::served    ? "served"
-            : what == Answer::refused ? "refused"
-                                      : "failed");
+            what == ResponseKind::served     ? "served"
+            : what == ResponseKind::rejected ? "refused"
+                                             : "failed");
         checker_.on_response(now_ + kClientLatency, id, what);
         if (open == open_.end()) return;
         const ClientRequest t = open->second.t;
@@ -475,8 +477,8 @@
         after(t, what, retry_after);
     }
     // The client goes on, or the request is over.
-    void after(const ClientRequest& t, Answer what, Millis retry_after) {
-        if (const auto next = clients_.next(now_, t, what, retry_after)) {
+    void after(const ClientRequest& t, ResponseKind what, Millis retry_after) {
+        if (const auto next = clients_.next_request(now_, t, what, retry_after)) {
             ++pending_;
             waiting_.emplace(next->id, *next);
             put(next->at, What::ask, 0, next->id, 0);
@@ -490,16 +492,16 @@
         if (open == open_.end()) return;
         const ClientRequest t = open->second.t;
         log("silence %llu", ull(id));
-        const std::uint32_t who = clients_.ask(operation_of(id)).sidecar;
+        const std::uint32_t who = clients_.arrival_of(operation_of(id)).sidecar;
         // One that has part of its core only may answer a moment later; on sockets the slack is for that.
         if (instances_[who].share < 1 || instances_[who].off_core) checker_.excuse(id);
-        checker_.on_response(now_, id, Answer::none);
+        checker_.on_response(now_, id, ResponseKind::none);
         open_.erase(id);
         happen({now_, 0, What::gone, who, id});
-        after(t, Answer::none, 0);
+        after(t, ResponseKind::none, 0);
     }
     void leave(ClientRequestId id, std::uint32_t life) {
-        const std::uint32_t who = clients_.ask(operation_of(id)).sidecar;
+        const std::uint32_t who = clients_.arrival_of(operation_of(id)).sidecar;
         if (!open_.contains(id) || instances_[who].life != life) return;
         log("leave %llu", ull(id));
         checker_.on_client_left(now_, id);
@@ -527,13 +529,13 @@
     bool just_restarted(const Instance& n, Millis at) const {
         return n.life > 1 && at >= n.began && at < n.began + Report::kRestartWindow;
     }
-    void count_restarted(OperationId request, Answer what) {
-        const ClientArrival& ask = clients_.ask(request);
+    void count_restarted(OperationId request, ResponseKind what) {
+        const ClientArrival& ask = clients_.arrival_of(request);
         if (!just_restarted(instances_[ask.sidecar], ask.at)) return;
         const ClassSpec& c = scenario_.classes[ask.class_index];
         const double priority_weight = c.priority_weight * clients_.work(request);
         restarted_.offered_value += priority_weight;
-        if (what == Answer::served && now_ + kClientLatency - ask.at <= c.latency_objective)
+        if (what == ResponseKind::served && now_ + kClientLatency - ask.at <= c.latency_objective)
             restarted_.delivered_value += priority_weight;
     }
     void begin_life(std::uint32_t who) {
@@ -545,7 +547,8 @@
         n.alive = true;
         n.draining = false;
         n.idle.assign(service_model_.count(), {});
-        const std::uint64_t seed = stream(scenario_.overview.seed, Purpose::balancer, who, n.life).next();
+        const std::uint64_t seed =
+            random_stream(scenario_.overview.seed, StreamPurpose::balancer, who, n.life).next();
         const FaultSpec* changed = n.changed ? &scenario_.faults[*n.changed] : nullptr;
         const std::string& build = changed && !changed->build.empty() ? changed->build : options_.balancer;
         n.decider = make_policy(build, scenario_.settings(who, changed), seed);
@@ -579,13 +582,13 @@
         n.decider.reset();
         std::vector<ClientRequest> lost;
         for (const auto& [id, open] : open_)
-            if (clients_.ask(operation_of(id)).sidecar == who) lost.push_back(open.t);
+            if (clients_.arrival_of(operation_of(id)).sidecar == who) lost.push_back(open.t);
         std::sort(lost.begin(), lost.end(),
                   [](const ClientRequest& a, const ClientRequest& b) { return a.id < b.id; });
         for (const ClientRequest& t : lost) {
             open_.erase(t.id);
-            checker_.on_response(now_, t.id, Answer::none);
-            after(t, Answer::none, 0);
+            checker_.on_response(now_, t.id, ResponseKind::none);
+            after(t, ResponseKind::none, 0);
         }
     }
     void give(std::uint32_t who, const Event& event) {
@@ -608,10 +611,10 @@
             end(at->second, Outcome::cancelled);
             put(now_, What::recall, who, number);
         } else if (const auto* refuse = std::get_if<Reject>(&action)) {
-            answer(who, refuse->id, Answer::refused, refuse->retry_after);
+            answer(who, refuse->id, ResponseKind::rejected, refuse->retry_after);
             settle(who, refuse->id);
         } else if (const auto* up = std::get_if<Fail>(&action)) {
-            answer(who, up->id, Answer::failed, 0);
+            answer(who, up->id, ResponseKind::failed, 0);
             settle(who, up->id);
         } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
             put(timer->at - kEpoch, What::timer, who, timer->token, instances_[who].life);
@@ -652,7 +655,7 @@
         a.life = n.life, a.sent = now_, a.epoch = epochs_[server];
         open->second.attempts.push_back(number);
         ++open->second.out;
-        Random random = stream(scenario_.overview.seed, Purpose::latency, s.id, a.number);
+        Random random = random_stream(scenario_.overview.seed, StreamPurpose::latency, s.id, a.number);
         const bool same = scenario_.zone_of(server) == who % scenario_.fleet.zones.size();
         a.latency = (same ? scenario_.fleet.same_zone_latency : scenario_.fleet.cross_zone_latency) *
                     (1 + scenario_.fleet.latency_jitter * (2 * random.uniform() - 1));
@@ -666,7 +669,7 @@
             return put(now_ + a.latency, What::arrive, who, number);
         }
         a.fresh = true;
-        if (service_model_.server(server).reachable())
+        if (service_model_.server(server).is_reachable())
             return put(now_ + 3 * a.latency, What::arrive, who, number);
         never_up(a, number, scenario_.fleet.connect_timeout);
     }
@@ -686,7 +689,7 @@
             return;
         }
         if (a.fresh) {
-            if (!server.reachable()) return never_up(a, number, scenario_.fleet.connect_timeout);
+            if (!server.is_reachable()) return never_up(a, number, scenario_.fleet.connect_timeout);
             const bool up = server.connect(now_, out_);
             pump(a.server);
             if (!up) return never_up(a, number, a.latency);
@@ -696,14 +699,14 @@
         }
         a.arrived = true;
         if (a.epoch != epochs_[a.server]) {  // the process that had this connection is gone
-            if (server.reachable()) {
+            if (server.is_reachable()) {
                 a.outcome = Outcome::connection_reset;
                 put(now_ + a.latency, What::reply, a.sidecar, number);
             }
             return drop_if_done(number);
         }
         const ServerLoad load{clients_.attempt_work(operation_of(a.id), a.server), server.capacity(now_),
-                              server.started(), server.cold(now_)};
+                              server.started_at(), server.is_cold(now_)};
         a.ticket = service_model_.arrive(now_, a.server, a.id, out_);
         const bool away = std::any_of(out_.begin(), out_.end(), [&](const Departure& d) {
             return d.ticket == a.ticket && d.fate == Fate::turned_away;
@@ -802,7 +805,7 @@
             restarted_.failed += outcome != Outcome::success && outcome != Outcome::cancelled;
         }
         log("end %llu.%u s-%u %d", ull(a.id), a.number, a.server, static_cast<int>(outcome));
-        if (outcome == Outcome::success && !at->second.over) answer(a.sidecar, a.id, Answer::served, 0);
+        if (outcome == Outcome::success && !at->second.over) answer(a.sidecar, a.id, ResponseKind::served, 0);
         give(a.sidecar, AttemptEnded{a.id, a.number, outcome, now_ - a.sent, at->second.over});
         settle(a.sidecar, a.id);
     }
@@ -856,7 +859,7 @@
         }
         if (s.targets_sidecar()) return;
         if (s.kind == StepKind::stop || s.kind == StepKind::cut_off) ++epochs_[s.target];
-        const bool was_cut_off = !service_model_.server(s.target).reachable();
+        const bool was_cut_off = !service_model_.server(s.target).is_reachable();
         service_model_.apply(s, out_);
         pump(s.target);
         if (s.kind == StepKind::stop) forget_connections(s.target);
@@ -916,7 +919,7 @@
     }
 
     const Scenario& scenario_;
-    const VirtualOptions& options_;
+    const VirtualRunOptions& options_;
     ClientModel clients_;
     ServiceModel service_model_;
     InvariantChecker checker_;
@@ -946,12 +949,12 @@
     std::unordered_map<Ticket, std::uint64_t> tickets_;
     ServerModel::Out out_;
     Report::AfterRestartReport restarted_;
-    std::uint64_t connections_ = 0, log_lines_ = 0, log_hash_ = kFnvStart;
+    std::uint64_t connections_ = 0, log_lines_ = 0, log_hash_ = kFnvOffsetBasis;
 };
 
 }  // namespace
 
-Report run_virtual(const Scenario& scenario, const VirtualOptions& options) {
+Report run_virtual_simulation(const Scenario& scenario, const VirtualRunOptions& options) {
     return VirtualRun(scenario, options).run();
 }
 
--- a/src/simulation/drivers/virtual/virtual_run.hpp
+++ b/src/simulation/drivers/virtual/virtual_run.hpp
@@ -12,13 +12,13 @@
 
 namespace elmbay::simulation {
 
-struct VirtualOptions {
+struct VirtualRunOptions {
     std::string balancer = "elmbay";
     std::ostream* log = nullptr;             // a line an event
     std::function<void(double)> progress{};  // share of the time played, now and then
 };
 
 // Throws std::invalid_argument for a balancer that does not exist.
-Report run_virtual(const Scenario& scenario, const VirtualOptions& options);
+Report run_virtual_simulation(const Scenario& scenario, const VirtualRunOptions& options);
 
 }  // namespace elmbay::simulation
--- a/src/simulation/models/client_model.cpp
+++ b/src/simulation/models/client_model.cpp
@@ -18,7 +18,7 @@
 public:
     explicit Shape(const Scenario& scenario) : scenario_(scenario) {
         if (scenario.clients.arrival_shape != "bursty") return;
-        Random random = stream(scenario.overview.seed, Purpose::arrivals, 1);
+        Random random = random_stream(scenario.overview.seed, StreamPurpose::arrivals, 1);
         bool high = random.uniform() < 0.5;
         for (Millis at = 0; at < scenario.overview.duration; high = !high) {
             turns_.push_back({at, 1 + (high ? 1 : -1) * scenario.clients.rate_amplitude});
@@ -73,7 +73,7 @@
     // Thinning: candidates at the highest rate, each kept with the share that the rate has of it then.
     const Shape shape(scenario);
     const double most = shape.most();
-    Random random = stream(scenario.overview.seed, Purpose::arrivals);
+    Random random = random_stream(scenario.overview.seed, StreamPurpose::arrivals);
     const Millis gap = 1000 / (scenario.clients.rate * most);
     for (Millis at = exponential(random, gap); at < scenario.overview.duration;
          at += exponential(random, gap)) {
@@ -101,27 +101,28 @@
     ClientRequest t;
     t.id = client_request_id(request, nth);
     t.at = at;
-    t.time_left = std::min(c.client_deadline * scenario_.clients.request_timeout_share,
-                           ask.at + c.client_deadline - at);
-    Random random = stream(scenario_.overview.seed, Purpose::patience, t.id);
+    t.timeout = std::min(c.client_deadline * scenario_.clients.request_timeout_share,
+                         ask.at + c.client_deadline - at);
+    Random random = random_stream(scenario_.overview.seed, StreamPurpose::early_disconnect, t.id);
     if (random.uniform() < scenario_.clients.early_disconnect_share)
-        t.leaves = t.time_left * random.uniform();
+        t.disconnect_after = t.timeout * random.uniform();
     return t;
 }
 
-ClientRequest ClientModel::first(OperationId request) const {
+ClientRequest ClientModel::first_request(OperationId request) const {
     return make(request, 0, arrivals_[request].at);
 }
 
-std::optional<ClientRequest> ClientModel::next(Millis now, const ClientRequest& last, Answer answer,
-                                               Millis retry_after) const {
+std::optional<ClientRequest> ClientModel::next_request(Millis now, const ClientRequest& last,
+                                                       ResponseKind answer, Millis retry_after) const {
     const OperationId request = operation_of(last.id);
     const std::uint64_t nth = last.id % kMaxRequestsPerOperation + 1;
     const ClientArrival& ask = arrivals_[request];
     const ClassSpec& c = scenario_.classes[ask.class_index];
-    if (answer == Answer::served || nth > scenario_.clients.max_retries) return {};
-    if (c.idempotency() == balancer::Idempotency::non_idempotent && answer != Answer::refused) return {};
-    Random random = stream(scenario_.overview.seed, Purpose::backoff, last.id);
+    if (answer == ResponseKind::served || nth > scenario_.clients.max_retries) return {};
+    if (c.idempotency() == balancer::Idempotency::non_idempotent && answer != ResponseKind::rejected)
+        return {};
+    Random random = random_stream(scenario_.overview.seed, StreamPurpose::backoff, last.id);
     const bool honours = random.uniform() < scenario_.clients.retry_after_compliance;
     const Millis wait = scenario_.clients.backoff * (0.5 + random.uniform());
     Millis at = now + (honours ? std::max(wait, retry_after) : wait);
@@ -134,7 +135,7 @@
 Millis ClientModel::work(OperationId request) const {
     const ClassSpec& c = scenario_.classes[arrivals_[request].class_index];
     if (c.work_distribution == "fixed") return c.work;
-    Random random = stream(scenario_.overview.seed, Purpose::work, request);
+    Random random = random_stream(scenario_.overview.seed, StreamPurpose::work, request);
     return c.work_distribution == "exponential" ? exponential(random, c.work)
                                                 : lognormal(random, c.work, c.work_variation);
 }
@@ -142,7 +143,7 @@
 Millis ClientModel::attempt_work(OperationId request, std::uint32_t server) const {
     const ClassSpec& c = scenario_.classes[arrivals_[request].class_index];
     if (c.attempt_variation == 0) return work(request);
-    Random random = stream(scenario_.overview.seed, Purpose::attempt_work, request, server);
+    Random random = random_stream(scenario_.overview.seed, StreamPurpose::attempt_work, request, server);
     return work(request) * lognormal(random, 1, c.attempt_variation);
 }
 
--- a/src/simulation/models/client_model.hpp
+++ b/src/simulation/models/client_model.hpp
@@ -25,18 +25,18 @@
     std::uint32_t sidecar = 0, class_index = 0;
 };
 
-enum class Answer {
+enum class ResponseKind {
     served,
-    refused,  // 429 or 503: trying again is harmless
-    failed,   // any other answer, or one that broke off
-    none      // the time was up, or the connection closed with nothing
+    rejected,  // 429 or 503: trying again is harmless
+    failed,    // any other answer, or one that broke off
+    none       // the time was up, or the connection closed with nothing
 };
 
 struct ClientRequest {
     ClientRequestId id = 0;
-    Millis at = 0;         // when it is sent
-    Millis time_left = 0;  // what it tells the sidecar, and waits
-    Millis leaves = 0;     // the client is gone this long after; 0: stays
+    Millis at = 0;                // when it is sent
+    Millis timeout = 0;           // what it tells the sidecar, and waits
+    Millis disconnect_after = 0;  // the client is gone this long after; 0: stays
 };
 
 class ClientModel {
@@ -44,12 +44,12 @@
     explicit ClientModel(const Scenario& scenario);
 
     const std::vector<ClientArrival>& arrivals() const { return arrivals_; }
-    const ClientArrival& ask(OperationId request) const { return arrivals_[request]; }
-    ClientRequest first(OperationId request) const;
+    const ClientArrival& arrival_of(OperationId request) const { return arrivals_[request]; }
+    ClientRequest first_request(OperationId request) const;
     // What follows the end of a try at `now`. Nothing: the client gives up or is content. An unsafe request
     // is asked again only after a refusal: only then is it known not to have run.
-    std::optional<ClientRequest> next(Millis now, const ClientRequest& last, Answer answer,
-                                      Millis retry_after) const;
+    std::optional<ClientRequest> next_request(Millis now, const ClientRequest& last, ResponseKind answer,
+                                              Millis retry_after) const;
 
     // Core time of a request, and of one attempt at one server.
     Millis work(OperationId request) const;
--- a/src/simulation/models/random_streams.hpp
+++ b/src/simulation/models/random_streams.hpp
@@ -13,24 +13,25 @@
 using balancer::Random;
 
 // What a stream of draws is for. Two purposes never share numbers.
-enum class Purpose : std::uint64_t {
+enum class StreamPurpose : std::uint64_t {
     arrivals = 1,
     work,
     attempt_work,
     fast_failure,
     latency,
     server_speed,
-    selection,
-    patience,
-    notice,
+    target_selection,
+    early_disconnect,
+    notice_delay,
     balancer,
     backoff,
-    messages,
-    schedule
+    membership_agent,
+    fault_schedule
 };
 
 // A stream of its own for each seed, purpose and pair of names.
-inline Random stream(std::uint64_t seed, Purpose purpose, std::uint64_t a = 0, std::uint64_t b = 0) {
+inline Random random_stream(std::uint64_t seed, StreamPurpose purpose, std::uint64_t a = 0,
+                            std::uint64_t b = 0) {
     std::uint64_t state = Random(seed).next();
     for (const std::uint64_t part : {static_cast<std::uint64_t>(purpose), a, b})
         state = Random(state ^ (part * 0x9e3779b97f4a7c15ULL)).next();
@@ -38,8 +39,8 @@
 }
 
 // Of a text: FNV-1a, 64 bits. Names streams after names, and sums up event logs.
-inline constexpr std::uint64_t kFnvStart = 0xcbf29ce484222325ULL;
-inline std::uint64_t fnv1a(std::string_view text, std::uint64_t state = kFnvStart) {
+inline constexpr std::uint64_t kFnvOffsetBasis = 0xcbf29ce484222325ULL;
+inline std::uint64_t fnv1a(std::string_view text, std::uint64_t state = kFnvOffsetBasis) {
     for (const unsigned char c : text) state = (state ^ c) * 0x100000001b3ULL;
     return state;
 }
--- a/src/simulation/models/server_model.cpp
+++ b/src/simulation/models/server_model.cpp
@@ -33,7 +33,7 @@
 }
 
 double ServerModel::rate_each(Millis now) const {
-    if (!up_ || hollow_ || frozen(now) || running_.empty()) return 0;
+    if (!up_ || hollow_ || is_frozen(now) || running_.empty()) return 0;
     const double cores = static_cast<double>(spec_.cores), in_work = static_cast<double>(running_.size());
     const double held = (in_work + static_cast<double>(queued_)) / cores;
     const double crowding =
@@ -46,7 +46,7 @@
 Millis ServerModel::next() const {
     if (up_ && !thawing_.empty()) return frozen_until_;
     if (!up_ || hollow_ || running_.empty()) return kNever;
-    if (frozen(at_)) return frozen_until_;
+    if (is_frozen(at_)) return frozen_until_;
     const Millis middle = warmth(at_) < 1 ? at_ + kWarmStep / 2 : at_;
     const double rate = rate_each(middle);
     Millis at = rate > 0 ? at_ + std::max(0.0, running_.begin()->first - progress_) / rate : kNever;
@@ -57,7 +57,7 @@
 // Lets time pass in pieces within which nothing changes but what is in work.
 void ServerModel::pass(Millis now, Out& out) {
     while (at_ < now) {
-        if (up_ && frozen(at_)) {
+        if (up_ && is_frozen(at_)) {
             at_ = std::min(now, frozen_until_);
             continue;
         }
@@ -85,7 +85,7 @@
             fill_slots();
         }
     }
-    if (frozen(at_) || thawing_.empty()) return;
+    if (is_frozen(at_) || thawing_.empty()) return;
     out.insert(out.end(), thawing_.begin(), thawing_.end());
     thawing_.clear();
 }
@@ -118,7 +118,7 @@
         return;  // it holds no more, and says nothing of it
     } else if ((fails && !hollow_) ||
                (running_.size() >= spec_.worker_slots && queued_ >= spec_.queue_capacity)) {
-        (frozen(now) ? thawing_ : out).push_back({ticket, fails ? Fate::failed : Fate::turned_away});
+        (is_frozen(now) ? thawing_ : out).push_back({ticket, fails ? Fate::failed : Fate::turned_away});
     } else {
         Work& added = works_[ticket];
         added.left = std::max(1e-6, work);
--- a/src/simulation/models/server_model.hpp
+++ b/src/simulation/models/server_model.hpp
@@ -47,7 +47,7 @@
     bool connect(Millis now, Out& out);  // false: refused, or the table is full
     void disconnect(Millis now, Out& out);
     // Whether a connection that is tried now gets an answer at all (a machine cut off gives none).
-    bool reachable() const { return !cut_off_; }
+    bool is_reachable() const { return !cut_off_; }
 
     // ---- faults
     void freeze(Millis now, Millis until, Out& out);
@@ -59,17 +59,17 @@
     void start(Millis now, Out& out);
 
     // ---- what can be seen
-    bool running() const { return up_; }
-    bool frozen(Millis now) const { return now < frozen_until_; }
-    Millis started() const { return started_; }
-    std::size_t in_work() const { return running_.size(); }
-    std::size_t waiting() const { return queued_; }
-    std::size_t connections() const { return connections_; }
+    bool is_running() const { return up_; }
+    bool is_frozen(Millis now) const { return now < frozen_until_; }
+    Millis started_at() const { return started_; }
+    std::size_t executing_count() const { return running_.size(); }
+    std::size_t queued_count() const { return queued_; }
+    std::size_t connection_count() const { return connections_; }
     bool holds(Ticket ticket) const { return works_.contains(ticket); }
     // Milliseconds of work a millisecond that it could do at `now` if enough were there and none too much:
     // cores, speed and warmth. What the rule on cold servers measures against.
     double capacity(Millis now) const;
-    bool cold(Millis now) const { return warmth(now) < 1; }
+    bool is_cold(Millis now) const { return warmth(now) < 1; }
     double work_done() const { return done_; }
 
 private:
--- a/src/simulation/models/service_model.cpp
+++ b/src/simulation/models/service_model.cpp
@@ -10,7 +10,7 @@
       fails_(scenario.fleet.servers, 0),
       fallen_(scenario.fleet.servers, false) {
     for (std::uint32_t i = 0; i < scenario.fleet.servers; ++i) {
-        Random random = stream(scenario.overview.seed, Purpose::server_speed, i);
+        Random random = random_stream(scenario.overview.seed, StreamPurpose::server_speed, i);
         const double spread = scenario.fleet.speed_variation;
         servers_.emplace_back(scenario.fleet, uniform(random, 1 - spread, 1 + spread),
                               !scenario.joins_later(i));
@@ -19,11 +19,12 @@
 
 Ticket ServiceModel::arrive(Millis now, std::uint32_t server, ClientRequestId id, ServerModel::Out& out) {
     const OperationId request = operation_of(id);
-    const ClassSpec& c = scenario_.classes[clients_.ask(request).class_index];
-    Random random = stream(scenario_.overview.seed, Purpose::fast_failure, id, server);
+    const ClassSpec& c = scenario_.classes[clients_.arrival_of(request).class_index];
+    Random random = random_stream(scenario_.overview.seed, StreamPurpose::fast_failure, id, server);
     const bool fails = random.uniform() < scenario_.fleet.error_rate + fails_[server];
     Millis work = clients_.attempt_work(request, server);
-    if (c.idempotency() == balancer::Idempotency::idempotency_key && !fails && servers_[server].running()) {
+    if (c.idempotency() == balancer::Idempotency::idempotency_key && !fails &&
+        servers_[server].is_running()) {
         const auto [at, fresh] = keys_.try_emplace(request, now);
         if (!fresh && now < at->second + c.dedup_window)
             work = kDroppedRepeat;
--- a/src/simulation/reports/service_metrics.cpp
+++ b/src/simulation/reports/service_metrics.cpp
@@ -51,15 +51,15 @@
     seconds[second].work += static_cast<float>(work);
 }
 
-void ServiceMetrics::on_operation_ended(Millis now, OperationId operation, Answer answer) {
-    const ClientArrival& arrival = clients_.ask(operation);
+void ServiceMetrics::on_operation_ended(Millis now, OperationId operation, ResponseKind answer) {
+    const ClientArrival& arrival = clients_.arrival_of(operation);
     const ClassSpec& spec = scenario_.classes[arrival.class_index];
     ClassReport& class_report = classes_[arrival.class_index];
     const std::size_t second = std::min(static_cast<std::size_t>(arrival.at / kSecond), seconds_.size() - 1);
     const std::size_t tenth = std::min(static_cast<std::size_t>(arrival.at / kTenth), tenths_.size() - 1);
     const Millis latency = now - arrival.at;
     const double value = spec.priority_weight * clients_.work(operation);
-    const bool is_served = answer == Answer::served;
+    const bool is_served = answer == ResponseKind::served;
     const bool is_delivered = is_served && latency <= spec.latency_objective;
 
     add_operation(class_report, value, is_delivered);
@@ -70,7 +70,7 @@
         class_latencies_[arrival.class_index].add(latency);
         second_latencies_[second].add(latency);
         if (!is_delivered) ++class_report.late;
-    } else if (answer == Answer::refused) {
+    } else if (answer == ResponseKind::rejected) {
         ++class_report.rejected;
     } else {
         ++class_report.failed;
@@ -78,7 +78,7 @@
 }
 
 void ServiceMetrics::on_client_left(OperationId operation) {
-    ++classes_[clients_.ask(operation).class_index].abandoned;
+    ++classes_[clients_.arrival_of(operation).class_index].abandoned;
 }
 
 double ServiceMetrics::goodput_between(Millis start, Millis end) const {
--- a/src/simulation/reports/sweep.cpp
+++ b/src/simulation/reports/sweep.cpp
@@ -107,9 +107,9 @@
     void run(Task& task) const {
         Scenario scenario = parse_scenario(texts_[task.row], name_, task.seed);
         scenario.name = name_;
-        VirtualOptions options;
+        VirtualRunOptions options;
         options.balancer = task.balancer;
-        task.report = run_virtual(scenario, options);
+        task.report = run_virtual_simulation(scenario, options);
     }
 
     void report_progress(std::size_t done) {
--- a/src/simulation/scenario/fault_targets.cpp
+++ b/src/simulation/scenario/fault_targets.cpp
@@ -111,7 +111,8 @@
         } else if (entry == "all") {
             for (std::uint32_t i = 0; i < count_; ++i) targets_.insert(i);
         } else if (share > 0 && share <= 1) {
-            const Random random = stream(scenario_.overview.seed, Purpose::selection, index_);
+            const Random random =
+                random_stream(scenario_.overview.seed, StreamPurpose::target_selection, index_);
             for (const std::uint32_t process : draw_share(share, count_, random)) targets_.insert(process);
         } else if (zone_named(entry, scenario_)) {
             add_zone(entry);
--- a/src/simulation/scenario/random_fault_schedule.cpp
+++ b/src/simulation/scenario/random_fault_schedule.cpp
@@ -130,7 +130,7 @@
 }
 
 RandomFaultSchedule draw_random_faults(std::uint64_t seed, const RandomFaultOptions& options) {
-    Random random = stream(seed, Purpose::schedule);
+    Random random = random_stream(seed, StreamPurpose::fault_schedule);
     RandomFaultSchedule schedule;
     // Membership is on, so that there are messages for the faults on messages.
     schedule.head = fmt::format(
--- a/src/simulation/scenario/timeline.cpp
+++ b/src/simulation/scenario/timeline.cpp
@@ -204,7 +204,8 @@
     for (const TimelineStep& step : steps) {
         if (!changes_endpoint_list(step.kind)) continue;
         const std::uint32_t server = step.target;
-        Random random = stream(scenario.overview.seed, Purpose::notice, server, ++notice_count[server]);
+        Random random = random_stream(scenario.overview.seed, StreamPurpose::notice_delay, server,
+                                      ++notice_count[server]);
         const Millis delay =
             uniform(random, scenario.registry.min_notice_delay, scenario.registry.max_notice_delay);
         const Millis known_at = step.at + list_delay_at(scenario, step.at) + delay;
@@ -220,7 +221,8 @@
 Millis notice_skew(const Scenario& scenario, std::uint32_t sidecar) {
     // The servers' streams have their numbers as keys: none has this one.
     static constexpr std::uint64_t kSidecarStreams = ~0ULL;
-    Random random = stream(scenario.overview.seed, Purpose::notice, kSidecarStreams, sidecar);
+    Random random =
+        random_stream(scenario.overview.seed, StreamPurpose::notice_delay, kSidecarStreams, sidecar);
     return scenario.registry.max_sidecar_skew * random.uniform();
 }
 
--- a/tests/simulation/invariant_checker_test.cpp
+++ b/tests/simulation/invariant_checker_test.cpp
@@ -19,7 +19,7 @@
 
     ClientRequestId send_request(std::uint32_t class_index, Millis at = 0) {
         static OperationId from = 0;
-        while (clients.ask(from % clients.arrivals().size()).class_index != class_index) ++from;
+        while (clients.arrival_of(from % clients.arrivals().size()).class_index != class_index) ++from;
         const ClientRequestId id = client_request_id(from++ % clients.arrivals().size(), 0);
         checker.on_request_sent(at, {id, at, 5000, 0});
         return id;
@@ -27,7 +27,7 @@
     std::uint32_t start_attempt(ClientRequestId id, Millis at, std::uint32_t server = 1,
                                 InvariantChecker::Delivery what = InvariantChecker::Delivery::accepted) {
         const std::uint32_t attempt =
-            checker.on_attempt_started(at, id, server, clients.ask(operation_of(id)).sidecar);
+            checker.on_attempt_started(at, id, server, clients.arrival_of(operation_of(id)).sidecar);
         checker.on_attempt_delivered(at, id, attempt, what);
         return attempt;
     }
@@ -53,22 +53,22 @@
 TEST_F(InvariantCheckerTest, AcceptsOneResponseInTimeAndReportsASecond) {
     const ClientRequestId id = send_request(0);
     checker.on_attempt_ended(50, id, start_attempt(id, 1));
-    checker.on_response(50, id, Answer::served);
+    checker.on_response(50, id, ResponseKind::served);
     EXPECT_TRUE(checker.all_hold());
-    checker.on_response(60, id, Answer::failed);
+    checker.on_response(60, id, ResponseKind::failed);
     EXPECT_EQ(violations(Invariant::one_final_outcome), 1U);
 }
 
 TEST_F(InvariantCheckerTest, ReportsMissingLateAndForeignResponses) {
-    checker.on_response(5000, send_request(0), Answer::none);
+    checker.on_response(5000, send_request(0), ResponseKind::none);
     EXPECT_EQ(violations(Invariant::one_final_outcome), 1U);
-    checker.on_response(5001, send_request(0), Answer::refused);
+    checker.on_response(5001, send_request(0), ResponseKind::rejected);
     EXPECT_EQ(violations(Invariant::one_final_outcome), 2U);
-    checker.on_response(10, send_request(0), Answer::served);  // no server ever saw it
+    checker.on_response(10, send_request(0), ResponseKind::served);  // no server ever saw it
     EXPECT_EQ(violations(Invariant::one_final_outcome), 3U);
     const ClientRequestId other = send_request(0);
     checker.on_attempt_ended(9, other, start_attempt(other, 1));
-    checker.on_response(10, other, Answer::served, false);  // another's body
+    checker.on_response(10, other, ResponseKind::served, false);  // another's body
     EXPECT_EQ(violations(Invariant::one_final_outcome), 4U);
     send_request(0);
     checker.finish(9000);
@@ -78,8 +78,8 @@
 TEST_F(InvariantCheckerTest, ExcusesRequestsWhoseClientLeftOrSidecarWasKilled) {
     checker.on_client_left(10, send_request(0));
     const ClientRequestId id = send_request(0);
-    checker.on_sidecar_killed(clients.ask(operation_of(id)).sidecar);
-    checker.on_response(20, id, Answer::none);
+    checker.on_sidecar_killed(clients.arrival_of(operation_of(id)).sidecar);
+    checker.on_response(20, id, ResponseKind::none);
     checker.finish(9000);
     EXPECT_TRUE(checker.all_hold());
 }
@@ -106,7 +106,7 @@
     checker.on_attempt_ended(2, sound, start_attempt(sound, 1, 1, InvariantChecker::Delivery::rejected));
     checker.on_attempt_ended(4, sound, start_attempt(sound, 3, 2, InvariantChecker::Delivery::not_received));
     checker.on_attempt_ended(9, sound, start_attempt(sound, 5, 3));
-    checker.on_response(10, sound, Answer::served);
+    checker.on_response(10, sound, ResponseKind::served);
     EXPECT_TRUE(checker.all_hold());
     const ClientRequestId id = send_request(1);
     checker.on_attempt_ended(2, id, start_attempt(id, 1));
@@ -117,15 +117,15 @@
 TEST_F(InvariantCheckerTest, ReportsRejectionOfRequestThatMayHaveRun) {
     const ClientRequestId unsafe = send_request(1);
     checker.on_attempt_ended(2, unsafe, start_attempt(unsafe, 1));
-    checker.on_response(3, unsafe, Answer::refused);
+    checker.on_response(3, unsafe, ResponseKind::rejected);
     EXPECT_EQ(violations(Invariant::no_duplicate_effect), 1U);
     const ClientRequestId keyed = send_request(2);
     checker.on_attempt_ended(2, keyed, start_attempt(keyed, 1));
-    checker.on_response(900, keyed, Answer::refused);  // servers still drop its repeats
+    checker.on_response(900, keyed, ResponseKind::rejected);  // servers still drop its repeats
     EXPECT_EQ(violations(Invariant::no_duplicate_effect), 1U);
     const ClientRequestId late = send_request(2);
     checker.on_attempt_ended(2, late, start_attempt(late, 1));
-    checker.on_response(1200, late, Answer::refused);
+    checker.on_response(1200, late, ResponseKind::rejected);
     EXPECT_EQ(violations(Invariant::no_duplicate_effect), 2U);
 }
 
@@ -165,7 +165,7 @@
 
 TEST_F(InvariantCheckerTest, ReportsAttemptToDrainingServerAfterGracePeriod) {
     const ClientRequestId id = send_request(0);
-    const std::uint32_t sidecar = clients.ask(operation_of(id)).sidecar;
+    const std::uint32_t sidecar = clients.arrival_of(operation_of(id)).sidecar;
     checker.on_endpoint_update(1000, sidecar, 1, balancer::EndpointState::draining, 0);
     checker.on_endpoint_update(1400, sidecar, 1, balancer::EndpointState::removed,
                                0);  // the first word counts
@@ -195,10 +195,10 @@
 }
 
 TEST_F(InvariantCheckerTest, CountsDelayedFailures) {
-    checker.on_response(20, send_request(0), Answer::refused);
+    checker.on_response(20, send_request(0), ResponseKind::rejected);
     const ClientRequestId held = send_request(0);
     checker.on_attempt_ended(2, held, start_attempt(held, 1));
-    checker.on_response(900, held, Answer::failed);
+    checker.on_response(900, held, ResponseKind::failed);
     EXPECT_EQ(checker.delayed_failures(), 1U);
 }
 
--- a/tests/simulation/report_test.cpp
+++ b/tests/simulation/report_test.cpp
@@ -15,7 +15,7 @@
         "= 1\n",
         "f");
     scenario.name = name;
-    return run_virtual(scenario, {});
+    return run_virtual_simulation(scenario, {});
 }
 
 TEST(Report, PageIsCompleteSelfContainedAndEscapesNames) {
--- a/tests/simulation/server_model_test.cpp
+++ b/tests/simulation/server_model_test.cpp
@@ -42,7 +42,7 @@
     FleetSpec spec = bare();
     spec.cores = spec.worker_slots = static_cast<std::uint64_t>(cores);
     ServerModel server(spec, 1, true);
-    Random random = stream(seed, Purpose::arrivals);
+    Random random = random_stream(seed, StreamPurpose::arrivals);
     const double metrics = 10, gap = metrics / (load * cores);
     const int requests = 200000;
     std::vector<Millis> arrived(requests + 1), work(requests + 1);
@@ -117,7 +117,7 @@
     server.start(0, out);
     for (Ticket t = 1; t <= 1000; ++t) server.arrive(0, t, 50, false, out);
     run_to(server, 2500, out);
-    EXPECT_FALSE(server.cold(2500));  // by time alone it would have 40%
+    EXPECT_FALSE(server.is_cold(2500));  // by time alone it would have 40%
 }
 
 TEST(ServerModel, AFreezeLeavesABacklogThatDrainsAtFullSpeed) {
@@ -160,13 +160,13 @@
     EXPECT_EQ(out[0].fate, Fate::reset);
     EXPECT_FALSE(server.connect(150, out));
     server.start(200, out);
-    EXPECT_FALSE(server.frozen(200));
+    EXPECT_FALSE(server.is_frozen(200));
     EXPECT_DOUBLE_EQ(server.capacity(200), 0.8);
     out.clear();
     server.arrive(200, 2, 10, false, out);
     run_to(server, 400, out);
     EXPECT_EQ(out.size(), 1U);
-    EXPECT_EQ(server.in_work(), 0U);
+    EXPECT_EQ(server.executing_count(), 0U);
 }
 
 TEST(ServerModel, WorkThatRunsGoesOnAfterACancelAndWhatWaitsIsDropped) {
@@ -181,7 +181,7 @@
         server.abandon(10, 2, out);  // waiting
         EXPECT_TRUE(server.holds(1));
         EXPECT_EQ(server.holds(2), !drops);
-        EXPECT_EQ(server.waiting(), drops ? 1U : 2U);
+        EXPECT_EQ(server.queued_count(), drops ? 1U : 2U);
         run_to(server, 150, out);
         EXPECT_TRUE(out.empty());
         run_to(server, drops ? 200.1 : 300.1, out);
@@ -227,10 +227,10 @@
     server.arrive(6, 2, 10, false, out);
     run_to(server, 1000, out);
     EXPECT_TRUE(out.empty());
-    EXPECT_FALSE(server.reachable());
+    EXPECT_FALSE(server.is_reachable());
     server.start(2000, out);
-    EXPECT_TRUE(server.reachable());
-    EXPECT_EQ(server.in_work(), 0U);
+    EXPECT_TRUE(server.is_reachable());
+    EXPECT_EQ(server.executing_count(), 0U);
 }
 
 TEST(ServerModel, ANeighbourAndAFullTableTakeTheirShare) {
--- a/tests/simulation/sidecars_test.cpp
+++ b/tests/simulation/sidecars_test.cpp
@@ -19,9 +19,9 @@
     "[messages]\nbeat = \"200ms\"\nbeat_to = 0\nloss = 0\n";
 
 Report play(const std::string& text, std::ostream* log = nullptr) {
-    VirtualOptions options;
+    VirtualRunOptions options;
     options.log = log;
-    return run_virtual(parse_scenario(text, "f.toml"), options);
+    return run_virtual_simulation(parse_scenario(text, "f.toml"), options);
 }
 
 TEST(Sidecars, OneThatStandsStillSendsNothingMeanwhileAndForNobodyThatHasGone) {
@@ -140,10 +140,11 @@
 
 TEST(RandomFaultSchedules, WhoBreaksARuleIsFoundAndItsStormShrunk) {
     for (const char* bad : {"resend-unsafe", "deaf-to-drains"}) {
-        VirtualOptions options;
+        VirtualRunOptions options;
         options.balancer = bad;
         const auto breaks = [&](const RandomFaultSchedule& schedule) {
-            return !run_virtual(parse_scenario(schedule.text(), "storm"), options).invariants_hold();
+            return !run_virtual_simulation(parse_scenario(schedule.text(), "storm"), options)
+                        .invariants_hold();
         };
         std::uint64_t seed = 1;
         while (seed < 40 && !breaks(draw_random_faults(seed, {}))) ++seed;
--- a/tests/simulation/socket_run_test.cpp
+++ b/tests/simulation/socket_run_test.cpp
@@ -83,9 +83,9 @@
 Report play(const std::string& text, const std::string& log = "") {
     const Scenario scenario = parse_scenario(text, "f.toml");
     SocketRunOptions options;
-    options.sidecar = ELMBAY_PROGRAM;
-    options.log = log;
-    return run_real(scenario, options);
+    options.sidecar_command = ELMBAY_PROGRAM;
+    options.log_path = log;
+    return run_socket_simulation(scenario, options);
 }
 
 std::uint64_t served(const Report& report) {
@@ -147,7 +147,7 @@
                              "from = [\"hall-b\"]\nto = [\"hall-a\"]\n"
                              "[[fault]]\nkind = \"drain\"\nat = \"1200ms\"\nwho = \"s-2\"\n";
     const Report real = play(text);
-    const Report simulated = run_virtual(parse_scenario(text, "f.toml"), {});
+    const Report simulated = run_virtual_simulation(parse_scenario(text, "f.toml"), {});
     EXPECT_TRUE(simulated.invariants_hold()) << text_of(simulated);
     if (real.punctuality.trusted()) {
         EXPECT_TRUE(real.invariants_hold()) << text_of(real);
@@ -177,10 +177,11 @@
     const std::string with_four = std::string(text).replace(text.find("count = 2"), 9, "count = 4");
     const Scenario scenario = parse_scenario(with_four, "f.toml");
     SocketRunOptions options;
-    options.sidecar = ELMBAY_PROGRAM;
-    EXPECT_THROW(run_real(scenario, options), std::invalid_argument) << "the build has no command";
-    options.builds["other"] = std::string("env RELAY_OTHER=1 ") + ELMBAY_PROGRAM;
-    const Report report = run_real(scenario, options);
+    options.sidecar_command = ELMBAY_PROGRAM;
+    EXPECT_THROW(run_socket_simulation(scenario, options), std::invalid_argument)
+        << "the build has no command";
+    options.build_commands["other"] = std::string("env RELAY_OTHER=1 ") + ELMBAY_PROGRAM;
+    const Report report = run_socket_simulation(scenario, options);
     EXPECT_TRUE(report.notes.empty()) << text_of(report);
     EXPECT_GT(served(report), report.operations / 2) << text_of(report);
     if (report.punctuality.trusted()) {
@@ -196,9 +197,9 @@
 TEST(Real, ASidecarThatDoesNotComeUpIsToldWithWhatItSaid) {
     const Scenario scenario = parse_scenario("length = \"1s\"\n", "f.toml");
     SocketRunOptions options;
-    options.sidecar = "echo no such luck; exit 3";
+    options.sidecar_command = "echo no such luck; exit 3";
     try {
-        run_real(scenario, options);
+        run_socket_simulation(scenario, options);
         FAIL() << "it ran";
     } catch (const std::runtime_error& error) {
         EXPECT_NE(std::string(error.what()).find("no such luck"), std::string::npos) << error.what();
@@ -210,8 +211,8 @@
         parse_scenario("length = \"3s\"\n[sidecars]\ncount = 1\n[callers]\nrate = 20\n", "f.toml");
     SocketRunOptions options;
     // Ends by itself a second and a half after its start, which is after it is ready.
-    options.sidecar = std::string("timeout -s KILL 1.5 ") + ELMBAY_PROGRAM;
-    const Report report = run_real(scenario, options);
+    options.sidecar_command = std::string("timeout -s KILL 1.5 ") + ELMBAY_PROGRAM;
+    const Report report = run_socket_simulation(scenario, options);
     EXPECT_FALSE(report.invariants_hold());
     ASSERT_FALSE(report.notes.empty());
     EXPECT_NE(report.notes[0].find("ended by itself"), std::string::npos);
--- a/tests/simulation/virtual_run_test.cpp
+++ b/tests/simulation/virtual_run_test.cpp
@@ -23,9 +23,9 @@
 }
 
 Report play(const std::string& scenario, const std::string& balancer) {
-    VirtualOptions options;
+    VirtualRunOptions options;
     options.balancer = balancer;
-    return run_virtual(incident_named(scenario), options);
+    return run_virtual_simulation(incident_named(scenario), options);
 }
 
 std::uint64_t broken(const Report& report, Invariant rule) {
@@ -40,18 +40,18 @@
 TEST(Virtual, TheSameFileAndSeedGiveTheSameBytes) {
     const Scenario scenario = incident_named("all-at-once");
     std::ostringstream first, second, other;
-    VirtualOptions options;
+    VirtualRunOptions options;
     options.log = &first;
-    const Report a = run_virtual(scenario, options);
+    const Report a = run_virtual_simulation(scenario, options);
     options.log = &second;
-    const Report b = run_virtual(scenario, options);
+    const Report b = run_virtual_simulation(scenario, options);
     EXPECT_GT(first.str().size(), 100000U);
     EXPECT_TRUE(first.str() == second.str());
     EXPECT_EQ(json_of(a).dump(), json_of(b).dump());
     Scenario moved = scenario;
     moved.overview.seed += 1;
     options.log = &other;
-    run_virtual(moved, options);
+    run_virtual_simulation(moved, options);
     EXPECT_FALSE(first.str() == other.str());
 }
 
@@ -116,12 +116,12 @@
     const Scenario scenario = incident_named("calm");
     const ClientModel clients(scenario);
     for (OperationId r = 0; r < 200; ++r) {
-        const ClientRequest t = clients.first(r);
-        const bool unsafe = scenario.classes[clients.ask(r).class_index].idempotency() ==
+        const ClientRequest t = clients.first_request(r);
+        const bool unsafe = scenario.classes[clients.arrival_of(r).class_index].idempotency() ==
                             balancer::Idempotency::non_idempotent;
-        EXPECT_EQ(clients.next(t.at + 10, t, Answer::failed, 0).has_value(), !unsafe);
-        EXPECT_TRUE(clients.next(t.at + 10, t, Answer::refused, 0).has_value());
-        EXPECT_FALSE(clients.next(t.at + 10, t, Answer::served, 0).has_value());
+        EXPECT_EQ(clients.next_request(t.at + 10, t, ResponseKind::failed, 0).has_value(), !unsafe);
+        EXPECT_TRUE(clients.next_request(t.at + 10, t, ResponseKind::rejected, 0).has_value());
+        EXPECT_FALSE(clients.next_request(t.at + 10, t, ResponseKind::served, 0).has_value());
     }
 }
 
@@ -135,9 +135,9 @@
         "[[fault]]\nkind = \"die\"\nat = \"3.8s\"\nlasts = \"400ms\"\nwho = [\"s-1\", \"s-2\"]\n",
         "f");
     std::ostringstream log;
-    VirtualOptions options;
+    VirtualRunOptions options;
     options.log = &log;
-    const Report report = run_virtual(scenario, options);
+    const Report report = run_virtual_simulation(scenario, options);
     EXPECT_TRUE(report.invariants_hold()) << text_of(report);
     // Whoever leaves is told to the module, which withdraws what is out for them at that very moment.
     std::istringstream lines(log.str());
@@ -159,7 +159,7 @@
         "length = \"20s\"\n[fleet]\nservers = 8\n[callers]\nrate = 200\n"
         "[[fault]]\nkind = \"hollow\"\nat = \"2s\"\nwho = \"s-3\"\n",
         "f");
-    const Report report = run_virtual(scenario, {});
+    const Report report = run_virtual_simulation(scenario, {});
     EXPECT_TRUE(report.invariants_hold()) << text_of(report);
     double before = 0, after = 0;
     for (std::size_t s = 0; s < 2; ++s) before += report.metrics.servers[3][s].work / 2;
@@ -173,7 +173,7 @@
         "length = \"3s\"\n[fleet]\nservers = 60\n[callers]\nrate = 1000\n[sidecars]\ncount = 1000\n"
         "[[fault]]\nkind = \"die\"\nat = \"1s\"\nwho = \"25%\"\n",
         "f");
-    const Report report = run_virtual(scenario, {});
+    const Report report = run_virtual_simulation(scenario, {});
     EXPECT_TRUE(report.invariants_hold()) << text_of(report);
     EXPECT_GT(report.client_requests, 2000U);
 }
--- a/tools/simulation/runs.cpp
+++ b/tools/simulation/runs.cpp
@@ -24,7 +24,7 @@
 
 Report run_in_virtual_time(const Scenario& scenario, const std::string& balancer, const std::string& log_path,
                            bool quiet) {
-    VirtualOptions options;
+    VirtualRunOptions options;
     options.balancer = balancer;
     options.progress = progress_bar(quiet);
     std::ofstream log;
@@ -33,22 +33,22 @@
         if (!log) throw std::runtime_error(log_path + ": can't be written");
         options.log = &log;
     }
-    return run_virtual(scenario, options);
+    return run_virtual_simulation(scenario, options);
 }
 
 Report run_on_sockets(const Scenario& scenario, const std::string& sidecar, const CommandOptions& options) {
     SocketRunOptions run_options;
-    run_options.sidecar = sidecar.empty() ? built_sidecar() : sidecar;
+    run_options.sidecar_command = sidecar.empty() ? built_sidecar() : sidecar;
     run_options.folder = options.sidecar_folder;
     for (const std::string& build : options.builds) {
         const std::size_t equals = build.find('=');
         const bool has_name = equals != std::string::npos && equals > 0;
         if (!has_name) throw UsageError("--build '" + build + "' is not NAME=COMMAND");
-        run_options.builds[build.substr(0, equals)] = build.substr(equals + 1);
+        run_options.build_commands[build.substr(0, equals)] = build.substr(equals + 1);
     }
-    run_options.log = options.log_path;
+    run_options.log_path = options.log_path;
     run_options.progress = progress_bar(options.quiet);
-    return run_real(scenario, run_options);
+    return run_socket_simulation(scenario, run_options);
 }
 
 }  // namespace elmbay::simulation
