--- a/src/balancer/aperture.hpp
+++ b/src/balancer/aperture.hpp
@@ -43,10 +43,10 @@
     static constexpr double kMinWidth = 4;
     /// The number of sidecars that should have each server in their pool.
     static constexpr double kSidecarsPerServer = 16;
-    /// The largest width that coverage alone leads to where servers far outnumber sidecars. It does not apply
-    /// if the traffic reaches each server within kMaxRevisitInterval, or if fewer than kMinSidecarsPerServer
-    /// sidecars would have each server in their pool. In a wider pool, a connection would be closed as idle
-    /// before its next use.
+    /// The largest width that coverage alone leads to if servers far outnumber sidecars. A wider pool is
+    /// allowed if the traffic reaches each of its servers within kMaxRevisitInterval, or if fewer than
+    /// kMinSidecarsPerServer sidecars would have each server in their pool. Otherwise, a connection in a
+    /// wider pool would be closed as idle before its next use.
     static constexpr double kMaxCoverageWidth = 48;
     /// The minimum number of sidecars that have each server in their pool. With four sidecars for each
     /// server, the mean load of servers differs by half at most.
--- a/src/balancer/request_table.hpp
+++ b/src/balancer/request_table.hpp
@@ -46,7 +46,7 @@
     std::size_t size() const { return requests_.size(); }
 
 private:
-    std::unordered_map<RequestId, Request> requests_;  // not iterated, because the order is not reproducible
+    std::unordered_map<RequestId, Request> requests_;  // must not be iterated: the order is not reproducible
     std::vector<RequestId> marked_;                    // marked during this event
     std::uint64_t next_order_ = 0;
 };
--- a/src/balancer/sessions.hpp
+++ b/src/balancer/sessions.hpp
@@ -19,8 +19,8 @@
 /// Settings::max_sessions.
 class Sessions {
 public:
-    /// The number of sessions at one server that widen the pool as one attempt in flight does. A sidecar with
-    /// few requests and many sessions thus draws a wider pool than its requests alone require.
+    /// The number of sessions that count as one attempt in flight when the width of the pool is computed. A
+    /// sidecar with few requests and many sessions thus draws a wider pool than its requests alone require.
     static constexpr std::size_t kSessionsPerServer = 32;
 
     /// @param settings validated settings
@@ -51,7 +51,7 @@
     std::size_t max_sessions_;
     std::size_t max_sessions_per_server_;
     std::size_t upgrading_ = 0;
-    std::unordered_map<RequestId, ServerId> sessions_;  // not iterated, because the order is not reproducible
+    std::unordered_map<RequestId, ServerId> sessions_;  // must not be iterated: the order is not reproducible
 };
 
 }  // namespace elmbay::balancer
--- a/src/balancer/timer_table.hpp
+++ b/src/balancer/timer_table.hpp
@@ -40,7 +40,7 @@
 
 private:
     EventContext* context_;
-    std::unordered_map<TimerToken, Timer> timers_;  // not iterated, because the order is not reproducible
+    std::unordered_map<TimerToken, Timer> timers_;  // must not be iterated: the order is not reproducible
     TimerToken next_token_ = 1;
 };
 
