--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -203,19 +203,19 @@
     // Parses a list and passes it on. A list that can't be parsed is discarded completely, so that it does
     // not affect the current list, and the whole list is fetched again. Returns whether the call continues.
     bool apply_list(std::string_view text) {
-        EndpointList listing;
+        EndpointList endpoint_list;
         try {
-            listing = parse_endpoint_list(text);
+            endpoint_list = parse_endpoint_list(text);
         } catch (const ConfigError& error) {
             log_event("discovery", "list_rejected", error.what());
             owner_.needs_whole_list_ = true;
             return end_call(DiscoveryError::invalid_list);
         }
         const Millis now = owner_.clock_.now();
-        listing.list_age_bound = now - std::exchange(owner_.last_message_at_, now);
-        owner_.list_version_ = listing.revision;
+        endpoint_list.list_age_bound = now - std::exchange(owner_.last_message_at_, now);
+        owner_.list_version_ = endpoint_list.revision;
         owner_.next_delay_ = owner_.backoff_.initial;
-        owner_.on_listing_(std::move(listing));
+        owner_.on_endpoint_list_(std::move(endpoint_list));
         return !is_closed_;
     }
 
@@ -249,7 +249,8 @@
 };
 
 Discovery::Discovery(asio::io_context& io, const Options& options, SocketBudget& socket_budget,
-                     TimerQueue& timers, const Clock& clock, std::function<void(EndpointList)> on_listing)
+                     TimerQueue& timers, const Clock& clock,
+                     std::function<void(EndpointList)> on_endpoint_list)
     : io_(io),
       endpoint_(options.endpoint),
       socket_budget_(socket_budget),
@@ -260,7 +261,7 @@
       mode_(options.mode),
       backoff_(options.mode == Mode::pushed ? kPushedBackoff : kPolledBackoff),
       random_(options.seed),
-      on_listing_(std::move(on_listing)),
+      on_endpoint_list_(std::move(on_endpoint_list)),
       next_delay_(backoff_.initial) {}
 
 Discovery::~Discovery() = default;
--- a/src/net/discovery.hpp
+++ b/src/net/discovery.hpp
@@ -86,9 +86,9 @@
     };
 
     /// Starts no call before watch(). The referenced objects must outlive this one.
-    /// @param on_listing called with each parsed list or change, in order of arrival.
+    /// @param on_endpoint_list called with each parsed list or change, in order of arrival.
     Discovery(asio::io_context& io, const Options& options, SocketBudget& socket_budget, TimerQueue& timers,
-              const Clock& clock, std::function<void(EndpointList)> on_listing);
+              const Clock& clock, std::function<void(EndpointList)> on_endpoint_list);
     ~Discovery();
     Discovery(const Discovery&) = delete;
     Discovery& operator=(const Discovery&) = delete;
@@ -121,7 +121,7 @@
     const Mode mode_;
     const Backoff backoff_;
     std::mt19937_64 random_;
-    std::function<void(EndpointList)> on_listing_;
+    std::function<void(EndpointList)> on_endpoint_list_;
     std::shared_ptr<Call> call_;  // null between two calls
     TimerQueue::Key retry_timer_{};
     Millis next_delay_;  // delay before the next call, without jitter
