--- a/src/sidecar/endpoint_registry.hpp
+++ b/src/sidecar/endpoint_registry.hpp
@@ -46,7 +46,7 @@
     /// One server.
     struct Entry {
         balancer::ServerInfo info{};   ///< info.id is the server's number
-        Endpoint endpoint{};           ///< where this sidecar reaches it
+        Endpoint endpoint{};           ///< address on which the server listens
         bool listed = false;           ///< in the current list, and neither removed nor displaced
         std::uint64_t first_list = 0;  ///< index, from 1, of the first list with its process; 0 if none yet
     };
--- a/tests/sidecar/fleet_size_test.cpp
+++ b/tests/sidecar/fleet_size_test.cpp
@@ -25,7 +25,7 @@
     client->send(SidecarFixture::request("safe"));
     ASSERT_TRUE(fixture.until([&] { return server.request_count() > before || !client->received.empty(); }));
     ASSERT_GT(server.request_count(), before) << status_of(*client);
-    server.last_connection().respond("200 OK", "it");
+    server.last_connection().respond("200 OK", "body");
     ASSERT_TRUE(fixture.until([&] { return !client->received.empty(); }));
     EXPECT_EQ(status_of(*client), "HTTP/1.1 200");
 }
