--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -249,7 +249,7 @@
     if (line) write_log_line(*line);
 }
 
-// ---- Actions of the engine ---------------------------------------------------------------------------------
+// ---- Actions of the engine --------------------------------------------------------------------------------
 
 void Sidecar::start_attempt(AttemptKey key, ServerId server, Millis attempt_deadline, Millis write_by) {
     const bool is_upgrade = websocket_proxy_ && websocket_proxy_->has_upgrade(key.request);
