--- a/src/simulation/drivers/sockets/client_emulator.hpp
+++ b/src/simulation/drivers/sockets/client_emulator.hpp
@@ -1,4 +1,6 @@
-// The clients of one sidecar: PROTOCOL's "The application to its sidecar" on kept connections.
+/// \file
+/// Emulates the clients of one sidecar: "The application to its sidecar" of PROTOCOL, on keep-alive
+/// connections.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -14,29 +16,31 @@
 
 class ClientEmulator {
 public:
-    // An answer that is longer is none that a server made.
-    static constexpr std::uint64_t kMaxAnswer = 64 * 1024;
-    // A client looks at its clock this much late, as the rules on sockets do.
+    /// Maximum size of a response body. A longer one cannot come from an emulated server.
+    static constexpr std::uint64_t kMaxResponseBytes = 64 * 1024;
+    /// Time after its timeout for which a client still accepts a response. It equals the slack of the
+    /// invariant checker on sockets.
     static constexpr Millis kSlack = 50;
 
     enum class End {
-        answered,   // a whole answer
-        cut,        // one that broke off
-        closed,     // the connection was closed with nothing
-        unreached,  // no connection came up: the try has not been taken
-        silence,    // its time is over
-        left        // this client has gone away
+        responded,       ///< The response is complete.
+        truncated,       ///< The connection broke off within the response.
+        closed,          ///< The connection was closed without a response.
+        connect_failed,  ///< No connection was established, so the sidecar has not received the request.
+        timed_out,       ///< The client stopped waiting.
+        client_left      ///< The client disconnected early, as the client model determines.
     };
     struct Outcome {
-        End end = End::silence;
-        ResponseKind answer = ResponseKind::none;
-        bool genuine = true;  // a served answer's body is the one made for this try
+        End end = End::timed_out;
+        ResponseKind response = ResponseKind::none;
+        bool genuine = true;  ///< Whether the body of a served response was made for this request.
         Millis retry_after = 0;
     };
-    // taken: the first byte is about to be written to a connection that came up. Each try has one ended().
     struct Handlers {
-        std::function<void(const ClientRequest&)> taken;
-        std::function<void(const ClientRequest&, const Outcome&)> ended;
+        /// Called when the connection is established and before the first byte of the request is written.
+        std::function<void(const ClientRequest&)> on_sent;
+        /// Called once for each request.
+        std::function<void(const ClientRequest&, const Outcome&)> on_ended;
     };
 
     ClientEmulator(LoopbackTestbed& testbed, const Scenario& scenario, const ClientModel& clients,
@@ -45,15 +49,15 @@
     ClientEmulator(const ClientEmulator&) = delete;
     ClientEmulator& operator=(const ClientEmulator&) = delete;
 
-    void ask(const ClientRequest& t);
-    // Whether GET /up answers 200; told once.
-    void up(std::function<void(bool)> told);
+    void send(const ClientRequest& request);
+    /// Calls `callback` once with whether the sidecar responds to GET /up with status 200.
+    void check_ready(std::function<void(bool)> callback);
 
 private:
     class Connection;
     friend class Connection;
 
-    std::string message(const ClientRequest& t) const;
+    std::string http_request(const ClientRequest& request) const;
 
     LoopbackTestbed& testbed_;
     const Scenario& scenario_;
--- a/src/simulation/drivers/sockets/discovery_emulator.cpp
+++ b/src/simulation/drivers/sockets/discovery_emulator.cpp
@@ -12,30 +12,30 @@
 using balancer::EndpointState;
 using boost::system::error_code;
 
-nlohmann::json listing_of(const std::vector<Entry>& entries, std::uint64_t rev, bool all,
-                          const LoopbackTestbed& testbed) {
+nlohmann::json endpoint_list_json(const std::vector<RegistryEntry>& entries, std::uint64_t revision,
+                                  bool complete, const LoopbackTestbed& testbed) {
     nlohmann::json targets = nlohmann::json::array();
-    for (const Entry& e : entries) {
-        if (all && e.state == EndpointState::removed) continue;
+    for (const RegistryEntry& entry : entries) {
+        if (complete && entry.state == EndpointState::removed) continue;
         targets.push_back(
-            {{"uid", "s-" + std::to_string(e.server)},
-             {"endpoint", e.endpoint.address().to_string() + ":" + std::to_string(e.endpoint.port())},
-             {"az", e.hall},
+            {{"uid", "s-" + std::to_string(entry.server)},
+             {"endpoint", entry.endpoint.address().to_string() + ":" + std::to_string(entry.endpoint.port())},
+             {"az", entry.zone},
              {"model", "rehearsed"},
              {"pod_group", 0},
-             {"state", e.state == EndpointState::active     ? "active"
-                       : e.state == EndpointState::draining ? "leaving"
-                                                            : "left"},
+             {"state", entry.state == EndpointState::active     ? "active"
+                       : entry.state == EndpointState::draining ? "leaving"
+                                                                : "left"},
              {"capacity_hint", 1.0},
-             {"boot_ms", e.online_since > 0 ? std::floor(testbed.unix_time(e.online_since)) : 0.0}});
+             {"boot_ms", entry.online_since > 0 ? std::floor(testbed.unix_time(entry.online_since)) : 0.0}});
     }
-    return {{"rev", rev}, {"all", all}, {"targets", targets}};
+    return {{"rev", revision}, {"all", complete}, {"targets", targets}};
 }
 
 class DiscoveryEmulator::Connection : public std::enable_shared_from_this<Connection> {
 public:
-    Connection(DiscoveryEmulator& discovery, tcp::socket socket)
-        : discovery_(&discovery), socket_(std::move(socket)) {
+    Connection(DiscoveryEmulator& emulator, tcp::socket socket)
+        : emulator_(&emulator), socket_(std::move(socket)) {
         error_code ignored;
         socket_.set_option(tcp::no_delay(true), ignored);
     }
@@ -43,31 +43,31 @@
         request_ = {};
         http::async_read(socket_, buffer_, request_,
                          [self = shared_from_this()](error_code error, std::size_t) {
-                             if (!self->discovery_) return;
-                             if (error) return self->gone();
-                             self->answer();
-                             self->read();  // also to see a watch end
+                             if (!self->emulator_) return;
+                             if (error) return self->close();
+                             self->respond();
+                             self->read();  // also detects the end of a watch
                          });
     }
-    void line(const std::string& text) {
+    void send_line(const std::string& text) {
         if (!watching_) return;
         char size[16];
         std::snprintf(size, sizeof size, "%zx\r\n", text.size() + 1);
         send(size + text + "\n\r\n");
     }
-    bool watching() const { return watching_; }
+    bool is_watching() const { return watching_; }
     void drop() {
-        discovery_ = nullptr;
+        emulator_ = nullptr;
         error_code ignored;
         socket_.close(ignored);
     }
 
 private:
-    void answer() {
+    void respond() {
         const std::string target(request_.target());
         const bool watch = target.find("stream=1") != std::string::npos;
         const std::string list =
-            listing_of(discovery_->entries_, discovery_->rev_, true, discovery_->testbed_).dump();
+            endpoint_list_json(emulator_->entries_, emulator_->revision_, true, emulator_->testbed_).dump();
         if (!target.starts_with("/discovery/hosts"))
             return send("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
         if (!watch) {
@@ -76,42 +76,43 @@
         } else {
             watching_ = true;
             send("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n");
-            line(list);
+            send_line(list);
         }
-        discovery_->all_told();
+        emulator_->record_all_notified();
     }
-    // Writes in turn. A sidecar that reads nothing is cut off, not buffered for.
+    // Queues a text and writes texts one after the other. Closes the connection of a sidecar that does not
+    // read, so that the queue stays bounded.
     void send(std::string text) {
-        constexpr std::size_t kMaxWaiting = 1024;  // lines; a day has a few hundred
-        if (waiting_.size() >= kMaxWaiting) return gone();
-        waiting_.push_back(std::move(text));
-        if (waiting_.size() == 1) write();
+        constexpr std::size_t kMaxQueuedTexts = 1024;  // the endpoint list changes a few hundred times a day
+        if (write_queue_.size() >= kMaxQueuedTexts) return close();
+        write_queue_.push_back(std::move(text));
+        if (write_queue_.size() == 1) write();
     }
     void write() {
-        asio::async_write(socket_, asio::buffer(waiting_.front()),
+        asio::async_write(socket_, asio::buffer(write_queue_.front()),
                           [self = shared_from_this()](error_code error, std::size_t) {
-                              if (!self->discovery_) return;
-                              if (error) return self->gone();
-                              self->waiting_.pop_front();
-                              if (!self->waiting_.empty()) self->write();
+                              if (!self->emulator_) return;
+                              if (error) return self->close();
+                              self->write_queue_.pop_front();
+                              if (!self->write_queue_.empty()) self->write();
                           });
     }
-    void gone() {
-        if (!discovery_) return;
-        discovery_->connections_.remove(shared_from_this());
+    void close() {
+        if (!emulator_) return;
+        emulator_->connections_.remove(shared_from_this());
         drop();
     }
 
-    DiscoveryEmulator* discovery_;
+    DiscoveryEmulator* emulator_;
     tcp::socket socket_;
-    boost::beast::flat_buffer buffer_{kMaxRequest};
+    boost::beast::flat_buffer buffer_{kMaxRequestBytes};
     http::request<http::empty_body> request_;
-    std::deque<std::string> waiting_;
+    std::deque<std::string> write_queue_;
     bool watching_ = false;
 };
 
 DiscoveryEmulator::DiscoveryEmulator(LoopbackTestbed& testbed, InvariantChecker& checker,
-                                     std::uint32_t sidecar, std::vector<Entry> entries,
+                                     std::uint32_t sidecar, std::vector<RegistryEntry> entries,
                                      const asio::ip::address& address)
     : testbed_(testbed),
       checker_(checker),
@@ -120,30 +121,31 @@
       address_(address),
       acceptor_(std::make_shared<tcp::acceptor>(testbed.io, tcp::endpoint(address, 0))) {
     accept();
-    quiet_lines();
+    schedule_empty_lines();
 }
 
 DiscoveryEmulator::~DiscoveryEmulator() {
-    *here_ = false;
+    *alive_ = false;
     for (const auto& connection : connections_) connection->drop();
 }
 
 void DiscoveryEmulator::accept() {
-    acceptor_->async_accept([this, acceptor = acceptor_, here = here_](error_code error, tcp::socket socket) {
-        if (!*here || acceptor != acceptor_ || error == asio::error::operation_aborted) return;
-        if (!error) {
-            connections_.push_back(std::make_shared<Connection>(*this, std::move(socket)));
-            connections_.back()->read();
-        }
-        accept();
-    });
+    acceptor_->async_accept(
+        [this, acceptor = acceptor_, alive = alive_](error_code error, tcp::socket socket) {
+            if (!*alive || acceptor != acceptor_ || error == asio::error::operation_aborted) return;
+            if (!error) {
+                connections_.push_back(std::make_shared<Connection>(*this, std::move(socket)));
+                connections_.back()->read();
+            }
+            accept();
+        });
 }
 
-void DiscoveryEmulator::quiet_lines() {
-    testbed_.at(testbed_.now() + kQuietLine, [this, here = here_] {
-        if (!*here) return;
-        for (const auto& connection : std::list(connections_)) connection->line("");
-        quiet_lines();
+void DiscoveryEmulator::schedule_empty_lines() {
+    testbed_.at(testbed_.now() + kEmptyLineInterval, [this, alive = alive_] {
+        if (!*alive) return;
+        for (const auto& connection : std::list(connections_)) connection->send_line("");
+        schedule_empty_lines();
     });
 }
 
@@ -152,40 +154,41 @@
     acceptor_->close(ignored);
     acceptor_ = std::make_shared<tcp::acceptor>(testbed_.io, tcp::endpoint(address_, 0));
     accept();
-    std::vector<std::weak_ptr<Connection>> old(connections_.begin(), connections_.end());
-    testbed_.at(testbed_.now() + kOldCloses, [this, here = here_, old = std::move(old)] {
-        if (!*here) return;
-        for (const auto& weak : old)
-            if (const auto connection = weak.lock()) {
-                connections_.remove(connection);
-                connection->drop();
-            }
-    });
+    std::vector<std::weak_ptr<Connection>> old_connections(connections_.begin(), connections_.end());
+    testbed_.at(testbed_.now() + kOldAddressLinger,
+                [this, alive = alive_, old_connections = std::move(old_connections)] {
+                    if (!*alive) return;
+                    for (const auto& weak : old_connections)
+                        if (const auto connection = weak.lock()) {
+                            connections_.remove(connection);
+                            connection->drop();
+                        }
+                });
     return endpoint();
 }
 
-void DiscoveryEmulator::told(const Entry& e) {
-    checker_.on_endpoint_update(testbed_.now(), sidecar_, e.server, e.state, e.online_since);
+void DiscoveryEmulator::record_notified(const RegistryEntry& entry) {
+    checker_.on_endpoint_update(testbed_.now(), sidecar_, entry.server, entry.state, entry.online_since);
 }
 
-void DiscoveryEmulator::all_told() {
-    for (const Entry& e : entries_) told(e);
+void DiscoveryEmulator::record_all_notified() {
+    for (const RegistryEntry& entry : entries_) record_notified(entry);
 }
 
-void DiscoveryEmulator::change(const EndpointNotice& notice) {
-    Entry& e = entries_[notice.server];
-    e.state = notice.state;
-    e.online_since = std::max(e.online_since, notice.online_since);
-    ++rev_;
-    const std::string text = listing_of({e}, rev_, false, testbed_).dump();
+void DiscoveryEmulator::apply(const EndpointNotice& notice) {
+    RegistryEntry& entry = entries_[notice.server];
+    entry.state = notice.state;
+    entry.online_since = std::max(entry.online_since, notice.online_since);
+    ++revision_;
+    const std::string text = endpoint_list_json({entry}, revision_, false, testbed_).dump();
     bool watched = false;
     for (const auto& connection : std::list(connections_)) {
-        watched = watched || connection->watching();
-        connection->line(text);
+        watched = watched || connection->is_watching();
+        connection->send_line(text);
     }
-    if (watched) return told(e);
-    testbed_.at(testbed_.now() + kToldAfter, [this, here = here_, server = notice.server] {
-        if (*here) told(entries_[server]);
+    if (watched) return record_notified(entry);
+    testbed_.at(testbed_.now() + kNoticeGrace, [this, alive = alive_, server = notice.server] {
+        if (*alive) record_notified(entries_[server]);
     });
 }
 
--- a/src/simulation/drivers/sockets/loopback_testbed.cpp
+++ b/src/simulation/drivers/sockets/loopback_testbed.cpp
@@ -4,35 +4,36 @@
 
 namespace elmbay::simulation {
 
-void LoopbackTestbed::begin(Millis from_now) {
-    zero_ = clock_.now() + from_now;
+void LoopbackTestbed::begin(Millis delay) {
+    zero_ = clock_.now() + delay;
     timers_.clear();
-    std::fill(lateness_.begin(), lateness_.end(), 0);
-    wakeups_ = 0;
-    most_ = 0;
+    std::fill(lateness_bins_.begin(), lateness_bins_.end(), 0);
+    wakeup_count_ = 0;
+    max_lateness_ = 0;
 }
 
-void LoopbackTestbed::note_lateness(Millis late) {
-    late = std::max(0.0, late);
-    ++wakeups_;
-    most_ = std::max(most_, late);
-    ++lateness_[std::min(kSteps, static_cast<std::size_t>(late * 10))];
+void LoopbackTestbed::record_lateness(Millis lateness) {
+    lateness = std::max(0.0, lateness);
+    ++wakeup_count_;
+    max_lateness_ = std::max(max_lateness_, lateness);
+    ++lateness_bins_[std::min(kLastBin, static_cast<std::size_t>(lateness * 10))];
 }
 
 Punctuality LoopbackTestbed::punctuality() const {
-    Punctuality p;
-    p.measured = true;
-    p.max = most_;
-    std::uint64_t seen = 0, late = 0;
-    bool found = false;
-    for (std::size_t i = 0; i <= kSteps; ++i) {
-        seen += lateness_[i];
-        if (static_cast<Millis>(i) / 10 > Punctuality::kLateThreshold) late += lateness_[i];
-        if (!found && seen * 100 >= wakeups_ * 99 && wakeups_ > 0)
-            p.p99 = static_cast<Millis>(i) / 10, found = true;
+    Punctuality result;
+    result.measured = true;
+    result.max = max_lateness_;
+    std::uint64_t count = 0, late_count = 0;
+    bool p99_found = false;
+    for (std::size_t i = 0; i <= kLastBin; ++i) {
+        count += lateness_bins_[i];
+        if (static_cast<Millis>(i) / 10 > Punctuality::kLateThreshold) late_count += lateness_bins_[i];
+        if (!p99_found && count * 100 >= wakeup_count_ * 99 && wakeup_count_ > 0)
+            result.p99 = static_cast<Millis>(i) / 10, p99_found = true;
     }
-    p.late_share = wakeups_ > 0 ? static_cast<double>(late) / static_cast<double>(wakeups_) : 0;
-    return p;
+    result.late_share =
+        wakeup_count_ > 0 ? static_cast<double>(late_count) / static_cast<double>(wakeup_count_) : 0;
+    return result;
 }
 
 }  // namespace elmbay::simulation
--- a/src/simulation/drivers/sockets/loopback_testbed.hpp
+++ b/src/simulation/drivers/sockets/loopback_testbed.hpp
@@ -1,4 +1,6 @@
-// What all parts of a real simulation share: the loop, the time since its start, and how late the loop runs.
+/// \file
+/// What all parts of a run on sockets share: the event loop, the time since the start of the run, and the
+/// measurement of how late the loop is.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -17,37 +19,37 @@
 public:
     LoopbackTestbed() : timers_(io, clock_) {}
 
-    // Time 0 is `from_now` ahead, lateness counts anew, and what was to run is forgotten.
-    void begin(Millis from_now = 0);
+    /// Sets time 0 to `delay` from now, resets the measured lateness, and cancels all timers.
+    void begin(Millis delay = 0);
     Millis now() const { return clock_.now() - zero_; }
-    // For boot_ms: Unix milliseconds of a time of the simulation.
+    /// Returns a time of the simulation in the unit of the endpoint list's boot_ms: Unix milliseconds.
     Millis unix_time(Millis at) const { return zero_ + at; }
 
-    using Key = TimerQueue::Key;
-    // Runs at its time or after; how long after is what punctuality() tells.
-    Key at(Millis when, std::function<void()> run) {
-        return timers_.set(zero_ + when, [this, when, run = std::move(run)] {
-            note_lateness(now() - when);
-            run();
+    using TimerKey = TimerQueue::Key;
+    /// Calls `callback` at `when` or later. punctuality() reports how much later.
+    TimerKey at(Millis when, std::function<void()> callback) {
+        return timers_.set(zero_ + when, [this, when, callback = std::move(callback)] {
+            record_lateness(now() - when);
+            callback();
         });
     }
-    void cancel(Key& key) { timers_.cancel(key); }
+    void cancel(TimerKey& key) { timers_.cancel(key); }
 
     Punctuality punctuality() const;
 
     asio::io_context io{1};
 
 private:
-    // Lateness by tenths of a millisecond; what is beyond a second counts as a second.
-    static constexpr std::size_t kSteps = 10000;
-    void note_lateness(Millis late);
+    // The lateness histogram has a bin per tenth of a millisecond; the last bin counts all above one second.
+    static constexpr std::size_t kLastBin = 10000;
+    void record_lateness(Millis lateness);
 
     Clock clock_;
     TimerQueue timers_;
     Millis zero_ = 0;
-    std::vector<std::uint64_t> lateness_ = std::vector<std::uint64_t>(kSteps + 1, 0);
-    std::uint64_t wakeups_ = 0;
-    Millis most_ = 0;
+    std::vector<std::uint64_t> lateness_bins_ = std::vector<std::uint64_t>(kLastBin + 1, 0);
+    std::uint64_t wakeup_count_ = 0;
+    Millis max_lateness_ = 0;
 };
 
 }  // namespace elmbay::simulation
--- a/src/simulation/drivers/sockets/server_emulator.hpp
+++ b/src/simulation/drivers/sockets/server_emulator.hpp
@@ -1,5 +1,6 @@
-// The stand-in for one service_model server on a loopback socket: PROTOCOL's "Sidecars to servers" round a
-// ServerModel. What the model says is done; nothing is decided here.
+/// \file
+/// Emulates one server on a loopback socket: "Sidecars to servers" of PROTOCOL. It only connects a
+/// ServerModel to sockets; the model decides what happens to requests.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -16,12 +17,12 @@
 
 class ServerEmulator {
 public:
-    // A request has this many bytes at most, head and body (PROTOCOL: bodies hold at most 64 KiB).
-    static constexpr std::uint64_t kMaxBody = 64 * 1024;
-    static constexpr std::uint32_t kMaxHead = 16 * 1024;
+    /// Limits of a request's body and head (PROTOCOL: bodies hold at most 64 KiB).
+    static constexpr std::uint64_t kMaxBodyBytes = 64 * 1024;
+    static constexpr std::uint32_t kMaxHeadBytes = 16 * 1024;
 
-    // Listens at once if the service_model says that it is there at the start. Throws
-    // boost::system::system_error if the address can't be had.
+    /// Listens at once if the server is listed at the start. Throws boost::system::system_error if the
+    /// address is not available.
     ServerEmulator(LoopbackTestbed& testbed, ServiceModel& service_model, InvariantChecker& checker,
                    ServiceMetrics& metrics, const ClientModel& clients, std::uint32_t number,
                    tcp::endpoint address);
@@ -29,15 +30,17 @@
     ServerEmulator(const ServerEmulator&) = delete;
     ServerEmulator& operator=(const ServerEmulator&) = delete;
 
-    // Where a link stands between: when the sidecar wrote the first byte, which is what drains count.
+    /// Returns when the sidecar wrote the first byte of a request's last attempt. Set only if a link with
+    /// faults lies between sidecar and server: the invariant on drains applies to this time and not to the
+    /// arrival.
     std::function<Millis(ClientRequestId)> sent_at{};
 
-    // As PROTOCOL's ids are written; none: not one of ours.
-    static std::optional<ClientRequestId> id_of(const std::string& text);
+    /// Parses an id in the form that PROTOCOL defines; nothing: the text is not an id of this simulation.
+    static std::optional<ClientRequestId> parse_id(const std::string& text);
 
     void apply(const TimelineStep& step);
     tcp::endpoint endpoint() const { return endpoint_; }
-    std::uint64_t connections() const { return accepted_; }
+    std::uint64_t accepted_connections() const { return accepted_connections_; }
 
 private:
     class Connection;
@@ -48,9 +51,9 @@
     void accept();
     void close(bool reset);
     void cut_off();
-    // Carries out what the model brought to an end, and comes back when it has more.
-    void pump();
-    void arrived(const std::shared_ptr<Connection>& connection, const std::string& id);
+    // Sends the responses for the model's departures, and sets a timer for the model's next event.
+    void process_departures();
+    void on_request(const std::shared_ptr<Connection>& connection, const std::string& id);
 
     LoopbackTestbed& testbed_;
     ServiceModel& service_model_;
@@ -61,12 +64,12 @@
     tcp::endpoint endpoint_;
     tcp::acceptor acceptor_;
     std::set<std::shared_ptr<Connection>> connections_;
-    std::unordered_map<Ticket, std::weak_ptr<Connection>> tickets_;
-    std::vector<tcp::socket> fillers_;  // keep the queue of a machine that is cut off full
-    ServerModel::Out out_;
-    LoopbackTestbed::Key poll_{};
-    Millis poll_at_ = -1;
-    std::uint64_t accepted_ = 0;
+    std::unordered_map<ServerRequestId, std::weak_ptr<Connection>> connection_of_request_;
+    std::vector<tcp::socket> backlog_fillers_;  // keep the accept queue of a server that is cut off full
+    ServerModel::Departures departures_;
+    LoopbackTestbed::TimerKey model_timer_{};
+    Millis model_timer_at_ = -1;  // -1: not set
+    std::uint64_t accepted_connections_ = 0;
 };
 
 }  // namespace elmbay::simulation
--- a/src/simulation/drivers/sockets/socket_run.cpp
+++ b/src/simulation/drivers/sockets/socket_run.cpp
@@ -27,48 +27,54 @@
 using balancer::EndpointState;
 using nlohmann::json;
 
-constexpr Millis kReadyWithin = 15000;  // of all sidecars
-constexpr Millis kReadyLook = 20, kProcessLook = 20;
-constexpr Millis kLongAhead = 3600000;  // no sidecar takes so long to be ready
-constexpr Millis kBeforeFirst = 300;    // between the last sidecar's readiness and time 0
-constexpr Millis kTermWithin = 4000;    // PROTOCOL: longest deadline (3 s at most) and 0.7 s; then SIGKILL
-constexpr Millis kDutyRound = 20;       // of a starved sidecar: on for its share of it
-constexpr std::size_t kLogShown = 600;  // of a sidecar's log, when it does not come up
+constexpr Millis kReadyTimeout = 15000;  // for all sidecars together
+constexpr Millis kReadyPollInterval = 20, kProcessPollInterval = 20;
+// While the sidecars start, the clock of the faults is this far before time 0. No sidecar takes so long.
+constexpr Millis kPreparationTime = 3600000;
+constexpr Millis kStartDelay = 300;  // from the readiness of the last sidecar to time 0
+// From SIGTERM to SIGKILL. PROTOCOL gives a sidecar the longest deadline (at most 3 s) and 0.7 s.
+constexpr Millis kTerminationTimeout = 4000;
+// Period in which a sidecar with limited CPU runs for its share of the period and is stopped for the rest.
+constexpr Millis kCpuPeriod = 20;
+constexpr std::size_t kMaxLogExcerptBytes = 600;  // in the error when a sidecar does not become ready
 
-// Each run has a part of loopback of its own, so that nothing else answers where a server has died.
-asio::ip::address_v4 loopback(std::uint32_t run, std::uint32_t host) {
+// Returns the loopback address of a host of a run. Each run has a subnet of its own, so that no other run
+// responds at the address of a stopped server.
+asio::ip::address_v4 loopback_address(std::uint32_t run, std::uint32_t host) {
     return asio::ip::address_v4((127U << 24) | ((16 + run % 200) << 16) | (host + 2));
 }
 
-std::string text_of(const tcp::endpoint& e) {
-    return e.address().to_string() + ":" + std::to_string(e.port());
+std::string text_of(const tcp::endpoint& endpoint) {
+    return endpoint.address().to_string() + ":" + std::to_string(endpoint.port());
 }
 
-// Hosts of that part: servers from 0, then
-constexpr std::uint32_t kSidecars = 0x8000, kPeers = 0xa000, kEverybody = 0xfff0;
+// Host numbers in the subnet of a run. Servers count from 0.
+constexpr std::uint32_t kFirstSidecarHost = 0x8000, kFirstPeerHost = 0xa000, kBroadcastHost = 0xfff0;
 
-class Folder {
+/// The folder for the configurations and logs of a run. A temporary one is removed at the end.
+class RunFolder {
 public:
-    explicit Folder(const std::string& given) : path_(given), own_(given.empty()) {
-        if (own_) {
+    explicit RunFolder(const std::string& path) : path_(path), is_temporary_(path.empty()) {
+        if (is_temporary_) {
             std::string name = (std::filesystem::temp_directory_path() / "simulation-XXXXXX").string();
-            if (!::mkdtemp(name.data())) throw std::runtime_error(name + ": can't be made");
+            if (!::mkdtemp(name.data()))
+                throw std::runtime_error(name + ": the temporary folder cannot be created");
             path_ = name;
         } else {
             std::filesystem::create_directories(path_);
         }
     }
-    ~Folder() {
+    ~RunFolder() {
         std::error_code ignored;
-        if (own_) std::filesystem::remove_all(path_, ignored);
+        if (is_temporary_) std::filesystem::remove_all(path_, ignored);
     }
-    Folder(const Folder&) = delete;
-    Folder& operator=(const Folder&) = delete;
+    RunFolder(const RunFolder&) = delete;
+    RunFolder& operator=(const RunFolder&) = delete;
     const std::filesystem::path& path() const { return path_; }
 
 private:
     std::filesystem::path path_;
-    bool own_;
+    bool is_temporary_;
 };
 
 class SocketRun {
@@ -83,466 +89,495 @@
           metrics_(scenario, clients_),
           steps_(build_timeline(scenario)),
           notices_(build_notices(scenario, steps_)),
-          sidecars_(scenario),
-          run_(std::random_device()()),
-          context_(testbed_.io, scenario.overview.seed),
-          messages_(context_, {loopback(run_, kEverybody), 0}) {
-        for (const FaultSpec& f : scenario.faults)
-            if (f.kind == FaultKind::sidecar_other_build && !options.build_commands.contains(f.build))
-                throw std::invalid_argument("a fault starts the build '" + f.build +
-                                            "': say which command that is with --build " + f.build +
+          sidecar_log_(scenario),
+          run_number_(std::random_device()()),
+          fault_context_(testbed_.io, scenario.overview.seed),
+          datagram_net_(fault_context_, {loopback_address(run_number_, kBroadcastHost), 0}) {
+        for (const FaultSpec& fault : scenario.faults)
+            if (fault.kind == FaultKind::sidecar_other_build && !options.build_commands.contains(fault.build))
+                throw std::invalid_argument("a fault starts the build '" + fault.build +
+                                            "': specify its command with --build " + fault.build +
                                             "=COMMAND");
         if (!options.log_path.empty()) {
             log_.open(options.log_path);
-            if (!log_) throw std::runtime_error(options.log_path + ": can't be written");
+            if (!log_) throw std::runtime_error(options.log_path + ": cannot be opened for writing");
         }
-        context_.restart_clock(kLongAhead);  // nothing of the file holds before time 0
+        // The rules of the scenario do not apply before time 0.
+        fault_context_.restart_clock(kPreparationTime);
         auto rules = scenario.link_rules();
-        linked_ = std::any_of(rules.begin(), rules.end(), [](const fault_proxy::Rule& rule) {
+        uses_links_ = std::any_of(rules.begin(), rules.end(), [](const fault_proxy::Rule& rule) {
             return rule.medium != fault_proxy::Medium::datagram;
         });
         for (fault_proxy::Rule& rule : scenario.message_rules()) {
-            rule.starts_at = -kLongAhead;  // from before the start
+            rule.starts_at = -kPreparationTime;  // message rules apply during the preparation too
             rules.push_back(std::move(rule));
         }
-        context_.replace_rules(std::move(rules));
-        messages_.observe([this](const fault_proxy::Link& link, std::size_t bytes, bool delivered) {
-            if (!delivered) return sidecars_.on_message_sent(testbed_.now(), bytes);
-            sidecars_.on_message_delivered(testbed_.now(), number_of(link.from), number_of(link.to), bytes);
+        fault_context_.replace_rules(std::move(rules));
+        datagram_net_.observe([this](const fault_proxy::Link& link, std::size_t bytes, bool delivered) {
+            if (!delivered) return sidecar_log_.on_message_sent(testbed_.now(), bytes);
+            sidecar_log_.on_message_delivered(testbed_.now(), sidecar_number(link.from),
+                                              sidecar_number(link.to), bytes);
         });
-        for (std::uint32_t i = 0; i < service_model_.count(); ++i)
-            servers_.push_back(std::make_unique<ServerEmulator>(testbed_, service_model_, checker_, metrics_,
-                                                                clients_, i,
-                                                                tcp::endpoint(loopback(run_, i), 0)));
+        for (std::uint32_t i = 0; i < service_model_.server_count(); ++i)
+            servers_.push_back(
+                std::make_unique<ServerEmulator>(testbed_, service_model_, checker_, metrics_, clients_, i,
+                                                 tcp::endpoint(loopback_address(run_number_, i), 0)));
         for (std::uint32_t i = 0; i < scenario.sidecars.count; ++i) add_peer(i);
         for (std::uint32_t i = 0; i < scenario.sidecars.count; ++i) add_sidecar(i);
     }
 
     Report run() {
-        testbed_.begin();  // for the waits until all are ready
-        for (Side& side : sides_) side.process->start();
-        wait_ready();
-        testbed_.begin(kBeforeFirst);
-        context_.restart_clock(kBeforeFirst);
-        for (Side& side : sides_) side.discovery->resume();
-        begin();
-        for (std::uint32_t i = 0; i < sides_.size(); ++i) sidecars_.on_started(0, i, "elmbay");
-        while (!over_) testbed_.io.run_one();
+        testbed_.begin();  // for the timers of the preparation
+        for (Sidecar& sidecar : sidecars_) sidecar.process->start();
+        wait_until_ready();
+        testbed_.begin(kStartDelay);
+        fault_context_.restart_clock(kStartDelay);
+        for (Sidecar& sidecar : sidecars_) sidecar.discovery->resume();
+        schedule_run();
+        for (std::uint32_t i = 0; i < sidecars_.size(); ++i) sidecar_log_.on_started(0, i, "elmbay");
+        while (!finished_) testbed_.io.run_one();
         checker_.finish(testbed_.now());
-        for (Side& side : sides_) side.process->kill();
+        for (Sidecar& sidecar : sidecars_) sidecar.process->kill();
         return report();
     }
 
 private:
-    struct Side {
+    /// One sidecar process with its emulated clients and discovery service.
+    struct Sidecar {
         std::unique_ptr<process_testbed::Process> process;
         std::unique_ptr<DiscoveryEmulator> discovery;
         std::unique_ptr<ClientEmulator> clients;
-        tcp::endpoint listen;
-        bool ready = false, may_end = false;
-        std::uint32_t life = 0;
-        std::optional<std::size_t> changed;  // the fault whose build or settings it runs
-        double share = 1;                    // of its core
-        bool duty_runs = false;
+        tcp::endpoint listen_endpoint;
+        bool ready = false, stopping = false;  // stopping: SIGTERM has been sent, so its exit is expected
+        std::uint32_t process_number = 0;      // counts the configured processes of this sidecar
+        // Index of the fault whose build or settings the process runs with.
+        std::optional<std::size_t> replacement_fault;
+        double cpu_share = 1;  // share of one core
+        bool cpu_limited = false;
     };
-    static std::string name_of_sidecar(std::uint32_t i) { return "n-" + std::to_string(i); }
-    static std::uint32_t number_of(const std::string& sidecar) {
+    static std::string sidecar_name(std::uint32_t number) { return "n-" + std::to_string(number); }
+    static std::uint32_t sidecar_number(const std::string& sidecar) {
         return static_cast<std::uint32_t>(std::stoul(sidecar.substr(2)));
     }
 
-    // ---- links, where the scenario has faults on them: between each sidecar, its servers and its list
-    tcp::endpoint way_to_server(std::uint32_t i, std::uint32_t s) {
-        if (!linked_) return servers_[s]->endpoint();
-        auto& link = links_[{i, s}];
+    // ---- links from each sidecar to its servers and its discovery service, if the scenario has link faults
+    tcp::endpoint endpoint_for_server(std::uint32_t sidecar, std::uint32_t server) {
+        if (!uses_links_) return servers_[server]->endpoint();
+        auto& link = server_links_[{sidecar, server}];
         link = std::make_unique<fault_proxy::StreamLink>(
-            context_, fault_proxy::Link{"n-" + std::to_string(i), "s-" + std::to_string(s)},
-            tcp::endpoint(servers_[s]->endpoint().address(), 0), servers_[s]->endpoint());
-        if (!service_model_.there_at_start(s))
+            fault_context_, fault_proxy::Link{"n-" + std::to_string(sidecar), "s-" + std::to_string(server)},
+            tcp::endpoint(servers_[server]->endpoint().address(), 0), servers_[server]->endpoint());
+        if (!service_model_.is_listed_at_start(server))
             link->set_target_state(fault_proxy::StreamLink::TargetState::down);
-        watch(*link);
-        servers_[s]->sent_at = [this](ClientRequestId id) {
-            const auto at = sent_at_.find(id);
-            return at == sent_at_.end() ? testbed_.now() : at->second;
+        record_first_bytes(*link);
+        servers_[server]->sent_at = [this](ClientRequestId id) {
+            const auto found = sent_at_.find(id);
+            return found == sent_at_.end() ? testbed_.now() : found->second;
         };
         return link->endpoint();
     }
-    tcp::endpoint way_to_list(std::uint32_t i) {
-        const tcp::endpoint list = sides_[i].discovery->endpoint();
-        if (!linked_) return list;
-        auto& links = list_links_[i];  // the last is the one in use; those before stay until they are closed
-        if (links.empty() || links.back().first != list)
-            links.emplace_back(list, std::make_unique<fault_proxy::StreamLink>(
-                                         context_, fault_proxy::Link{"n-" + std::to_string(i), "list"},
-                                         tcp::endpoint(list.address(), 0), list));
+    tcp::endpoint endpoint_for_discovery(std::uint32_t sidecar) {
+        const tcp::endpoint discovery_endpoint = sidecars_[sidecar].discovery->endpoint();
+        if (!uses_links_) return discovery_endpoint;
+        // The last link is in use. Earlier ones stay until their connections close.
+        auto& links = discovery_links_[sidecar];
+        if (links.empty() || links.back().first != discovery_endpoint)
+            links.emplace_back(discovery_endpoint,
+                               std::make_unique<fault_proxy::StreamLink>(
+                                   fault_context_, fault_proxy::Link{"n-" + std::to_string(sidecar), "list"},
+                                   tcp::endpoint(discovery_endpoint.address(), 0), discovery_endpoint));
         return links.back().second->endpoint();
     }
-    void watch(fault_proxy::StreamLink& link) {
+    // Records when the sidecar writes the first byte of each attempt on the link.
+    void record_first_bytes(fault_proxy::StreamLink& link) {
         const auto readers = std::make_shared<std::map<std::uint64_t, process_testbed::RequestReader>>();
         fault_proxy::StreamLink::Observer observer;
-        observer.on_client_sent = [this, readers](std::uint64_t nth, std::string_view bytes) {
-            (*readers)[nth].feed(bytes, testbed_.now(), [this](const std::string& id, Millis first_byte) {
-                if (const auto number = ServerEmulator::id_of(id)) sent_at_[*number] = first_byte;
-            });
+        observer.on_client_sent = [this, readers](std::uint64_t connection, std::string_view bytes) {
+            (*readers)[connection].feed(bytes, testbed_.now(),
+                                        [this](const std::string& id, Millis first_byte) {
+                                            if (const auto number = ServerEmulator::parse_id(id))
+                                                sent_at_[*number] = first_byte;
+                                        });
         };
-        observer.on_client_ended = [readers](std::uint64_t nth) { readers->erase(nth); };
+        observer.on_client_ended = [readers](std::uint64_t connection) { readers->erase(connection); };
         link.observe(std::move(observer));
     }
-    // What the kernel says for a server that has gone, its links must say.
-    void tell_links(const TimelineStep& s) {
+    // A link has to refuse or ignore connections as the kernel would do for the server behind it.
+    void update_links(const TimelineStep& step) {
         using Target = fault_proxy::StreamLink::TargetState;
-        if (s.kind != StepKind::stop && s.kind != StepKind::cut_off && s.kind != StepKind::start) return;
-        const Target target = s.kind == StepKind::stop      ? Target::down
-                              : s.kind == StepKind::cut_off ? Target::unreachable
-                                                            : Target::up;
-        for (auto& [ends, link] : links_)
-            if (ends.second == s.target) link->set_target_state(target);
+        if (step.kind != StepKind::stop && step.kind != StepKind::cut_off && step.kind != StepKind::start)
+            return;
+        const Target target_state = step.kind == StepKind::stop      ? Target::down
+                                    : step.kind == StepKind::cut_off ? Target::unreachable
+                                                                     : Target::up;
+        for (auto& [ends, link] : server_links_)
+            if (ends.second == step.target) link->set_target_state(target_state);
     }
 
-    // ---- before the start
-    // Where the others reach it, and a port of its own address at which it listens itself.
-    void add_peer(std::uint32_t i) {
-        fault_proxy::udp::socket probe(testbed_.io,
-                                       fault_proxy::udp::endpoint(loopback(run_, kSidecars + i), 0));
-        peer_listens_.push_back(probe.local_endpoint());
+    // ---- preparation
+    // Adds an address where the other sidecars reach this one, and picks the port on which it listens itself.
+    void add_peer(std::uint32_t number) {
+        fault_proxy::udp::socket probe(
+            testbed_.io,
+            fault_proxy::udp::endpoint(loopback_address(run_number_, kFirstSidecarHost + number), 0));
+        peer_listen_endpoints_.push_back(probe.local_endpoint());
         probe.close();
-        messages_.add(name_of_sidecar(i), {loopback(run_, kPeers + i), 0}, peer_listens_.back());
+        datagram_net_.add(sidecar_name(number), {loopback_address(run_number_, kFirstPeerHost + number), 0},
+                          peer_listen_endpoints_.back());
     }
-    static std::string text_of_peer(const fault_proxy::udp::endpoint& e) {
-        return e.address().to_string() + ":" + std::to_string(e.port());
+    static std::string udp_text_of(const fault_proxy::udp::endpoint& endpoint) {
+        return endpoint.address().to_string() + ":" + std::to_string(endpoint.port());
     }
-    json peers() const {
+    json peer_list() const {
         json list = json::array();
-        for (std::uint32_t i = 0; i < peer_listens_.size(); ++i)
-            list.push_back(text_of_peer(messages_.address_of(name_of_sidecar(i))));
+        for (std::uint32_t i = 0; i < peer_listen_endpoints_.size(); ++i)
+            list.push_back(udp_text_of(datagram_net_.address_of(sidecar_name(i))));
         return list;
     }
-    void add_sidecar(std::uint32_t i) {
-        Side side;
-        const auto address = loopback(run_, kSidecars + i);
-        // A free port of its own address: nothing else has it, so it is free again at the next start.
+    void add_sidecar(std::uint32_t number) {
+        Sidecar sidecar;
+        const auto address = loopback_address(run_number_, kFirstSidecarHost + number);
+        // Picks a free port. Only this sidecar uses the address, so the port stays free between its
+        // processes.
         tcp::acceptor probe(testbed_.io, tcp::endpoint(address, 0));
-        side.listen = probe.local_endpoint();
+        sidecar.listen_endpoint = probe.local_endpoint();
         probe.close();
-        std::vector<Entry> entries;
-        for (std::uint32_t s = 0; s < service_model_.count(); ++s)
+        std::vector<RegistryEntry> entries;
+        for (std::uint32_t server = 0; server < service_model_.server_count(); ++server)
             entries.push_back(
-                {s, way_to_server(i, s), scenario_.fleet.zones[scenario_.zone_of(s)],
-                 service_model_.there_at_start(s) ? EndpointState::active : EndpointState::removed, 0});
-        side.discovery =
-            std::make_unique<DiscoveryEmulator>(testbed_, checker_, i, std::move(entries), address);
+                {server, endpoint_for_server(number, server),
+                 scenario_.fleet.zones[scenario_.zone_of(server)],
+                 service_model_.is_listed_at_start(server) ? EndpointState::active : EndpointState::removed,
+                 0});
+        sidecar.discovery =
+            std::make_unique<DiscoveryEmulator>(testbed_, checker_, number, std::move(entries), address);
         const std::string command = options_.sidecar_command;
-        side.process =
-            std::make_unique<process_testbed::Process>("n-" + std::to_string(i), command, folder_.path());
-        side.clients = std::make_unique<ClientEmulator>(
-            testbed_, scenario_, clients_, side.listen,
+        sidecar.process = std::make_unique<process_testbed::Process>("n-" + std::to_string(number), command,
+                                                                     folder_.path());
+        sidecar.clients = std::make_unique<ClientEmulator>(
+            testbed_, scenario_, clients_, sidecar.listen_endpoint,
             ClientEmulator::Handlers{
-                [this](const ClientRequest& t) { checker_.on_request_sent(testbed_.now(), t); },
-                [this](const ClientRequest& t, const ClientEmulator::Outcome& o) { ended(t, o); }});
-        sides_.push_back(std::move(side));
-        configure(i);
+                [this](const ClientRequest& request) { checker_.on_request_sent(testbed_.now(), request); },
+                [this](const ClientRequest& request, const ClientEmulator::Outcome& outcome) {
+                    on_request_ended(request, outcome);
+                }});
+        sidecars_.push_back(std::move(sidecar));
+        configure(number);
     }
-    void configure(std::uint32_t i) {
-        Side& side = sides_[i];
-        const FaultSpec* changed = side.changed ? &scenario_.faults[*side.changed] : nullptr;
-        const balancer::Settings s = scenario_.settings(i, changed);
+    void configure(std::uint32_t number) {
+        Sidecar& sidecar = sidecars_[number];
+        const FaultSpec* fault =
+            sidecar.replacement_fault ? &scenario_.faults[*sidecar.replacement_fault] : nullptr;
+        const balancer::Settings settings = scenario_.settings(number, fault);
         json classes = json::array();
-        for (const ClassSpec& c : scenario_.classes)
-            classes.push_back({{"name", c.name},
-                               {"effect", c.effect == "safe"    ? "repeatable"
-                                          : c.effect == "keyed" ? "by_key"
-                                                                : "once"},
+        for (const ClassSpec& spec : scenario_.classes)
+            classes.push_back({{"name", spec.name},
+                               {"effect", spec.effect == "safe"    ? "repeatable"
+                                          : spec.effect == "keyed" ? "by_key"
+                                                                   : "once"},
                                {"dedup-scope", "all"},
-                               {"dedup-window-ms", c.dedup_window},
-                               {"on-time-ms", c.latency_objective},
-                               {"give-up-ms", c.client_deadline},
-                               {"credit", c.priority_weight},
+                               {"dedup-window-ms", spec.dedup_window},
+                               {"on-time-ms", spec.latency_objective},
+                               {"give-up-ms", spec.client_deadline},
+                               {"credit", spec.priority_weight},
                                {"late-value", 0.0}});
-        std::string halls;
-        for (const std::string& hall : scenario_.fleet.zones) halls += (halls.empty() ? "" : ",") + hall;
+        std::string zones;
+        for (const std::string& zone : scenario_.fleet.zones) zones += (zones.empty() ? "" : ",") + zone;
         char seed[24];
         std::snprintf(
             seed, sizeof seed, "%016llx",
-            static_cast<unsigned long long>(
-                random_stream(scenario_.overview.seed, StreamPurpose::balancer, i, ++side.life).next()));
+            static_cast<unsigned long long>(random_stream(scenario_.overview.seed, StreamPurpose::balancer,
+                                                          number, ++sidecar.process_number)
+                                                .next()));
         const json config = {
-            {"name", "n-" + std::to_string(i)},
-            {"listen", text_of(side.listen)},
-            {"discovery", text_of(way_to_list(i))},
+            {"name", "n-" + std::to_string(number)},
+            {"listen", text_of(sidecar.listen_endpoint)},
+            {"discovery", text_of(endpoint_for_discovery(number))},
             {"seed", seed},
             {"limits", {{"cores", 1.0}, {"memory_mb", 192}, {"sockets", scenario_.sidecars.max_sockets}}},
-            {"peer_listen", text_of_peer(peer_listens_[i])},
-            {"peers", peers()},
-            {"peers_all", text_of_peer(messages_.broadcast_address())},
-            {"known", listing_of(side.discovery->entries(), side.discovery->rev(), true, testbed_)},
+            {"peer_listen", udp_text_of(peer_listen_endpoints_[number])},
+            {"peers", peer_list()},
+            {"peers_all", udp_text_of(datagram_net_.broadcast_address())},
+            {"known",
+             endpoint_list_json(sidecar.discovery->entries(), sidecar.discovery->revision(), true, testbed_)},
             {"settings",
-             {{"azs", halls},
-              {"my-zone", scenario_.fleet.zones[i % scenario_.fleet.zones.size()]},
+             {{"azs", zones},
+              {"my-zone", scenario_.fleet.zones[number % scenario_.fleet.zones.size()]},
               {"classes", classes},
               {"membership-mode", "pushed"},
-              {"my-number", i},
-              {"siblings", s.siblings},
+              {"my-number", number},
+              {"siblings", settings.siblings},
               {"limits",
-               {{"max-attempts", s.max_attempts},
+               {{"max-attempts", settings.max_attempts},
                 {"may-cancel", true},
                 {"parallel-tries", false},
                 {"connect-timeout-ms", scenario_.fleet.connect_timeout},
                 {"idle-close-ms", scenario_.fleet.idle_timeout}}},
               {"rules",
-               {{"cold-from", s.slow_start_min_share},
-                {"fall-multiple", s.overload_multiple},
-                {"warm-within-ms", s.slow_start_duration}}},
-              {"fees", {{"cross-zone", s.costs.cross_zone}}}}}};
-        side.process->write_config(config);
-        if (scenario_.sidecars.cluster_enabled) side.process->write_operator_file("[cluster]\non = true\n");
+               {{"cold-from", settings.slow_start_min_share},
+                {"fall-multiple", settings.overload_multiple},
+                {"warm-within-ms", settings.slow_start_duration}}},
+              {"fees", {{"cross-zone", settings.costs.cross_zone}}}}}};
+        sidecar.process->write_config(config);
+        if (scenario_.sidecars.cluster_enabled)
+            sidecar.process->write_operator_file("[cluster]\non = true\n");
     }
-    void look_ready(std::uint32_t i) {
-        Side& side = sides_[i];
-        side.clients->up([this, i](bool up) {
-            sides_[i].ready = sides_[i].ready || up;
-            if (!up) testbed_.at(testbed_.now() + kReadyLook, [this, i] { look_ready(i); });
+    void poll_ready(std::uint32_t number) {
+        Sidecar& sidecar = sidecars_[number];
+        sidecar.clients->check_ready([this, number](bool ready) {
+            sidecars_[number].ready = sidecars_[number].ready || ready;
+            if (!ready)
+                testbed_.at(testbed_.now() + kReadyPollInterval, [this, number] { poll_ready(number); });
         });
     }
-    void wait_ready() {
-        for (std::uint32_t i = 0; i < sides_.size(); ++i) look_ready(i);
-        const auto all = [this] {
-            return std::all_of(sides_.begin(), sides_.end(), [](const Side& s) { return s.ready; });
+    void wait_until_ready() {
+        for (std::uint32_t i = 0; i < sidecars_.size(); ++i) poll_ready(i);
+        const auto all_ready = [this] {
+            return std::all_of(sidecars_.begin(), sidecars_.end(),
+                               [](const Sidecar& sidecar) { return sidecar.ready; });
         };
-        while (!all()) {
+        while (!all_ready()) {
             testbed_.io.run_one_for(std::chrono::milliseconds(50));
-            for (Side& side : sides_)
-                if (side.process->poll_exit()) not_ready(side, "ended at once");
-            if (testbed_.now() > kReadyWithin)
-                for (Side& side : sides_)
-                    if (!side.ready) not_ready(side, "is not ready after 15 s");
+            for (Sidecar& sidecar : sidecars_)
+                if (sidecar.process->poll_exit()) throw_not_ready(sidecar, "ended before it was ready");
+            if (testbed_.now() > kReadyTimeout)
+                for (Sidecar& sidecar : sidecars_)
+                    if (!sidecar.ready) throw_not_ready(sidecar, "was not ready within 15 s");
         }
     }
-    [[noreturn]] void not_ready(const Side& side, const std::string& what) {
-        std::ifstream file(side.process->log_path());
+    [[noreturn]] void throw_not_ready(const Sidecar& sidecar, const std::string& problem) {
+        std::ifstream file(sidecar.process->log_path());
         std::string text((std::istreambuf_iterator<char>(file)), {});
-        if (text.size() > kLogShown) text = "..." + text.substr(text.size() - kLogShown);
-        throw std::runtime_error("the sidecar '" + options_.sidecar_command + "' " + what + "; it said:\n" +
-                                 text);
+        if (text.size() > kMaxLogExcerptBytes) text = "..." + text.substr(text.size() - kMaxLogExcerptBytes);
+        throw std::runtime_error("the sidecar '" + options_.sidecar_command + "' " + problem +
+                                 "; the end of its log:\n" + text);
     }
 
     // ---- the run
-    void begin() {
-        for (const TimelineStep& s : steps_) testbed_.at(s.at, [this, &s] { step(s); });
-        for (const EndpointNotice& n : notices_)
-            for (std::uint32_t i = 0; i < sides_.size(); ++i)
-                testbed_.at(n.at + notice_skew(scenario_, i),
-                            [this, &n, i] { sides_[i].discovery->change(n); });
-        for (std::uint32_t i = 0; i < sides_.size(); ++i)
-            for (std::uint32_t s = 0; s < service_model_.count(); ++s)
-                if (!service_model_.there_at_start(s))
-                    checker_.on_endpoint_update(testbed_.now(), i, s, EndpointState::removed, 0);
-        look_processes();
-        ask_next();
-        Millis patience = 0;
-        for (const ClassSpec& c : scenario_.classes) patience = std::max(patience, c.client_deadline);
-        testbed_.at(scenario_.overview.duration + 1, [this] { finished(); });
-        testbed_.at(scenario_.overview.duration + patience + 1000, [this] { over_ = true; });
+    void schedule_run() {
+        for (const TimelineStep& step : steps_) testbed_.at(step.at, [this, &step] { apply_step(step); });
+        for (const EndpointNotice& notice : notices_)
+            for (std::uint32_t i = 0; i < sidecars_.size(); ++i)
+                testbed_.at(notice.at + notice_skew(scenario_, i),
+                            [this, &notice, i] { sidecars_[i].discovery->apply(notice); });
+        for (std::uint32_t i = 0; i < sidecars_.size(); ++i)
+            for (std::uint32_t server = 0; server < service_model_.server_count(); ++server)
+                if (!service_model_.is_listed_at_start(server))
+                    checker_.on_endpoint_update(testbed_.now(), i, server, EndpointState::removed, 0);
+        poll_processes();
+        schedule_next_operation();
+        Millis max_deadline = 0;
+        for (const ClassSpec& spec : scenario_.classes)
+            max_deadline = std::max(max_deadline, spec.client_deadline);
+        testbed_.at(scenario_.overview.duration + 1, [this] { finish_if_done(); });
+        testbed_.at(scenario_.overview.duration + max_deadline + 1000, [this] { finished_ = true; });
     }
-    void note(const std::string& line) {
+    void write_log(const std::string& line) {
         if (log_.is_open()) log_ << line << "\n";
     }
-    void ask_next() {
-        if (next_ask_ >= clients_.arrivals().size()) return;
-        const OperationId request = next_ask_++;
-        testbed_.at(clients_.arrival_of(request).at, [this, request] {
-            const ClientArrival& a = clients_.arrival_of(request);
-            ask_hash_ = fnv1a(ask_text(request, a), ask_hash_);
-            note(ask_text(request, a));
-            ask(clients_.first_request(request));
-            ask_next();
+    void schedule_next_operation() {
+        if (next_operation_ >= clients_.arrivals().size()) return;
+        const OperationId operation = next_operation_++;
+        testbed_.at(clients_.arrival_of(operation).at, [this, operation] {
+            const ClientArrival& arrival = clients_.arrival_of(operation);
+            operation_hash_ = fnv1a(operation_log_line(operation, arrival), operation_hash_);
+            write_log(operation_log_line(operation, arrival));
+            send_request(clients_.first_request(operation));
+            schedule_next_operation();
         });
     }
-    std::string ask_text(OperationId request, const ClientArrival& a) const {
+    std::string operation_log_line(OperationId operation, const ClientArrival& arrival) const {
         char text[96];
-        std::snprintf(text, sizeof text, "%.4f ask %llu n-%u %u %.4f", a.at,
-                      static_cast<unsigned long long>(request), a.sidecar, a.class_index,
-                      clients_.work(request));
+        std::snprintf(text, sizeof text, "%.4f ask %llu n-%u %u %.4f", arrival.at,
+                      static_cast<unsigned long long>(operation), arrival.sidecar, arrival.class_index,
+                      clients_.work(operation));
         return text;
     }
-    void ask(ClientRequest t) {
-        t.at = testbed_.now();
-        ++open_;
-        sides_[clients_.arrival_of(operation_of(t.id)).sidecar].clients->ask(t);
+    void send_request(ClientRequest request) {
+        request.at = testbed_.now();
+        ++open_request_count_;
+        sidecars_[clients_.arrival_of(operation_of(request.id)).sidecar].clients->send(request);
     }
-    void ended(const ClientRequest& t, const ClientEmulator::Outcome& o) {
+    void on_request_ended(const ClientRequest& request, const ClientEmulator::Outcome& outcome) {
         using End = ClientEmulator::End;
         const Millis now = testbed_.now();
-        --open_;
-        switch (o.end) {
-            case End::left:
-                checker_.on_client_left(now, t.id);
-                metrics_.on_client_left(operation_of(t.id));
-                return finished();
-            case End::unreached:
+        --open_request_count_;
+        switch (outcome.end) {
+            case End::client_left:
+                checker_.on_client_left(now, request.id);
+                metrics_.on_client_left(operation_of(request.id));
+                return finish_if_done();
+            case End::connect_failed:
                 break;
             case End::closed:
-                checker_.on_connection_closed(now, t.id);
+                checker_.on_connection_closed(now, request.id);
                 break;
             default:
-                checker_.on_response(now, t.id, o.answer, o.genuine);
+                checker_.on_response(now, request.id, outcome.response, outcome.genuine);
         }
-        if (const auto next = clients_.next_request(now, t, o.answer, o.retry_after)) {
-            ++open_;
-            testbed_.at(next->at, [this, again = *next] {
-                --open_;
-                ask(again);
+        if (const auto next = clients_.next_request(now, request, outcome.response, outcome.retry_after)) {
+            ++open_request_count_;
+            testbed_.at(next->at, [this, retry = *next] {
+                --open_request_count_;
+                send_request(retry);
             });
         } else {
-            metrics_.on_operation_ended(now, operation_of(t.id), o.answer);
+            metrics_.on_operation_ended(now, operation_of(request.id), outcome.response);
         }
-        finished();
+        finish_if_done();
     }
-    void finished() {
-        if (open_ == 0 && next_ask_ >= clients_.arrivals().size() &&
+    void finish_if_done() {
+        if (open_request_count_ == 0 && next_operation_ >= clients_.arrivals().size() &&
             testbed_.now() > scenario_.overview.duration)
-            over_ = true;
+            finished_ = true;
     }
 
-    void step(const TimelineStep& s) {
-        step_hash_ = fnv1a(text_of_step(s), step_hash_);
-        executed_.push_back(text_of_step(s));
-        note("step " + text_of_step(s));
-        if (!s.targets_sidecar()) {
-            servers_[s.target]->apply(s);
-            return tell_links(s);
+    void apply_step(const TimelineStep& step) {
+        step_hash_ = fnv1a(step_text(step), step_hash_);
+        executed_steps_.push_back(step_text(step));
+        write_log("step " + step_text(step));
+        if (!step.targets_sidecar()) {
+            servers_[step.target]->apply(step);
+            return update_links(step);
         }
-        Side& side = sides_[s.target];
-        switch (s.kind) {
+        Sidecar& sidecar = sidecars_[step.target];
+        switch (step.kind) {
             case StepKind::sidecar_kill:
-                messages_.set_listening(name_of_sidecar(s.target), false);
-                side.process->kill();
-                checker_.on_sidecar_killed(s.target);
-                sidecars_.on_ended(testbed_.now(), s.target, "killed");
+                datagram_net_.set_listening(sidecar_name(step.target), false);
+                sidecar.process->kill();
+                checker_.on_sidecar_killed(step.target);
+                sidecar_log_.on_ended(testbed_.now(), step.target, "killed");
                 break;
             case StepKind::sidecar_pause:
-                side.process->freeze();
-                checker_.on_sidecar_paused(s.target);
-                sidecars_.on_paused(testbed_.now(), s.target);
+                sidecar.process->freeze();
+                checker_.on_sidecar_paused(step.target);
+                sidecar_log_.on_paused(testbed_.now(), step.target);
                 break;
             case StepKind::sidecar_resume:
-                checker_.on_sidecar_resumed(s.target);
-                side.process->thaw();
-                sidecars_.on_resumed(testbed_.now(), s.target);
+                checker_.on_sidecar_resumed(step.target);
+                sidecar.process->thaw();
+                sidecar_log_.on_resumed(testbed_.now(), step.target);
                 break;
             case StepKind::sidecar_cpu_share:
-                side.share = s.value;
-                sidecars_.on_cpu_share_changed(testbed_.now(), s.target, s.value);
-                checker_.on_sidecar_cpu_limited(s.target, s.value < 1);
-                if (!std::exchange(side.duty_runs, true)) duty(s.target, true);
+                sidecar.cpu_share = step.value;
+                sidecar_log_.on_cpu_share_changed(testbed_.now(), step.target, step.value);
+                checker_.on_sidecar_cpu_limited(step.target, step.value < 1);
+                if (!std::exchange(sidecar.cpu_limited, true)) start_cpu_phase(step.target, true);
                 break;
             case StepKind::sidecar_replace:
-                side.changed = static_cast<std::size_t>(s.value);
-                restart(s.target);
+                sidecar.replacement_fault = static_cast<std::size_t>(step.value);
+                restart_process(step.target);
                 break;
             case StepKind::sidecar_restore:
-                side.changed.reset();
-                restart(s.target);
+                sidecar.replacement_fault.reset();
+                restart_process(step.target);
                 break;
             case StepKind::sidecar_start:
-                revive(s.target);
+                start_process(step.target);
                 break;
             case StepKind::sidecar_restart:
-                restart(s.target);
+                restart_process(step.target);
                 break;
             case StepKind::sidecar_reload:
-                side.discovery->move();
-                configure(s.target);
-                side.process->signal(SIGHUP);
+                sidecar.discovery->move();
+                configure(step.target);
+                sidecar.process->signal(SIGHUP);
                 break;
             default:
                 break;
         }
     }
-    void restart(std::uint32_t who) {
-        Side& side = sides_[who];
-        side.may_end = true;
-        side.process->signal(SIGTERM);
-        testbed_.at(testbed_.now() + kTermWithin, [this, who, life = side.life] {
-            if (sides_[who].life != life || !sides_[who].process->is_running()) return;
-            notes_.push_back("n-" + std::to_string(who) + " had not ended " +
-                             std::to_string(static_cast<int>(kTermWithin)) + "ms after SIGTERM");
-            sides_[who].process->kill();  // what it has not answered is lost
-            sidecars_.on_ended(testbed_.now(), who, "killed after SIGTERM");
-            revive(who);
-        });
+    void restart_process(std::uint32_t number) {
+        Sidecar& sidecar = sidecars_[number];
+        sidecar.stopping = true;
+        sidecar.process->signal(SIGTERM);
+        testbed_.at(
+            testbed_.now() + kTerminationTimeout, [this, number, process_number = sidecar.process_number] {
+                if (sidecars_[number].process_number != process_number ||
+                    !sidecars_[number].process->is_running())
+                    return;
+                notes_.push_back("n-" + std::to_string(number) + " did not end within " +
+                                 std::to_string(static_cast<int>(kTerminationTimeout)) + "ms after SIGTERM");
+                sidecars_[number].process->kill();  // requests without a response are lost
+                sidecar_log_.on_ended(testbed_.now(), number, "killed after SIGTERM");
+                start_process(number);
+            });
     }
-    void duty(std::uint32_t who, bool on) {
-        Side& side = sides_[who];
-        if (on)
-            side.process->thaw();
+    // Starts the running or the stopped part of a period of the CPU limit.
+    void start_cpu_phase(std::uint32_t number, bool running) {
+        Sidecar& sidecar = sidecars_[number];
+        if (running)
+            sidecar.process->thaw();
         else
-            side.process->freeze();
-        if (side.share >= 1 && on) {
-            side.duty_runs = false;
+            sidecar.process->freeze();
+        if (sidecar.cpu_share >= 1 && running) {
+            sidecar.cpu_limited = false;
             return;
         }
-        testbed_.at(testbed_.now() + kDutyRound * (on ? side.share : 1 - side.share),
-                    [this, who, on] { duty(who, !on); });
+        testbed_.at(testbed_.now() + kCpuPeriod * (running ? sidecar.cpu_share : 1 - sidecar.cpu_share),
+                    [this, number, running] { start_cpu_phase(number, !running); });
     }
-    static std::string text_of_step(const TimelineStep& s) { return simulation::text_of(s); }
-    void revive(std::uint32_t who) {
-        Side& side = sides_[who];
-        configure(who);
-        side.may_end = false;
+    static std::string step_text(const TimelineStep& step) { return simulation::text_of(step); }
+    void start_process(std::uint32_t number) {
+        Sidecar& sidecar = sidecars_[number];
+        configure(number);
+        sidecar.stopping = false;
         std::string command = options_.sidecar_command, build = "elmbay";
-        if (side.changed) {
-            const FaultSpec& f = scenario_.faults[*side.changed];
-            if (f.build.empty())
-                build += " (" + f.name + ")";
+        if (sidecar.replacement_fault) {
+            const FaultSpec& fault = scenario_.faults[*sidecar.replacement_fault];
+            if (fault.build.empty())
+                build += " (" + fault.name + ")";
             else
-                build = f.build, command = options_.build_commands.at(f.build);
+                build = fault.build, command = options_.build_commands.at(fault.build);
         }
-        messages_.set_listening(name_of_sidecar(who), true);
-        side.process->set_command(command);
-        side.process->start();
-        sidecars_.on_started(testbed_.now(), who, build);
+        datagram_net_.set_listening(sidecar_name(number), true);
+        sidecar.process->set_command(command);
+        sidecar.process->start();
+        sidecar_log_.on_started(testbed_.now(), number, build);
     }
-    // A sidecar that ends without having been told to has crashed.
-    void look_processes() {
-        for (std::uint32_t i = 0; i < sides_.size(); ++i) {
-            const auto status = sides_[i].process->poll_exit();
+    // Restarts the processes that ended as requested, and reports all others that ended as crashed.
+    void poll_processes() {
+        for (std::uint32_t i = 0; i < sidecars_.size(); ++i) {
+            const auto status = sidecars_[i].process->poll_exit();
             if (!status) continue;
-            const std::string how = WIFSIGNALED(*status) ? "by signal " + std::to_string(WTERMSIG(*status))
-                                                         : "with " + std::to_string(WEXITSTATUS(*status));
-            if (sides_[i].may_end) {
+            const std::string cause = WIFSIGNALED(*status)
+                                          ? "by signal " + std::to_string(WTERMSIG(*status))
+                                          : "with exit status " + std::to_string(WEXITSTATUS(*status));
+            if (sidecars_[i].stopping) {
                 checker_.on_sidecar_stopped(i);
-                sidecars_.on_ended(testbed_.now(), i, "ended");
-                revive(i);
+                sidecar_log_.on_ended(testbed_.now(), i, "ended");
+                start_process(i);
             } else {
                 checker_.on_unknown_request(testbed_.now(),
-                                            "n-" + std::to_string(i) + " ended by itself, " + how);
-                notes_.push_back("n-" + std::to_string(i) + " ended by itself, " + how);
+                                            "n-" + std::to_string(i) + " ended unexpectedly, " + cause);
+                notes_.push_back("n-" + std::to_string(i) + " ended unexpectedly, " + cause);
             }
         }
-        if (options_.progress && testbed_.now() > shown_ + scenario_.overview.duration / 100) {
-            shown_ = testbed_.now();
-            options_.progress(std::clamp(shown_ / scenario_.overview.duration, 0.0, 1.0));
+        if (options_.progress && testbed_.now() > progress_reported_at_ + scenario_.overview.duration / 100) {
+            progress_reported_at_ = testbed_.now();
+            options_.progress(std::clamp(progress_reported_at_ / scenario_.overview.duration, 0.0, 1.0));
         }
-        testbed_.at(testbed_.now() + kProcessLook, [this] { look_processes(); });
+        testbed_.at(testbed_.now() + kProcessPollInterval, [this] { poll_processes(); });
     }
 
     Report report() {
-        Report r = make_report(scenario_, clients_, checker_, metrics_);
-        r.mode = "real";
-        r.balancer = options_.sidecar_command;
-        r.punctuality = testbed_.punctuality();
-        r.notes = notes_;
-        r.sidecar_activity =
-            sidecars_.report(std::min(testbed_.now(), scenario_.overview.duration), next_ask_);
-        r.timeline = executed_;
-        for (const auto& server : servers_) r.connections += server->connections();
-        r.log_lines = executed_.size() + next_ask_;
-        r.log_hash = fnv1a(std::to_string(step_hash_), ask_hash_);
-        return r;
+        Report result = make_report(scenario_, clients_, checker_, metrics_);
+        result.mode = "real";
+        result.balancer = options_.sidecar_command;
+        result.punctuality = testbed_.punctuality();
+        result.notes = notes_;
+        result.sidecar_activity =
+            sidecar_log_.report(std::min(testbed_.now(), scenario_.overview.duration), next_operation_);
+        result.timeline = executed_steps_;
+        for (const auto& server : servers_) result.connections += server->accepted_connections();
+        result.log_lines = executed_steps_.size() + next_operation_;
+        result.log_hash = fnv1a(std::to_string(step_hash_), operation_hash_);
+        return result;
     }
 
     const Scenario& scenario_;
     const SocketRunOptions& options_;
-    const Folder folder_;
+    const RunFolder folder_;
     LoopbackTestbed testbed_;
     ClientModel clients_;
     ServiceModel service_model_;
@@ -550,24 +585,24 @@
     ServiceMetrics metrics_;
     const std::vector<TimelineStep> steps_;
     const std::vector<EndpointNotice> notices_;
-    SidecarActivityLog sidecars_;
-    const std::uint32_t run_;
+    SidecarActivityLog sidecar_log_;
+    const std::uint32_t run_number_;
     std::vector<std::unique_ptr<ServerEmulator>> servers_;
-    fault_proxy::EventLoopContext context_;
-    bool linked_ = false;  // whether the file has faults on streams: only then they go over links
-    fault_proxy::DatagramNet messages_;
-    std::vector<fault_proxy::udp::endpoint> peer_listens_;
-    std::map<std::pair<std::uint32_t, std::uint32_t>, std::unique_ptr<fault_proxy::StreamLink>> links_;
+    fault_proxy::EventLoopContext fault_context_;
+    bool uses_links_ = false;  // whether the scenario has faults on streams; without them there are no links
+    fault_proxy::DatagramNet datagram_net_;
+    std::vector<fault_proxy::udp::endpoint> peer_listen_endpoints_;
+    std::map<std::pair<std::uint32_t, std::uint32_t>, std::unique_ptr<fault_proxy::StreamLink>> server_links_;
     std::map<std::uint32_t, std::vector<std::pair<tcp::endpoint, std::unique_ptr<fault_proxy::StreamLink>>>>
-        list_links_;
-    std::unordered_map<ClientRequestId, Millis> sent_at_;  // of each try its last attempt
-    std::vector<Side> sides_;
+        discovery_links_;
+    std::unordered_map<ClientRequestId, Millis> sent_at_;  // first byte of the last attempt of each request
+    std::vector<Sidecar> sidecars_;
     std::ofstream log_;
-    std::vector<std::string> executed_, notes_;
-    std::uint64_t step_hash_ = kFnvOffsetBasis, ask_hash_ = kFnvOffsetBasis;
-    std::size_t next_ask_ = 0, open_ = 0;
-    Millis shown_ = 0;
-    bool over_ = false;
+    std::vector<std::string> executed_steps_, notes_;
+    std::uint64_t step_hash_ = kFnvOffsetBasis, operation_hash_ = kFnvOffsetBasis;
+    std::size_t next_operation_ = 0, open_request_count_ = 0;
+    Millis progress_reported_at_ = 0;
+    bool finished_ = false;
 };
 
 }  // namespace
--- a/src/simulation/drivers/sockets/socket_run.hpp
+++ b/src/simulation/drivers/sockets/socket_run.hpp
@@ -1,5 +1,7 @@
-// An scenario in real time: emulated servers, discovery and clients on loopback sockets round real sidecar
-// processes. One thread and one loop; it measures its own lateness.
+/// \file
+/// Runs a scenario in real time: emulated servers, discovery and clients on loopback sockets, with real
+/// sidecar processes between them. The run has one thread and one event loop, and measures the lateness of
+/// its timers.
 #pragma once
 
 #include <functional>
@@ -11,15 +13,16 @@
 namespace elmbay::simulation {
 
 struct SocketRunOptions {
-    std::string sidecar_command;                        // the command that starts one
-    std::map<std::string, std::string> build_commands;  // of faults other-build: the command of each name
-    std::string folder;    // for configurations and logs; empty: a temporary one, removed at the end
-    std::string log_path;  // every step and ask, a line each; empty: none
-    std::function<void(double)> progress{};
+    std::string sidecar_command;  ///< The command that starts a sidecar.
+    /// By name of a build, the command that starts it. Faults of kind other-build refer to these names.
+    std::map<std::string, std::string> build_commands;
+    std::string folder;    ///< For configurations and logs; empty: a temporary folder, removed at the end.
+    std::string log_path;  ///< Receives one line per timeline step and operation; empty: no log.
+    std::function<void(double)> progress{};  ///< Called about 100 times with the share of the time passed.
 };
 
-// Throws std::invalid_argument for a fault's build that builds does not name, std::runtime_error if the
-// sidecars don't come up, with the end of what one of them said.
+/// Throws std::invalid_argument if a fault's build has no command, and std::runtime_error, with the end of a
+/// sidecar's log, if the sidecars do not become ready.
 Report run_socket_simulation(const Scenario& scenario, const SocketRunOptions& options);
 
 }  // namespace elmbay::simulation
--- a/src/simulation/drivers/virtual/virtual_run.cpp
+++ b/src/simulation/drivers/virtual/virtual_run.cpp
@@ -19,102 +19,109 @@
 
 using namespace elmbay::balancer;
 
-// The module's clock at time 0: servers that started "long ago" have 0, so no start may come out as 0.
-constexpr Millis kEpoch = 1e9;
-// As the real sidecar: its answer leaves this much before the client's time is over, or a tenth of it.
-constexpr Millis kAnswerMargin = 8;
-constexpr double kMaxMarginShare = 0.1;
+// The decision module's clock at time 0. It is above 0 because an online_since of 0 stands for a server that
+// started long ago.
+constexpr Millis kModuleTimeAtStart = 1e9;
+// The real sidecar sends its response this long before the client's timeout, or a tenth of the timeout before
+// it if that is shorter.
+constexpr Millis kResponseMargin = 8;
+constexpr double kMaxResponseMarginShare = 0.1;
 constexpr Millis kClientLatency = 0.1;
-// After the last arrival all that is open must end within the longest patience; this is added for what is
-// sent back and forth.
-constexpr Millis kTail = 5000;
+// All open requests end within the longest client deadline after the last arrival; this allows for the
+// messages that are sent after that.
+constexpr Millis kEndAllowance = 5000;
 
-enum class What {
-    ask,
-    timer,
-    arrive,
-    reply,
-    expire,
-    recall,
-    idle,
-    leave,
-    patience,
-    step,
-    told,
-    remember,
-    poll,
-    revive,
-    intake,   // a request that came while its sidecar stood still is read
-    gone,     // and a client that went meanwhile is noticed
-    duty,     // a starved sidecar gets its core, or loses it
-    message,  // a datagram has come
-    refused,  // a machine says that nobody listens there
-    speak     // a agent wants to be woken
+/// What happens at a ScheduledEvent. The comment of each kind states what the event's target, subject and
+/// qualifier are; a kind uses only those that its comment names.
+enum class EventKind {
+    client_request,     ///< A client sends request `subject`; `qualifier` is 1 for the first of an operation.
+    module_timer,       ///< The timer with token `subject` of process `qualifier` of sidecar `target` is due.
+    attempt_arrival,    ///< Attempt `subject` of sidecar `target` reaches its server.
+    attempt_response,   ///< The end of attempt `subject` reaches sidecar `target`.
+    attempt_timeout,    ///< Attempt `subject` of sidecar `target` exceeds its deadline.
+    attempt_cancelled,  ///< Sidecar `target` has cancelled attempt `subject`.
+    idle_timeout,       ///< Sidecar `target` closes idle connection `subject` to server `qualifier`.
+    client_disconnect,  ///< The client of request `subject` disconnects from sidecar process `qualifier`.
+    client_timeout,     ///< The client of request `subject` stops waiting.
+    timeline_step,      ///< Step `subject` of the timeline is due.
+    endpoint_notice,    ///< Notice `subject` reaches the registry or, with `qualifier` 1, sidecar `target`.
+    snapshot,           ///< Sidecar `target` saves its learned state.
+    server_event,       ///< The model of server `target` has to advance.
+    process_restart,    ///< The process of sidecar `target` has drained and is replaced by a new one.
+    request_read,       ///< Sidecar `target` reads request `subject`, late if the process was stalled.
+    disconnect_read,    ///< Sidecar `target` detects that the client of request `subject` has disconnected.
+    cpu_phase,          ///< Sidecar `target` gets its core (`subject` 1) or loses it, if its CPU is limited.
+    message_arrival,    ///< Message `subject` reaches sidecar `target`.
+    port_unreachable,   ///< Sidecar `target` is notified that the port of sidecar `subject` is unreachable.
+    agent_timer         ///< The timer of the agent of process `subject` of sidecar `target` is due.
 };
 
-// Of a socket's receive buffer that nobody reads: so many datagrams stay, what comes after is gone.
-// net.core.rmem_default over what the kernel counts for a datagram of 256 bytes.
-constexpr std::size_t kMaxUnread = 256;
-constexpr Millis kDutyRound = 20;        // as the real driver's
-constexpr Millis kUnix = 1796000000000;  // Unix ms of time 0: some day
+// Datagrams that the receive buffer of a stalled process holds. The kernel drops those that arrive when it is
+// full. The number is net.core.rmem_default divided by the space that the kernel counts for a datagram of 256
+// bytes.
+constexpr std::size_t kMaxUnreadDatagrams = 256;
+// Period in which a sidecar with limited CPU gets its share of the core, as in the driver on sockets.
+constexpr Millis kCpuPeriod = 20;
+constexpr Millis kUnixTimeAtStart = 1796000000000;  // an arbitrary date
 
-struct Happening {
+struct ScheduledEvent {
     Millis at = 0;
-    std::uint64_t number = 0;
-    What what = What::ask;
-    std::uint32_t who = 0;
-    std::uint64_t a = 0;
-    std::uint64_t b = 0;
-    bool operator>(const Happening& other) const {
+    std::uint64_t number = 0;  // orders events of the same time
+    EventKind kind = EventKind::client_request;
+    std::uint32_t target = 0;  // number of a sidecar or server
+    std::uint64_t subject = 0;
+    std::uint64_t qualifier = 0;
+    bool operator>(const ScheduledEvent& other) const {
         return at != other.at ? at > other.at : number > other.number;
     }
 };
 
-// One attempt from the sidecar's decision to its end there.
+/// One attempt, from the sidecar's decision until the sidecar and the server are done with it.
 struct Attempt {
-    ClientRequestId id = 0;
-    std::uint32_t sidecar = 0, server = 0, number = 0, judged = 0, life = 0;
-    std::uint32_t epoch = 0;  // of the server's process that has the connection
-    Ticket ticket = 0;
-    Millis sent = 0, latency = 0;
-    bool out = true;       // the sidecar waits for it
-    bool fresh = false;    // its connection has to come up first
-    bool arrived = false;  // or it never will
+    ClientRequestId request_id = 0;
+    // `index` counts the attempts of the request; `checker_index` is its number at the invariant checker.
+    std::uint32_t sidecar = 0, server = 0, index = 0, checker_index = 0, sidecar_process = 0;
+    std::uint32_t server_process = 0;  // the process that has the connection
+    ServerRequestId server_request = 0;
+    Millis sent_at = 0, latency = 0;
+    bool pending = true;          // the sidecar waits for it
+    bool new_connection = false;  // its connection has to be established first
+    bool arrived = false;         // the request has reached the server or cannot reach it
     bool connected = false;
     Outcome outcome = Outcome::success;
 };
 
-struct Instance {
-    std::unique_ptr<BalancingPolicy> decider;
-    struct Open {
+struct SimulatedSidecar {
+    std::unique_ptr<BalancingPolicy> policy;
+    struct OpenRequest {
         std::vector<std::uint64_t> attempts;
-        std::uint32_t out = 0;
-        bool over = false;
+        std::uint32_t pending_attempts = 0;
+        bool finished = false;  // it has its response, or its client has disconnected
     };
-    std::unordered_map<RequestId, Open> requests;
-    struct Idle {
+    std::unordered_map<RequestId, OpenRequest> requests;
+    struct IdleConnection {
         std::uint64_t number;
-        std::uint32_t epoch;
+        std::uint32_t server_process;
     };
-    std::vector<std::vector<Idle>> idle;  // by server, the last used at the back
-    std::uint32_t life = 0;
-    bool alive = true, draining = false, frozen = false, off_core = false;
-    bool still() const { return frozen || off_core; }
-    std::vector<Happening> waiting;      // what came to it while it stood still
-    std::size_t unread = 0;              // datagrams among them
-    double share = 1;                    // of its core
-    std::optional<std::size_t> changed;  // the fault whose build or settings it runs
+    std::vector<std::vector<IdleConnection>> idle_connections;  // by server, the most recently used last
+    std::uint32_t process = 0;                                  // counts the processes of this sidecar
+    bool alive = true, draining = false, paused = false, without_cpu = false;
+    bool is_stalled() const { return paused || without_cpu; }
+    std::vector<ScheduledEvent> held_events;       // events for the process while it is stalled
+    std::size_t unread_datagrams = 0;              // datagrams among them
+    double cpu_share = 1;                          // share of one core
+    std::optional<std::size_t> replacement_fault;  // the fault whose build or settings the process runs with
     std::unique_ptr<MembershipAgent> agent;
-    std::uint32_t siblings = 0;  // as its agent told its module last
-    Millis began = 0;
-    LearnedState kept;  // what its store holds
-    Millis kept_at = -1;
+    std::uint32_t siblings = 0;  // the number that the decision module has from the agent
+    Millis started_at = 0;
+    LearnedState snapshot;
+    Millis snapshot_at = -1;
 };
 
-// The last of a try, until the client has its answer or is gone.
-struct OpenTry {
-    ClientRequest t;
-    std::uint32_t life = 0;
+/// The last request of an operation, while its client waits for the response.
+struct OpenClientRequest {
+    ClientRequest request;
+    std::uint32_t sidecar_process = 0;
 };
 
 class VirtualRun {
@@ -128,39 +135,44 @@
           metrics_(scenario, clients_),
           steps_(build_timeline(scenario)),
           notices_(build_notices(scenario, steps_)),
-          links_(scenario.overview.seed),
-          messages_(scenario),
-          sidecars_(scenario),
-          epochs_(service_model_.count(), 0),
-          poll_at_(service_model_.count(), -1) {
-        for (std::uint32_t i = 0; i < service_model_.count(); ++i)
-            listed_.push_back(info_of(i, EndpointState::active, 0));
-        for (std::uint32_t i = 0; i < service_model_.count(); ++i)
-            if (!service_model_.there_at_start(i)) listed_[i].state = EndpointState::removed;
-        instances_.resize(scenario.sidecars.count);
-        links_.replace_all(scenario.link_rules());
+          link_rules_(scenario.overview.seed),
+          message_network_(scenario),
+          sidecar_log_(scenario),
+          server_processes_(service_model_.server_count(), 0),
+          server_event_at_(service_model_.server_count(), -1) {
+        for (std::uint32_t i = 0; i < service_model_.server_count(); ++i)
+            registry_.push_back(make_server_info(i, EndpointState::active, 0));
+        for (std::uint32_t i = 0; i < service_model_.server_count(); ++i)
+            if (!service_model_.is_listed_at_start(i)) registry_[i].state = EndpointState::removed;
+        sidecars_.resize(scenario.sidecars.count);
+        link_rules_.replace_all(scenario.link_rules());
     }
 
     Report run() {
-        for (std::uint32_t i = 0; i < instances_.size(); ++i) begin_life(i);
-        for (std::size_t i = 0; i < steps_.size(); ++i) put(steps_[i].at, What::step, 0, i);
-        for (std::size_t i = 0; i < notices_.size(); ++i) put(notices_[i].at, What::told, 0, i, 0);
+        for (std::uint32_t i = 0; i < sidecars_.size(); ++i) start_sidecar(i);
+        for (std::size_t i = 0; i < steps_.size(); ++i)
+            schedule(steps_[i].at, EventKind::timeline_step, 0, i);
+        for (std::size_t i = 0; i < notices_.size(); ++i)
+            schedule(notices_[i].at, EventKind::endpoint_notice, 0, i, 0);
         if (scenario_.sidecars.snapshot_interval > 0)
-            for (std::uint32_t i = 0; i < instances_.size(); ++i)
-                put(scenario_.sidecars.snapshot_interval, What::remember, i);
-        ask_next();
+            for (std::uint32_t i = 0; i < sidecars_.size(); ++i)
+                schedule(scenario_.sidecars.snapshot_interval, EventKind::snapshot, i);
+        schedule_next_arrival();
         const Millis length = scenario_.overview.duration;
-        Millis patience = 0;
-        for (const ClassSpec& c : scenario_.classes) patience = std::max(patience, c.client_deadline);
-        Millis shown = 0;
-        while (!queue_.empty()) {
-            const Happening h = queue_.top();
-            if (h.at > length + patience + kTail || (h.at > length && open_.empty() && pending_ == 0)) break;
-            queue_.pop();
-            now_ = h.at;
-            happen(h);
-            if (options_.progress && now_ > shown + length / 100) {
-                shown = now_;
+        Millis max_deadline = 0;
+        for (const ClassSpec& spec : scenario_.classes)
+            max_deadline = std::max(max_deadline, spec.client_deadline);
+        Millis reported_at = 0;
+        while (!event_queue_.empty()) {
+            const ScheduledEvent event = event_queue_.top();
+            if (event.at > length + max_deadline + kEndAllowance ||
+                (event.at > length && open_requests_.empty() && unsent_request_count_ == 0))
+                break;
+            event_queue_.pop();
+            now_ = event.at;
+            dispatch(event);
+            if (options_.progress && now_ > reported_at + length / 100) {
+                reported_at = now_;
                 options_.progress(std::min(1.0, now_ / length));
             }
         }
@@ -168,751 +180,823 @@
         Report report = make_report(scenario_, clients_, checker_, metrics_);
         report.mode = "virtual";
         report.balancer = options_.balancer;
-        report.connections = connections_;
-        report.after_restart = restarted_;
-        report.sidecar_activity = sidecars_.report(std::min(now_, length), clients_.arrivals().size());
+        report.connections = connection_count_;
+        report.after_restart = after_restart_;
+        report.sidecar_activity = sidecar_log_.report(std::min(now_, length), clients_.arrivals().size());
         report.log_lines = log_lines_;
         report.log_hash = log_hash_;
         return report;
     }
 
 private:
-    // ---- the queue
-    void put(Millis at, What what, std::uint32_t who, std::uint64_t a = 0, std::uint64_t b = 0) {
-        queue_.push({std::max(at, now_), ++number_, what, who, a, b});
-    }
-    void happen(const Happening& h) {
-        if (over_cut_link(h)) return;
-        if (needs_its_process(h) && instances_[h.who].still()) return come_to_one_that_is_still(h);
-        carry_out(h);
-    }
-    void carry_out(const Happening& h) {
-        switch (h.what) {
-            case What::ask:
-                return ask(h);
-            case What::timer:
-                return timer(h);
-            case What::arrive:
-                return arrive(h.a);
-            case What::reply:
-                return ended(h.a, std::nullopt);
-            case What::expire:
-                return ended(h.a, Outcome::timed_out);
-            case What::recall:
-                return report_end(h.a, Outcome::cancelled);
-            case What::idle:
-                return idle_over(h);
-            case What::leave:
-                return leave(h.a, static_cast<std::uint32_t>(h.b));
-            case What::patience:
-                return out_of_patience(h.a);
-            case What::step:
-                return step(steps_[h.a]);
-            case What::revive:
-                if (!instances_[h.who].draining) return;
-                sidecars_.on_ended(now_, h.who, "ended");
-                return begin_life(h.who);
-            case What::told:
-                return told(h);
-            case What::intake:
-                return intake(h.a);
-            case What::gone:
-                return gone(h.who, h.a);
-            case What::duty:
-                return duty(h.who, h.a);
-            case What::message:
-                return hear(h);
-            case What::refused:
-                return hear_refusal(h);
-            case What::speak:
-                return speak(h);
-            case What::remember:
-                if (instances_[h.who].decider && !instances_[h.who].still()) keep(instances_[h.who]);
-                return put(now_ + scenario_.sidecars.snapshot_interval, What::remember, h.who);
-            case What::poll:
-                if (h.at != poll_at_[h.who]) return;
-                poll_at_[h.who] = -1;
-                service_model_.server(h.who).advance(now_, out_);
-                return pump(h.who);
+    // ---- the event queue
+    void schedule(Millis at, EventKind kind, std::uint32_t target, std::uint64_t subject = 0,
+                  std::uint64_t qualifier = 0) {
+        event_queue_.push({std::max(at, now_), ++last_event_, kind, target, subject, qualifier});
+    }
+    void dispatch(const ScheduledEvent& event) {
+        if (delay_on_cut_link(event)) return;
+        if (needs_sidecar_process(event) && sidecars_[event.target].is_stalled())
+            return hold_for_stalled_sidecar(event);
+        execute(event);
+    }
+    void execute(const ScheduledEvent& event) {
+        switch (event.kind) {
+            case EventKind::client_request:
+                return send_client_request(event);
+            case EventKind::module_timer:
+                return fire_module_timer(event);
+            case EventKind::attempt_arrival:
+                return deliver_attempt(event.subject);
+            case EventKind::attempt_response:
+                return complete_attempt(event.subject, std::nullopt);
+            case EventKind::attempt_timeout:
+                return complete_attempt(event.subject, Outcome::timed_out);
+            case EventKind::attempt_cancelled:
+                return report_outcome(event.subject, Outcome::cancelled);
+            case EventKind::idle_timeout:
+                return close_idle_connection(event);
+            case EventKind::client_disconnect:
+                return disconnect_client(event.subject, static_cast<std::uint32_t>(event.qualifier));
+            case EventKind::client_timeout:
+                return time_out_client(event.subject);
+            case EventKind::timeline_step:
+                return apply_step(steps_[event.subject]);
+            case EventKind::process_restart:
+                if (!sidecars_[event.target].draining) return;
+                sidecar_log_.on_ended(now_, event.target, "ended");
+                return start_sidecar(event.target);
+            case EventKind::endpoint_notice:
+                return deliver_notice(event);
+            case EventKind::request_read:
+                return read_request(event.subject);
+            case EventKind::disconnect_read:
+                return read_disconnect(event.target, event.subject);
+            case EventKind::cpu_phase:
+                return start_cpu_phase(event.target, event.subject);
+            case EventKind::message_arrival:
+                return deliver_message(event);
+            case EventKind::port_unreachable:
+                return deliver_port_unreachable(event);
+            case EventKind::agent_timer:
+                return fire_agent_timer(event);
+            case EventKind::snapshot:
+                if (sidecars_[event.target].policy && !sidecars_[event.target].is_stalled())
+                    save_snapshot(sidecars_[event.target]);
+                return schedule(now_ + scenario_.sidecars.snapshot_interval, EventKind::snapshot,
+                                event.target);
+            case EventKind::server_event:
+                if (event.at != server_event_at_[event.target]) return;
+                server_event_at_[event.target] = -1;
+                service_model_.server(event.target).advance(now_, departures_);
+                return process_departures(event.target);
         }
     }
 
-    // ---- sidecars that stand still
-    // Whether it is the sidecar's own process that has to do it.
-    static bool needs_its_process(const Happening& h) {
-        switch (h.what) {
-            case What::timer:
-            case What::reply:
-            case What::expire:
-            case What::recall:
-            case What::revive:
-            case What::intake:
-            case What::gone:
-            case What::message:
-            case What::refused:
-            case What::speak:
+    // ---- stalled sidecars
+    // Whether the sidecar's process handles the event, so that the event is held while the process is
+    // stalled.
+    static bool needs_sidecar_process(const ScheduledEvent& event) {
+        switch (event.kind) {
+            case EventKind::module_timer:
+            case EventKind::attempt_response:
+            case EventKind::attempt_timeout:
+            case EventKind::attempt_cancelled:
+            case EventKind::process_restart:
+            case EventKind::request_read:
+            case EventKind::disconnect_read:
+            case EventKind::message_arrival:
+            case EventKind::port_unreachable:
+            case EventKind::agent_timer:
                 return true;
-            case What::told:
-                return h.b == 1;
+            case EventKind::endpoint_notice:
+                return event.qualifier == 1;
             default:
                 return false;
         }
     }
-    void come_to_one_that_is_still(const Happening& h) {
-        Instance& n = instances_[h.who];
-        // Written to its machine is told, read or not.
-        if (h.what == What::told) note_told(h.who, notices_[h.a]);
-        if (h.what == What::message && ++n.unread > kMaxUnread) return forget_message(h.a);
-        n.waiting.push_back(h);
-    }
-    void freeze(std::uint32_t who) {
-        Instance& n = instances_[who];
-        if (!n.alive || n.frozen) return;
-        n.frozen = true;
-        checker_.on_sidecar_paused(who);
-        sidecars_.on_paused(now_, who);
-    }
-    void thaw(std::uint32_t who) {
-        Instance& n = instances_[who];
-        if (!n.frozen) return;
-        n.frozen = false;
-        checker_.on_sidecar_resumed(who);
-        sidecars_.on_resumed(now_, who);
-        catch_up(who);
-    }
-    // ClientModel' ends and lists come before all that could send, as in the program (Upstream::WriteChecks).
-    void catch_up(std::uint32_t who) {
-        Instance& n = instances_[who];
-        if (n.still()) return;
-        n.unread = 0;
-        std::vector<Happening> waiting = std::exchange(n.waiting, {});
-        const auto rank = [](const Happening& h) {
-            return h.what == What::gone ? 0 : h.what == What::told ? 1 : 2;
+    void hold_for_stalled_sidecar(const ScheduledEvent& event) {
+        SimulatedSidecar& sidecar = sidecars_[event.target];
+        // For the checker a notice counts as delivered when it is written to the connection, read or not.
+        if (event.kind == EventKind::endpoint_notice) record_notice(event.target, notices_[event.subject]);
+        if (event.kind == EventKind::message_arrival && ++sidecar.unread_datagrams > kMaxUnreadDatagrams)
+            return discard_message(event.subject);
+        sidecar.held_events.push_back(event);
+    }
+    void pause_sidecar(std::uint32_t number) {
+        SimulatedSidecar& sidecar = sidecars_[number];
+        if (!sidecar.alive || sidecar.paused) return;
+        sidecar.paused = true;
+        checker_.on_sidecar_paused(number);
+        sidecar_log_.on_paused(now_, number);
+    }
+    void resume_sidecar(std::uint32_t number) {
+        SimulatedSidecar& sidecar = sidecars_[number];
+        if (!sidecar.paused) return;
+        sidecar.paused = false;
+        checker_.on_sidecar_resumed(number);
+        sidecar_log_.on_resumed(now_, number);
+        execute_held_events(number);
+    }
+    // Client disconnects and endpoint notices are executed before all events that could start an attempt, as
+    // in the program (Upstream::WriteChecks).
+    void execute_held_events(std::uint32_t number) {
+        SimulatedSidecar& sidecar = sidecars_[number];
+        if (sidecar.is_stalled()) return;
+        sidecar.unread_datagrams = 0;
+        std::vector<ScheduledEvent> held_events = std::exchange(sidecar.held_events, {});
+        const auto rank = [](const ScheduledEvent& event) {
+            return event.kind == EventKind::disconnect_read   ? 0
+                   : event.kind == EventKind::endpoint_notice ? 1
+                                                              : 2;
         };
-        std::stable_sort(waiting.begin(), waiting.end(),
-                         [&](const Happening& a, const Happening& b) { return rank(a) < rank(b); });
-        for (const Happening& h : waiting) carry_out(h);
-    }
-    // Its process has ended: what waited for it has nobody.
-    void forget_waiting(Instance& n) {
-        for (const Happening& h : n.waiting)
-            if (h.what == What::message) forget_message(h.a);
-        n.waiting.clear();
-        n.unread = 0;
-        n.frozen = n.off_core = false;
-    }
-    void starve(std::uint32_t who, double share) {
-        Instance& n = instances_[who];
-        const bool goes_on = n.share < 1;
-        n.share = share;
-        sidecars_.on_cpu_share_changed(now_, who, share);
-        if (share >= 1) n.off_core = false, catch_up(who);
-        checker_.on_sidecar_cpu_limited(who, share < 1);
-        if (!goes_on && share < 1) duty(who, 0);
-    }
-    void duty(std::uint32_t who, std::uint64_t on) {
-        Instance& n = instances_[who];
-        n.off_core = !on && n.share < 1 && n.alive;
-        if (!n.off_core) catch_up(who);
-        if (n.share >= 1) return;
-        put(now_ + kDutyRound * (n.off_core ? 1 - n.share : n.share), What::duty, who, n.off_core);
+        std::stable_sort(held_events.begin(), held_events.end(),
+                         [&](const ScheduledEvent& left, const ScheduledEvent& right) {
+                             return rank(left) < rank(right);
+                         });
+        for (const ScheduledEvent& event : held_events) execute(event);
+    }
+    // Discards the events that were held for a process that has ended.
+    void discard_held_events(SimulatedSidecar& sidecar) {
+        for (const ScheduledEvent& event : sidecar.held_events)
+            if (event.kind == EventKind::message_arrival) discard_message(event.subject);
+        sidecar.held_events.clear();
+        sidecar.unread_datagrams = 0;
+        sidecar.paused = sidecar.without_cpu = false;
+    }
+    void limit_cpu(std::uint32_t number, double share) {
+        SimulatedSidecar& sidecar = sidecars_[number];
+        const bool was_limited = sidecar.cpu_share < 1;
+        sidecar.cpu_share = share;
+        sidecar_log_.on_cpu_share_changed(now_, number, share);
+        if (share >= 1) sidecar.without_cpu = false, execute_held_events(number);
+        checker_.on_sidecar_cpu_limited(number, share < 1);
+        if (!was_limited && share < 1) start_cpu_phase(number, 0);
+    }
+    void start_cpu_phase(std::uint32_t number, std::uint64_t has_core) {
+        SimulatedSidecar& sidecar = sidecars_[number];
+        sidecar.without_cpu = !has_core && sidecar.cpu_share < 1 && sidecar.alive;
+        if (!sidecar.without_cpu) execute_held_events(number);
+        if (sidecar.cpu_share >= 1) return;
+        schedule(now_ + kCpuPeriod * (sidecar.without_cpu ? 1 - sidecar.cpu_share : sidecar.cpu_share),
+                 EventKind::cpu_phase, number, sidecar.without_cpu);
     }
 
     // ---- messages between sidecars
-    void start_companion(std::uint32_t who) {
-        Instance& n = instances_[who];
-        n.agent.reset();
+    void start_agent(std::uint32_t number) {
+        SimulatedSidecar& sidecar = sidecars_[number];
+        sidecar.agent.reset();
         if (scenario_.messages.heartbeat_interval <= 0 && !scenario_.sidecars.cluster_enabled) return;
         const std::uint64_t seed =
-            random_stream(scenario_.overview.seed, StreamPurpose::membership_agent, who, n.life).next();
+            random_stream(scenario_.overview.seed, StreamPurpose::membership_agent, number, sidecar.process)
+                .next();
         if (scenario_.sidecars.cluster_enabled)
-            n.agent = std::make_unique<ClusterMembershipAgent>(scenario_, who, seed, now_, kUnix);
+            sidecar.agent =
+                std::make_unique<ClusterMembershipAgent>(scenario_, number, seed, now_, kUnixTimeAtStart);
         else
-            n.agent = std::make_unique<Beats>(scenario_, who, seed);
-        n.siblings = static_cast<std::uint32_t>(scenario_.sidecars.count);
-        std::vector<Outgoing> out;
-        n.agent->begin(now_, out);
-        said(who, out);
+            sidecar.agent = std::make_unique<HeartbeatSender>(scenario_, number, seed);
+        sidecar.siblings = static_cast<std::uint32_t>(scenario_.sidecars.count);
+        std::vector<OutgoingMessage> messages;
+        sidecar.agent->start(now_, messages);
+        send_messages(number, messages);
     }
-    void said(std::uint32_t who, const std::vector<Outgoing>& out) {
+    // Sends what the agent returned, schedules its timer and reports a new sibling count to the decision
+    // module.
+    void send_messages(std::uint32_t number, const std::vector<OutgoingMessage>& messages) {
         std::vector<MessageNetwork::Delivery> deliveries;
-        for (const Outgoing& message : out) {
+        for (const OutgoingMessage& message : messages) {
             deliveries.clear();
-            messages_.send(now_, who, message, deliveries);
-            const std::uint64_t copies = message.to ? 1 : instances_.size() - 1;
-            for (std::uint64_t i = 0; i < copies; ++i) sidecars_.on_message_sent(now_, message.bytes.size());
-            for (MessageNetwork::Delivery& d : deliveries) {
-                on_their_way_[++last_message_] = {who, std::move(d.bytes)};
-                put(now_ + d.after, What::message, d.to, last_message_);
+            message_network_.send(now_, number, message, deliveries);
+            const std::uint64_t copies = message.to ? 1 : sidecars_.size() - 1;
+            for (std::uint64_t i = 0; i < copies; ++i)
+                sidecar_log_.on_message_sent(now_, message.bytes.size());
+            for (MessageNetwork::Delivery& delivery : deliveries) {
+                messages_in_transit_[++last_message_] = {number, std::move(delivery.bytes)};
+                schedule(now_ + delivery.delay, EventKind::message_arrival, delivery.to, last_message_);
             }
         }
-        Instance& n = instances_[who];
-        if (!n.agent) return;
-        if (n.agent->next() < fault_proxy::kNever) put(n.agent->next(), What::speak, who, n.life);
-        const auto siblings = n.agent->siblings(now_);
-        if (siblings && std::exchange(n.siblings, *siblings) != *siblings)
-            give(who, SiblingCountChanged{*siblings});
-    }
-    void speak(const Happening& h) {
-        Instance& n = instances_[h.who];
-        // One that has been told another time meanwhile has another event for it.
-        if (n.life != h.a || !n.agent || n.agent->next() > now_) return;
-        std::vector<Outgoing> out;
-        n.agent->wake(now_, out);
-        said(h.who, out);
-    }
-    void forget_message(std::uint64_t number) { on_their_way_.erase(number); }
-    void hear(const Happening& h) {
-        const auto node = on_their_way_.extract(h.a);
+        SimulatedSidecar& sidecar = sidecars_[number];
+        if (!sidecar.agent) return;
+        if (sidecar.agent->next_timer_at() < fault_proxy::kNever)
+            schedule(sidecar.agent->next_timer_at(), EventKind::agent_timer, number, sidecar.process);
+        const auto siblings = sidecar.agent->update_siblings(now_);
+        if (siblings && std::exchange(sidecar.siblings, *siblings) != *siblings)
+            handle_event(number, SiblingCountChanged{*siblings});
+    }
+    void fire_agent_timer(const ScheduledEvent& event) {
+        SimulatedSidecar& sidecar = sidecars_[event.target];
+        // If the agent has postponed its timer in the meantime, another event is scheduled for the new time.
+        if (sidecar.process != event.subject || !sidecar.agent || sidecar.agent->next_timer_at() > now_)
+            return;
+        std::vector<OutgoingMessage> messages;
+        sidecar.agent->on_timer(now_, messages);
+        send_messages(event.target, messages);
+    }
+    void discard_message(std::uint64_t number) { messages_in_transit_.erase(number); }
+    void deliver_message(const ScheduledEvent& event) {
+        const auto node = messages_in_transit_.extract(event.subject);
         if (node.empty()) return;
         const auto& [from, bytes] = node.mapped();
-        if (messages_.cut(now_, from, h.who)) return;
-        Instance& n = instances_[h.who];
-        if (!n.alive) {
-            if (!messages_.cut(now_, h.who, from))
-                put(now_ + scenario_.messages.min_delay, What::refused, from, h.who);
+        if (message_network_.is_cut(now_, from, event.target)) return;
+        SimulatedSidecar& sidecar = sidecars_[event.target];
+        if (!sidecar.alive) {
+            if (!message_network_.is_cut(now_, event.target, from))
+                schedule(now_ + scenario_.messages.min_delay, EventKind::port_unreachable, from,
+                         event.target);
             return;
         }
-        sidecars_.on_message_delivered(now_, from, h.who, bytes.size());
-        if (!n.agent) return;
-        std::vector<Outgoing> out;
-        n.agent->heard(now_, from, bytes, out);
-        said(h.who, out);
+        sidecar_log_.on_message_delivered(now_, from, event.target, bytes.size());
+        if (!sidecar.agent) return;
+        std::vector<OutgoingMessage> messages;
+        sidecar.agent->on_message(now_, from, bytes, messages);
+        send_messages(event.target, messages);
     }
 
-    void hear_refusal(const Happening& h) {
-        Instance& n = instances_[h.who];
-        if (!n.agent) return;
-        std::vector<Outgoing> out;
-        n.agent->refused(now_, static_cast<std::uint32_t>(h.a), out);
-        said(h.who, out);
+    void deliver_port_unreachable(const ScheduledEvent& event) {
+        SimulatedSidecar& sidecar = sidecars_[event.target];
+        if (!sidecar.agent) return;
+        std::vector<OutgoingMessage> messages;
+        sidecar.agent->on_port_unreachable(now_, static_cast<std::uint32_t>(event.subject), messages);
+        send_messages(event.target, messages);
     }
 
     // ---- links
-    static std::string sidecar_name(std::uint32_t who) { return "n-" + std::to_string(who); }
-    static std::string server_name(std::uint32_t who) { return "s-" + std::to_string(who); }
-    bool cut(const fault_proxy::Link& link) const {
-        return !links_.all().empty() && links_.is_cut(link, fault_proxy::Medium::stream, now_);
-    }
-    // Whatever is on its way over a cut link waits, as for retransmission. Whether it does.
-    bool waits(const fault_proxy::Link& link, const Happening& h) {
-        if (!cut(link)) return false;
-        const Millis next = links_.next_change(now_);
-        if (next < fault_proxy::kNever) put(next, h.what, h.who, h.a, h.b);
+    static std::string sidecar_name(std::uint32_t number) { return "n-" + std::to_string(number); }
+    static std::string server_name(std::uint32_t number) { return "s-" + std::to_string(number); }
+    bool is_cut(const fault_proxy::Link& link) const {
+        return !link_rules_.all().empty() && link_rules_.is_cut(link, fault_proxy::Medium::stream, now_);
+    }
+    // Reschedules the event to the next change of the link rules if the link is cut, because TCP retransmits
+    // the data after the cut. Returns whether the link is cut.
+    bool delay_while_cut(const fault_proxy::Link& link, const ScheduledEvent& event) {
+        if (!is_cut(link)) return false;
+        const Millis next = link_rules_.next_change(now_);
+        if (next < fault_proxy::kNever)
+            schedule(next, event.kind, event.target, event.subject, event.qualifier);
         return true;
     }
-    bool over_cut_link(const Happening& h) {
-        if (links_.all().empty()) return false;
-        if (h.what == What::told && h.b == 1) return waits({"list", sidecar_name(h.who)}, h);
-        if (h.what != What::arrive && h.what != What::reply) return false;
-        const auto at = attempts_.find(h.a);
-        if (at == attempts_.end()) return false;
-        const Attempt& a = at->second;
-        const fault_proxy::Link forth{sidecar_name(a.sidecar), server_name(a.server)};
-        if (h.what == What::arrive) {
-            if (!a.fresh || a.connected) return waits(forth, h);
-            if (!cut(forth) && !cut(forth.reversed())) return false;
-            // Its connection does not come up while the link is cut: tried until the sidecar gives it up.
-            never_up(at->second, h.a, std::max(0.0, a.sent + scenario_.fleet.connect_timeout - now_));
+    bool delay_on_cut_link(const ScheduledEvent& event) {
+        if (link_rules_.all().empty()) return false;
+        if (event.kind == EventKind::endpoint_notice && event.qualifier == 1)
+            return delay_while_cut({"list", sidecar_name(event.target)}, event);
+        if (event.kind != EventKind::attempt_arrival && event.kind != EventKind::attempt_response)
+            return false;
+        const auto found = attempts_.find(event.subject);
+        if (found == attempts_.end()) return false;
+        const Attempt& attempt = found->second;
+        const fault_proxy::Link link{sidecar_name(attempt.sidecar), server_name(attempt.server)};
+        if (event.kind == EventKind::attempt_arrival) {
+            if (!attempt.new_connection || attempt.connected) return delay_while_cut(link, event);
+            if (!is_cut(link) && !is_cut(link.reversed())) return false;
+            // The connection cannot be established while the link is cut in either direction. The attempt
+            // fails after the connect timeout.
+            fail_connection(found->second, event.subject,
+                            std::max(0.0, attempt.sent_at + scenario_.fleet.connect_timeout - now_));
             return true;
         }
-        // What the sidecar finds out by itself needs no link.
-        return a.outcome != Outcome::connect_failed && waits(forth.reversed(), h);
+        // The sidecar detects a failed connect by itself, so the link does not matter.
+        return attempt.outcome != Outcome::connect_failed && delay_while_cut(link.reversed(), event);
     }
 
     // ---- clients
-    // Arrivals enter the queue one at a time: millions of them need not be in it together.
-    void ask_next() {
-        if (next_ask_ >= clients_.arrivals().size()) return;
-        const ClientRequest t = clients_.first_request(next_ask_++);
-        ++pending_;
-        waiting_.emplace(t.id, t);
-        put(t.at, What::ask, 0, t.id, 1);
-    }
-    void ask(const Happening& h) {
-        --pending_;
-        if (h.b == 1) ask_next();
-        const auto waiting = waiting_.find(h.a);
-        const ClientRequest t = waiting->second;
-        waiting_.erase(waiting);
-        const ClientArrival& a = clients_.arrival_of(operation_of(t.id));
-        Instance& n = instances_[a.sidecar];
-        log("ask %llu n-%u %s", ull(t.id), a.sidecar, scenario_.classes[a.class_index].name.c_str());
-        if (!n.alive || n.draining)
-            return after(t, ResponseKind::none, 0);  // nobody there: it has not been taken
-        checker_.on_request_sent(now_, t);
-        open_[t.id] = {t, n.life};
-        put(now_ + t.timeout, What::patience, 0, t.id);
-        if (t.disconnect_after > 0) put(now_ + t.disconnect_after, What::leave, a.sidecar, t.id, n.life);
-        n.requests[t.id];
-        happen({now_, 0, What::intake, a.sidecar, t.id});
-    }
-    // Time that it lay unread is its client's.
-    void intake(ClientRequestId id) {
-        const auto open = open_.find(id);
-        if (open == open_.end()) return;
-        const ClientRequest& t = open->second.t;
-        const ClientArrival& a = clients_.arrival_of(operation_of(id));
+    // Schedules one arrival at a time, so that the queue does not have to hold millions of them.
+    void schedule_next_arrival() {
+        if (next_operation_ >= clients_.arrivals().size()) return;
+        const ClientRequest request = clients_.first_request(next_operation_++);
+        ++unsent_request_count_;
+        unsent_requests_.emplace(request.id, request);
+        schedule(request.at, EventKind::client_request, 0, request.id, 1);
+    }
+    void send_client_request(const ScheduledEvent& event) {
+        --unsent_request_count_;
+        if (event.qualifier == 1) schedule_next_arrival();
+        const auto unsent = unsent_requests_.find(event.subject);
+        const ClientRequest request = unsent->second;
+        unsent_requests_.erase(unsent);
+        const ClientArrival& arrival = clients_.arrival_of(operation_of(request.id));
+        SimulatedSidecar& sidecar = sidecars_[arrival.sidecar];
+        log("ask %llu n-%u %s", ull(request.id), arrival.sidecar,
+            scenario_.classes[arrival.class_index].name.c_str());
+        if (!sidecar.alive || sidecar.draining)
+            return continue_operation(request, ResponseKind::none, 0);  // the connection is refused
+        checker_.on_request_sent(now_, request);
+        open_requests_[request.id] = {request, sidecar.process};
+        schedule(now_ + request.timeout, EventKind::client_timeout, 0, request.id);
+        if (request.disconnect_after > 0)
+            schedule(now_ + request.disconnect_after, EventKind::client_disconnect, arrival.sidecar,
+                     request.id, sidecar.process);
+        sidecar.requests[request.id];
+        dispatch({now_, 0, EventKind::request_read, arrival.sidecar, request.id});
+    }
+    // The time for which the request lay unread counts against the client's timeout.
+    void read_request(ClientRequestId id) {
+        const auto open = open_requests_.find(id);
+        if (open == open_requests_.end()) return;
+        const ClientRequest& request = open->second.request;
+        const ClientArrival& arrival = clients_.arrival_of(operation_of(id));
         RequestArrived event;
-        event.id = t.id;
-        event.class_index = a.class_index;
+        event.id = request.id;
+        event.class_index = arrival.class_index;
         event.time_left =
-            std::max(1.0, t.timeout - (now_ - t.at) - std::min(kAnswerMargin, t.timeout * kMaxMarginShare));
-        event.is_client_retry = t.id % kMaxRequestsPerOperation > 0;
-        give(a.sidecar, event);
-    }
-    void answer(std::uint32_t who, ClientRequestId id, ResponseKind what, Millis retry_after) {
-        const auto at = instances_[who].requests.find(id);
-        if (at == instances_[who].requests.end() || at->second.over) return;
-        at->second.over = true;
-        const auto open = open_.find(id);
+            std::max(1.0, request.timeout - (now_ - request.at) -
+                              std::min(kResponseMargin, request.timeout * kMaxResponseMarginShare));
+        event.is_client_retry = request.id % kMaxRequestsPerOperation > 0;
+        handle_event(arrival.sidecar, event);
+    }
+    void respond(std::uint32_t number, ClientRequestId id, ResponseKind response, Millis retry_after) {
+        const auto found = sidecars_[number].requests.find(id);
+        if (found == sidecars_[number].requests.end() || found->second.finished) return;
+        found->second.finished = true;
+        const auto open = open_requests_.find(id);
         log("answer %llu %s", ull(id),
-            what == ResponseKind::served     ? "served"
-            : what == ResponseKind::rejected ? "refused"
-                                             : "failed");
-        checker_.on_response(now_ + kClientLatency, id, what);
-        if (open == open_.end()) return;
-        const ClientRequest t = open->second.t;
-        open_.erase(open);
-        after(t, what, retry_after);
-    }
-    // The client goes on, or the request is over.
-    void after(const ClientRequest& t, ResponseKind what, Millis retry_after) {
-        if (const auto next = clients_.next_request(now_, t, what, retry_after)) {
-            ++pending_;
-            waiting_.emplace(next->id, *next);
-            put(next->at, What::ask, 0, next->id, 0);
+            response == ResponseKind::served     ? "served"
+            : response == ResponseKind::rejected ? "refused"
+                                                 : "failed");
+        checker_.on_response(now_ + kClientLatency, id, response);
+        if (open == open_requests_.end()) return;
+        const ClientRequest request = open->second.request;
+        open_requests_.erase(open);
+        continue_operation(request, response, retry_after);
+    }
+    // Schedules the client's next request, or ends the operation.
+    void continue_operation(const ClientRequest& request, ResponseKind response, Millis retry_after) {
+        if (const auto next = clients_.next_request(now_, request, response, retry_after)) {
+            ++unsent_request_count_;
+            unsent_requests_.emplace(next->id, *next);
+            schedule(next->at, EventKind::client_request, 0, next->id, 0);
         } else {
-            metrics_.on_operation_ended(now_ + kClientLatency, operation_of(t.id), what);
-            count_restarted(operation_of(t.id), what);
+            metrics_.on_operation_ended(now_ + kClientLatency, operation_of(request.id), response);
+            count_after_restart(operation_of(request.id), response);
         }
     }
-    void out_of_patience(ClientRequestId id) {
-        const auto open = open_.find(id);
-        if (open == open_.end()) return;
-        const ClientRequest t = open->second.t;
+    void time_out_client(ClientRequestId id) {
+        const auto open = open_requests_.find(id);
+        if (open == open_requests_.end()) return;
+        const ClientRequest request = open->second.request;
         log("silence %llu", ull(id));
-        const std::uint32_t who = clients_.arrival_of(operation_of(id)).sidecar;
-        // One that has part of its core only may answer a moment later; on sockets the slack is for that.
-        if (instances_[who].share < 1 || instances_[who].off_core) checker_.excuse(id);
+        const std::uint32_t number = clients_.arrival_of(operation_of(id)).sidecar;
+        // A sidecar with limited CPU may respond slightly late. The driver on sockets grants slack for that.
+        if (sidecars_[number].cpu_share < 1 || sidecars_[number].without_cpu) checker_.excuse(id);
         checker_.on_response(now_, id, ResponseKind::none);
-        open_.erase(id);
-        happen({now_, 0, What::gone, who, id});
-        after(t, ResponseKind::none, 0);
+        open_requests_.erase(id);
+        dispatch({now_, 0, EventKind::disconnect_read, number, id});
+        continue_operation(request, ResponseKind::none, 0);
     }
-    void leave(ClientRequestId id, std::uint32_t life) {
-        const std::uint32_t who = clients_.arrival_of(operation_of(id)).sidecar;
-        if (!open_.contains(id) || instances_[who].life != life) return;
+    void disconnect_client(ClientRequestId id, std::uint32_t sidecar_process) {
+        const std::uint32_t number = clients_.arrival_of(operation_of(id)).sidecar;
+        if (!open_requests_.contains(id) || sidecars_[number].process != sidecar_process) return;
         log("leave %llu", ull(id));
         checker_.on_client_left(now_, id);
         metrics_.on_client_left(operation_of(id));
-        open_.erase(id);
-        happen({now_, 0, What::gone, who, id});
+        open_requests_.erase(id);
+        dispatch({now_, 0, EventKind::disconnect_read, number, id});
     }
-    void gone(std::uint32_t who, ClientRequestId id) {
-        const auto at = instances_[who].requests.find(id);
-        if (at == instances_[who].requests.end() || at->second.over) return;
-        at->second.over = true;
-        give(who, ClientDisconnected{id});
-        settle(who, id);
+    void read_disconnect(std::uint32_t number, ClientRequestId id) {
+        const auto found = sidecars_[number].requests.find(id);
+        if (found == sidecars_[number].requests.end() || found->second.finished) return;
+        found->second.finished = true;
+        handle_event(number, ClientDisconnected{id});
+        erase_finished_request(number, id);
     }
 
     // ---- sidecars
-    ServerInfo info_of(std::uint32_t server, EndpointState state, Millis online_since) const {
-        return {
-            server + 1, scenario_.zone_of(server), 0, 0, state, online_since > 0 ? online_since + kEpoch : 0};
-    }
-    void keep(Instance& n) {
-        n.kept = n.decider->learned_state(now_ + kEpoch);
-        n.kept_at = now_;
-    }
-    bool just_restarted(const Instance& n, Millis at) const {
-        return n.life > 1 && at >= n.began && at < n.began + Report::kRestartWindow;
-    }
-    void count_restarted(OperationId request, ResponseKind what) {
-        const ClientArrival& ask = clients_.arrival_of(request);
-        if (!just_restarted(instances_[ask.sidecar], ask.at)) return;
-        const ClassSpec& c = scenario_.classes[ask.class_index];
-        const double priority_weight = c.priority_weight * clients_.work(request);
-        restarted_.offered_value += priority_weight;
-        if (what == ResponseKind::served && now_ + kClientLatency - ask.at <= c.latency_objective)
-            restarted_.delivered_value += priority_weight;
-    }
-    void begin_life(std::uint32_t who) {
-        Instance& n = instances_[who];
-        // A planned restart writes once more as it ends; one that was killed has what it wrote last.
-        if (n.decider && scenario_.sidecars.snapshot_interval > 0) keep(n);
-        n.began = now_;
-        ++n.life;
-        n.alive = true;
-        n.draining = false;
-        n.idle.assign(service_model_.count(), {});
+    ServerInfo make_server_info(std::uint32_t server, EndpointState state, Millis online_since) const {
+        return {server + 1, scenario_.zone_of(server),
+                0,          0,
+                state,      online_since > 0 ? online_since + kModuleTimeAtStart : 0};
+    }
+    void save_snapshot(SimulatedSidecar& sidecar) {
+        sidecar.snapshot = sidecar.policy->learned_state(now_ + kModuleTimeAtStart);
+        sidecar.snapshot_at = now_;
+    }
+    bool is_just_restarted(const SimulatedSidecar& sidecar, Millis at) const {
+        return sidecar.process > 1 && at >= sidecar.started_at &&
+               at < sidecar.started_at + Report::kRestartWindow;
+    }
+    void count_after_restart(OperationId operation, ResponseKind response) {
+        const ClientArrival& arrival = clients_.arrival_of(operation);
+        if (!is_just_restarted(sidecars_[arrival.sidecar], arrival.at)) return;
+        const ClassSpec& spec = scenario_.classes[arrival.class_index];
+        const double value = spec.priority_weight * clients_.work(operation);
+        after_restart_.offered_value += value;
+        if (response == ResponseKind::served && now_ + kClientLatency - arrival.at <= spec.latency_objective)
+            after_restart_.delivered_value += value;
+    }
+    void start_sidecar(std::uint32_t number) {
+        SimulatedSidecar& sidecar = sidecars_[number];
+        // A process saves a last snapshot when it ends in a planned restart. A killed process leaves the
+        // snapshot that it saved last.
+        if (sidecar.policy && scenario_.sidecars.snapshot_interval > 0) save_snapshot(sidecar);
+        sidecar.started_at = now_;
+        ++sidecar.process;
+        sidecar.alive = true;
+        sidecar.draining = false;
+        sidecar.idle_connections.assign(service_model_.server_count(), {});
         const std::uint64_t seed =
-            random_stream(scenario_.overview.seed, StreamPurpose::balancer, who, n.life).next();
-        const FaultSpec* changed = n.changed ? &scenario_.faults[*n.changed] : nullptr;
-        const std::string& build = changed && !changed->build.empty() ? changed->build : options_.balancer;
-        n.decider = make_policy(build, scenario_.settings(who, changed), seed);
-        sidecars_.on_started(now_, who,
-                             changed && changed->build.empty() ? build + " (" + changed->name + ")" : build);
-        n.decider->observe(service_model_);
-        give(who, Started{});
-        if (n.kept_at >= 0) give(who, StateRestored{n.kept, now_ - n.kept_at});
+            random_stream(scenario_.overview.seed, StreamPurpose::balancer, number, sidecar.process).next();
+        const FaultSpec* fault =
+            sidecar.replacement_fault ? &scenario_.faults[*sidecar.replacement_fault] : nullptr;
+        const std::string& build = fault && !fault->build.empty() ? fault->build : options_.balancer;
+        sidecar.policy = make_policy(build, scenario_.settings(number, fault), seed);
+        sidecar_log_.on_started(now_, number,
+                                fault && fault->build.empty() ? build + " (" + fault->name + ")" : build);
+        sidecar.policy->observe(service_model_);
+        handle_event(number, Started{});
+        if (sidecar.snapshot_at >= 0)
+            handle_event(number, StateRestored{sidecar.snapshot, now_ - sidecar.snapshot_at});
         ServerList list{ListKind::cached, {}};
-        for (const ServerInfo& info : listed_) {
+        for (const ServerInfo& info : registry_) {
             if (info.state != EndpointState::removed) list.servers.push_back(info);
-            checker_.on_endpoint_update(now_, who, info.id - 1, info.state,
-                                        std::max(0.0, info.online_since - kEpoch));
+            checker_.on_endpoint_update(now_, number, info.id - 1, info.state,
+                                        std::max(0.0, info.online_since - kModuleTimeAtStart));
         }
-        give(who, std::move(list));
-        start_companion(who);
-    }
-    void kill(std::uint32_t who) {
-        Instance& n = instances_[who];
-        n.alive = false;
-        n.agent.reset();
-        forget_waiting(n);
-        checker_.on_sidecar_killed(who);
-        sidecars_.on_ended(now_, who, "killed");
-        for (const std::uint64_t number : out_of(who, {})) {
-            end(attempts_.at(number), Outcome::connection_reset);
-            drop_if_done(number);
+        handle_event(number, std::move(list));
+        start_agent(number);
+    }
+    void kill_sidecar(std::uint32_t number) {
+        SimulatedSidecar& sidecar = sidecars_[number];
+        sidecar.alive = false;
+        sidecar.agent.reset();
+        discard_held_events(sidecar);
+        checker_.on_sidecar_killed(number);
+        sidecar_log_.on_ended(now_, number, "killed");
+        for (const std::uint64_t attempt_number : pending_attempts(number, {})) {
+            release_attempt(attempts_.at(attempt_number), Outcome::connection_reset);
+            erase_finished_attempt(attempt_number);
         }
-        close_idle(n);
-        n.requests.clear();
-        n.decider.reset();
+        close_idle_connections(sidecar);
+        sidecar.requests.clear();
+        sidecar.policy.reset();
         std::vector<ClientRequest> lost;
-        for (const auto& [id, open] : open_)
-            if (clients_.arrival_of(operation_of(id)).sidecar == who) lost.push_back(open.t);
+        for (const auto& [id, open] : open_requests_)
+            if (clients_.arrival_of(operation_of(id)).sidecar == number) lost.push_back(open.request);
         std::sort(lost.begin(), lost.end(),
-                  [](const ClientRequest& a, const ClientRequest& b) { return a.id < b.id; });
-        for (const ClientRequest& t : lost) {
-            open_.erase(t.id);
-            checker_.on_response(now_, t.id, ResponseKind::none);
-            after(t, ResponseKind::none, 0);
+                  [](const ClientRequest& left, const ClientRequest& right) { return left.id < right.id; });
+        for (const ClientRequest& request : lost) {
+            open_requests_.erase(request.id);
+            checker_.on_response(now_, request.id, ResponseKind::none);
+            continue_operation(request, ResponseKind::none, 0);
         }
     }
-    void give(std::uint32_t who, const Event& event) {
-        Instance& n = instances_[who];
-        if (!n.decider) return;
+    // Passes an event to the decision module of a sidecar and performs the actions that it returns.
+    void handle_event(std::uint32_t number, const Event& event) {
+        SimulatedSidecar& sidecar = sidecars_[number];
+        if (!sidecar.policy) return;
         std::vector<Action> actions;
-        n.decider->handle(now_ + kEpoch, event, actions);
-        for (const Action& action : actions) act(who, action);
+        sidecar.policy->handle(now_ + kModuleTimeAtStart, event, actions);
+        for (const Action& action : actions) perform(number, action);
     }
-    void act(std::uint32_t who, const Action& action) {
-        if (const auto* send_to = std::get_if<StartAttempt>(&action)) {
-            send(who, *send_to);
+    void perform(std::uint32_t number, const Action& action) {
+        if (const auto* start = std::get_if<StartAttempt>(&action)) {
+            start_attempt(number, *start);
         } else if (const auto* cancel = std::get_if<Cancel>(&action)) {
-            const auto open = instances_[who].requests.find(cancel->id);
-            if (open == instances_[who].requests.end() || cancel->attempt >= open->second.attempts.size())
+            const auto open = sidecars_[number].requests.find(cancel->id);
+            if (open == sidecars_[number].requests.end() || cancel->attempt >= open->second.attempts.size())
                 return;
-            const std::uint64_t number = open->second.attempts[cancel->attempt];
-            const auto at = attempts_.find(number);
-            if (at == attempts_.end() || !at->second.out) return;
-            end(at->second, Outcome::cancelled);
-            put(now_, What::recall, who, number);
-        } else if (const auto* refuse = std::get_if<Reject>(&action)) {
-            answer(who, refuse->id, ResponseKind::rejected, refuse->retry_after);
-            settle(who, refuse->id);
-        } else if (const auto* up = std::get_if<Fail>(&action)) {
-            answer(who, up->id, ResponseKind::failed, 0);
-            settle(who, up->id);
+            const std::uint64_t attempt_number = open->second.attempts[cancel->attempt];
+            const auto found = attempts_.find(attempt_number);
+            if (found == attempts_.end() || !found->second.pending) return;
+            release_attempt(found->second, Outcome::cancelled);
+            schedule(now_, EventKind::attempt_cancelled, number, attempt_number);
+        } else if (const auto* reject = std::get_if<Reject>(&action)) {
+            respond(number, reject->id, ResponseKind::rejected, reject->retry_after);
+            erase_finished_request(number, reject->id);
+        } else if (const auto* fail = std::get_if<Fail>(&action)) {
+            respond(number, fail->id, ResponseKind::failed, 0);
+            erase_finished_request(number, fail->id);
         } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
-            put(timer->at - kEpoch, What::timer, who, timer->token, instances_[who].life);
+            schedule(timer->at - kModuleTimeAtStart, EventKind::module_timer, number, timer->token,
+                     sidecars_[number].process);
         }
     }
-    void timer(const Happening& h) {
-        if (instances_[h.who].life == h.b) give(h.who, TimerFired{h.a});
+    void fire_module_timer(const ScheduledEvent& event) {
+        if (sidecars_[event.target].process == event.qualifier)
+            handle_event(event.target, TimerFired{event.subject});
     }
-    void settle(std::uint32_t who, ClientRequestId id) {
-        Instance& n = instances_[who];
-        const auto at = n.requests.find(id);
-        if (at != n.requests.end() && at->second.over && at->second.out == 0) n.requests.erase(at);
-        if (n.draining && n.requests.empty()) {
-            close_idle(n);
-            put(now_, What::revive, who);  // not here: its module is at work
+    // Erases a request that is finished and has no pending attempts. A draining process ends when it has no
+    // requests left.
+    void erase_finished_request(std::uint32_t number, ClientRequestId id) {
+        SimulatedSidecar& sidecar = sidecars_[number];
+        const auto found = sidecar.requests.find(id);
+        if (found != sidecar.requests.end() && found->second.finished && found->second.pending_attempts == 0)
+            sidecar.requests.erase(found);
+        if (sidecar.draining && sidecar.requests.empty()) {
+            close_idle_connections(sidecar);
+            // Scheduled, because this may run inside a call of the decision module that the restart replaces.
+            schedule(now_, EventKind::process_restart, number);
         }
     }
-    void close_idle(Instance& n) {
-        for (std::uint32_t s = 0; s < service_model_.count(); ++s) {
-            for (; !n.idle[s].empty(); n.idle[s].pop_back())
-                if (n.idle[s].back().epoch == epochs_[s]) service_model_.server(s).disconnect(now_, out_);
-            pump(s);
+    void close_idle_connections(SimulatedSidecar& sidecar) {
+        for (std::uint32_t server = 0; server < service_model_.server_count(); ++server) {
+            for (; !sidecar.idle_connections[server].empty(); sidecar.idle_connections[server].pop_back())
+                if (sidecar.idle_connections[server].back().server_process == server_processes_[server])
+                    service_model_.server(server).disconnect(now_, departures_);
+            process_departures(server);
         }
     }
 
     // ---- attempts
-    // An attempt stays in the table until its sidecar is done with it and its bytes have come, whichever is
-    // later.
-    void send(std::uint32_t who, const StartAttempt& s) {
-        Instance& n = instances_[who];
-        const auto open = n.requests.find(s.id);
-        const std::uint32_t server = s.server - 1;
-        if (open == n.requests.end() || server >= service_model_.count()) return;
-        const std::uint64_t number = ++last_attempt_;
-        Attempt& a = attempts_[number];
-        a.id = s.id, a.sidecar = who, a.server = server;
-        a.number = static_cast<std::uint32_t>(open->second.attempts.size());
-        a.life = n.life, a.sent = now_, a.epoch = epochs_[server];
-        open->second.attempts.push_back(number);
-        ++open->second.out;
-        Random random = random_stream(scenario_.overview.seed, StreamPurpose::latency, s.id, a.number);
-        const bool same = scenario_.zone_of(server) == who % scenario_.fleet.zones.size();
-        a.latency = (same ? scenario_.fleet.same_zone_latency : scenario_.fleet.cross_zone_latency) *
-                    (1 + scenario_.fleet.latency_jitter * (2 * random.uniform() - 1));
-        log("send %llu.%u n-%u s-%u", ull(a.id), a.number, who, server);
-        a.judged = checker_.on_attempt_started(now_, a.id, server, who);
-        if (s.attempt_deadline > 0) put(s.attempt_deadline - kEpoch, What::expire, who, number);
-        if (!n.idle[server].empty()) {
-            a.epoch = n.idle[server].back().epoch;
-            n.idle[server].pop_back();
-            a.connected = true;
-            return put(now_ + a.latency, What::arrive, who, number);
+    // An attempt stays in the table until the sidecar no longer waits for it and its request has arrived at
+    // the server, whichever is later.
+    void start_attempt(std::uint32_t number, const StartAttempt& start) {
+        SimulatedSidecar& sidecar = sidecars_[number];
+        const auto open = sidecar.requests.find(start.id);
+        const std::uint32_t server = start.server - 1;
+        if (open == sidecar.requests.end() || server >= service_model_.server_count()) return;
+        const std::uint64_t attempt_number = ++last_attempt_;
+        Attempt& attempt = attempts_[attempt_number];
+        attempt.request_id = start.id, attempt.sidecar = number, attempt.server = server;
+        attempt.index = static_cast<std::uint32_t>(open->second.attempts.size());
+        attempt.sidecar_process = sidecar.process, attempt.sent_at = now_,
+        attempt.server_process = server_processes_[server];
+        open->second.attempts.push_back(attempt_number);
+        ++open->second.pending_attempts;
+        Random random =
+            random_stream(scenario_.overview.seed, StreamPurpose::latency, start.id, attempt.index);
+        const bool same_zone = scenario_.zone_of(server) == number % scenario_.fleet.zones.size();
+        attempt.latency =
+            (same_zone ? scenario_.fleet.same_zone_latency : scenario_.fleet.cross_zone_latency) *
+            (1 + scenario_.fleet.latency_jitter * (2 * random.uniform() - 1));
+        log("send %llu.%u n-%u s-%u", ull(attempt.request_id), attempt.index, number, server);
+        attempt.checker_index = checker_.on_attempt_started(now_, attempt.request_id, server, number);
+        if (start.attempt_deadline > 0)
+            schedule(start.attempt_deadline - kModuleTimeAtStart, EventKind::attempt_timeout, number,
+                     attempt_number);
+        if (!sidecar.idle_connections[server].empty()) {
+            attempt.server_process = sidecar.idle_connections[server].back().server_process;
+            sidecar.idle_connections[server].pop_back();
+            attempt.connected = true;
+            return schedule(now_ + attempt.latency, EventKind::attempt_arrival, number, attempt_number);
         }
-        a.fresh = true;
+        attempt.new_connection = true;
         if (service_model_.server(server).is_reachable())
-            return put(now_ + 3 * a.latency, What::arrive, who, number);
-        never_up(a, number, scenario_.fleet.connect_timeout);
-    }
-    void never_up(Attempt& a, std::uint64_t number, Millis after) {
-        checker_.on_attempt_delivered(now_, a.id, a.judged, InvariantChecker::Delivery::not_received);
-        a.arrived = true;
-        a.outcome = Outcome::connect_failed;
-        put(now_ + after, What::reply, a.sidecar, number);
-    }
-    void arrive(std::uint64_t number) {
-        const auto at = attempts_.find(number);
-        if (at == attempts_.end()) return;
-        Attempt& a = at->second;
-        ServerModel& server = service_model_.server(a.server);
-        if (a.fresh && !a.out) {  // given up before the connection was there: not a byte of it was written
-            attempts_.erase(at);
+            return schedule(now_ + 3 * attempt.latency, EventKind::attempt_arrival, number, attempt_number);
+        fail_connection(attempt, attempt_number, scenario_.fleet.connect_timeout);
+    }
+    void fail_connection(Attempt& attempt, std::uint64_t number, Millis delay) {
+        checker_.on_attempt_delivered(now_, attempt.request_id, attempt.checker_index,
+                                      InvariantChecker::Delivery::not_received);
+        attempt.arrived = true;
+        attempt.outcome = Outcome::connect_failed;
+        schedule(now_ + delay, EventKind::attempt_response, attempt.sidecar, number);
+    }
+    void deliver_attempt(std::uint64_t number) {
+        const auto found = attempts_.find(number);
+        if (found == attempts_.end()) return;
+        Attempt& attempt = found->second;
+        ServerModel& server = service_model_.server(attempt.server);
+        // The sidecar abandoned the attempt before the connection was established, so it has written nothing.
+        if (attempt.new_connection && !attempt.pending) {
+            attempts_.erase(found);
             return;
         }
-        if (a.fresh) {
-            if (!server.is_reachable()) return never_up(a, number, scenario_.fleet.connect_timeout);
-            const bool up = server.connect(now_, out_);
-            pump(a.server);
-            if (!up) return never_up(a, number, a.latency);
-            ++connections_;
-            a.connected = true;
-            a.epoch = epochs_[a.server];
+        if (attempt.new_connection) {
+            if (!server.is_reachable())
+                return fail_connection(attempt, number, scenario_.fleet.connect_timeout);
+            const bool accepted = server.connect(now_, departures_);
+            process_departures(attempt.server);
+            if (!accepted) return fail_connection(attempt, number, attempt.latency);
+            ++connection_count_;
+            attempt.connected = true;
+            attempt.server_process = server_processes_[attempt.server];
         }
-        a.arrived = true;
-        if (a.epoch != epochs_[a.server]) {  // the process that had this connection is gone
+        attempt.arrived = true;
+        // The process that had this connection has ended.
+        if (attempt.server_process != server_processes_[attempt.server]) {
             if (server.is_reachable()) {
-                a.outcome = Outcome::connection_reset;
-                put(now_ + a.latency, What::reply, a.sidecar, number);
+                attempt.outcome = Outcome::connection_reset;
+                schedule(now_ + attempt.latency, EventKind::attempt_response, attempt.sidecar, number);
             }
-            return drop_if_done(number);
+            return erase_finished_attempt(number);
         }
-        const ServerLoad load{clients_.attempt_work(operation_of(a.id), a.server), server.capacity(now_),
-                              server.started_at(), server.is_cold(now_)};
-        a.ticket = service_model_.arrive(now_, a.server, a.id, out_);
-        const bool away = std::any_of(out_.begin(), out_.end(), [&](const Departure& d) {
-            return d.ticket == a.ticket && d.fate == Fate::turned_away;
-        });
-        log("reach %llu.%u s-%u %.3f%s", ull(a.id), a.number, a.server, load.work, away ? " away" : "");
-        metrics_.on_attempt(now_, a.server, load.work);
-        tickets_[a.ticket] = number;
-        const std::uint32_t where = a.server;
-        const bool fell = checker_.on_attempt_delivered(
-            now_, a.id, a.judged,
-            away ? InvariantChecker::Delivery::rejected : InvariantChecker::Delivery::accepted, load);
-        if (!a.out) abandon(a);  // given up on its way, though the bytes had gone out
-        drop_if_done(number);
-        pump(where);
-        if (!fell) return;
-        log("fell s-%u", where);
-        ++epochs_[where];
-        service_model_.fell(now_, where, out_);
-        forget_connections(where);
-        pump(where);
-    }
-    // What a server has brought to an end goes back to where it came from.
-    void pump(std::uint32_t server) {
-        const ServerModel::Out departed = std::exchange(out_, {});
-        for (const Departure& d : departed) {
-            const auto at = tickets_.find(d.ticket);
-            if (at == tickets_.end()) continue;
-            const std::uint64_t number = at->second;
-            tickets_.erase(at);
+        const ServerLoad load{clients_.attempt_work(operation_of(attempt.request_id), attempt.server),
+                              server.capacity(now_), server.started_at(), server.is_cold(now_)};
+        attempt.server_request =
+            service_model_.deliver_attempt(now_, attempt.server, attempt.request_id, departures_);
+        const bool rejected =
+            std::any_of(departures_.begin(), departures_.end(), [&](const Departure& departure) {
+                return departure.id == attempt.server_request && departure.kind == DepartureKind::rejected;
+            });
+        log("reach %llu.%u s-%u %.3f%s", ull(attempt.request_id), attempt.index, attempt.server, load.work,
+            rejected ? " away" : "");
+        metrics_.on_attempt(now_, attempt.server, load.work);
+        attempt_of_server_request_[attempt.server_request] = number;
+        const std::uint32_t server_number = attempt.server;
+        const bool overloaded = checker_.on_attempt_delivered(
+            now_, attempt.request_id, attempt.checker_index,
+            rejected ? InvariantChecker::Delivery::rejected : InvariantChecker::Delivery::accepted, load);
+        // The sidecar abandoned the attempt after it had written the request.
+        if (!attempt.pending) abandon_at_server(attempt);
+        erase_finished_attempt(number);
+        process_departures(server_number);
+        if (!overloaded) return;
+        log("fell s-%u", server_number);
+        ++server_processes_[server_number];
+        service_model_.stop_permanently(now_, server_number, departures_);
+        erase_idle_connections(server_number);
+        process_departures(server_number);
+    }
+    // Schedules the responses to the sidecars for all departures, and the server's next event.
+    void process_departures(std::uint32_t server) {
+        const ServerModel::Departures departures = std::exchange(departures_, {});
+        for (const Departure& departure : departures) {
+            const auto entry = attempt_of_server_request_.find(departure.id);
+            if (entry == attempt_of_server_request_.end()) continue;
+            const std::uint64_t number = entry->second;
+            attempt_of_server_request_.erase(entry);
             const auto found = attempts_.find(number);
             if (found == attempts_.end()) continue;
-            Attempt& a = found->second;
-            a.ticket = 0;
-            // A machine that stood still turns away once it goes on again: unseen, as those at once.
-            if (d.fate == Fate::turned_away)
-                checker_.on_attempt_delivered(now_, a.id, a.judged, InvariantChecker::Delivery::rejected);
-            if (!a.out) continue;
-            a.outcome = d.fate == Fate::done          ? Outcome::success
-                        : d.fate == Fate::failed      ? Outcome::error_response
-                        : d.fate == Fate::turned_away ? Outcome::rejected
-                                                      : Outcome::connection_reset;
-            put(now_ + a.latency, What::reply, a.sidecar, number);
+            Attempt& attempt = found->second;
+            attempt.server_request = 0;
+            // A frozen server rejects requests when the freeze ends. Such a request is unprocessed, as is one
+            // that a server rejects at once.
+            if (departure.kind == DepartureKind::rejected)
+                checker_.on_attempt_delivered(now_, attempt.request_id, attempt.checker_index,
+                                              InvariantChecker::Delivery::rejected);
+            if (!attempt.pending) continue;
+            attempt.outcome = departure.kind == DepartureKind::completed  ? Outcome::success
+                              : departure.kind == DepartureKind::failed   ? Outcome::error_response
+                              : departure.kind == DepartureKind::rejected ? Outcome::rejected
+                                                                          : Outcome::connection_reset;
+            schedule(now_ + attempt.latency, EventKind::attempt_response, attempt.sidecar, number);
         }
-        const Millis next = service_model_.server(server).next();
-        if (next < 1e300 && (poll_at_[server] < 0 || next < poll_at_[server])) {
-            poll_at_[server] = std::max(next, now_);
-            put(next, What::poll, server);
+        const Millis next = service_model_.server(server).next_event_at();
+        if (next < 1e300 && (server_event_at_[server] < 0 || next < server_event_at_[server])) {
+            server_event_at_[server] = std::max(next, now_);
+            schedule(next, EventKind::server_event, server);
         }
     }
-    void ended(std::uint64_t number, std::optional<Outcome> outcome) {
-        const auto at = attempts_.find(number);
-        if (at == attempts_.end() || !at->second.out) return;
-        const Outcome what = outcome.value_or(at->second.outcome);
-        end(at->second, what);
-        report_end(number, what);
-    }
-    // The sidecar's side of it is over: the connection goes back to the pool, or is closed.
-    void end(Attempt& a, Outcome outcome) {
-        a.out = false;
-        checker_.on_attempt_ended(now_, a.id, a.judged);
-        const bool clean =
+    // Ends an attempt at the sidecar with `outcome`, or with the outcome that the server gave.
+    void complete_attempt(std::uint64_t number, std::optional<Outcome> outcome) {
+        const auto found = attempts_.find(number);
+        if (found == attempts_.end() || !found->second.pending) return;
+        const Outcome final_outcome = outcome.value_or(found->second.outcome);
+        release_attempt(found->second, final_outcome);
+        report_outcome(number, final_outcome);
+    }
+    // Ends the sidecar's side of an attempt: returns its connection to the pool or closes it.
+    void release_attempt(Attempt& attempt, Outcome outcome) {
+        attempt.pending = false;
+        checker_.on_attempt_ended(now_, attempt.request_id, attempt.checker_index);
+        const bool reusable =
             outcome == Outcome::success || outcome == Outcome::error_response || outcome == Outcome::rejected;
-        const bool there = a.connected && a.epoch == epochs_[a.server];
-        const Instance& n = instances_[a.sidecar];
-        if (clean && there && n.life == a.life && !n.draining) {
-            instances_[a.sidecar].idle[a.server].push_back({++last_idle_, a.epoch});
-            put(now_ + scenario_.fleet.idle_timeout, What::idle, a.sidecar, last_idle_, a.server);
-        } else if (there) {
-            service_model_.server(a.server).disconnect(now_, out_);
+        const bool open = attempt.connected && attempt.server_process == server_processes_[attempt.server];
+        const SimulatedSidecar& sidecar = sidecars_[attempt.sidecar];
+        if (reusable && open && sidecar.process == attempt.sidecar_process && !sidecar.draining) {
+            sidecars_[attempt.sidecar].idle_connections[attempt.server].push_back(
+                {++last_idle_connection_, attempt.server_process});
+            schedule(now_ + scenario_.fleet.idle_timeout, EventKind::idle_timeout, attempt.sidecar,
+                     last_idle_connection_, attempt.server);
+        } else if (open) {
+            service_model_.server(attempt.server).disconnect(now_, departures_);
         }
-        a.connected = false;
-        abandon(a);
-        pump(a.server);
+        attempt.connected = false;
+        abandon_at_server(attempt);
+        process_departures(attempt.server);
     }
-    void abandon(Attempt& a) {
-        if (a.ticket == 0) return;
-        tickets_.erase(a.ticket);
-        service_model_.server(a.server).abandon(now_, a.ticket, out_);
-        a.ticket = 0;
+    void abandon_at_server(Attempt& attempt) {
+        if (attempt.server_request == 0) return;
+        attempt_of_server_request_.erase(attempt.server_request);
+        service_model_.server(attempt.server).abandon(now_, attempt.server_request, departures_);
+        attempt.server_request = 0;
     }
-    void drop_if_done(std::uint64_t number) {
-        const auto at = attempts_.find(number);
-        if (at != attempts_.end() && !at->second.out && at->second.arrived) attempts_.erase(at);
-    }
-    void report_end(std::uint64_t number, Outcome outcome) {
+    void erase_finished_attempt(std::uint64_t number) {
         const auto found = attempts_.find(number);
-        if (found == attempts_.end()) return;
-        const Attempt a = found->second;
-        drop_if_done(number);
-        Instance& n = instances_[a.sidecar];
-        const auto at = n.requests.find(a.id);
-        if (n.life != a.life || at == n.requests.end()) return;
-        --at->second.out;
-        if (just_restarted(n, now_)) {
-            ++restarted_.attempts;
-            restarted_.failed += outcome != Outcome::success && outcome != Outcome::cancelled;
+        if (found != attempts_.end() && !found->second.pending && found->second.arrived)
+            attempts_.erase(found);
+    }
+    // Reports the outcome to the decision module and, for the first success, the response to the client.
+    void report_outcome(std::uint64_t number, Outcome outcome) {
+        const auto entry = attempts_.find(number);
+        if (entry == attempts_.end()) return;
+        const Attempt attempt = entry->second;
+        erase_finished_attempt(number);
+        SimulatedSidecar& sidecar = sidecars_[attempt.sidecar];
+        const auto found = sidecar.requests.find(attempt.request_id);
+        if (sidecar.process != attempt.sidecar_process || found == sidecar.requests.end()) return;
+        --found->second.pending_attempts;
+        if (is_just_restarted(sidecar, now_)) {
+            ++after_restart_.attempts;
+            after_restart_.failed += outcome != Outcome::success && outcome != Outcome::cancelled;
         }
-        log("end %llu.%u s-%u %d", ull(a.id), a.number, a.server, static_cast<int>(outcome));
-        if (outcome == Outcome::success && !at->second.over) answer(a.sidecar, a.id, ResponseKind::served, 0);
-        give(a.sidecar, AttemptEnded{a.id, a.number, outcome, now_ - a.sent, at->second.over});
-        settle(a.sidecar, a.id);
-    }
-    // In order of their numbers: the table's order is its own affair.
-    std::vector<std::uint64_t> out_of(std::optional<std::uint32_t> sidecar,
-                                      std::optional<std::uint32_t> server) const {
-        std::vector<std::uint64_t> list;
-        for (const auto& [number, a] : attempts_)
-            if (a.out && (!sidecar || a.sidecar == *sidecar) && (!server || a.server == *server))
-                list.push_back(number);
-        std::sort(list.begin(), list.end());
-        return list;
+        log("end %llu.%u s-%u %d", ull(attempt.request_id), attempt.index, attempt.server,
+            static_cast<int>(outcome));
+        if (outcome == Outcome::success && !found->second.finished)
+            respond(attempt.sidecar, attempt.request_id, ResponseKind::served, 0);
+        handle_event(attempt.sidecar, AttemptEnded{attempt.request_id, attempt.index, outcome,
+                                                   now_ - attempt.sent_at, found->second.finished});
+        erase_finished_request(attempt.sidecar, attempt.request_id);
+    }
+    // Returns the numbers of pending attempts, sorted because the order of an unordered map is unspecified.
+    std::vector<std::uint64_t> pending_attempts(std::optional<std::uint32_t> sidecar,
+                                                std::optional<std::uint32_t> server) const {
+        std::vector<std::uint64_t> numbers;
+        for (const auto& [number, attempt] : attempts_)
+            if (attempt.pending && (!sidecar || attempt.sidecar == *sidecar) &&
+                (!server || attempt.server == *server))
+                numbers.push_back(number);
+        std::sort(numbers.begin(), numbers.end());
+        return numbers;
     }
 
-    void idle_over(const Happening& h) {
-        auto& idle = instances_[h.who].idle[h.b];
-        const auto at =
-            std::find_if(idle.begin(), idle.end(), [&](const auto& i) { return i.number == h.a; });
-        if (at == idle.end()) return;
-        const bool there = at->epoch == epochs_[h.b];
-        idle.erase(at);
-        if (!there) return;
-        service_model_.server(static_cast<std::uint32_t>(h.b)).disconnect(now_, out_);
-        pump(static_cast<std::uint32_t>(h.b));
-    }
-    void forget_connections(std::uint32_t server) {
-        for (Instance& n : instances_) n.idle[server].clear();
+    void close_idle_connection(const ScheduledEvent& event) {
+        auto& connections = sidecars_[event.target].idle_connections[event.qualifier];
+        const auto found = std::find_if(connections.begin(), connections.end(), [&](const auto& connection) {
+            return connection.number == event.subject;
+        });
+        if (found == connections.end()) return;
+        const bool open = found->server_process == server_processes_[event.qualifier];
+        connections.erase(found);
+        if (!open) return;
+        service_model_.server(static_cast<std::uint32_t>(event.qualifier)).disconnect(now_, departures_);
+        process_departures(static_cast<std::uint32_t>(event.qualifier));
+    }
+    void erase_idle_connections(std::uint32_t server) {
+        for (SimulatedSidecar& sidecar : sidecars_) sidecar.idle_connections[server].clear();
     }
 
-    // ---- what the file says
-    void step(const TimelineStep& s) {
-        log("step %s", text_of(s).c_str());
-        if (s.kind == StepKind::sidecar_kill) return kill(s.target);
-        if (s.kind == StepKind::sidecar_start) return begin_life(s.target);
-        if (s.kind == StepKind::sidecar_pause) return freeze(s.target);
-        if (s.kind == StepKind::sidecar_resume) return thaw(s.target);
-        if (s.kind == StepKind::sidecar_cpu_share) return starve(s.target, s.value);
-        if (s.kind == StepKind::sidecar_replace)
-            instances_[s.target].changed = static_cast<std::size_t>(s.value);
-        if (s.kind == StepKind::sidecar_restore) instances_[s.target].changed.reset();
-        if (s.kind == StepKind::sidecar_restart || s.kind == StepKind::sidecar_replace ||
-            s.kind == StepKind::sidecar_restore) {
-            instances_[s.target].draining = true;
-            if (Instance& n = instances_[s.target]; n.agent && !n.still()) {
-                std::vector<Outgoing> out;
-                n.agent->leave(now_, out);
-                said(s.target, out);
+    // ---- the timeline
+    void apply_step(const TimelineStep& step) {
+        log("step %s", text_of(step).c_str());
+        if (step.kind == StepKind::sidecar_kill) return kill_sidecar(step.target);
+        if (step.kind == StepKind::sidecar_start) return start_sidecar(step.target);
+        if (step.kind == StepKind::sidecar_pause) return pause_sidecar(step.target);
+        if (step.kind == StepKind::sidecar_resume) return resume_sidecar(step.target);
+        if (step.kind == StepKind::sidecar_cpu_share) return limit_cpu(step.target, step.value);
+        if (step.kind == StepKind::sidecar_replace)
+            sidecars_[step.target].replacement_fault = static_cast<std::size_t>(step.value);
+        if (step.kind == StepKind::sidecar_restore) sidecars_[step.target].replacement_fault.reset();
+        if (step.kind == StepKind::sidecar_restart || step.kind == StepKind::sidecar_replace ||
+            step.kind == StepKind::sidecar_restore) {
+            sidecars_[step.target].draining = true;
+            if (SimulatedSidecar& sidecar = sidecars_[step.target]; sidecar.agent && !sidecar.is_stalled()) {
+                std::vector<OutgoingMessage> messages;
+                sidecar.agent->leave(now_, messages);
+                send_messages(step.target, messages);
             }
-            if (instances_[s.target].requests.empty()) put(now_, What::revive, s.target);
+            if (sidecars_[step.target].requests.empty())
+                schedule(now_, EventKind::process_restart, step.target);
             return;
         }
-        if (s.targets_sidecar()) return;
-        if (s.kind == StepKind::stop || s.kind == StepKind::cut_off) ++epochs_[s.target];
-        const bool was_cut_off = !service_model_.server(s.target).is_reachable();
-        service_model_.apply(s, out_);
-        pump(s.target);
-        if (s.kind == StepKind::stop) forget_connections(s.target);
-        if (s.kind == StepKind::start && was_cut_off) {
-            // Back under its address: it knows none of the connections that stayed open, and resets them.
-            forget_connections(s.target);
-            for (const std::uint64_t number : out_of({}, s.target)) {
-                Attempt& a = attempts_.at(number);
-                if (!a.arrived) continue;
-                a.outcome = Outcome::connection_reset;
-                put(now_ + a.latency, What::reply, a.sidecar, number);
+        if (step.targets_sidecar()) return;
+        if (step.kind == StepKind::stop || step.kind == StepKind::cut_off) ++server_processes_[step.target];
+        const bool was_cut_off = !service_model_.server(step.target).is_reachable();
+        service_model_.apply(step, departures_);
+        process_departures(step.target);
+        if (step.kind == StepKind::stop) erase_idle_connections(step.target);
+        if (step.kind == StepKind::start && was_cut_off) {
+            // The connections to the previous process stayed open. The new process has the same address, and
+            // resets them.
+            erase_idle_connections(step.target);
+            for (const std::uint64_t number : pending_attempts({}, step.target)) {
+                Attempt& attempt = attempts_.at(number);
+                if (!attempt.arrived) continue;
+                attempt.outcome = Outcome::connection_reset;
+                schedule(now_ + attempt.latency, EventKind::attempt_response, attempt.sidecar, number);
             }
         }
     }
-    // The registry first, then every sidecar a little later.
-    void told(const Happening& h) {
-        const EndpointNotice& notice = notices_[h.a];
-        if (h.b == 0) {
-            const ServerInfo info = info_of(notice.server, notice.state, notice.online_since);
-            ServerInfo& known = listed_[notice.server];
-            const Millis since = std::max(known.online_since, info.online_since);
-            known = info;
-            known.online_since = since;
-            for (std::uint32_t i = 0; i < instances_.size(); ++i)
-                put(now_ + notice_skew(scenario_, i), What::told, i, h.a, 1);
+    // Updates the registry, and schedules the delivery to each sidecar after its notice_skew().
+    void deliver_notice(const ScheduledEvent& event) {
+        const EndpointNotice& notice = notices_[event.subject];
+        if (event.qualifier == 0) {
+            const ServerInfo info = make_server_info(notice.server, notice.state, notice.online_since);
+            ServerInfo& registered = registry_[notice.server];
+            const Millis online_since = std::max(registered.online_since, info.online_since);
+            registered = info;
+            registered.online_since = online_since;
+            for (std::uint32_t i = 0; i < sidecars_.size(); ++i)
+                schedule(now_ + notice_skew(scenario_, i), EventKind::endpoint_notice, i, event.subject, 1);
             return;
         }
-        if (!instances_[h.who].decider) return;
-        const ServerInfo entry = note_told(h.who, notice);
-        log("told n-%u s-%u %d", h.who, notice.server, static_cast<int>(entry.state));
-        give(h.who, ServerList{ListKind::incremental, {entry}});
+        if (!sidecars_[event.target].policy) return;
+        const ServerInfo entry = record_notice(event.target, notice);
+        log("told n-%u s-%u %d", event.target, notice.server, static_cast<int>(entry.state));
+        handle_event(event.target, ServerList{ListKind::incremental, {entry}});
     }
 
-    ServerInfo note_told(std::uint32_t who, const EndpointNotice& notice) {
-        ServerInfo entry = info_of(notice.server, notice.state, notice.online_since);
-        entry.online_since = std::max(entry.online_since, listed_[notice.server].online_since);
-        checker_.on_endpoint_update(now_, who, notice.server, entry.state,
-                                    std::max(0.0, entry.online_since - kEpoch));
+    // Reports a notice to the checker as delivered to a sidecar. Returns the list entry that it carries.
+    ServerInfo record_notice(std::uint32_t sidecar, const EndpointNotice& notice) {
+        ServerInfo entry = make_server_info(notice.server, notice.state, notice.online_since);
+        entry.online_since = std::max(entry.online_since, registry_[notice.server].online_since);
+        checker_.on_endpoint_update(now_, sidecar, notice.server, entry.state,
+                                    std::max(0.0, entry.online_since - kModuleTimeAtStart));
         return entry;
     }
 
-    // ---- the log
-    static unsigned long long ull(std::uint64_t v) { return v; }
+    // ---- the event log (the words of its lines are part of the format)
+    static unsigned long long ull(std::uint64_t value) { return value; }
     __attribute__((format(printf, 2, 3))) void log(const char* format, ...) {
         char line[192];
-        int n = std::snprintf(line, sizeof line, "%.4f ", now_);
-        va_list args;
-        va_start(args, format);
-        n += std::vsnprintf(line + n, sizeof line - static_cast<std::size_t>(n), format, args);
-        va_end(args);
-        n = std::min<int>(n, sizeof line - 2);
-        line[n++] = '\n';
-        const std::string_view text(line, static_cast<std::size_t>(n));
+        int length = std::snprintf(line, sizeof line, "%.4f ", now_);
+        va_list arguments;
+        va_start(arguments, format);
+        length +=
+            std::vsnprintf(line + length, sizeof line - static_cast<std::size_t>(length), format, arguments);
+        va_end(arguments);
+        length = std::min<int>(length, sizeof line - 2);
+        line[length++] = '\n';
+        const std::string_view text(line, static_cast<std::size_t>(length));
         ++log_lines_;
         log_hash_ = fnv1a(text, log_hash_);
         if (options_.log) *options_.log << text;
@@ -926,30 +1010,31 @@
     ServiceMetrics metrics_;
     const std::vector<TimelineStep> steps_;
     const std::vector<EndpointNotice> notices_;
-    fault_proxy::Rules links_;
-    MessageNetwork messages_;
-    SidecarActivityLog sidecars_;
-    struct OnItsWay {
+    fault_proxy::Rules link_rules_;
+    MessageNetwork message_network_;
+    SidecarActivityLog sidecar_log_;
+    struct MessageInTransit {
         std::uint32_t from;
         std::string bytes;
     };
-    std::unordered_map<std::uint64_t, OnItsWay> on_their_way_;
+    std::unordered_map<std::uint64_t, MessageInTransit> messages_in_transit_;
     std::uint64_t last_message_ = 0;
-    std::vector<Instance> instances_;
-    std::vector<ServerInfo> listed_;
-    std::vector<std::uint32_t> epochs_;  // by server: its connections of an earlier one are gone
-    std::vector<Millis> poll_at_;
-    std::priority_queue<Happening, std::vector<Happening>, std::greater<>> queue_;
-    std::uint64_t number_ = 0, last_attempt_ = 0, last_idle_ = 0;
+    std::vector<SimulatedSidecar> sidecars_;
+    std::vector<ServerInfo> registry_;
+    // By server, the number of its process. Connections that an earlier process had are closed.
+    std::vector<std::uint32_t> server_processes_;
+    std::vector<Millis> server_event_at_;  // by server; -1: no event is scheduled
+    std::priority_queue<ScheduledEvent, std::vector<ScheduledEvent>, std::greater<>> event_queue_;
+    std::uint64_t last_event_ = 0, last_attempt_ = 0, last_idle_connection_ = 0;
     Millis now_ = 0;
-    std::size_t next_ask_ = 0, pending_ = 0;
-    std::unordered_map<ClientRequestId, ClientRequest> waiting_;
-    std::unordered_map<ClientRequestId, OpenTry> open_;
+    std::size_t next_operation_ = 0, unsent_request_count_ = 0;
+    std::unordered_map<ClientRequestId, ClientRequest> unsent_requests_;
+    std::unordered_map<ClientRequestId, OpenClientRequest> open_requests_;
     std::unordered_map<std::uint64_t, Attempt> attempts_;
-    std::unordered_map<Ticket, std::uint64_t> tickets_;
-    ServerModel::Out out_;
-    Report::AfterRestartReport restarted_;
-    std::uint64_t connections_ = 0, log_lines_ = 0, log_hash_ = kFnvOffsetBasis;
+    std::unordered_map<ServerRequestId, std::uint64_t> attempt_of_server_request_;
+    ServerModel::Departures departures_;
+    Report::AfterRestartReport after_restart_;
+    std::uint64_t connection_count_ = 0, log_lines_ = 0, log_hash_ = kFnvOffsetBasis;
 };
 
 }  // namespace
--- a/src/simulation/drivers/virtual/virtual_run.hpp
+++ b/src/simulation/drivers/virtual/virtual_run.hpp
@@ -1,7 +1,9 @@
-// An scenario in simulated time: the models round decision modules, without sockets, as fast as it goes.
-//
-// One thread and one queue of events ordered by time and then by number: the same scenario, seed and balancer
-// give the same log byte for byte.
+/// \file
+/// Runs a scenario in virtual time: decision modules with the models of clients, servers and links, without
+/// sockets, as fast as the machine allows.
+///
+/// The run has one thread and one queue of events, ordered by time and then by number. The same scenario,
+/// seed and balancer give the same event log byte for byte.
 #pragma once
 
 #include <functional>
@@ -13,12 +15,12 @@
 namespace elmbay::simulation {
 
 struct VirtualRunOptions {
-    std::string balancer = "elmbay";
-    std::ostream* log = nullptr;             // a line an event
-    std::function<void(double)> progress{};  // share of the time played, now and then
+    std::string balancer = "elmbay";         ///< Name of a balancing policy.
+    std::ostream* log = nullptr;             ///< Receives one line per event.
+    std::function<void(double)> progress{};  ///< Called about 100 times with the share of the time simulated.
 };
 
-// Throws std::invalid_argument for a balancer that does not exist.
+/// Throws std::invalid_argument if the balancer does not exist.
 Report run_virtual_simulation(const Scenario& scenario, const VirtualRunOptions& options);
 
 }  // namespace elmbay::simulation
--- a/src/simulation/models/membership_agent.hpp
+++ b/src/simulation/models/membership_agent.hpp
@@ -1,5 +1,6 @@
-// The program's own membership (cluster/membership.hpp) beside a decision module in virtual time: what
-// cluster::Driver is round it on real sockets.
+/// \file
+/// Runs the membership protocol of the program (cluster/membership.hpp) in virtual time. On sockets
+/// cluster::Driver does the same.
 #pragma once
 
 #include "cluster/membership.hpp"
@@ -7,25 +8,30 @@
 
 namespace elmbay::simulation {
 
-/// One simulated sidecar's part in the membership protocol. Without I/O and clock; not thread-safe.
+/// One simulated sidecar's part in the membership protocol. It does no I/O, reads no clock and is not
+/// thread-safe.
 class ClusterMembershipAgent : public MembershipAgent {
 public:
-    /// @param self      its number among the scenario's sidecars.
-    /// @param seed      of its random choices.
-    /// @param now       milliseconds of the simulation.
-    /// @param unix_time Unix milliseconds at the simulation's time 0.
+    /// \param self       the sidecar's number in the scenario
+    /// \param seed       seed of its random choices
+    /// \param now        time of the simulation in milliseconds
+    /// \param unix_time  Unix milliseconds at time 0 of the simulation
     ClusterMembershipAgent(const Scenario& scenario, std::uint32_t self, std::uint64_t seed, Millis now,
                            Millis unix_time);
-    void begin(Millis now, std::vector<Outgoing>& out) override;
-    void heard(Millis now, std::uint32_t from, std::string_view bytes, std::vector<Outgoing>& out) override;
-    void refused(Millis now, std::uint32_t whom, std::vector<Outgoing>& out) override;
-    void leave(Millis now, std::vector<Outgoing>& out) override;
-    void wake(Millis now, std::vector<Outgoing>& out) override;
-    Millis next() const override { return membership_.next_due(); }
-    std::optional<std::uint32_t> siblings(Millis now) override { return membership_.update_siblings(now); }
+    void start(Millis now, std::vector<OutgoingMessage>& messages) override;
+    void on_message(Millis now, std::uint32_t from, std::string_view bytes,
+                    std::vector<OutgoingMessage>& messages) override;
+    void on_port_unreachable(Millis now, std::uint32_t sidecar,
+                             std::vector<OutgoingMessage>& messages) override;
+    void leave(Millis now, std::vector<OutgoingMessage>& messages) override;
+    void on_timer(Millis now, std::vector<OutgoingMessage>& messages) override;
+    Millis next_timer_at() const override { return membership_.next_due(); }
+    std::optional<std::uint32_t> update_siblings(Millis now) override {
+        return membership_.update_siblings(now);
+    }
 
 private:
-    void send(std::vector<Outgoing>& out);
+    void take_messages(std::vector<OutgoingMessage>& messages);
 
     cluster::Membership membership_;
 };
--- a/src/simulation/models/message_network.cpp
+++ b/src/simulation/models/message_network.cpp
@@ -4,63 +4,66 @@
 
 namespace elmbay::simulation {
 
-Beats::Beats(const Scenario& scenario, std::uint32_t self, std::uint64_t seed)
+HeartbeatSender::HeartbeatSender(const Scenario& scenario, std::uint32_t self, std::uint64_t seed)
     : scenario_(scenario), self_(self), random_(seed) {}
 
-void Beats::begin(Millis now, std::vector<Outgoing>&) {
-    // The first within one round, so that sidecars that start together don't speak together.
+void HeartbeatSender::start(Millis now, std::vector<OutgoingMessage>&) {
+    // The first heartbeat is due at a random time within one interval, so that sidecars that start together
+    // do not send together.
     if (scenario_.messages.heartbeat_interval > 0)
-        next_ = now + scenario_.messages.heartbeat_interval * random_.uniform();
+        next_heartbeat_at_ = now + scenario_.messages.heartbeat_interval * random_.uniform();
 }
 
-void Beats::wake(Millis now, std::vector<Outgoing>& out) {
-    next_ = now + scenario_.messages.heartbeat_interval;
+void HeartbeatSender::on_timer(Millis now, std::vector<OutgoingMessage>& messages) {
+    next_heartbeat_at_ = now + scenario_.messages.heartbeat_interval;
     const std::string bytes(scenario_.messages.heartbeat_bytes, 'b');
-    const std::uint64_t others = scenario_.sidecars.count - 1;
-    if (scenario_.messages.heartbeat_fanout == 0 || scenario_.messages.heartbeat_fanout >= others) {
-        out.push_back({{}, bytes});
+    const std::uint64_t other_sidecars = scenario_.sidecars.count - 1;
+    if (scenario_.messages.heartbeat_fanout == 0 || scenario_.messages.heartbeat_fanout >= other_sidecars) {
+        messages.push_back({{}, bytes});
         return;
     }
-    std::vector<std::uint32_t> drawn;
-    while (drawn.size() < scenario_.messages.heartbeat_fanout) {
+    std::vector<std::uint32_t> receivers;
+    while (receivers.size() < scenario_.messages.heartbeat_fanout) {
         const auto to = static_cast<std::uint32_t>(random_.below(scenario_.sidecars.count));
-        if (to != self_ && std::find(drawn.begin(), drawn.end(), to) == drawn.end()) drawn.push_back(to);
+        if (to != self_ && std::find(receivers.begin(), receivers.end(), to) == receivers.end())
+            receivers.push_back(to);
     }
-    for (const std::uint32_t to : drawn) out.push_back({to, bytes});
+    for (const std::uint32_t to : receivers) messages.push_back({to, bytes});
 }
 
 MessageNetwork::MessageNetwork(const Scenario& scenario)
-    : sidecars_(static_cast<std::uint32_t>(scenario.sidecars.count)), rules_(scenario.overview.seed) {
+    : sidecar_count_(static_cast<std::uint32_t>(scenario.sidecars.count)), rules_(scenario.overview.seed) {
     std::vector<fault_proxy::Rule> rules = scenario.message_rules();
     for (fault_proxy::Rule& rule : scenario.link_rules()) {
-        cuts_ = cuts_ || rule.type == fault_proxy::FaultType::cut;
+        has_cut_rules_ = has_cut_rules_ || rule.type == fault_proxy::FaultType::cut;
         rules.push_back(std::move(rule));
     }
     rules_.replace_all(std::move(rules));
-    for (std::uint32_t i = 0; i < sidecars_; ++i) names_.push_back("n-" + std::to_string(i));
+    for (std::uint32_t i = 0; i < sidecar_count_; ++i) sidecar_names_.push_back("n-" + std::to_string(i));
 }
 
-bool MessageNetwork::cut(Millis now, std::uint32_t from, std::uint32_t to) const {
-    return cuts_ && rules_.is_cut({names_[from], names_[to]}, fault_proxy::Medium::datagram, now);
+bool MessageNetwork::is_cut(Millis now, std::uint32_t from, std::uint32_t to) const {
+    return has_cut_rules_ &&
+           rules_.is_cut({sidecar_names_[from], sidecar_names_[to]}, fault_proxy::Medium::datagram, now);
 }
 
-void MessageNetwork::send(Millis now, std::uint32_t from, const Outgoing& message,
+void MessageNetwork::send(Millis now, std::uint32_t from, const OutgoingMessage& message,
                           std::vector<Delivery>& deliveries) {
     if (message.to) {
-        if (*message.to < sidecars_ && *message.to != from)
-            one(now, from, *message.to, message.bytes, deliveries);
+        if (*message.to < sidecar_count_ && *message.to != from)
+            send_to(now, from, *message.to, message.bytes, deliveries);
         return;
     }
-    for (std::uint32_t to = 0; to < sidecars_; ++to)
-        if (to != from) one(now, from, to, message.bytes, deliveries);
+    for (std::uint32_t to = 0; to < sidecar_count_; ++to)
+        if (to != from) send_to(now, from, to, message.bytes, deliveries);
 }
 
-void MessageNetwork::one(Millis now, std::uint32_t from, std::uint32_t to, const std::string& bytes,
-                         std::vector<Delivery>& deliveries) {
-    const std::uint64_t nth = ++numbers_[(std::uint64_t{from} << 32) | to];
-    for (const fault_proxy::Rules::Delivery& d :
-         rules_.deliver({names_[from], names_[to]}, nth, bytes.size(), now))
-        deliveries.push_back({to, d.delay, bytes});
+void MessageNetwork::send_to(Millis now, std::uint32_t from, std::uint32_t to, const std::string& bytes,
+                             std::vector<Delivery>& deliveries) {
+    const std::uint64_t nth = ++message_counts_[(std::uint64_t{from} << 32) | to];
+    for (const fault_proxy::Rules::Delivery& delivery :
+         rules_.deliver({sidecar_names_[from], sidecar_names_[to]}, nth, bytes.size(), now))
+        deliveries.push_back({to, delivery.delay, bytes});
 }
 
 }  // namespace elmbay::simulation
--- a/src/simulation/models/message_network.hpp
+++ b/src/simulation/models/message_network.hpp
@@ -1,5 +1,6 @@
-// Messages between sidecars in virtual time: PROTOCOL's "Between sidecars" with the delays, losses and faults
-// of the scenario. What speaks and listens beside a decision module is a MembershipAgent.
+/// \file
+/// Messages between sidecars in virtual time: the datagrams of "Between sidecars" in PROTOCOL, with the
+/// delays, losses and faults of the scenario. Each sidecar sends and receives them through a MembershipAgent.
 #pragma once
 
 #include <functional>
@@ -15,68 +16,76 @@
 
 namespace elmbay::simulation {
 
-struct Outgoing {
-    std::optional<std::uint32_t> to;  // a sidecar; nothing: every other one
+struct OutgoingMessage {
+    std::optional<std::uint32_t> to;  ///< Number of a sidecar; nothing: all other sidecars.
     std::string bytes;
 };
 
-// One life of it: a restart makes another. No I/O and no clock; `now` never goes back.
+/// The part of one sidecar process that exchanges messages with other sidecars. A restarted sidecar gets a
+/// new agent. It does no I/O and reads no clock. `now` never decreases. Functions append to `messages` what
+/// the sidecar sends.
 class MembershipAgent {
 public:
     virtual ~MembershipAgent() = default;
-    virtual void begin(Millis now, std::vector<Outgoing>& out) = 0;
-    virtual void heard(Millis now, std::uint32_t from, std::string_view bytes,
-                       std::vector<Outgoing>& out) = 0;
-    // The machine of that sidecar says that nobody listens there.
-    virtual void refused(Millis, std::uint32_t, std::vector<Outgoing>&) {}
-    // Its sidecar has been told to end.
-    virtual void leave(Millis, std::vector<Outgoing>&) {}
-    // How many sidecars it holds to share the servers, if it knows more than the settings.
-    virtual std::optional<std::uint32_t> siblings(Millis) { return {}; }
-    // At next() or later.
-    virtual void wake(Millis now, std::vector<Outgoing>& out) = 0;
-    virtual Millis next() const = 0;  // fault_proxy::kNever: nothing to do until something is heard
+    virtual void start(Millis now, std::vector<OutgoingMessage>& messages) = 0;
+    virtual void on_message(Millis now, std::uint32_t from, std::string_view bytes,
+                            std::vector<OutgoingMessage>& messages) = 0;
+    /// The host of that sidecar reported the port as unreachable (ICMP).
+    virtual void on_port_unreachable(Millis, std::uint32_t, std::vector<OutgoingMessage>&) {}
+    /// The sidecar starts its graceful shutdown.
+    virtual void leave(Millis, std::vector<OutgoingMessage>&) {}
+    /// Returns the number of sidecars that share the servers, or nothing if the agent has no estimate of its
+    /// own and the configured number applies.
+    virtual std::optional<std::uint32_t> update_siblings(Millis) { return {}; }
+    /// To be called at next_timer_at() or later.
+    virtual void on_timer(Millis now, std::vector<OutgoingMessage>& messages) = 0;
+    /// When on_timer() is due; fault_proxy::kNever: not before the next message.
+    virtual Millis next_timer_at() const = 0;
 };
 
-// Says that it is there, to some others drawn each time, and listens to nothing.
-class Beats : public MembershipAgent {
+/// Sends heartbeats to randomly drawn sidecars at a fixed interval, and ignores messages from others.
+class HeartbeatSender : public MembershipAgent {
 public:
-    Beats(const Scenario& scenario, std::uint32_t self, std::uint64_t seed);
-    void begin(Millis now, std::vector<Outgoing>& out) override;
-    void heard(Millis, std::uint32_t, std::string_view, std::vector<Outgoing>&) override {}
-    void wake(Millis now, std::vector<Outgoing>& out) override;
-    Millis next() const override { return next_; }
+    HeartbeatSender(const Scenario& scenario, std::uint32_t self, std::uint64_t seed);
+    void start(Millis now, std::vector<OutgoingMessage>& messages) override;
+    void on_message(Millis, std::uint32_t, std::string_view, std::vector<OutgoingMessage>&) override {}
+    void on_timer(Millis now, std::vector<OutgoingMessage>& messages) override;
+    Millis next_timer_at() const override { return next_heartbeat_at_; }
 
 private:
     const Scenario& scenario_;
     const std::uint32_t self_;
     Random random_;
-    Millis next_ = fault_proxy::kNever;
+    Millis next_heartbeat_at_ = fault_proxy::kNever;
 };
 
-// What each message meets on its way. Chance is keyed by the ends and the number of the message on its link.
+/// Applies the link rules of the scenario to each message. Random draws are keyed by the sender, the receiver
+/// and the message's number on that link.
 class MessageNetwork {
 public:
     explicit MessageNetwork(const Scenario& scenario);
 
+    /// One copy of a message that reaches a sidecar.
     struct Delivery {
         std::uint32_t to = 0;
-        Millis after = 0;
+        Millis delay = 0;
         std::string bytes;
     };
-    // What becomes of one message; it is not delivered if the link is cut() when it is to come.
-    void send(Millis now, std::uint32_t from, const Outgoing& message, std::vector<Delivery>& deliveries);
-    bool cut(Millis now, std::uint32_t from, std::uint32_t to) const;
+    /// Appends the deliveries of one message. The caller drops a delivery if is_cut() holds for its link when
+    /// it is due.
+    void send(Millis now, std::uint32_t from, const OutgoingMessage& message,
+              std::vector<Delivery>& deliveries);
+    bool is_cut(Millis now, std::uint32_t from, std::uint32_t to) const;
 
 private:
-    void one(Millis now, std::uint32_t from, std::uint32_t to, const std::string& bytes,
-             std::vector<Delivery>& deliveries);
+    void send_to(Millis now, std::uint32_t from, std::uint32_t to, const std::string& bytes,
+                 std::vector<Delivery>& deliveries);
 
-    const std::uint32_t sidecars_;
+    const std::uint32_t sidecar_count_;
     fault_proxy::Rules rules_;
-    bool cuts_ = false;  // whether any rule ever cuts
-    std::vector<std::string> names_;
-    std::unordered_map<std::uint64_t, std::uint64_t> numbers_;  // messages of a link so far
+    bool has_cut_rules_ = false;
+    std::vector<std::string> sidecar_names_;
+    std::unordered_map<std::uint64_t, std::uint64_t> message_counts_;  // by link: (sender << 32) | receiver
 };
 
 }  // namespace elmbay::simulation
--- a/src/simulation/models/service_model.cpp
+++ b/src/simulation/models/service_model.cpp
@@ -7,8 +7,8 @@
 ServiceModel::ServiceModel(const Scenario& scenario, const ClientModel& clients)
     : scenario_(scenario),
       clients_(clients),
-      fails_(scenario.fleet.servers, 0),
-      fallen_(scenario.fleet.servers, false) {
+      fault_error_shares_(scenario.fleet.servers, 0),
+      stopped_permanently_(scenario.fleet.servers, false) {
     for (std::uint32_t i = 0; i < scenario.fleet.servers; ++i) {
         Random random = random_stream(scenario.overview.seed, StreamPurpose::server_speed, i);
         const double spread = scenario.fleet.speed_variation;
@@ -17,56 +17,57 @@
     }
 }
 
-Ticket ServiceModel::arrive(Millis now, std::uint32_t server, ClientRequestId id, ServerModel::Out& out) {
-    const OperationId request = operation_of(id);
-    const ClassSpec& c = scenario_.classes[clients_.arrival_of(request).class_index];
+ServerRequestId ServiceModel::deliver_attempt(Millis now, std::uint32_t server, ClientRequestId id,
+                                              ServerModel::Departures& departures) {
+    const OperationId operation = operation_of(id);
+    const ClassSpec& spec = scenario_.classes[clients_.arrival_of(operation).class_index];
     Random random = random_stream(scenario_.overview.seed, StreamPurpose::fast_failure, id, server);
-    const bool fails = random.uniform() < scenario_.fleet.error_rate + fails_[server];
-    Millis work = clients_.attempt_work(request, server);
-    if (c.idempotency() == balancer::Idempotency::idempotency_key && !fails &&
+    const bool fails = random.uniform() < scenario_.fleet.error_rate + fault_error_shares_[server];
+    Millis work = clients_.attempt_work(operation, server);
+    if (spec.idempotency() == balancer::Idempotency::idempotency_key && !fails &&
         servers_[server].is_running()) {
-        const auto [at, fresh] = keys_.try_emplace(request, now);
-        if (!fresh && now < at->second + c.dedup_window)
-            work = kDroppedRepeat;
+        const auto [seen_at, is_new] = key_seen_at_.try_emplace(operation, now);
+        if (!is_new && now < seen_at->second + spec.dedup_window)
+            work = kDuplicateRequestWork;
         else
-            at->second = now;
+            seen_at->second = now;
     }
-    servers_[server].arrive(now, ++last_, work, fails, out);
-    return last_;
+    servers_[server].add_request(now, ++last_request_id_, work, fails, departures);
+    return last_request_id_;
 }
 
-void ServiceModel::apply(const TimelineStep& step, ServerModel::Out& out) {
+void ServiceModel::apply(const TimelineStep& step, ServerModel::Departures& departures) {
     ServerModel& server = servers_[step.target];
     switch (step.kind) {
         case StepKind::freeze:
-            server.freeze(step.at, step.at + step.value, out);
+            server.freeze(step.at, step.at + step.value, departures);
             break;
         case StepKind::noisy_neighbour:
-            server.set_neighbour(step.at, step.value, out);
+            server.set_neighbour_share(step.at, step.value, departures);
             break;
         case StepKind::fail_fast:
-            fails_[step.target] = step.value;
+            fault_error_shares_[step.target] = step.value;
             break;
         case StepKind::unresponsive:
-            server.set_hollow(step.at, step.value > 0, out);
+            server.set_unresponsive(step.at, step.value > 0, departures);
             break;
         case StepKind::stop:
-            server.stop(step.at, out);
+            server.stop(step.at, departures);
             break;
         case StepKind::cut_off:
-            server.vanish(step.at, out);
+            server.cut_off(step.at, departures);
             break;
         case StepKind::start:
-            if (!fallen_[step.target]) server.start(step.at, out);
+            if (!stopped_permanently_[step.target]) server.start(step.at, departures);
             break;
         default:
-            break;  // a drain changes nothing at the server; the rest is about sidecars
+            break;  // a drain does not change the server itself; the other kinds target sidecars
     }
 }
 
-void ServiceModel::fell(Millis now, std::uint32_t server, ServerModel::Out& out) {
-    fallen_[server] = true;
-    servers_[server].stop(now, out);
+void ServiceModel::stop_permanently(Millis now, std::uint32_t server, ServerModel::Departures& departures) {
+    stopped_permanently_[server] = true;
+    servers_[server].stop(now, departures);
 }
 
 }  // namespace elmbay::simulation
--- a/src/simulation/models/service_model.hpp
+++ b/src/simulation/models/service_model.hpp
@@ -1,5 +1,6 @@
-// The service_model: all servers of an scenario with their faults, and what they remember of keys. No I/O, no
-// clock.
+/// \file
+/// The model of the service: all servers of a scenario with their faults, and the idempotency keys that they
+/// share. It does no I/O and reads no clock.
 #pragma once
 
 #include <unordered_map>
@@ -15,32 +16,35 @@
 public:
     explicit ServiceModel(const Scenario& scenario, const ClientModel& clients);
 
-    // A try's attempt has come whole to a server. Returns its ticket; its end is among some call's
-    // departures, unless the machine vanishes.
-    Ticket arrive(Millis now, std::uint32_t server, ClientRequestId id, ServerModel::Out& out);
-    // Carries out a step that is about a server.
-    void apply(const TimelineStep& step, ServerModel::Out& out);
-    // A cold server sent too much: it goes down and stays down.
-    void fell(Millis now, std::uint32_t server, ServerModel::Out& out);
+    /// An attempt has arrived in full at a server. Returns its number there. A later call, or this one, gives
+    /// its departure, unless the machine is cut off.
+    ServerRequestId deliver_attempt(Millis now, std::uint32_t server, ClientRequestId id,
+                                    ServerModel::Departures& departures);
+    /// Applies a step of the timeline that targets a server.
+    void apply(const TimelineStep& step, ServerModel::Departures& departures);
+    /// Stops a cold server that was overloaded. It stays down for the rest of the run.
+    void stop_permanently(Millis now, std::uint32_t server, ServerModel::Departures& departures);
 
     ServerModel& server(std::uint32_t number) { return servers_[number]; }
     const ServerModel& server(std::uint32_t number) const { return servers_[number]; }
     Millis mean_work(std::uint32_t class_index) const { return scenario_.classes.at(class_index).work; }
+    /// Cores of each server.
     double cores() const { return static_cast<double>(scenario_.fleet.cores); }
-    std::uint32_t count() const { return static_cast<std::uint32_t>(servers_.size()); }
-    // Whether the list named it at the start.
-    bool there_at_start(std::uint32_t server) const { return !scenario_.joins_later(server); }
-    // What a repeat costs that is dropped by its key.
-    static constexpr Millis kDroppedRepeat = 0.5;
+    std::uint32_t server_count() const { return static_cast<std::uint32_t>(servers_.size()); }
+    /// Whether the endpoint list contains the server at time 0.
+    bool is_listed_at_start(std::uint32_t server) const { return !scenario_.joins_later(server); }
+    /// Core time of a repeated request that the server drops because of its idempotency key.
+    static constexpr Millis kDuplicateRequestWork = 0.5;
 
 private:
     const Scenario& scenario_;
     const ClientModel& clients_;
     std::vector<ServerModel> servers_;
-    std::vector<double> fails_;  // by server, the share that a fault makes it fail
-    std::vector<bool> fallen_;
-    std::unordered_map<OperationId, Millis> keys_;  // when a keyed request first came to any server
-    Ticket last_ = 0;
+    std::vector<double> fault_error_shares_;  // by server
+    std::vector<bool> stopped_permanently_;   // by server
+    // When an operation with an idempotency key first reached any server in the current deduplication window.
+    std::unordered_map<OperationId, Millis> key_seen_at_;
+    ServerRequestId last_request_id_ = 0;
 };
 
 }  // namespace elmbay::simulation
