--- a/tests/simulation/report_test.cpp
+++ b/tests/simulation/report_test.cpp
@@ -1,3 +1,4 @@
+// Tests the HTML page and the JSON of a report, and that reports of unpunctual runs do not count as passed.
 #include "simulation/reports/report.hpp"
 
 #include <gtest/gtest.h>
@@ -9,17 +10,17 @@
 namespace elmbay::simulation {
 namespace {
 
-Report small(const std::string& name = "a <b> & \"c\"") {
+Report short_run_report(const std::string& scenario_name = "a <b> & \"c\"") {
     Scenario scenario = parse_scenario(
         "length = \"3s\"\n[[fault]]\nkind = \"freeze\"\nname = \"<script>\"\nat = \"1s\"\n[expect]\ngoodput "
         "= 1\n",
         "f");
-    scenario.name = name;
+    scenario.name = scenario_name;
     return run_virtual_simulation(scenario, {});
 }
 
 TEST(Report, PageIsCompleteSelfContainedAndEscapesNames) {
-    const std::string page = page_of(small());
+    const std::string page = page_of(short_run_report());
     EXPECT_TRUE(page.starts_with("<!doctype html>"));
     EXPECT_NE(page.find("</html>"), std::string::npos);
     EXPECT_NE(page.find("<svg"), std::string::npos);
@@ -29,17 +30,17 @@
 }
 
 TEST(Report, ReadsItsJsonBackForComparison) {
-    const Report a = small("x");
-    const Report b = report_from_json(json_of(a).dump());
-    EXPECT_EQ(comparison_of(a, a), comparison_of(b, b));
-    EXPECT_EQ(a.passed(), b.passed());
+    const Report original = short_run_report("x");
+    const Report parsed = report_from_json(json_of(original).dump());
+    EXPECT_EQ(comparison_of(original, original), comparison_of(parsed, parsed));
+    EXPECT_EQ(original.passed(), parsed.passed());
     EXPECT_THROW(report_from_json("{"), std::invalid_argument);
     EXPECT_THROW(report_from_json("{}"), std::invalid_argument);
     EXPECT_THROW(report_from_json("{\"incident\":3}"), std::invalid_argument);
 }
 
 TEST(Report, IsNotTrustedWhenEmulatorWasLate) {
-    Report report = small("x");
+    Report report = short_run_report("x");
     report.expectations.clear();
     EXPECT_TRUE(report.passed());
     report.punctuality.measured = true;
--- a/tests/simulation/scenario_test.cpp
+++ b/tests/simulation/scenario_test.cpp
@@ -1,5 +1,5 @@
-// Scenario files: every problem is reported at once, with line, key and what is allowed. Schedules built from
-// them.
+// Tests that the parser reports all problems of a scenario file at once, with line, key and accepted range,
+// and that timelines follow from scenarios.
 #include "simulation/scenario/scenario.hpp"
 
 #include <gtest/gtest.h>
@@ -30,7 +30,8 @@
 
 TEST(Scenario, AcceptsEveryBundledScenario) {
     EXPECT_GE(bundled().size(), 9U);
-    for (const BundledScenario& b : bundled()) EXPECT_NO_THROW(parse_scenario(b.text, b.name)) << b.name;
+    for (const BundledScenario& scenario : bundled())
+        EXPECT_NO_THROW(parse_scenario(scenario.text, scenario.name)) << scenario.name;
 }
 
 TEST(Scenario, RejectsUnknownKeyWithLineAndSuggestion) {
@@ -62,15 +63,16 @@
 }
 
 TEST(Scenario, RejectsFaultsThatEndOneServerTwiceAtOnce) {
-    const std::string once = "[[fault]]\nkind = \"die\"\nat = \"2s\"\nlasts = \"5s\"\nwho = [\"s-1\"]\n";
-    EXPECT_PROBLEM(once + "[[fault]]\nkind = \"vanish\"\nat = \"6s\"\nwho = [\"s-1\"]\n",
+    const std::string crash = "[[fault]]\nkind = \"die\"\nat = \"2s\"\nlasts = \"5s\"\nwho = [\"s-1\"]\n";
+    EXPECT_PROBLEM(crash + "[[fault]]\nkind = \"vanish\"\nat = \"6s\"\nwho = [\"s-1\"]\n",
                    "f.toml:6: fault.at: s-1 can't end twice: line 1");
-    EXPECT_EQ(problems_of(once + "[[fault]]\nkind = \"die\"\nat = \"7s\"\nwho = [\"s-1\"]\n"), "");
+    EXPECT_EQ(problems_of(crash + "[[fault]]\nkind = \"die\"\nat = \"7s\"\nwho = [\"s-1\"]\n"), "");
     // Faults of other kinds may overlap with a crash.
-    EXPECT_EQ(problems_of(once + "[[fault]]\nkind = \"freeze\"\nat = \"1s\"\nwho = [\"s-1\"]\n"), "");
+    EXPECT_EQ(problems_of(crash + "[[fault]]\nkind = \"freeze\"\nat = \"1s\"\nwho = [\"s-1\"]\n"), "");
     // The process of a draining server ends after its linger.
     EXPECT_PROBLEM(
-        "[[fault]]\nkind = \"drain\"\nat = \"2s\"\nlinger = \"4s\"\nlasts = \"2s\"\nwho = [\"s-1\"]\n" + once,
+        "[[fault]]\nkind = \"drain\"\nat = \"2s\"\nlinger = \"4s\"\nlasts = \"2s\"\nwho = [\"s-1\"]\n" +
+            crash,
         "can't end twice");
 }
 
@@ -89,31 +91,34 @@
 
 TEST(Scenario, ResolvesTargetsByShareFromSeedAndByZoneName) {
     const std::string text = "seed = 4\n[[fault]]\nkind = \"freeze\"\nat = \"1s\"\nwho = \"25%\"\n";
-    const auto hit = [&](std::uint64_t seed) { return parse_scenario(text, "f", seed).faults[0].target_ids; };
-    EXPECT_EQ(hit(4).size(), 3U);
-    EXPECT_EQ(hit(4), hit(4));
+    const auto targets = [&](std::uint64_t seed) {
+        return parse_scenario(text, "f", seed).faults[0].target_ids;
+    };
+    EXPECT_EQ(targets(4).size(), 3U);
+    EXPECT_EQ(targets(4), targets(4));
     bool differs = false;
-    for (std::uint64_t seed = 5; seed < 15; ++seed) differs = differs || hit(seed) != hit(4);
+    for (std::uint64_t seed = 5; seed < 15; ++seed) differs = differs || targets(seed) != targets(4);
     EXPECT_TRUE(differs);
-    const Scenario halls =
+    const Scenario by_zone =
         parse_scenario("[[fault]]\nkind = \"freeze\"\nat = \"1s\"\nwho = \"hall-b\"\n", "f");
-    EXPECT_EQ(halls.faults[0].target_ids, (std::vector<std::uint32_t>{1, 4, 7, 10}));
+    EXPECT_EQ(by_zone.faults[0].target_ids, (std::vector<std::uint32_t>{1, 4, 7, 10}));
 }
 
 TEST(Timeline, KeepsNoticesOfOneServerInOrderWhenListIsDelayed) {
-    // The notice of its crash is delayed, that of its return is not: it must not come first.
+    // The list delays the notice of the crash but not that of the restart. The notice of the restart must not
+    // come first.
     const Scenario scenario = parse_scenario(
         "length = \"30s\"\n[registry]\nnotice_least = \"100ms\"\nnotice_most = \"100ms\"\n"
         "[[fault]]\nkind = \"list-late\"\nat = \"1s\"\nlasts = \"2s\"\ndelay = \"9s\"\n"
         "[[fault]]\nkind = \"die\"\nat = \"2s\"\nlasts = \"2s\"\nwho = \"s-3\"\n",
         "f");
-    const auto list = build_notices(scenario, build_timeline(scenario));
-    ASSERT_EQ(list.size(), 2U);
-    EXPECT_EQ(list[0].state, balancer::EndpointState::removed);
-    EXPECT_DOUBLE_EQ(list[0].at, 11100);
-    EXPECT_EQ(list[1].state, balancer::EndpointState::active);
-    EXPECT_GE(list[1].at, list[0].at);
-    EXPECT_DOUBLE_EQ(list[1].online_since, 4000);
+    const auto notices = build_notices(scenario, build_timeline(scenario));
+    ASSERT_EQ(notices.size(), 2U);
+    EXPECT_EQ(notices[0].state, balancer::EndpointState::removed);
+    EXPECT_DOUBLE_EQ(notices[0].at, 11100);
+    EXPECT_EQ(notices[1].state, balancer::EndpointState::active);
+    EXPECT_GE(notices[1].at, notices[0].at);
+    EXPECT_DOUBLE_EQ(notices[1].online_since, 4000);
 }
 
 }  // namespace
--- a/tests/simulation/socket_run_test.cpp
+++ b/tests/simulation/socket_run_test.cpp
@@ -1,4 +1,5 @@
-// The real driver round real sidecar processes. Nothing here asserts speed: rules, order, and what was asked.
+// Tests the driver on sockets with real sidecar processes. The tests check invariants, order and the requests
+// that are sent, but no speed.
 #include "simulation/drivers/sockets/socket_run.hpp"
 
 #include <gtest/gtest.h>
@@ -12,8 +13,8 @@
 namespace elmbay::simulation {
 namespace {
 
-// A few seconds, light enough for a machine that is busy otherwise: waits are generous, work is small.
-const char* const kShort = R"(
+// A scenario of a few seconds that a busy machine can run in time: deadlines are long and the work is small.
+const char* const kShortScenario = R"(
 length = "4s"
 seed = 5
 [fleet]
@@ -73,100 +74,105 @@
 who = "s-4"
 )";
 
-std::string read(const std::string& path) {
+std::string read_file(const std::string& path) {
     const std::ifstream file(path);
     std::ostringstream text;
     text << file.rdbuf();
     return text.str();
 }
 
-Report play(const std::string& text, const std::string& log = "") {
+Report run(const std::string& text, const std::string& log_path = "") {
     const Scenario scenario = parse_scenario(text, "f.toml");
     SocketRunOptions options;
     options.sidecar_command = ELMBAY_PROGRAM;
-    options.log_path = log;
+    options.log_path = log_path;
     return run_socket_simulation(scenario, options);
 }
 
-std::uint64_t served(const Report& report) {
+std::uint64_t served_count(const Report& report) {
     std::uint64_t count = 0;
-    for (const ClassReport& c : report.metrics.classes) count += c.within_objective + c.late;
+    for (const ClassReport& class_report : report.metrics.classes)
+        count += class_report.within_objective + class_report.late;
     return count;
 }
 
-TEST(Real, TheSameScriptTwiceAsksAndHappensTheSame) {
-    const std::string a = testing::TempDir() + "simulation-a.log",
-                      b = testing::TempDir() + "simulation-b.log";
-    const Report first = play(kShort, a), second = play(kShort, b);
+TEST(SocketRun, SendsSameOperationsAndAppliesSameStepsForSameScenario) {
+    const std::string first_path = testing::TempDir() + "simulation-a.log",
+                      second_path = testing::TempDir() + "simulation-b.log";
+    const Report first = run(kShortScenario, first_path), second = run(kShortScenario, second_path);
     EXPECT_EQ(first.timeline, second.timeline);
     EXPECT_GT(first.timeline.size(), 8U);
     EXPECT_EQ(first.log_hash, second.log_hash);
-    // Line for line, apart from where two things of one moment crossed: the asks alone, and the steps alone.
-    const auto only = [](const std::string& text, const char* word) {
-        std::istringstream in(text);
-        std::string line, kept;
-        while (std::getline(in, line))
-            if (line.find(word) != std::string::npos) kept += line + "\n";
-        return kept;
+    // Events of the same time may be logged in either order, so the operations and the steps are compared
+    // separately.
+    const auto lines_with = [](const std::string& text, const char* event) {
+        std::istringstream lines(text);
+        std::string line, matching;
+        while (std::getline(lines, line))
+            if (line.find(event) != std::string::npos) matching += line + "\n";
+        return matching;
     };
-    const std::string log_a = read(a), log_b = read(b);
-    EXPECT_EQ(only(log_a, " ask "), only(log_b, " ask "));
-    EXPECT_EQ(only(log_a, "step "), only(log_b, "step "));
-    EXPECT_GT(only(log_a, " ask ").size(), 1000U);
+    const std::string first_log = read_file(first_path), second_log = read_file(second_path);
+    EXPECT_EQ(lines_with(first_log, " ask "), lines_with(second_log, " ask "));
+    EXPECT_EQ(lines_with(first_log, "step "), lines_with(second_log, "step "));
+    EXPECT_GT(lines_with(first_log, " ask ").size(), 1000U);
     for (const Report& report : {first, second}) {
-        EXPECT_GT(served(report), report.operations * 8 / 10) << text_of(report);
-        // A busy machine may make the emulator late; then it says so, and the rules are not held against
-        // elmbay.
+        EXPECT_GT(served_count(report), report.operations * 8 / 10) << text_of(report);
+        // On a busy machine the emulator may be late. The report then counts as not trusted, and a violation
+        // may not be due to elmbay.
         if (report.punctuality.trusted()) {
             EXPECT_TRUE(report.invariants_hold()) << text_of(report);
         }
     }
 }
 
-TEST(Real, SidecarsAreKilledRestartedAndReloaded) {
+TEST(SocketRun, KillsRestartsAndReloadsSidecars) {
     const std::string text =
-        std::string(kShort).substr(0, std::string(kShort).find("[[fault]]")) +
+        std::string(kShortScenario).substr(0, std::string(kShortScenario).find("[[fault]]")) +
         "[[fault]]\nkind = \"sidecar-kill\"\nat = \"1s\"\nlasts = \"500ms\"\nwho = \"n-0\"\n"
         "[[fault]]\nkind = \"sidecar-restart\"\nat = \"1.5s\"\nwho = \"n-1\"\n"
         "[[fault]]\nkind = \"sidecar-reload\"\nat = \"2.8s\"\nwho = \"n-0\"\n"
         "[[fault]]\nkind = \"drain\"\nat = \"3s\"\nwho = \"s-2\"\n";
-    const Report report = play(text);
+    const Report report = run(text);
     EXPECT_TRUE(report.notes.empty()) << text_of(report);
-    EXPECT_GT(served(report), report.operations / 2) << text_of(report);
+    EXPECT_GT(served_count(report), report.operations / 2) << text_of(report);
     if (report.punctuality.trusted()) {
         EXPECT_TRUE(report.invariants_hold()) << text_of(report);
     }
 }
 
-// A hall is cut off for a second, one way for another: on sockets as in virtual time, and the rules hold.
-TEST(Real, ASplitOnSocketsCutsTheSameRequestsOffAsInVirtualTime) {
-    const std::string text = std::string(kShort).substr(0, std::string(kShort).find("[[fault]]")) +
-                             "[[fault]]\nkind = \"split\"\nat = \"1s\"\nlasts = \"1500ms\"\n"
-                             "groups = [\"hall-a\", \"hall-b hall-c\"]\n"
-                             "[[fault]]\nkind = \"one-way\"\nat = \"3s\"\nlasts = \"500ms\"\n"
-                             "from = [\"hall-b\"]\nto = [\"hall-a\"]\n"
-                             "[[fault]]\nkind = \"drain\"\nat = \"1200ms\"\nwho = \"s-2\"\n";
-    const Report real = play(text);
+// Tests that a partition of a zone, and one in one direction, have the same effect on sockets as in virtual
+// time, and that the invariants hold.
+TEST(SocketRun, PartitionDelaysRequestsAsInVirtualTime) {
+    const std::string text =
+        std::string(kShortScenario).substr(0, std::string(kShortScenario).find("[[fault]]")) +
+        "[[fault]]\nkind = \"split\"\nat = \"1s\"\nlasts = \"1500ms\"\n"
+        "groups = [\"hall-a\", \"hall-b hall-c\"]\n"
+        "[[fault]]\nkind = \"one-way\"\nat = \"3s\"\nlasts = \"500ms\"\n"
+        "from = [\"hall-b\"]\nto = [\"hall-a\"]\n"
+        "[[fault]]\nkind = \"drain\"\nat = \"1200ms\"\nwho = \"s-2\"\n";
+    const Report real = run(text);
     const Report simulated = run_virtual_simulation(parse_scenario(text, "f.toml"), {});
     EXPECT_TRUE(simulated.invariants_hold()) << text_of(simulated);
     if (real.punctuality.trusted()) {
         EXPECT_TRUE(real.invariants_hold()) << text_of(real);
     }
-    EXPECT_GT(served(real), real.operations * 8 / 10) << text_of(real);
-    // What is on its way over a connection that stood waits for the link: most of a second and a half.
+    EXPECT_GT(served_count(real), real.operations * 8 / 10) << text_of(real);
+    // Data on an established connection waits for the end of the cut, which lasts most of 1.5 seconds.
     for (const Report& report : {real, simulated}) {
-        Millis most = 0;
-        for (const ClassReport& c : report.metrics.classes) most = std::max(most, c.max_latency);
-        EXPECT_GT(most, 700) << text_of(report);
+        Millis max_latency = 0;
+        for (const ClassReport& class_report : report.metrics.classes)
+            max_latency = std::max(max_latency, class_report.max_latency);
+        EXPECT_GT(max_latency, 700) << text_of(report);
     }
 }
 
-// On sockets: half of the sidecars come back together while a server is cold, one stands still while a server
-// drains, one has little of its core, one runs another build and one other settings. The checker of cold
-// starts and of drains holds all of it against the rules.
-TEST(Real, SidecarsFailWhileServersDo) {
+// Tests on sockets that the invariants on cold servers and on drains hold while sidecars fail: half of them
+// restart together while a server is cold, one is paused while a server drains, one has limited CPU, one runs
+// another build and one runs other settings.
+TEST(SocketRun, HoldsInvariantsWhenSidecarsAndServersFailTogether) {
     const std::string text =
-        std::string(kShort).substr(0, std::string(kShort).find("[[fault]]")) +
+        std::string(kShortScenario).substr(0, std::string(kShortScenario).find("[[fault]]")) +
         "[[fault]]\nkind = \"die\"\nat = \"500ms\"\nlasts = \"700ms\"\nwho = \"s-0\"\n"
         "[[fault]]\nkind = \"sidecar-kill\"\nat = \"1200ms\"\nlasts = \"300ms\"\nwho = [\"n-0\", \"n-1\"]\n"
         "[[fault]]\nkind = \"pause\"\nat = \"1800ms\"\nlasts = \"1s\"\nwho = \"n-2\"\n"
@@ -174,48 +180,48 @@
         "[[fault]]\nkind = \"starve\"\nat = \"1s\"\nlasts = \"2s\"\nshare = 0.4\nwho = \"n-3\"\n"
         "[[fault]]\nkind = \"other-build\"\nat = \"2s\"\nwho = \"n-1\"\nbuild = \"other\"\n"
         "[[fault]]\nkind = \"other-settings\"\nat = \"2s\"\nwho = \"n-0\"\nset = \"siblings=9\"\n";
-    const std::string with_four = std::string(text).replace(text.find("count = 2"), 9, "count = 4");
-    const Scenario scenario = parse_scenario(with_four, "f.toml");
+    const std::string with_four_sidecars = std::string(text).replace(text.find("count = 2"), 9, "count = 4");
+    const Scenario scenario = parse_scenario(with_four_sidecars, "f.toml");
     SocketRunOptions options;
     options.sidecar_command = ELMBAY_PROGRAM;
     EXPECT_THROW(run_socket_simulation(scenario, options), std::invalid_argument)
-        << "the build has no command";
+        << "the build 'other' has no command";
     options.build_commands["other"] = std::string("env RELAY_OTHER=1 ") + ELMBAY_PROGRAM;
     const Report report = run_socket_simulation(scenario, options);
     EXPECT_TRUE(report.notes.empty()) << text_of(report);
-    EXPECT_GT(served(report), report.operations / 2) << text_of(report);
+    EXPECT_GT(served_count(report), report.operations / 2) << text_of(report);
     if (report.punctuality.trusted()) {
         EXPECT_TRUE(report.invariants_hold()) << text_of(report);
     }
     EXPECT_EQ(report.sidecar_activity.impaired_spans.size(), 2U);
-    std::size_t other = 0;
-    for (const SidecarSpan& s : report.sidecar_activity.process_spans)
-        other += s.description == "other" || s.description == "elmbay (other-settings)";
-    EXPECT_EQ(other, 2U);
+    std::size_t replaced = 0;
+    for (const SidecarSpan& span : report.sidecar_activity.process_spans)
+        replaced += span.description == "other" || span.description == "elmbay (other-settings)";
+    EXPECT_EQ(replaced, 2U);
 }
 
-TEST(Real, ASidecarThatDoesNotComeUpIsToldWithWhatItSaid) {
+TEST(SocketRun, ReportsLogOfSidecarThatDoesNotBecomeReady) {
     const Scenario scenario = parse_scenario("length = \"1s\"\n", "f.toml");
     SocketRunOptions options;
     options.sidecar_command = "echo no such luck; exit 3";
     try {
         run_socket_simulation(scenario, options);
-        FAIL() << "it ran";
+        FAIL() << "the run did not fail";
     } catch (const std::runtime_error& error) {
         EXPECT_NE(std::string(error.what()).find("no such luck"), std::string::npos) << error.what();
     }
 }
 
-TEST(Real, ASidecarThatCrashesIsABrokenRule) {
+TEST(SocketRun, ReportsCrashedSidecarAsViolation) {
     const Scenario scenario =
         parse_scenario("length = \"3s\"\n[sidecars]\ncount = 1\n[callers]\nrate = 20\n", "f.toml");
     SocketRunOptions options;
-    // Ends by itself a second and a half after its start, which is after it is ready.
+    // Kills the sidecar 1.5 seconds after its start, when it is ready.
     options.sidecar_command = std::string("timeout -s KILL 1.5 ") + ELMBAY_PROGRAM;
     const Report report = run_socket_simulation(scenario, options);
     EXPECT_FALSE(report.invariants_hold());
     ASSERT_FALSE(report.notes.empty());
-    EXPECT_NE(report.notes[0].find("ended by itself"), std::string::npos);
+    EXPECT_NE(report.notes[0].find("ended unexpectedly"), std::string::npos);
 }
 
 }  // namespace
