--- a/src/process_testbed/chaos.cpp
+++ b/src/process_testbed/chaos.cpp
@@ -190,11 +190,11 @@
 
 Verdict SchedulePlayer::finish(bool kept) {
     heal_everything();
-    kept = kept && testbed_.settle();
+    kept = kept && testbed_.run_until_idle();
     const std::string leaks = kept ? find_descriptor_leaks() : "";
     kept = kept && leaks.empty();
     const RequestHistory& history = testbed_.request_history();
-    return {kept, kept ? "" : leaks + testbed_.explain(), history.total_requests(),
+    return {kept, kept ? "" : leaks + testbed_.describe_failure(), history.total_requests(),
             history.count(RequestHistory::Outcome::served)};
 }
 
--- a/src/process_testbed/process_testbed.cpp
+++ b/src/process_testbed/process_testbed.cpp
@@ -153,7 +153,7 @@
     const auto not_ready = std::find_if_not(sidecars_.begin(), sidecars_.end(), is_ready);
     if (not_ready == sidecars_.end()) return;
     throw SidecarNotReady("a sidecar of '" + options_.program + "' does not come up; it said:\n" +
-                          (*not_ready)->log_excerpt() + explain());
+                          (*not_ready)->log_excerpt() + describe_failure());
 }
 
 void ProcessTestbed::restart(std::size_t sidecar, const std::string& command,
@@ -255,7 +255,7 @@
     return true;
 }
 
-bool ProcessTestbed::settle() {
+bool ProcessTestbed::run_until_idle() {
     if (!run_until([this] { return request_history_.open_requests() == 0; })) return false;
     if (!run_for(2 * RequestHistory::kSlack)) return false;
     request_history_.check_all_ended(now());
@@ -270,7 +270,7 @@
     return text;
 }
 
-std::string ProcessTestbed::explain(const std::string& id) {
+std::string ProcessTestbed::describe_failure(const std::string& id) {
     note_crashes();  // what is explained may have ended a process since the last check
     const std::string text = violations();
     if (!id.empty()) return text + request_history_.history(id);
--- a/src/process_testbed/process_testbed.hpp
+++ b/src/process_testbed/process_testbed.hpp
@@ -5,7 +5,7 @@
 //     testbed.start();
 //     const auto id = testbed.send_request(0, "deposit");
 //     testbed.context().put_rule({.name = "cut", .from = {"s-*"}, .to = {"n-0"}, .act = FaultType::cut});
-//     ASSERT_TRUE(testbed.run_until([&] { return testbed.has_ended(id); })) << testbed.explain(id);
+//     ASSERT_TRUE(testbed.run_until([&] { return testbed.has_ended(id); })) << testbed.describe_failure(id);
 //
 // Names in rules: sidecars n-0 ..., servers s-0 ..., the discovery service "list", the clients of n-I c-I.
 // Links: c-I -> n-I, n-I -> s-J, n-I -> list; datagrams between sidecars.
@@ -155,12 +155,12 @@
     bool run_for(Millis duration);
     /// Waits until every request has ended, and for what is checked only after a slack.
     /// @return whether there was no violation.
-    bool settle();
+    bool run_until_idle();
     /// @return the violations, a line each.
     std::string violations() const;
     /// Explains a failure: the violations and the events of the request, of the first violation's request if
     /// none is named, of all if there is no violation.
-    std::string explain(const std::string& id = "");
+    std::string describe_failure(const std::string& id = "");
     /// @}
 
 private:
--- a/tests/process_testbed/cluster_test.cpp
+++ b/tests/process_testbed/cluster_test.cpp
@@ -48,8 +48,8 @@
 }
 void serves(ProcessTestbed& testbed, std::size_t i) {
     const std::string id = testbed.send_request(i, "deposit");
-    ASSERT_TRUE(testbed.run_until([&] { return testbed.has_ended(id); })) << testbed.explain();
-    EXPECT_EQ(testbed.outcome(id), RequestHistory::Outcome::served) << testbed.explain(id);
+    ASSERT_TRUE(testbed.run_until([&] { return testbed.has_ended(id); })) << testbed.describe_failure();
+    EXPECT_EQ(testbed.outcome(id), RequestHistory::Outcome::served) << testbed.describe_failure(id);
 }
 Rule cut(std::vector<std::string> from, std::vector<std::string> to) {
     Rule r;
@@ -60,29 +60,33 @@
 TEST(Cluster, DistinguishesKilledLeavingAndFrozenMembersAndTakesThemBack) {
     ProcessTestbed testbed(knowing(5));
     testbed.start();
-    ASSERT_TRUE(testbed.run_until([&] { return whole(testbed); })) << testbed.explain();
+    ASSERT_TRUE(testbed.run_until([&] { return whole(testbed); })) << testbed.describe_failure();
     EXPECT_EQ(testbed.status(0)["siblings"], 5);
     testbed.kill(1);
-    ASSERT_TRUE(testbed.run_until([&] { return all_hold(testbed, 1, "gone"); })) << testbed.explain();
+    ASSERT_TRUE(testbed.run_until([&] { return all_hold(testbed, 1, "gone"); }))
+        << testbed.describe_failure();
     testbed.terminate(2);
-    ASSERT_TRUE(testbed.run_until([&] { return all_hold(testbed, 2, "left"); })) << testbed.explain();
+    ASSERT_TRUE(testbed.run_until([&] { return all_hold(testbed, 2, "left"); }))
+        << testbed.describe_failure();
     EXPECT_TRUE(view(testbed, 0, "whole")) << "nobody is missed";
     // Three of five are there: their module divides by fewer, at most by what is spared.
     ASSERT_TRUE(testbed.run_until([&] { return cluster_of(testbed, 0)["siblings"] == 3; }))
         << cluster_of(testbed, 0).dump(1);
     testbed.freeze(3);
-    ASSERT_TRUE(testbed.run_until([&] { return all_hold(testbed, 3, "failed"); })) << testbed.explain();
+    ASSERT_TRUE(testbed.run_until([&] { return all_hold(testbed, 3, "failed"); }))
+        << testbed.describe_failure();
     EXPECT_TRUE(view(testbed, 0, "part"));
     serves(testbed, 0);
     const auto failures = cluster_of(testbed, 4)["failures"].get<int>();
     testbed.thaw(3);
-    ASSERT_TRUE(testbed.run_until([&] { return all_hold(testbed, 3, "alive"); })) << testbed.explain();
+    ASSERT_TRUE(testbed.run_until([&] { return all_hold(testbed, 3, "alive"); }))
+        << testbed.describe_failure();
     EXPECT_EQ(cluster_of(testbed, 4)["failures"], failures);
     EXPECT_EQ(cluster_of(testbed, 3)["failures"], 0) << "who wakes takes nobody for dead";
     testbed.restart(1), testbed.restart(2);
-    ASSERT_TRUE(testbed.run_until([&] { return whole(testbed); })) << testbed.explain();
+    ASSERT_TRUE(testbed.run_until([&] { return whole(testbed); })) << testbed.describe_failure();
     EXPECT_EQ(cluster_of(testbed, 0)["siblings"], 5);
-    ASSERT_TRUE(testbed.settle()) << testbed.explain();
+    ASSERT_TRUE(testbed.run_until_idle()) << testbed.describe_failure();
 }
 
 // A split of both sides, one of them a single sidecar: each serves, none divides by fewer, and all agree
@@ -90,11 +94,11 @@
 TEST(Cluster, ServesOnBothSidesOfAPartitionAndAgreesAfterIt) {
     ProcessTestbed testbed(knowing(5));
     testbed.start();
-    ASSERT_TRUE(testbed.run_until([&] { return whole(testbed); })) << testbed.explain();
+    ASSERT_TRUE(testbed.run_until([&] { return whole(testbed); })) << testbed.describe_failure();
     Rule split;
     split.name = "split", split.groups = {{"n-0"}, {"n-1", "n-2", "n-3", "n-4"}};
     testbed.context().put_rule(split);
-    ASSERT_TRUE(testbed.run_until([&] { return view(testbed, 0, "alone"); })) << testbed.explain();
+    ASSERT_TRUE(testbed.run_until([&] { return view(testbed, 0, "alone"); })) << testbed.describe_failure();
     for (std::size_t i = 1; i < 5; ++i) {
         ASSERT_TRUE(testbed.run_until([&] {
             return view(testbed, i, "part") && state(testbed, i, 0) == "failed";
@@ -106,8 +110,8 @@
     }
     EXPECT_EQ(cluster_of(testbed, 0)["count"]["silent"], 0) << "it is not the others that are silent";
     testbed.context().remove_rule("split");
-    ASSERT_TRUE(testbed.run_until([&] { return whole(testbed); })) << testbed.explain();
-    ASSERT_TRUE(testbed.settle()) << testbed.explain();
+    ASSERT_TRUE(testbed.run_until([&] { return whole(testbed); })) << testbed.describe_failure();
+    ASSERT_TRUE(testbed.run_until_idle()) << testbed.describe_failure();
 }
 
 // One hears another only by way of the rest, and a third of all datagrams are lost, some repeated and late.
@@ -126,30 +130,30 @@
         for (std::size_t i = 0; i < 4; ++i)
             if (!view(testbed, i, "whole")) return false;
         return true;
-    })) << testbed.explain();
+    })) << testbed.describe_failure();
     // Until each has sent some hundred.
     ASSERT_TRUE(testbed.run_until([&] {
         for (std::size_t i = 0; i < 4; ++i)
             if (cluster_of(testbed, i)["messages"]["sent"] < 120) return false;
         return true;
-    })) << testbed.explain();
+    })) << testbed.describe_failure();
     for (std::size_t i = 0; i < 4; ++i)
         EXPECT_EQ(cluster_of(testbed, i)["failures"], 0) << cluster_of(testbed, i).dump(1);
-    ASSERT_TRUE(testbed.settle()) << testbed.explain();
+    ASSERT_TRUE(testbed.run_until_idle()) << testbed.describe_failure();
 }
 
 // Three lives in a row, as quickly as they come up, the last with its clock ten minutes behind.
 TEST(Cluster, AcceptsTheLatestRestartEvenIfItsClockIsBehind) {
     ProcessTestbed testbed(knowing(3));
     testbed.start();
-    ASSERT_TRUE(testbed.run_until([&] { return whole(testbed); })) << testbed.explain();
+    ASSERT_TRUE(testbed.run_until([&] { return whole(testbed); })) << testbed.describe_failure();
     for (int i = 0; i < 3; ++i) {
         testbed.kill(1);
         testbed.restart(1, "", i == 2 ? "[proof]\nclock_behind = \"10m\"\n" : "");
-        ASSERT_TRUE(testbed.run_until([&] { return testbed.is_ready(1); })) << testbed.explain();
+        ASSERT_TRUE(testbed.run_until([&] { return testbed.is_ready(1); })) << testbed.describe_failure();
     }
-    ASSERT_TRUE(testbed.run_until([&] { return whole(testbed); })) << testbed.explain();
-    ASSERT_TRUE(testbed.settle()) << testbed.explain();
+    ASSERT_TRUE(testbed.run_until([&] { return whole(testbed); })) << testbed.describe_failure();
+    ASSERT_TRUE(testbed.run_until_idle()) << testbed.describe_failure();
 }
 
 // A flood from an address that is no peer's, and nonsense from a peer's own: dropped, counted, and requests
@@ -157,7 +161,7 @@
 TEST(Cluster, DropsDatagramsOfUnknownSendersAndServesMeanwhile) {
     ProcessTestbed testbed(knowing(2));
     testbed.start();
-    ASSERT_TRUE(testbed.run_until([&] { return whole(testbed); })) << testbed.explain();
+    ASSERT_TRUE(testbed.run_until([&] { return whole(testbed); })) << testbed.describe_failure();
     asio::io_context io;
     udp::socket stranger(io, {asio::ip::address_v4::loopback(), 0});
     const std::string noise(200, 'x');
@@ -170,8 +174,8 @@
     const json messages = cluster_of(testbed, 0)["messages"];
     EXPECT_GT(messages["strangers"], 100);
     EXPECT_EQ(messages["unreadable"], 0);
-    ASSERT_TRUE(testbed.run_until([&] { return whole(testbed); })) << testbed.explain();
-    ASSERT_TRUE(testbed.settle()) << testbed.explain();
+    ASSERT_TRUE(testbed.run_until([&] { return whole(testbed); })) << testbed.describe_failure();
+    ASSERT_TRUE(testbed.run_until_idle()) << testbed.describe_failure();
 }
 
 }  // namespace
--- a/tests/process_testbed/failpoints_test.cpp
+++ b/tests/process_testbed/failpoints_test.cpp
@@ -26,7 +26,7 @@
     options.request_deadline = 20000, options.latency_objective = 10000;
     ProcessTestbed without_faults(options);
     without_faults.start();
-    EXPECT_TRUE(GetParam().scenario(without_faults)) << without_faults.explain();
+    EXPECT_TRUE(GetParam().scenario(without_faults)) << without_faults.describe_failure();
 }
 
 INSTANTIATE_TEST_SUITE_P(Each, Failpoints,
--- a/tests/process_testbed/faults_test.cpp
+++ b/tests/process_testbed/faults_test.cpp
@@ -31,8 +31,9 @@
     std::vector<std::string> ids;
     for (const char* request_class : {"listen", "deposit", "annotate"})
         for (std::size_t i = 0; i < 2; ++i) ids.push_back(testbed.send_request(i, request_class));
-    ASSERT_TRUE(testbed.settle()) << testbed.explain();
-    for (const std::string& id : ids) EXPECT_EQ(testbed.outcome(id), Outcome::served) << testbed.explain(id);
+    ASSERT_TRUE(testbed.run_until_idle()) << testbed.describe_failure();
+    for (const std::string& id : ids)
+        EXPECT_EQ(testbed.outcome(id), Outcome::served) << testbed.describe_failure(id);
     const json status = testbed.status(1);
     EXPECT_EQ(status["name"], "n-1");
     EXPECT_EQ(status["requests"]["served"], 3);
@@ -44,7 +45,7 @@
     ProcessTestbed testbed(few(1, 2));
     testbed.start();
     const std::string first = testbed.send_request(0, "deposit");
-    ASSERT_TRUE(testbed.run_until([&] { return testbed.has_ended(first); })) << testbed.explain();
+    ASSERT_TRUE(testbed.run_until([&] { return testbed.has_ended(first); })) << testbed.describe_failure();
     const std::uint64_t length =
         testbed.link("n-0", "s-0").bytes_to_client() + testbed.link("n-0", "s-1").bytes_to_client();
     ASSERT_GT(length, 20U);
@@ -56,19 +57,21 @@
             // Every connection is new: the byte counts from its first.
             for (const char* s : {"s-0", "s-1"}) testbed.link("n-0", s).reset_all();
             const std::string id = testbed.send_request(0, "deposit");
-            ASSERT_TRUE(testbed.run_until([&] { return testbed.has_ended(id); })) << testbed.explain(id);
-            EXPECT_EQ(testbed.outcome(id), Outcome::failed) << "byte " << byte << "\n" << testbed.explain(id);
+            ASSERT_TRUE(testbed.run_until([&] { return testbed.has_ended(id); }))
+                << testbed.describe_failure(id);
+            EXPECT_EQ(testbed.outcome(id), Outcome::failed) << "byte " << byte << "\n"
+                                                            << testbed.describe_failure(id);
         }
     }
     testbed.context().remove_rule("cut");
-    ASSERT_TRUE(testbed.settle()) << testbed.explain();
+    ASSERT_TRUE(testbed.run_until_idle()) << testbed.describe_failure();
 }
 
 // A sidecar is frozen with forty requests in hand, their callers go, and it wakes: nothing goes out for them.
 TEST(ProcessTestbed, SendsNothingAfterAFreezeForClientsThatHaveLeft) {
     ProcessTestbed testbed(few(2, 2));
     testbed.start();
-    EXPECT_TRUE(frozen_with_forty_requests(testbed)) << testbed.explain();
+    EXPECT_TRUE(frozen_with_forty_requests(testbed)) << testbed.describe_failure();
 }
 
 // A sidecar is frozen while a server is told to drain, and while attempts elsewhere break. When it wakes, the
@@ -78,23 +81,23 @@
     testbed.start();
     for (int i = 0; i < 20; ++i) testbed.send_request(0, "listen");
     ASSERT_TRUE(testbed.run_until([&] { return testbed.request_history().open_requests() == 0; }))
-        << testbed.explain();
+        << testbed.describe_failure();
     testbed.server(0).behavior = testbed.server(1).behavior = ServerBehavior::hold;
     for (int i = 0; i < 20; ++i) testbed.send_request(0, "listen");
     ASSERT_TRUE(testbed.run_until([&] {
         const std::size_t held = testbed.server(0).held_requests() + testbed.server(1).held_requests();
         return testbed.server(1).held_requests() >= 3 && held >= testbed.request_history().open_requests();
-    })) << testbed.explain();
+    })) << testbed.describe_failure();
     testbed.freeze(0);
     testbed.link("n-0", "s-1").reset_all();
     ASSERT_TRUE(testbed.run_for(1));
     testbed.set_endpoint_state(0, EndpointState::leaving);
     ASSERT_TRUE(testbed.run_for(RequestHistory::kDrainGrace + 3 * RequestHistory::kSlack))
-        << testbed.explain();
+        << testbed.describe_failure();
     testbed.server(0).behavior = testbed.server(1).behavior = ServerBehavior::serve;
     testbed.server(0).release_held(), testbed.server(1).release_held();
     testbed.thaw(0);
-    ASSERT_TRUE(testbed.settle()) << testbed.explain();
+    ASSERT_TRUE(testbed.run_until_idle()) << testbed.describe_failure();
 }
 
 // No byte moves on a connection, either way, from its first or from after a head: each caller hears in its
@@ -120,12 +123,13 @@
             testbed.context().put_rule(silent);
             for (const char* s : {"s-0", "s-1"}) testbed.link("n-0", s).reset_all();
             const std::string id = testbed.send_request(0, request_class);
-            ASSERT_TRUE(testbed.run_until([&] { return testbed.has_ended(id); })) << testbed.explain(id);
-            EXPECT_TRUE(testbed.outcome(id).has_value()) << testbed.explain(id);
-            EXPECT_NE(testbed.outcome(id), Outcome::served) << testbed.explain(id);
+            ASSERT_TRUE(testbed.run_until([&] { return testbed.has_ended(id); }))
+                << testbed.describe_failure(id);
+            EXPECT_TRUE(testbed.outcome(id).has_value()) << testbed.describe_failure(id);
+            EXPECT_NE(testbed.outcome(id), Outcome::served) << testbed.describe_failure(id);
         }
     }
-    ASSERT_TRUE(testbed.settle()) << testbed.explain();
+    ASSERT_TRUE(testbed.run_until_idle()) << testbed.describe_failure();
 }
 
 // The list reaches one side of a split only: that side keeps the drain, the other goes on until it is told.
@@ -141,14 +145,14 @@
     const auto before_0 = seen(0), before_1 = seen(1);
     for (int i = 0; i < 40; ++i) testbed.send_request(static_cast<std::size_t>(i % 2), "listen");
     ASSERT_TRUE(testbed.run_until([&] { return testbed.request_history().open_requests() == 0; }))
-        << testbed.explain();
+        << testbed.describe_failure();
     EXPECT_EQ(seen(0), before_0);
     EXPECT_GT(seen(1), before_1) << "n-1 has not been told";
     testbed.context().remove_rule("split");
     ASSERT_TRUE(testbed.run_until([&] { return testbed.status(1)["servers"][0]["state"] == "leaving"; }));
     const auto told = seen(1);
     for (int i = 0; i < 20; ++i) testbed.send_request(1, "listen");
-    ASSERT_TRUE(testbed.settle()) << testbed.explain();
+    ASSERT_TRUE(testbed.run_until_idle()) << testbed.describe_failure();
     EXPECT_EQ(seen(1), told);
 }
 
@@ -163,9 +167,9 @@
     ASSERT_TRUE(testbed.run_for(200)) << "it did not give up at once";
     ASSERT_FALSE(testbed.is_ready(0));
     taken.reset();
-    ASSERT_TRUE(testbed.run_until([&] { return testbed.is_ready(0); })) << testbed.explain();
+    ASSERT_TRUE(testbed.run_until([&] { return testbed.is_ready(0); })) << testbed.describe_failure();
     testbed.send_request(0, "deposit");
-    ASSERT_TRUE(testbed.settle()) << testbed.explain();
+    ASSERT_TRUE(testbed.run_until_idle()) << testbed.describe_failure();
 }
 
 // Its clock is minutes off, its sibling is another build with another file, a third is out of descriptors and
@@ -177,7 +181,7 @@
     testbed.restart(0, "", "[proof]\nclock_ahead = \"5m\"\n");
     testbed.restart(1, ELMBAY_PROGRAM_WITH_FAILPOINTS, "[websocket]\non = true\n");
     ASSERT_TRUE(testbed.run_until([&] { return testbed.is_ready(0) && testbed.is_ready(1); }))
-        << testbed.explain();
+        << testbed.describe_failure();
     const double ahead =
         testbed.status(0)["now_ms"].get<double>() - testbed.status(2)["now_ms"].get<double>();
     EXPECT_NEAR(ahead, 300000, 60000);
@@ -190,13 +194,13 @@
     for (int i = 0; i < 80; ++i)
         ids.push_back(testbed.send_request(static_cast<std::size_t>(i % 4), "listen"));
     ASSERT_TRUE(testbed.run_until([&] { return testbed.request_history().open_requests() == 0; }))
-        << testbed.explain();
+        << testbed.describe_failure();
     testbed.limit_cpu(3, 1);
     for (std::size_t i = 0; i < ids.size(); ++i)
         if (i % 4 != 2) {
-            EXPECT_EQ(testbed.outcome(ids[i]), Outcome::served) << testbed.explain(ids[i]);
+            EXPECT_EQ(testbed.outcome(ids[i]), Outcome::served) << testbed.describe_failure(ids[i]);
         }
-    ASSERT_TRUE(testbed.settle()) << testbed.explain();
+    ASSERT_TRUE(testbed.run_until_idle()) << testbed.describe_failure();
 }
 
 // Started under its name with a memory that is older than its last life's: what it says of a server that was
@@ -211,7 +215,7 @@
     testbed.start();
     testbed.kill(0);
     testbed.restart(0, "", file);
-    ASSERT_TRUE(testbed.run_until([&] { return testbed.is_ready(0); })) << testbed.explain();
+    ASSERT_TRUE(testbed.run_until([&] { return testbed.is_ready(0); })) << testbed.describe_failure();
     const auto removed = [&] {
         const json status = testbed.status(0);
         for (const json& s : status["servers"])
@@ -225,26 +229,26 @@
     };
     testbed.server(1).delay = 5;
     testbed.server(0).behavior = ServerBehavior::fail;
-    ASSERT_TRUE(testbed.run_until([&] { return ask_eight() && removed(); })) << testbed.explain();
+    ASSERT_TRUE(testbed.run_until([&] { return ask_eight() && removed(); })) << testbed.describe_failure();
     testbed.terminate(0);  // writes once more as it ends
-    ASSERT_TRUE(testbed.run_until([&] { return !testbed.is_running(0); })) << testbed.explain();
+    ASSERT_TRUE(testbed.run_until([&] { return !testbed.is_running(0); })) << testbed.describe_failure();
     fs::copy(now, older, fs::copy_options::recursive);
     // A life in which all is well again, and one that starts from what was before it.
     testbed.server(0).behavior = ServerBehavior::serve;
     testbed.restart(0);
-    ASSERT_TRUE(testbed.run_until([&] { return testbed.is_ready(0); })) << testbed.explain();
+    ASSERT_TRUE(testbed.run_until([&] { return testbed.is_ready(0); })) << testbed.describe_failure();
     testbed.kill(0);
     fs::remove_all(now);
     fs::copy(older, now, fs::copy_options::recursive);
     testbed.restart(0);
-    ASSERT_TRUE(testbed.run_until([&] { return testbed.is_ready(0); })) << testbed.explain();
+    ASSERT_TRUE(testbed.run_until([&] { return testbed.is_ready(0); })) << testbed.describe_failure();
     const auto before = testbed.server(0).received_requests();
     EXPECT_TRUE(removed()) << "the memory was read";
     ASSERT_TRUE(testbed.run_until([&] {
         return ask_eight() && testbed.server(0).received_requests() > before + 1;
-    })) << testbed.explain();
+    })) << testbed.describe_failure();
     EXPECT_FALSE(removed());
-    ASSERT_TRUE(testbed.settle()) << testbed.explain();
+    ASSERT_TRUE(testbed.run_until_idle()) << testbed.describe_failure();
     fs::remove_all(folder);
 }
 
--- a/tests/process_testbed/log_test.cpp
+++ b/tests/process_testbed/log_test.cpp
@@ -52,8 +52,8 @@
     for (int i = 0; i < 10; ++i) {
         testbed.process(0).signal(SIGHUP);
         const std::string id = testbed.send_request(0, "listen");
-        ASSERT_TRUE(testbed.run_until([&] { return testbed.has_ended(id); })) << testbed.explain(id);
-        EXPECT_EQ(testbed.outcome(id), RequestHistory::Outcome::served) << testbed.explain(id);
+        ASSERT_TRUE(testbed.run_until([&] { return testbed.has_ended(id); })) << testbed.describe_failure(id);
+        EXPECT_EQ(testbed.outcome(id), RequestHistory::Outcome::served) << testbed.describe_failure(id);
     }
     EXPECT_TRUE(testbed.process(0).is_running());
 }
--- a/tests/process_testbed/scenarios.hpp
+++ b/tests/process_testbed/scenarios.hpp
@@ -43,7 +43,8 @@
     const auto before = s0.received_requests() + s1.received_requests();
     testbed.thaw(0);
     const std::string after = testbed.send_request(0, "listen");
-    if (!testbed.run_until([&] { return testbed.has_ended(after); }) || !testbed.settle()) return false;
+    if (!testbed.run_until([&] { return testbed.has_ended(after); }) || !testbed.run_until_idle())
+        return false;
     return s0.received_requests() + s1.received_requests() == before + 1;
 }
 
@@ -57,14 +58,14 @@
         const std::string id = testbed.send_request(0, "deposit");
         if (!testbed.run_until([&] { return testbed.has_ended(id); })) return false;
     }
-    return testbed.settle();
+    return testbed.run_until_idle();
 }
 
 // Servers that take longer than the slack, so that what is out together is seen to be.
 inline bool slow_answers(ProcessTestbed& testbed) {
     testbed.server(0).delay = testbed.server(1).delay = 3 * RequestHistory::kSlack;
     for (int i = 0; i < 10; ++i) testbed.send_request(0, i % 2 ? "listen" : "annotate");
-    return testbed.settle();
+    return testbed.run_until_idle();
 }
 
 // Many connections that end: what the process holds must be what it counts, and a bound for what it has
@@ -76,7 +77,7 @@
         testbed.link("n-0", "s-0").reset_all();
         testbed.link("n-0", "s-1").reset_all();
     }
-    return testbed.settle() && testbed.descriptors_are_accounted_for(0);
+    return testbed.run_until_idle() && testbed.descriptors_are_accounted_for(0);
 }
 
 }  // namespace elmbay::process_testbed
--- a/tests/process_testbed/state_test.cpp
+++ b/tests/process_testbed/state_test.cpp
@@ -37,9 +37,9 @@
         for (int i = 0; i < 10; ++i)
             for (const char* request_class : {"listen", "deposit", "annotate"})
                 ids.push_back(testbed.send_request(0, request_class));
-        ASSERT_TRUE(testbed.settle()) << testbed.explain() << log();
+        ASSERT_TRUE(testbed.run_until_idle()) << testbed.describe_failure() << log();
         for (const std::string& id : ids)
-            ASSERT_EQ(testbed.outcome(id), Outcome::served) << testbed.explain(id);
+            ASSERT_EQ(testbed.outcome(id), Outcome::served) << testbed.describe_failure(id);
     }
     // The files of the running program end at so many bytes; none: as they like.
     void limit_files(std::optional<rlim_t> bytes) {
@@ -87,7 +87,7 @@
     serve_some();
     EXPECT_EQ(told("event=write_failed"), 1U) << log();
     EXPECT_EQ(told("event=write_recovered"), 1U) << log();
-    ASSERT_TRUE(testbed.settle()) << testbed.explain();
+    ASSERT_TRUE(testbed.run_until_idle()) << testbed.describe_failure();
 }
 
 // The log may be on the same disk: a line that could not be written is lost, not the program and not later
@@ -99,7 +99,7 @@
     EXPECT_TRUE(testbed.is_running(0));
     limit_files({});
     ASSERT_TRUE(testbed.run_until([&] { return told("event=write_recovered") > 0; })) << log();
-    ASSERT_TRUE(testbed.settle()) << testbed.explain();
+    ASSERT_TRUE(testbed.run_until_idle()) << testbed.describe_failure();
 }
 
 TEST_F(StateFolder, KeepsTheLastWholeSnapshotWhenKilledWhileWritesFail) {
@@ -112,7 +112,7 @@
     life();
     serve_some();
     ASSERT_TRUE(testbed.run_until([&] { return newest() > kept; })) << log();
-    ASSERT_TRUE(testbed.settle()) << testbed.explain();
+    ASSERT_TRUE(testbed.run_until_idle()) << testbed.describe_failure();
 }
 
 }  // namespace
--- a/tests/syscall_faults/fleet_faults_test.cpp
+++ b/tests/syscall_faults/fleet_faults_test.cpp
@@ -79,10 +79,11 @@
         if (!testbed.run_until([&] { return testbed.request_history().open_requests() < max_in_flight; }))
             return false;
     }
-    if (!testbed.settle()) return false;
+    if (!testbed.run_until_idle()) return false;
     for (const std::string& id : ids) {
         if (!testbed.outcome(id)) {
-            std::cout << "connection closed without a response:\n" << testbed.explain(id) << std::endl;
+            std::cout << "connection closed without a response:\n"
+                      << testbed.describe_failure(id) << std::endl;
         }
     }
     return true;
@@ -128,7 +129,7 @@
     testbed.start();
     for (std::size_t i = 0; i < testbed.server_count(); ++i) testbed.server(i).body_bytes = 20000;
     ASSERT_TRUE(send_requests(testbed, kRequestsPerClass, kMaxInFlight)) << summary(testbed) << "\n"
-                                                                         << testbed.explain();
+                                                                         << testbed.describe_failure();
     EXPECT_GT(faults.failed_calls(0), 0U);
     EXPECT_EQ(testbed.request_history().count(Outcome::truncated), 0U);
     EXPECT_LE(requests_without_response(testbed),
@@ -229,7 +230,7 @@
     for (std::size_t i = 0; i < testbed.server_count(); ++i) testbed.server(i).body_bytes = 4000;
     for (std::size_t round = 0; round < kRounds; ++round) {
         ASSERT_TRUE(send_requests(testbed, kRequestsPerClass, kMaxInFlight)) << summary(testbed) << "\n"
-                                                                             << testbed.explain();
+                                                                             << testbed.describe_failure();
         reset_all_connections(testbed);
     }
     expect_failed_calls_of_every_rule(faults);
@@ -263,7 +264,7 @@
         testbed.context().put_rule(cut);
         const bool all_responses_received = send_requests(testbed, kRequestsPerClass, kMaxInFlight);
         testbed.context().remove_rule("cut");
-        ASSERT_TRUE(all_responses_received) << summary(testbed) << "\n" << testbed.explain();
+        ASSERT_TRUE(all_responses_received) << summary(testbed) << "\n" << testbed.describe_failure();
     }
     EXPECT_EQ(testbed.request_history().count(Outcome::truncated), 0U);
     std::cout << summary(testbed) << std::endl;
