--- a/src/fault_proxy/datagram_net.cpp
+++ b/src/fault_proxy/datagram_net.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-void open(udp::socket& socket, const udp::endpoint& address) {
+void open_socket(udp::socket& socket, const udp::endpoint& address) {
     socket.open(address.protocol());
     socket.bind(address);
     socket.non_blocking(true);
@@ -19,7 +19,7 @@
 void corrupt_end(std::string& bytes, std::uint64_t count) {
     const std::size_t corrupted = std::min<std::uint64_t>(count, bytes.size());
     for (std::size_t i = bytes.size() - corrupted; i < bytes.size(); ++i) {
-        bytes[i] = static_cast<char>(bytes[i] ^ kCorruption);
+        bytes[i] = static_cast<char>(bytes[i] ^ kCorruptionMask);
     }
 }
 
@@ -27,7 +27,7 @@
 
 DatagramNet::DatagramNet(EventLoopContext& context, const udp::endpoint& broadcast)
     : context_(context), broadcast_(context.io()) {
-    open(broadcast_, broadcast);
+    open_socket(broadcast_, broadcast);
     receive_broadcasts();
 }
 
@@ -37,10 +37,10 @@
     auto member = std::make_unique<Member>(context_.io());
     member->name = name;
     member->target = std::move(target);
-    open(member->socket, address);
+    open_socket(member->socket, address);
     member->address = member->socket.local_endpoint();
-    by_target_[member->target] = member.get();
-    receive_for(*member);
+    members_by_target_[member->target] = member.get();
+    receive_datagrams(*member);
     members_[name] = std::move(member);
 }
 
@@ -54,8 +54,8 @@
         member.socket.close(ignored);
         return;
     }
-    open(member.socket, member.address);
-    receive_for(member);
+    open_socket(member.socket, member.address);
+    receive_datagrams(member);
 }
 
 DatagramNet::Counts DatagramNet::counts(const Link& link) const {
@@ -74,7 +74,7 @@
     return total;
 }
 
-void DatagramNet::receive_for(Member& member) {
+void DatagramNet::receive_datagrams(Member& member) {
     const auto on_readable = [this, is_alive = is_alive_, &member](Error wait_error) {
         if (!*is_alive || wait_error) return;
         for (;;) {
@@ -86,7 +86,7 @@
             // An error says that a member does not listen, in reply to an earlier datagram. Nothing has come.
             if (!error) on_datagram(sender, member, {context_.read_buffer.data(), size});
         }
-        receive_for(member);
+        receive_datagrams(member);
     };
     member.socket.async_wait(udp::socket::wait_read, on_readable);
 }
@@ -112,36 +112,36 @@
 }
 
 void DatagramNet::on_datagram(const udp::endpoint& sender, const Member& receiver, std::string_view bytes) {
-    const auto sending_member = by_target_.find(sender);
-    if (sending_member == by_target_.end()) {
+    const auto sending_member = members_by_target_.find(sender);
+    if (sending_member == members_by_target_.end()) {
         ++unknown_senders_;
         return;
     }
     const Link link{sending_member->second->name, receiver.name};
     LinkState& state = links_[link];
     ++state.counts.sent;
-    if (bytes.size() > kMaxAllowedSize) ++state.counts.oversized;
+    if (bytes.size() > kMaxDatagramBytes) ++state.counts.oversized;
     if (observer_) observer_(link, bytes.size(), false);
     const auto deliveries =
-        context_.rules_for_datagrams().deliver(link, state.counts.sent, bytes.size(), context_.now());
+        context_.mutable_rules().deliver(link, state.counts.sent, bytes.size(), context_.now());
     for (const Rules::Delivery& delivery : deliveries) {
         std::string copy(bytes);
         corrupt_end(copy, delivery.corrupted_bytes);
         const bool is_immediate = delivery.delay <= 0 && delivery.overtaken_by == 0;
         if (is_immediate) {
-            pass_on(link, copy);
+            forward(link, copy);
         } else {
             delay(link, delivery, std::move(copy));
         }
     }
-    release_overtaken(link);
+    deliver_overtaken(link);
 }
 
 void DatagramNet::delay(const Link& link, const Rules::Delivery& delivery, std::string bytes) {
     LinkState& state = links_[link];
     const bool may_be_overtaken = delivery.overtaken_by > 0;
     const auto datagram = std::make_shared<DelayedDatagram>();
-    datagram->delivered_after = may_be_overtaken ? state.passed + delivery.overtaken_by : UINT64_MAX;
+    datagram->delivered_after = may_be_overtaken ? state.forwarded + delivery.overtaken_by : UINT64_MAX;
     datagram->bytes = std::move(bytes);
     // With nothing to overtake it, it goes after its delay; without a delay either, it would never go.
     const Millis wait = std::max(delivery.delay, may_be_overtaken ? 1.0 : 0.0);
@@ -150,14 +150,14 @@
         if (!*is_alive || !due) return;
         due->timer = {};
         std::erase(links_[link].delayed, due);
-        pass_on(link, due->bytes);
+        forward(link, due->bytes);
     };
     datagram->timer = context_.schedule(context_.now() + wait, on_due);
     state.delayed.push_back(datagram);
 }
 
 // A cut also stops datagrams that were on their way when it began.
-void DatagramNet::pass_on(const Link& link, std::string_view bytes) {
+void DatagramNet::forward(const Link& link, std::string_view bytes) {
     LinkState& state = links_[link];
     if (context_.rules().is_cut(link, Medium::datagram, context_.now())) return;
     Error ignored;
@@ -166,26 +166,26 @@
     // The sender's address is closed while its process does not run: what that had sent is gone.
     if (!sender.socket.is_open()) return;
     sender.socket.send_to(asio::buffer(bytes), receiver.target, 0, ignored);
-    ++state.passed;
+    ++state.forwarded;
     ++state.counts.delivered;
     state.counts.bytes_delivered += bytes.size();
     if (observer_) observer_(link, bytes.size(), true);
 }
 
 // Delivers what enough others have overtaken, and the oldest of too many.
-void DatagramNet::release_overtaken(const Link& link) {
+void DatagramNet::deliver_overtaken(const Link& link) {
     LinkState& state = links_[link];
     for (;;) {
         const auto overtaken =
             std::find_if(state.delayed.begin(), state.delayed.end(),
-                         [&](const auto& datagram) { return datagram->delivered_after <= state.passed; });
+                         [&](const auto& datagram) { return datagram->delivered_after <= state.forwarded; });
         const bool has_overtaken = overtaken != state.delayed.end();
-        const bool are_too_many = state.delayed.size() > kMaxDelayed;
+        const bool are_too_many = state.delayed.size() > kMaxDelayedDatagrams;
         if (!has_overtaken && !are_too_many) return;
         const auto datagram = has_overtaken ? *overtaken : state.delayed.front();
         std::erase(state.delayed, datagram);
         context_.cancel(datagram->timer);
-        pass_on(link, datagram->bytes);
+        forward(link, datagram->bytes);
     }
 }
 
--- a/src/fault_proxy/datagram_net.hpp
+++ b/src/fault_proxy/datagram_net.hpp
@@ -22,14 +22,14 @@
 /// address. One more address, the broadcast address, reaches all but the sender. Between two members stands
 /// the link that is named after them.
 ///
-/// Runs in the context's event loop; not thread-safe. Holds kMaxDelayed datagrams of a link at most.
+/// Runs in the context's event loop; not thread-safe. Holds kMaxDelayedDatagrams datagrams of a link at most.
 class DatagramNet {
 public:
     /// Datagrams of one link that wait; the oldest is delivered when there are more.
-    static constexpr std::size_t kMaxDelayed = 64;
+    static constexpr std::size_t kMaxDelayedDatagrams = 64;
     /// Bytes of the longest datagram that PROTOCOL allows; longer ones are counted, and passed on all the
     /// same.
-    static constexpr std::size_t kMaxAllowedSize = 256;
+    static constexpr std::size_t kMaxDatagramBytes = 256;
 
     /// @param broadcast the broadcast address; port 0 takes any.
     /// @throws boost::system::system_error if the address cannot be had.
@@ -56,7 +56,7 @@
         std::uint64_t sent = 0;             ///< by members
         std::uint64_t delivered = 0;        ///< copies
         std::uint64_t bytes_delivered = 0;  ///< of these
-        std::uint64_t oversized = 0;        ///< of those sent: longer than kMaxAllowedSize
+        std::uint64_t oversized = 0;        ///< of those sent: longer than kMaxDatagramBytes
     };
     Counts counts(const Link& link) const;
     Counts total_counts() const;
@@ -82,21 +82,21 @@
     };
     struct LinkState {
         Counts counts;
-        std::uint64_t passed = 0;
+        std::uint64_t forwarded = 0;
         std::deque<std::shared_ptr<DelayedDatagram>> delayed;
     };
 
-    void receive_for(Member& member);
+    void receive_datagrams(Member& member);
     void receive_broadcasts();
     void on_datagram(const udp::endpoint& sender, const Member& receiver, std::string_view bytes);
     void delay(const Link& link, const Rules::Delivery& delivery, std::string bytes);
-    void pass_on(const Link& link, std::string_view bytes);
-    void release_overtaken(const Link& link);
+    void forward(const Link& link, std::string_view bytes);
+    void deliver_overtaken(const Link& link);
 
     EventLoopContext& context_;
     udp::socket broadcast_;
     std::map<std::string, std::unique_ptr<Member>> members_;  // by name
-    std::map<udp::endpoint, Member*> by_target_;
+    std::map<udp::endpoint, Member*> members_by_target_;
     std::map<Link, LinkState> links_;
     std::uint64_t unknown_senders_ = 0;
     Observer observer_;
--- a/src/fault_proxy/event_loop_context.hpp
+++ b/src/fault_proxy/event_loop_context.hpp
@@ -31,43 +31,43 @@
     /// From now on the process ignores SIGPIPE: splice(2) has no flag against it, and a receiver may close.
     /// @param seed of the rules' random choices.
     EventLoopContext(asio::io_context& io, std::uint64_t seed = 1)
-        : io_(io), timers_(io, clock_), zero_(clock_.now()), rules_(seed) {
+        : io_(io), timers_(io, clock_), start_time_(clock_.now()), rules_(seed) {
         std::signal(SIGPIPE, SIG_IGN);
     }
     EventLoopContext(const EventLoopContext&) = delete;
     EventLoopContext& operator=(const EventLoopContext&) = delete;
 
     /// @return milliseconds since time 0.
-    Millis now() const { return clock_.now() - zero_; }
+    Millis now() const { return clock_.now() - start_time_; }
     /// Sets time 0 to so many milliseconds from now. The times of rules count from it.
     void restart_clock(Millis from_now = 0) {
-        zero_ = clock_.now() + from_now;
-        notify();
+        start_time_ = clock_.now() + from_now;
+        notify_observers();
     }
 
     const Rules& rules() const { return rules_; }
     /// Rules::deliver() keeps count of the lines under a rate limit.
-    Rules& rules_for_datagrams() { return rules_; }
+    Rules& mutable_rules() { return rules_; }
     /// Adds a rule, or replaces the one of the same name.
     void put_rule(Rule rule) {
         rules_.put(std::move(rule));
-        notify();
+        notify_observers();
     }
     /// @return whether there was one of that name.
     bool remove_rule(const std::string& name) {
         const bool existed = rules_.remove(name);
-        notify();
+        notify_observers();
         return existed;
     }
     void replace_rules(std::vector<Rule> rules) {
         rules_.replace_all(std::move(rules));
-        notify();
+        notify_observers();
     }
 
     asio::io_context& io() { return io_; }
     /// Calls `callback` at this time or later.
     TimerKey schedule(Millis when, std::function<void()> callback) {
-        return timers_.set(zero_ + when, std::move(callback));
+        return timers_.set(start_time_ + when, std::move(callback));
     }
     /// Takes a timer back, if its callback has not been called, and makes the key name none.
     void cancel(TimerKey& key) { timers_.cancel(key); }
@@ -81,27 +81,27 @@
     std::array<char, kReadBytes> read_buffer{};
 
 private:
-    void notify() {
+    void notify_observers() {
         for (auto next = observers_.begin(); next != observers_.end();) {
             const auto observer = next++;  // it may unsubscribe
             (*observer)();
         }
-        timers_.cancel(next_change_);
+        timers_.cancel(change_timer_);
         const Millis next = rules_.next_change(now());
         if (next >= kNever) return;
-        next_change_ = schedule(next, [this] {
-            next_change_ = {};
-            notify();
+        change_timer_ = schedule(next, [this] {
+            change_timer_ = {};
+            notify_observers();
         });
     }
 
     asio::io_context& io_;
     Clock clock_;
     TimerQueue timers_;
-    Millis zero_;
+    Millis start_time_;
     Rules rules_;
     std::list<RulesObserver> observers_;
-    TimerKey next_change_{};
+    TimerKey change_timer_{};
 };
 
 }  // namespace elmbay::fault_proxy
--- a/src/fault_proxy/message_boundaries.cpp
+++ b/src/fault_proxy/message_boundaries.cpp
@@ -31,7 +31,7 @@
 public:
     BeastMessageParser() {
         parser_.body_limit(std::numeric_limits<std::uint64_t>::max());
-        parser_.header_limit(MessageBoundaryReader::kMaxPending);
+        parser_.header_limit(MessageBoundaryReader::kMaxPendingBytes);
         parser_.eager(false);
     }
     std::size_t put(std::string_view bytes, Error& error) override {
@@ -75,8 +75,8 @@
         if (!has_begun_ && used == pending_.size()) break;
         if (!std::exchange(has_begun_, true)) add(MessagePoint::begin);
         Error error;
-        const std::size_t used_now = parser_->put(std::string_view(pending_).substr(used), error);
-        used += used_now;
+        const std::size_t newly_used = parser_->put(std::string_view(pending_).substr(used), error);
+        used += newly_used;
         is_malformed_ = error && error != http::error::need_more;
         if (is_malformed_) break;
         if (parser_->has_head() && !std::exchange(has_head_, true)) add(MessagePoint::head_end);
@@ -88,11 +88,11 @@
             parser_ = new_parser();
             continue;
         }
-        if (used_now == 0 || error) break;
+        if (newly_used == 0 || error) break;
     }
     pending_.erase(0, used);
     pending_offset_ += used;
-    if (pending_.size() > kMaxPending) is_malformed_ = true;
+    if (pending_.size() > kMaxPendingBytes) is_malformed_ = true;
     if (is_malformed_) pending_.clear();
     return found;
 }
--- a/src/fault_proxy/message_boundaries.hpp
+++ b/src/fault_proxy/message_boundaries.hpp
@@ -23,11 +23,11 @@
 /// Reads one direction of a connection, in pieces of any size, by Beast's parser.
 ///
 /// From bytes on that are no HTTP there are no more boundaries. A response to a HEAD request is not told from
-/// others. Not thread-safe; holds kMaxPending bytes at most.
+/// others. Not thread-safe; holds kMaxPendingBytes bytes at most.
 class MessageBoundaryReader {
 public:
     /// Bytes of an unfinished head or chunk line; more than that is no HTTP of this system.
-    static constexpr std::size_t kMaxPending = 64UL * 1024;
+    static constexpr std::size_t kMaxPendingBytes = 64UL * 1024;
 
     enum class MessageKind { request, response };
 
--- a/src/fault_proxy/rules.cpp
+++ b/src/fault_proxy/rules.cpp
@@ -28,17 +28,19 @@
     });
 }
 
-bool is_of_openings(FaultType type) { return type == FaultType::refuse || type == FaultType::delay_open; }
+bool applies_to_openings(FaultType type) {
+    return type == FaultType::refuse || type == FaultType::delay_open;
+}
 
 }  // namespace
 
 const char* name_of(FaultType type) { return kFaultTypeNames.at(static_cast<std::size_t>(type)); }
 
-bool is_of_datagrams_only(FaultType type) {
+bool applies_to_datagrams_only(FaultType type) {
     return type == FaultType::drop || type == FaultType::duplicate || type == FaultType::reorder;
 }
 
-bool Rule::names(const Link& link) const {
+bool Rule::applies_to(const Link& link) const {
     if (groups.empty()) return matches_any(from, link.from) && matches_any(to, link.to);
     bool sender_is_grouped = false;
     bool receiver_is_grouped = false;
@@ -52,7 +54,7 @@
     return sender_is_grouped && receiver_is_grouped;
 }
 
-bool Rule::holds_at(Millis now) const {
+bool Rule::is_active_at(Millis now) const {
     if (now < starts_at) return false;
     if (duration <= 0) return true;
     if (period > duration) return std::fmod(now - starts_at, period) < duration;
@@ -88,41 +90,43 @@
 }
 
 Random Rules::random_for(const Rule& rule, const Link& link, std::uint64_t number,
-                         std::uint64_t piece) const {
+                         std::uint64_t draw_index) const {
     std::uint64_t state = XXH64(rule.name.data(), rule.name.size(), seed_);
     state = XXH64(link.from.data(), link.from.size(), state);
     state = XXH64(link.to.data(), link.to.size(), state);
-    const std::array<std::uint64_t, 2> numbers{number, piece};
+    const std::array<std::uint64_t, 2> numbers{number, draw_index};
     return Random(XXH64(numbers.data(), sizeof numbers, state));
 }
 
 bool Rules::matches(const Rule& rule, const Link& link, std::uint64_t number) const {
     const bool is_in_range = number >= rule.first_number && number <= rule.last_number;
-    if (!is_in_range || !rule.names(link)) return false;
+    if (!is_in_range || !rule.applies_to(link)) return false;
     return rule.probability >= 1 || random_for(rule, link, number).uniform() < rule.probability;
 }
 
 bool Rules::is_cut(const Link& link, Medium medium, Millis now) const {
     return std::any_of(rules_.begin(), rules_.end(), [&](const Rule& rule) {
-        const bool is_of_medium = rule.medium == Medium::any || rule.medium == medium;
-        return rule.type == FaultType::cut && is_of_medium && rule.holds_at(now) && rule.names(link);
+        const bool matches_medium = rule.medium == Medium::any || rule.medium == medium;
+        return rule.type == FaultType::cut && matches_medium && rule.is_active_at(now) &&
+               rule.applies_to(link);
     });
 }
 
 Millis Rules::next_change(Millis now) const {
     Millis next = kNever;
     for (const Rule& rule : rules_) {
-        const bool counts = rule.type == FaultType::cut || rule.type == FaultType::refuse;
-        if (counts) next = std::min(next, rule.next_change(now));
+        const bool changes_connectivity = rule.type == FaultType::cut || rule.type == FaultType::refuse;
+        if (changes_connectivity) next = std::min(next, rule.next_change(now));
     }
     return next;
 }
 
 bool Rules::refuses_all(const Link& link, Millis now) const {
     return std::any_of(rules_.begin(), rules_.end(), [&](const Rule& rule) {
-        const bool is_of_all =
+        const bool applies_to_all_connections =
             rule.probability >= 1 && rule.first_number <= 1 && rule.last_number == UINT64_MAX;
-        return rule.type == FaultType::refuse && is_of_all && rule.holds_at(now) && rule.names(link);
+        return rule.type == FaultType::refuse && applies_to_all_connections && rule.is_active_at(now) &&
+               rule.applies_to(link);
     });
 }
 
@@ -130,7 +134,7 @@
     OpeningFault fault;
     for (const Rule& rule : rules_) {
         const bool applies =
-            is_of_openings(rule.type) && rule.holds_at(now) && matches(rule, link, connection);
+            applies_to_openings(rule.type) && rule.is_active_at(now) && matches(rule, link, connection);
         if (!applies) continue;
         if (rule.type == FaultType::refuse) {
             fault.is_refused = true;
@@ -142,8 +146,8 @@
 }
 
 Millis Rules::draw_delay(const Rule& rule, const Link& link, std::uint64_t number,
-                         std::uint64_t piece) const {
-    Random random = random_for(rule, link, number, piece + 1);
+                         std::uint64_t draw_index) const {
+    Random random = random_for(rule, link, number, draw_index + 1);
     switch (rule.distribution) {
         case DelayDistribution::fixed:
             return rule.delay;
@@ -156,9 +160,9 @@
 }
 
 // From now until the datagram has gone over the line, which others may occupy before it.
-Millis Rules::time_in_line(const Rule& rule, const Link& link, std::size_t size, Millis now) {
-    auto line =
-        std::find_if(lines_.begin(), lines_.end(), [&](const Line& other) { return other.link == link; });
+Millis Rules::queueing_delay(const Rule& rule, const Link& link, std::size_t size, Millis now) {
+    auto line = std::find_if(lines_.begin(), lines_.end(),
+                             [&](const RateLimitedLine& other) { return other.link == link; });
     if (line == lines_.end()) line = lines_.insert(lines_.end(), {link, now});
     const Millis transmission = kMillisPerSecond * static_cast<double>(size) / rule.bytes_per_second;
     line->free_at = std::max(line->free_at, now) + transmission;
@@ -179,7 +183,7 @@
             delivery.corrupted_bytes += rule.corrupted_bytes;
             break;
         case FaultType::limit_rate:
-            if (rule.bytes_per_second > 0) delivery.delay += time_in_line(rule, link, size, now);
+            if (rule.bytes_per_second > 0) delivery.delay += queueing_delay(rule, link, size, now);
             break;
         default:
             break;
@@ -190,7 +194,7 @@
                                             Millis now) {
     if (is_cut(link, Medium::datagram, now)) return {};
     const auto applies = [&](const Rule& rule) {
-        return rule.medium != Medium::stream && rule.holds_at(now) && matches(rule, link, number);
+        return rule.medium != Medium::stream && rule.is_active_at(now) && matches(rule, link, number);
     };
     Delivery first;
     std::uint64_t copies = 1;
@@ -218,7 +222,7 @@
     for (std::size_t i = 0; i < rules_.size(); ++i) {
         const Rule& rule = rules_[i];
         const bool acts_on_bytes = rule.medium != Medium::datagram && rule.type != FaultType::cut &&
-                                   !is_of_openings(rule.type) && !is_of_datagrams_only(rule.type);
+                                   !applies_to_openings(rule.type) && !applies_to_datagrams_only(rule.type);
         if (acts_on_bytes && matches(rule, link, connection)) indexes.push_back(i);
     }
     return indexes;
--- a/src/fault_proxy/rules.hpp
+++ b/src/fault_proxy/rules.hpp
@@ -96,10 +96,10 @@
     std::uint64_t corrupted_bytes = 1;  ///< of corrupt
 
     /// @return whether the rule names the link, by from and to or by groups.
-    bool names(const Link& link) const;
+    bool applies_to(const Link& link) const;
     /// @return whether the rule holds at this time.
-    bool holds_at(Millis now) const;
-    /// @return when holds_at() changes next; kNever if it does not.
+    bool is_active_at(Millis now) const;
+    /// @return when is_active_at() changes next; kNever if it does not.
     Millis next_change(Millis now) const;
     bool operator==(const Rule&) const = default;
 };
@@ -107,10 +107,10 @@
 /// @return the fault's name in files.
 const char* name_of(FaultType type);
 /// @return whether it is of datagrams only: TCP does not show it.
-bool is_of_datagrams_only(FaultType type);
+bool applies_to_datagrams_only(FaultType type);
 
 /// A corrupted byte is its exclusive or with this: no byte is the same after it.
-constexpr char kCorruption = 0x55;
+constexpr char kCorruptionMask = 0x55;
 
 /// A set of rules and the seed of their random choices. A value; not thread-safe.
 class Rules {
@@ -155,25 +155,26 @@
 
     /// @param number of the connection or datagram.
     /// @param piece  tells the draws of one connection apart.
-    Millis draw_delay(const Rule& rule, const Link& link, std::uint64_t number, std::uint64_t piece) const;
+    Millis draw_delay(const Rule& rule, const Link& link, std::uint64_t number,
+                      std::uint64_t draw_index) const;
 
 private:
     // When the line of a link under a rate limit is free again, for datagrams.
-    struct Line {
+    struct RateLimitedLine {
         Link link;
         Millis free_at = 0;
     };
 
     Random random_for(const Rule& rule, const Link& link, std::uint64_t number,
-                      std::uint64_t piece = 0) const;
+                      std::uint64_t draw_index = 0) const;
     bool matches(const Rule& rule, const Link& link, std::uint64_t number) const;
     void apply(const Rule& rule, const Link& link, std::uint64_t number, std::size_t size, Millis now,
                Delivery& delivery);
-    Millis time_in_line(const Rule& rule, const Link& link, std::size_t size, Millis now);
+    Millis queueing_delay(const Rule& rule, const Link& link, std::size_t size, Millis now);
 
     std::uint64_t seed_;
     std::vector<Rule> rules_;
-    std::vector<Line> lines_;
+    std::vector<RateLimitedLine> lines_;
 };
 
 }  // namespace elmbay::fault_proxy
--- a/src/fault_proxy/script.cpp
+++ b/src/fault_proxy/script.cpp
@@ -56,13 +56,13 @@
     {"target", Unit::word, &MemberSpec::target, "", "where it listens, and sends from", 0, 0, {}, true}};
 
 // What stands before the tables.
-struct TopSpec {
+struct TopLevelSpec {
     std::uint64_t seed = 1;
-    std::string everybody;
+    std::string broadcast;
 };
-const std::vector<Key<TopSpec>> kTopKeys{
-    {"seed", Unit::count, &TopSpec::seed, "1", "all chance comes from it", 0, kMaxCount},
-    {"everybody", Unit::word, &TopSpec::everybody, "none",
+const std::vector<Key<TopLevelSpec>> kTopLevelKeys{
+    {"seed", Unit::count, &TopLevelSpec::seed, "1", "all chance comes from it", 0, kMaxCount},
+    {"everybody", Unit::word, &TopLevelSpec::broadcast, "none",
      "an address that reaches all members but the sender"}};
 
 std::vector<std::string> split_names(const std::string& text) {
@@ -90,56 +90,57 @@
 }
 
 Trigger trigger_of(const RuleSpec& spec) {
-    if (spec.where == "byte") return Trigger::at_byte;
-    return spec.where == "message" ? Trigger::at_message : Trigger::on_open;
+    if (spec.trigger == "byte") return Trigger::at_byte;
+    return spec.trigger == "message" ? Trigger::at_message : Trigger::on_open;
 }
 
 MessagePoint trigger_point_of(const RuleSpec& spec) {
-    if (spec.part == "head") return MessagePoint::head_end;
-    return spec.part == "ends" ? MessagePoint::end : MessagePoint::begin;
+    if (spec.trigger_point == "head") return MessagePoint::head_end;
+    return spec.trigger_point == "ends" ? MessagePoint::end : MessagePoint::begin;
 }
 
 DelayDistribution distribution_of(const RuleSpec& spec) {
-    if (spec.law == "uniform") return DelayDistribution::uniform;
-    return spec.law == "exponential" ? DelayDistribution::exponential : DelayDistribution::fixed;
+    if (spec.distribution == "uniform") return DelayDistribution::uniform;
+    return spec.distribution == "exponential" ? DelayDistribution::exponential : DelayDistribution::fixed;
 }
 
 // Reports values that do not fit one another, in the order of the keys.
-void check_rule(const RuleSpec& spec, const Rule& rule, const std::string& where, std::uint32_t line,
+void check_rule(const RuleSpec& spec, const Rule& rule, const std::string& section, std::uint32_t line,
                 Problems& problems) {
     const auto report = [&](const char* key, const char* what) {
-        problems.push_back({line, where + "." + key, what});
+        problems.push_back({line, section + "." + key, what});
     };
     const FaultType type = rule.type;
-    const bool needs_span =
+    const bool needs_delay =
         type == FaultType::delay || type == FaultType::delay_open || type == FaultType::stall;
     if (spec.groups.size() == 1) report("groups", "takes two groups at least");
-    if (is_of_datagrams_only(type) && rule.medium == Medium::stream) {
+    if (applies_to_datagrams_only(type) && rule.medium == Medium::stream) {
         report("medium", "this act is of datagrams; TCP loses and repeats nothing that its user could see");
     }
-    if (spec.every > 0 && spec.every <= spec.lasts) report("every", "must be longer than lasts");
-    if (spec.every > 0 && spec.lasts <= 0) report("lasts", "is needed with every");
+    if (spec.period > 0 && spec.period <= spec.duration) report("every", "must be longer than lasts");
+    if (spec.period > 0 && spec.duration <= 0) report("lasts", "is needed with every");
     if (rule.last_number < rule.first_number) report("last", "is before first");
-    if (type == FaultType::limit_rate && spec.rate <= 0) report("rate", "is needed: bytes a second");
-    if (needs_span && spec.span <= 0) report("span", "is needed: for how long");
+    if (type == FaultType::limit_rate && spec.bytes_per_second <= 0)
+        report("rate", "is needed: bytes a second");
+    if (needs_delay && spec.delay <= 0) report("span", "is needed: for how long");
 }
 
-void read_top(const toml::table& table, Script& script, Problems& problems) {
-    TopSpec top;
-    schema::read_table(table, "", kTopKeys, top, problems, {"link", "member", "rule"});
+void read_top_level(const toml::table& table, Script& script, Problems& problems) {
+    TopLevelSpec top;
+    schema::read_table(table, "", kTopLevelKeys, top, problems, {"link", "member", "rule"});
     script.seed = top.seed;
-    script.everybody = top.everybody;
-    if (!top.everybody.empty()) check_address(top.everybody, "everybody", 0, problems);
+    script.broadcast = top.broadcast;
+    if (!top.broadcast.empty()) check_address(top.broadcast, "everybody", 0, problems);
 }
 
 void read_links(const toml::table& table, Script& script, Problems& problems) {
     std::set<std::pair<std::string, std::string>> ends;
     const auto add = [&](LinkSpec spec, std::size_t number, std::uint32_t line) {
-        const std::string where = "link " + std::to_string(number);
-        check_address(spec.listen, where + ".listen", line, problems);
-        check_address(spec.target, where + ".target", line, problems);
+        const std::string section = "link " + std::to_string(number);
+        check_address(spec.listen, section + ".listen", line, problems);
+        check_address(spec.target, section + ".target", line, problems);
         const bool is_new = ends.emplace(spec.from, spec.to).second;
-        if (!is_new) problems.push_back({line, where, "is there twice"});
+        if (!is_new) problems.push_back({line, section, "is there twice"});
         script.links.push_back(std::move(spec));
     };
     schema::read_sections(table, "link", Script::kMaxLinks, kLinkKeys, problems, add);
@@ -148,11 +149,11 @@
 void read_members(const toml::table& table, Script& script, Problems& problems) {
     std::set<std::string> names;
     const auto add = [&](MemberSpec spec, std::size_t number, std::uint32_t line) {
-        const std::string where = "member " + std::to_string(number);
-        check_address(spec.listen, where + ".listen", line, problems);
-        check_address(spec.target, where + ".target", line, problems);
+        const std::string section = "member " + std::to_string(number);
+        check_address(spec.listen, section + ".listen", line, problems);
+        check_address(spec.target, section + ".target", line, problems);
         const bool is_new = names.insert(spec.name).second;
-        if (!is_new) problems.push_back({line, where + ".name", "is there twice"});
+        if (!is_new) problems.push_back({line, section + ".name", "is there twice"});
         script.members.push_back(std::move(spec));
     };
     schema::read_sections(table, "member", Script::kMaxLinks, kMemberKeys, problems, add);
@@ -174,55 +175,56 @@
 const std::vector<Key<RuleSpec>>& rule_keys() {
     static const std::vector<Key<RuleSpec>> kKeys{
         {"name", Unit::word, &RuleSpec::name, "its number", "to change it, and for logs"},
-        {"act", Unit::word, &RuleSpec::act, "", "what happens", 0, 0, fault_type_names(), true},
+        {"act", Unit::word, &RuleSpec::fault_type, "", "what happens", 0, 0, fault_type_names(), true},
         {"from", Unit::words, &RuleSpec::from, "\"*\"", "who sends; a trailing * is any rest"},
         {"to", Unit::words, &RuleSpec::to, "\"*\"", "who should get it"},
         {"groups", Unit::words, &RuleSpec::groups, "none",
          "in place of from and to: links between two of them, each a text of names (\"n-0 n-1\"); who stands "
          "in several bridges them"},
         {"medium", Unit::word, &RuleSpec::medium, "\"any\"", "of what", 0, 0, {"any", "stream", "datagram"}},
-        {"at", Unit::duration, &RuleSpec::at, "\"0s\"", "when it begins to hold", 0, kMaxDuration},
-        {"lasts", Unit::duration, &RuleSpec::lasts, "to the end", "for how long", 0, kMaxDuration},
-        {"every", Unit::duration, &RuleSpec::every, "once", "comes on again so often; longer than lasts", 0,
+        {"at", Unit::duration, &RuleSpec::starts_at, "\"0s\"", "when it begins to hold", 0, kMaxDuration},
+        {"lasts", Unit::duration, &RuleSpec::duration, "to the end", "for how long", 0, kMaxDuration},
+        {"every", Unit::duration, &RuleSpec::period, "once", "comes on again so often; longer than lasts", 0,
          kMaxDuration},
-        {"first", Unit::count, &RuleSpec::first, "1", "of the connections or datagrams of a link", 1,
+        {"first", Unit::count, &RuleSpec::first_number, "1", "of the connections or datagrams of a link", 1,
          kMaxCount},
-        {"last", Unit::count, &RuleSpec::last, "any", "and the last of them", 1, kMaxCount},
-        {"chance", Unit::share, &RuleSpec::chance, "100%", "of each connection or datagram", 0, 1},
+        {"last", Unit::count, &RuleSpec::last_number, "any", "and the last of them", 1, kMaxCount},
+        {"chance", Unit::share, &RuleSpec::probability, "100%", "of each connection or datagram", 0, 1},
         {"where",
          Unit::word,
-         &RuleSpec::where,
+         &RuleSpec::trigger,
          "\"opening\"",
          "in a stream: at once, before the byte `before_byte`, or at the HTTP message `message`",
          0,
          0,
          {"opening", "byte", "message"}},
-        {"before_byte", Unit::count, &RuleSpec::before_byte, "0", "of one direction, from 0", 0, kMaxCount},
-        {"message", Unit::count, &RuleSpec::message, "1", "of one direction, from 1", 1, kMaxCount},
+        {"before_byte", Unit::count, &RuleSpec::trigger_byte, "0", "of one direction, from 0", 0, kMaxCount},
+        {"message", Unit::count, &RuleSpec::trigger_message, "1", "of one direction, from 1", 1, kMaxCount},
         {"part",
          Unit::word,
-         &RuleSpec::part,
+         &RuleSpec::trigger_point,
          "\"begins\"",
          "before its first byte, after its head, after it",
          0,
          0,
          {"begins", "head", "ends"}},
-        {"span", Unit::duration, &RuleSpec::span, "\"0ms\"", "of delay, hold, stall, reorder", 0,
+        {"span", Unit::duration, &RuleSpec::delay, "\"0ms\"", "of delay, hold, stall, reorder", 0,
          kMaxDuration},
         {"jitter", Unit::duration, &RuleSpec::jitter, "\"0ms\"", "law uniform: span by this more or less", 0,
          kMaxDuration},
         {"law",
          Unit::word,
-         &RuleSpec::law,
+         &RuleSpec::distribution,
          "\"fixed\"",
          "of span",
          0,
          0,
          {"fixed", "uniform", "exponential"}},
-        {"rate", Unit::size, &RuleSpec::rate, "none", "of rate: bytes a second", 1, 1e12},
-        {"copies", Unit::count, &RuleSpec::copies, "1", "of repeat: more of each", 1, 100},
-        {"behind", Unit::count, &RuleSpec::behind, "1", "of reorder: how many later ones overtake it", 1, 64},
-        {"count", Unit::count, &RuleSpec::count, "1", "of garble: bytes", 1, kMaxCount}};
+        {"rate", Unit::size, &RuleSpec::bytes_per_second, "none", "of rate: bytes a second", 1, 1e12},
+        {"copies", Unit::count, &RuleSpec::extra_copies, "1", "of repeat: more of each", 1, 100},
+        {"behind", Unit::count, &RuleSpec::overtaken_by, "1", "of reorder: how many later ones overtake it",
+         1, 64},
+        {"count", Unit::count, &RuleSpec::corrupted_bytes, "1", "of garble: bytes", 1, kMaxCount}};
     return kKeys;
 }
 
@@ -230,30 +232,30 @@
     const std::string default_name = "rule " + std::to_string(number);
     Rule rule;
     rule.name = spec.name.empty() ? default_name : spec.name;
-    const auto type = kFaultTypes.find(spec.act);
+    const auto type = kFaultTypes.find(spec.fault_type);
     if (type == kFaultTypes.end()) return rule;  // the schema has reported it
     rule.type = type->second;
     rule.from = spec.from;
     rule.to = spec.to;
     for (const std::string& group : spec.groups) rule.groups.push_back(split_names(group));
     rule.medium = medium_of(spec);
-    rule.starts_at = spec.at;
-    rule.duration = spec.lasts;
-    rule.period = spec.every;
-    rule.first_number = spec.first;
-    rule.last_number = spec.last == 0 ? UINT64_MAX : spec.last;
-    rule.probability = spec.chance;
+    rule.starts_at = spec.starts_at;
+    rule.duration = spec.duration;
+    rule.period = spec.period;
+    rule.first_number = spec.first_number;
+    rule.last_number = spec.last_number == 0 ? UINT64_MAX : spec.last_number;
+    rule.probability = spec.probability;
     rule.trigger = trigger_of(spec);
-    rule.trigger_byte = spec.before_byte;
-    rule.trigger_message = spec.message;
+    rule.trigger_byte = spec.trigger_byte;
+    rule.trigger_message = spec.trigger_message;
     rule.trigger_point = trigger_point_of(spec);
-    rule.delay = spec.span;
+    rule.delay = spec.delay;
     rule.jitter = spec.jitter;
     rule.distribution = distribution_of(spec);
-    rule.bytes_per_second = spec.rate;
-    rule.extra_copies = spec.copies;
-    rule.overtaken_by = spec.behind;
-    rule.corrupted_bytes = spec.count;
+    rule.bytes_per_second = spec.bytes_per_second;
+    rule.extra_copies = spec.extra_copies;
+    rule.overtaken_by = spec.overtaken_by;
+    rule.corrupted_bytes = spec.corrupted_bytes;
     check_rule(spec, rule, default_name, line, problems);
     return rule;
 }
@@ -278,7 +280,7 @@
     Script script;
     try {
         const toml::table table = toml::parse(text, file);
-        read_top(table, script, problems);
+        read_top_level(table, script, problems);
         read_links(table, script, problems);
         read_members(table, script, problems);
         read_rules(table, script, problems);
@@ -289,7 +291,7 @@
 }
 
 std::string script_manual() {
-    return "At the top:\n" + schema::manual(kTopKeys) + "\n[[link]] of streams\n" +
+    return "At the top:\n" + schema::manual(kTopLevelKeys) + "\n[[link]] of streams\n" +
            schema::manual(kLinkKeys) + "\n[[member]] of datagrams\n" + schema::manual(kMemberKeys) +
            "\n[[rule]]\n" + schema::manual(rule_keys());
 }
--- a/src/fault_proxy/script.hpp
+++ b/src/fault_proxy/script.hpp
@@ -27,28 +27,28 @@
 /// A rule as a person writes it. Each field has the name of its key; rule_keys() says what it means.
 struct RuleSpec {
     std::string name;
-    std::string act;
+    std::string fault_type;
     std::string medium = "any";
-    std::string law = "fixed";
-    std::string where = "opening";
-    std::string part = "begins";
+    std::string distribution = "fixed";
+    std::string trigger = "opening";
+    std::string trigger_point = "begins";
     std::vector<std::string> from{"*"};
     std::vector<std::string> to{"*"};
     std::vector<std::string> groups;
-    Millis at = 0;
-    Millis lasts = 0;
-    Millis every = 0;
-    Millis span = 0;
+    Millis starts_at = 0;
+    Millis duration = 0;
+    Millis period = 0;
+    Millis delay = 0;
     Millis jitter = 0;
-    std::uint64_t first = 1;
-    std::uint64_t last = 0;  ///< 0: any
-    std::uint64_t before_byte = 0;
-    std::uint64_t message = 1;
-    std::uint64_t copies = 1;
-    std::uint64_t behind = 1;
-    std::uint64_t count = 1;
-    double chance = 1;
-    double rate = 0;
+    std::uint64_t first_number = 1;
+    std::uint64_t last_number = 0;  ///< 0: any
+    std::uint64_t trigger_byte = 0;
+    std::uint64_t trigger_message = 1;
+    std::uint64_t extra_copies = 1;
+    std::uint64_t overtaken_by = 1;
+    std::uint64_t corrupted_bytes = 1;
+    double probability = 1;
+    double bytes_per_second = 0;
 };
 
 /// @return the keys of [[rule]].
@@ -80,7 +80,7 @@
     static constexpr std::size_t kMaxLinks = 20000;  ///< and members: what one machine plays
 
     std::uint64_t seed = 1;
-    std::string everybody;  ///< the broadcast address of the members; empty: any port of 127.0.0.1
+    std::string broadcast;  ///< the broadcast address of the members; empty: any port of 127.0.0.1
     std::vector<LinkSpec> links;
     std::vector<MemberSpec> members;
     std::vector<Rule> rules;
--- a/src/fault_proxy/splice_pipe.hpp
+++ b/src/fault_proxy/splice_pipe.hpp
@@ -17,7 +17,7 @@
 public:
     /// Bytes: as much as an unprivileged process may have (fs.pipe-max-size), so fewer turns for the same
     /// bytes.
-    static constexpr int kCapacity = 1 << 20;
+    static constexpr int kCapacityBytes = 1 << 20;
 
     /// How a move of bytes ended.
     enum class MoveResult {
@@ -40,28 +40,28 @@
         if (::pipe2(ends.data(), O_NONBLOCK | O_CLOEXEC) != 0) return false;
         read_end_ = ends[0];
         write_end_ = ends[1];
-        ::fcntl(write_end_, F_SETPIPE_SZ, kCapacity);  // a smaller one does as well
+        ::fcntl(write_end_, F_SETPIPE_SZ, kCapacityBytes);  // a smaller one does as well
         return true;
     }
     /// @return how many bytes are inside.
     std::size_t size() const { return size_; }
     /// Moves what has come at the socket into the pipe.
-    MoveResult fill_from(int socket) {
-        const MoveResult result = move(socket, write_end_, kCapacity);
+    MoveResult read_from(int socket) {
+        const MoveResult result = splice_bytes(socket, write_end_, kCapacityBytes);
         size_ += last_moved_;
         return result;
     }
     /// Moves what is inside to the socket.
-    MoveResult empty_to(int socket) {
-        const MoveResult result = move(read_end_, socket, size_);
+    MoveResult write_to(int socket) {
+        const MoveResult result = splice_bytes(read_end_, socket, size_);
         size_ -= last_moved_;
         return result;
     }
-    /// @return how many bytes the last fill_from() or empty_to() has moved.
+    /// @return how many bytes the last read_from() or write_to() has moved.
     std::size_t last_moved() const { return last_moved_; }
 
 private:
-    MoveResult move(int from, int to, std::size_t max_bytes) {
+    MoveResult splice_bytes(int from, int to, std::size_t max_bytes) {
         last_moved_ = 0;
         const ssize_t moved =
             ::splice(from, nullptr, to, nullptr, max_bytes, SPLICE_F_NONBLOCK | SPLICE_F_MOVE);
--- a/src/fault_proxy/stream_filter.cpp
+++ b/src/fault_proxy/stream_filter.cpp
@@ -32,7 +32,7 @@
     return !has_state && rules_.stream_rules(link_, connection_).empty();
 }
 
-bool StreamFilter::is_first_time(const std::string& rule) {
+bool StreamFilter::mark_applied(const std::string& rule) {
     if (std::find(applied_rules_.begin(), applied_rules_.end(), rule) != applied_rules_.end()) return false;
     applied_rules_.push_back(rule);
     return true;
@@ -71,7 +71,7 @@
     const auto boundaries = message_reader_ ? message_reader_->read(bytes) : std::vector<MessageBoundary>{};
     for (const std::size_t i : indexes) {
         const Rule& rule = rules_.all()[i];
-        if (!has_trigger(rule.type) || !rule.holds_at(now)) continue;
+        if (!has_trigger(rule.type) || !rule.is_active_at(now)) continue;
         const auto offset = trigger_offset(rule, bytes.size(), boundaries);
         if (offset) found.push_back({*offset, i});
     }
@@ -92,7 +92,7 @@
         const std::uint64_t until = std::max(triggered.offset, offset_);
         send(now, bytes.substr(offset_ - begin, until - offset_), actions);
         const Rule& rule = rules_.all()[triggered.rule];
-        if (is_first_time(rule.name)) apply(now, rule, actions);
+        if (mark_applied(rule.name)) apply(now, rule, actions);
         if (has_ended_) {
             offset_ = begin + bytes.size();
             return;
@@ -116,7 +116,7 @@
             has_ended_ = true;
             break;
         case FaultType::stall:
-            earliest_next_ += rules_.draw_delay(rule, link_, connection_, pieces_);
+            earliest_next_ += rules_.draw_delay(rule, link_, connection_, sent_chunks_);
             break;
         case FaultType::corrupt:
             bytes_to_corrupt_ += rule.corrupted_bytes;
@@ -129,7 +129,7 @@
 void StreamFilter::corrupt(std::string& bytes) {
     for (char& byte : bytes) {
         if (bytes_to_corrupt_ == 0) break;
-        byte = static_cast<char>(byte ^ kCorruption);
+        byte = static_cast<char>(byte ^ kCorruptionMask);
         --bytes_to_corrupt_;
     }
 }
@@ -138,14 +138,14 @@
     if (bytes.empty()) return;
     StreamAction action{StreamAction::Kind::send_bytes, now, std::string(bytes)};
     offset_ += bytes.size();
-    ++pieces_;
+    ++sent_chunks_;
     corrupt(action.bytes);
     Millis delay = 0;
     Millis transmission = 0;
     for (const std::size_t i : rules_.stream_rules(link_, connection_)) {
         const Rule& rule = rules_.all()[i];
-        if (!rule.holds_at(now)) continue;
-        if (rule.type == FaultType::delay) delay += rules_.draw_delay(rule, link_, connection_, pieces_);
+        if (!rule.is_active_at(now)) continue;
+        if (rule.type == FaultType::delay) delay += rules_.draw_delay(rule, link_, connection_, sent_chunks_);
         if (rule.type == FaultType::limit_rate && rule.bytes_per_second > 0) {
             const auto size = static_cast<double>(bytes.size());
             transmission = std::max(transmission, kMillisPerSecond * size / rule.bytes_per_second);
--- a/src/fault_proxy/stream_filter.hpp
+++ b/src/fault_proxy/stream_filter.hpp
@@ -65,7 +65,7 @@
     void apply(Millis now, const Rule& rule, std::vector<StreamAction>& actions);
     void send(Millis now, std::string_view bytes, std::vector<StreamAction>& actions);
     void corrupt(std::string& bytes);
-    bool is_first_time(const std::string& rule);
+    bool mark_applied(const std::string& rule);
 
     const Rules& rules_;
     const Link link_;
@@ -74,7 +74,7 @@
     // Reads from the first byte on, if a rule on messages applies then.
     std::optional<MessageBoundaryReader> message_reader_;
     std::uint64_t offset_ = 0;
-    std::uint64_t pieces_ = 0;  // sent so far: keys of random delays
+    std::uint64_t sent_chunks_ = 0;  // sent so far: keys of random delays
     std::uint64_t bytes_to_corrupt_ = 0;
     Millis earliest_next_ = 0;  // no later action may be done before it
     bool has_ended_ = false;
--- a/src/fault_proxy/stream_link.cpp
+++ b/src/fault_proxy/stream_link.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 // With a queue length of 0 the kernel still queues one connection; one more to be sure.
-constexpr int kBacklogFillers = 2;
+constexpr int kBacklogFillerCount = 2;
 
 }  // namespace
 
@@ -25,8 +25,8 @@
       target_(std::move(target)),
       acceptor_(context.io()) {
     open_listener();  // once in any case, so that the port is known and known to be free
-    subscription_ = context_.subscribe([this] { update(); });
-    update();
+    subscription_ = context_.subscribe([this] { apply_rules(); });
+    apply_rules();
 }
 
 StreamLink::~StreamLink() {
@@ -48,29 +48,29 @@
 
 void StreamLink::set_target_state(TargetState state) {
     target_state_ = state;
-    target_refuses_ = false;
+    target_refused_ = false;
     context_.cancel(target_probe_);
-    update();
+    apply_rules();
 }
 
 // Looks again at what holds now.
-void StreamLink::update() {
+void StreamLink::apply_rules() {
     const Millis now = context_.now();
     is_cut_to_target_ = context_.rules().is_cut(link_, Medium::stream, now);
     is_cut_to_client_ = context_.rules().is_cut(link_.reversed(), Medium::stream, now);
-    enter(wanted_listener_state(now));
+    set_listener_state(required_listener_state(now));
     for (const auto& connection : std::set(connections_)) connection->on_rules_changed();
 }
 
-StreamLink::ListenerState StreamLink::wanted_listener_state(Millis now) const {
-    const bool target_is_down = target_state_ == TargetState::down || target_refuses_;
+StreamLink::ListenerState StreamLink::required_listener_state(Millis now) const {
+    const bool target_is_down = target_state_ == TargetState::down || target_refused_;
     if (target_is_down || context_.rules().refuses_all(link_, now)) return ListenerState::closed;
     const bool is_cut = is_cut_to_target_ || is_cut_to_client_;
     if (is_cut || target_state_ == TargetState::unreachable) return ListenerState::unresponsive;
     return ListenerState::listening;
 }
 
-void StreamLink::enter(ListenerState state) {
+void StreamLink::set_listener_state(ListenerState state) {
     if (state == listener_state_) return;
     if (state == ListenerState::closed) {
         Error ignored;
@@ -82,7 +82,7 @@
     if (!acceptor_.is_open()) open_listener();
     listener_state_ = state;
     if (state == ListenerState::listening) {
-        ::listen(acceptor_.native_handle(), kBacklog);
+        ::listen(acceptor_.native_handle(), kBacklogLength);
         accept();  // the fillers come out of the queue first and are dropped there
         return;
     }
@@ -94,7 +94,7 @@
 
 // Fills the queue of connections that the kernel keeps for a listener, so that it drops further ones.
 void StreamLink::fill_backlog() {
-    for (int i = 0; i < kBacklogFillers; ++i) {
+    for (int i = 0; i < kBacklogFillerCount; ++i) {
         Error ignored;
         tcp::socket filler(context_.io());
         filler.open(endpoint_.protocol(), ignored);
@@ -117,7 +117,7 @@
     acceptor_.open(endpoint_.protocol());
     acceptor_.set_option(tcp::acceptor::reuse_address(true));
     acceptor_.bind(endpoint_);
-    acceptor_.listen(kBacklog);
+    acceptor_.listen(kBacklogLength);
     acceptor_.non_blocking(true);
     endpoint_ = acceptor_.local_endpoint();
     listener_state_ = ListenerState::listening;
@@ -154,19 +154,19 @@
 
 // The target's machine refuses: so does the link, until a probe is accepted.
 void StreamLink::on_target_refused() {
-    if (target_refuses_ || target_state_ != TargetState::up) return;
-    target_refuses_ = true;
-    update();
+    if (target_refused_ || target_state_ != TargetState::up) return;
+    target_refused_ = true;
+    apply_rules();
     probe_target();
 }
 
 void StreamLink::probe_target() {
     const auto socket = std::make_shared<tcp::socket>(context_.io());
     socket->async_connect(target_, [this, is_alive = is_alive_, socket](Error error) {
-        if (!*is_alive || !target_refuses_) return;
+        if (!*is_alive || !target_refused_) return;
         if (!error) {
-            target_refuses_ = false;
-            return update();
+            target_refused_ = false;
+            return apply_rules();
         }
         target_probe_ = context_.schedule(context_.now() + kTargetProbePeriod, [this] {
             target_probe_ = {};
--- a/src/fault_proxy/stream_link.hpp
+++ b/src/fault_proxy/stream_link.hpp
@@ -35,11 +35,11 @@
     static constexpr std::size_t kMaxQueuedBytes = 256UL * 1024;
     /// Bytes: a read of so much is followed by splice(2), where neither a rule nor an observer needs the
     /// bytes.
-    static constexpr std::size_t kBulkRead = 16UL * 1024;
+    static constexpr std::size_t kBulkReadBytes = 16UL * 1024;
     /// Milliseconds between two attempts to reach a target that refused.
     static constexpr Millis kTargetProbePeriod = 10;
     /// Connections that the kernel queues while the link listens.
-    static constexpr int kBacklog = 1024;
+    static constexpr int kBacklogLength = 1024;
 
     /// @param link   names of client and target in the rules.
     /// @param listen where the client connects to; port 0 takes any.
@@ -91,9 +91,9 @@
         closed         // connects are refused
     };
 
-    void update();
-    ListenerState wanted_listener_state(Millis now) const;
-    void enter(ListenerState state);
+    void apply_rules();
+    ListenerState required_listener_state(Millis now) const;
+    void set_listener_state(ListenerState state);
     void open_listener();
     void fill_backlog();
     void accept();
@@ -109,7 +109,7 @@
     tcp::acceptor acceptor_;
     ListenerState listener_state_ = ListenerState::closed;
     TargetState target_state_ = TargetState::up;
-    bool target_refuses_ = false;  // by itself; probe_target() is at work
+    bool target_refused_ = false;  // by itself; probe_target() is at work
     bool is_accepting_ = false;
     bool is_cut_to_target_ = false;
     bool is_cut_to_client_ = false;
--- a/src/fault_proxy/stream_link_connection.cpp
+++ b/src/fault_proxy/stream_link_connection.cpp
@@ -121,7 +121,7 @@
     const bool may_splice =
         direction.last_read_was_bulk && !is_observed(direction) && passes_unchanged(direction);
     if (!may_splice || !direction.pipe.open()) return false;
-    const auto result = direction.pipe.fill_from(direction.source.native_handle());
+    const auto result = direction.pipe.read_from(direction.source.native_handle());
     if (result != SplicePipe::MoveResult::moved) {
         direction.last_read_was_bulk = false;
         return false;
@@ -135,8 +135,8 @@
     count_received(direction, bytes.size());
     const auto& on_client_sent = link_->observer_.on_client_sent;
     if (is_to_target(direction) && on_client_sent) on_client_sent(number_, bytes);
-    direction.last_read_was_bulk = bytes.size() >= kBulkRead;
-    if (passes_unchanged(direction)) bytes.remove_prefix(pass_at_once(direction, bytes));
+    direction.last_read_was_bulk = bytes.size() >= kBulkReadBytes;
+    if (passes_unchanged(direction)) bytes.remove_prefix(forward_immediately(direction, bytes));
     if (bytes.empty()) return;
     std::vector<StreamAction> actions;
     direction.filter.on_bytes(now, bytes, actions);
@@ -144,7 +144,7 @@
 }
 
 // Passes on, without a copy, what the receiver takes now. An error of the receiver shows again at the rest.
-std::size_t StreamLink::Connection::pass_at_once(Direction& direction, std::string_view bytes) {
+std::size_t StreamLink::Connection::forward_immediately(Direction& direction, std::string_view bytes) {
     Error ignored;
     const std::size_t passed = opposite(direction).source.write_some(asio::buffer(bytes), ignored);
     const auto& on_client_received = link_->observer_.on_client_received;
@@ -155,18 +155,18 @@
     return passed;
 }
 
-void StreamLink::Connection::on_source_ended(Direction& direction, Millis now, bool in_order) {
+void StreamLink::Connection::on_source_ended(Direction& direction, Millis now, bool is_graceful) {
     direction.has_ended = true;
     if (is_to_target(direction)) report_client_ended();
     std::vector<StreamAction> actions;
-    direction.filter.on_end(now, in_order ? StreamAction::Kind::half_close : StreamAction::Kind::reset,
+    direction.filter.on_end(now, is_graceful ? StreamAction::Kind::half_close : StreamAction::Kind::reset,
                             actions);
     enqueue(direction, std::move(actions));
 }
 
 void StreamLink::Connection::enqueue(Direction& direction, std::vector<StreamAction> actions) {
     for (StreamAction& action : actions) {
-        direction.bytes_in_actions += action.bytes.size();
+        direction.queued_action_bytes += action.bytes.size();
         direction.actions.push_back(std::move(action));
     }
 }
@@ -175,17 +175,17 @@
 void StreamLink::Connection::deliver(Direction& direction) {
     if (direction.is_writing) return;
     link_->context_.cancel(direction.timer);
-    if (!empty_pipe(direction)) return;
+    if (!flush_pipe(direction)) return;
     while (!direction.actions.empty()) {
-        if (!do_first_action(direction)) return;
+        if (!perform_first_action(direction)) return;
     }
     read(direction);
 }
 
-bool StreamLink::Connection::empty_pipe(Direction& direction) {
+bool StreamLink::Connection::flush_pipe(Direction& direction) {
     while (direction.pipe.size() > 0) {
         if (is_cut(direction)) return false;
-        const auto result = direction.pipe.empty_to(opposite(direction).source.native_handle());
+        const auto result = direction.pipe.write_to(opposite(direction).source.native_handle());
         if (result == SplicePipe::MoveResult::would_block) {
             wait_for_space(direction);
             return false;
@@ -198,7 +198,7 @@
     return true;
 }
 
-bool StreamLink::Connection::do_first_action(Direction& direction) {
+bool StreamLink::Connection::perform_first_action(Direction& direction) {
     if (is_cut(direction)) return false;
     const StreamAction& action = direction.actions.front();
     if (action.not_before > link_->context_.now()) {
@@ -210,7 +210,7 @@
             close(true);
             return false;
         case StreamAction::Kind::half_close:
-            pass_end_on(direction);
+            forward_end(direction);
             return false;
         case StreamAction::Kind::send_bytes:
             return send_first_action(direction);
@@ -220,7 +220,7 @@
 
 bool StreamLink::Connection::send_first_action(Direction& direction) {
     const StreamAction& action = direction.actions.front();
-    const std::string_view rest = std::string_view(action.bytes).substr(direction.sent_of_first);
+    const std::string_view rest = std::string_view(action.bytes).substr(direction.first_action_sent_bytes);
     Error error;
     const std::size_t sent = opposite(direction).source.write_some(asio::buffer(rest), error);
     if (error == asio::error::would_block) {
@@ -233,21 +233,21 @@
     }
     const auto& on_client_received = link_->observer_.on_client_received;
     if (!is_to_target(direction) && on_client_received) on_client_received(number_, rest.substr(0, sent));
-    direction.sent_of_first += sent;
-    direction.bytes_in_actions -= sent;
-    if (direction.sent_of_first == action.bytes.size()) {
+    direction.first_action_sent_bytes += sent;
+    direction.queued_action_bytes -= sent;
+    if (direction.first_action_sent_bytes == action.bytes.size()) {
         direction.actions.pop_front();
-        direction.sent_of_first = 0;
+        direction.first_action_sent_bytes = 0;
     }
     return true;
 }
 
-void StreamLink::Connection::pass_end_on(Direction& direction) {
+void StreamLink::Connection::forward_end(Direction& direction) {
     Error ignored;
     opposite(direction).source.shutdown(tcp::socket::shutdown_send, ignored);
     direction.actions.clear();
-    direction.end_passed_on = true;
-    if (opposite(direction).end_passed_on) close(false);
+    direction.end_forwarded = true;
+    if (opposite(direction).end_forwarded) close(false);
 }
 
 void StreamLink::Connection::wait_until(Direction& direction, Millis time) {
--- a/src/fault_proxy/stream_link_connection.hpp
+++ b/src/fault_proxy/stream_link_connection.hpp
@@ -37,18 +37,18 @@
         Direction(const Rules& rules, Link link, std::uint64_t connection,
                   MessageBoundaryReader::MessageKind sender, tcp::socket socket)
             : filter(rules, std::move(link), connection, sender), source(std::move(socket)) {}
-        std::size_t queued_bytes() const { return bytes_in_actions + pipe.size(); }
+        std::size_t queued_bytes() const { return queued_action_bytes + pipe.size(); }
 
         StreamFilter filter;
         TcpSocket source;
-        SplicePipe pipe{};                 // what is inside goes before `actions`
-        std::deque<StreamAction> actions;  // in order
-        std::size_t bytes_in_actions = 0;  // not sent yet
-        std::size_t sent_of_first = 0;     // bytes of the first action
-        bool is_reading = false;           // waits for the source
-        bool is_writing = false;           // waits for space at the receiver
-        bool has_ended = false;            // the source has
-        bool end_passed_on = false;
+        SplicePipe pipe{};                        // what is inside goes before `actions`
+        std::deque<StreamAction> actions;         // in order
+        std::size_t queued_action_bytes = 0;      // not sent yet
+        std::size_t first_action_sent_bytes = 0;  // bytes of the first action
+        bool is_reading = false;                  // waits for the source
+        bool is_writing = false;                  // waits for space at the receiver
+        bool has_ended = false;                   // the source has
+        bool end_forwarded = false;
         bool last_read_was_bulk = false;     // the next may go by the pipe
         EventLoopContext::TimerKey timer{};  // when the first action is due
     };
@@ -70,19 +70,19 @@
     void on_readable(Direction& direction);
     bool splice(Direction& direction);
     void on_bytes(Direction& direction, Millis now, std::string_view bytes);
-    std::size_t pass_at_once(Direction& direction, std::string_view bytes);
-    void on_source_ended(Direction& direction, Millis now, bool in_order);
+    std::size_t forward_immediately(Direction& direction, std::string_view bytes);
+    void on_source_ended(Direction& direction, Millis now, bool is_graceful);
     void enqueue(Direction& direction, std::vector<StreamAction> actions);
 
     // These return whether to go on; if not, something else comes back to deliver(), or all is closed.
-    bool empty_pipe(Direction& direction);
-    bool do_first_action(Direction& direction);
+    bool flush_pipe(Direction& direction);
+    bool perform_first_action(Direction& direction);
     bool send_first_action(Direction& direction);
 
     void deliver(Direction& direction);
     void wait_until(Direction& direction, Millis time);
     void wait_for_space(Direction& direction);
-    void pass_end_on(Direction& direction);
+    void forward_end(Direction& direction);
     void report_client_ended();
 
     StreamLink* link_;  // null once it is closed
--- a/src/process_testbed/chaos.cpp
+++ b/src/process_testbed/chaos.cpp
@@ -14,20 +14,20 @@
 using fault_proxy::Trigger;
 
 /// A testbed on which the steps of a schedule are carried out, and which is healed at its end.
-class SchedulePlayer {
+class ScheduleRunner {
 public:
-    explicit SchedulePlayer(const Options& options) : testbed_(options) { testbed_.start(); }
+    explicit ScheduleRunner(const Options& options) : testbed_(options) { testbed_.start(); }
 
     /// @return whether no rule has been broken.
-    bool play(const FaultStep& step);
+    bool run_step(const FaultStep& step);
     /// Undoes all faults and waits until every request has ended.
     /// @param kept whether no rule has been broken so far.
-    Verdict finish(bool kept);
+    ChaosResult finish(bool passed);
 
 private:
     // Each does nothing for steps of other kinds.
-    void play_on_process(const FaultStep& step);
-    void play_on_server(const FaultStep& step);
+    void run_process_step(const FaultStep& step);
+    void run_server_step(const FaultStep& step);
     void send_requests(const FaultStep& step);
     void cut_link(const FaultStep& step);
     void partition(const FaultStep& step);
@@ -40,10 +40,10 @@
     std::string next_rule_name();
 
     ProcessTestbed testbed_;
-    std::uint64_t rules_added_ = 0;
+    std::uint64_t added_rules_ = 0;
 };
 
-bool SchedulePlayer::play(const FaultStep& step) {
+bool ScheduleRunner::run_step(const FaultStep& step) {
     switch (step.kind()) {
         case FaultStepKind::send_requests:
             send_requests(step);
@@ -66,14 +66,14 @@
         case FaultStepKind::wait:
             return testbed_.run_for(step.wait_duration());
         default:
-            play_on_process(step);
-            play_on_server(step);
+            run_process_step(step);
+            run_server_step(step);
             break;
     }
     return true;
 }
 
-void SchedulePlayer::play_on_process(const FaultStep& step) {
+void ScheduleRunner::run_process_step(const FaultStep& step) {
     const std::size_t sidecar = step.sidecar();
     switch (step.kind()) {
         case FaultStepKind::freeze:
@@ -94,7 +94,7 @@
     }
 }
 
-void SchedulePlayer::play_on_server(const FaultStep& step) {
+void ScheduleRunner::run_server_step(const FaultStep& step) {
     switch (step.kind()) {
         case FaultStepKind::drain:
             testbed_.set_endpoint_state(step.server(), EndpointState::leaving);
@@ -110,14 +110,14 @@
     }
 }
 
-void SchedulePlayer::send_requests(const FaultStep& step) {
+void ScheduleRunner::send_requests(const FaultStep& step) {
     const char* const request_class = kRequestClasses[step.request_class() % kRequestClasses.size()];
     for (std::uint64_t i = 0; i < step.request_count() && testbed_.is_running(step.sidecar()); ++i) {
         testbed_.send_request(step.sidecar(), request_class);
     }
 }
 
-void SchedulePlayer::cut_link(const FaultStep& step) {
+void ScheduleRunner::cut_link(const FaultStep& step) {
     const std::string sidecar = sidecar_name(step.sidecar());
     const std::string other =
         step.server() < testbed_.server_count() ? server_name(step.server()) : kDiscoveryName;
@@ -125,7 +125,7 @@
     if (step.cut_direction() != CutDirection::from_sidecar) add_cut(other, sidecar);
 }
 
-void SchedulePlayer::partition(const FaultStep& step) {
+void ScheduleRunner::partition(const FaultStep& step) {
     Rule rule;
     rule.name = next_rule_name();
     rule.groups.resize(2);
@@ -141,7 +141,7 @@
     testbed_.context().put_rule(rule);
 }
 
-void SchedulePlayer::break_responses(const FaultStep& step) {
+void ScheduleRunner::break_responses(const FaultStep& step) {
     Rule rule;
     rule.name = next_rule_name();
     rule.type = step.breaks_by_reset() ? FaultType::reset : FaultType::half_close;
@@ -152,7 +152,7 @@
     testbed_.context().put_rule(rule);
 }
 
-void SchedulePlayer::add_cut(const std::string& from, const std::string& to) {
+void ScheduleRunner::add_cut(const std::string& from, const std::string& to) {
     Rule rule;
     rule.name = next_rule_name();
     rule.from = {from};
@@ -160,12 +160,12 @@
     testbed_.context().put_rule(rule);
 }
 
-std::string SchedulePlayer::next_rule_name() {
-    ++rules_added_;
-    return "cut " + std::to_string(rules_added_);
+std::string ScheduleRunner::next_rule_name() {
+    ++added_rules_;
+    return "cut " + std::to_string(added_rules_);
 }
 
-void SchedulePlayer::heal_everything() {
+void ScheduleRunner::heal_everything() {
     heal_links();
     for (std::size_t i = 0; i < testbed_.sidecar_count(); ++i) {
         testbed_.limit_cpu(i, 1);
@@ -176,7 +176,7 @@
     }
 }
 
-std::string SchedulePlayer::find_descriptor_leaks() {
+std::string ScheduleRunner::find_descriptor_leaks() {
     std::string leaks;
     for (std::size_t i = 0; i < testbed_.sidecar_count(); ++i) {
         if (!testbed_.is_running(i)) continue;
@@ -188,13 +188,13 @@
     return leaks;
 }
 
-Verdict SchedulePlayer::finish(bool kept) {
+ChaosResult ScheduleRunner::finish(bool passed) {
     heal_everything();
-    kept = kept && testbed_.run_until_idle();
-    const std::string leaks = kept ? find_descriptor_leaks() : "";
-    kept = kept && leaks.empty();
+    passed = passed && testbed_.run_until_idle();
+    const std::string leaks = passed ? find_descriptor_leaks() : "";
+    passed = passed && leaks.empty();
     const RequestHistory& history = testbed_.request_history();
-    return {kept, kept ? "" : leaks + testbed_.describe_failure(), history.total_requests(),
+    return {passed, passed ? "" : leaks + testbed_.describe_failure(), history.total_requests(),
             history.count(RequestHistory::Outcome::served)};
 }
 
@@ -209,12 +209,12 @@
 
 }  // namespace
 
-Verdict play(const Options& options, const Schedule& schedule) {
+ChaosResult run_schedule(const Options& options, const Schedule& schedule) {
     check_range(options, schedule);
-    SchedulePlayer player(options);
-    const bool kept = std::all_of(schedule.begin(), schedule.end(),
-                                  [&](const FaultStep& step) { return player.play(step); });
-    return player.finish(kept);
+    ScheduleRunner runner(options);
+    const bool passed = std::all_of(schedule.begin(), schedule.end(),
+                                    [&](const FaultStep& step) { return runner.run_step(step); });
+    return runner.finish(passed);
 }
 
 }  // namespace elmbay::process_testbed
--- a/src/process_testbed/chaos.hpp
+++ b/src/process_testbed/chaos.hpp
@@ -17,8 +17,8 @@
 };
 
 /// What a chaos run found.
-struct Verdict {
-    bool kept = true;            ///< whether no rule was broken and no descriptor leaked
+struct ChaosResult {
+    bool passed = true;          ///< whether no rule was broken and no descriptor leaked
     std::string explanation;     ///< if not kept: what was broken, and the events of whom it concerns
     std::uint64_t requests = 0;  ///< how many clients sent
     std::uint64_t served = 0;    ///< how many of them were served
@@ -29,6 +29,6 @@
 /// Blocks until then. All processes have ended when it returns.
 /// @throws ScheduleRangeError
 /// @throws SidecarNotReady if the program does not start.
-Verdict play(const Options& options, const Schedule& schedule);
+ChaosResult run_schedule(const Options& options, const Schedule& schedule);
 
 }  // namespace elmbay::process_testbed
--- a/src/process_testbed/client_emulator.cpp
+++ b/src/process_testbed/client_emulator.cpp
@@ -22,7 +22,7 @@
     return Idempotency::non_idempotent;
 }
 
-std::string message_of(const ClientRequest& request, const std::string& id) {
+std::string request_text(const ClientRequest& request, const std::string& id) {
     const Idempotency idempotency = idempotency_of(request.request_class);
     const bool has_body = idempotency != Idempotency::idempotent;
     const std::string time_left = fmt::format("{:.0f}m", request.deadline);
@@ -59,9 +59,9 @@
         : clients_(&clients),
           sidecar_(std::move(sidecar)),
           id_(std::move(id)),
-          message_(message_of(request, id_)),
+          message_(request_text(request, id_)),
           deadline_(request.deadline),
-          leaves_after_(request.leaves_after),
+          disconnect_after_(request.disconnect_after),
           socket_(clients.context_.io()) {}
 
     void start(const tcp::endpoint& address) {
@@ -73,7 +73,7 @@
         socket_.async_connect(address, [self = shared_from_this()](Error error) {
             if (!self->clients_) return;
             // A connection that the sidecar does not take gives no claim to an outcome.
-            if (error) return self->leave();
+            if (error) return self->disconnect();
             Error ignored;
             self->socket_.set_option(tcp::no_delay(true), ignored);
             self->write();
@@ -86,23 +86,24 @@
         socket_.close(ignored);
         if (!clients_) return;
         clients_->context_.cancel(timeout_);
-        clients_->context_.cancel(departure_);
+        clients_->context_.cancel(disconnect_timer_);
         clients_ = nullptr;
     }
 
 private:
     void set_timers() {
         fault_proxy::EventLoopContext& context = clients_->context_;
-        timeout_ = context.schedule(context.now() + deadline_ + kLateResponse, [self = shared_from_this()] {
-            self->timeout_ = {};
-            if (!self->clients_) return;
-            self->clients_->history_.on_client_timeout(self->now(), self->id_);
-            self->end({});
-        });
-        if (leaves_after_ <= 0) return;
-        departure_ = context.schedule(context.now() + leaves_after_, [self = shared_from_this()] {
-            self->departure_ = {};
-            if (self->clients_) self->leave();
+        timeout_ =
+            context.schedule(context.now() + deadline_ + kResponseGracePeriod, [self = shared_from_this()] {
+                self->timeout_ = {};
+                if (!self->clients_) return;
+                self->clients_->history_.on_client_timeout(self->now(), self->id_);
+                self->finish({});
+            });
+        if (disconnect_after_ <= 0) return;
+        disconnect_timer_ = context.schedule(context.now() + disconnect_after_, [self = shared_from_this()] {
+            self->disconnect_timer_ = {};
+            if (self->clients_) self->disconnect();
         });
     }
     void write() {
@@ -116,29 +117,29 @@
     void on_read(Error error, std::size_t bytes) {
         RequestHistory& history = clients_->history_;
         if (!error) return on_response();
-        const bool nothing_came = bytes == 0 && buffer_.size() == 0;
-        if (nothing_came) {
+        const bool received_nothing = bytes == 0 && buffer_.size() == 0;
+        if (received_nothing) {
             history.on_closed_without_response(now(), id_);
-            return end({});
+            return finish({});
         }
         history.on_response(now(), id_, Outcome::truncated, true);
-        end(Outcome::truncated);
+        finish(Outcome::truncated);
     }
     void on_response() {
         const Millis received = now();
         const auto& response = parser_.get();
         const Outcome outcome = outcome_of(response.result_int());
         // A server puts the request's id first in its body.
-        const bool is_genuine = outcome != Outcome::served || response.body().starts_with(id_ + " ");
+        const bool is_body_valid = outcome != Outcome::served || response.body().starts_with(id_ + " ");
         if (response.keep_alive()) clients_->idle_connections_[sidecar_].push_back(std::move(socket_));
-        clients_->history_.on_response(received, id_, outcome, is_genuine);
-        end(outcome);
+        clients_->history_.on_response(received, id_, outcome, is_body_valid);
+        finish(outcome);
     }
-    void leave() {
-        clients_->history_.on_client_left(now(), id_);
-        end({});
+    void disconnect() {
+        clients_->history_.on_client_disconnected(now(), id_);
+        finish({});
     }
-    void end(std::optional<Outcome> outcome) {
+    void finish(std::optional<Outcome> outcome) {
         const auto self = shared_from_this();  // close() cancels timers that hold the last other reference
         clients_->results_[id_] = {true, outcome};
         close();
@@ -150,20 +151,20 @@
     const std::string id_;
     const std::string message_;
     const Millis deadline_;
-    const Millis leaves_after_;
+    const Millis disconnect_after_;
     tcp::socket socket_;
     boost::beast::flat_buffer buffer_{kMaxBodyBytes};
     http::response_parser<http::string_body> parser_;
     fault_proxy::EventLoopContext::TimerKey timeout_{};
-    fault_proxy::EventLoopContext::TimerKey departure_{};
+    fault_proxy::EventLoopContext::TimerKey disconnect_timer_{};
 };
 
 ClientEmulator::ClientEmulator(fault_proxy::EventLoopContext& context, RequestHistory& history)
     : context_(context), history_(history) {}
 
-ClientEmulator::~ClientEmulator() { abandon_all(); }
+ClientEmulator::~ClientEmulator() { close_all(); }
 
-void ClientEmulator::abandon_all() {
+void ClientEmulator::close_all() {
     for (const auto& weak : exchanges_) {
         if (const auto exchange = weak.lock()) exchange->close();
     }
--- a/src/process_testbed/client_emulator.hpp
+++ b/src/process_testbed/client_emulator.hpp
@@ -20,7 +20,8 @@
 struct ClientRequest {
     std::string request_class = "listen";  ///< or "deposit", "annotate"
     Millis deadline = 0;                   ///< milliseconds; 0: that of the testbed's options
-    Millis leaves_after = 0;  ///< the client closes its connection after so many milliseconds; 0: it stays
+    Millis disconnect_after =
+        0;  ///< the client closes its connection after so many milliseconds; 0: it stays
     std::string idempotency_key{};  ///< of "annotate"; empty: one of its own
 };
 
@@ -31,7 +32,7 @@
 public:
     /// Milliseconds after its deadline that a client still waits: "up to half a second after its time it only
     /// earns nothing".
-    static constexpr Millis kLateResponse = 500;
+    static constexpr Millis kResponseGracePeriod = 500;
 
     ClientEmulator(fault_proxy::EventLoopContext& context, RequestHistory& history);
     ~ClientEmulator();
@@ -49,7 +50,7 @@
     /// @throws std::out_of_range for an id that send() has not returned.
     std::optional<RequestHistory::Outcome> outcome(const std::string& id) const;
     /// Closes the connections of all open requests, which get no outcome.
-    void abandon_all();
+    void close_all();
 
 private:
     class Exchange;
--- a/src/process_testbed/discovery_emulator.cpp
+++ b/src/process_testbed/discovery_emulator.cpp
@@ -103,13 +103,13 @@
     states_[uid] = state;
     ++revision_;
     for (const auto& connection : std::list(connections_)) {
-        if (connection->is_watch()) connection->send_line(list_of(uid).dump());
+        if (connection->is_watch()) connection->send_line(endpoint_list(uid).dump());
     }
 }
 
-json DiscoveryEmulator::whole_list() const { return list_of(""); }
+json DiscoveryEmulator::whole_list() const { return endpoint_list(""); }
 
-json DiscoveryEmulator::list_of(const std::string& only_uid) const {
+json DiscoveryEmulator::endpoint_list(const std::string& only_uid) const {
     const bool is_whole = only_uid.empty();
     json targets = json::array();
     std::uint32_t number = 0;
--- a/src/process_testbed/discovery_emulator.hpp
+++ b/src/process_testbed/discovery_emulator.hpp
@@ -52,7 +52,7 @@
     class Connection;
     friend class Connection;
 
-    json list_of(const std::string& only_uid) const;  // of all but those that left if it is empty
+    json endpoint_list(const std::string& only_uid) const;  // of all but those that left if it is empty
     void accept();
     void schedule_keep_alive();
 
--- a/src/process_testbed/fault_schedule.cpp
+++ b/src/process_testbed/fault_schedule.cpp
@@ -18,14 +18,14 @@
 
 // What set_behavior chooses from, by its written number.
 constexpr std::array<ServerBehavior, 4> kBehaviors{ServerBehavior::serve, ServerBehavior::fail,
-                                                   ServerBehavior::reject, ServerBehavior::mute};
+                                                   ServerBehavior::reject, ServerBehavior::no_response};
 
 // Milliseconds: two such waits in a row are longer than the drain grace.
 constexpr std::uint64_t kMaxWait = 400;
 // Milliseconds: most waits are short, as what happens alone hardly ever shows a fault.
 constexpr std::uint64_t kMaxShortWait = 40;
 // About the length of a response's head and body.
-constexpr std::uint64_t kResponseBytes = 90;
+constexpr std::uint64_t kApproximateResponseBytes = 90;
 constexpr std::uint64_t kMaxRequestsPerStep = 6;
 constexpr std::uint64_t kMinCpuPercent = 10;
 constexpr std::uint64_t kMaxCpuPercent = 99;
@@ -70,7 +70,7 @@
             first = 1 + random.below(sidecars - 1);
             break;
         case Kind::break_responses:
-            third = random.below(kResponseBytes);
+            third = random.below(kApproximateResponseBytes);
             break;
         case Kind::limit_cpu:
             third = kMinCpuPercent + random.below(kMaxCpuPercent - kMinCpuPercent + 1);
--- a/src/process_testbed/process.cpp
+++ b/src/process_testbed/process.cpp
@@ -22,8 +22,8 @@
 
 namespace {
 
-constexpr int kExecFailed = 127;                        // as a shell reports it
-constexpr std::string_view kPlatformPrefix = "RELAY_";  // of the platform's environment variables
+constexpr int kExecFailed = 127;                                // as a shell reports it
+constexpr std::string_view kPlatformVariablePrefix = "RELAY_";  // of the platform's environment variables
 
 void replace_file(const std::filesystem::path& path, const std::string& text) {
     const std::filesystem::path temporary = path.string() + ".new";
@@ -35,7 +35,7 @@
 }
 
 // Waits for the process to stop or end, as the flags of waitpid(2) say, and returns its status.
-int wait_for(pid_t pid, int flags) {
+int wait_for_status(pid_t pid, int flags) {
     int status = 0;
     while (::waitpid(pid, &status, flags) < 0 && errno == EINTR) continue;
     return status;
@@ -45,7 +45,7 @@
 std::vector<char*> environment_with(const std::string& variable) {
     std::vector<char*> environment;
     for (char** entry = environ; *entry != nullptr; ++entry) {
-        if (!std::string_view(*entry).starts_with(kPlatformPrefix)) environment.push_back(*entry);
+        if (!std::string_view(*entry).starts_with(kPlatformVariablePrefix)) environment.push_back(*entry);
     }
     environment.push_back(const_cast<char*>(variable.c_str()));
     environment.push_back(nullptr);
@@ -53,7 +53,7 @@
 }
 
 // The child's part after fork(2): only calls that are safe there.
-[[noreturn]] void run_child(const char* log_path, char* const* arguments, char* const* environment) {
+[[noreturn]] void exec_child(const char* log_path, char* const* arguments, char* const* environment) {
     ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // a simulation that is killed leaves nothing behind
     const int log_file = ::open(log_path, O_WRONLY | O_CREAT | O_APPEND, 0644);
     const int null_device = ::open("/dev/null", O_RDONLY);
@@ -104,7 +104,7 @@
     const std::string log = log_path().string();
     const pid_t child = ::fork();
     if (child < 0) throw std::system_error(errno, std::generic_category(), "fork");
-    if (child == 0) run_child(log.c_str(), const_cast<char* const*>(arguments.data()), environment.data());
+    if (child == 0) exec_child(log.c_str(), const_cast<char* const*>(arguments.data()), environment.data());
     pid_ = child;
     is_frozen_ = false;
 }
@@ -119,7 +119,7 @@
     if (!is_running() || is_frozen_) return;
     for (int i = 0; i < kMaxYieldsBeforeFreeze && !is_waiting(); ++i) ::sched_yield();
     ::kill(pid_, SIGSTOP);
-    is_frozen_ = WIFSTOPPED(wait_for(pid_, WUNTRACED));
+    is_frozen_ = WIFSTOPPED(wait_for_status(pid_, WUNTRACED));
     if (!is_frozen_) pid_ = -1;  // it had ended
 }
 
@@ -150,7 +150,7 @@
     if (!is_running()) return;
     ::kill(pid_, SIGKILL);  // ends one that is frozen as well
     is_frozen_ = false;
-    wait_for(pid_, 0);
+    wait_for_status(pid_, 0);
     pid_ = -1;
 }
 
--- a/src/process_testbed/process_testbed.cpp
+++ b/src/process_testbed/process_testbed.cpp
@@ -20,12 +20,12 @@
 
 // A testbed has a part of loopback of its own: 4,096 addresses, of 3,800 parts from 127.16.0.0 on.
 constexpr std::uint32_t kLoopback = 127U << 24;
-constexpr std::uint32_t kFirstPart = 16U << 16;
-constexpr std::uint32_t kParts = 3800;
-constexpr std::uint32_t kPartBits = 12;
+constexpr std::uint32_t kFirstBlock = 16U << 16;
+constexpr std::uint32_t kBlockCount = 3800;
+constexpr std::uint32_t kBlockBits = 12;
 constexpr std::uint32_t kFirstHost = 2;
 // Between two testbeds of one process. A prime: they seldom meet those of the process with the next id.
-constexpr std::uint32_t kPartStep = 1009;
+constexpr std::uint32_t kBlockStep = 1009;
 
 // Hosts of a part.
 constexpr std::uint32_t kBroadcastHost = 0;
@@ -34,18 +34,18 @@
 constexpr std::uint32_t kFirstLinkHost = 0x400;     // where others reach them, by a link
 constexpr std::uint32_t kFirstServerHost = 0x800;
 
-constexpr std::chrono::milliseconds kMaxStep{50};  // of the loop, before conditions are looked at again
+constexpr std::chrono::milliseconds kMaxLoopStep{50};  // of the loop, before conditions are looked at again
 
 // A sidecar has a second in all to close what it no longer needs.
 constexpr int kMaxDescriptorChecks = 40;
 constexpr Millis kDescriptorCheckPeriod = 25;
 
 // Testbeds of several processes keep apart by the process id, those of one process by a count.
-std::uint32_t next_loopback_part() {
+std::uint32_t next_loopback_block() {
     static std::uint32_t count = 0;
-    const auto part = static_cast<std::uint32_t>(::getpid()) + kPartStep * count;
+    const auto block = static_cast<std::uint32_t>(::getpid()) + kBlockStep * count;
     ++count;
-    return part;
+    return block;
 }
 
 std::uint32_t host(std::uint32_t first, std::size_t number) {
@@ -55,13 +55,13 @@
 }  // namespace
 
 asio::ip::address_v4 ProcessTestbed::address(std::uint32_t host) const {
-    const std::uint32_t part = (loopback_part_ % kParts) << kPartBits;
-    return asio::ip::address_v4(kLoopback + kFirstPart + part + host + kFirstHost);
+    const std::uint32_t block = (loopback_block_ % kBlockCount) << kBlockBits;
+    return asio::ip::address_v4(kLoopback + kFirstBlock + block + host + kFirstHost);
 }
 
 ProcessTestbed::ProcessTestbed(Options options)
     : options_(std::move(options)),
-      loopback_part_(next_loopback_part()),
+      loopback_block_(next_loopback_block()),
       context_(io_, options_.seed),
       datagrams_(
           std::make_unique<fault_proxy::DatagramNet>(context_, udp::endpoint(address(kBroadcastHost), 0))),
@@ -73,7 +73,7 @@
 }
 
 ProcessTestbed::~ProcessTestbed() {
-    clients_.abandon_all();
+    clients_.close_all();
     for (const auto& sidecar : sidecars_) sidecar->process().kill();
 }
 
@@ -174,11 +174,11 @@
 }
 
 void ProcessTestbed::schedule_process_check() {
-    note_crashes();
+    record_crashes();
     context_.schedule(now() + kProcessCheckPeriod, [this] { schedule_process_check(); });
 }
 
-void ProcessTestbed::note_crashes() {
+void ProcessTestbed::record_crashes() {
     for (const auto& sidecar : sidecars_) {
         if (sidecar->has_crashed()) has_crash_ = true;
     }
@@ -212,12 +212,12 @@
 
 bool ProcessTestbed::descriptors_are_accounted_for(std::size_t sidecar) {
     for (int check = 0; check < kMaxDescriptorChecks; ++check) {
-        const json told = status(sidecar);
-        if (!told.is_object()) return false;
+        const json status_report = status(sidecar);
+        if (!status_report.is_object()) return false;
         const std::size_t open = open_descriptors(sidecar);
         std::size_t counted = kReservedDescriptors;
         for (const char* kind : {"clients", "servers", "sessions"}) {
-            counted += told["sockets"][kind].get<std::size_t>();
+            counted += status_report["sockets"][kind].get<std::size_t>();
         }
         if (open <= counted) return true;
         run_for(kDescriptorCheckPeriod);
@@ -233,10 +233,10 @@
 
 // Runs one step of the loop and checks the history; false if a wait must end.
 bool ProcessTestbed::run_step(Millis limit) {
-    io_.run_one_for(kMaxStep);
-    request_history_.check_due(now());
-    const bool is_sound = request_history_.violations().empty() && !has_crash_;
-    return is_sound && now() < limit;
+    io_.run_one_for(kMaxLoopStep);
+    request_history_.check_due_overlaps(now());
+    const bool has_no_failure = request_history_.violations().empty() && !has_crash_;
+    return has_no_failure && now() < limit;
 }
 
 bool ProcessTestbed::run_until(const std::function<bool()>& condition) {
@@ -257,8 +257,8 @@
 
 bool ProcessTestbed::run_until_idle() {
     if (!run_until([this] { return request_history_.open_requests() == 0; })) return false;
-    if (!run_for(2 * RequestHistory::kSlack)) return false;
-    request_history_.check_all_ended(now());
+    if (!run_for(2 * RequestHistory::kTolerance)) return false;
+    request_history_.check_all_requests_ended(now());
     return request_history_.violations().empty();
 }
 
@@ -271,7 +271,7 @@
 }
 
 std::string ProcessTestbed::describe_failure(const std::string& id) {
-    note_crashes();  // what is explained may have ended a process since the last check
+    record_crashes();  // what is explained may have ended a process since the last check
     const std::string text = violations();
     if (!id.empty()) return text + request_history_.history(id);
     if (request_history_.violations().empty()) return text + request_history_.history();
--- a/src/process_testbed/process_testbed.hpp
+++ b/src/process_testbed/process_testbed.hpp
@@ -173,11 +173,11 @@
     std::string status_path(std::size_t sidecar) const;
     std::size_t open_descriptors(std::size_t sidecar) const;
     void schedule_process_check();
-    void note_crashes();
+    void record_crashes();
     bool run_step(Millis limit);
 
     const Options options_;
-    const std::uint32_t loopback_part_;  // of 127.0.0.0/8, so that testbeds side by side keep apart
+    const std::uint32_t loopback_block_;  // of 127.0.0.0/8, so that testbeds side by side keep apart
     const TemporaryFolder folder_{"fleet"};
     asio::io_context io_{1};
     fault_proxy::EventLoopContext context_;
--- a/src/process_testbed/request_history.cpp
+++ b/src/process_testbed/request_history.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 // In the order of Outcome.
-constexpr std::array<const char*, RequestHistory::kOutcomes> kOutcomeNames{"served", "refused", "failed",
-                                                                           "cut"};
+constexpr std::array<const char*, RequestHistory::kOutcomeCount> kOutcomeNames{"served", "refused", "failed",
+                                                                               "cut"};
 
 const char* name_of(RequestHistory::Outcome outcome) {
     return kOutcomeNames.at(static_cast<std::size_t>(outcome));
@@ -28,7 +28,7 @@
     record(now, "ledger", id, "BROKEN: " + description);
 }
 
-void RequestHistory::note(Millis now, const std::string& process, const std::string& text) {
+void RequestHistory::record_note(Millis now, const std::string& process, const std::string& text) {
     record(now, process, "", text);
 }
 
@@ -37,7 +37,7 @@
     Request& request = requests_[id];
     request.idempotency = idempotency;
     request.sidecar = sidecar;
-    request.is_excused = frozen_.contains(sidecar);
+    request.is_outcome_optional = frozen_.contains(sidecar);
     ++total_requests_;
     ++open_requests_;
     record(now, sidecar, id, fmt::format("asked, for {:.0f} ms", deadline));
@@ -49,7 +49,7 @@
     --open_requests_;
 }
 
-void RequestHistory::on_response(Millis now, const std::string& id, Outcome outcome, bool is_genuine) {
+void RequestHistory::on_response(Millis now, const std::string& id, Outcome outcome, bool is_body_valid) {
     Request& request = requests_[id];
     record(now, request.sidecar, id, std::string("answered: ") + name_of(outcome));
     if (request.has_response) report_violation(now, id, "one final outcome: it was answered twice");
@@ -57,7 +57,7 @@
     end_request(request, now);
     ++counts_[static_cast<std::size_t>(outcome)];
     const bool was_processed = request.times_processed > 0;
-    if (outcome == Outcome::served && !is_genuine) {
+    if (outcome == Outcome::served && !is_body_valid) {
         report_violation(now, id, "one final outcome: it was served what no server made for it");
     }
     if (outcome == Outcome::served && !was_processed) {
@@ -74,11 +74,11 @@
     Request& request = requests_[id];
     if (request.has_ended()) return;
     record(now, request.sidecar, id, "its caller has heard nothing in its time");
-    if (!request.is_excused) report_violation(now, id, "one final outcome: none came in its time");
+    if (!request.is_outcome_optional) report_violation(now, id, "one final outcome: none came in its time");
     end_request(request, now);
 }
 
-void RequestHistory::on_client_left(Millis now, const std::string& id) {
+void RequestHistory::on_client_disconnected(Millis now, const std::string& id) {
     Request& request = requests_[id];
     if (request.has_ended()) return;
     record(now, request.sidecar, id, "its caller has gone");
@@ -89,7 +89,7 @@
     Request& request = requests_[id];
     record(now, request.sidecar, id, "its connection was closed with no answer");
     // A client whose request was never sent on may retry it; else its outcome is lost.
-    if (!request.is_excused && request.attempts > 0) {
+    if (!request.is_outcome_optional && request.attempts > 0) {
         report_violation(now, id, "one final outcome: sent on, and closed with no answer");
     }
     end_request(request, now);
@@ -104,14 +104,14 @@
         return report_violation(now, id, "a request that no caller sent went to " + attempt.server);
     }
     Request& request = found->second;
-    if (request.is_orphaned) return;
+    if (request.has_sidecar_ended) return;
     if (++request.attempts > kMaxAttempts) {
         report_violation(now, id, fmt::format("nothing twice: attempt {}", request.attempts));
     }
     check_sent_after_end(now, id, request, first_byte);
     check_sent_to_draining(now, id, attempt, first_byte);
     for (const auto& [earlier, since] : request.in_flight) {
-        overlaps_.push_back({now + kSlack, id, earlier, since});
+        overlaps_.push_back({now + kTolerance, id, earlier, since});
     }
     request.in_flight[attempt] = now;
     request_in_flight_[attempt] = id;
@@ -119,7 +119,7 @@
 
 void RequestHistory::check_sent_after_end(Millis now, const std::string& id, const Request& request,
                                           Millis first_byte) {
-    if (!request.has_ended() || first_byte <= request.ended_at + kSlack) return;
+    if (!request.has_ended() || first_byte <= request.ended_at + kTolerance) return;
     report_violation(now, id,
                      fmt::format("sent {:.0f} ms after its caller had its answer or was gone",
                                  first_byte - request.ended_at));
@@ -130,7 +130,7 @@
     const auto draining = draining_since_.find({attempt.sidecar, attempt.server});
     if (draining == draining_since_.end()) return;
     const Millis since = draining->second;
-    if (first_byte <= since + kDrainGrace + kSlack) return;
+    if (first_byte <= since + kDrainGrace + kTolerance) return;
     report_violation(now, id,
                      fmt::format("drains kept: sent to {} {:.0f} ms after {} was told", attempt.server,
                                  first_byte - since, attempt.sidecar));
@@ -177,8 +177,8 @@
     record(now, sidecar, "", "its process is gone");
     for (auto& [id, request] : requests_) {
         if (request.sidecar != sidecar) continue;
-        request.is_excused = request.is_excused || !request.has_ended();
-        request.is_orphaned = true;
+        request.is_outcome_optional = request.is_outcome_optional || !request.has_ended();
+        request.has_sidecar_ended = true;
         request.in_flight.clear();
     }
     std::erase_if(request_in_flight_, [&](const auto& entry) { return entry.first.sidecar == sidecar; });
@@ -190,7 +190,7 @@
     record(now, sidecar, "", "frozen");
     frozen_.insert(sidecar);
     for (auto& [id, request] : requests_) {
-        if (request.sidecar == sidecar && !request.has_ended()) request.is_excused = true;
+        if (request.sidecar == sidecar && !request.has_ended()) request.is_outcome_optional = true;
     }
 }
 
@@ -199,7 +199,7 @@
     frozen_.erase(sidecar);
 }
 
-void RequestHistory::check_due(Millis now) {
+void RequestHistory::check_due_overlaps(Millis now) {
     while (!overlaps_.empty() && overlaps_.front().due <= now) {
         const Overlap overlap = overlaps_.front();
         overlaps_.pop_front();
@@ -215,10 +215,10 @@
     }
 }
 
-void RequestHistory::check_all_ended(Millis now) {
-    check_due(now + kSlack);
+void RequestHistory::check_all_requests_ended(Millis now) {
+    check_due_overlaps(now + kTolerance);
     for (const auto& [id, request] : requests_) {
-        const bool is_lost = !request.has_ended() && !request.is_excused;
+        const bool is_lost = !request.has_ended() && !request.is_outcome_optional;
         if (is_lost) report_violation(now, id, "one final outcome: it never came");
     }
 }
@@ -231,8 +231,9 @@
     }
     std::vector<const Event*> chosen;
     for (const Event& event : events_) {
-        const bool is_note_of_process = event.request_id.empty() && processes.contains(event.process);
-        if (id.empty() || event.request_id == id || is_note_of_process) chosen.push_back(&event);
+        const bool is_note_of_involved_process =
+            event.request_id.empty() && processes.contains(event.process);
+        if (id.empty() || event.request_id == id || is_note_of_involved_process) chosen.push_back(&event);
     }
     return chosen;
 }
--- a/src/process_testbed/request_history.hpp
+++ b/src/process_testbed/request_history.hpp
@@ -34,7 +34,7 @@
 class RequestHistory {
 public:
     /// Milliseconds by which each limit is longer on sockets (PROTOCOL, "The rules on sockets").
-    static constexpr Millis kSlack = 50;
+    static constexpr Millis kTolerance = 50;
     /// Milliseconds in which a sidecar may still send to a server that it has heard is draining.
     static constexpr Millis kDrainGrace = 500;
     /// The setting `max-attempts` of the testbed's sidecars.
@@ -58,7 +58,7 @@
         failed,    ///< any other status
         truncated  ///< the connection ended within the response
     };
-    static constexpr std::size_t kOutcomes = 4;
+    static constexpr std::size_t kOutcomeCount = 4;
 
     /// One attempt of a sidecar at a server: a connection of the link between them.
     struct Attempt {
@@ -75,12 +75,12 @@
     void on_request(Millis now, const std::string& id, Idempotency idempotency, const std::string& sidecar,
                     Millis deadline);
     /// A response has come.
-    /// @param is_genuine whether the body of a served one was made by a server for this request.
-    void on_response(Millis now, const std::string& id, Outcome outcome, bool is_genuine);
+    /// @param is_body_valid whether the body of a served one was made by a server for this request.
+    void on_response(Millis now, const std::string& id, Outcome outcome, bool is_body_valid);
     /// The deadline is well over and nothing has come. The outcome is lost unless the sidecar is excused.
     void on_client_timeout(Millis now, const std::string& id);
     /// The client has closed its connection by its own choice, or could not connect.
-    void on_client_left(Millis now, const std::string& id);
+    void on_client_disconnected(Millis now, const std::string& id);
     /// The sidecar has closed the connection without a response.
     void on_closed_without_response(Millis now, const std::string& id);
     /// @}
@@ -118,13 +118,13 @@
     /// The process runs again.
     void on_process_thawed(Millis now, const std::string& sidecar);
     /// Something for a reader of the history, of no request.
-    void note(Millis now, const std::string& process, const std::string& text);
+    void record_note(Millis now, const std::string& process, const std::string& text);
     /// @}
 
-    /// Checks what could be checked only after kSlack. To be called often.
-    void check_due(Millis now);
+    /// Checks what could be checked only after kTolerance. To be called often.
+    void check_due_overlaps(Millis now);
     /// Checks that every request has its outcome. To be called once, when all should have ended.
-    void check_all_ended(Millis now);
+    void check_all_requests_ended(Millis now);
 
     const std::vector<Violation>& violations() const { return violations_; }
     /// @return how many requests clients have sent.
@@ -143,8 +143,9 @@
         std::string sidecar;
         Millis ended_at = -1;  // when its client got the outcome or left; negative: it waits
         bool has_response = false;
-        bool is_excused = false;   // may end without an outcome
-        bool is_orphaned = false;  // its sidecar's process has ended: what still arrives, nobody sends now
+        bool is_outcome_optional = false;  // may end without an outcome
+        bool has_sidecar_ended =
+            false;  // its sidecar's process has ended: what still arrives, nobody sends now
         std::uint32_t attempts = 0;
         std::uint32_t times_processed = 0;
         std::map<Attempt, Millis> in_flight;  // since when
@@ -154,8 +155,8 @@
         Millis at;
         std::string process, request_id, text;
     };
-    // Two attempts in flight together: a violation only if the earlier one still is after kSlack, as its end
-    // and the next attempt travel on different connections.
+    // Two attempts in flight together: a violation only if the earlier one still is after kTolerance, as its
+    // end and the next attempt travel on different connections.
     struct Overlap {
         Millis due;
         std::string request_id;
@@ -179,7 +180,7 @@
     std::vector<Violation> violations_;
     std::uint64_t total_requests_ = 0;
     std::uint64_t open_requests_ = 0;
-    std::array<std::uint64_t, kOutcomes> counts_{};
+    std::array<std::uint64_t, kOutcomeCount> counts_{};
 };
 
 }  // namespace elmbay::process_testbed
--- a/src/process_testbed/server_emulator.cpp
+++ b/src/process_testbed/server_emulator.cpp
@@ -90,7 +90,7 @@
         case ServerBehavior::fail:
             connection->respond("500 Internal Server Error", "", "failed\n");
             break;
-        case ServerBehavior::mute:
+        case ServerBehavior::no_response:
         case ServerBehavior::hold:
         case ServerBehavior::serve:
             process(connection, id);
@@ -101,11 +101,11 @@
 void ServerEmulator::process(const std::shared_ptr<Connection>& connection, const std::string& id) {
     const Millis now = context_.now();
     history_.on_processed(now, id, name_);
-    if (behavior == ServerBehavior::mute) return;
+    if (behavior == ServerBehavior::no_response) return;
     // The id comes first: by it the client knows that the response was made for its request.
     const std::string body = id + " " + name_ + "\n" + std::string(body_bytes, 'x');
     if (behavior == ServerBehavior::hold) {
-        held_.push_back({connection, body});
+        held_responses_.push_back({connection, body});
     } else if (delay <= 0) {
         connection->respond_ok(body);
     } else {
@@ -114,7 +114,8 @@
 }
 
 void ServerEmulator::release_held() {
-    for (const HeldResponse& held : std::exchange(held_, {})) held.connection->respond_ok(held.body);
+    for (const HeldResponse& held : std::exchange(held_responses_, {}))
+        held.connection->respond_ok(held.body);
 }
 
 }  // namespace elmbay::process_testbed
--- a/src/process_testbed/server_emulator.hpp
+++ b/src/process_testbed/server_emulator.hpp
@@ -16,11 +16,11 @@
 
 /// What a server does with a request.
 enum class ServerBehavior {
-    serve,   ///< processes it and responds 200 after ServerEmulator::delay
-    hold,    ///< processes it and responds once ServerEmulator::release_held() is called
-    fail,    ///< responds 500 and does not process it
-    reject,  ///< responds 503 with X-Unprocessed and does not process it
-    mute     ///< processes it and never responds
+    serve,       ///< processes it and responds 200 after ServerEmulator::delay
+    hold,        ///< processes it and responds once ServerEmulator::release_held() is called
+    fail,        ///< responds 500 and does not process it
+    reject,      ///< responds 503 with X-Unprocessed and does not process it
+    no_response  ///< processes it and never responds
 };
 
 /// One server on loopback. Reports to the history what it processed and what it rejected.
@@ -44,7 +44,7 @@
     /// @return how many whole requests have come.
     std::uint64_t received_requests() const { return received_requests_; }
     /// @return how many of them wait for release_held().
-    std::size_t held_requests() const { return held_.size(); }
+    std::size_t held_requests() const { return held_responses_.size(); }
     /// Responds to all requests that are held.
     void release_held();
 
@@ -65,7 +65,7 @@
     const std::string name_;
     tcp::acceptor acceptor_;
     std::set<std::shared_ptr<Connection>> connections_;
-    std::list<HeldResponse> held_;
+    std::list<HeldResponse> held_responses_;
     std::uint64_t received_requests_ = 0;
 };
 
--- a/src/process_testbed/sidecar_controller.cpp
+++ b/src/process_testbed/sidecar_controller.cpp
@@ -17,13 +17,13 @@
 namespace {
 
 constexpr std::string_view kReadinessRequest = "GET /up HTTP/1.1\r\nHost: app.svc\r\n\r\n";
-constexpr std::size_t kMaxProbeResponse = 16UL * 1024;  // bytes
+constexpr std::size_t kMaxProbeResponseBytes = 16UL * 1024;  // bytes
 
 /// One GET /up.
 struct ReadinessProbe {
     explicit ReadinessProbe(asio::io_context& io) : socket(io) {}
     tcp::socket socket;
-    boost::beast::flat_buffer buffer{kMaxProbeResponse};
+    boost::beast::flat_buffer buffer{kMaxProbeResponseBytes};
     http::response<http::string_body> response;
 };
 
@@ -42,17 +42,17 @@
 
 void SidecarController::start() {
     ++runs_;
-    may_end_ = false;
+    is_termination_requested_ = false;
     is_ready_ = false;
     datagrams_.set_listening(name_, true);
     process_.start();
-    history_.note(context_.now(), name_, "started");
+    history_.record_note(context_.now(), name_, "started");
     probe_readiness();
 }
 
 void SidecarController::probe_readiness() {
     const auto probe = std::make_shared<ReadinessProbe>(context_.io());
-    const auto report = [this, run = runs_](bool is_up) { on_probed(run, is_up); };
+    const auto report = [this, run = runs_](bool is_up) { on_probe_result(run, is_up); };
     probe->socket.async_connect(endpoints_.listen, [probe, report](Error connect_error) {
         if (connect_error) return report(false);
         asio::async_write(probe->socket, asio::buffer(kReadinessRequest), [probe](Error, std::size_t) {});
@@ -63,11 +63,11 @@
     });
 }
 
-void SidecarController::on_probed(std::uint64_t run, bool is_up) {
+void SidecarController::on_probe_result(std::uint64_t run, bool is_up) {
     if (runs_ != run || is_ready_ || !process_.is_running()) return;
     is_ready_ = is_up;
-    if (is_up) return history_.note(context_.now(), name_, "ready");
-    context_.schedule(context_.now() + kReadinessPeriod, [this, run] {
+    if (is_up) return history_.record_note(context_.now(), name_, "ready");
+    context_.schedule(context_.now() + kReadinessProbePeriod, [this, run] {
         if (runs_ == run) probe_readiness();
     });
 }
@@ -85,7 +85,7 @@
 void SidecarController::limit_cpu(double share) {
     context_.cancel(cpu_slice_end_);
     cpu_share_ = share;
-    history_.note(context_.now(), name_, "has " + std::to_string(share) + " of its core from now on");
+    history_.record_note(context_.now(), name_, "has " + std::to_string(share) + " of its core from now on");
     if (share >= 1) return process_.thaw();
     run_cpu_slice(false);
 }
@@ -112,8 +112,8 @@
 }
 
 void SidecarController::terminate() {
-    may_end_ = true;
-    history_.note(context_.now(), name_, "SIGTERM");
+    is_termination_requested_ = true;
+    history_.record_note(context_.now(), name_, "SIGTERM");
     process_.signal(SIGTERM);
 }
 
@@ -123,16 +123,16 @@
     is_ready_ = false;
     datagrams_.set_listening(name_, false);
     history_.on_process_ended(context_.now(), name_);
-    if (may_end_) return false;
-    history_.note(context_.now(), name_,
-                  "ended by itself, status " + std::to_string(*status) + ": " + log_excerpt());
+    if (is_termination_requested_) return false;
+    history_.record_note(context_.now(), name_,
+                         "ended by itself, status " + std::to_string(*status) + ": " + log_excerpt());
     return true;
 }
 
 std::string SidecarController::log_excerpt() const {
     std::ifstream file(process_.log_path());
     const std::string log((std::istreambuf_iterator<char>(file)), {});
-    return log.size() > kMaxLogExcerpt ? "..." + log.substr(log.size() - kMaxLogExcerpt) : log;
+    return log.size() > kMaxLogExcerptBytes ? "..." + log.substr(log.size() - kMaxLogExcerptBytes) : log;
 }
 
 }  // namespace elmbay::process_testbed
--- a/src/process_testbed/sidecar_controller.hpp
+++ b/src/process_testbed/sidecar_controller.hpp
@@ -22,11 +22,11 @@
 class SidecarController {
 public:
     /// Milliseconds between two probes of GET /up while it starts.
-    static constexpr Millis kReadinessPeriod = 20;
+    static constexpr Millis kReadinessProbePeriod = 20;
     /// Milliseconds: a throttled process runs for its share of each period and is stopped for the rest.
     static constexpr Millis kCpuPeriod = 20;
     /// Bytes from the end of its log that a report of a failed start or a crash shows.
-    static constexpr std::size_t kMaxLogExcerpt = 600;
+    static constexpr std::size_t kMaxLogExcerptBytes = 600;
 
     /// Where it listens. Both ports belong to an address of its own, so they are free again at each start.
     struct Endpoints {
@@ -67,7 +67,7 @@
 
 private:
     void probe_readiness();
-    void on_probed(std::uint64_t run, bool is_up);
+    void on_probe_result(std::uint64_t run, bool is_up);
     void run_cpu_slice(bool is_running);
 
     fault_proxy::EventLoopContext& context_;
@@ -80,7 +80,7 @@
     double cpu_share_ = 1;
     fault_proxy::EventLoopContext::TimerKey cpu_slice_end_{};
     bool is_ready_ = false;
-    bool may_end_ = false;  // it was told to
+    bool is_termination_requested_ = false;  // it was told to
 };
 
 }  // namespace elmbay::process_testbed
--- a/tests/fault_proxy/stream_test.cpp
+++ b/tests/fault_proxy/stream_test.cpp
@@ -10,223 +10,229 @@
 
 using Error = boost::system::error_code;
 
-tcp::endpoint any() { return {asio::ip::address_v4::loopback(), 0}; }
+tcp::endpoint any_port() { return {asio::ip::address_v4::loopback(), 0}; }
 
 // One end: what came, and how it ended.
-struct End : std::enable_shared_from_this<End> {
-    explicit End(tcp::socket s) : socket(std::move(s)) {}
+struct TestConnection : std::enable_shared_from_this<TestConnection> {
+    explicit TestConnection(tcp::socket connected_socket) : socket(std::move(connected_socket)) {}
     void read() {
-        socket.async_read_some(asio::buffer(piece), [self = shared_from_this()](Error e, std::size_t n) {
-            self->got.append(self->piece.data(), n);
-            if (!e) return self->reads ? self->read() : void();
-            self->ended = true;
-            self->reset = e == asio::error::connection_reset;
-        });
+        socket.async_read_some(asio::buffer(buffer),
+                               [self = shared_from_this()](Error error, std::size_t size) {
+                                   self->received.append(self->buffer.data(), size);
+                                   if (!error) return self->is_reading ? self->read() : void();
+                                   self->has_ended = true;
+                                   self->was_reset = error == asio::error::connection_reset;
+                               });
     }
     void send(const std::string& text) { asio::write(socket, asio::buffer(text)); }
     tcp::socket socket;
-    std::array<char, 4096> piece{};
-    std::string got;
-    bool reads = true, ended = false, reset = false, up = false, refused = false;
+    std::array<char, 4096> buffer{};
+    std::string received;
+    bool is_reading = true, has_ended = false, was_reset = false, is_connected = false, was_refused = false;
 };
 
-struct Rig {
+struct LinkFixture {
     asio::io_context io{1};
     EventLoopContext context{io};
-    tcp::acceptor server{io, any()};
-    StreamLink link{context, {"a", "b"}, any(), server.local_endpoint()};
-    std::vector<std::shared_ptr<End>> accepted;
+    tcp::acceptor server{io, any_port()};
+    StreamLink link{context, {"a", "b"}, any_port(), server.local_endpoint()};
+    std::vector<std::shared_ptr<TestConnection>> accepted;
 
-    Rig() { accept(); }
+    LinkFixture() { accept(); }
     void accept() {
         server.async_accept([this](Error error, tcp::socket socket) {
             if (error) return;
-            accepted.push_back(std::make_shared<End>(std::move(socket)));
+            accepted.push_back(std::make_shared<TestConnection>(std::move(socket)));
             accepted.back()->read();
             accept();
         });
     }
-    std::shared_ptr<End> connect() {
-        auto end = std::make_shared<End>(tcp::socket(io));
-        end->socket.async_connect(link.endpoint(), [end](Error error) {
-            end->up = !error;
-            end->refused = error == asio::error::connection_refused;
-            if (!error) end->read();
+    std::shared_ptr<TestConnection> connect() {
+        auto connection = std::make_shared<TestConnection>(tcp::socket(io));
+        connection->socket.async_connect(link.endpoint(), [connection](Error error) {
+            connection->is_connected = !error;
+            connection->was_refused = error == asio::error::connection_refused;
+            if (!error) connection->read();
         });
-        return end;
+        return connection;
     }
-    template <class Happened>
-    bool until(Happened happened) {
+    template <class Condition>
+    bool run_until(Condition condition) {
         const auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(60);
-        while (!happened()) {
+        while (!condition()) {
             if (std::chrono::steady_clock::now() > limit) return false;
             io.run_one_for(std::chrono::milliseconds(100));
         }
         return true;
     }
     // Only for what must not happen meanwhile.
-    void quiet() { io.run_for(std::chrono::milliseconds(60)); }
-    void put(const char* name, FaultType type, const char* from, const char* to) {
-        Rule r;
-        r.name = name, r.type = type, r.from = {from}, r.to = {to};
-        context.put_rule(r);
+    void run_briefly() { io.run_for(std::chrono::milliseconds(60)); }
+    void put_rule(const char* name, FaultType type, const char* from, const char* to) {
+        Rule rule;
+        rule.name = name, rule.type = type, rule.from = {from}, rule.to = {to};
+        context.put_rule(rule);
     }
-    std::shared_ptr<End> both_up() {
+    std::shared_ptr<TestConnection> connect_and_accept() {
         const auto before = accepted.size();
-        auto a = connect();
-        EXPECT_TRUE(until([&] { return a->up && accepted.size() > before; }));
-        return a;
+        auto client = connect();
+        EXPECT_TRUE(run_until([&] { return client->is_connected && accepted.size() > before; }));
+        return client;
     }
 };
 
 TEST(StreamLink, PassesBytesAndHalfClosesInBothDirections) {
-    Rig rig;
-    const auto a = rig.both_up();
-    const auto b = rig.accepted.back();
-    std::string much(3'000'000, '\0');
-    for (std::size_t i = 0; i < much.size(); ++i) much[i] = static_cast<char>(i * 31 >> 3);
+    LinkFixture fixture;
+    const auto client = fixture.connect_and_accept();
+    const auto server_end = fixture.accepted.back();
+    std::string payload(3'000'000, '\0');
+    for (std::size_t i = 0; i < payload.size(); ++i) payload[i] = static_cast<char>(i * 31 >> 3);
     std::size_t sent = 0;
-    std::function<void()> more = [&] {
-        if (sent == much.size()) return a->socket.shutdown(tcp::socket::shutdown_send);
-        a->socket.async_write_some(asio::buffer(much.data() + sent, much.size() - sent),
-                                   [&](Error error, std::size_t n) {
-                                       sent += n;
-                                       if (!error) more();
-                                   });
+    std::function<void()> send_more = [&] {
+        if (sent == payload.size()) return client->socket.shutdown(tcp::socket::shutdown_send);
+        client->socket.async_write_some(asio::buffer(payload.data() + sent, payload.size() - sent),
+                                        [&](Error error, std::size_t size) {
+                                            sent += size;
+                                            if (!error) send_more();
+                                        });
     };
-    more();
-    ASSERT_TRUE(rig.until([&] { return b->ended; }));
-    EXPECT_EQ(b->got, much);
-    EXPECT_FALSE(b->reset);
-    b->send("and back");
-    b->socket.shutdown(tcp::socket::shutdown_send);
-    ASSERT_TRUE(rig.until([&] { return a->ended; }));
-    EXPECT_EQ(a->got, "and back");
-    ASSERT_TRUE(rig.until([&] { return rig.link.open_connections() == 0; }));
+    send_more();
+    ASSERT_TRUE(fixture.run_until([&] { return server_end->has_ended; }));
+    EXPECT_EQ(server_end->received, payload);
+    EXPECT_FALSE(server_end->was_reset);
+    server_end->send("and back");
+    server_end->socket.shutdown(tcp::socket::shutdown_send);
+    ASSERT_TRUE(fixture.run_until([&] { return client->has_ended; }));
+    EXPECT_EQ(client->received, "and back");
+    ASSERT_TRUE(fixture.run_until([&] { return fixture.link.open_connections() == 0; }));
 }
 
 // A lot at once goes by splice(2); a cut on the way holds it back and loses nothing of it.
 TEST(StreamLink, PassesManyBytesUnchangedAcrossACutAndASlowReader) {
-    Rig rig;
-    const auto a = rig.both_up();
-    const auto b = rig.accepted.back();
-    std::string much(24'000'000, '\0');
-    for (std::size_t i = 0; i < much.size(); ++i) much[i] = static_cast<char>(i * 31 >> 5);
-    asio::async_write(a->socket, asio::buffer(much),
-                      [&](Error, std::size_t) { a->socket.shutdown(tcp::socket::shutdown_send); });
-    ASSERT_TRUE(rig.until([&] { return b->got.size() > 4'000'000; }));
+    LinkFixture fixture;
+    const auto client = fixture.connect_and_accept();
+    const auto server_end = fixture.accepted.back();
+    std::string payload(24'000'000, '\0');
+    for (std::size_t i = 0; i < payload.size(); ++i) payload[i] = static_cast<char>(i * 31 >> 5);
+    asio::async_write(client->socket, asio::buffer(payload),
+                      [&](Error, std::size_t) { client->socket.shutdown(tcp::socket::shutdown_send); });
+    ASSERT_TRUE(fixture.run_until([&] { return server_end->received.size() > 4'000'000; }));
     // Nobody reads until all buffers are full, the link's pipe among them; what it holds then waits for the
     // cut.
-    b->reads = false;
-    const auto full = [&, before = std::uint64_t{0}]() mutable {
-        rig.quiet();
-        return std::exchange(before, rig.link.bytes_to_target()) == rig.link.bytes_to_target();
+    server_end->is_reading = false;
+    const auto buffers_are_full = [&, before = std::uint64_t{0}]() mutable {
+        fixture.run_briefly();
+        return std::exchange(before, fixture.link.bytes_to_target()) == fixture.link.bytes_to_target();
     };
-    ASSERT_TRUE(rig.until(full));
-    rig.put("cut", FaultType::cut, "a", "b");
-    const std::size_t passed_on = rig.link.bytes_to_target() - rig.link.queued_bytes();
-    EXPECT_GT(rig.link.queued_bytes(), 0U);
-    b->reads = true;
-    b->read();
-    rig.quiet();
-    const std::size_t held = b->got.size();
-    rig.quiet();
-    EXPECT_EQ(b->got.size(), held);
-    EXPECT_EQ(held, passed_on);
-    EXPECT_FALSE(b->ended);
-    rig.context.remove_rule("cut");
-    ASSERT_TRUE(rig.until([&] { return b->got.size() > held + 4'000'000; }));
+    ASSERT_TRUE(fixture.run_until(buffers_are_full));
+    fixture.put_rule("cut", FaultType::cut, "a", "b");
+    const std::size_t forwarded = fixture.link.bytes_to_target() - fixture.link.queued_bytes();
+    EXPECT_GT(fixture.link.queued_bytes(), 0U);
+    server_end->is_reading = true;
+    server_end->read();
+    fixture.run_briefly();
+    const std::size_t received_while_cut = server_end->received.size();
+    fixture.run_briefly();
+    EXPECT_EQ(server_end->received.size(), received_while_cut);
+    EXPECT_EQ(received_while_cut, forwarded);
+    EXPECT_FALSE(server_end->has_ended);
+    fixture.context.remove_rule("cut");
+    ASSERT_TRUE(
+        fixture.run_until([&] { return server_end->received.size() > received_while_cut + 4'000'000; }));
     // From here on a rule has a word: what is in the pipe still goes first.
-    rig.put("late", FaultType::delay, "a", "b");
-    ASSERT_TRUE(rig.until([&] { return b->ended; }));
-    EXPECT_TRUE(b->got == much);
-    EXPECT_EQ(rig.link.bytes_to_target(), much.size());
+    fixture.put_rule("late", FaultType::delay, "a", "b");
+    ASSERT_TRUE(fixture.run_until([&] { return server_end->has_ended; }));
+    EXPECT_TRUE(server_end->received == payload);
+    EXPECT_EQ(fixture.link.bytes_to_target(), payload.size());
 }
 
-TEST(StreamLink, HoldsBytesAndConnectsWhileCutAndPassesThemAfterwards) {
-    Rig rig;
-    const auto a = rig.both_up();
-    const auto b = rig.accepted.back();
-    rig.put("cut", FaultType::cut, "b", "a");  // one way is enough to keep a connection from coming up
-    a->send("there");
-    b->send("back");
-    const auto late = rig.connect();
-    ASSERT_TRUE(rig.until([&] { return b->got == "there"; }));
-    rig.quiet();
-    EXPECT_EQ(a->got, "");
-    EXPECT_FALSE(late->up || late->refused);
-    EXPECT_TRUE(rig.context.remove_rule("cut"));
-    ASSERT_TRUE(rig.until([&] { return a->got == "back" && late->up; }));
-    ASSERT_TRUE(rig.until([&] { return rig.accepted.size() == 2; }));  // and no filler came through
-    rig.quiet();
-    EXPECT_EQ(rig.accepted.size(), 2U);
+TEST(StreamLink, DelaysBytesAndConnectionsWhileCutAndDeliversThemAfterwards) {
+    LinkFixture fixture;
+    const auto client = fixture.connect_and_accept();
+    const auto server_end = fixture.accepted.back();
+    fixture.put_rule("cut", FaultType::cut, "b",
+                     "a");  // one way is enough to keep a connection from coming up
+    client->send("there");
+    server_end->send("back");
+    const auto late_client = fixture.connect();
+    ASSERT_TRUE(fixture.run_until([&] { return server_end->received == "there"; }));
+    fixture.run_briefly();
+    EXPECT_EQ(client->received, "");
+    EXPECT_FALSE(late_client->is_connected || late_client->was_refused);
+    EXPECT_TRUE(fixture.context.remove_rule("cut"));
+    ASSERT_TRUE(fixture.run_until([&] { return client->received == "back" && late_client->is_connected; }));
+    ASSERT_TRUE(
+        fixture.run_until([&] { return fixture.accepted.size() == 2; }));  // and no filler came through
+    fixture.run_briefly();
+    EXPECT_EQ(fixture.accepted.size(), 2U);
 }
 
-TEST(StreamLink, RefusesResetsAndDelaysConnectionsAndFollowsItsTarget) {
-    Rig rig;
-    rig.put("no", FaultType::refuse, "a", "b");
-    const auto refused = rig.connect();
-    ASSERT_TRUE(rig.until([&] { return refused->refused; }));
-    Rule second;
-    second.name = "no", second.type = FaultType::refuse, second.first_number = second.last_number = 2;
-    rig.context.put_rule(second);
-    const auto first = rig.both_up();
-    const auto other = rig.connect();
-    ASSERT_TRUE(rig.until([&] { return other->ended; }));
-    EXPECT_TRUE(other->reset);
-    rig.context.remove_rule("no");
-    rig.link.set_target_state(StreamLink::TargetState::down);
-    const auto down = rig.connect();
-    ASSERT_TRUE(rig.until([&] { return down->refused; }));
-    EXPECT_FALSE(first->ended);  // what is open stays
-    rig.link.set_target_state(StreamLink::TargetState::up);
+TEST(StreamLink, RefusesResetsAndDelaysConnectionsAndTracksTheTargetState) {
+    LinkFixture fixture;
+    fixture.put_rule("no", FaultType::refuse, "a", "b");
+    const auto refused_client = fixture.connect();
+    ASSERT_TRUE(fixture.run_until([&] { return refused_client->was_refused; }));
+    Rule refuse_second;
+    refuse_second.name = "no", refuse_second.type = FaultType::refuse,
+    refuse_second.first_number = refuse_second.last_number = 2;
+    fixture.context.put_rule(refuse_second);
+    const auto first = fixture.connect_and_accept();
+    const auto other = fixture.connect();
+    ASSERT_TRUE(fixture.run_until([&] { return other->has_ended; }));
+    EXPECT_TRUE(other->was_reset);
+    fixture.context.remove_rule("no");
+    fixture.link.set_target_state(StreamLink::TargetState::down);
+    const auto refused_while_down = fixture.connect();
+    ASSERT_TRUE(fixture.run_until([&] { return refused_while_down->was_refused; }));
+    EXPECT_FALSE(first->has_ended);  // what is open stays
+    fixture.link.set_target_state(StreamLink::TargetState::up);
     // A target that refuses by itself: a reset once, then refusals, until it is back.
-    const auto at = rig.server.local_endpoint();
-    rig.server.close();
-    const auto told = rig.connect();
-    ASSERT_TRUE(rig.until([&] { return told->ended; }));
-    const auto again = rig.connect();
-    ASSERT_TRUE(rig.until([&] { return again->refused; }));
-    rig.server = tcp::acceptor(rig.io, at);
-    rig.accept();
-    ASSERT_TRUE(rig.until([&] {
-        const auto back = rig.connect();
-        rig.until([&] { return back->up || back->refused; });
-        return back->up;
+    const auto target_endpoint = fixture.server.local_endpoint();
+    fixture.server.close();
+    const auto first_refused_client = fixture.connect();
+    ASSERT_TRUE(fixture.run_until([&] { return first_refused_client->has_ended; }));
+    const auto second_refused_client = fixture.connect();
+    ASSERT_TRUE(fixture.run_until([&] { return second_refused_client->was_refused; }));
+    fixture.server = tcp::acceptor(fixture.io, target_endpoint);
+    fixture.accept();
+    ASSERT_TRUE(fixture.run_until([&] {
+        const auto reconnected_client = fixture.connect();
+        fixture.run_until(
+            [&] { return reconnected_client->is_connected || reconnected_client->was_refused; });
+        return reconnected_client->is_connected;
     }));
     Rule hold;
     hold.name = "hold", hold.type = FaultType::delay_open, hold.delay = 80;
-    rig.context.put_rule(hold);
-    const auto held = rig.connect();
-    ASSERT_TRUE(rig.until([&] { return held->up; }));
-    const auto before = rig.accepted.size();
-    const Millis began = rig.context.now();
-    held->send("x");
-    ASSERT_TRUE(rig.until([&] { return rig.accepted.size() > before; }));
-    EXPECT_GE(rig.context.now() - began, 50);
+    fixture.context.put_rule(hold);
+    const auto delayed_client = fixture.connect();
+    ASSERT_TRUE(fixture.run_until([&] { return delayed_client->is_connected; }));
+    const auto before = fixture.accepted.size();
+    const Millis started_at = fixture.context.now();
+    delayed_client->send("x");
+    ASSERT_TRUE(fixture.run_until([&] { return fixture.accepted.size() > before; }));
+    EXPECT_GE(fixture.context.now() - started_at, 50);
 }
 
 // Both ends of each of these see what the rule says, at each of the first bytes.
-TEST(StreamLink, ShowsAResetOrHalfCloseAtAnyByteToBothEnds) {
+TEST(StreamLink, PropagatesAResetOrHalfCloseAtAnyByte) {
     for (std::uint64_t byte = 0; byte < 8; ++byte) {
-        Rig rig;
-        Rule r;
-        r.name = "r", r.type = FaultType::reset, r.from = {"b"}, r.to = {"a"}, r.trigger = Trigger::at_byte,
-        r.trigger_byte = byte;
-        rig.context.put_rule(r);
-        const auto a = rig.both_up();
-        const auto b = rig.accepted.back();
-        b->send("12345678");
-        ASSERT_TRUE(rig.until([&] { return a->ended && b->ended; })) << byte;
-        EXPECT_TRUE(a->reset && b->reset) << byte;
-        r.type = FaultType::half_close;
-        rig.context.put_rule(r);
-        const auto c = rig.both_up();
-        rig.accepted.back()->send("12345678");
-        ASSERT_TRUE(rig.until([&] { return c->ended; })) << byte;
-        EXPECT_FALSE(c->reset);
-        EXPECT_EQ(c->got, std::string("12345678").substr(0, byte));
-        EXPECT_FALSE(rig.accepted.back()->ended);
+        LinkFixture fixture;
+        Rule rule;
+        rule.name = "r", rule.type = FaultType::reset, rule.from = {"b"}, rule.to = {"a"},
+        rule.trigger = Trigger::at_byte, rule.trigger_byte = byte;
+        fixture.context.put_rule(rule);
+        const auto client = fixture.connect_and_accept();
+        const auto server_end = fixture.accepted.back();
+        server_end->send("12345678");
+        ASSERT_TRUE(fixture.run_until([&] { return client->has_ended && server_end->has_ended; })) << byte;
+        EXPECT_TRUE(client->was_reset && server_end->was_reset) << byte;
+        rule.type = FaultType::half_close;
+        fixture.context.put_rule(rule);
+        const auto second_client = fixture.connect_and_accept();
+        fixture.accepted.back()->send("12345678");
+        ASSERT_TRUE(fixture.run_until([&] { return second_client->has_ended; })) << byte;
+        EXPECT_FALSE(second_client->was_reset);
+        EXPECT_EQ(second_client->received, std::string("12345678").substr(0, byte));
+        EXPECT_FALSE(fixture.accepted.back()->has_ended);
     }
 }
 
--- a/tests/process_testbed/chaos_test.cpp
+++ b/tests/process_testbed/chaos_test.cpp
@@ -9,25 +9,25 @@
 namespace {
 
 Options chaos_options() {
-    Options options = few(3, 3);
+    Options options = small_testbed(3, 3);
     options.request_deadline = 4000, options.latency_objective = 1500;
     return options;
 }
 
-TEST(Chaos, DrawsEqualSchedulesForOneSeedAndReadsBackWhatItWrote) {
-    const Schedule one = draw_schedule(7, 3, 3, 200);
-    EXPECT_EQ(one, draw_schedule(7, 3, 3, 200));
-    EXPECT_NE(one, draw_schedule(8, 3, 3, 200));
-    EXPECT_EQ(parse_schedule("# note\n" + text_of(one)), one);
+TEST(Chaos, DrawsEqualSchedulesForOneSeedAndParsesItsOwnText) {
+    const Schedule schedule = draw_schedule(7, 3, 3, 200);
+    EXPECT_EQ(schedule, draw_schedule(7, 3, 3, 200));
+    EXPECT_NE(schedule, draw_schedule(8, 3, 3, 200));
+    EXPECT_EQ(parse_schedule("# note\n" + text_of(schedule)), schedule);
     EXPECT_THROW(parse_schedule("ask 0 0 1\nfly 1 2 3\n"), std::invalid_argument);
 }
 
-TEST(Chaos, KeepsEveryRuleUnderSchedulesOfFixedSeeds) {
+TEST(Chaos, ViolatesNoInvariantUnderSchedulesOfFixedSeeds) {
     for (std::uint64_t seed = 501; seed < 511; ++seed) {
         const Schedule schedule = draw_schedule(seed, 3, 3, 40);
-        const Verdict verdict = play(chaos_options(), schedule);
-        ASSERT_TRUE(verdict.kept) << "seed " << seed << "\n" << verdict.explanation << text_of(schedule);
-        EXPECT_GT(verdict.requests, 10U);
+        const ChaosResult result = run_schedule(chaos_options(), schedule);
+        ASSERT_TRUE(result.passed) << "seed " << seed << "\n" << result.explanation << text_of(schedule);
+        EXPECT_GT(result.requests, 10U);
     }
 }
 
@@ -39,11 +39,11 @@
         "ask 1 0 2\nwait 0 0 5\ndrain 0 2 0\nask 2 2 1\nwait 0 0 20\nrestore 0 2 0\nbreak 1 0 9\nbreak 1 1 "
         "9\n"
         "break 1 2 9\nask 0 1 6\nwait 0 0 30\nheal 0 0 0\nask 1 0 1\n");
-    const auto fails = [&](const Schedule& s) { return !play(options, s).kept; };
+    const auto fails = [&](const Schedule& candidate) { return !run_schedule(options, candidate).passed; };
     ASSERT_TRUE(fails(schedule));
-    const Schedule least = shrink(schedule, fails);
-    EXPECT_LE(least.size(), 4U) << text_of(least);
-    EXPECT_TRUE(fails(least));
+    const Schedule smallest = shrink(schedule, fails);
+    EXPECT_LE(smallest.size(), 4U) << text_of(smallest);
+    EXPECT_TRUE(fails(smallest));
 }
 
 // One descriptor for each attempt that failed to connect or was reset: what is left over shows at the end.
@@ -57,12 +57,12 @@
         for (std::size_t server = 0; server < 3; ++server)
             schedule.push_back(FaultStep::reset_connections(0, server));
     }
-    const Verdict verdict = play(options, schedule);
-    EXPECT_FALSE(verdict.kept);
-    EXPECT_NE(verdict.explanation.find("holds more descriptors"), std::string::npos) << verdict.explanation;
+    const ChaosResult result = run_schedule(options, schedule);
+    EXPECT_FALSE(result.passed);
+    EXPECT_NE(result.explanation.find("holds more descriptors"), std::string::npos) << result.explanation;
     options.program = ELMBAY_PROGRAM;
-    const Verdict sound = play(options, schedule);
-    EXPECT_TRUE(sound.kept) << sound.explanation;
+    const ChaosResult without_leak = run_schedule(options, schedule);
+    EXPECT_TRUE(without_leak.passed) << without_leak.explanation;
 }
 
 }  // namespace
--- a/tests/process_testbed/faults_test.cpp
+++ b/tests/process_testbed/faults_test.cpp
@@ -19,14 +19,14 @@
 using fault_proxy::Trigger;
 using Outcome = RequestHistory::Outcome;
 
-Rule rule(const char* name, FaultType type, const char* from, const char* to) {
-    Rule r;
-    r.name = name, r.type = type, r.from = {from}, r.to = {to};
-    return r;
+Rule make_rule(const char* name, FaultType type, const char* from, const char* to) {
+    Rule rule;
+    rule.name = name, rule.type = type, rule.from = {from}, rule.to = {to};
+    return rule;
 }
 
 TEST(ProcessTestbed, ServesEachClassAndReportsItsStatus) {
-    ProcessTestbed testbed(few());
+    ProcessTestbed testbed(small_testbed());
     testbed.start();
     std::vector<std::string> ids;
     for (const char* request_class : {"listen", "deposit", "annotate"})
@@ -42,7 +42,7 @@
 
 // The server has committed; its answer is cut before each of its bytes in turn. Never a second deposit.
 TEST(ProcessTestbed, ProcessesADepositOnceWhenItsResponseIsCutAtAnyByte) {
-    ProcessTestbed testbed(few(1, 2));
+    ProcessTestbed testbed(small_testbed(1, 2));
     testbed.start();
     const std::string first = testbed.send_request(0, "deposit");
     ASSERT_TRUE(testbed.run_until([&] { return testbed.has_ended(first); })) << testbed.describe_failure();
@@ -51,11 +51,11 @@
     ASSERT_GT(length, 20U);
     for (std::uint64_t byte = 0; byte < length; ++byte) {
         for (const FaultType type : {FaultType::reset, FaultType::half_close}) {
-            Rule cut = rule("cut", type, "s-*", "n-0");
+            Rule cut = make_rule("cut", type, "s-*", "n-0");
             cut.trigger = Trigger::at_byte, cut.trigger_byte = byte;
             testbed.context().put_rule(cut);
             // Every connection is new: the byte counts from its first.
-            for (const char* s : {"s-0", "s-1"}) testbed.link("n-0", s).reset_all();
+            for (const char* server : {"s-0", "s-1"}) testbed.link("n-0", server).reset_all();
             const std::string id = testbed.send_request(0, "deposit");
             ASSERT_TRUE(testbed.run_until([&] { return testbed.has_ended(id); }))
                 << testbed.describe_failure(id);
@@ -68,16 +68,16 @@
 }
 
 // A sidecar is frozen with forty requests in hand, their callers go, and it wakes: nothing goes out for them.
-TEST(ProcessTestbed, SendsNothingAfterAFreezeForClientsThatHaveLeft) {
-    ProcessTestbed testbed(few(2, 2));
+TEST(ProcessTestbed, SendsNothingAfterAFreezeForClientsThatHaveDisconnected) {
+    ProcessTestbed testbed(small_testbed(2, 2));
     testbed.start();
-    EXPECT_TRUE(frozen_with_forty_requests(testbed)) << testbed.describe_failure();
+    EXPECT_TRUE(run_freeze_with_forty_requests(testbed)) << testbed.describe_failure();
 }
 
 // A sidecar is frozen while a server is told to drain, and while attempts elsewhere break. When it wakes, the
 // broken ones and the list lie unread beside each other: the list comes first.
-TEST(ProcessTestbed, ReadsADrainBeforeItRetriesAfterAFreeze) {
-    ProcessTestbed testbed(few(1, 2));
+TEST(ProcessTestbed, AppliesADrainBeforeItRetriesAfterAFreeze) {
+    ProcessTestbed testbed(small_testbed(1, 2));
     testbed.start();
     for (int i = 0; i < 20; ++i) testbed.send_request(0, "listen");
     ASSERT_TRUE(testbed.run_until([&] { return testbed.request_history().open_requests() == 0; }))
@@ -92,7 +92,7 @@
     testbed.link("n-0", "s-1").reset_all();
     ASSERT_TRUE(testbed.run_for(1));
     testbed.set_endpoint_state(0, EndpointState::leaving);
-    ASSERT_TRUE(testbed.run_for(RequestHistory::kDrainGrace + 3 * RequestHistory::kSlack))
+    ASSERT_TRUE(testbed.run_for(RequestHistory::kDrainGrace + 3 * RequestHistory::kTolerance))
         << testbed.describe_failure();
     testbed.server(0).behavior = testbed.server(1).behavior = ServerBehavior::serve;
     testbed.server(0).release_held(), testbed.server(1).release_held();
@@ -102,8 +102,8 @@
 
 // No byte moves on a connection, either way, from its first or from after a head: each caller hears in its
 // time, and a deposit that may have run is not called refused, nor done again.
-TEST(ProcessTestbed, GivesEachRequestAnOutcomeWhenItsConnectionGoesSilent) {
-    Options options = few(1, 2);
+TEST(ProcessTestbed, GivesEachRequestAnOutcomeWhenItsConnectionPassesNoBytes) {
+    Options options = small_testbed(1, 2);
     options.request_deadline = 1500, options.latency_objective = 700;
     ProcessTestbed testbed(options);
     testbed.start();
@@ -116,12 +116,12 @@
                           {"s-*", "n-0", Trigger::at_message, fault_proxy::MessagePoint::head_end},
                           {"n-0", "s-*", Trigger::on_open, fault_proxy::MessagePoint::begin},
                           {"n-0", "s-*", Trigger::at_message, fault_proxy::MessagePoint::head_end}};
-    for (const Case& c : cases) {
+    for (const Case& test_case : cases) {
         for (const char* request_class : {"deposit", "annotate"}) {
-            Rule silent = rule("silent", FaultType::silence, c.from, c.to);
-            silent.trigger = c.trigger, silent.trigger_point = c.trigger_point;
-            testbed.context().put_rule(silent);
-            for (const char* s : {"s-0", "s-1"}) testbed.link("n-0", s).reset_all();
+            Rule silence = make_rule("silent", FaultType::silence, test_case.from, test_case.to);
+            silence.trigger = test_case.trigger, silence.trigger_point = test_case.trigger_point;
+            testbed.context().put_rule(silence);
+            for (const char* server : {"s-0", "s-1"}) testbed.link("n-0", server).reset_all();
             const std::string id = testbed.send_request(0, request_class);
             ASSERT_TRUE(testbed.run_until([&] { return testbed.has_ended(id); }))
                 << testbed.describe_failure(id);
@@ -133,40 +133,40 @@
 }
 
 // The list reaches one side of a split only: that side keeps the drain, the other goes on until it is told.
-TEST(ProcessTestbed, KeepsADrainOnEachSideOfAPartitionOnceItIsDelivered) {
-    ProcessTestbed testbed(few(2, 2));
+TEST(ProcessTestbed, StopsSendingToADrainingServerOnceTheListIsDelivered) {
+    ProcessTestbed testbed(small_testbed(2, 2));
     testbed.start();
-    testbed.context().put_rule(rule("split", FaultType::cut, "list", "n-1"));
+    testbed.context().put_rule(make_rule("split", FaultType::cut, "list", "n-1"));
     testbed.set_endpoint_state(0, EndpointState::leaving);
     ASSERT_TRUE(testbed.run_until([&] { return testbed.status(0)["servers"][0]["state"] == "leaving"; }));
-    const auto seen = [&](std::size_t n) {
-        return testbed.link("n-" + std::to_string(n), "s-0").bytes_to_target();
+    const auto bytes_to_first_server = [&](std::size_t sidecar) {
+        return testbed.link("n-" + std::to_string(sidecar), "s-0").bytes_to_target();
     };
-    const auto before_0 = seen(0), before_1 = seen(1);
+    const auto before_0 = bytes_to_first_server(0), before_1 = bytes_to_first_server(1);
     for (int i = 0; i < 40; ++i) testbed.send_request(static_cast<std::size_t>(i % 2), "listen");
     ASSERT_TRUE(testbed.run_until([&] { return testbed.request_history().open_requests() == 0; }))
         << testbed.describe_failure();
-    EXPECT_EQ(seen(0), before_0);
-    EXPECT_GT(seen(1), before_1) << "n-1 has not been told";
+    EXPECT_EQ(bytes_to_first_server(0), before_0);
+    EXPECT_GT(bytes_to_first_server(1), before_1) << "n-1 has not been told";
     testbed.context().remove_rule("split");
     ASSERT_TRUE(testbed.run_until([&] { return testbed.status(1)["servers"][0]["state"] == "leaving"; }));
-    const auto told = seen(1);
+    const auto bytes_after_drain = bytes_to_first_server(1);
     for (int i = 0; i < 20; ++i) testbed.send_request(1, "listen");
     ASSERT_TRUE(testbed.run_until_idle()) << testbed.describe_failure();
-    EXPECT_EQ(seen(1), told);
+    EXPECT_EQ(bytes_to_first_server(1), bytes_after_drain);
 }
 
 // The successor starts while the port is still taken: it waits, and serves once it is free.
 TEST(ProcessTestbed, WaitsForAPortThatIsStillInUse) {
-    ProcessTestbed testbed(few(1, 1));
+    ProcessTestbed testbed(small_testbed(1, 1));
     testbed.start();
     testbed.kill(0);
-    const tcp::endpoint port = testbed.listen_endpoint(0);
-    auto taken = std::make_unique<tcp::acceptor>(testbed.context().io(), port);
+    const tcp::endpoint endpoint = testbed.listen_endpoint(0);
+    auto port_holder = std::make_unique<tcp::acceptor>(testbed.context().io(), endpoint);
     testbed.restart(0);
     ASSERT_TRUE(testbed.run_for(200)) << "it did not give up at once";
     ASSERT_FALSE(testbed.is_ready(0));
-    taken.reset();
+    port_holder.reset();
     ASSERT_TRUE(testbed.run_until([&] { return testbed.is_ready(0); })) << testbed.describe_failure();
     testbed.send_request(0, "deposit");
     ASSERT_TRUE(testbed.run_until_idle()) << testbed.describe_failure();
@@ -175,16 +175,16 @@
 // Its clock is minutes off, its sibling is another build with another file, a third is out of descriptors and
 // a fourth has a tenth of its core: each serves, and what it can't it says.
 TEST(ProcessTestbed, ServesSideBySideWithOtherClocksBuildsAndLimits) {
-    ProcessTestbed testbed(few(4, 2));
+    ProcessTestbed testbed(small_testbed(4, 2));
     testbed.start();
     testbed.kill(0), testbed.kill(1);
     testbed.restart(0, "", "[proof]\nclock_ahead = \"5m\"\n");
     testbed.restart(1, ELMBAY_PROGRAM_WITH_FAILPOINTS, "[websocket]\non = true\n");
     ASSERT_TRUE(testbed.run_until([&] { return testbed.is_ready(0) && testbed.is_ready(1); }))
         << testbed.describe_failure();
-    const double ahead =
+    const double clock_offset_ms =
         testbed.status(0)["now_ms"].get<double>() - testbed.status(2)["now_ms"].get<double>();
-    EXPECT_NEAR(ahead, 300000, 60000);
+    EXPECT_NEAR(clock_offset_ms, 300000, 60000);
 #ifndef __SANITIZE_ADDRESS__  // UBSan looks at memory through a pipe of its own, and blames the program if it
                               // gets none
     testbed.process(2).limit_descriptors(22);
@@ -209,76 +209,78 @@
     namespace fs = std::filesystem;
     std::string folder = (fs::temp_directory_path() / "memory-XXXXXX").string();
     ASSERT_NE(::mkdtemp(folder.data()), nullptr);
-    const fs::path now = fs::path(folder) / "now", older = fs::path(folder) / "older";
-    const std::string file = "[state]\nfolder = \"" + now.string() + "\"\nevery = \"100ms\"\n";
-    ProcessTestbed testbed(few(1, 2));
+    const fs::path current = fs::path(folder) / "now", older = fs::path(folder) / "older";
+    const std::string operator_file = "[state]\nfolder = \"" + current.string() + "\"\nevery = \"100ms\"\n";
+    ProcessTestbed testbed(small_testbed(1, 2));
     testbed.start();
     testbed.kill(0);
-    testbed.restart(0, "", file);
+    testbed.restart(0, "", operator_file);
     ASSERT_TRUE(testbed.run_until([&] { return testbed.is_ready(0); })) << testbed.describe_failure();
-    const auto removed = [&] {
+    const auto is_ejected = [&] {
         const json status = testbed.status(0);
-        for (const json& s : status["servers"])
-            if (s["uid"] == "s-0") return s.value("removed", false);
+        for (const json& server : status["servers"])
+            if (server["uid"] == "s-0") return server.value("removed", false);
         return false;
     };
     // Several at once, so that both servers are in its sight.
-    const auto ask_eight = [&] {
+    const auto send_eight_requests = [&] {
         for (int i = 0; i < 8; ++i) testbed.send_request(0, "listen");
         return testbed.run_until([&] { return testbed.request_history().open_requests() == 0; });
     };
     testbed.server(1).delay = 5;
     testbed.server(0).behavior = ServerBehavior::fail;
-    ASSERT_TRUE(testbed.run_until([&] { return ask_eight() && removed(); })) << testbed.describe_failure();
+    ASSERT_TRUE(testbed.run_until([&] { return send_eight_requests() && is_ejected(); }))
+        << testbed.describe_failure();
     testbed.terminate(0);  // writes once more as it ends
     ASSERT_TRUE(testbed.run_until([&] { return !testbed.is_running(0); })) << testbed.describe_failure();
-    fs::copy(now, older, fs::copy_options::recursive);
+    fs::copy(current, older, fs::copy_options::recursive);
     // A life in which all is well again, and one that starts from what was before it.
     testbed.server(0).behavior = ServerBehavior::serve;
     testbed.restart(0);
     ASSERT_TRUE(testbed.run_until([&] { return testbed.is_ready(0); })) << testbed.describe_failure();
     testbed.kill(0);
-    fs::remove_all(now);
-    fs::copy(older, now, fs::copy_options::recursive);
+    fs::remove_all(current);
+    fs::copy(older, current, fs::copy_options::recursive);
     testbed.restart(0);
     ASSERT_TRUE(testbed.run_until([&] { return testbed.is_ready(0); })) << testbed.describe_failure();
     const auto before = testbed.server(0).received_requests();
-    EXPECT_TRUE(removed()) << "the memory was read";
+    EXPECT_TRUE(is_ejected()) << "the memory was read";
     ASSERT_TRUE(testbed.run_until([&] {
-        return ask_eight() && testbed.server(0).received_requests() > before + 1;
+        return send_eight_requests() && testbed.server(0).received_requests() > before + 1;
     })) << testbed.describe_failure();
-    EXPECT_FALSE(removed());
+    EXPECT_FALSE(is_ejected());
     ASSERT_TRUE(testbed.run_until_idle()) << testbed.describe_failure();
     fs::remove_all(folder);
 }
 
 // A test that is killed leaves no process behind.
 TEST(ProcessTestbed, EndsItsProcessesWhenTheTestIsKilled) {
-    int ends[2];
-    ASSERT_EQ(::pipe(ends), 0);
+    int pipe_ends[2];
+    ASSERT_EQ(::pipe(pipe_ends), 0);
     const pid_t child = ::fork();
     if (child == 0) {
-        ProcessTestbed testbed(few(2, 1));
+        ProcessTestbed testbed(small_testbed(2, 1));
         testbed.start();
         const pid_t pids[2] = {testbed.process(0).pid(), testbed.process(1).pid()};
-        if (::write(ends[1], pids, sizeof pids) != sizeof pids) ::_exit(1);
+        if (::write(pipe_ends[1], pids, sizeof pids) != sizeof pids) ::_exit(1);
         ::raise(SIGKILL);
     }
     ASSERT_GT(child, 0);
     pid_t pids[2] = {0, 0};
-    ASSERT_EQ(::read(ends[0], pids, sizeof pids), static_cast<ssize_t>(sizeof pids));
+    ASSERT_EQ(::read(pipe_ends[0], pids, sizeof pids), static_cast<ssize_t>(sizeof pids));
     int status = 0;
     ASSERT_EQ(::waitpid(child, &status, 0), child);
     // Gone, or dead and not yet taken note of by whoever inherited it.
-    const auto gone = [](pid_t pid) {
+    const auto has_exited = [](pid_t pid) {
         std::ifstream stat("/proc/" + std::to_string(pid) + "/stat");
         std::string number, name, state;
         return !(stat >> number >> name >> state) || state == "Z" || name != "(elmbay)";
     };
     const auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(60);
-    while (!(gone(pids[0]) && gone(pids[1])) && std::chrono::steady_clock::now() < limit) ::sched_yield();
-    EXPECT_TRUE(gone(pids[0]) && gone(pids[1]));
-    ::close(ends[0]), ::close(ends[1]);
+    while (!(has_exited(pids[0]) && has_exited(pids[1])) && std::chrono::steady_clock::now() < limit)
+        ::sched_yield();
+    EXPECT_TRUE(has_exited(pids[0]) && has_exited(pids[1]));
+    ::close(pipe_ends[0]), ::close(pipe_ends[1]);
 }
 
 }  // namespace
--- a/tests/process_testbed/log_test.cpp
+++ b/tests/process_testbed/log_test.cpp
@@ -42,7 +42,7 @@
 
 TEST(Log, ServesRequestsAfterTheReaderOfTheLogHasClosed) {
     LogPipe log;
-    Options options = few(1, 2);
+    Options options = small_testbed(1, 2);
     options.program += " 2>" + log.path();
     ProcessTestbed testbed(options);
     testbed.start();
--- a/tests/process_testbed/scenarios.hpp
+++ b/tests/process_testbed/scenarios.hpp
@@ -8,25 +8,26 @@
 
 namespace elmbay::process_testbed {
 
-inline Options few(std::size_t sidecars = 2, std::size_t servers = 2) {
-    Options o;
-    o.sidecars = sidecars, o.servers = servers;
-    o.program = ELMBAY_PROGRAM;
+inline Options small_testbed(std::size_t sidecars = 2, std::size_t servers = 2) {
+    Options options;
+    options.sidecars = sidecars, options.servers = servers;
+    options.program = ELMBAY_PROGRAM;
     // Far beyond what a busy machine needs: nothing here is about speed.
-    o.request_deadline = 20000, o.latency_objective = 10000;
-    return o;
+    options.request_deadline = 20000, options.latency_objective = 10000;
+    return options;
 }
 
 // Frozen with forty requests in hand, half of them not read yet; while it stands still their callers go and
 // the connections of what it had out are reset, so it wakes with reasons to try again and nobody to do it
 // for.
-inline bool frozen_with_forty_requests(ProcessTestbed& testbed) {
-    ServerEmulator &s0 = testbed.server(0), &s1 = testbed.server(1);
-    s0.behavior = s1.behavior = ServerBehavior::hold;
+inline bool run_freeze_with_forty_requests(ProcessTestbed& testbed) {
+    ServerEmulator &first_server = testbed.server(0), &second_server = testbed.server(1);
+    first_server.behavior = second_server.behavior = ServerBehavior::hold;
     std::vector<std::string> ids;
     for (int i = 0; i < 20; ++i) ids.push_back(testbed.send_request(0, ClientRequest{"listen", 20000, 800}));
     if (!testbed.run_until([&] {
-            return s0.held_requests() + s1.held_requests() >= testbed.request_history().open_requests();
+            return first_server.held_requests() + second_server.held_requests() >=
+                   testbed.request_history().open_requests();
         }))
         return false;
     testbed.freeze(0);
@@ -38,18 +39,18 @@
     testbed.link("n-0", "s-0").reset_all();
     testbed.link("n-0", "s-1").reset_all();
     // The request_history's slack runs from when they went.
-    if (!testbed.run_for(2 * RequestHistory::kSlack)) return false;
-    s0.behavior = s1.behavior = ServerBehavior::serve;
-    const auto before = s0.received_requests() + s1.received_requests();
+    if (!testbed.run_for(2 * RequestHistory::kTolerance)) return false;
+    first_server.behavior = second_server.behavior = ServerBehavior::serve;
+    const auto before = first_server.received_requests() + second_server.received_requests();
     testbed.thaw(0);
     const std::string after = testbed.send_request(0, "listen");
     if (!testbed.run_until([&] { return testbed.has_ended(after); }) || !testbed.run_until_idle())
         return false;
-    return s0.received_requests() + s1.received_requests() == before + 1;
+    return first_server.received_requests() + second_server.received_requests() == before + 1;
 }
 
 // Deposits whose answer is cut after the server has done them.
-inline bool deposits_with_cut_answers(ProcessTestbed& testbed) {
+inline bool run_truncated_deposit_responses(ProcessTestbed& testbed) {
     fault_proxy::Rule cut;
     cut.name = "cut", cut.type = fault_proxy::FaultType::reset, cut.from = {"s-*"}, cut.to = {"n-0"};
     cut.trigger = fault_proxy::Trigger::at_byte, cut.trigger_byte = 9;
@@ -62,15 +63,15 @@
 }
 
 // Servers that take longer than the slack, so that what is out together is seen to be.
-inline bool slow_answers(ProcessTestbed& testbed) {
-    testbed.server(0).delay = testbed.server(1).delay = 3 * RequestHistory::kSlack;
+inline bool run_slow_responses(ProcessTestbed& testbed) {
+    testbed.server(0).delay = testbed.server(1).delay = 3 * RequestHistory::kTolerance;
     for (int i = 0; i < 10; ++i) testbed.send_request(0, i % 2 ? "listen" : "annotate");
     return testbed.run_until_idle();
 }
 
 // Many connections that end: what the process holds must be what it counts, and a bound for what it has
 // besides.
-inline bool descriptors_are_those_counted(ProcessTestbed& testbed) {
+inline bool run_repeated_connection_resets(ProcessTestbed& testbed) {
     for (int i = 0; i < 60; ++i) {
         const std::string id = testbed.send_request(0, "listen");
         if (!testbed.run_until([&] { return testbed.has_ended(id); })) return false;
--- a/tests/process_testbed/state_test.cpp
+++ b/tests/process_testbed/state_test.cpp
@@ -21,18 +21,18 @@
         ASSERT_NE(::mkdtemp(folder.data()), nullptr);
         testbed.start();
         testbed.kill(0);
-        life();
-        serve_some();
-        ASSERT_TRUE(testbed.run_until([&] { return newest() > 0; })) << log();
+        restart_with_state_folder();
+        serve_thirty_requests();
+        ASSERT_TRUE(testbed.run_until([&] { return newest_snapshot_ms() > 0; })) << log();
     }
     void TearDown() override { std::filesystem::remove_all(folder); }
 
-    void life() {
+    void restart_with_state_folder() {
         testbed.restart(0, "", "[state]\nfolder = \"" + folder + "\"\nevery = \"100ms\"\n");
         ASSERT_TRUE(testbed.run_until([&] { return testbed.is_ready(0); })) << log();
     }
     // Thirty requests, all served.
-    void serve_some() {
+    void serve_thirty_requests() {
         std::vector<std::string> ids;
         for (int i = 0; i < 10; ++i)
             for (const char* request_class : {"listen", "deposit", "annotate"})
@@ -53,40 +53,43 @@
         std::ifstream file(testbed.process(0).log_path());
         return {std::istreambuf_iterator<char>(file), {}};
     }
-    std::size_t told(const std::string& what) {
+    std::size_t count_in_log(const std::string& searched) {
         const std::string text = log();
         std::size_t count = 0;
-        for (std::size_t at = 0; (at = text.find(what, at)) != std::string::npos; ++at) ++count;
+        for (std::size_t position = 0; (position = text.find(searched, position)) != std::string::npos;
+             ++position)
+            ++count;
         return count;
     }
     // When the newest whole state was taken; 0: there is none.
-    std::int64_t newest() const {
-        std::int64_t taken = 0;
+    std::int64_t newest_snapshot_ms() const {
+        std::int64_t newest_ms = 0;
         for (const auto& entry : state::list_generations(state::posix_file_system(), folder).files)
-            if (entry.content.snapshot) taken = std::max(taken, entry.content.snapshot->taken_at.wall_ms);
-        return taken;
+            if (entry.content.snapshot)
+                newest_ms = std::max(newest_ms, entry.content.snapshot->taken_at.wall_ms);
+        return newest_ms;
     }
 
     std::string folder = (std::filesystem::temp_directory_path() / "elmbay-folder-XXXXXX").string();
-    ProcessTestbed testbed{few(1, kServers)};
+    ProcessTestbed testbed{small_testbed(1, kServers)};
 };
 
 TEST_F(StateFolder, LogsAWriteFailureOnceServesMeanwhileAndRecovers) {
     limit_files(std::filesystem::file_size(testbed.process(0).log_path()) + 200);
-    for (int i = 0; i < 3; ++i) serve_some();
-    ASSERT_TRUE(testbed.run_until([&] { return told("event=write_failed") > 0; })) << log();
-    const std::int64_t kept = newest();
-    serve_some();
+    for (int i = 0; i < 3; ++i) serve_thirty_requests();
+    ASSERT_TRUE(testbed.run_until([&] { return count_in_log("event=write_failed") > 0; })) << log();
+    const std::int64_t newest_before = newest_snapshot_ms();
+    serve_thirty_requests();
     ASSERT_TRUE(testbed.run_for(1000)) << "ten more writes that fail";
-    EXPECT_EQ(told("event=write_failed"), 1U) << log();
-    EXPECT_EQ(newest(), kept) << "no part of a write counts";
+    EXPECT_EQ(count_in_log("event=write_failed"), 1U) << log();
+    EXPECT_EQ(newest_snapshot_ms(), newest_before) << "no part of a write counts";
 
     limit_files({});
-    ASSERT_TRUE(testbed.run_until([&] { return told("event=write_recovered") > 0; })) << log();
-    EXPECT_GT(newest(), kept);
-    serve_some();
-    EXPECT_EQ(told("event=write_failed"), 1U) << log();
-    EXPECT_EQ(told("event=write_recovered"), 1U) << log();
+    ASSERT_TRUE(testbed.run_until([&] { return count_in_log("event=write_recovered") > 0; })) << log();
+    EXPECT_GT(newest_snapshot_ms(), newest_before);
+    serve_thirty_requests();
+    EXPECT_EQ(count_in_log("event=write_failed"), 1U) << log();
+    EXPECT_EQ(count_in_log("event=write_recovered"), 1U) << log();
     ASSERT_TRUE(testbed.run_until_idle()) << testbed.describe_failure();
 }
 
@@ -94,24 +97,24 @@
 // lines.
 TEST_F(StateFolder, KeepsRunningWhenNeitherStateNorLogCanBeWritten) {
     limit_files(0);
-    for (int i = 0; i < 3; ++i) serve_some();
+    for (int i = 0; i < 3; ++i) serve_thirty_requests();
     ASSERT_TRUE(testbed.run_for(500)) << "five writes that fail";
     EXPECT_TRUE(testbed.is_running(0));
     limit_files({});
-    ASSERT_TRUE(testbed.run_until([&] { return told("event=write_recovered") > 0; })) << log();
+    ASSERT_TRUE(testbed.run_until([&] { return count_in_log("event=write_recovered") > 0; })) << log();
     ASSERT_TRUE(testbed.run_until_idle()) << testbed.describe_failure();
 }
 
 TEST_F(StateFolder, KeepsTheLastWholeSnapshotWhenKilledWhileWritesFail) {
     limit_files(std::filesystem::file_size(testbed.process(0).log_path()) + 200);
-    for (int i = 0; i < 3; ++i) serve_some();
-    ASSERT_TRUE(testbed.run_until([&] { return told("event=write_failed") > 0; })) << log();
-    const std::int64_t kept = newest();
+    for (int i = 0; i < 3; ++i) serve_thirty_requests();
+    ASSERT_TRUE(testbed.run_until([&] { return count_in_log("event=write_failed") > 0; })) << log();
+    const std::int64_t newest_before = newest_snapshot_ms();
     testbed.kill(0);
-    EXPECT_EQ(newest(), kept);
-    life();
-    serve_some();
-    ASSERT_TRUE(testbed.run_until([&] { return newest() > kept; })) << log();
+    EXPECT_EQ(newest_snapshot_ms(), newest_before);
+    restart_with_state_folder();
+    serve_thirty_requests();
+    ASSERT_TRUE(testbed.run_until([&] { return newest_snapshot_ms() > newest_before; })) << log();
     ASSERT_TRUE(testbed.run_until_idle()) << testbed.describe_failure();
 }
 
--- a/tools/chaos/main.cpp
+++ b/tools/chaos/main.cpp
@@ -15,13 +15,13 @@
 
 namespace {
 
+using elmbay::process_testbed::ChaosResult;
 using elmbay::process_testbed::Options;
 using elmbay::process_testbed::Schedule;
-using elmbay::process_testbed::Verdict;
 
-constexpr int kAllKept = 0;
-constexpr int kFailed = 1;
-constexpr int kWrongUse = 2;
+constexpr int kExitPassed = 0;
+constexpr int kExitFailed = 1;
+constexpr int kExitUsageError = 2;
 
 /// The command line.
 struct Arguments {
@@ -44,7 +44,7 @@
 struct Failure {
     std::uint64_t seed = 0;
     Schedule schedule;
-    Verdict verdict;
+    ChaosResult result;
 };
 
 Arguments default_arguments() {
@@ -83,7 +83,7 @@
     try {
         app.parse(argc, argv);
     } catch (const CLI::ParseError& error) {
-        exit_code = app.exit(error) == 0 ? kAllKept : kWrongUse;
+        exit_code = app.exit(error) == 0 ? kExitPassed : kExitUsageError;
         return {};
     }
     return arguments;
@@ -100,9 +100,9 @@
 
 int replay(const Arguments& arguments) {
     const Schedule schedule = read_schedule(arguments.replay_path);
-    const Verdict verdict = elmbay::process_testbed::play(arguments.testbed, schedule);
-    std::cout << (verdict.kept ? "kept\n" : verdict.explanation);
-    return verdict.kept ? kAllKept : kFailed;
+    const ChaosResult result = elmbay::process_testbed::run_schedule(arguments.testbed, schedule);
+    std::cout << (result.passed ? "kept\n" : result.explanation);
+    return result.passed ? kExitPassed : kExitFailed;
 }
 
 /// Draws and plays schedules until the time is over or one breaks a rule.
@@ -112,11 +112,11 @@
     for (options.seed = arguments.first_seed; std::chrono::steady_clock::now() < end; ++options.seed) {
         const Schedule schedule = elmbay::process_testbed::draw_schedule(options.seed, options.sidecars,
                                                                          options.servers, arguments.steps);
-        const Verdict verdict = elmbay::process_testbed::play(options, schedule);
-        if (!verdict.kept) return Failure{options.seed, schedule, verdict};
+        const ChaosResult result = elmbay::process_testbed::run_schedule(options, schedule);
+        if (!result.passed) return Failure{options.seed, schedule, result};
         ++totals.schedules;
-        totals.requests += verdict.requests;
-        totals.served += verdict.served;
+        totals.requests += result.requests;
+        totals.served += result.served;
     }
     return {};
 }
@@ -124,11 +124,11 @@
 /// Prints the failure, shrinks its schedule and writes that down.
 void report_failure(const Arguments& arguments, const Failure& failure) {
     std::cout << "seed " << failure.seed << " fails:\n"
-              << failure.verdict.explanation << "shrinking" << std::endl;
+              << failure.result.explanation << "shrinking" << std::endl;
     Options options = arguments.testbed;
     options.seed = failure.seed;
     const Schedule smallest = elmbay::process_testbed::shrink(failure.schedule, [&](const Schedule& shorter) {
-        return !elmbay::process_testbed::play(options, shorter).kept;
+        return !elmbay::process_testbed::run_schedule(options, shorter).passed;
     });
     const std::string text = elmbay::process_testbed::text_of(smallest);
     std::ofstream(arguments.failed_schedule_path) << "# seed " << failure.seed << ", " << options.sidecars
@@ -149,25 +149,25 @@
     Totals totals;
     if (const auto failure = search(arguments, totals)) {
         report_failure(arguments, *failure);
-        return kFailed;
+        return kExitFailed;
     }
     report_success(arguments, totals);
-    return kAllKept;
+    return kExitPassed;
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-    int exit_code = kAllKept;
+    int exit_code = kExitPassed;
     const std::optional<Arguments> arguments = parse(argc, argv, exit_code);
     if (!arguments) return exit_code;
     try {
         return run(*arguments);
     } catch (const std::invalid_argument& error) {
         std::cerr << "elmbay_chaos: " << error.what() << std::endl;
-        return kWrongUse;
+        return kExitUsageError;
     } catch (const std::exception& error) {
         std::cerr << "elmbay_chaos: " << error.what() << std::endl;
-        return kFailed;
+        return kExitFailed;
     }
 }
--- a/tools/fault_proxy/main.cpp
+++ b/tools/fault_proxy/main.cpp
@@ -24,9 +24,9 @@
 namespace fault_proxy = elmbay::fault_proxy;
 namespace schema = elmbay::schema;
 
-constexpr int kOk = 0;
-constexpr int kFailed = 1;
-constexpr int kWrongUse = 2;
+constexpr int kExitOk = 0;
+constexpr int kExitFailed = 1;
+constexpr int kExitUsageError = 2;
 
 enum class Command { run, check, link, keys };
 
@@ -62,7 +62,7 @@
     try {
         app.parse(argc, argv);
     } catch (const CLI::ParseError& error) {
-        exit_code = app.exit(error) == 0 ? kOk : kWrongUse;
+        exit_code = app.exit(error) == 0 ? kExitOk : kExitUsageError;
         return {};
     }
     if (*check) arguments.command = Command::check;
@@ -128,7 +128,7 @@
         end_signals_.async_wait([this](boost::system::error_code error, int) {
             if (!error) io_.stop();
         });
-        await_reload();
+        wait_for_reload();
         context_.restart_clock();
         std::cout << "ready" << std::endl;
         io_.run();
@@ -144,7 +144,7 @@
                   << fault_proxy::text_of(links_.back()->endpoint()) << std::endl;
     }
     void add_members(const fault_proxy::Script& script) {
-        const std::string broadcast = script.everybody.empty() ? "127.0.0.1:0" : script.everybody;
+        const std::string broadcast = script.broadcast.empty() ? "127.0.0.1:0" : script.broadcast;
         datagram_net_ =
             std::make_unique<fault_proxy::DatagramNet>(context_, loopback_udp_endpoint(broadcast));
         for (const fault_proxy::MemberSpec& member : script.members) {
@@ -153,11 +153,11 @@
         }
         std::cout << script.members.size() << " members of datagrams" << std::endl;
     }
-    void await_reload() {
+    void wait_for_reload() {
         reload_signal_.async_wait([this](boost::system::error_code error, int) {
             if (error) return;
             reload();
-            await_reload();
+            wait_for_reload();
         });
     }
     // Takes the rules of the file anew, their times from now. Links and members stay; a bad file changes
@@ -195,33 +195,33 @@
 int run(const Arguments& arguments) {
     if (arguments.command == Command::keys) {
         std::cout << fault_proxy::script_manual();
-        return kOk;
+        return kExitOk;
     }
     const bool is_link = arguments.command == Command::link;
     std::optional<fault_proxy::Script> script =
         is_link ? script_of_link(arguments) : read_script(arguments.file);
-    if (!script) return kWrongUse;
+    if (!script) return kExitUsageError;
     if (arguments.command == Command::check) {
         std::cout << arguments.file << ": sound" << std::endl;
-        return kOk;
+        return kExitOk;
     }
     Proxy(std::move(*script), arguments.file).run();
-    return kOk;
+    return kExitOk;
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-    int exit_code = kOk;
+    int exit_code = kExitOk;
     const std::optional<Arguments> arguments = parse(argc, argv, exit_code);
     if (!arguments) return exit_code;
     try {
         return run(*arguments);
     } catch (const std::invalid_argument& error) {
         std::cerr << "elmbay_fault_proxy: " << error.what() << std::endl;
-        return kWrongUse;
+        return kExitUsageError;
     } catch (const std::exception& error) {
         std::cerr << "elmbay_fault_proxy: " << error.what() << std::endl;
-        return kFailed;
+        return kExitFailed;
     }
 }
