--- a/src/fault_proxy/datagram_net.cpp
+++ b/src/fault_proxy/datagram_net.cpp
@@ -15,7 +15,7 @@
     socket.non_blocking(true);
 }
 
-// Changes the last bytes of a datagram.
+// Corrupts the last `count` bytes of a datagram, or all of them if it is shorter.
 void corrupt_end(std::string& bytes, std::uint64_t count) {
     const std::size_t corrupted = std::min<std::uint64_t>(count, bytes.size());
     for (std::size_t i = bytes.size() - corrupted; i < bytes.size(); ++i) {
@@ -83,7 +83,8 @@
             const std::size_t size =
                 member.socket.receive_from(asio::buffer(context_.read_buffer), sender, 0, error);
             if (error == asio::error::would_block) break;
-            // An error says that a member does not listen, in reply to an earlier datagram. Nothing has come.
+            // An error reports that an earlier datagram reached a member that does not listen (ICMP). No
+            // datagram was received.
             if (!error) on_datagram(sender, member, {context_.read_buffer.data(), size});
         }
         receive_datagrams(member);
@@ -143,7 +144,8 @@
     const auto datagram = std::make_shared<DelayedDatagram>();
     datagram->delivered_after = may_be_overtaken ? state.forwarded + delivery.overtaken_by : UINT64_MAX;
     datagram->bytes = std::move(bytes);
-    // With nothing to overtake it, it goes after its delay; without a delay either, it would never go.
+    // A datagram that no later one can overtake is delivered after its delay. Without a minimum wait, a
+    // reordered datagram without a delay would never be delivered.
     const Millis wait = std::max(delivery.delay, may_be_overtaken ? 1.0 : 0.0);
     const auto on_due = [this, is_alive = is_alive_, link, weak = std::weak_ptr(datagram)] {
         const auto due = weak.lock();
@@ -156,14 +158,15 @@
     state.delayed.push_back(datagram);
 }
 
-// A cut also stops datagrams that were on their way when it began.
+// Sends a datagram to its receiver. A cut also drops datagrams that were in transit when it began.
 void DatagramNet::forward(const Link& link, std::string_view bytes) {
     LinkState& state = links_[link];
     if (context_.rules().is_cut(link, Medium::datagram, context_.now())) return;
     Error ignored;
     Member& sender = *members_.at(link.from);
     const Member& receiver = *members_.at(link.to);
-    // The sender's address is closed while its process does not run: what that had sent is gone.
+    // The sender's socket is closed while its process does not run, so the datagrams that it sent before are
+    // dropped.
     if (!sender.socket.is_open()) return;
     sender.socket.send_to(asio::buffer(bytes), receiver.target, 0, ignored);
     ++state.forwarded;
@@ -172,7 +175,8 @@
     if (observer_) observer_(link, bytes.size(), true);
 }
 
-// Delivers what enough others have overtaken, and the oldest of too many.
+// Delivers the datagrams that enough later ones have overtaken, and the oldest ones beyond
+// kMaxDelayedDatagrams.
 void DatagramNet::deliver_overtaken(const Link& link) {
     LinkState& state = links_[link];
     for (;;) {
--- a/src/fault_proxy/datagram_net.hpp
+++ b/src/fault_proxy/datagram_net.hpp
@@ -1,4 +1,4 @@
-// UDP between members on loopback, with the rules of the link between each two of them.
+// A network of UDP members on loopback. Fault rules apply to the link between each pair of members.
 #pragma once
 
 #include <boost/asio/ip/udp.hpp>
@@ -16,54 +16,55 @@
 
 using udp = asio::ip::udp;
 
-/// A net of members, as PROTOCOL's "Between sidecars" has it.
+/// Forwards datagrams between members, as specified in PROTOCOL, "Between sidecars".
 ///
-/// Each member is reached under an address of the net, and its datagrams arrive at the others from that
-/// address. One more address, the broadcast address, reaches all but the sender. Between two members stands
-/// the link that is named after them.
+/// Each member is reachable under an address of this network, and other members receive its datagrams from
+/// that address. The broadcast address reaches all members except the sender. The link between two members
+/// has their names.
 ///
-/// Runs in the context's event loop; not thread-safe. Holds kMaxDelayedDatagrams datagrams of a link at most.
+/// Runs in the context's event loop; not thread-safe. Delays at most kMaxDelayedDatagrams datagrams of a
+/// link.
 class DatagramNet {
 public:
-    /// Datagrams of one link that wait; the oldest is delivered when there are more.
+    /// Maximum number of delayed datagrams of one link. Beyond it, the oldest is delivered at once.
     static constexpr std::size_t kMaxDelayedDatagrams = 64;
-    /// Bytes of the longest datagram that PROTOCOL allows; longer ones are counted, and passed on all the
-    /// same.
+    /// Length in bytes of the longest datagram that PROTOCOL allows. Longer datagrams are counted, but
+    /// forwarded all the same.
     static constexpr std::size_t kMaxDatagramBytes = 256;
 
-    /// @param broadcast the broadcast address; port 0 takes any.
-    /// @throws boost::system::system_error if the address cannot be had.
+    /// @param broadcast the broadcast address; port 0 selects a free port.
+    /// @throws boost::system::system_error if the address cannot be bound.
     DatagramNet(EventLoopContext& context, const udp::endpoint& broadcast);
     ~DatagramNet();
     DatagramNet(const DatagramNet&) = delete;
     DatagramNet& operator=(const DatagramNet&) = delete;
 
-    /// Adds a member. Both addresses stay as they are.
-    /// @param address where others reach it; port 0 takes any.
-    /// @param target  where it listens, and sends from.
-    /// @throws boost::system::system_error if the address cannot be had.
+    /// Adds a member. Neither address changes afterwards.
+    /// @param address address at which other members reach it; port 0 selects a free port.
+    /// @param target  address on which the member listens and from which it sends.
+    /// @throws boost::system::system_error if the address cannot be bound.
     void add(const std::string& name, const udp::endpoint& address, udp::endpoint target);
-    /// Says whether the member listens at its target. If not, a sender gets an ICMP error, as the kernel
-    /// sends it for a closed port.
-    /// @throws std::out_of_range if there is no such member.
+    /// Sets whether the member listens at its target. While it does not, its senders get an ICMP error, as
+    /// the kernel sends for a closed port.
+    /// @throws std::out_of_range if the member does not exist.
     void set_listening(const std::string& name, bool is_listening);
-    /// @return where others reach the member.
-    /// @throws std::out_of_range if there is no such member.
+    /// @return the address at which other members reach this member.
+    /// @throws std::out_of_range if the member does not exist.
     udp::endpoint address_of(const std::string& name) const;
     udp::endpoint broadcast_address() const { return broadcast_.local_endpoint(); }
 
     struct Counts {
-        std::uint64_t sent = 0;             ///< by members
-        std::uint64_t delivered = 0;        ///< copies
-        std::uint64_t bytes_delivered = 0;  ///< of these
-        std::uint64_t oversized = 0;        ///< of those sent: longer than kMaxDatagramBytes
+        std::uint64_t sent = 0;             ///< datagrams that members sent
+        std::uint64_t delivered = 0;        ///< copies that were delivered
+        std::uint64_t bytes_delivered = 0;  ///< bytes of the delivered copies
+        std::uint64_t oversized = 0;        ///< sent datagrams longer than kMaxDatagramBytes
     };
     Counts counts(const Link& link) const;
     Counts total_counts() const;
-    /// @return how many datagrams came from an address that is no member's.
+    /// @return the number of datagrams whose source address belongs to no member.
     std::uint64_t unknown_senders() const { return unknown_senders_; }
 
-    /// Called for each datagram as it comes from its sender, and for each copy as it goes to its receiver.
+    /// Called for each datagram that arrives from its sender, and for each copy that is sent to its receiver.
     using Observer = std::function<void(const Link& link, std::size_t bytes, bool is_delivery)>;
     void observe(Observer observer) { observer_ = std::move(observer); }
 
@@ -73,10 +74,11 @@
         std::string name;
         udp::endpoint address;
         udp::endpoint target;
-        udp::socket socket;  // at `address`
+        udp::socket socket;  // bound to `address`
     };
     struct DelayedDatagram {
-        std::uint64_t delivered_after = 0;  // it goes once so many of the link have been delivered
+        std::uint64_t delivered_after =
+            0;  // delivered once this many datagrams of the link have been forwarded
         std::string bytes;
         EventLoopContext::TimerKey timer{};
     };
--- a/src/fault_proxy/endpoint_text.hpp
+++ b/src/fault_proxy/endpoint_text.hpp
@@ -1,4 +1,4 @@
-// The written form of a socket address.
+// Formats socket addresses as text.
 #pragma once
 
 #include <string>
--- a/src/fault_proxy/event_loop_context.hpp
+++ b/src/fault_proxy/event_loop_context.hpp
@@ -1,4 +1,5 @@
-// What all links of a process share: the event loop, one clock that begins at 0, and one set of rules.
+// The state that all links of a process share: the event loop, one clock that starts at 0, and one set of
+// rules.
 #pragma once
 
 #include <array>
@@ -15,21 +16,23 @@
 
 namespace elmbay::fault_proxy {
 
-/// Clock, timers and rules of the links and datagram nets in one event loop.
+/// Clock, timers and rules of the links and datagram networks in one event loop.
 ///
-/// Must outlive all of them. Not thread-safe: everything that uses one context runs in its loop.
+/// Must outlive all of them. Not thread-safe: all users of one context run in its event loop.
 class EventLoopContext {
 public:
     using TimerKey = TimerQueue::Key;
-    /// Called after each change of what holds, from the loop or from within the call that changes the rules.
+    /// Called after each change of the active rules, from the event loop or within the call that changes the
+    /// rules.
     using RulesObserver = std::function<void()>;
     using Subscription = std::list<RulesObserver>::iterator;
 
-    /// Bytes that a link reads at once.
+    /// Maximum number of bytes that a link reads in one call.
     static constexpr std::size_t kReadBytes = 256UL * 1024;
 
-    /// From now on the process ignores SIGPIPE: splice(2) has no flag against it, and a receiver may close.
-    /// @param seed of the rules' random choices.
+    /// Makes the process ignore SIGPIPE: splice(2) has no flag that suppresses it, and a receiver may close
+    /// its socket at any time.
+    /// @param seed seed of the rules' random choices.
     EventLoopContext(asio::io_context& io, std::uint64_t seed = 1)
         : io_(io), timers_(io, clock_), start_time_(clock_.now()), rules_(seed) {
         std::signal(SIGPIPE, SIG_IGN);
@@ -39,21 +42,21 @@
 
     /// @return milliseconds since time 0.
     Millis now() const { return clock_.now() - start_time_; }
-    /// Sets time 0 to so many milliseconds from now. The times of rules count from it.
+    /// Sets time 0 to `from_now` milliseconds in the future. The times of rules count from time 0.
     void restart_clock(Millis from_now = 0) {
         start_time_ = clock_.now() + from_now;
         notify_observers();
     }
 
     const Rules& rules() const { return rules_; }
-    /// Rules::deliver() keeps count of the lines under a rate limit.
+    /// Mutable, because Rules::deliver() updates the state of rate limits.
     Rules& mutable_rules() { return rules_; }
-    /// Adds a rule, or replaces the one of the same name.
+    /// Adds a rule, or replaces the rule of the same name.
     void put_rule(Rule rule) {
         rules_.put(std::move(rule));
         notify_observers();
     }
-    /// @return whether there was one of that name.
+    /// @return whether a rule of that name existed.
     bool remove_rule(const std::string& name) {
         const bool existed = rules_.remove(name);
         notify_observers();
@@ -69,7 +72,7 @@
     TimerKey schedule(Millis when, std::function<void()> callback) {
         return timers_.set(start_time_ + when, std::move(callback));
     }
-    /// Takes a timer back, if its callback has not been called, and makes the key name none.
+    /// Cancels a timer whose callback has not been called yet, and resets the key.
     void cancel(TimerKey& key) { timers_.cancel(key); }
 
     Subscription subscribe(RulesObserver observer) {
@@ -77,13 +80,14 @@
     }
     void unsubscribe(Subscription subscription) { observers_.erase(subscription); }
 
-    /// Where links read to, one at a time: it is free again when a handler returns.
+    /// Buffer into which links read. All links share it, so its content is valid only until the handler
+    /// returns.
     std::array<char, kReadBytes> read_buffer{};
 
 private:
     void notify_observers() {
         for (auto next = observers_.begin(); next != observers_.end();) {
-            const auto observer = next++;  // it may unsubscribe
+            const auto observer = next++;  // the observer may unsubscribe itself
             (*observer)();
         }
         timers_.cancel(change_timer_);
--- a/src/fault_proxy/message_boundaries.cpp
+++ b/src/fault_proxy/message_boundaries.cpp
@@ -12,11 +12,11 @@
 namespace http = boost::beast::http;
 using Error = boost::system::error_code;
 
-/// Parses one message of either kind and drops its body.
+/// Parses one request or response and discards its body.
 class MessageParser {
 public:
     virtual ~MessageParser() = default;
-    /// @return how many bytes it has used.
+    /// @return the number of bytes consumed.
     virtual std::size_t put(std::string_view bytes, Error& error) = 0;
     virtual bool has_head() const = 0;
     virtual bool is_done() const = 0;
@@ -50,7 +50,7 @@
 
 private:
     http::parser<is_request, http::buffer_body> parser_;
-    std::array<char, kScratchBytes> scratch_{};  // where the body goes
+    std::array<char, kScratchBytes> scratch_{};  // receives the body, which is discarded
 };
 
 }  // namespace
--- a/src/fault_proxy/message_boundaries.hpp
+++ b/src/fault_proxy/message_boundaries.hpp
@@ -1,4 +1,4 @@
-// Finds where HTTP/1.1 messages begin, where their heads end and where they end, in bytes that pass by.
+// Finds the start, the end of the head and the end of each HTTP/1.1 message in a stream of bytes.
 #pragma once
 
 #include <cstdint>
@@ -11,22 +11,23 @@
 
 namespace elmbay::fault_proxy {
 
-/// One boundary of a message in a stream.
+/// One message boundary in a stream.
 struct MessageBoundary {
-    std::uint64_t offset = 0;          ///< from the first byte of the stream
-    std::uint64_t message_number = 1;  ///< from 1
+    std::uint64_t offset = 0;          ///< in bytes from the start of the stream
+    std::uint64_t message_number = 1;  ///< counts from 1
     MessagePoint point = MessagePoint::begin;
 };
 
 class MessageParser;
 
-/// Reads one direction of a connection, in pieces of any size, by Beast's parser.
+/// Reads one direction of a connection in chunks of any size, with Beast's parser.
 ///
-/// From bytes on that are no HTTP there are no more boundaries. A response to a HEAD request is not told from
-/// others. Not thread-safe; holds kMaxPendingBytes bytes at most.
+/// Reports no boundaries after the first bytes that are not HTTP. It treats a response to a HEAD request like
+/// any other response. Not thread-safe; buffers at most kMaxPendingBytes bytes.
 class MessageBoundaryReader {
 public:
-    /// Bytes of an unfinished head or chunk line; more than that is no HTTP of this system.
+    /// Maximum length of an unfinished head or chunk line. The messages of this system are shorter, so longer
+    /// input counts as not HTTP.
     static constexpr std::size_t kMaxPendingBytes = 64UL * 1024;
 
     enum class MessageKind { request, response };
@@ -36,9 +37,9 @@
     MessageBoundaryReader(const MessageBoundaryReader&) = delete;
     MessageBoundaryReader& operator=(const MessageBoundaryReader&) = delete;
 
-    /// Takes the next bytes.
-    /// @return the boundaries that they show, in order of offset. A message's begin comes with its first
-    /// byte.
+    /// Consumes the next bytes.
+    /// @return the boundaries found in them, in order of offset. The start of a message is reported with its
+    /// first byte.
     std::vector<MessageBoundary> read(std::string_view bytes);
 
 private:
@@ -46,11 +47,11 @@
 
     const MessageKind kind_;
     bool is_malformed_ = false;
-    bool has_begun_ = false;  // the message that parser_ reads
+    bool has_begun_ = false;  // whether the message that parser_ reads has begun
     bool has_head_ = false;
     std::unique_ptr<MessageParser> parser_;
     std::string pending_;
-    std::uint64_t pending_offset_ = 0;  // of the first byte of pending_
+    std::uint64_t pending_offset_ = 0;  // offset of the first byte of pending_
     std::uint64_t message_number_ = 1;
 };
 
--- a/src/fault_proxy/rules.cpp
+++ b/src/fault_proxy/rules.cpp
@@ -1,6 +1,6 @@
 #include "fault_proxy/rules.hpp"
 
-#define XXH_INLINE_ALL  // a header alone: nothing to link
+#define XXH_INLINE_ALL  // header-only: no library to link
 #include <xxhash.h>
 
 #include <algorithm>
@@ -47,7 +47,7 @@
     for (const auto& group : groups) {
         const bool has_sender = matches_any(group, link.from);
         const bool has_receiver = matches_any(group, link.to);
-        if (has_sender && has_receiver) return false;  // a bridge between groups stands in several
+        if (has_sender && has_receiver) return false;  // a member of several groups bridges them
         sender_is_grouped = sender_is_grouped || has_sender;
         receiver_is_grouped = receiver_is_grouped || has_receiver;
     }
@@ -67,7 +67,7 @@
     if (period <= duration) return now < starts_at + duration ? starts_at + duration : kNever;
     const double past_periods = std::floor((now - starts_at) / period);
     const Millis period_start = starts_at + past_periods * period;
-    // Rounding may put a time of change a hair before now: then the one after it.
+    // Rounding may place a change slightly before `now`; then the following change applies.
     for (const Millis change :
          {period_start + duration, period_start + period, period_start + period + duration}) {
         if (change > now) return change;
@@ -159,7 +159,7 @@
     return rule.delay;
 }
 
-// From now until the datagram has gone over the line, which others may occupy before it.
+// Returns the time from now until the datagram has been transmitted, after all earlier datagrams of the link.
 Millis Rules::queueing_delay(const Rule& rule, const Link& link, std::size_t size, Millis now) {
     auto line = std::find_if(lines_.begin(), lines_.end(),
                              [&](const RateLimitedLine& other) { return other.link == link; });
@@ -205,7 +205,7 @@
         apply(rule, link, number, size, now, first);
     }
     std::vector<Delivery> deliveries{first};
-    // Each further copy draws its own delays.
+    // Each additional copy has random delays of its own.
     for (std::uint64_t copy = 1; copy < copies; ++copy) {
         Delivery delivery = first;
         for (const Rule& rule : rules_) {
--- a/src/fault_proxy/script.cpp
+++ b/src/fault_proxy/script.cpp
@@ -15,9 +15,10 @@
 using schema::Problems;
 using schema::Unit;
 
-// Milliseconds, an hour: the longest time in a file.
+// Longest duration in a file: one hour, in milliseconds.
 constexpr Millis kMaxDuration = 3600000;
-// The highest number of a connection, datagram, byte or message: a double still counts so far exactly.
+// Highest number of a connection, datagram, byte or message. A double represents every integer up to it
+// exactly.
 constexpr double kMaxCount = 9e15;
 
 const std::map<std::string, FaultType> kFaultTypes{
@@ -55,7 +56,7 @@
     {"listen", Unit::word, &MemberSpec::listen, "", "where the others reach it, on loopback", 0, 0, {}, true},
     {"target", Unit::word, &MemberSpec::target, "", "where it listens, and sends from", 0, 0, {}, true}};
 
-// What stands before the tables.
+// The keys before the first table.
 struct TopLevelSpec {
     std::uint64_t seed = 1;
     std::string broadcast;
@@ -104,7 +105,7 @@
     return spec.distribution == "exponential" ? DelayDistribution::exponential : DelayDistribution::fixed;
 }
 
-// Reports values that do not fit one another, in the order of the keys.
+// Reports values that contradict each other, in the order of the keys.
 void check_rule(const RuleSpec& spec, const Rule& rule, const std::string& section, std::uint32_t line,
                 Problems& problems) {
     const auto report = [&](const char* key, const char* what) {
@@ -233,7 +234,7 @@
     Rule rule;
     rule.name = spec.name.empty() ? default_name : spec.name;
     const auto type = kFaultTypes.find(spec.fault_type);
-    if (type == kFaultTypes.end()) return rule;  // the schema has reported it
+    if (type == kFaultTypes.end()) return rule;  // the schema has already reported the unknown name
     rule.type = type->second;
     rule.from = spec.from;
     rule.to = spec.to;
--- a/src/fault_proxy/script.hpp
+++ b/src/fault_proxy/script.hpp
@@ -1,4 +1,5 @@
-// The file of links, members and rules that elmbay_fault_proxy runs: TOML, by one table of keys (schema.hpp).
+// The file of links, members and rules that elmbay_fault_proxy runs: TOML, read with the key tables below
+// (schema.hpp).
 //
 //     [[link]]
 //     from = "n-0"
@@ -24,7 +25,7 @@
 
 namespace elmbay::fault_proxy {
 
-/// A rule as a person writes it. Each field has the name of its key; rule_keys() says what it means.
+/// A rule in the form of the file. rule_keys() gives the key and the meaning of each field.
 struct RuleSpec {
     std::string name;
     std::string fault_type;
@@ -41,7 +42,7 @@
     Millis delay = 0;
     Millis jitter = 0;
     std::uint64_t first_number = 1;
-    std::uint64_t last_number = 0;  ///< 0: any
+    std::uint64_t last_number = 0;  ///< 0: no limit
     std::uint64_t trigger_byte = 0;
     std::uint64_t trigger_message = 1;
     std::uint64_t extra_copies = 1;
@@ -51,15 +52,15 @@
     double bytes_per_second = 0;
 };
 
-/// @return the keys of [[rule]].
+/// @return the keys of a [[rule]] table.
 const std::vector<schema::Key<RuleSpec>>& rule_keys();
 
-/// Translates a rule.
-/// @param number   from 1; names a rule that has no name.
-/// @param problems gets one more for each value that does not fit the others.
+/// Converts a rule from the form of the file.
+/// @param number   number of the rule, from 1; gives a rule without a name its name.
+/// @param problems receives a problem for each value that contradicts others.
 Rule rule_of(const RuleSpec& spec, std::size_t number, std::uint32_t line, schema::Problems& problems);
 
-/// A [[link]] of streams.
+/// A [[link]] table: a link for streams.
 struct LinkSpec {
     std::string from;
     std::string to;
@@ -67,30 +68,31 @@
     std::string target;  ///< address:port
 };
 
-/// A [[member]] of the datagram net.
+/// A [[member]] table: a member of the datagram network.
 struct MemberSpec {
     std::string name;
-    std::string listen;  ///< address:port where the others reach it
-    std::string target;  ///< address:port where it listens
+    std::string listen;  ///< address:port at which other members reach it
+    std::string target;  ///< address:port on which it listens
 };
 
-/// A whole file.
+/// The content of a whole file.
 struct Script {
     static constexpr std::size_t kMaxRules = 1000;
-    static constexpr std::size_t kMaxLinks = 20000;  ///< and members: what one machine plays
+    static constexpr std::size_t kMaxLinks =
+        20000;  ///< also the maximum number of members; limited by the ports of one host
 
     std::uint64_t seed = 1;
-    std::string broadcast;  ///< the broadcast address of the members; empty: any port of 127.0.0.1
+    std::string broadcast;  ///< broadcast address of the members; empty: a free port of 127.0.0.1
     std::vector<LinkSpec> links;
     std::vector<MemberSpec> members;
     std::vector<Rule> rules;
 };
 
-/// Reads a file's text. Does not throw for what the file says.
-/// @param problems gets one more for each thing that is wrong, with its line and key.
+/// Parses the text of a file. Errors in the text are reported, not thrown.
+/// @param problems receives each error with its line and key.
 Script parse_script(const std::string& text, const std::string& file, schema::Problems& problems);
 
-/// A text that is no address:port on loopback.
+/// A text is not an address:port on loopback.
 class AddressError : public std::invalid_argument {
 public:
     using std::invalid_argument::invalid_argument;
@@ -100,7 +102,7 @@
 /// @throws AddressError unless it is an address of 127.0.0.0/8 or ::1 and a port.
 boost::asio::ip::tcp::endpoint loopback_endpoint(const std::string& text);
 
-/// @return all keys of a file, for a person.
+/// @return a description of all keys of a file, for users.
 std::string script_manual();
 
 }  // namespace elmbay::fault_proxy
--- a/src/fault_proxy/splice_pipe.hpp
+++ b/src/fault_proxy/splice_pipe.hpp
@@ -1,5 +1,4 @@
-// A pipe by which bytes go from one socket to another without being copied into this process (splice(2),
-// Linux).
+// A pipe that moves bytes between two sockets without copying them into this process (splice(2), Linux).
 #pragma once
 
 #include <fcntl.h>
@@ -12,18 +11,18 @@
 
 namespace elmbay::fault_proxy {
 
-/// Owns the two descriptors of a pipe, once open() has made it. Not thread-safe. Never blocks.
+/// Owns the two descriptors of a pipe, which open() creates. Not thread-safe. Never blocks.
 class SplicePipe {
 public:
-    /// Bytes: as much as an unprivileged process may have (fs.pipe-max-size), so fewer turns for the same
-    /// bytes.
+    /// The largest pipe that an unprivileged process may have (fs.pipe-max-size). A large pipe needs fewer
+    /// system calls for the same bytes.
     static constexpr int kCapacityBytes = 1 << 20;
 
-    /// How a move of bytes ended.
+    /// The result of moving bytes.
     enum class MoveResult {
-        moved,        ///< some bytes, see last_moved()
-        would_block,  ///< nothing has come, or there is no space
-        end,          ///< the sender has ended
+        moved,        ///< some bytes were moved, see last_moved()
+        would_block,  ///< no bytes are available, or the destination is full
+        end,          ///< the sender has closed its direction
         failed
     };
 
@@ -32,32 +31,32 @@
     SplicePipe(const SplicePipe&) = delete;
     SplicePipe& operator=(const SplicePipe&) = delete;
 
-    /// Makes the pipe, if it is not there yet.
-    /// @return whether it is there; not if the process has no descriptors left.
+    /// Creates the pipe if it does not exist yet.
+    /// @return whether it exists; false if the process has no descriptors left.
     bool open() {
         if (write_end_ >= 0) return true;
         std::array<int, 2> ends{};
         if (::pipe2(ends.data(), O_NONBLOCK | O_CLOEXEC) != 0) return false;
         read_end_ = ends[0];
         write_end_ = ends[1];
-        ::fcntl(write_end_, F_SETPIPE_SZ, kCapacityBytes);  // a smaller one does as well
+        ::fcntl(write_end_, F_SETPIPE_SZ, kCapacityBytes);  // on failure the default capacity is sufficient
         return true;
     }
-    /// @return how many bytes are inside.
+    /// @return the number of bytes in the pipe.
     std::size_t size() const { return size_; }
-    /// Moves what has come at the socket into the pipe.
+    /// Moves available bytes from the socket into the pipe.
     MoveResult read_from(int socket) {
         const MoveResult result = splice_bytes(socket, write_end_, kCapacityBytes);
         size_ += last_moved_;
         return result;
     }
-    /// Moves what is inside to the socket.
+    /// Moves bytes from the pipe to the socket.
     MoveResult write_to(int socket) {
         const MoveResult result = splice_bytes(read_end_, socket, size_);
         size_ -= last_moved_;
         return result;
     }
-    /// @return how many bytes the last read_from() or write_to() has moved.
+    /// @return the number of bytes that the last read_from() or write_to() moved.
     std::size_t last_moved() const { return last_moved_; }
 
 private:
--- a/src/fault_proxy/stream_filter.cpp
+++ b/src/fault_proxy/stream_filter.cpp
@@ -38,7 +38,7 @@
     return true;
 }
 
-// Where the rule is triggered within the next `size` bytes.
+// Returns the offset within the next `size` bytes at which the rule is triggered, if any.
 std::optional<std::uint64_t> StreamFilter::trigger_offset(
     const Rule& rule, std::size_t size, const std::vector<MessageBoundary>& boundaries) const {
     switch (rule.trigger) {
@@ -59,8 +59,8 @@
     return {};
 }
 
-// The rules that are triggered within these bytes, in order of offset. Trigger::on_open is before the first
-// byte that comes while the rule holds.
+// Returns the rules that are triggered within these bytes, in order of offset. Trigger::on_open is triggered
+// before the first byte that arrives while the rule is active.
 std::vector<StreamFilter::TriggeredRule> StreamFilter::find_triggered(Millis now, std::string_view bytes) {
     std::vector<TriggeredRule> found;
     const std::vector<std::size_t> indexes = rules_.stream_rules(link_, connection_);
@@ -88,7 +88,8 @@
     }
     const std::uint64_t begin = offset_;
     for (const TriggeredRule& triggered : find_triggered(now, bytes)) {
-        // A message's boundary may lie in bytes that have passed, if reading them had to wait for more.
+        // The offset of a message boundary may precede the current offset, because the parser may need more
+        // bytes to find it.
         const std::uint64_t until = std::max(triggered.offset, offset_);
         send(now, bytes.substr(offset_ - begin, until - offset_), actions);
         const Rule& rule = rules_.all()[triggered.rule];
@@ -151,7 +152,8 @@
             transmission = std::max(transmission, kMillisPerSecond * size / rule.bytes_per_second);
         }
     }
-    // In order, whatever each piece's own delay; a rate counts from when the line is free.
+    // Keeps all chunks in order, regardless of each chunk's own delay. Under a rate limit, transmission
+    // starts when the previous chunk has been sent.
     earliest_next_ = std::max(now + delay, earliest_next_) + transmission;
     action.not_before = earliest_next_;
     actions.push_back(std::move(action));
--- a/src/fault_proxy/stream_filter.hpp
+++ b/src/fault_proxy/stream_filter.hpp
@@ -1,4 +1,5 @@
-// Applies the rules to one direction of one connection: bytes in, timed actions out. No I/O and no clock.
+// Applies the rules to one direction of one connection: converts bytes into timed actions, without I/O and
+// without a clock.
 #pragma once
 
 #include <cstdint>
@@ -12,51 +13,51 @@
 
 namespace elmbay::fault_proxy {
 
-/// Something that is to be done to the receiver of a stream.
+/// An action on the receiver of a stream.
 struct StreamAction {
     enum class Kind {
         send_bytes,
-        half_close,  ///< ends sending
-        reset        ///< resets both ends
+        half_close,  ///< closes the sending direction
+        reset        ///< resets the connection at both ends
     };
     Kind kind = Kind::send_bytes;
     Millis not_before = 0;
-    std::string bytes{};  ///< of send_bytes
+    std::string bytes{};  ///< for send_bytes
 };
 
-/// The faults of one direction of one connection, but for cuts: the driver holds all actions back while the
+/// Applies all faults of one direction of one connection except cuts: the driver delays all actions while the
 /// link is cut.
 ///
-/// Actions come in order and are to be done in order, each at its time or later. Not thread-safe. The rules
-/// must outlive it; a change of them counts for what comes after.
+/// The caller must perform the actions in order, none before its time. Not thread-safe. The rules must
+/// outlive this object; a change of them affects later bytes.
 class StreamFilter {
 public:
-    /// @param link       the direction.
-    /// @param connection its number on the link of its opener, from 1.
-    /// @param sender     what the sender of this direction sends: the opener sends requests.
+    /// @param link       the link of this direction.
+    /// @param connection number of the connection on the link of the client, from 1.
+    /// @param sender     kind of messages in this direction: the client sends requests.
     StreamFilter(const Rules& rules, Link link, std::uint64_t connection,
                  MessageBoundaryReader::MessageKind sender);
 
-    /// Takes the next bytes of the sender and appends what is to be done.
+    /// Consumes the next bytes of the sender and appends the resulting actions.
     void on_bytes(Millis now, std::string_view bytes, std::vector<StreamAction>& actions);
-    /// The sender has ended: `kind` is half_close or reset.
+    /// Reports the end of the sender's direction: `kind` is half_close or reset.
     void on_end(Millis now, StreamAction::Kind kind, std::vector<StreamAction>& actions);
-    /// @return whether bytes of now pass unchanged and at once. Then the driver may pass them on by itself
-    /// and only call skip(). A rule on messages counts on connections whose first byte came while it was
-    /// there.
+    /// @return whether bytes that arrive now pass unchanged and without delay. If so, the driver may forward
+    /// them itself and call only skip(). A rule on messages applies only to connections whose first byte
+    /// arrived while the rule existed.
     bool passes_unchanged() const;
-    /// Counts bytes that the driver has passed on by itself.
+    /// Counts bytes that the driver has forwarded itself.
     void skip(std::size_t bytes) { offset_ += bytes; }
-    /// @return how many bytes have come.
+    /// @return the number of bytes received so far.
     std::uint64_t offset() const { return offset_; }
-    /// @return whether nothing passes any more, whatever comes.
+    /// @return whether a fault or the sender has ended this direction, so that no further bytes pass.
     bool has_ended() const { return has_ended_; }
 
 private:
-    // A fault at an offset.
+    // A rule that is triggered, and the offset at which it is.
     struct TriggeredRule {
         std::uint64_t offset;
-        std::size_t rule;  // index
+        std::size_t rule;  // index into Rules::all()
     };
 
     std::optional<std::uint64_t> trigger_offset(const Rule& rule, std::size_t size,
@@ -71,14 +72,14 @@
     const Link link_;
     const std::uint64_t connection_;
     const MessageBoundaryReader::MessageKind sender_;
-    // Reads from the first byte on, if a rule on messages applies then.
+    // Set before the first byte if a rule on messages applies to the connection.
     std::optional<MessageBoundaryReader> message_reader_;
     std::uint64_t offset_ = 0;
-    std::uint64_t sent_chunks_ = 0;  // sent so far: keys of random delays
+    std::uint64_t sent_chunks_ = 0;  // keys of the random delays
     std::uint64_t bytes_to_corrupt_ = 0;
-    Millis earliest_next_ = 0;  // no later action may be done before it
+    Millis earliest_next_ = 0;  // time before which no later action may be performed
     bool has_ended_ = false;
-    std::vector<std::string> applied_rules_;  // by name: each happens once on a connection
+    std::vector<std::string> applied_rules_;  // names of applied rules; each applies once to a connection
 };
 
 }  // namespace elmbay::fault_proxy
--- a/src/fault_proxy/stream_link.cpp
+++ b/src/fault_proxy/stream_link.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-// With a queue length of 0 the kernel still queues one connection; one more to be sure.
+// With a backlog of 0 the kernel still queues one connection. The second filler is a safety margin.
 constexpr int kBacklogFillerCount = 2;
 
 }  // namespace
@@ -24,7 +24,7 @@
       endpoint_(std::move(listen)),
       target_(std::move(target)),
       acceptor_(context.io()) {
-    open_listener();  // once in any case, so that the port is known and known to be free
+    open_listener();  // always, to determine the port and to check that it is free
     subscription_ = context_.subscribe([this] { apply_rules(); });
     apply_rules();
 }
@@ -53,7 +53,7 @@
     apply_rules();
 }
 
-// Looks again at what holds now.
+// Applies the rules that are active now.
 void StreamLink::apply_rules() {
     const Millis now = context_.now();
     is_cut_to_target_ = context_.rules().is_cut(link_, Medium::stream, now);
@@ -83,7 +83,7 @@
     listener_state_ = state;
     if (state == ListenerState::listening) {
         ::listen(acceptor_.native_handle(), kBacklogLength);
-        accept();  // the fillers come out of the queue first and are dropped there
+        accept();  // accepts the fillers first, which on_accepted() closes
         return;
     }
     Error ignored;
@@ -92,14 +92,15 @@
     fill_backlog();
 }
 
-// Fills the queue of connections that the kernel keeps for a listener, so that it drops further ones.
+// Fills the kernel's accept queue of the listener, so that the kernel drops further connection attempts.
 void StreamLink::fill_backlog() {
     for (int i = 0; i < kBacklogFillerCount; ++i) {
         Error ignored;
         tcp::socket filler(context_.io());
         filler.open(endpoint_.protocol(), ignored);
         filler.native_non_blocking(true, ignored);
-        // The system's own: asio's connect() waits until it is up, which is never.
+        // Calls connect(2) directly, because asio's connect() waits until the connection is established,
+        // which never happens.
         static_cast<void>(
             ::connect(filler.native_handle(), endpoint_.data(), static_cast<socklen_t>(endpoint_.size())));
         backlog_fillers_.push_back(std::move(filler));
@@ -131,7 +132,8 @@
         if (!*is_alive) return;
         is_accepting_ = false;
         if (listener_state_ != ListenerState::listening) return;
-        // Aborted in spite of the state: it changed and changed back in one turn of the loop.
+        // An error here means that the state changed to unresponsive and back within one turn of the event
+        // loop, which cancelled the accept.
         if (!error) on_accepted(std::move(client));
         accept();
     });
@@ -152,7 +154,7 @@
     connection->start(fault.delay);
 }
 
-// The target's machine refuses: so does the link, until a probe is accepted.
+// Refuses connections like the target's host did, until a probe connection to the target succeeds.
 void StreamLink::on_target_refused() {
     if (target_refused_ || target_state_ != TargetState::up) return;
     target_refused_ = true;
--- a/src/fault_proxy/stream_link.hpp
+++ b/src/fault_proxy/stream_link.hpp
@@ -1,15 +1,15 @@
-// A TCP link on loopback: listens in place of its target and passes connections on, as the rules allow.
+// A TCP link on loopback: listens in place of its target and forwards connections according to the rules.
 //
-// What sockets cannot show exactly:
+// Sockets emulate some faults only approximately:
 //
-//  - While the link is cut in either direction a connection does not come up: the listening queue is kept
-//    full, so the kernel drops what comes and the client's connect() hangs, as it would for lost segments.
+//  - While the link is cut in either direction, no connection is established: the accept queue is kept full,
+//    so the kernel drops connection attempts and the client's connect() hangs, as after segment loss.
 //  - A rule that refuses every connection, and a target that is down, close the listening socket, so that the
-//    kernel refuses. Where a rule refuses only some connections (by probability or number), those come up and
-//    are reset before a byte is read.
-//  - The target's own refusal of a connection that has come up here becomes a reset, and from then on the
-//    link refuses until the target listens again.
-//  - Bytes that are on their way while the link is cut wait, as they would for retransmission.
+//    kernel refuses connections. Where a rule refuses only some connections (by probability or number), these
+//    are established and reset before a byte is read.
+//  - When the target refuses a connection that the link has already accepted, the link resets it, and then
+//    refuses connections until the target listens again.
+//  - Bytes in transit while the link is cut wait, as they would for retransmission.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -26,44 +26,45 @@
 
 using tcp = asio::ip::tcp;
 
-/// A link from a client to a target. The client opens connections; bytes go both ways.
+/// A link from a client to a target. The client opens the connections; bytes flow in both directions.
 ///
 /// Runs in the context's event loop; not thread-safe. The destructor resets all connections.
 class StreamLink {
 public:
-    /// Bytes of one direction of a connection that wait here; at so many no more is read from the sender.
+    /// Maximum number of buffered bytes per direction of a connection. At this limit the link stops reading
+    /// from the sender.
     static constexpr std::size_t kMaxQueuedBytes = 256UL * 1024;
-    /// Bytes: a read of so much is followed by splice(2), where neither a rule nor an observer needs the
-    /// bytes.
+    /// A read of at least this many bytes makes the next read use splice(2), unless a rule or an observer
+    /// needs the bytes.
     static constexpr std::size_t kBulkReadBytes = 16UL * 1024;
-    /// Milliseconds between two attempts to reach a target that refused.
+    /// Milliseconds between two attempts to connect to a target that refused a connection.
     static constexpr Millis kTargetProbePeriod = 10;
-    /// Connections that the kernel queues while the link listens.
+    /// Length of the accept queue while the link listens.
     static constexpr int kBacklogLength = 1024;
 
     /// @param link   names of client and target in the rules.
-    /// @param listen where the client connects to; port 0 takes any.
-    /// @throws boost::system::system_error if the address cannot be had.
+    /// @param listen address to which the client connects; port 0 selects a free port.
+    /// @throws boost::system::system_error if the address cannot be bound.
     StreamLink(EventLoopContext& context, Link link, tcp::endpoint listen, tcp::endpoint target);
     ~StreamLink();
     StreamLink(const StreamLink&) = delete;
     StreamLink& operator=(const StreamLink&) = delete;
 
-    /// @return where it listens.
+    /// @return the address on which the link listens.
     tcp::endpoint endpoint() const { return endpoint_; }
     const Link& link() const { return link_; }
 
-    /// What the target is for new connections. Open ones stay as they are.
+    /// State of the target for new connections. Open connections are not affected.
     enum class TargetState {
         up,
-        down,        ///< its machine refuses connections
-        unreachable  ///< its machine is cut off: connects hang
+        down,        ///< its host refuses connections
+        unreachable  ///< its host cannot be reached: connects hang
     };
     void set_target_state(TargetState state);
     /// Resets every open connection.
     void reset_all();
 
-    /// What happens at the client's end of each connection, by its number from 1.
+    /// Events at the client's end of each connection. Connections are numbered from 1.
     struct Observer {
         std::function<void(std::uint64_t connection, std::string_view bytes)> on_client_sent;
         std::function<void(std::uint64_t connection, std::string_view bytes)> on_client_received;
@@ -72,15 +73,15 @@
     };
     void observe(Observer observer) { observer_ = std::move(observer); }
 
-    /// @return how many connections the client has opened, those that were refused after they came up
-    /// included.
+    /// @return the number of connections that the client has opened, including those that were refused after
+    /// they were established.
     std::uint64_t opened_connections() const { return opened_connections_; }
     std::size_t open_connections() const { return connections_.size(); }
-    /// @return how many bytes have come from the client.
+    /// @return the number of bytes received from the client.
     std::uint64_t bytes_to_target() const { return bytes_to_target_; }
-    /// @return how many bytes have come from the target.
+    /// @return the number of bytes received from the target.
     std::uint64_t bytes_to_client() const { return bytes_to_client_; }
-    /// @return bytes of both directions that have come and not been passed on.
+    /// @return the number of bytes of both directions that were received and not forwarded yet.
     std::size_t queued_bytes() const;
 
 private:
@@ -109,7 +110,7 @@
     tcp::acceptor acceptor_;
     ListenerState listener_state_ = ListenerState::closed;
     TargetState target_state_ = TargetState::up;
-    bool target_refused_ = false;  // by itself; probe_target() is at work
+    bool target_refused_ = false;  // by its own host; probe_target() is active
     bool is_accepting_ = false;
     bool is_cut_to_target_ = false;
     bool is_cut_to_client_ = false;
--- a/src/fault_proxy/stream_link_connection.cpp
+++ b/src/fault_proxy/stream_link_connection.cpp
@@ -75,7 +75,8 @@
     return static_cast<bool>(is_to_target(direction) ? observer.on_client_sent : observer.on_client_received);
 }
 
-// Whether bytes that come now go on as they are, with no rule that applies and nothing before them.
+// Returns whether bytes that arrive now can be forwarded unchanged: no rule applies to them and no earlier
+// bytes wait.
 bool StreamLink::Connection::passes_unchanged(const Direction& direction) const {
     const bool is_empty = direction.actions.empty() && direction.pipe.size() == 0;
     const bool may_write = !direction.is_writing && !is_cut(direction);
@@ -108,15 +109,16 @@
         } else {
             on_bytes(direction, now, {buffer.data(), size});
         }
-        // An end that the rules keep from the other side is not passed on: that side waits, as for a machine
-        // that is gone. Once both sides have ended, nobody waits.
+        // A rule may keep the end of one direction from the other side, which then waits as if the peer's
+        // host had failed. Once both sides have closed, the connection is closed.
         if (direction.has_ended && opposite(direction).has_ended) return close(false);
     }
     deliver(direction);
     if (link_) read(direction);
 }
 
-// Moves what has come into the pipe, without reading it, where that is allowed and likely to be much.
+// Moves available bytes into the pipe without reading them, if no rule or observer needs them and many are
+// expected.
 bool StreamLink::Connection::splice(Direction& direction) {
     const bool may_splice =
         direction.last_read_was_bulk && !is_observed(direction) && passes_unchanged(direction);
@@ -143,7 +145,8 @@
     enqueue(direction, std::move(actions));
 }
 
-// Passes on, without a copy, what the receiver takes now. An error of the receiver shows again at the rest.
+// Forwards as many bytes as the receiver accepts now, without copying them. An error of the receiver appears
+// again when the rest is sent.
 std::size_t StreamLink::Connection::forward_immediately(Direction& direction, std::string_view bytes) {
     Error ignored;
     const std::size_t passed = opposite(direction).source.write_some(asio::buffer(bytes), ignored);
@@ -171,7 +174,7 @@
     }
 }
 
-// Does all that may be done now. on_rules_changed() comes back to it after a cut.
+// Performs all actions that are due. After a cut, on_rules_changed() calls it again.
 void StreamLink::Connection::deliver(Direction& direction) {
     if (direction.is_writing) return;
     link_->context_.cancel(direction.timer);
@@ -227,7 +230,7 @@
         wait_for_space(direction);
         return false;
     }
-    if (error) {  // the receiver is no longer there: the sender sees a reset
+    if (error) {  // the receiver has closed: resets the sender as well
         close(true);
         return false;
     }
--- a/src/fault_proxy/stream_link_connection.hpp
+++ b/src/fault_proxy/stream_link_connection.hpp
@@ -1,4 +1,5 @@
-// One connection of a StreamLink: both sockets, and both directions with their faults. Private to StreamLink.
+// One connection of a StreamLink: its two sockets, and its two directions with their faults. Internal to
+// StreamLink.
 #pragma once
 
 #include <deque>
@@ -13,26 +14,26 @@
 
 namespace elmbay::fault_proxy {
 
-/// Passes bytes between a client and the target.
+/// Forwards bytes between a client and the target.
 ///
-/// Sockets are non-blocking: what can be passed on at once is, within the handler that read it. Handlers hold
-/// the connection by shared_ptr; after close() they do nothing.
+/// Sockets are non-blocking: bytes that can be forwarded immediately are, within the handler that read them.
+/// Handlers own the connection by shared_ptr; after close() they have no effect.
 class StreamLink::Connection : public std::enable_shared_from_this<Connection> {
 public:
-    /// @param number of the connection on its link, from 1.
+    /// @param number number of the connection on its link, from 1.
     Connection(StreamLink& link, tcp::socket client, std::uint64_t number);
 
-    /// Connects to the target after so many milliseconds.
+    /// Connects to the target after this many milliseconds.
     void start(Millis delay);
-    /// The rules, or what holds of them, have changed.
+    /// Called when the rules, or the set of active rules, have changed.
     void on_rules_changed();
     std::size_t queued_bytes() const { return to_target_.queued_bytes() + to_client_.queued_bytes(); }
     /// Closes both sockets.
-    /// @param by_reset whether both ends see a reset.
+    /// @param by_reset whether both ends get a reset.
     void close(bool by_reset);
 
 private:
-    // The bytes from `source` to the source of the other direction.
+    // The flow of bytes from `source` to the source of the opposite direction.
     struct Direction {
         Direction(const Rules& rules, Link link, std::uint64_t connection,
                   MessageBoundaryReader::MessageKind sender, tcp::socket socket)
@@ -41,16 +42,16 @@
 
         StreamFilter filter;
         TcpSocket source;
-        SplicePipe pipe{};                        // what is inside goes before `actions`
-        std::deque<StreamAction> actions;         // in order
-        std::size_t queued_action_bytes = 0;      // not sent yet
-        std::size_t first_action_sent_bytes = 0;  // bytes of the first action
-        bool is_reading = false;                  // waits for the source
-        bool is_writing = false;                  // waits for space at the receiver
-        bool has_ended = false;                   // the source has
+        SplicePipe pipe{};                        // its bytes precede `actions`
+        std::deque<StreamAction> actions;         // in order of execution
+        std::size_t queued_action_bytes = 0;      // bytes that are not sent yet
+        std::size_t first_action_sent_bytes = 0;  // bytes of the first action that are sent
+        bool is_reading = false;                  // waits until the source is readable
+        bool is_writing = false;                  // waits until the receiver is writable
+        bool has_ended = false;                   // whether the source has closed
         bool end_forwarded = false;
-        bool last_read_was_bulk = false;     // the next may go by the pipe
-        EventLoopContext::TimerKey timer{};  // when the first action is due
+        bool last_read_was_bulk = false;     // the next read may use the pipe
+        EventLoopContext::TimerKey timer{};  // time at which the first action is due
     };
 
     Direction& opposite(const Direction& direction) {
@@ -74,7 +75,8 @@
     void on_source_ended(Direction& direction, Millis now, bool is_graceful);
     void enqueue(Direction& direction, std::vector<StreamAction> actions);
 
-    // These return whether to go on; if not, something else comes back to deliver(), or all is closed.
+    // Return whether to continue. If not, either another handler will call deliver() again, or the connection
+    // is closed.
     bool flush_pipe(Direction& direction);
     bool perform_first_action(Direction& direction);
     bool send_first_action(Direction& direction);
@@ -85,7 +87,7 @@
     void forward_end(Direction& direction);
     void report_client_ended();
 
-    StreamLink* link_;  // null once it is closed
+    StreamLink* link_;  // null after close()
     const std::uint64_t number_;
     Direction to_target_;
     Direction to_client_;
