--- a/src/process_testbed/chaos.cpp
+++ b/src/process_testbed/chaos.cpp
@@ -13,19 +13,19 @@
 using fault_proxy::Rule;
 using fault_proxy::Trigger;
 
-/// A testbed on which the steps of a schedule are carried out, and which is healed at its end.
+/// Runs the steps of a schedule on a testbed, and removes all faults at the end.
 class ScheduleRunner {
 public:
     explicit ScheduleRunner(const Options& options) : testbed_(options) { testbed_.start(); }
 
-    /// @return whether no rule has been broken.
+    /// @return whether no invariant has been violated.
     bool run_step(const FaultStep& step);
-    /// Undoes all faults and waits until every request has ended.
-    /// @param kept whether no rule has been broken so far.
+    /// Removes all faults and waits until every request has ended.
+    /// @param passed whether no invariant has been violated so far.
     ChaosResult finish(bool passed);
 
 private:
-    // Each does nothing for steps of other kinds.
+    // Each of these ignores steps of other kinds.
     void run_process_step(const FaultStep& step);
     void run_server_step(const FaultStep& step);
     void send_requests(const FaultStep& step);
@@ -34,7 +34,7 @@
     void break_responses(const FaultStep& step);
     void heal_links() { testbed_.context().replace_rules({}); }
     void heal_everything();
-    // A line for each sidecar that holds descriptors which it does not count.
+    // Returns one line for each sidecar that holds descriptors which its status does not count.
     std::string find_descriptor_leaks();
     void add_cut(const std::string& from, const std::string& to);
     std::string next_rule_name();
--- a/src/process_testbed/chaos.hpp
+++ b/src/process_testbed/chaos.hpp
@@ -1,4 +1,4 @@
-// Chaos runs: plays a schedule of faults on processes and says whether every rule was kept.
+// Chaos runs: run a schedule of faults on sidecar processes and report whether every invariant held.
 #pragma once
 
 #include <cstdint>
@@ -10,25 +10,25 @@
 
 namespace elmbay::process_testbed {
 
-/// A schedule names a sidecar or a server that the testbed does not have.
+/// A schedule refers to a sidecar or a server that the testbed does not have.
 class ScheduleRangeError : public std::invalid_argument {
 public:
     ScheduleRangeError() : std::invalid_argument("the schedule names more than the fleet has") {}
 };
 
-/// What a chaos run found.
+/// The result of a chaos run.
 struct ChaosResult {
-    bool passed = true;          ///< whether no rule was broken and no descriptor leaked
-    std::string explanation;     ///< if not kept: what was broken, and the events of whom it concerns
-    std::uint64_t requests = 0;  ///< how many clients sent
-    std::uint64_t served = 0;    ///< how many of them were served
+    bool passed = true;          ///< whether no invariant was violated and no descriptor leaked
+    std::string explanation;     ///< if not passed: the violations, and the events of the processes involved
+    std::uint64_t requests = 0;  ///< number of requests that clients sent
+    std::uint64_t served = 0;    ///< number of requests that were served
 };
 
-/// Starts a testbed, carries the schedule out, heals and thaws everything and waits for all outcomes.
+/// Starts a testbed, runs the schedule, removes all faults, resumes all processes and waits for all outcomes.
 ///
 /// Blocks until then. All processes have ended when it returns.
 /// @throws ScheduleRangeError
-/// @throws SidecarNotReady if the program does not start.
+/// @throws SidecarNotReady if a sidecar does not become ready.
 ChaosResult run_schedule(const Options& options, const Schedule& schedule);
 
 }  // namespace elmbay::process_testbed
--- a/src/process_testbed/client_emulator.cpp
+++ b/src/process_testbed/client_emulator.cpp
@@ -52,7 +52,7 @@
 
 }  // namespace
 
-/// One request and its response, from the connection to the outcome.
+/// One request and its response, from opening the connection to the outcome.
 class ClientEmulator::Exchange : public std::enable_shared_from_this<Exchange> {
 public:
     Exchange(ClientEmulator& clients, std::string sidecar, std::string id, const ClientRequest& request)
@@ -72,7 +72,7 @@
         }
         socket_.async_connect(address, [self = shared_from_this()](Error error) {
             if (!self->clients_) return;
-            // A connection that the sidecar does not take gives no claim to an outcome.
+            // A sidecar must give an outcome only to clients whose connection it accepted.
             if (error) return self->disconnect();
             Error ignored;
             self->socket_.set_option(tcp::no_delay(true), ignored);
@@ -80,7 +80,7 @@
         });
     }
 
-    /// Closes the connection; nothing is reported any more.
+    /// Closes the connection. Afterwards no further events are reported.
     void close() {
         Error ignored;
         socket_.close(ignored);
@@ -129,7 +129,7 @@
         const Millis received = now();
         const auto& response = parser_.get();
         const Outcome outcome = outcome_of(response.result_int());
-        // A server puts the request's id first in its body.
+        // Servers put the id of the request first in the body of the response.
         const bool is_body_valid = outcome != Outcome::served || response.body().starts_with(id_ + " ");
         if (response.keep_alive()) clients_->idle_connections_[sidecar_].push_back(std::move(socket_));
         clients_->history_.on_response(received, id_, outcome, is_body_valid);
@@ -140,13 +140,14 @@
         finish({});
     }
     void finish(std::optional<Outcome> outcome) {
-        const auto self = shared_from_this();  // close() cancels timers that hold the last other reference
+        const auto self =
+            shared_from_this();  // close() cancels timers that may hold the last other reference
         clients_->results_[id_] = {true, outcome};
         close();
     }
     Millis now() const { return clients_->context_.now(); }
 
-    ClientEmulator* clients_;  // null once it has ended
+    ClientEmulator* clients_;  // null once the exchange has ended
     const std::string sidecar_;
     const std::string id_;
     const std::string message_;
@@ -184,7 +185,7 @@
     return id;
 }
 
-// A connection that the sidecar has closed meanwhile is not used again.
+// Returns an idle connection that the sidecar has not closed in the meantime, if any.
 std::optional<tcp::socket> ClientEmulator::take_idle_connection(const std::string& sidecar) {
     auto& idle = idle_connections_[sidecar];
     while (!idle.empty()) {
--- a/src/process_testbed/client_emulator.hpp
+++ b/src/process_testbed/client_emulator.hpp
@@ -1,5 +1,5 @@
-// Emulated clients of the sidecars: each request with its deadline, its outcome and the connections that are
-// kept alive.
+// Emulated clients of the sidecars: send requests with deadlines, report their outcomes and keep connections
+// alive.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -16,21 +16,20 @@
 
 using tcp = asio::ip::tcp;
 
-/// One request as a test describes it.
+/// One request as specified by a test.
 struct ClientRequest {
-    std::string request_class = "listen";  ///< or "deposit", "annotate"
-    Millis deadline = 0;                   ///< milliseconds; 0: that of the testbed's options
-    Millis disconnect_after =
-        0;  ///< the client closes its connection after so many milliseconds; 0: it stays
-    std::string idempotency_key{};  ///< of "annotate"; empty: one of its own
+    std::string request_class = "listen";  ///< or "deposit" or "annotate"
+    Millis deadline = 0;                   ///< milliseconds; 0: the deadline of the testbed's options
+    Millis disconnect_after = 0;           ///< milliseconds until the client closes its connection; 0: never
+    std::string idempotency_key{};         ///< for "annotate"; empty: a key unique to the request
 };
 
-/// Sends requests to sidecars and reports to the history how each ended.
+/// Sends requests to sidecars and reports the outcome of each to the history.
 ///
 /// Owned by ProcessTestbed; runs in its event loop, not thread-safe. The destructor closes all connections.
 class ClientEmulator {
 public:
-    /// Milliseconds after its deadline that a client still waits: "up to half a second after its time it only
+    /// Milliseconds for which a client waits beyond its deadline: "up to half a second after its time it only
     /// earns nothing".
     static constexpr Millis kResponseGracePeriod = 500;
 
@@ -40,16 +39,16 @@
     ClientEmulator& operator=(const ClientEmulator&) = delete;
 
     /// Sends a request on an idle connection to the sidecar, or on a new one.
-    /// @param address where clients reach the sidecar.
-    /// @param request its deadline must be set.
+    /// @param address address at which clients reach the sidecar.
+    /// @param request request to send; its deadline must be set.
     /// @return the request's correlation id.
     std::string send(const std::string& sidecar, const tcp::endpoint& address, const ClientRequest& request);
     /// @throws std::out_of_range for an id that send() has not returned.
     bool has_ended(const std::string& id) const;
-    /// @return how the request ended; none while it is open, or if it ended without a response.
+    /// @return the outcome of the request; none while the request is open, or if it ended without a response.
     /// @throws std::out_of_range for an id that send() has not returned.
     std::optional<RequestHistory::Outcome> outcome(const std::string& id) const;
-    /// Closes the connections of all open requests, which get no outcome.
+    /// Closes the connections of all open requests, which then have no outcome.
     void close_all();
 
 private:
--- a/src/process_testbed/discovery_emulator.cpp
+++ b/src/process_testbed/discovery_emulator.cpp
@@ -15,8 +15,8 @@
 
 namespace {
 
-constexpr std::size_t kMaxRequestBytes = 16UL * 1024;  // of the sidecar's GET
-constexpr std::uint32_t kZones = 3;                    // a, b, c, in turn
+constexpr std::size_t kMaxRequestBytes = 16UL * 1024;  // maximum size of the sidecar's GET request
+constexpr std::uint32_t kZones = 3;                    // zones a, b and c, assigned in turn
 
 const char* name_of(EndpointState state) {
     switch (state) {
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-/// One connection of the sidecar: single requests for the whole list, or a watch.
+/// One connection of the sidecar: polls of the whole list, or a watch.
 class DiscoveryEmulator::Connection : public std::enable_shared_from_this<Connection> {
 public:
     Connection(DiscoveryEmulator& service, tcp::socket socket)
--- a/src/process_testbed/discovery_emulator.hpp
+++ b/src/process_testbed/discovery_emulator.hpp
@@ -1,4 +1,4 @@
-// The emulated discovery service as one sidecar reaches it (PROTOCOL, "Discovery").
+// Emulates the discovery service for one sidecar (PROTOCOL, "Discovery").
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -16,26 +16,26 @@
 using tcp = asio::ip::tcp;
 using nlohmann::json;
 
-/// What the endpoint list says of a server.
+/// State of a server in the endpoint list.
 enum class EndpointState {
-    active,   ///< may be sent to
-    leaving,  ///< is draining
-    left      ///< has gone
+    active,   ///< requests may be sent to it
+    leaving,  ///< it is draining
+    left      ///< it has left the list
 };
 
-/// Serves the endpoint list whole, and as a watch that sends each change.
+/// Serves the whole endpoint list to polls, and each change to watches.
 ///
-/// Each sidecar has an emulator of its own, as it reaches each server by a link of its own. Owned by
+/// Each sidecar has its own emulator, because it reaches each server through its own link. Owned by
 /// ProcessTestbed; runs in its event loop, not thread-safe.
 class DiscoveryEmulator {
 public:
     /// @return the address at which the sidecar reaches the server with this uid.
     using EndpointOf = std::function<tcp::endpoint(const std::string& uid)>;
 
-    /// Milliseconds between two empty lines of a watch, by which a sidecar knows that it is alive.
+    /// Milliseconds between two empty lines of a watch. They show the sidecar that the watch is alive.
     static constexpr Millis kKeepAlivePeriod = 2000;
 
-    /// @throws boost::system::system_error if the address cannot be had.
+    /// @throws boost::system::system_error if the address cannot be bound.
     DiscoveryEmulator(fault_proxy::EventLoopContext& context, EndpointOf endpoint_of,
                       const tcp::endpoint& listen);
     ~DiscoveryEmulator();
@@ -43,16 +43,17 @@
     DiscoveryEmulator& operator=(const DiscoveryEmulator&) = delete;
 
     tcp::endpoint endpoint() const { return acceptor_.local_endpoint(); }
-    /// Lists the server with this state and sends the change to every watch.
+    /// Sets the state of the server in the list and sends the change to every watch.
     void set_state(const std::string& uid, EndpointState state);
-    /// @return the endpoint list as the protocol has it.
+    /// @return the whole endpoint list in the format of PROTOCOL.
     json whole_list() const;
 
 private:
     class Connection;
     friend class Connection;
 
-    json endpoint_list(const std::string& only_uid) const;  // of all but those that left if it is empty
+    json endpoint_list(
+        const std::string& only_uid) const;  // an empty uid selects all servers that have not left
     void accept();
     void schedule_keep_alive();
 
--- a/src/process_testbed/fault_schedule.cpp
+++ b/src/process_testbed/fault_schedule.cpp
@@ -11,32 +11,32 @@
 
 using Kind = FaultStepKind;
 
-// The written names, in the order of FaultStepKind.
+// Names of the steps in text, in the order of FaultStepKind.
 constexpr std::array<const char*, 14> kFaultStepNames{"ask",   "cut",     "split",   "heal", "reset",
                                                       "break", "freeze",  "thaw",    "kill", "starve",
                                                       "drain", "restore", "conduct", "wait"};
 
-// What set_behavior chooses from, by its written number.
+// Behaviors that set_behavior selects by number.
 constexpr std::array<ServerBehavior, 4> kBehaviors{ServerBehavior::serve, ServerBehavior::fail,
                                                    ServerBehavior::reject, ServerBehavior::no_response};
 
-// Milliseconds: two such waits in a row are longer than the drain grace.
+// Milliseconds. Two such waits in a row exceed the drain grace period.
 constexpr std::uint64_t kMaxWait = 400;
-// Milliseconds: most waits are short, as what happens alone hardly ever shows a fault.
+// Milliseconds. Most waits are short, because isolated events rarely reveal a fault.
 constexpr std::uint64_t kMaxShortWait = 40;
-// About the length of a response's head and body.
+// Approximate length in bytes of a response's head and body.
 constexpr std::uint64_t kApproximateResponseBytes = 90;
 constexpr std::uint64_t kMaxRequestsPerStep = 6;
 constexpr std::uint64_t kMinCpuPercent = 10;
 constexpr std::uint64_t kMaxCpuPercent = 99;
 
-// Kinds that stand here twice are drawn twice as often.
+// Kinds that are listed twice are drawn twice as often.
 constexpr std::array kFaults{
     Kind::cut_link,        Kind::cut_link, Kind::partition, Kind::heal_links,  Kind::reset_connections,
     Kind::break_responses, Kind::freeze,   Kind::thaw,      Kind::thaw,        Kind::kill,
     Kind::limit_cpu,       Kind::drain,    Kind::restore,   Kind::set_behavior};
 
-// Of ten steps four are requests, three are waits and three are faults.
+// Of ten steps, four send requests, three wait and three inject faults.
 constexpr std::size_t kTenths = 10;
 constexpr std::size_t kTenthsOfRequests = 4;
 constexpr std::size_t kTenthsOfRequestsAndWaits = 7;
@@ -48,7 +48,8 @@
     return kFaults[random.below(kFaults.size())];
 }
 
-// Every kind draws a sidecar and a server, of use to it or not: this keeps the schedules of known seeds.
+// Draws a sidecar and a server for every kind, whether the kind uses them or not, so that known seeds keep
+// their schedules.
 FaultStep draw_step(balancer::Random& random, std::size_t sidecars, std::size_t servers) {
     const Kind kind = draw_kind(random);
     std::uint64_t first = random.below(sidecars);
--- a/src/process_testbed/fault_schedule.hpp
+++ b/src/process_testbed/fault_schedule.hpp
@@ -1,4 +1,4 @@
-// A schedule of requests and faults: drawn from a seed, written as text, read again.
+// A schedule of requests and faults. It is drawn from a seed, formatted as text and parsed from text.
 #pragma once
 
 #include <array>
@@ -11,40 +11,40 @@
 
 namespace elmbay::process_testbed {
 
-/// What a FaultStep does. In text each kind has its name, see kFaultStepNames.
+/// The effect of a FaultStep. Each kind has a name in text, see kFaultStepNames.
 enum class FaultStepKind {
     send_requests,      ///< clients of a sidecar send requests of one class
-    cut_link,           ///< cuts the link between a sidecar and a server, or its discovery
-    partition,          ///< cuts the testbed into two halves
-    heal_links,         ///< takes away all cuts and broken responses
+    cut_link,           ///< cuts the link between a sidecar and a server, or its discovery service
+    partition,          ///< partitions the testbed into two halves
+    heal_links,         ///< removes all cuts and broken responses
     reset_connections,  ///< resets the connections of a sidecar to a server
-    break_responses,    ///< the responses of a server end before a byte
-    freeze,             ///< stops a sidecar's process
-    thaw,               ///< resumes it
-    kill,               ///< kills a sidecar and starts it again at once
-    limit_cpu,          ///< gives a sidecar a share of its core
-    drain,              ///< lists a server as leaving
-    restore,            ///< lists a server as active
-    set_behavior,       ///< chooses what a server does with requests
-    wait                ///< lets time pass
+    break_responses,    ///< ends the responses of a server before a given byte
+    freeze,             ///< stops the process of a sidecar (SIGSTOP)
+    thaw,               ///< resumes the process of a sidecar (SIGCONT)
+    kill,               ///< kills a sidecar and restarts it immediately
+    limit_cpu,          ///< limits a sidecar to a share of its core
+    drain,              ///< sets a server's state in the endpoint list to leaving
+    restore,            ///< sets a server's state in the endpoint list to active
+    set_behavior,       ///< selects how a server handles requests
+    wait                ///< waits without injecting a fault
 };
 
-/// The directions in which FaultStepKind::cut_link cuts.
+/// Directions in which FaultStepKind::cut_link cuts a link.
 enum class CutDirection { both, from_sidecar, to_sidecar };
 
-/// One step of a schedule: a kind and three numbers, whose meaning the kind determines.
+/// One step of a schedule: a kind and three numbers, whose meaning depends on the kind.
 ///
-/// In text a step is one line, "KIND NUMBER NUMBER NUMBER", and all three numbers are always written, those
-/// that the kind has no use for as well: a schedule that was kept is byte for byte the one that was drawn.
-/// The named accessors give the numbers their meaning; each is of the kinds in its comment only.
+/// In text a step is one line, "KIND NUMBER NUMBER NUMBER". All three numbers are always written, including
+/// those that the kind ignores, so that a schedule read from a file equals the drawn one byte for byte. The
+/// named accessors interpret the numbers. Each is valid only for the kinds in its comment.
 class FaultStep {
 public:
-    /// By default a wait of 0 ms.
+    /// Creates a wait of 0 ms.
     FaultStep() = default;
     FaultStep(FaultStepKind kind, std::uint64_t first, std::uint64_t second, std::uint64_t third)
         : kind_(kind), numbers_{first, second, third} {}
 
-    /// @name Steps that tests write by hand
+    /// @name Steps for schedules that tests define
     /// @{
     static FaultStep send_requests(std::size_t sidecar, std::size_t request_class, std::uint64_t count) {
         return {FaultStepKind::send_requests, sidecar, request_class, count};
@@ -56,32 +56,32 @@
     /// @}
 
     FaultStepKind kind() const { return kind_; }
-    /// The numbers as they are written.
+    /// The numbers in their order in text.
     const std::array<std::uint64_t, 3>& numbers() const { return numbers_; }
 
-    /// The sidecar of all kinds that act on one.
+    /// For all kinds that act on a sidecar.
     std::size_t sidecar() const { return numbers_[0]; }
-    /// The server of all kinds that act on one; of cut_link the number of servers stands for the discovery.
+    /// For all kinds that act on a server. For cut_link, the number of servers denotes the discovery service.
     std::size_t server() const { return numbers_[1]; }
-    /// Of send_requests: index of kRequestClasses.
+    /// For send_requests: index into kRequestClasses.
     std::size_t request_class() const { return numbers_[1]; }
-    /// Of send_requests.
+    /// For send_requests.
     std::uint64_t request_count() const { return numbers_[2]; }
-    /// Of cut_link.
+    /// For cut_link.
     CutDirection cut_direction() const;
-    /// Of partition: the first sidecar of the second half.
+    /// For partition: the first sidecar of the second half.
     std::size_t first_of_second_half() const { return numbers_[0]; }
-    /// Of partition: 0 or 1, the half that the discovery is in.
+    /// For partition: the half that contains the discovery service, 0 or 1.
     std::size_t half_of_discovery() const { return numbers_[1] % 2; }
-    /// Of break_responses: whether by a reset; else by the end of sending.
+    /// For break_responses: true for a reset, false for a half-close.
     bool breaks_by_reset() const { return numbers_[0] % 2 != 0; }
-    /// Of break_responses: the offset of the first byte that does not come.
+    /// For break_responses: offset of the first byte that is not delivered.
     std::uint64_t before_byte() const { return numbers_[2]; }
-    /// Of limit_cpu: 0.01 for 1 percent.
+    /// For limit_cpu: 0.01 is 1 percent.
     double cpu_share() const { return static_cast<double>(numbers_[2]) / 100; }
-    /// Of set_behavior.
+    /// For set_behavior.
     ServerBehavior behavior() const;
-    /// Of wait.
+    /// For wait.
     Millis wait_duration() const { return static_cast<Millis>(numbers_[2]); }
 
     bool operator==(const FaultStep&) const = default;
@@ -93,10 +93,10 @@
 
 using Schedule = std::vector<FaultStep>;
 
-/// The classes of requests that a schedule sends.
+/// The request classes that schedules use.
 constexpr std::array<const char*, 3> kRequestClasses{"listen", "deposit", "annotate"};
 
-/// A line of a schedule's text that is no step.
+/// A line of a schedule's text is not a valid step.
 class ScheduleSyntaxError : public std::invalid_argument {
 public:
     ScheduleSyntaxError(std::size_t line, const std::string& text)
@@ -109,14 +109,14 @@
     std::size_t line_;
 };
 
-/// Draws a schedule: the same for the same seed, on every machine.
-/// @param sidecars 2 at least.
+/// Draws a schedule. The same arguments give the same schedule on every machine.
+/// @param sidecars at least 2.
 Schedule draw_schedule(std::uint64_t seed, std::size_t sidecars, std::size_t servers, std::size_t steps);
 
-/// @return the schedule as text, a line each: "cut 1 0 2".
+/// @return the schedule as text, one line per step, such as "cut 1 0 2".
 std::string text_of(const Schedule& schedule);
 
-/// Reads what text_of() wrote. Empty lines and lines that begin with # are passed over.
+/// Parses the output of text_of(). Ignores empty lines and lines that begin with #.
 /// @throws ScheduleSyntaxError
 Schedule parse_schedule(const std::string& text);
 
--- a/src/process_testbed/link_observers.cpp
+++ b/src/process_testbed/link_observers.cpp
@@ -22,8 +22,8 @@
 /// Finds the ends of the responses in the bytes that a server sends on one connection.
 class ResponseEndReader {
 public:
-    /// Takes the next bytes and calls `on_end()` for each response that ends among them. What is no HTTP ends
-    /// a response as well.
+    /// Consumes the next bytes and calls `on_end()` for each response that ends among them. Bytes that are
+    /// not HTTP also end a response.
     template <class OnEnd>
     void feed(std::string_view bytes, OnEnd on_end) {
         pending_ += bytes;
@@ -49,18 +49,18 @@
     std::optional<http::response_parser<http::string_body>> parser_;
 };
 
-/// The readers of a link's connections, by number.
+/// The readers of the connections of one link, by connection number.
 struct AttemptReaders {
     std::map<std::uint64_t, RequestReader> requests;
     std::map<std::uint64_t, ResponseEndReader> responses;
 };
 
-/// Finds the endpoint lists in the bytes of one connection: the body of a response or a line of a watch.
+/// Finds endpoint lists in the bytes of one connection: in the body of a response or in a line of a watch.
 ///
-/// Each is a JSON object that begins with its member "all". No other brace stands between two of them.
+/// Each list is a JSON object that begins with its member "all". No other braces occur between two lists.
 class EndpointListReader {
 public:
-    /// Takes the next bytes and calls `on_list(json)` for each list that ends among them.
+    /// Consumes the next bytes and calls `on_list(json)` for each list that ends among them.
     template <class OnList>
     void feed(std::string_view bytes, OnList on_list) {
         pending_ += bytes;
@@ -76,7 +76,8 @@
     }
 
 private:
-    // The first brace up to which the text from `begin` is JSON; npos: the object is not whole yet.
+    // Returns the position of the first closing brace that completes the JSON object at `begin`; npos if the
+    // object is incomplete.
     std::size_t find_end(std::size_t begin, json& list) const {
         std::size_t end = begin;
         while ((end = pending_.find('}', end)) != std::string::npos) {
--- a/src/process_testbed/process.cpp
+++ b/src/process_testbed/process.cpp
@@ -22,8 +22,9 @@
 
 namespace {
 
-constexpr int kExecFailed = 127;                                // as a shell reports it
-constexpr std::string_view kPlatformVariablePrefix = "RELAY_";  // of the platform's environment variables
+constexpr int kExecFailed = 127;  // exit status of a shell that cannot run a command
+constexpr std::string_view kPlatformVariablePrefix =
+    "RELAY_";  // prefix of the platform's environment variables
 
 void replace_file(const std::filesystem::path& path, const std::string& text) {
     const std::filesystem::path temporary = path.string() + ".new";
@@ -34,14 +35,15 @@
     std::filesystem::rename(temporary, path);
 }
 
-// Waits for the process to stop or end, as the flags of waitpid(2) say, and returns its status.
+// Waits until the process stops or ends, depending on the flags of waitpid(2), and returns its status.
 int wait_for_status(pid_t pid, int flags) {
     int status = 0;
     while (::waitpid(pid, &status, flags) < 0 && errno == EINTR) continue;
     return status;
 }
 
-// The environment of this process without the platform's variables, and with one more; null at its end.
+// Returns the environment of this process without the platform's variables, with `variable` added and a null
+// pointer at the end.
 std::vector<char*> environment_with(const std::string& variable) {
     std::vector<char*> environment;
     for (char** entry = environ; *entry != nullptr; ++entry) {
@@ -52,16 +54,16 @@
     return environment;
 }
 
-// The child's part after fork(2): only calls that are safe there.
+// Runs in the child after fork(2), and therefore calls only async-signal-safe functions.
 [[noreturn]] void exec_child(const char* log_path, char* const* arguments, char* const* environment) {
-    ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // a simulation that is killed leaves nothing behind
+    ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // a killed test leaves no processes behind
     const int log_file = ::open(log_path, O_WRONLY | O_CREAT | O_APPEND, 0644);
     const int null_device = ::open("/dev/null", O_RDONLY);
     ::dup2(null_device, STDIN_FILENO);
     ::dup2(log_file, STDOUT_FILENO);
     ::dup2(log_file, STDERR_FILENO);
     ::close_range(STDERR_FILENO + 1, ~0U, 0);
-    ::signal(SIGPIPE, SIG_DFL);  // links ignore it, and what is ignored stays so over execve(2)
+    ::signal(SIGPIPE, SIG_DFL);  // links ignore SIGPIPE, and execve(2) would keep it ignored
     sigset_t none;
     sigemptyset(&none);
     sigprocmask(SIG_SETMASK, &none, nullptr);
@@ -96,7 +98,7 @@
 }
 
 void Process::start() {
-    // All that allocates is done before the fork.
+    // All allocations must precede the fork.
     const std::string config_variable = "RELAY_CONFIG=" + config_path().string();
     const std::vector<char*> environment = environment_with(config_variable);
     const std::string command = shell_command();
@@ -120,7 +122,7 @@
     for (int i = 0; i < kMaxYieldsBeforeFreeze && !is_waiting(); ++i) ::sched_yield();
     ::kill(pid_, SIGSTOP);
     is_frozen_ = WIFSTOPPED(wait_for_status(pid_, WUNTRACED));
-    if (!is_frozen_) pid_ = -1;  // it had ended
+    if (!is_frozen_) pid_ = -1;  // the process had already ended
 }
 
 void Process::thaw() {
@@ -148,7 +150,7 @@
 
 void Process::kill() {
     if (!is_running()) return;
-    ::kill(pid_, SIGKILL);  // ends one that is frozen as well
+    ::kill(pid_, SIGKILL);  // SIGKILL also ends a stopped process
     is_frozen_ = false;
     wait_for_status(pid_, 0);
     pid_ = -1;
--- a/src/process_testbed/process.hpp
+++ b/src/process_testbed/process.hpp
@@ -1,4 +1,4 @@
-// Runs one sidecar as a process of its own, with the files that it is configured by.
+// Runs one sidecar as a separate process, with its configuration files.
 #pragma once
 
 #include <sys/types.h>
@@ -24,49 +24,51 @@
 
 /// Owns a child process and its files NAME.json, NAME.toml and NAME.log in a folder.
 ///
-/// The process is killed with this object, and by the kernel if the thread that started it ends
+/// The destructor kills the process. The kernel kills it if the thread that started it ends
 /// (PR_SET_PDEATHSIG). Not thread-safe.
 class Process {
 public:
-    /// Times that freeze() yields while it waits for the process to come to rest.
+    /// Maximum number of times that freeze() yields while it waits for the process to sleep.
     static constexpr int kMaxYieldsBeforeFreeze = 20000;
 
-    /// @param command for /bin/sh. It should replace the shell: "exec " is put before it if it does not begin
-    /// so.
-    /// @param folder  must exist.
+    /// @param command command for /bin/sh. It must replace the shell, so "exec " is prepended unless it
+    /// begins with it.
+    /// @param folder  existing folder for the files.
     Process(std::string name, const std::string& command, std::filesystem::path folder);
     ~Process();
     Process(const Process&) = delete;
     Process& operator=(const Process&) = delete;
 
-    /// Replaces the configuration as a whole: a process never reads half a file.
+    /// Replaces the configuration file atomically, so that the process never reads a partial file.
     /// @throws FileWriteError
     void write_config(const nlohmann::json& config) const;
-    /// Replaces the operator's file for the next start; empty: none.
+    /// Replaces the operator's file for the next start. An empty text means no file.
     /// @throws FileWriteError
     void write_operator_file(const std::string& toml);
-    /// Chooses the command of the next start.
+    /// Sets the command for the next start.
     void set_command(const std::string& command);
-    /// @throws std::system_error if no process can be made.
+    /// @throws std::system_error if the process cannot be created.
     void start();
-    /// Sends a signal, if the process runs.
+    /// Sends a signal if the process is running.
     void signal(int number) const;
-    /// Stops the process (SIGSTOP), if possible while it waits in its event loop: one that is stopped between
-    /// a check and the write that follows writes first thing when it resumes, which no program can help.
+    /// Stops the process (SIGSTOP), if possible while it waits in its event loop. A process that is stopped
+    /// between a check and the write that follows it sends the write first when it resumes, and no program
+    /// can prevent this.
     void freeze();
-    /// Resumes the process (SIGCONT) with the state it had, and full socket buffers.
+    /// Resumes the process (SIGCONT) with unchanged state and with socket buffers that filled in the
+    /// meantime.
     void thaw();
     bool is_frozen() const { return is_frozen_; }
-    /// Sets the soft limit of descriptors of the running process (setrlimit(2)).
+    /// Sets the soft limit of open descriptors of the running process (setrlimit(2)).
     void limit_descriptors(std::size_t max_descriptors) const;
-    /// @return the process id; negative while none runs.
+    /// @return the process id; negative if no process is running.
     pid_t pid() const { return pid_; }
-    /// @return whether the process sleeps in a system call.
+    /// @return whether the process is sleeping in a system call.
     bool is_waiting() const;
-    /// @return the status as of waitpid(2) if the process has ended since the last call.
+    /// @return the status in the format of waitpid(2) if the process has ended since the last call.
     std::optional<int> poll_exit();
     bool is_running() const { return pid_ > 0; }
-    /// SIGKILL; returns when the process has ended.
+    /// Sends SIGKILL and returns when the process has ended.
     void kill();
     std::filesystem::path log_path() const { return folder_ / (name_ + ".log"); }
 
--- a/src/process_testbed/process_testbed.cpp
+++ b/src/process_testbed/process_testbed.cpp
@@ -18,29 +18,32 @@
 
 namespace {
 
-// A testbed has a part of loopback of its own: 4,096 addresses, of 3,800 parts from 127.16.0.0 on.
+// Each testbed has its own block of loopback addresses: one of 3,800 blocks of 4,096 addresses from
+// 127.16.0.0 on.
 constexpr std::uint32_t kLoopback = 127U << 24;
 constexpr std::uint32_t kFirstBlock = 16U << 16;
 constexpr std::uint32_t kBlockCount = 3800;
 constexpr std::uint32_t kBlockBits = 12;
 constexpr std::uint32_t kFirstHost = 2;
-// Between two testbeds of one process. A prime: they seldom meet those of the process with the next id.
+// Distance between the blocks of two testbeds of one process. It is prime, so that they rarely collide with
+// the blocks of the process with the next process id.
 constexpr std::uint32_t kBlockStep = 1009;
 
-// Hosts of a part.
+// Host numbers within a block.
 constexpr std::uint32_t kBroadcastHost = 0;
 constexpr std::uint32_t kDiscoveryHost = 1;
-constexpr std::uint32_t kFirstSidecarHost = 0x100;  // where the processes listen
-constexpr std::uint32_t kFirstLinkHost = 0x400;     // where others reach them, by a link
+constexpr std::uint32_t kFirstSidecarHost = 0x100;  // addresses on which the processes listen
+constexpr std::uint32_t kFirstLinkHost = 0x400;     // addresses of the links through which others reach them
 constexpr std::uint32_t kFirstServerHost = 0x800;
 
-constexpr std::chrono::milliseconds kMaxLoopStep{50};  // of the loop, before conditions are looked at again
+constexpr std::chrono::milliseconds kMaxLoopStep{50};  // maximum duration of one step of the event loop
 
-// A sidecar has a second in all to close what it no longer needs.
+// A sidecar gets one second in total to close unneeded descriptors.
 constexpr int kMaxDescriptorChecks = 40;
 constexpr Millis kDescriptorCheckPeriod = 25;
 
-// Testbeds of several processes keep apart by the process id, those of one process by a count.
+// Selects an address block by process id, to separate processes, and by a counter, to separate testbeds of
+// one process.
 std::uint32_t next_loopback_block() {
     static std::uint32_t count = 0;
     const auto block = static_cast<std::uint32_t>(::getpid()) + kBlockStep * count;
@@ -81,7 +84,8 @@
     const std::string name = sidecar_name(sidecar);
     const auto own_address = address(host(kFirstSidecarHost, sidecar));
     const auto link_address = address(host(kFirstLinkHost, sidecar));
-    // Free ports of its own address: nothing else has them, so they are free again at the next start.
+    // Selects free ports of the sidecar's own address. Nothing else binds to that address, so they are free
+    // again at the next start.
     const SidecarController::Endpoints endpoints{
         tcp::acceptor(io_, tcp::endpoint(own_address, 0)).local_endpoint(),
         udp::socket(io_, udp::endpoint(own_address, 0)).local_endpoint()};
@@ -93,7 +97,8 @@
                                                                tcp::endpoint(address(kDiscoveryHost), 0)));
     add_link(name, kDiscoveryName, discoveries_.back()->endpoint());
     observe_endpoint_list(link(name, kDiscoveryName), context_, request_history_, name);
-    // Not at the sidecar's own address: its port is free until it starts, and must stay so.
+    // The link listens on another address, because the sidecar's port must stay free until the sidecar
+    // starts.
     add_link(clients_name(sidecar), name, endpoints.listen, link_address);
 }
 
@@ -231,7 +236,7 @@
     return clients_.send(name, link(clients_name(sidecar), name).endpoint(), request);
 }
 
-// Runs one step of the loop and checks the history; false if a wait must end.
+// Runs one step of the event loop and checks the history. Returns false if the current wait must end.
 bool ProcessTestbed::run_step(Millis limit) {
     io_.run_one_for(kMaxLoopStep);
     request_history_.check_due_overlaps(now());
@@ -271,7 +276,7 @@
 }
 
 std::string ProcessTestbed::describe_failure(const std::string& id) {
-    record_crashes();  // what is explained may have ended a process since the last check
+    record_crashes();  // a process may have ended since the last check
     const std::string text = violations();
     if (!id.empty()) return text + request_history_.history(id);
     if (request_history_.violations().empty()) return text + request_history_.history();
--- a/src/process_testbed/process_testbed.hpp
+++ b/src/process_testbed/process_testbed.hpp
@@ -1,5 +1,5 @@
-// A testbed of real sidecar processes, emulated clients, servers and discovery, with fault rules on all
-// links.
+// A testbed of real sidecar processes with emulated clients, servers and discovery services, and with fault
+// rules on all links.
 //
 //     ProcessTestbed testbed({.sidecars = 3, .servers = 2, .program = ELMBAY_PROGRAM});
 //     testbed.start();
@@ -7,8 +7,8 @@
 //     testbed.context().put_rule({.name = "cut", .from = {"s-*"}, .to = {"n-0"}, .act = FaultType::cut});
 //     ASSERT_TRUE(testbed.run_until([&] { return testbed.has_ended(id); })) << testbed.describe_failure(id);
 //
-// Names in rules: sidecars n-0 ..., servers s-0 ..., the discovery service "list", the clients of n-I c-I.
-// Links: c-I -> n-I, n-I -> s-J, n-I -> list; datagrams between sidecars.
+// Names in rules: sidecars are n-0 ..., servers s-0 ..., the discovery service is "list", and the clients of
+// n-I are c-I. Links: c-I -> n-I, n-I -> s-J, n-I -> list, and datagrams between sidecars.
 #pragma once
 
 #include <functional>
@@ -35,49 +35,49 @@
 
 /// @return the name of a sidecar in rules and in the history.
 inline std::string sidecar_name(std::size_t sidecar) { return "n-" + std::to_string(sidecar); }
-/// @return the name of a server in rules and in the history; its uid in the endpoint list.
+/// @return the name of a server in rules and in the history, which is also its uid in the endpoint list.
 inline std::string server_name(std::size_t server) { return "s-" + std::to_string(server); }
 /// @return the name of a sidecar's clients in rules.
 inline std::string clients_name(std::size_t sidecar) { return "c-" + std::to_string(sidecar); }
 /// The name of the discovery service in rules.
 constexpr const char* kDiscoveryName = "list";
 
-/// A sidecar did not become ready. The message has the end of its log.
+/// A sidecar did not become ready. The message contains the end of its log.
 class SidecarNotReady : public std::runtime_error {
 public:
     using std::runtime_error::runtime_error;
 };
 
-/// Starts sidecars as processes and runs all that is around them in one event loop and one thread.
+/// Starts sidecars as processes and runs all emulators in one event loop and one thread.
 ///
-/// Nothing sleeps: a test waits with run_until(), and after every step of the loop the history is checked; a
-/// violation ends the wait. Not thread-safe. The destructor ends every process that was started, and the
-/// kernel does if this process ends. Sidecars and servers are numbered from 0; a number that there is not is
-/// undefined behavior.
+/// Tests wait with run_until() and never sleep. The history is checked after every step of the event loop,
+/// and a violation ends the wait. Not thread-safe. The destructor ends all processes that were started, and
+/// the kernel does so if this process ends. Sidecars and servers are numbered from 0; a number out of range
+/// is undefined behavior.
 class ProcessTestbed {
 public:
-    /// Milliseconds that a wait lasts at most: far beyond what a busy machine needs.
+    /// Maximum duration of a wait in milliseconds, far longer than any event takes on a busy machine.
     static constexpr Millis kMaxWait = 60000;
-    /// Milliseconds between two looks for processes that have ended.
+    /// Milliseconds between two checks for processes that have ended.
     static constexpr Millis kProcessCheckPeriod = 10;
-    /// Descriptors that a sidecar reserves for itself (src/sidecar).
+    /// Number of descriptors that a sidecar reserves for itself (src/sidecar).
     static constexpr std::size_t kReservedDescriptors = 24;
 
-    /// Makes links, emulators and files; no process runs yet.
+    /// Creates links, emulators and files, but starts no process.
     explicit ProcessTestbed(Options options);
     ~ProcessTestbed();
     ProcessTestbed(const ProcessTestbed&) = delete;
     ProcessTestbed& operator=(const ProcessTestbed&) = delete;
 
     /// Starts all sidecars and waits until each is ready.
-    /// @throws SidecarNotReady if one does not become so within kMaxWait.
+    /// @throws SidecarNotReady if a sidecar is not ready within kMaxWait.
     void start();
 
     fault_proxy::EventLoopContext& context() { return context_; }
     fault_proxy::DatagramNet& datagrams() { return *datagrams_; }
-    /// @throws std::out_of_range if there is no such link.
+    /// @throws std::out_of_range if the link does not exist.
     fault_proxy::StreamLink& link(const std::string& from, const std::string& to);
-    /// @return milliseconds since the testbed was made.
+    /// @return milliseconds since the testbed was created.
     Millis now() const { return context_.now(); }
     RequestHistory& request_history() { return request_history_; }
     std::size_t sidecar_count() const { return sidecars_.size(); }
@@ -86,48 +86,49 @@
     /// @name Processes
     /// @{
 
-    /// Stops a sidecar's process with all its state; its sockets stay open.
+    /// Stops the process of a sidecar (SIGSTOP). Its state and its open sockets are kept.
     void freeze(std::size_t sidecar) { sidecars_[sidecar]->freeze(); }
     /// Resumes a frozen sidecar.
     void thaw(std::size_t sidecar) { sidecars_[sidecar]->thaw(); }
-    /// Lets it run for this share of every SidecarController::kCpuPeriod from now on; 1: without a limit.
+    /// Limits a sidecar to this share of every SidecarController::kCpuPeriod; 1 removes the limit.
     void limit_cpu(std::size_t sidecar, double share) { sidecars_[sidecar]->limit_cpu(share); }
-    /// Ends it at once, without a graceful shutdown.
+    /// Ends a sidecar immediately, without graceful shutdown.
     void kill(std::size_t sidecar) { sidecars_[sidecar]->kill(); }
-    /// Asks it to shut down gracefully (SIGTERM).
+    /// Sends SIGTERM, which starts a graceful shutdown.
     void terminate(std::size_t sidecar) { sidecars_[sidecar]->terminate(); }
-    /// Starts it again after it has ended.
-    /// @param command       another build from now on; empty: the same.
-    /// @param operator_file added to its operator's file from now on; empty: as before.
+    /// Starts a sidecar again after it has ended.
+    /// @param command       command for this and later starts; empty: unchanged.
+    /// @param operator_file text added to the operator's file for this and later starts; empty: unchanged.
     void restart(std::size_t sidecar, const std::string& command = "", const std::string& operator_file = "");
     bool is_running(std::size_t sidecar) const { return process(sidecar).is_running(); }
-    /// @return whether it has answered GET /up with 200 since its start.
+    /// @return whether the sidecar has responded to GET /up with 200 since its start.
     bool is_ready(std::size_t sidecar) const { return sidecars_[sidecar]->is_ready(); }
     Process& process(std::size_t sidecar) { return sidecars_[sidecar]->process(); }
     const Process& process(std::size_t sidecar) const { return std::as_const(*sidecars_[sidecar]).process(); }
-    /// @return where it listens for datagrams of the other sidecars.
+    /// @return the address on which the sidecar listens for datagrams of the other sidecars.
     udp::endpoint cluster_endpoint(std::size_t sidecar) const;
-    /// @return where it listens for clients.
+    /// @return the address on which the sidecar listens for clients.
     tcp::endpoint listen_endpoint(std::size_t sidecar) const;
-    /// @return what its status socket says; discarded JSON if nothing listens there within kMaxWait.
+    /// @return the content of the sidecar's status socket; discarded JSON if it does not respond within
+    /// kMaxWait.
     json status(std::size_t sidecar);
-    /// Waits a while for it to close what it no longer needs.
-    /// @return whether it holds no more descriptors than its status counts and kReservedDescriptors.
+    /// Waits for up to a second until the sidecar has closed unneeded descriptors.
+    /// @return whether it holds no more descriptors than its status counts plus kReservedDescriptors.
     bool descriptors_are_accounted_for(std::size_t sidecar);
     /// @}
 
     /// @name Clients
     /// @{
 
-    /// Sends a request of this class, with the deadline of the options.
-    /// @return its correlation id.
+    /// Sends a request of this class with the deadline of the options.
+    /// @return the correlation id of the request.
     std::string send_request(std::size_t sidecar, const std::string& request_class) {
         return send_request(sidecar, ClientRequest{request_class});
     }
     std::string send_request(std::size_t sidecar, ClientRequest request);
-    /// @return whether the request has its outcome, or its client has left.
+    /// @return whether the request has its outcome, or its client has disconnected.
     bool has_ended(const std::string& id) const { return clients_.has_ended(id); }
-    /// @return how it ended; none while it is open, or if it ended without a response.
+    /// @return the outcome of the request; none while the request is open, or if it ended without a response.
     std::optional<RequestHistory::Outcome> outcome(const std::string& id) const {
         return clients_.outcome(id);
     }
@@ -138,35 +139,35 @@
 
     ServerEmulator& server(std::size_t server) { return *servers_.at(server); }
     /// Adds a server and lists it as active.
-    /// @return its number.
+    /// @return the number of the server.
     std::size_t add_server();
-    /// Lists the server with this state, for every sidecar that watches the list.
+    /// Sets the state of a server in the endpoint lists of all sidecars.
     void set_endpoint_state(std::size_t server, EndpointState state);
     /// @}
 
     /// @name Waiting
     /// @{
 
-    /// Runs the event loop until the condition holds.
-    /// @return whether it does; false at the first violation or crash, and after kMaxWait.
+    /// Runs the event loop until the condition is true.
+    /// @return whether it is; false at the first violation or crash, or after kMaxWait.
     bool run_until(const std::function<bool()>& condition);
-    /// Runs the event loop for so many milliseconds: only for what must not happen meanwhile.
-    /// @return whether there was no violation and no crash.
+    /// Runs the event loop for a fixed time. Only for checking that an event does not happen.
+    /// @return whether no violation and no crash occurred.
     bool run_for(Millis duration);
-    /// Waits until every request has ended, and for what is checked only after a slack.
-    /// @return whether there was no violation.
+    /// Waits until every request has ended and every check that is delayed by the tolerance is done.
+    /// @return whether no violation was found.
     bool run_until_idle();
-    /// @return the violations, a line each.
+    /// @return the violations, one per line.
     std::string violations() const;
-    /// Explains a failure: the violations and the events of the request, of the first violation's request if
-    /// none is named, of all if there is no violation.
+    /// Describes a failure: the violations, and the events of the given request. Without an id, uses the
+    /// request of the first violation, or all events if there is no violation.
     std::string describe_failure(const std::string& id = "");
     /// @}
 
 private:
     asio::ip::address_v4 address(std::uint32_t host) const;
     void add_sidecar(std::size_t sidecar);
-    // Listens at `listen_address`, or at the target's if there is none.
+    // Listens on `listen_address`, or on the address of the target if none is given.
     void add_link(const std::string& from, const std::string& to, const tcp::endpoint& target,
                   const std::optional<asio::ip::address>& listen_address = {});
     void write_files(std::size_t sidecar, const std::string& operator_file);
@@ -177,7 +178,7 @@
     bool run_step(Millis limit);
 
     const Options options_;
-    const std::uint32_t loopback_block_;  // of 127.0.0.0/8, so that testbeds side by side keep apart
+    const std::uint32_t loopback_block_;  // block of 127.0.0.0/8, distinct for concurrent testbeds
     const TemporaryFolder folder_{"fleet"};
     asio::io_context io_{1};
     fault_proxy::EventLoopContext context_;
@@ -188,7 +189,7 @@
     std::vector<std::unique_ptr<DiscoveryEmulator>> discoveries_;  // by sidecar
     ClientEmulator clients_;
     std::vector<std::unique_ptr<SidecarController>> sidecars_;
-    std::vector<std::string> operator_files_;  // by sidecar: what restart() was given
+    std::vector<std::string> operator_files_;  // by sidecar: text passed to restart()
     bool has_crash_ = false;
 };
 
--- a/src/process_testbed/request_history.cpp
+++ b/src/process_testbed/request_history.cpp
@@ -63,7 +63,7 @@
     if (outcome == Outcome::served && !was_processed) {
         report_violation(now, id, "one final outcome: served, and no server did it");
     }
-    // A rejection says that a retry is harmless, and it must be true.
+    // A rejection promises that a retry is harmless. This checks the promise.
     const bool retry_is_harmful = request.idempotency == Idempotency::non_idempotent && was_processed;
     if (outcome == Outcome::rejected && retry_is_harmful) {
         report_violation(now, id, "nothing twice: refused, though a server has done it");
@@ -88,7 +88,8 @@
 void RequestHistory::on_closed_without_response(Millis now, const std::string& id) {
     Request& request = requests_[id];
     record(now, request.sidecar, id, "its connection was closed with no answer");
-    // A client whose request was never sent on may retry it; else its outcome is lost.
+    // A client may retry a request that was never forwarded. If the request was forwarded, its outcome is
+    // lost.
     if (!request.is_outcome_optional && request.attempts > 0) {
         report_violation(now, id, "one final outcome: sent on, and closed with no answer");
     }
@@ -223,7 +224,8 @@
     }
 }
 
-// All events if id is empty; else those of that request, and the notes of the processes that it touched.
+// Returns all events if the id is empty, otherwise the events of that request and the notes of the processes
+// involved.
 std::vector<const RequestHistory::Event*> RequestHistory::events_of(const std::string& id) const {
     std::set<std::string> processes;
     for (const Event& event : events_) {
--- a/src/process_testbed/request_reader.hpp
+++ b/src/process_testbed/request_reader.hpp
@@ -1,4 +1,4 @@
-// Finds the requests in the bytes of one connection as they pass by.
+// Finds the requests in the bytes of one connection.
 #pragma once
 
 #include <boost/asio/buffer.hpp>
@@ -13,17 +13,19 @@
 
 using balancer::Millis;
 
-/// Bytes of the longest body that emulators and observers read; far more than any test sends.
+/// Maximum length in bytes of a body that emulators and observers read, far longer than the bodies in any
+/// test.
 constexpr std::uint64_t kMaxBodyBytes = 4 << 20;
 
 /// Reads the HTTP/1.1 requests of one connection and reports the correlation id of each.
 ///
-/// Not thread-safe. Holds at most one unfinished request. Bytes that are no HTTP yield no requests.
+/// Not thread-safe. Holds at most one unfinished request. Bytes that are not HTTP yield no requests.
 class RequestReader {
 public:
-    /// Takes the next bytes of the connection.
-    /// @param on_request called as `on_request(id, first_byte)` for each request whose last byte is among
-    ///                   them; `first_byte` is the time of the call that brought the request's first byte.
+    /// Consumes the next bytes of the connection.
+    /// @param on_request called as `on_request(id, first_byte)` for each request whose last byte is among the
+    /// bytes;
+    /// `first_byte` is the time of the call that contained the first byte of the request.
     template <class OnRequest>
     void feed(std::string_view bytes, Millis now, OnRequest on_request) {
         pending_ += bytes;
@@ -50,7 +52,7 @@
     }
 
     std::string pending_;    // not yet accepted by the parser
-    Millis first_byte_ = 0;  // of the request that parser_ reads
+    Millis first_byte_ = 0;  // for the request that parser_ reads
     std::optional<boost::beast::http::request_parser<boost::beast::http::string_body>> parser_;
 };
 
--- a/src/process_testbed/server_emulator.cpp
+++ b/src/process_testbed/server_emulator.cpp
@@ -12,7 +12,7 @@
 namespace http = boost::beast::http;
 using Error = boost::system::error_code;
 
-/// One connection of a sidecar: reads a request, waits for the response, reads the next.
+/// One connection of a sidecar. Handles one request at a time.
 class ServerEmulator::Connection : public std::enable_shared_from_this<Connection> {
 public:
     Connection(ServerEmulator& server, tcp::socket socket) : server_(&server), socket_(std::move(socket)) {
@@ -30,7 +30,7 @@
         });
     }
 
-    /// @param headers whole header lines.
+    /// @param headers complete header lines.
     void respond(const std::string& status, const std::string& headers, const std::string& body) {
         if (!server_) return;
         const auto text = std::make_shared<std::string>("HTTP/1.1 " + status + "\r\n" + headers +
@@ -52,7 +52,7 @@
     }
 
 private:
-    ServerEmulator* server_;  // null once it is closed
+    ServerEmulator* server_;  // null after close()
     tcp::socket socket_;
     boost::beast::flat_buffer buffer_{kMaxBodyBytes};
     std::optional<http::request_parser<http::string_body>> parser_;
@@ -102,7 +102,8 @@
     const Millis now = context_.now();
     history_.on_processed(now, id, name_);
     if (behavior == ServerBehavior::no_response) return;
-    // The id comes first: by it the client knows that the response was made for its request.
+    // The body begins with the request's id, so that the client can check that the response belongs to its
+    // request.
     const std::string body = id + " " + name_ + "\n" + std::string(body_bytes, 'x');
     if (behavior == ServerBehavior::hold) {
         held_responses_.push_back({connection, body});
--- a/src/process_testbed/shrink.hpp
+++ b/src/process_testbed/shrink.hpp
@@ -1,4 +1,4 @@
-// Shrinks a list that fails a test to a small one that still does, by leaving elements out.
+// Shrinks a list that fails a test to a smaller list that still fails, by removing elements.
 #pragma once
 
 #include <algorithm>
@@ -6,12 +6,12 @@
 
 namespace elmbay::process_testbed {
 
-/// Delta debugging (Zeller and Hildebrandt 2002) without its complements: leaves out halves, quarters, down
-/// to single elements, while the rest still fails.
+/// Delta debugging (Zeller and Hildebrandt 2002) without complements: removes halves, then quarters, down to
+/// single elements, as long as the rest still fails.
 /// @param list       a list that fails.
-/// @param fails      called with each shorter list: whether it still fails.
-/// @param max_rounds of passes over the whole list; a pass that leaves nothing out is the last.
-/// @return a list that failed; never empty if `list` was not.
+/// @param fails      returns whether a shorter list still fails.
+/// @param max_rounds maximum number of passes over the whole list; a pass that removes nothing is the last.
+/// @return a list that fails; not empty unless `list` was empty.
 template <class T, class Fails>
 std::vector<T> shrink(std::vector<T> list, const Fails& fails, int max_rounds = 3) {
     for (int round = 0; round < max_rounds; ++round) {
--- a/src/process_testbed/sidecar_config.cpp
+++ b/src/process_testbed/sidecar_config.cpp
@@ -10,8 +10,9 @@
 
 namespace {
 
-constexpr std::size_t kZones = 3;  // a, b, c, in turn
-// Each sidecar and run draws its own random numbers: a seed of the options leaves room for so many runs.
+constexpr std::size_t kZones = 3;  // zones a, b and c, assigned in turn
+// Every run of every sidecar gets its own seed. The steps between the seeds of the options and of the
+// sidecars leave room for 1,009 runs of a sidecar.
 constexpr std::uint64_t kSeedStepOfOptions = 1000003;
 constexpr std::uint64_t kSeedStepOfSidecar = 1009;
 
--- a/src/process_testbed/sidecar_config.hpp
+++ b/src/process_testbed/sidecar_config.hpp
@@ -1,4 +1,4 @@
-// The configuration file with which the testbed starts a sidecar.
+// Creates the configuration files with which the testbed starts a sidecar.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -11,23 +11,24 @@
 
 namespace elmbay::process_testbed {
 
-/// What differs from one sidecar of a testbed, and one run of it, to the next.
+/// The part of a configuration that differs between the sidecars of a testbed and between their runs.
 struct SidecarIdentity {
     std::string name;
-    std::size_t number = 0;                             ///< from 0
-    std::uint64_t run = 0;                              ///< how often it has been started, this time included
-    boost::asio::ip::tcp::endpoint listen;              ///< for clients
-    boost::asio::ip::tcp::endpoint discovery;           ///< where it finds the endpoint list
-    boost::asio::ip::udp::endpoint cluster_listen;      ///< for datagrams of the others
-    std::vector<boost::asio::ip::udp::endpoint> peers;  ///< where each sidecar is reached, by number
-    boost::asio::ip::udp::endpoint broadcast;           ///< where all of them are reached
-    json known_endpoints;                               ///< the endpoint list at the start
+    std::size_t number = 0;                         ///< from 0
+    std::uint64_t run = 0;                          ///< number of starts, including this one
+    boost::asio::ip::tcp::endpoint listen;          ///< address for clients
+    boost::asio::ip::tcp::endpoint discovery;       ///< address of the discovery service
+    boost::asio::ip::udp::endpoint cluster_listen;  ///< address for datagrams of other sidecars
+    std::vector<boost::asio::ip::udp::endpoint>
+        peers;                                 ///< addresses at which the sidecars are reachable, by number
+    boost::asio::ip::udp::endpoint broadcast;  ///< address that reaches all sidecars
+    json known_endpoints;                      ///< the endpoint list at the start of the run
 };
 
-/// @return the configuration in the platform's JSON (docs: PROTOCOL, DEPLOY).
+/// @return the configuration in the platform's JSON format (docs: PROTOCOL, DEPLOY).
 json sidecar_config(const Options& options, const SidecarIdentity& identity);
 
-/// @return the operator's file: `extra`, and the tables that the options switch on.
+/// @return the operator's file: `extra`, followed by the tables that the options enable.
 std::string sidecar_operator_file(const Options& options, const std::string& extra,
                                   const std::string& status_socket);
 
--- a/src/process_testbed/sidecar_controller.cpp
+++ b/src/process_testbed/sidecar_controller.cpp
@@ -19,7 +19,7 @@
 constexpr std::string_view kReadinessRequest = "GET /up HTTP/1.1\r\nHost: app.svc\r\n\r\n";
 constexpr std::size_t kMaxProbeResponseBytes = 16UL * 1024;  // bytes
 
-/// One GET /up.
+/// One GET /up request and its response.
 struct ReadinessProbe {
     explicit ReadinessProbe(asio::io_context& io) : socket(io) {}
     tcp::socket socket;
--- a/src/process_testbed/sidecar_controller.hpp
+++ b/src/process_testbed/sidecar_controller.hpp
@@ -1,4 +1,4 @@
-// Starts, stops, freezes and throttles the process of one sidecar, and knows whether it is ready.
+// Starts, stops, freezes and throttles the process of one sidecar, and probes its readiness.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -16,19 +16,21 @@
 using fault_proxy::udp;
 using tcp = asio::ip::tcp;
 
-/// One sidecar of a testbed. Tells the history and the datagram net what becomes of its process.
+/// One sidecar of a testbed. Reports the state of its process to the history and to the datagram network.
 ///
 /// Owned by ProcessTestbed; runs in its event loop, not thread-safe. The destructor kills the process.
 class SidecarController {
 public:
-    /// Milliseconds between two probes of GET /up while it starts.
+    /// Milliseconds between two probes of GET /up while the sidecar starts.
     static constexpr Millis kReadinessProbePeriod = 20;
-    /// Milliseconds: a throttled process runs for its share of each period and is stopped for the rest.
+    /// Period of throttling in milliseconds. A throttled process runs for its share of each period and is
+    /// stopped for the rest.
     static constexpr Millis kCpuPeriod = 20;
-    /// Bytes from the end of its log that a report of a failed start or a crash shows.
+    /// Maximum number of bytes from the end of the log in the report of a failed start or a crash.
     static constexpr std::size_t kMaxLogExcerptBytes = 600;
 
-    /// Where it listens. Both ports belong to an address of its own, so they are free again at each start.
+    /// Addresses on which the sidecar listens. Both use an IP address of its own, so the ports are free again
+    /// at each start.
     struct Endpoints {
         tcp::endpoint listen;   ///< for clients
         udp::endpoint cluster;  ///< for datagrams of the other sidecars
@@ -42,27 +44,27 @@
     const Endpoints& endpoints() const { return endpoints_; }
     Process& process() { return process_; }
     const Process& process() const { return process_; }
-    /// @return how often it has been started.
+    /// @return the number of times the sidecar has been started.
     std::uint64_t runs() const { return runs_; }
-    /// @return whether its current process has answered GET /up with 200.
+    /// @return whether the current process has responded to GET /up with 200.
     bool is_ready() const { return is_ready_; }
 
-    /// Starts a process with the files that have been written for it.
+    /// Starts a process with the files written for it.
     void start();
-    /// Stops the process with SIGSTOP and tells the history.
+    /// Stops the process with SIGSTOP and reports this to the history.
     void freeze();
-    /// Resumes it after freeze().
+    /// Resumes the process after freeze().
     void thaw();
-    /// Lets it run for this share of every kCpuPeriod from now on; 1: without a limit.
+    /// Limits the process to this share of every kCpuPeriod; 1 removes the limit.
     void limit_cpu(double share);
-    /// SIGKILL; returns when the process has ended.
+    /// Sends SIGKILL and returns when the process has ended.
     void kill();
-    /// SIGTERM: the process may end.
+    /// Sends SIGTERM. From then on the end of the process is not a crash.
     void terminate();
-    /// Notes the end of the process in the history, if it has ended since the last call.
-    /// @return whether it ended though nobody told it to.
+    /// Reports the end of the process to the history if it has ended since the last call.
+    /// @return whether it ended without a request to terminate.
     bool has_crashed();
-    /// @return the end of the process's log.
+    /// @return the end of the process's log, at most kMaxLogExcerptBytes bytes.
     std::string log_excerpt() const;
 
 private:
@@ -80,7 +82,7 @@
     double cpu_share_ = 1;
     fault_proxy::EventLoopContext::TimerKey cpu_slice_end_{};
     bool is_ready_ = false;
-    bool is_termination_requested_ = false;  // it was told to
+    bool is_termination_requested_ = false;  // whether terminate() was called in this run
 };
 
 }  // namespace elmbay::process_testbed
--- a/src/process_testbed/temporary_folder.hpp
+++ b/src/process_testbed/temporary_folder.hpp
@@ -1,4 +1,4 @@
-// A folder that is removed with the object that made it.
+// A temporary folder that exists as long as its object.
 #pragma once
 
 #include <filesystem>
@@ -7,16 +7,16 @@
 
 namespace elmbay::process_testbed {
 
-/// A temporary folder could not be made.
+/// The temporary folder could not be created.
 class TemporaryFolderError : public std::runtime_error {
 public:
     explicit TemporaryFolderError(const std::string& path) : std::runtime_error(path + ": can't be made") {}
 };
 
-/// A new folder below the system's folder for temporary files. The destructor removes it and what is in it.
+/// A new folder in the system's folder for temporary files. The destructor removes it with its content.
 class TemporaryFolder {
 public:
-    /// @param prefix the folder's name begins with it.
+    /// @param prefix beginning of the folder's name.
     /// @throws TemporaryFolderError
     explicit TemporaryFolder(const std::string& prefix);
     ~TemporaryFolder();
--- a/src/process_testbed/testbed_options.hpp
+++ b/src/process_testbed/testbed_options.hpp
@@ -1,4 +1,4 @@
-// What a test chooses about a ProcessTestbed.
+// Options of a ProcessTestbed.
 #pragma once
 
 #include <cstdint>
@@ -14,11 +14,11 @@
 
 /// Size of a ProcessTestbed and settings of its sidecars.
 struct Options {
-    std::size_t sidecars = 3;         ///< 700 at most: each has loopback addresses of its own
-    std::size_t servers = 2;          ///< 2,000 at most, for the same reason
-    std::string program;              ///< the command that starts a sidecar
-    std::uint64_t seed = 1;           ///< of the random choices of fault rules and of the sidecars
-    Millis request_deadline = 3000;   ///< of a request, unless it has its own; the give-up of every class
+    std::size_t sidecars = 3;         ///< at most 700, because each has its own loopback addresses
+    std::size_t servers = 2;          ///< at most 2,000, for the same reason
+    std::string program;              ///< command that starts a sidecar
+    std::uint64_t seed = 1;           ///< seed of the random choices of the fault rules and of the sidecars
+    Millis request_deadline = 3000;   ///< default deadline of requests, and give-up-ms of every class
     Millis latency_objective = 1500;  ///< on-time-ms of every class
     std::size_t max_sockets = 256;    ///< limits.sockets of each sidecar
     bool cluster = false;             ///< whether the sidecars exchange membership ([cluster] on)
