--- a/src/fault_proxy/script.cpp
+++ b/src/fault_proxy/script.cpp
@@ -38,23 +38,47 @@
 }
 
 const std::vector<Key<LinkSpec>> kLinkKeys{
-    {"from", Unit::word, &LinkSpec::from, "", "who connects", 0, 0, {}, true},
-    {"to", Unit::word, &LinkSpec::to, "", "whom it means to reach", 0, 0, {}, true},
+    {"from", Unit::word, &LinkSpec::from, "", "name of the client", 0, 0, {}, true},
+    {"to", Unit::word, &LinkSpec::to, "", "name of the target", 0, 0, {}, true},
     {"listen",
      Unit::word,
      &LinkSpec::listen,
      "",
-     "address:port given to `from`, on loopback",
+     "address:port on loopback to which `from` connects",
      0,
      0,
      {},
      true},
-    {"target", Unit::word, &LinkSpec::target, "", "where `to` really listens, on loopback", 0, 0, {}, true}};
+    {"target",
+     Unit::word,
+     &LinkSpec::target,
+     "",
+     "address:port on loopback on which `to` listens",
+     0,
+     0,
+     {},
+     true}};
 
 const std::vector<Key<MemberSpec>> kMemberKeys{
-    {"name", Unit::word, &MemberSpec::name, "", "of one that sends and gets datagrams", 0, 0, {}, true},
-    {"listen", Unit::word, &MemberSpec::listen, "", "where the others reach it, on loopback", 0, 0, {}, true},
-    {"target", Unit::word, &MemberSpec::target, "", "where it listens, and sends from", 0, 0, {}, true}};
+    {"name", Unit::word, &MemberSpec::name, "", "name of the member", 0, 0, {}, true},
+    {"listen",
+     Unit::word,
+     &MemberSpec::listen,
+     "",
+     "address:port on loopback at which other members reach it",
+     0,
+     0,
+     {},
+     true},
+    {"target",
+     Unit::word,
+     &MemberSpec::target,
+     "",
+     "address:port on loopback on which it listens and from which it sends",
+     0,
+     0,
+     {},
+     true}};
 
 // The keys before the first table.
 struct TopLevelSpec {
@@ -62,9 +86,9 @@
     std::string broadcast;
 };
 const std::vector<Key<TopLevelSpec>> kTopLevelKeys{
-    {"seed", Unit::count, &TopLevelSpec::seed, "1", "all chance comes from it", 0, kMaxCount},
+    {"seed", Unit::count, &TopLevelSpec::seed, "1", "seed of all random choices", 0, kMaxCount},
     {"everybody", Unit::word, &TopLevelSpec::broadcast, "none",
-     "an address that reaches all members but the sender"}};
+     "broadcast address: reaches all members except the sender"}};
 
 std::vector<std::string> split_names(const std::string& text) {
     std::vector<std::string> names;
@@ -114,16 +138,17 @@
     const FaultType type = rule.type;
     const bool needs_delay =
         type == FaultType::delay || type == FaultType::delay_open || type == FaultType::stall;
-    if (spec.groups.size() == 1) report("groups", "takes two groups at least");
+    if (spec.groups.size() == 1) report("groups", "needs at least two groups");
     if (applies_to_datagrams_only(type) && rule.medium == Medium::stream) {
-        report("medium", "this act is of datagrams; TCP loses and repeats nothing that its user could see");
+        report("medium",
+               "this fault applies to datagrams only; TCP hides loss and duplication from its users");
     }
     if (spec.period > 0 && spec.period <= spec.duration) report("every", "must be longer than lasts");
-    if (spec.period > 0 && spec.duration <= 0) report("lasts", "is needed with every");
-    if (rule.last_number < rule.first_number) report("last", "is before first");
+    if (spec.period > 0 && spec.duration <= 0) report("lasts", "is required if every is set");
+    if (rule.last_number < rule.first_number) report("last", "must not be less than first");
     if (type == FaultType::limit_rate && spec.bytes_per_second <= 0)
-        report("rate", "is needed: bytes a second");
-    if (needs_delay && spec.delay <= 0) report("span", "is needed: for how long");
+        report("rate", "is required: bytes per second");
+    if (needs_delay && spec.delay <= 0) report("span", "is required: duration of the fault");
 }
 
 void read_top_level(const toml::table& table, Script& script, Problems& problems) {
@@ -141,7 +166,7 @@
         check_address(spec.listen, section + ".listen", line, problems);
         check_address(spec.target, section + ".target", line, problems);
         const bool is_new = ends.emplace(spec.from, spec.to).second;
-        if (!is_new) problems.push_back({line, section, "is there twice"});
+        if (!is_new) problems.push_back({line, section, "is defined twice"});
         script.links.push_back(std::move(spec));
     };
     schema::read_sections(table, "link", Script::kMaxLinks, kLinkKeys, problems, add);
@@ -154,7 +179,7 @@
         check_address(spec.listen, section + ".listen", line, problems);
         check_address(spec.target, section + ".target", line, problems);
         const bool is_new = names.insert(spec.name).second;
-        if (!is_new) problems.push_back({line, section + ".name", "is there twice"});
+        if (!is_new) problems.push_back({line, section + ".name", "is defined twice"});
         script.members.push_back(std::move(spec));
     };
     schema::read_sections(table, "member", Script::kMaxLinks, kMemberKeys, problems, add);
@@ -166,7 +191,8 @@
         script.rules.push_back(rule_of(spec, number, line, problems));
         const bool is_new = names.insert(script.rules.back().name).second;
         if (!is_new)
-            problems.push_back({line, "rule " + std::to_string(number) + ".name", "is another rule's"});
+            problems.push_back(
+                {line, "rule " + std::to_string(number) + ".name", "is already the name of another rule"});
     };
     schema::read_sections(table, "rule", Script::kMaxRules, rule_keys(), problems, add);
 }
@@ -175,57 +201,73 @@
 
 const std::vector<Key<RuleSpec>>& rule_keys() {
     static const std::vector<Key<RuleSpec>> kKeys{
-        {"name", Unit::word, &RuleSpec::name, "its number", "to change it, and for logs"},
-        {"act", Unit::word, &RuleSpec::fault_type, "", "what happens", 0, 0, fault_type_names(), true},
-        {"from", Unit::words, &RuleSpec::from, "\"*\"", "who sends; a trailing * is any rest"},
-        {"to", Unit::words, &RuleSpec::to, "\"*\"", "who should get it"},
+        {"name", Unit::word, &RuleSpec::name, "its number", "unique name of the rule"},
+        {"act", Unit::word, &RuleSpec::fault_type, "", "the fault", 0, 0, fault_type_names(), true},
+        {"from", Unit::words, &RuleSpec::from, "\"*\"", "names of senders; a trailing * matches any suffix"},
+        {"to", Unit::words, &RuleSpec::to, "\"*\"", "names of receivers; a trailing * matches any suffix"},
         {"groups", Unit::words, &RuleSpec::groups, "none",
-         "in place of from and to: links between two of them, each a text of names (\"n-0 n-1\"); who stands "
-         "in several bridges them"},
-        {"medium", Unit::word, &RuleSpec::medium, "\"any\"", "of what", 0, 0, {"any", "stream", "datagram"}},
-        {"at", Unit::duration, &RuleSpec::starts_at, "\"0s\"", "when it begins to hold", 0, kMaxDuration},
-        {"lasts", Unit::duration, &RuleSpec::duration, "to the end", "for how long", 0, kMaxDuration},
-        {"every", Unit::duration, &RuleSpec::period, "once", "comes on again so often; longer than lasts", 0,
+         "replaces from and to: links between two groups, each a text of names (\"n-0 n-1\"); a name in "
+         "several groups keeps all its links"},
+        {"medium",
+         Unit::word,
+         &RuleSpec::medium,
+         "\"any\"",
+         "the traffic that the rule applies to",
+         0,
+         0,
+         {"any", "stream", "datagram"}},
+        {"at", Unit::duration, &RuleSpec::starts_at, "\"0s\"", "time at which the rule becomes active", 0,
+         kMaxDuration},
+        {"lasts", Unit::duration, &RuleSpec::duration, "to the end", "how long the rule is active", 0,
          kMaxDuration},
-        {"first", Unit::count, &RuleSpec::first_number, "1", "of the connections or datagrams of a link", 1,
-         kMaxCount},
-        {"last", Unit::count, &RuleSpec::last_number, "any", "and the last of them", 1, kMaxCount},
-        {"chance", Unit::share, &RuleSpec::probability, "100%", "of each connection or datagram", 0, 1},
+        {"every", Unit::duration, &RuleSpec::period, "once", "interval of repetition; longer than lasts", 0,
+         kMaxDuration},
+        {"first", Unit::count, &RuleSpec::first_number, "1",
+         "number of the first connection or datagram of a link that it applies to", 1, kMaxCount},
+        {"last", Unit::count, &RuleSpec::last_number, "any",
+         "number of the last connection or datagram that it applies to", 1, kMaxCount},
+        {"chance", Unit::share, &RuleSpec::probability, "100%", "probability for each connection or datagram",
+         0, 1},
         {"where",
          Unit::word,
          &RuleSpec::trigger,
          "\"opening\"",
-         "in a stream: at once, before the byte `before_byte`, or at the HTTP message `message`",
+         "trigger in a stream: when it opens, before the byte `before_byte`, or at the HTTP message "
+         "`message`",
          0,
          0,
          {"opening", "byte", "message"}},
-        {"before_byte", Unit::count, &RuleSpec::trigger_byte, "0", "of one direction, from 0", 0, kMaxCount},
-        {"message", Unit::count, &RuleSpec::trigger_message, "1", "of one direction, from 1", 1, kMaxCount},
+        {"before_byte", Unit::count, &RuleSpec::trigger_byte, "0",
+         "offset of a byte in one direction, from 0", 0, kMaxCount},
+        {"message", Unit::count, &RuleSpec::trigger_message, "1",
+         "number of an HTTP message in one direction, from 1", 1, kMaxCount},
         {"part",
          Unit::word,
          &RuleSpec::trigger_point,
          "\"begins\"",
-         "before its first byte, after its head, after it",
+         "point in the message: before its first byte, after its head, after its last byte",
          0,
          0,
          {"begins", "head", "ends"}},
-        {"span", Unit::duration, &RuleSpec::delay, "\"0ms\"", "of delay, hold, stall, reorder", 0,
-         kMaxDuration},
-        {"jitter", Unit::duration, &RuleSpec::jitter, "\"0ms\"", "law uniform: span by this more or less", 0,
-         kMaxDuration},
+        {"span", Unit::duration, &RuleSpec::delay, "\"0ms\"", "duration of a delay, hold, stall or reorder",
+         0, kMaxDuration},
+        {"jitter", Unit::duration, &RuleSpec::jitter, "\"0ms\"",
+         "for law uniform: largest deviation from span", 0, kMaxDuration},
         {"law",
          Unit::word,
          &RuleSpec::distribution,
          "\"fixed\"",
-         "of span",
+         "distribution of span",
          0,
          0,
          {"fixed", "uniform", "exponential"}},
-        {"rate", Unit::size, &RuleSpec::bytes_per_second, "none", "of rate: bytes a second", 1, 1e12},
-        {"copies", Unit::count, &RuleSpec::extra_copies, "1", "of repeat: more of each", 1, 100},
-        {"behind", Unit::count, &RuleSpec::overtaken_by, "1", "of reorder: how many later ones overtake it",
-         1, 64},
-        {"count", Unit::count, &RuleSpec::corrupted_bytes, "1", "of garble: bytes", 1, kMaxCount}};
+        {"rate", Unit::size, &RuleSpec::bytes_per_second, "none", "for rate: bytes per second", 1, 1e12},
+        {"copies", Unit::count, &RuleSpec::extra_copies, "1",
+         "for repeat: additional copies of each datagram", 1, 100},
+        {"behind", Unit::count, &RuleSpec::overtaken_by, "1",
+         "for reorder: number of later datagrams that overtake it", 1, 64},
+        {"count", Unit::count, &RuleSpec::corrupted_bytes, "1", "for garble: number of changed bytes", 1,
+         kMaxCount}};
     return kKeys;
 }
 
--- a/src/process_testbed/chaos.cpp
+++ b/src/process_testbed/chaos.cpp
@@ -182,7 +182,7 @@
         if (!testbed_.is_running(i)) continue;
         if (!testbed_.run_until([&] { return testbed_.is_ready(i); })) continue;
         if (!testbed_.descriptors_are_accounted_for(i)) {
-            leaks += sidecar_name(i) + " holds more descriptors than it counts\n";
+            leaks += sidecar_name(i) + " holds more descriptors than its status counts\n";
         }
     }
     return leaks;
--- a/src/process_testbed/chaos.hpp
+++ b/src/process_testbed/chaos.hpp
@@ -13,7 +13,9 @@
 /// A schedule refers to a sidecar or a server that the testbed does not have.
 class ScheduleRangeError : public std::invalid_argument {
 public:
-    ScheduleRangeError() : std::invalid_argument("the schedule names more than the fleet has") {}
+    ScheduleRangeError()
+        : std::invalid_argument(
+              "invalid schedule: a step refers to a sidecar or server that the testbed does not have") {}
 };
 
 /// The result of a chaos run.
--- a/src/process_testbed/fault_schedule.hpp
+++ b/src/process_testbed/fault_schedule.hpp
@@ -100,7 +100,8 @@
 class ScheduleSyntaxError : public std::invalid_argument {
 public:
     ScheduleSyntaxError(std::size_t line, const std::string& text)
-        : std::invalid_argument("line " + std::to_string(line) + ": '" + text + "' is no deed"),
+        : std::invalid_argument("line " + std::to_string(line) + ": '" + text +
+                                "' is not a step (KIND NUMBER NUMBER NUMBER)"),
           line_(line) {}
     /// @return the line's number, from 1.
     std::size_t line() const { return line_; }
--- a/src/process_testbed/process.hpp
+++ b/src/process_testbed/process.hpp
@@ -15,7 +15,7 @@
 class FileWriteError : public std::runtime_error {
 public:
     explicit FileWriteError(const std::filesystem::path& path)
-        : std::runtime_error(path.string() + ": can't be written"), path_(path) {}
+        : std::runtime_error(path.string() + ": the file could not be written"), path_(path) {}
     const std::filesystem::path& path() const { return path_; }
 
 private:
--- a/src/process_testbed/process_testbed.cpp
+++ b/src/process_testbed/process_testbed.cpp
@@ -157,7 +157,7 @@
     if (run_until([&] { return std::all_of(sidecars_.begin(), sidecars_.end(), is_ready); })) return;
     const auto not_ready = std::find_if_not(sidecars_.begin(), sidecars_.end(), is_ready);
     if (not_ready == sidecars_.end()) return;
-    throw SidecarNotReady("a sidecar of '" + options_.program + "' does not come up; it said:\n" +
+    throw SidecarNotReady("sidecar did not become ready: '" + options_.program + "'; its log:\n" +
                           (*not_ready)->log_excerpt() + describe_failure());
 }
 
--- a/src/process_testbed/request_history.cpp
+++ b/src/process_testbed/request_history.cpp
@@ -40,7 +40,7 @@
     request.is_outcome_optional = frozen_.contains(sidecar);
     ++total_requests_;
     ++open_requests_;
-    record(now, sidecar, id, fmt::format("asked, for {:.0f} ms", deadline));
+    record(now, sidecar, id, fmt::format("request sent, deadline {:.0f} ms", deadline));
 }
 
 void RequestHistory::end_request(Request& request, Millis now) {
@@ -51,47 +51,49 @@
 
 void RequestHistory::on_response(Millis now, const std::string& id, Outcome outcome, bool is_body_valid) {
     Request& request = requests_[id];
-    record(now, request.sidecar, id, std::string("answered: ") + name_of(outcome));
-    if (request.has_response) report_violation(now, id, "one final outcome: it was answered twice");
+    record(now, request.sidecar, id, std::string("response: ") + name_of(outcome));
+    if (request.has_response) report_violation(now, id, "one final outcome: the client got two responses");
     request.has_response = true;
     end_request(request, now);
     ++counts_[static_cast<std::size_t>(outcome)];
     const bool was_processed = request.times_processed > 0;
     if (outcome == Outcome::served && !is_body_valid) {
-        report_violation(now, id, "one final outcome: it was served what no server made for it");
+        report_violation(now, id, "one final outcome: no server made the response body for this request");
     }
     if (outcome == Outcome::served && !was_processed) {
-        report_violation(now, id, "one final outcome: served, and no server did it");
+        report_violation(now, id, "one final outcome: served, but no server processed the request");
     }
     // A rejection promises that a retry is harmless. This checks the promise.
     const bool retry_is_harmful = request.idempotency == Idempotency::non_idempotent && was_processed;
     if (outcome == Outcome::rejected && retry_is_harmful) {
-        report_violation(now, id, "nothing twice: refused, though a server has done it");
+        report_violation(now, id, "nothing takes effect twice: rejected, although a server processed it");
     }
 }
 
 void RequestHistory::on_client_timeout(Millis now, const std::string& id) {
     Request& request = requests_[id];
     if (request.has_ended()) return;
-    record(now, request.sidecar, id, "its caller has heard nothing in its time");
-    if (!request.is_outcome_optional) report_violation(now, id, "one final outcome: none came in its time");
+    record(now, request.sidecar, id, "client timed out without a response");
+    if (!request.is_outcome_optional)
+        report_violation(now, id, "one final outcome: no response by the deadline");
     end_request(request, now);
 }
 
 void RequestHistory::on_client_disconnected(Millis now, const std::string& id) {
     Request& request = requests_[id];
     if (request.has_ended()) return;
-    record(now, request.sidecar, id, "its caller has gone");
+    record(now, request.sidecar, id, "client disconnected");
     end_request(request, now);
 }
 
 void RequestHistory::on_closed_without_response(Millis now, const std::string& id) {
     Request& request = requests_[id];
-    record(now, request.sidecar, id, "its connection was closed with no answer");
+    record(now, request.sidecar, id, "connection closed without a response");
     // A client may retry a request that was never forwarded. If the request was forwarded, its outcome is
     // lost.
     if (!request.is_outcome_optional && request.attempts > 0) {
-        report_violation(now, id, "one final outcome: sent on, and closed with no answer");
+        report_violation(now, id,
+                         "one final outcome: request forwarded, then connection closed without a response");
     }
     end_request(request, now);
 }
@@ -100,14 +102,16 @@
                                      Millis first_byte) {
     const auto found = requests_.find(id);
     record(now, attempt.sidecar, id,
-           fmt::format("sent to {}, connection {}", attempt.server, attempt.connection));
+           fmt::format("attempt sent to {}, connection {}", attempt.server, attempt.connection));
     if (found == requests_.end()) {
-        return report_violation(now, id, "a request that no caller sent went to " + attempt.server);
+        return report_violation(now, id, "a request that no client sent was forwarded to " + attempt.server);
     }
     Request& request = found->second;
     if (request.has_sidecar_ended) return;
     if (++request.attempts > kMaxAttempts) {
-        report_violation(now, id, fmt::format("nothing twice: attempt {}", request.attempts));
+        report_violation(
+            now, id,
+            fmt::format("nothing takes effect twice: attempt {} exceeds the maximum", request.attempts));
     }
     check_sent_after_end(now, id, request, first_byte);
     check_sent_to_draining(now, id, attempt, first_byte);
@@ -122,7 +126,7 @@
                                           Millis first_byte) {
     if (!request.has_ended() || first_byte <= request.ended_at + kTolerance) return;
     report_violation(now, id,
-                     fmt::format("sent {:.0f} ms after its caller had its answer or was gone",
+                     fmt::format("attempt sent {:.0f} ms after the client got its response or disconnected",
                                  first_byte - request.ended_at));
 }
 
@@ -132,9 +136,10 @@
     if (draining == draining_since_.end()) return;
     const Millis since = draining->second;
     if (first_byte <= since + kDrainGrace + kTolerance) return;
-    report_violation(now, id,
-                     fmt::format("drains kept: sent to {} {:.0f} ms after {} was told", attempt.server,
-                                 first_byte - since, attempt.sidecar));
+    report_violation(
+        now, id,
+        fmt::format("drains kept: attempt sent to {} {:.0f} ms after its drain was delivered to {}",
+                    attempt.server, first_byte - since, attempt.sidecar));
 }
 
 void RequestHistory::on_attempt_ended(Millis now, const Attempt& attempt) {
@@ -142,7 +147,7 @@
     if (found == request_in_flight_.end()) return;
     const std::string& id = found->second;
     record(now, attempt.sidecar, id,
-           fmt::format("over at {}, connection {}", attempt.server, attempt.connection));
+           fmt::format("attempt ended at {}, connection {}", attempt.server, attempt.connection));
     requests_[id].in_flight.erase(attempt);
     request_in_flight_.erase(found);
 }
@@ -151,22 +156,24 @@
     const auto found = requests_.find(id);
     if (found == requests_.end()) return;
     Request& request = found->second;
-    record(now, server, id, "done");
+    record(now, server, id, "request processed");
     ++request.times_processed;
     if (request.times_processed > 1 && request.idempotency == Idempotency::non_idempotent) {
         report_violation(
             now, id,
-            fmt::format("nothing twice: done {} times, and its class allows one", request.times_processed));
+            fmt::format("nothing takes effect twice: processed {} times, but the request class allows one",
+                        request.times_processed));
     }
 }
 
 void RequestHistory::on_rejected_by_server(Millis now, const std::string& id, const std::string& server) {
-    record(now, server, id, "turned away unseen");
+    record(now, server, id, "request rejected without processing");
 }
 
 void RequestHistory::on_endpoint_listed(Millis now, const std::string& sidecar, const std::string& server,
                                         bool may_send) {
-    record(now, sidecar, "", fmt::format("told: {} {}", server, may_send ? "active" : "leaving or left"));
+    record(now, sidecar, "",
+           fmt::format("endpoint list delivered: {} is {}", server, may_send ? "active" : "leaving or left"));
     if (may_send) {
         draining_since_.erase({sidecar, server});
     } else {
@@ -175,7 +182,7 @@
 }
 
 void RequestHistory::on_process_ended(Millis now, const std::string& sidecar) {
-    record(now, sidecar, "", "its process is gone");
+    record(now, sidecar, "", "process ended");
     for (auto& [id, request] : requests_) {
         if (request.sidecar != sidecar) continue;
         request.is_outcome_optional = request.is_outcome_optional || !request.has_ended();
@@ -209,9 +216,9 @@
         const bool still_overlaps =
             earlier != request.in_flight.end() && earlier->second == overlap.earlier_since;
         if (still_overlaps) {
-            report_violation(
-                now, overlap.request_id,
-                "nothing twice: two attempts out together, the earlier at " + overlap.earlier.server);
+            report_violation(now, overlap.request_id,
+                             "nothing takes effect twice: two attempts in flight at once, the earlier at " +
+                                 overlap.earlier.server);
         }
     }
 }
@@ -220,7 +227,7 @@
     check_due_overlaps(now + kTolerance);
     for (const auto& [id, request] : requests_) {
         const bool is_lost = !request.has_ended() && !request.is_outcome_optional;
-        if (is_lost) report_violation(now, id, "one final outcome: it never came");
+        if (is_lost) report_violation(now, id, "one final outcome: the request has no outcome");
     }
 }
 
--- a/src/process_testbed/sidecar_controller.cpp
+++ b/src/process_testbed/sidecar_controller.cpp
@@ -85,7 +85,7 @@
 void SidecarController::limit_cpu(double share) {
     context_.cancel(cpu_slice_end_);
     cpu_share_ = share;
-    history_.record_note(context_.now(), name_, "has " + std::to_string(share) + " of its core from now on");
+    history_.record_note(context_.now(), name_, "CPU limit: " + std::to_string(share) + " of a core");
     if (share >= 1) return process_.thaw();
     run_cpu_slice(false);
 }
@@ -124,8 +124,9 @@
     datagrams_.set_listening(name_, false);
     history_.on_process_ended(context_.now(), name_);
     if (is_termination_requested_) return false;
-    history_.record_note(context_.now(), name_,
-                         "ended by itself, status " + std::to_string(*status) + ": " + log_excerpt());
+    history_.record_note(
+        context_.now(), name_,
+        "process ended unexpectedly, status " + std::to_string(*status) + ": " + log_excerpt());
     return true;
 }
 
--- a/src/process_testbed/temporary_folder.hpp
+++ b/src/process_testbed/temporary_folder.hpp
@@ -10,7 +10,8 @@
 /// The temporary folder could not be created.
 class TemporaryFolderError : public std::runtime_error {
 public:
-    explicit TemporaryFolderError(const std::string& path) : std::runtime_error(path + ": can't be made") {}
+    explicit TemporaryFolderError(const std::string& path)
+        : std::runtime_error(path + ": the temporary folder could not be created") {}
 };
 
 /// A new folder in the system's folder for temporary files. The destructor removes it with its content.
--- a/tests/fault_proxy/datagram_test.cpp
+++ b/tests/fault_proxy/datagram_test.cpp
@@ -1,5 +1,5 @@
-// Every directed pair of twelve members, under a script of splits: what a probe at each end gets, by datagram
-// and by connection, and not by the rules' own word.
+// Tests which datagrams and connections pass between every directed pair of twelve members under a sequence
+// of partitions. Probes at both ends observe the traffic; the tests do not rely on what the rules report.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -15,7 +15,8 @@
 
 std::string name_of(int member) { return "n-" + std::to_string(member); }
 
-// Sends to all others and notes from whom it hears, as a member does that knows its peers' addresses only.
+// Sends to all other members and records whose datagrams arrive. Like a real member, it has only its peers'
+// addresses.
 struct Probe {
     Probe(asio::io_context& io) : socket(io, udp::endpoint(asio::ip::address_v4::loopback(), 0)) {}
     udp::socket socket;
@@ -37,7 +38,7 @@
     DatagramNet net{context, {asio::ip::address_v4::loopback(), 0}};
     std::vector<std::unique_ptr<Probe>> probes;
     std::vector<std::unique_ptr<tcp::acceptor>> servers;
-    std::vector<std::unique_ptr<StreamLink>> links;  // [from * kMembers + to]
+    std::vector<std::unique_ptr<StreamLink>> links;  // index: sender * kMembers + receiver
     int round = 0;
 
     NetFixture() {
@@ -55,8 +56,9 @@
                     context, Link{name_of(sender), name_of(receiver)},
                     tcp::endpoint(asio::ip::address_v4::loopback(), 0), servers[receiver]->local_endpoint()));
     }
-    // Who hears whom now. A datagram that is cut is gone for good, so one later is enough to know: each sends
-    // a marker to itself last, by the same way, which nothing cuts.
+    // Returns the pairs between which datagrams pass now. Cut datagrams are lost for good, so waiting for a
+    // later datagram suffices: each member sends a marker to itself last, over the same path, which is never
+    // cut.
     std::set<std::pair<int, int>> received_pairs() {
         const std::string text = std::to_string(++round);
         for (int sender = 0; sender < kMembers; ++sender)
@@ -74,14 +76,16 @@
         };
         while (!all_marked() && std::chrono::steady_clock::now() < limit)
             io.run_one_for(std::chrono::milliseconds(100));
-        io.run_for(std::chrono::milliseconds(20));  // markers of two sockets may overtake each other's rest
+        io.run_for(
+            std::chrono::milliseconds(20));  // a socket's marker may overtake datagrams of another socket
         std::set<std::pair<int, int>> pairs;
         for (int sender = 0; sender < kMembers; ++sender)
             for (int receiver = 0; receiver < kMembers; ++receiver)
                 if (sender != receiver && received(sender, receiver)) pairs.emplace(sender, receiver);
         return pairs;
     }
-    // Which connections come up. One that does not is waited for no longer than the ones that do.
+    // Returns the pairs between which connections are established. The wait is the same for all pairs,
+    // whether they connect or not.
     std::set<std::pair<int, int>> connected_pairs() {
         std::vector<std::unique_ptr<tcp::socket>> sockets;
         std::set<std::pair<int, int>> connected;
@@ -103,7 +107,7 @@
 
 TEST(FaultProxy, DeliversDatagramsAndConnectionsAccordingToPartitionRules) {
     NetFixture fixture;
-    // As numbers: 0 to 4 and 5 to 9 are two halves, 10 stands in both, 11 in none.
+    // Members 0 to 4 and 5 to 9 are two halves, 10 is in both, and 11 is in neither.
     const auto half = [](int member) { return member < 5 ? 1 : member < 10 ? 2 : 0; };
     struct Stage {
         const char* name;
@@ -112,8 +116,8 @@
     };
     const auto clear = [&] { fixture.context.replace_rules({}); };
     const Stage stages[] = {
-        {"whole", [](int, int) { return true; }, clear},
-        {"halves with a bridge",
+        {"no partition", [](int, int) { return true; }, clear},
+        {"two halves and a bridge",
          [&](int sender, int receiver) {
              return half(sender) == 0 || half(receiver) == 0 || half(sender) == half(receiver);
          },
@@ -124,7 +128,7 @@
                             {"n-5", "n-6", "n-7", "n-8", "n-9", "n-10"}};
              fixture.context.put_rule(rule);
          }},
-        {"and one way to n-11",
+        {"halves, a bridge and a one-way cut to n-11",
          [&](int sender, int receiver) {
              return (half(sender) == 0 || half(receiver) == 0 || half(sender) == half(receiver)) &&
                     !(receiver == 11 && sender < 3);
@@ -134,13 +138,13 @@
              rule.name = "one way", rule.from = {"n-0", "n-1", "n-2"}, rule.to = {"n-11"};
              fixture.context.put_rule(rule);
          }},
-        {"one alone", [](int sender, int receiver) { return sender != 7 && receiver != 7; },
+        {"one isolated member", [](int sender, int receiver) { return sender != 7 && receiver != 7; },
          [&] {
              clear();
              Rule out, in;
              out.name = "out", out.from = {"n-7"};
              in.name = "in", in.to = {"n-7"};
-             // Nobody is cut off from itself.
+             // The rules must not cut a member off from itself, because its marker takes that path.
              out.to =
                  in.from = {"n-0", "n-1", "n-2", "n-3", "n-4", "n-5", "n-6", "n-8", "n-9", "n-10", "n-11"};
              fixture.context.put_rule(out), fixture.context.put_rule(in);
@@ -155,7 +159,7 @@
                 if (sender == receiver) continue;
                 EXPECT_EQ(received.contains({sender, receiver}), stage.is_delivered(sender, receiver))
                     << stage.name << ": " << sender << " to " << receiver;
-                // A connection needs both ways.
+                // A connection needs both directions.
                 EXPECT_EQ(connected.contains({sender, receiver}),
                           stage.is_delivered(sender, receiver) && stage.is_delivered(receiver, sender))
                     << stage.name << ": " << sender << " connects to " << receiver;
@@ -204,7 +208,8 @@
         delivered_counts.push_back(std::to_string(fixture.net.counts({"n-0", "n-1"}).delivered));
         others_sent += !is_delayed;
     }
-    // Held; one; two, and the first behind them; all.
+    // After each datagram: the first is delayed; the second is delivered; the third and then the first; the
+    // fourth.
     EXPECT_EQ(delivered_counts, (std::vector<std::string>{"0", "1", "3", "4"}));
 }
 
--- a/tests/fault_proxy/rules_test.cpp
+++ b/tests/fault_proxy/rules_test.cpp
@@ -1,4 +1,4 @@
-// Rules, boundaries and flows: no sockets, time given.
+// Tests rules, message boundaries and stream filters without sockets, at given times.
 #include <gtest/gtest.h>
 
 #include "fault_proxy/script.hpp"
@@ -32,7 +32,7 @@
     EXPECT_FALSE(is_cut("n-0", "n-1", 120));
     EXPECT_FALSE(is_cut("b", "n-2", 120));
     EXPECT_FALSE(is_cut("n-0", "b", 120));
-    EXPECT_FALSE(is_cut("n-0", "stranger", 120));  // who stands in no group is heard by all
+    EXPECT_FALSE(is_cut("n-0", "stranger", 120));  // a name in no group is not cut
     EXPECT_FALSE(is_cut("n-0", "n-2", 150));
     EXPECT_TRUE(is_cut("x-7", "y", 1005));
     EXPECT_FALSE(is_cut("y", "x-7", 1005));
@@ -65,7 +65,7 @@
     EXPECT_EQ(in_order, backwards);
     EXPECT_NE(in_order, other);
     const auto dropped_count = std::count(in_order.begin(), in_order.end(), 'x');
-    EXPECT_NEAR(static_cast<double>(dropped_count), 300, 60);  // four deviations
+    EXPECT_NEAR(static_cast<double>(dropped_count), 300, 60);  // four standard deviations
 }
 
 TEST(Rules, DuplicateDelayAndRateLimitDatagrams) {
@@ -82,10 +82,10 @@
     const auto copies = rules.deliver(link, 2, 10, 0);
     ASSERT_EQ(copies.size(), 3U);
     for (const auto& d : copies) EXPECT_TRUE(d.delay >= 20 && d.delay <= 40) << d.delay;
-    EXPECT_NE(copies[0].delay, copies[1].delay);  // each is on its way for itself
+    EXPECT_NE(copies[0].delay, copies[1].delay);  // each copy has its own delay
     rules.replace_all({rate_limit});
     EXPECT_DOUBLE_EQ(rules.deliver(link, 3, 100, 0)[0].delay, 100);
-    EXPECT_DOUBLE_EQ(rules.deliver(link, 4, 100, 50)[0].delay, 150);  // behind the one before
+    EXPECT_DOUBLE_EQ(rules.deliver(link, 4, 100, 50)[0].delay, 150);  // waits for the previous datagram
     EXPECT_DOUBLE_EQ(rules.deliver({"q", "p"}, 1, 100, 50)[0].delay, 100);
 }
 
@@ -98,7 +98,7 @@
 
 using MessageKind = MessageBoundaryReader::MessageKind;
 
-// Each boundary as message number, "b" (begin), "h" (end of head) or "e" (end), and offset.
+// Formats each boundary as message number, "b" (begin), "h" (end of head) or "e" (end), and offset.
 std::string boundaries_of(MessageKind kind, const std::string& text, std::size_t chunk_size) {
     MessageBoundaryReader reader(kind);
     std::string found;
@@ -120,7 +120,7 @@
         EXPECT_EQ(boundaries_of(MessageKind::response, kResponses, chunk_size), expected_responses)
             << chunk_size;
     EXPECT_EQ(boundaries_of(MessageKind::request, "no HTTP at all\r\n\r\n" + kTwoRequests, 7),
-              "1b0 ");  // and nothing after it
+              "1b0 ");  // no boundaries after bytes that are not HTTP
 }
 
 struct FilterResult {
@@ -163,7 +163,8 @@
         Rule silence = make_rule("s", FaultType::silence);
         silence.trigger = Trigger::at_message, silence.trigger_message = 2;
         EXPECT_EQ(filter_stream(silence, kTwoRequests, chunk_size).bytes, kTwoRequests.substr(0, 52));
-        EXPECT_EQ(filter_stream(silence, kTwoRequests, chunk_size).events, "");  // not even the sender's end
+        EXPECT_EQ(filter_stream(silence, kTwoRequests, chunk_size).events,
+                  "");  // the sender's end is dropped as well
         Rule half = make_rule("h", FaultType::half_close);
         half.trigger = Trigger::at_message, half.trigger_point = MessagePoint::head_end;
         EXPECT_EQ(filter_stream(half, kTwoRequests, chunk_size).events, "end@48 ");
@@ -194,7 +195,7 @@
     StreamFilter limited_filter(limited_rules, {"p", "q"}, 1, MessageKind::request);
     actions.clear();
     for (int i = 0; i < 10; ++i) limited_filter.on_bytes(0, std::string(1000, 'x'), actions);
-    EXPECT_DOUBLE_EQ(actions.back().not_before, 100);  // 10,000 bytes at 100,000 a second
+    EXPECT_DOUBLE_EQ(actions.back().not_before, 100);  // 10,000 bytes at 100,000 bytes per second
 }
 
 TEST(Script, ReportsEachProblemWithItsLineAndKey) {
--- a/tests/fault_proxy/stream_test.cpp
+++ b/tests/fault_proxy/stream_test.cpp
@@ -1,4 +1,4 @@
-// TCP links on loopback: what each end sees.
+// Tests TCP links on loopback by what both ends of a connection observe.
 #include <gtest/gtest.h>
 
 #include <boost/asio/write.hpp>
@@ -12,7 +12,7 @@
 
 tcp::endpoint any_port() { return {asio::ip::address_v4::loopback(), 0}; }
 
-// One end: what came, and how it ended.
+// One end of a connection: records the received bytes and how the connection ended.
 struct TestConnection : std::enable_shared_from_this<TestConnection> {
     explicit TestConnection(tcp::socket connected_socket) : socket(std::move(connected_socket)) {}
     void read() {
@@ -65,7 +65,7 @@
         }
         return true;
     }
-    // Only for what must not happen meanwhile.
+    // Runs the event loop for a short fixed time. Only for checking that an event does not happen.
     void run_briefly() { io.run_for(std::chrono::milliseconds(60)); }
     void put_rule(const char* name, FaultType type, const char* from, const char* to) {
         Rule rule;
@@ -106,7 +106,7 @@
     ASSERT_TRUE(fixture.run_until([&] { return fixture.link.open_connections() == 0; }));
 }
 
-// A lot at once goes by splice(2); a cut on the way holds it back and loses nothing of it.
+// Many bytes at once pass through splice(2). A cut in the middle delays them and loses none.
 TEST(StreamLink, PassesManyBytesUnchangedAcrossACutAndASlowReader) {
     LinkFixture fixture;
     const auto client = fixture.connect_and_accept();
@@ -116,8 +116,8 @@
     asio::async_write(client->socket, asio::buffer(payload),
                       [&](Error, std::size_t) { client->socket.shutdown(tcp::socket::shutdown_send); });
     ASSERT_TRUE(fixture.run_until([&] { return server_end->received.size() > 4'000'000; }));
-    // Nobody reads until all buffers are full, the link's pipe among them; what it holds then waits for the
-    // cut.
+    // The receiver stops reading until all buffers are full, including the link's pipe. The cut then delays
+    // the buffered bytes.
     server_end->is_reading = false;
     const auto buffers_are_full = [&, before = std::uint64_t{0}]() mutable {
         fixture.run_briefly();
@@ -138,7 +138,7 @@
     fixture.context.remove_rule("cut");
     ASSERT_TRUE(
         fixture.run_until([&] { return server_end->received.size() > received_while_cut + 4'000'000; }));
-    // From here on a rule has a word: what is in the pipe still goes first.
+    // From now on a rule applies to new bytes, but the bytes in the pipe precede them.
     fixture.put_rule("late", FaultType::delay, "a", "b");
     ASSERT_TRUE(fixture.run_until([&] { return server_end->has_ended; }));
     EXPECT_TRUE(server_end->received == payload);
@@ -150,7 +150,7 @@
     const auto client = fixture.connect_and_accept();
     const auto server_end = fixture.accepted.back();
     fixture.put_rule("cut", FaultType::cut, "b",
-                     "a");  // one way is enough to keep a connection from coming up
+                     "a");  // cutting one direction suffices to block new connections
     client->send("there");
     server_end->send("back");
     const auto late_client = fixture.connect();
@@ -160,8 +160,8 @@
     EXPECT_FALSE(late_client->is_connected || late_client->was_refused);
     EXPECT_TRUE(fixture.context.remove_rule("cut"));
     ASSERT_TRUE(fixture.run_until([&] { return client->received == "back" && late_client->is_connected; }));
-    ASSERT_TRUE(
-        fixture.run_until([&] { return fixture.accepted.size() == 2; }));  // and no filler came through
+    ASSERT_TRUE(fixture.run_until(
+        [&] { return fixture.accepted.size() == 2; }));  // no backlog filler reached the target
     fixture.run_briefly();
     EXPECT_EQ(fixture.accepted.size(), 2U);
 }
@@ -183,9 +183,10 @@
     fixture.link.set_target_state(StreamLink::TargetState::down);
     const auto refused_while_down = fixture.connect();
     ASSERT_TRUE(fixture.run_until([&] { return refused_while_down->was_refused; }));
-    EXPECT_FALSE(first->has_ended);  // what is open stays
+    EXPECT_FALSE(first->has_ended);  // open connections are not affected
     fixture.link.set_target_state(StreamLink::TargetState::up);
-    // A target that refuses by itself: a reset once, then refusals, until it is back.
+    // A target that refuses by itself: the first client is reset, later ones are refused until the target
+    // listens again.
     const auto target_endpoint = fixture.server.local_endpoint();
     fixture.server.close();
     const auto first_refused_client = fixture.connect();
@@ -212,7 +213,7 @@
     EXPECT_GE(fixture.context.now() - started_at, 50);
 }
 
-// Both ends of each of these see what the rule says, at each of the first bytes.
+// A reset reaches both ends and a half-close reaches the receiver, before each of the first bytes.
 TEST(StreamLink, PropagatesAResetOrHalfCloseAtAnyByte) {
     for (std::uint64_t byte = 0; byte < 8; ++byte) {
         LinkFixture fixture;
--- a/tests/process_testbed/chaos_test.cpp
+++ b/tests/process_testbed/chaos_test.cpp
@@ -1,5 +1,5 @@
-// Chaos runs in small: schedules of fixed seeds, for about twenty seconds, and that a schedule which fails is
-// shrunk.
+// Tests chaos runs with schedules of fixed seeds, for about twenty seconds, and the shrinking of a schedule
+// that fails.
 #include "process_testbed/chaos.hpp"
 
 #include "process_testbed/shrink.hpp"
@@ -31,7 +31,7 @@
     }
 }
 
-// A failpoint under a long schedule: the schedule shrinks to the few steps that show the fault.
+// With a failpoint enabled, a long schedule shrinks to the few steps that trigger the failure.
 TEST(Chaos, ShrinksAFailingScheduleToAtMostFourSteps) {
     Options options = chaos_options();
     options.program = std::string("env ELMBAY_PLANT=resend ") + ELMBAY_PROGRAM_WITH_FAILPOINTS;
@@ -46,7 +46,8 @@
     EXPECT_TRUE(fails(smallest));
 }
 
-// One descriptor for each attempt that failed to connect or was reset: what is left over shows at the end.
+// The failpoint leaks one descriptor for each attempt that failed to connect or was reset. The check at the
+// end of the run detects the leaked descriptors.
 TEST(Chaos, FindsADescriptorLeakUnderRepeatedResets) {
     Options options = chaos_options();
     options.program = std::string("env ELMBAY_PLANT=leak ") + ELMBAY_PROGRAM_WITH_FAILPOINTS;
@@ -59,7 +60,8 @@
     }
     const ChaosResult result = run_schedule(options, schedule);
     EXPECT_FALSE(result.passed);
-    EXPECT_NE(result.explanation.find("holds more descriptors"), std::string::npos) << result.explanation;
+    EXPECT_NE(result.explanation.find("holds more descriptors than its status counts"), std::string::npos)
+        << result.explanation;
     options.program = ELMBAY_PROGRAM;
     const ChaosResult without_leak = run_schedule(options, schedule);
     EXPECT_TRUE(without_leak.passed) << without_leak.explanation;
--- a/tests/process_testbed/cluster_test.cpp
+++ b/tests/process_testbed/cluster_test.cpp
@@ -1,5 +1,5 @@
-// The sidecars know each other: processes of the program, datagrams between them, and faults on both. Each
-// asks the processes what they believe; waits are for events.
+// Tests cluster membership with real processes, datagrams between them, and faults on both. Each test reads
+// the membership state from the status sockets, and waits for events.
 #include <boost/asio/ip/udp.hpp>
 
 #include "scenarios.hpp"
@@ -17,7 +17,7 @@
 }
 
 json cluster_of(ProcessTestbed& testbed, std::size_t sidecar) {
-    const json status = testbed.status(sidecar);  // null while it starts
+    const json status = testbed.status(sidecar);  // null while the sidecar starts
     return status.is_object() ? status.value("cluster", json::object()) : json::object();
 }
 std::string member_state(ProcessTestbed& testbed, std::size_t observer, std::size_t member) {
@@ -27,7 +27,7 @@
 bool has_view(ProcessTestbed& testbed, std::size_t observer, const char* expected) {
     return cluster_of(testbed, observer).value("view", "") == expected;
 }
-// What all of them hold of one.
+// Returns whether all other running sidecars report this state of the member.
 bool all_report(ProcessTestbed& testbed, std::size_t member, const char* expected) {
     for (std::size_t sidecar = 0; sidecar < testbed.sidecar_count(); ++sidecar)
         if (sidecar != member && testbed.is_running(sidecar) && !testbed.process(sidecar).is_frozen() &&
@@ -69,8 +69,9 @@
     testbed.terminate(2);
     ASSERT_TRUE(testbed.run_until([&] { return all_report(testbed, 2, "left"); }))
         << testbed.describe_failure();
-    EXPECT_TRUE(has_view(testbed, 0, "whole")) << "nobody is missed";
-    // Three of five are there: their module divides by fewer, at most by what is spared.
+    EXPECT_TRUE(has_view(testbed, 0, "whole")) << "a member that has left counts as missing";
+    // Three of five members are present, so the fleet size that the sidecars divide by decreases, at most by
+    // the spared count.
     ASSERT_TRUE(testbed.run_until([&] { return cluster_of(testbed, 0)["siblings"] == 3; }))
         << cluster_of(testbed, 0).dump(1);
     testbed.freeze(3);
@@ -83,15 +84,15 @@
     ASSERT_TRUE(testbed.run_until([&] { return all_report(testbed, 3, "alive"); }))
         << testbed.describe_failure();
     EXPECT_EQ(cluster_of(testbed, 4)["failures"], failures);
-    EXPECT_EQ(cluster_of(testbed, 3)["failures"], 0) << "who wakes takes nobody for dead";
+    EXPECT_EQ(cluster_of(testbed, 3)["failures"], 0) << "the resumed member declared another one failed";
     testbed.restart(1), testbed.restart(2);
     ASSERT_TRUE(testbed.run_until([&] { return has_converged(testbed); })) << testbed.describe_failure();
     EXPECT_EQ(cluster_of(testbed, 0)["siblings"], 5);
     ASSERT_TRUE(testbed.run_until_idle()) << testbed.describe_failure();
 }
 
-// A split of both sides, one of them a single sidecar: each serves, none divides by fewer, and all agree
-// after it.
+// In a partition that isolates one sidecar, both sides serve, no sidecar divides by a smaller fleet, and all
+// agree after the partition has healed.
 TEST(Cluster, ServesOnBothSidesOfAPartitionAndAgreesAfterIt) {
     ProcessTestbed testbed(cluster_options(5));
     testbed.start();
@@ -110,13 +111,15 @@
         expect_served(testbed, sidecar);
         EXPECT_EQ(cluster_of(testbed, sidecar)["siblings"], 5);
     }
-    EXPECT_EQ(cluster_of(testbed, 0)["count"]["silent"], 0) << "it is not the others that are silent";
+    EXPECT_EQ(cluster_of(testbed, 0)["count"]["silent"], 0)
+        << "an isolated member counts the other members as silent";
     testbed.context().remove_rule("split");
     ASSERT_TRUE(testbed.run_until([&] { return has_converged(testbed); })) << testbed.describe_failure();
     ASSERT_TRUE(testbed.run_until_idle()) << testbed.describe_failure();
 }
 
-// One hears another only by way of the rest, and a third of all datagrams are lost, some repeated and late.
+// One member receives another's messages only through the others. Of all datagrams 30% are dropped; some are
+// duplicated or delayed.
 TEST(Cluster, DeclaresNoMemberFailedUnderLossAndAOneWayCut) {
     ProcessTestbed testbed(cluster_options(4));
     Rule dropped = cut_rule({"n-*"}, {"n-*"}), delayed = dropped, duplicated = dropped;
@@ -133,7 +136,7 @@
             if (!has_view(testbed, sidecar, "whole")) return false;
         return true;
     })) << testbed.describe_failure();
-    // Until each has sent some hundred.
+    // Waits until each sidecar has sent more than a hundred messages.
     ASSERT_TRUE(testbed.run_until([&] {
         for (std::size_t sidecar = 0; sidecar < 4; ++sidecar)
             if (cluster_of(testbed, sidecar)["messages"]["sent"] < 120) return false;
@@ -144,7 +147,8 @@
     ASSERT_TRUE(testbed.run_until_idle()) << testbed.describe_failure();
 }
 
-// Three lives in a row, as quickly as they come up, the last with its clock ten minutes behind.
+// Restarts a member three times as quickly as it becomes ready, the last time with its clock ten minutes
+// behind.
 TEST(Cluster, AcceptsTheLatestRestartEvenIfItsClockIsBehind) {
     ProcessTestbed testbed(cluster_options(3));
     testbed.start();
@@ -158,8 +162,8 @@
     ASSERT_TRUE(testbed.run_until_idle()) << testbed.describe_failure();
 }
 
-// A flood from an address that is no peer's, and nonsense from a peer's own: dropped, counted, and requests
-// go on.
+// Floods a sidecar with datagrams from an address that belongs to no peer. It must drop and count them, and
+// keep serving requests.
 TEST(Cluster, DropsDatagramsOfUnknownSendersAndServesMeanwhile) {
     ProcessTestbed testbed(cluster_options(2));
     testbed.start();
--- a/tests/process_testbed/failpoints_test.cpp
+++ b/tests/process_testbed/failpoints_test.cpp
@@ -1,5 +1,5 @@
-// Failpoints of the program (src/base/failpoints.hpp): the testbed detects each. The program without
-// failpoints passes the same scenario.
+// Tests that the testbed detects each failpoint of the program (src/base/failpoints.hpp), and that the
+// program without failpoints passes the same scenario.
 #include "scenarios.hpp"
 
 namespace elmbay::process_testbed {
@@ -14,7 +14,8 @@
 
 TEST_P(Failpoints, IsDetectedAndTheProgramWithoutItPasses) {
     Options options = small_testbed();
-    options.request_deadline = 3000, options.latency_objective = 2000;  // what is lost is waited for
+    options.request_deadline = 3000,
+    options.latency_objective = 2000;  // short, because lost requests are waited for
     options.program =
         "env ELMBAY_PLANT=" + std::string(GetParam().name) + " " + ELMBAY_PROGRAM_WITH_FAILPOINTS;
     {
--- a/tests/process_testbed/faults_test.cpp
+++ b/tests/process_testbed/faults_test.cpp
@@ -1,5 +1,5 @@
-// The program's processes with faults between them. Each test waits for events; the request_history is looked
-// at after every step, and its history is the message of a failure.
+// Tests the program's processes with faults between them. Each test waits for events. RequestHistory is
+// checked after every step, and a failure prints its history.
 #include <gtest/gtest.h>
 #include <sched.h>
 #include <signal.h>
@@ -40,7 +40,8 @@
     EXPECT_EQ(status["servers"].size(), 2U);
 }
 
-// The server has committed; its answer is cut before each of its bytes in turn. Never a second deposit.
+// The server has processed the deposit, and its response is cut before each of its bytes in turn. The deposit
+// must not be processed a second time.
 TEST(ProcessTestbed, ProcessesADepositOnceWhenItsResponseIsCutAtAnyByte) {
     ProcessTestbed testbed(small_testbed(1, 2));
     testbed.start();
@@ -54,7 +55,7 @@
             Rule cut = make_rule("cut", type, "s-*", "n-0");
             cut.trigger = Trigger::at_byte, cut.trigger_byte = byte;
             testbed.context().put_rule(cut);
-            // Every connection is new: the byte counts from its first.
+            // Resets all connections, because the rule counts bytes from the start of a connection.
             for (const char* server : {"s-0", "s-1"}) testbed.link("n-0", server).reset_all();
             const std::string id = testbed.send_request(0, "deposit");
             ASSERT_TRUE(testbed.run_until([&] { return testbed.has_ended(id); }))
@@ -67,15 +68,16 @@
     ASSERT_TRUE(testbed.run_until_idle()) << testbed.describe_failure();
 }
 
-// A sidecar is frozen with forty requests in hand, their callers go, and it wakes: nothing goes out for them.
+// A sidecar is frozen with forty open requests, and their clients disconnect. It must send no attempt for
+// them when it resumes.
 TEST(ProcessTestbed, SendsNothingAfterAFreezeForClientsThatHaveDisconnected) {
     ProcessTestbed testbed(small_testbed(2, 2));
     testbed.start();
     EXPECT_TRUE(run_freeze_with_forty_requests(testbed)) << testbed.describe_failure();
 }
 
-// A sidecar is frozen while a server is told to drain, and while attempts elsewhere break. When it wakes, the
-// broken ones and the list lie unread beside each other: the list comes first.
+// While a sidecar is frozen, one server starts draining and attempts at the other one break. When the sidecar
+// resumes, both events are unread. It must apply the endpoint list before it retries.
 TEST(ProcessTestbed, AppliesADrainBeforeItRetriesAfterAFreeze) {
     ProcessTestbed testbed(small_testbed(1, 2));
     testbed.start();
@@ -100,8 +102,9 @@
     ASSERT_TRUE(testbed.run_until_idle()) << testbed.describe_failure();
 }
 
-// No byte moves on a connection, either way, from its first or from after a head: each caller hears in its
-// time, and a deposit that may have run is not called refused, nor done again.
+// A connection passes no bytes in one direction, from its start or after a message head. Each client must get
+// its outcome by its deadline, and a deposit that may have been processed must be neither rejected nor sent
+// again.
 TEST(ProcessTestbed, GivesEachRequestAnOutcomeWhenItsConnectionPassesNoBytes) {
     Options options = small_testbed(1, 2);
     options.request_deadline = 1500, options.latency_objective = 700;
@@ -132,7 +135,8 @@
     ASSERT_TRUE(testbed.run_until_idle()) << testbed.describe_failure();
 }
 
-// The list reaches one side of a split only: that side keeps the drain, the other goes on until it is told.
+// The endpoint list reaches only one side of a partition. That side must stop sending to the draining server;
+// the other side continues until the list is delivered to it.
 TEST(ProcessTestbed, StopsSendingToADrainingServerOnceTheListIsDelivered) {
     ProcessTestbed testbed(small_testbed(2, 2));
     testbed.start();
@@ -147,7 +151,7 @@
     ASSERT_TRUE(testbed.run_until([&] { return testbed.request_history().open_requests() == 0; }))
         << testbed.describe_failure();
     EXPECT_EQ(bytes_to_first_server(0), before_0);
-    EXPECT_GT(bytes_to_first_server(1), before_1) << "n-1 has not been told";
+    EXPECT_GT(bytes_to_first_server(1), before_1) << "the list has not been delivered to n-1";
     testbed.context().remove_rule("split");
     ASSERT_TRUE(testbed.run_until([&] { return testbed.status(1)["servers"][0]["state"] == "leaving"; }));
     const auto bytes_after_drain = bytes_to_first_server(1);
@@ -156,7 +160,7 @@
     EXPECT_EQ(bytes_to_first_server(1), bytes_after_drain);
 }
 
-// The successor starts while the port is still taken: it waits, and serves once it is free.
+// A sidecar that starts while its port is still in use must wait, and serve once the port is free.
 TEST(ProcessTestbed, WaitsForAPortThatIsStillInUse) {
     ProcessTestbed testbed(small_testbed(1, 1));
     testbed.start();
@@ -164,7 +168,7 @@
     const tcp::endpoint endpoint = testbed.listen_endpoint(0);
     auto port_holder = std::make_unique<tcp::acceptor>(testbed.context().io(), endpoint);
     testbed.restart(0);
-    ASSERT_TRUE(testbed.run_for(200)) << "it did not give up at once";
+    ASSERT_TRUE(testbed.run_for(200)) << "an invariant was violated or the process ended";
     ASSERT_FALSE(testbed.is_ready(0));
     port_holder.reset();
     ASSERT_TRUE(testbed.run_until([&] { return testbed.is_ready(0); })) << testbed.describe_failure();
@@ -172,8 +176,9 @@
     ASSERT_TRUE(testbed.run_until_idle()) << testbed.describe_failure();
 }
 
-// Its clock is minutes off, its sibling is another build with another file, a third is out of descriptors and
-// a fourth has a tenth of its core: each serves, and what it can't it says.
+// One sidecar has a clock that is five minutes ahead, the second is another build with another operator's
+// file, the third is out of descriptors, and the fourth has a tenth of its core. The first, second and fourth
+// must serve every request.
 TEST(ProcessTestbed, ServesSideBySideWithOtherClocksBuildsAndLimits) {
     ProcessTestbed testbed(small_testbed(4, 2));
     testbed.start();
@@ -185,8 +190,7 @@
     const double clock_offset_ms =
         testbed.status(0)["now_ms"].get<double>() - testbed.status(2)["now_ms"].get<double>();
     EXPECT_NEAR(clock_offset_ms, 300000, 60000);
-#ifndef __SANITIZE_ADDRESS__  // UBSan looks at memory through a pipe of its own, and blames the program if it
-                              // gets none
+#ifndef __SANITIZE_ADDRESS__  // UBSan opens a pipe to check memory, and reports an error if it cannot
     testbed.process(2).limit_descriptors(22);
 #endif
     testbed.limit_cpu(3, 0.1);
@@ -203,8 +207,8 @@
     ASSERT_TRUE(testbed.run_until_idle()) << testbed.describe_failure();
 }
 
-// Started under its name with a memory that is older than its last life's: what it says of a server that was
-// failing then does not keep the server out now, and nobody loses an outcome for it.
+// A sidecar starts from a snapshot that is older than its last run. The snapshot ejects a server that failed
+// at that time but is healthy now. The server must return, and no request may lose its outcome.
 TEST(ProcessTestbed, RestoresAServerThatAnOlderSnapshotHasEjected) {
     namespace fs = std::filesystem;
     std::string folder = (fs::temp_directory_path() / "memory-XXXXXX").string();
@@ -222,7 +226,7 @@
             if (server["uid"] == "s-0") return server.value("removed", false);
         return false;
     };
-    // Several at once, so that both servers are in its sight.
+    // Sends several requests at once, so that both servers get some.
     const auto send_eight_requests = [&] {
         for (int i = 0; i < 8; ++i) testbed.send_request(0, "listen");
         return testbed.run_until([&] { return testbed.request_history().open_requests() == 0; });
@@ -231,10 +235,10 @@
     testbed.server(0).behavior = ServerBehavior::fail;
     ASSERT_TRUE(testbed.run_until([&] { return send_eight_requests() && is_ejected(); }))
         << testbed.describe_failure();
-    testbed.terminate(0);  // writes once more as it ends
+    testbed.terminate(0);  // writes a last snapshot as it ends
     ASSERT_TRUE(testbed.run_until([&] { return !testbed.is_running(0); })) << testbed.describe_failure();
     fs::copy(current, older, fs::copy_options::recursive);
-    // A life in which all is well again, and one that starts from what was before it.
+    // Runs once with both servers healthy, and then once from the snapshot taken before.
     testbed.server(0).behavior = ServerBehavior::serve;
     testbed.restart(0);
     ASSERT_TRUE(testbed.run_until([&] { return testbed.is_ready(0); })) << testbed.describe_failure();
@@ -244,7 +248,7 @@
     testbed.restart(0);
     ASSERT_TRUE(testbed.run_until([&] { return testbed.is_ready(0); })) << testbed.describe_failure();
     const auto before = testbed.server(0).received_requests();
-    EXPECT_TRUE(is_ejected()) << "the memory was read";
+    EXPECT_TRUE(is_ejected()) << "the snapshot was not restored";
     ASSERT_TRUE(testbed.run_until([&] {
         return send_eight_requests() && testbed.server(0).received_requests() > before + 1;
     })) << testbed.describe_failure();
@@ -253,7 +257,7 @@
     fs::remove_all(folder);
 }
 
-// A test that is killed leaves no process behind.
+// The kernel ends the sidecars if the test itself is killed.
 TEST(ProcessTestbed, EndsItsProcessesWhenTheTestIsKilled) {
     int pipe_ends[2];
     ASSERT_EQ(::pipe(pipe_ends), 0);
@@ -270,7 +274,7 @@
     ASSERT_EQ(::read(pipe_ends[0], pids, sizeof pids), static_cast<ssize_t>(sizeof pids));
     int status = 0;
     ASSERT_EQ(::waitpid(child, &status, 0), child);
-    // Gone, or dead and not yet taken note of by whoever inherited it.
+    // Returns whether the process has ended, or is a zombie that its new parent has not reaped yet.
     const auto has_exited = [](pid_t pid) {
         std::ifstream stat("/proc/" + std::to_string(pid) + "/stat");
         std::string number, name, state;
--- a/tests/process_testbed/log_test.cpp
+++ b/tests/process_testbed/log_test.cpp
@@ -1,4 +1,4 @@
-// The program's log: whoever reads it may go, and the requests go on.
+// Tests that the program keeps serving requests when the reader of its log closes the pipe.
 #include <fcntl.h>
 #include <gtest/gtest.h>
 #include <signal.h>
@@ -12,14 +12,16 @@
 namespace elmbay::process_testbed {
 namespace {
 
-/// A named pipe in a folder of its own, open for reading until close_reader().
+/// A named pipe in a temporary folder. Its read end is open until close_reader().
 class LogPipe {
 public:
     LogPipe() {
         std::string folder = (std::filesystem::temp_directory_path() / "elmbay-log-XXXXXX").string();
-        if (::mkdtemp(folder.data()) == nullptr) throw std::runtime_error("no temporary folder");
+        if (::mkdtemp(folder.data()) == nullptr)
+            throw std::runtime_error("the temporary folder could not be created");
         folder_ = folder;
-        if (::mkfifo(path().c_str(), 0600) != 0) throw std::runtime_error("no named pipe");
+        if (::mkfifo(path().c_str(), 0600) != 0)
+            throw std::runtime_error("the named pipe could not be created");
         reader_ = ::open(path().c_str(), O_RDONLY | O_NONBLOCK | O_CLOEXEC);
     }
     ~LogPipe() {
@@ -47,7 +49,7 @@
     ProcessTestbed testbed(options);
     testbed.start();
     log.close_reader();
-    // A configuration that cannot be used is one line in the log.
+    // An invalid configuration adds one line to the log.
     testbed.process(0).write_config(nlohmann::json::array());
     for (int i = 0; i < 10; ++i) {
         testbed.process(0).signal(SIGHUP);
--- a/tests/process_testbed/scenarios.hpp
+++ b/tests/process_testbed/scenarios.hpp
@@ -1,5 +1,5 @@
-// What several tests of many processes do. Each says whether the testbed kept everything: the sound program
-// must, and one with the fault that the scenario is for must not.
+// Scenarios that several process tests use. Each returns whether no invariant was violated: it must for the
+// correct program, and must not for a program with the failpoint that the scenario targets.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -12,14 +12,14 @@
     Options options;
     options.sidecars = sidecars, options.servers = servers;
     options.program = ELMBAY_PROGRAM;
-    // Far beyond what a busy machine needs: nothing here is about speed.
+    // Far longer than a busy machine needs, because these tests do not measure latency.
     options.request_deadline = 20000, options.latency_objective = 10000;
     return options;
 }
 
-// Frozen with forty requests in hand, half of them not read yet; while it stands still their callers go and
-// the connections of what it had out are reset, so it wakes with reasons to try again and nobody to do it
-// for.
+// Freezes a sidecar with forty open requests, half of them unread. Meanwhile their clients disconnect and the
+// connections of the attempts in flight are reset, so that on resuming the sidecar has failed attempts to
+// retry but no client that waits for them.
 inline bool run_freeze_with_forty_requests(ProcessTestbed& testbed) {
     ServerEmulator &first_server = testbed.server(0), &second_server = testbed.server(1);
     first_server.behavior = second_server.behavior = ServerBehavior::hold;
@@ -38,7 +38,7 @@
     if (!testbed.run_until(all_ended)) return false;
     testbed.link("n-0", "s-0").reset_all();
     testbed.link("n-0", "s-1").reset_all();
-    // The request_history's slack runs from when they went.
+    // The history's tolerance counts from the time when the clients disconnected.
     if (!testbed.run_for(2 * RequestHistory::kTolerance)) return false;
     first_server.behavior = second_server.behavior = ServerBehavior::serve;
     const auto before = first_server.received_requests() + second_server.received_requests();
@@ -49,7 +49,7 @@
     return first_server.received_requests() + second_server.received_requests() == before + 1;
 }
 
-// Deposits whose answer is cut after the server has done them.
+// Cuts the responses to deposits after the server has processed them.
 inline bool run_truncated_deposit_responses(ProcessTestbed& testbed) {
     fault_proxy::Rule cut;
     cut.name = "cut", cut.type = fault_proxy::FaultType::reset, cut.from = {"s-*"}, cut.to = {"n-0"};
@@ -62,15 +62,15 @@
     return testbed.run_until_idle();
 }
 
-// Servers that take longer than the slack, so that what is out together is seen to be.
+// Makes the servers slower than the tolerance, so that overlapping attempts are detected.
 inline bool run_slow_responses(ProcessTestbed& testbed) {
     testbed.server(0).delay = testbed.server(1).delay = 3 * RequestHistory::kTolerance;
     for (int i = 0; i < 10; ++i) testbed.send_request(0, i % 2 ? "listen" : "annotate");
     return testbed.run_until_idle();
 }
 
-// Many connections that end: what the process holds must be what it counts, and a bound for what it has
-// besides.
+// Opens and resets many connections. The descriptors that the process holds must not exceed those that its
+// status counts plus its reserve.
 inline bool run_repeated_connection_resets(ProcessTestbed& testbed) {
     for (int i = 0; i < 60; ++i) {
         const std::string id = testbed.send_request(0, "listen");
--- a/tests/process_testbed/state_test.cpp
+++ b/tests/process_testbed/state_test.cpp
@@ -1,5 +1,5 @@
-// The program while the folder of its state fails: files that may not grow (RLIMIT_FSIZE, which cuts a write
-// short and then fails with EFBIG and a signal) stand for a disk that is full for a while.
+// Tests the program while writes to its state folder fail. A limit on the file size (RLIMIT_FSIZE, which cuts
+// a write short and then fails with EFBIG and a signal) emulates a disk that is full for a while.
 #include <sys/resource.h>
 
 #include <algorithm>
@@ -13,7 +13,7 @@
 
 using Outcome = RequestHistory::Outcome;
 
-constexpr std::size_t kServers = 8;  // so that a snapshot is larger than the log
+constexpr std::size_t kServers = 8;  // makes a snapshot larger than the log
 
 class StateFolder : public ::testing::Test {
 protected:
@@ -31,7 +31,7 @@
         testbed.restart(0, "", "[state]\nfolder = \"" + folder + "\"\nevery = \"100ms\"\n");
         ASSERT_TRUE(testbed.run_until([&] { return testbed.is_ready(0); })) << log();
     }
-    // Thirty requests, all served.
+    // Sends thirty requests and checks that all are served.
     void serve_thirty_requests() {
         std::vector<std::string> ids;
         for (int i = 0; i < 10; ++i)
@@ -41,7 +41,7 @@
         for (const std::string& id : ids)
             ASSERT_EQ(testbed.outcome(id), Outcome::served) << testbed.describe_failure(id);
     }
-    // The files of the running program end at so many bytes; none: as they like.
+    // Limits the size of files that the running program writes, in bytes; none: removes the limit.
     void limit_files(std::optional<rlim_t> bytes) {
         rlimit limit{};
         const pid_t pid = testbed.process(0).pid();
@@ -61,7 +61,7 @@
             ++count;
         return count;
     }
-    // When the newest whole state was taken; 0: there is none.
+    // Returns the wall-clock time in milliseconds of the newest complete snapshot; 0 if there is none.
     std::int64_t newest_snapshot_ms() const {
         std::int64_t newest_ms = 0;
         for (const auto& entry : state::list_generations(state::posix_file_system(), folder).files)
@@ -80,9 +80,9 @@
     ASSERT_TRUE(testbed.run_until([&] { return count_in_log("event=write_failed") > 0; })) << log();
     const std::int64_t newest_before = newest_snapshot_ms();
     serve_thirty_requests();
-    ASSERT_TRUE(testbed.run_for(1000)) << "ten more writes that fail";
+    ASSERT_TRUE(testbed.run_for(1000)) << "a violation or crash during ten more failed writes";
     EXPECT_EQ(count_in_log("event=write_failed"), 1U) << log();
-    EXPECT_EQ(newest_snapshot_ms(), newest_before) << "no part of a write counts";
+    EXPECT_EQ(newest_snapshot_ms(), newest_before) << "a partial write replaced the last snapshot";
 
     limit_files({});
     ASSERT_TRUE(testbed.run_until([&] { return count_in_log("event=write_recovered") > 0; })) << log();
@@ -93,12 +93,12 @@
     ASSERT_TRUE(testbed.run_until_idle()) << testbed.describe_failure();
 }
 
-// The log may be on the same disk: a line that could not be written is lost, not the program and not later
-// lines.
+// The log may be on the same full disk. A line that cannot be written is lost, but the program and later
+// lines are not.
 TEST_F(StateFolder, KeepsRunningWhenNeitherStateNorLogCanBeWritten) {
     limit_files(0);
     for (int i = 0; i < 3; ++i) serve_thirty_requests();
-    ASSERT_TRUE(testbed.run_for(500)) << "five writes that fail";
+    ASSERT_TRUE(testbed.run_for(500)) << "a violation or crash during five failed writes";
     EXPECT_TRUE(testbed.is_running(0));
     limit_files({});
     ASSERT_TRUE(testbed.run_until([&] { return count_in_log("event=write_recovered") > 0; })) << log();
--- a/tools/chaos/main.cpp
+++ b/tools/chaos/main.cpp
@@ -1,4 +1,5 @@
-// elmbay_chaos: plays schedules of faults on sidecar processes until the time is over or one breaks a rule.
+// elmbay_chaos: runs fault schedules on sidecar processes until the time limit or the first violated
+// invariant.
 #include <CLI/CLI.hpp>
 #include <chrono>
 #include <cstdint>
@@ -23,24 +24,24 @@
 constexpr int kExitFailed = 1;
 constexpr int kExitUsageError = 2;
 
-/// The command line.
+/// The parsed command line.
 struct Arguments {
     Options testbed;
     std::uint64_t first_seed = 1;
-    std::size_t steps = 40;  // of a schedule
+    std::size_t steps = 40;  // of each schedule
     double seconds = 60;
     std::string failed_schedule_path = "failed.schedule";
     std::string replay_path;  // empty: schedules are drawn
 };
 
-/// What was played of schedules that broke no rule.
+/// Totals of the schedules that passed.
 struct Totals {
     std::uint64_t schedules = 0;
     std::uint64_t requests = 0;
     std::uint64_t served = 0;
 };
 
-/// A schedule that broke a rule.
+/// A schedule that violated an invariant.
 struct Failure {
     std::uint64_t seed = 0;
     Schedule schedule;
@@ -58,28 +59,30 @@
     return arguments;
 }
 
-/// Reads the command line.
-/// @return nothing to go on with: the exit code is set then, and what there is to say has been said.
+/// Parses the command line.
+/// @return the arguments; none if the program must exit. Then `exit_code` is set and all output has been
+/// printed.
 std::optional<Arguments> parse(int argc, char** argv, int& exit_code) {
     Arguments arguments = default_arguments();
     Options& testbed = arguments.testbed;
     CLI::App app{
-        "Starts sidecars, puts faults between them, servers and the list as drawn from a seed, and holds "
-        "what\n"
-        "they did against the rules. A schedule that fails is shrunk and written to FILE."};
-    app.add_option("--sidecar", testbed.program, "the command that starts one")->capture_default_str();
+        "Starts sidecars, injects faults on the links to servers, discovery and each other as drawn from a "
+        "seed,\n"
+        "and checks the invariants. A schedule that fails is shrunk and written to the file of --out."};
+    app.add_option("--sidecar", testbed.program, "command that starts a sidecar")->capture_default_str();
     app.add_option("--sidecars", testbed.sidecars)->check(CLI::Range(2, 300))->capture_default_str();
     app.add_option("--servers", testbed.servers)->check(CLI::Range(2, 200))->capture_default_str();
-    app.add_option("--deeds", arguments.steps, "of a schedule")
+    app.add_option("--deeds", arguments.steps, "number of steps of a schedule")
         ->check(CLI::Range(1, 10000))
         ->capture_default_str();
-    app.add_option("--seed", arguments.first_seed, "of the first schedule; each next one has the next")
+    app.add_option("--seed", arguments.first_seed,
+                   "seed of the first schedule; each later schedule uses the next seed")
         ->capture_default_str();
-    app.add_option("--seconds", arguments.seconds, "for how long")->capture_default_str();
-    app.add_option("--out", arguments.failed_schedule_path, "where a failing schedule goes")
+    app.add_option("--seconds", arguments.seconds, "duration of the run")->capture_default_str();
+    app.add_option("--out", arguments.failed_schedule_path, "file for a failing schedule")
         ->capture_default_str();
-    app.add_option("--replay", arguments.replay_path, "this schedule only");
-    app.footer("Exit: 0 all kept, 1 a schedule failed, 2 wrong use.");
+    app.add_option("--replay", arguments.replay_path, "run only the schedule of this file");
+    app.footer("Exit status: 0 no invariant violated, 1 a schedule failed, 2 invalid command line.");
     try {
         app.parse(argc, argv);
     } catch (const CLI::ParseError& error) {
@@ -89,23 +92,23 @@
     return arguments;
 }
 
-/// @throws std::invalid_argument if the file cannot be read or is no schedule.
+/// @throws std::invalid_argument if the file cannot be read or is not a schedule.
 Schedule read_schedule(const std::string& path) {
     const std::ifstream file(path);
     std::ostringstream text;
     text << file.rdbuf();
-    if (!file) throw std::invalid_argument(path + ": can't be read");
+    if (!file) throw std::invalid_argument(path + ": the file could not be read");
     return elmbay::process_testbed::parse_schedule(text.str());
 }
 
 int replay(const Arguments& arguments) {
     const Schedule schedule = read_schedule(arguments.replay_path);
     const ChaosResult result = elmbay::process_testbed::run_schedule(arguments.testbed, schedule);
-    std::cout << (result.passed ? "kept\n" : result.explanation);
+    std::cout << (result.passed ? "no invariant violated\n" : result.explanation);
     return result.passed ? kExitPassed : kExitFailed;
 }
 
-/// Draws and plays schedules until the time is over or one breaks a rule.
+/// Draws and runs schedules until the time limit or the first violated invariant.
 std::optional<Failure> search(const Arguments& arguments, Totals& totals) {
     const auto end = std::chrono::steady_clock::now() + std::chrono::duration<double>(arguments.seconds);
     Options options = arguments.testbed;
@@ -121,10 +124,10 @@
     return {};
 }
 
-/// Prints the failure, shrinks its schedule and writes that down.
+/// Prints the failure, shrinks its schedule and writes the shrunk schedule to a file.
 void report_failure(const Arguments& arguments, const Failure& failure) {
-    std::cout << "seed " << failure.seed << " fails:\n"
-              << failure.result.explanation << "shrinking" << std::endl;
+    std::cout << "seed " << failure.seed << " violates an invariant:\n"
+              << failure.result.explanation << "shrinking the schedule" << std::endl;
     Options options = arguments.testbed;
     options.seed = failure.seed;
     const Schedule smallest = elmbay::process_testbed::shrink(failure.schedule, [&](const Schedule& shorter) {
@@ -134,14 +137,14 @@
     std::ofstream(arguments.failed_schedule_path) << "# seed " << failure.seed << ", " << options.sidecars
                                                   << " sidecars, " << options.servers << " servers\n"
                                                   << text;
-    std::cout << "down to " << smallest.size() << " deeds of " << failure.schedule.size() << ", in "
+    std::cout << "shrunk to " << smallest.size() << " steps of " << failure.schedule.size() << ", written to "
               << arguments.failed_schedule_path << ":\n"
               << text;
 }
 
 void report_success(const Arguments& arguments, const Totals& totals) {
-    std::cout << totals.schedules << " schedules of " << arguments.steps << " deeds, " << totals.requests
-              << " requests, " << totals.served << " served: all kept" << std::endl;
+    std::cout << totals.schedules << " schedules of " << arguments.steps << " steps, " << totals.requests
+              << " requests, " << totals.served << " served: no invariant violated" << std::endl;
 }
 
 int run(const Arguments& arguments) {
--- a/tools/fault_proxy/main.cpp
+++ b/tools/fault_proxy/main.cpp
@@ -1,4 +1,4 @@
-// elmbay_fault_proxy: TCP and UDP links on loopback with faults on them, by a file or for one link.
+// elmbay_fault_proxy: runs TCP and UDP links with faults on loopback, from a file or for a single link.
 #include <CLI/CLI.hpp>
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/signal_set.hpp>
@@ -30,34 +30,35 @@
 
 enum class Command { run, check, link, keys };
 
-/// The command line.
+/// The parsed command line.
 struct Arguments {
     Command command = Command::run;
-    std::string file;                                         // of run and check
-    fault_proxy::LinkSpec link{"a", "b", "127.0.0.1:0", ""};  // of link
-    std::vector<std::string> rules;                           // of link, as keys of TOML
+    std::string file;                                         // for run and check
+    fault_proxy::LinkSpec link{"a", "b", "127.0.0.1:0", ""};  // for link
+    std::vector<std::string> rules;                           // for link, as TOML keys
 };
 
-/// Reads the command line.
-/// @return nothing to go on with: the exit code is set then, and what there is to say has been said.
+/// Parses the command line.
+/// @return the arguments; none if the program must exit. Then `exit_code` is set and all output has been
+/// printed.
 std::optional<Arguments> parse(int argc, char** argv, int& exit_code) {
     Arguments arguments;
     CLI::App app{
-        "Stands between two ends on loopback and does to their bytes and datagrams what its rules say.\n"
-        "SIGHUP reads the rules again; SIGTERM ends it and tells what went by."};
+        "Forwards connections and datagrams on loopback and injects the faults of its rules.\n"
+        "SIGHUP reloads the rules; SIGTERM ends the program and prints traffic totals."};
     app.set_version_flag("--version", "elmbay_fault_proxy " ELMBAY_VERSION);
-    app.footer("Exit: 0 ended as told, 1 an address can't be had, 2 wrong use or a file that can't be used.");
-    auto* run = app.add_subcommand("run", "the links and rules of a file (docs/operate/fault-proxy.md)");
+    app.footer("Exit status: 0 success, 1 an address cannot be bound, 2 invalid command line or file.");
+    auto* run = app.add_subcommand("run", "run the links and rules of a file (docs/operate/fault-proxy.md)");
     run->add_option("file", arguments.file)->required();
-    auto* check = app.add_subcommand("check", "says what is wrong with a file");
+    auto* check = app.add_subcommand("check", "print the problems of a file");
     check->add_option("file", arguments.file)->required();
-    auto* link = app.add_subcommand("link", "one link, from a to b");
-    link->add_option("--listen", arguments.link.listen, "address:port; port 0 takes any")
+    auto* link = app.add_subcommand("link", "run one link, from a to b");
+    link->add_option("--listen", arguments.link.listen, "address:port; port 0 selects a free port")
         ->capture_default_str();
     link->add_option("--target", arguments.link.target, "address:port")->required();
     link->add_option("--rule", arguments.rules,
-                     R"(a rule as keys of TOML: 'act = "delay", span = "20ms"'; again for more)");
-    auto* keys = app.add_subcommand("keys", "every key of a file");
+                     R"(a rule as TOML keys: 'act = "delay", span = "20ms"'; may be repeated)");
+    auto* keys = app.add_subcommand("keys", "print all keys of a file");
     app.require_subcommand(1);
     try {
         app.parse(argc, argv);
@@ -71,8 +72,8 @@
     return arguments;
 }
 
-/// Reads a script from a text and prints what is wrong with it.
-/// @return nothing if something is.
+/// Parses a script and prints its problems.
+/// @return the script; none if it has problems.
 std::optional<fault_proxy::Script> parse_script(const std::string& text, const std::string& name,
                                                 schema::Problems problems = {}) {
     fault_proxy::Script script;
@@ -82,18 +83,18 @@
     return script;
 }
 
-/// Reads a script from a file and prints what is wrong with it.
-/// @return nothing if something is.
+/// Reads a script from a file and prints its problems.
+/// @return the script; none if it has problems.
 std::optional<fault_proxy::Script> read_script(const std::string& path) {
     const std::ifstream file(path);
     std::ostringstream text;
     text << file.rdbuf();
     schema::Problems problems;
-    if (!file) problems.push_back({0, "", "can't be read"});
+    if (!file) problems.push_back({0, "", "the file could not be read"});
     return parse_script(text.str(), path, problems);
 }
 
-/// Makes a script of one link and the rules of the command line.
+/// Creates a script from the link and the rules of the command line.
 std::optional<fault_proxy::Script> script_of_link(const Arguments& arguments) {
     std::string text = "rule = [";
     for (const std::string& rule : arguments.rules) text += "{" + rule + "},";
@@ -108,12 +109,12 @@
     return {endpoint.address(), endpoint.port()};
 }
 
-/// Runs the links and members of a script until SIGTERM or SIGINT. SIGHUP reads the rules again.
+/// Runs the links and members of a script until SIGTERM or SIGINT. SIGHUP reloads the rules.
 class Proxy {
 public:
-    /// @param path of the file that SIGHUP reads again; empty: none.
-    /// @throws std::invalid_argument       for an address that is none.
-    /// @throws boost::system::system_error if an address cannot be had.
+    /// @param path file that SIGHUP reloads; empty: none.
+    /// @throws std::invalid_argument       if an address is invalid.
+    /// @throws boost::system::system_error if an address cannot be bound.
     Proxy(fault_proxy::Script script, std::string path)
         : path_(std::move(path)),
           context_(io_, script.seed),
@@ -151,7 +152,7 @@
             datagram_net_->add(member.name, loopback_udp_endpoint(member.listen),
                                loopback_udp_endpoint(member.target));
         }
-        std::cout << script.members.size() << " members of datagrams" << std::endl;
+        std::cout << script.members.size() << " datagram members" << std::endl;
     }
     void wait_for_reload() {
         reload_signal_.async_wait([this](boost::system::error_code error, int) {
@@ -160,27 +161,27 @@
             wait_for_reload();
         });
     }
-    // Takes the rules of the file anew, their times from now. Links and members stay; a bad file changes
-    // nothing.
+    // Replaces the rules with those of the file and restarts their clock. Links and members stay the same. An
+    // invalid file changes nothing.
     void reload() {
         if (path_.empty()) return;
         auto script = read_script(path_);
         if (!script) return;
         context_.replace_rules(std::move(script->rules));
         context_.restart_clock();
-        std::cout << "rules read again: " << context_.rules().all().size() << std::endl;
+        std::cout << "rules reloaded: " << context_.rules().all().size() << std::endl;
     }
     void report() const {
         for (const auto& link : links_) {
             std::cout << link->link().from << " -> " << link->link().to << ": " << link->opened_connections()
-                      << " connections, " << link->bytes_to_target() << " bytes there, "
-                      << link->bytes_to_client() << " back" << std::endl;
+                      << " connections, " << link->bytes_to_target() << " bytes to target, "
+                      << link->bytes_to_client() << " bytes to client" << std::endl;
         }
         if (!datagram_net_) return;
         const auto total = datagram_net_->total_counts();
         std::cout << "datagrams: " << total.sent << " sent, " << total.delivered << " delivered, "
                   << total.bytes_delivered << " bytes; " << datagram_net_->unknown_senders()
-                  << " from strangers" << std::endl;
+                  << " from unknown senders" << std::endl;
     }
 
     asio::io_context io_{1};
@@ -202,7 +203,7 @@
         is_link ? script_of_link(arguments) : read_script(arguments.file);
     if (!script) return kExitUsageError;
     if (arguments.command == Command::check) {
-        std::cout << arguments.file << ": sound" << std::endl;
+        std::cout << arguments.file << ": valid" << std::endl;
         return kExitOk;
     }
     Proxy(std::move(*script), arguments.file).run();
