--- a/src/process_testbed/request_history.cpp
+++ b/src/process_testbed/request_history.cpp
@@ -156,7 +156,7 @@
     const auto found = requests_.find(id);
     if (found == requests_.end()) return;
     Request& request = found->second;
-    record(now, server, id, "request processed");
+    record(now, server, id, "done");
     ++request.times_processed;
     if (request.times_processed > 1 && request.idempotency == Idempotency::non_idempotent) {
         report_violation(
--- a/tests/fault_proxy/datagram_test.cpp
+++ b/tests/fault_proxy/datagram_test.cpp
@@ -76,8 +76,8 @@
         };
         while (!all_marked() && std::chrono::steady_clock::now() < limit)
             io.run_one_for(std::chrono::milliseconds(100));
-        io.run_for(
-            std::chrono::milliseconds(20));  // a socket's marker may overtake datagrams of another socket
+        // The marker of one socket may overtake datagrams of another socket.
+        io.run_for(std::chrono::milliseconds(20));
         std::set<std::pair<int, int>> pairs;
         for (int sender = 0; sender < kMembers; ++sender)
             for (int receiver = 0; receiver < kMembers; ++receiver)
@@ -173,16 +173,16 @@
     Probe unknown_sender(fixture.io);
     unknown_sender.socket.send_to(asio::buffer(std::string("boo")), fixture.net.address_of("n-0"));
     const std::uint16_t address = fixture.net.address_of("n-3").port();
-    const auto got = [&] {
+    const auto receiver_count = [&] {
         std::size_t count = 0;
         for (const auto& probe : fixture.probes) count += probe->received.contains({address, "all"});
         return count;
     };
     const auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(60);
-    while ((got() < kMembers - 1 || fixture.net.unknown_senders() == 0) &&
+    while ((receiver_count() < kMembers - 1 || fixture.net.unknown_senders() == 0) &&
            std::chrono::steady_clock::now() < limit)
         fixture.io.run_one_for(std::chrono::milliseconds(100));
-    EXPECT_EQ(got(), static_cast<std::size_t>(kMembers - 1));
+    EXPECT_EQ(receiver_count(), static_cast<std::size_t>(kMembers - 1));
     EXPECT_FALSE(fixture.probes[3]->received.contains({address, "all"}));
     EXPECT_EQ(fixture.net.unknown_senders(), 1U);
     EXPECT_EQ(fixture.net.total_counts().bytes_delivered, 3U * (kMembers - 1));
--- a/tests/fault_proxy/stream_test.cpp
+++ b/tests/fault_proxy/stream_test.cpp
@@ -73,9 +73,9 @@
         context.put_rule(rule);
     }
     std::shared_ptr<TestConnection> connect_and_accept() {
-        const auto before = accepted.size();
+        const auto accepted_before = accepted.size();
         auto client = connect();
-        EXPECT_TRUE(run_until([&] { return client->is_connected && accepted.size() > before; }));
+        EXPECT_TRUE(run_until([&] { return client->is_connected && accepted.size() > accepted_before; }));
         return client;
     }
 };
@@ -149,8 +149,8 @@
     LinkFixture fixture;
     const auto client = fixture.connect_and_accept();
     const auto server_end = fixture.accepted.back();
-    fixture.put_rule("cut", FaultType::cut, "b",
-                     "a");  // cutting one direction suffices to block new connections
+    // A cut of one direction suffices to block new connections.
+    fixture.put_rule("cut", FaultType::cut, "b", "a");
     client->send("there");
     server_end->send("back");
     const auto late_client = fixture.connect();
@@ -160,8 +160,8 @@
     EXPECT_FALSE(late_client->is_connected || late_client->was_refused);
     EXPECT_TRUE(fixture.context.remove_rule("cut"));
     ASSERT_TRUE(fixture.run_until([&] { return client->received == "back" && late_client->is_connected; }));
-    ASSERT_TRUE(fixture.run_until(
-        [&] { return fixture.accepted.size() == 2; }));  // no backlog filler reached the target
+    // No backlog filler reaches the target.
+    ASSERT_TRUE(fixture.run_until([&] { return fixture.accepted.size() == 2; }));
     fixture.run_briefly();
     EXPECT_EQ(fixture.accepted.size(), 2U);
 }
@@ -206,10 +206,10 @@
     fixture.context.put_rule(hold);
     const auto delayed_client = fixture.connect();
     ASSERT_TRUE(fixture.run_until([&] { return delayed_client->is_connected; }));
-    const auto before = fixture.accepted.size();
+    const auto accepted_before = fixture.accepted.size();
     const Millis started_at = fixture.context.now();
     delayed_client->send("x");
-    ASSERT_TRUE(fixture.run_until([&] { return fixture.accepted.size() > before; }));
+    ASSERT_TRUE(fixture.run_until([&] { return fixture.accepted.size() > accepted_before; }));
     EXPECT_GE(fixture.context.now() - started_at, 50);
 }
 
--- a/tests/process_testbed/faults_test.cpp
+++ b/tests/process_testbed/faults_test.cpp
@@ -146,12 +146,13 @@
     const auto bytes_to_first_server = [&](std::size_t sidecar) {
         return testbed.link("n-" + std::to_string(sidecar), "s-0").bytes_to_target();
     };
-    const auto before_0 = bytes_to_first_server(0), before_1 = bytes_to_first_server(1);
+    const auto bytes_before_0 = bytes_to_first_server(0), bytes_before_1 = bytes_to_first_server(1);
     for (int i = 0; i < 40; ++i) testbed.send_request(static_cast<std::size_t>(i % 2), "listen");
     ASSERT_TRUE(testbed.run_until([&] { return testbed.request_history().open_requests() == 0; }))
         << testbed.describe_failure();
-    EXPECT_EQ(bytes_to_first_server(0), before_0);
-    EXPECT_GT(bytes_to_first_server(1), before_1) << "the list has not been delivered to n-1";
+    EXPECT_EQ(bytes_to_first_server(0), bytes_before_0);
+    EXPECT_GT(bytes_to_first_server(1), bytes_before_1)
+        << "n-1 stopped sending before the list was delivered to it";
     testbed.context().remove_rule("split");
     ASSERT_TRUE(testbed.run_until([&] { return testbed.status(1)["servers"][0]["state"] == "leaving"; }));
     const auto bytes_after_drain = bytes_to_first_server(1);
@@ -178,7 +179,7 @@
 
 // One sidecar has a clock that is five minutes ahead, the second is another build with another operator's
 // file, the third is out of descriptors, and the fourth has a tenth of its core. The first, second and fourth
-// must serve every request.
+// must serve every request, and the third must not lose an outcome.
 TEST(ProcessTestbed, ServesSideBySideWithOtherClocksBuildsAndLimits) {
     ProcessTestbed testbed(small_testbed(4, 2));
     testbed.start();
@@ -211,7 +212,7 @@
 // at that time but is healthy now. The server must return, and no request may lose its outcome.
 TEST(ProcessTestbed, RestoresAServerThatAnOlderSnapshotHasEjected) {
     namespace fs = std::filesystem;
-    std::string folder = (fs::temp_directory_path() / "memory-XXXXXX").string();
+    std::string folder = (fs::temp_directory_path() / "elmbay-snapshot-XXXXXX").string();
     ASSERT_NE(::mkdtemp(folder.data()), nullptr);
     const fs::path current = fs::path(folder) / "now", older = fs::path(folder) / "older";
     const std::string operator_file = "[state]\nfolder = \"" + current.string() + "\"\nevery = \"100ms\"\n";
@@ -247,10 +248,10 @@
     fs::copy(older, current, fs::copy_options::recursive);
     testbed.restart(0);
     ASSERT_TRUE(testbed.run_until([&] { return testbed.is_ready(0); })) << testbed.describe_failure();
-    const auto before = testbed.server(0).received_requests();
+    const auto received_before = testbed.server(0).received_requests();
     EXPECT_TRUE(is_ejected()) << "the snapshot was not restored";
     ASSERT_TRUE(testbed.run_until([&] {
-        return send_eight_requests() && testbed.server(0).received_requests() > before + 1;
+        return send_eight_requests() && testbed.server(0).received_requests() > received_before + 1;
     })) << testbed.describe_failure();
     EXPECT_FALSE(is_ejected());
     ASSERT_TRUE(testbed.run_until_idle()) << testbed.describe_failure();
--- a/tests/process_testbed/scenarios.hpp
+++ b/tests/process_testbed/scenarios.hpp
@@ -1,5 +1,5 @@
-// Scenarios that several process tests use. Each returns whether no invariant was violated: it must for the
-// correct program, and must not for a program with the failpoint that the scenario targets.
+// Scenarios that several process tests use. Each returns true if no invariant was violated. The correct
+// program must pass every scenario, and a program with the failpoint that a scenario targets must fail it.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -41,12 +41,12 @@
     // The history's tolerance counts from the time when the clients disconnected.
     if (!testbed.run_for(2 * RequestHistory::kTolerance)) return false;
     first_server.behavior = second_server.behavior = ServerBehavior::serve;
-    const auto before = first_server.received_requests() + second_server.received_requests();
+    const auto received_before = first_server.received_requests() + second_server.received_requests();
     testbed.thaw(0);
-    const std::string after = testbed.send_request(0, "listen");
-    if (!testbed.run_until([&] { return testbed.has_ended(after); }) || !testbed.run_until_idle())
+    const std::string last_id = testbed.send_request(0, "listen");
+    if (!testbed.run_until([&] { return testbed.has_ended(last_id); }) || !testbed.run_until_idle())
         return false;
-    return first_server.received_requests() + second_server.received_requests() == before + 1;
+    return first_server.received_requests() + second_server.received_requests() == received_before + 1;
 }
 
 // Cuts the responses to deposits after the server has processed them.
--- a/tools/chaos/main.cpp
+++ b/tools/chaos/main.cpp
@@ -127,7 +127,7 @@
 /// Prints the failure, shrinks its schedule and writes the shrunk schedule to a file.
 void report_failure(const Arguments& arguments, const Failure& failure) {
     std::cout << "seed " << failure.seed << " violates an invariant:\n"
-              << failure.result.explanation << "shrinking the schedule" << std::endl;
+              << failure.result.explanation << "shrinking" << std::endl;
     Options options = arguments.testbed;
     options.seed = failure.seed;
     const Schedule smallest = elmbay::process_testbed::shrink(failure.schedule, [&](const Schedule& shorter) {
