--- a/src/fault_proxy/rules.cpp
+++ b/src/fault_proxy/rules.cpp
@@ -15,7 +15,7 @@
 
 constexpr double kMillisPerSecond = 1000;
 
-// In the order of FaultType.
+// Names in files, in the order of FaultType.
 constexpr std::array<const char*, 13> kFaultTypeNames{"cut",     "lose",   "delay", "repeat", "reorder",
                                                       "rate",    "refuse", "hold",  "reset",  "half-close",
                                                       "silence", "stall",  "garble"};
--- a/src/process_testbed/client_emulator.hpp
+++ b/src/process_testbed/client_emulator.hpp
@@ -29,8 +29,8 @@
 /// Owned by ProcessTestbed; runs in its event loop, not thread-safe. The destructor closes all connections.
 class ClientEmulator {
 public:
-    /// Milliseconds for which a client waits beyond its deadline: "up to half a second after its time it only
-    /// earns nothing".
+    /// Milliseconds for which a client waits beyond its deadline. The rules allow a response up to half a
+    /// second late, which only earns no credit.
     static constexpr Millis kResponseGracePeriod = 500;
 
     ClientEmulator(fault_proxy::EventLoopContext& context, RequestHistory& history);
--- a/src/process_testbed/process_testbed.hpp
+++ b/src/process_testbed/process_testbed.hpp
@@ -4,7 +4,7 @@
 //     ProcessTestbed testbed({.sidecars = 3, .servers = 2, .program = ELMBAY_PROGRAM});
 //     testbed.start();
 //     const auto id = testbed.send_request(0, "deposit");
-//     testbed.context().put_rule({.name = "cut", .from = {"s-*"}, .to = {"n-0"}, .act = FaultType::cut});
+//     testbed.context().put_rule({.name = "cut", .from = {"s-*"}, .to = {"n-0"}, .type = FaultType::cut});
 //     ASSERT_TRUE(testbed.run_until([&] { return testbed.has_ended(id); })) << testbed.describe_failure(id);
 //
 // Names in rules: sidecars are n-0 ..., servers s-0 ..., the discovery service is "list", and the clients of
--- a/src/process_testbed/request_history.cpp
+++ b/src/process_testbed/request_history.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// In the order of Outcome.
+// Names in the history, in the order of Outcome.
 constexpr std::array<const char*, RequestHistory::kOutcomeCount> kOutcomeNames{"served", "refused", "failed",
                                                                                "cut"};
 
