--- a/tests/fault_proxy/rules_test.cpp
+++ b/tests/fault_proxy/rules_test.cpp
@@ -51,7 +51,7 @@
     Rule drop = make_rule("lose", FaultType::drop);
     drop.probability = 0.3;
     Rules forward(7), backward(7), other_seed(8);
-    for (Rules* r : {&forward, &backward, &other_seed}) r->put(drop);
+    for (Rules* rules : {&forward, &backward, &other_seed}) rules->put(drop);
     const Link link{"p", "q"};
     std::string in_order, backwards(1000, ' '), other;
     for (std::uint64_t number = 1; number <= 1000; ++number)
@@ -71,17 +71,17 @@
 TEST(Rules, DuplicateDelayAndRateLimitDatagrams) {
     Rules rules;
     const Link link{"p", "q"};
-    Rule repeat = make_rule("repeat", FaultType::duplicate);
-    repeat.extra_copies = 2, repeat.first_number = 2, repeat.last_number = 2;
+    Rule duplicate = make_rule("repeat", FaultType::duplicate);
+    duplicate.extra_copies = 2, duplicate.first_number = 2, duplicate.last_number = 2;
     Rule delay = make_rule("delay", FaultType::delay);
     delay.delay = 30, delay.jitter = 10, delay.distribution = DelayDistribution::uniform;
     Rule rate_limit = make_rule("line", FaultType::limit_rate);
     rate_limit.bytes_per_second = 1000;
-    rules.put(repeat), rules.put(delay);
+    rules.put(duplicate), rules.put(delay);
     EXPECT_EQ(rules.deliver(link, 1, 10, 0).size(), 1U);
     const auto copies = rules.deliver(link, 2, 10, 0);
     ASSERT_EQ(copies.size(), 3U);
-    for (const auto& d : copies) EXPECT_TRUE(d.delay >= 20 && d.delay <= 40) << d.delay;
+    for (const auto& copy : copies) EXPECT_TRUE(copy.delay >= 20 && copy.delay <= 40) << copy.delay;
     EXPECT_NE(copies[0].delay, copies[1].delay);  // each copy has its own delay
     rules.replace_all({rate_limit});
     EXPECT_DOUBLE_EQ(rules.deliver(link, 3, 100, 0)[0].delay, 100);
@@ -103,13 +103,14 @@
     MessageBoundaryReader reader(kind);
     std::string found;
     for (std::size_t position = 0; position < text.size(); position += chunk_size)
-        for (const MessageBoundary& m : reader.read(std::string_view(text).substr(position, chunk_size)))
-            found += std::to_string(m.message_number) + "bhe"[static_cast<int>(m.point)] +
-                     std::to_string(m.offset) + " ";
+        for (const MessageBoundary& boundary :
+             reader.read(std::string_view(text).substr(position, chunk_size)))
+            found += std::to_string(boundary.message_number) + "bhe"[static_cast<int>(boundary.point)] +
+                     std::to_string(boundary.offset) + " ";
     return found;
 }
 
-TEST(MessageBoundaryReader, FindsTheSameBoundariesInPiecesOfAnySize) {
+TEST(MessageBoundaryReader, FindsTheSameBoundariesInChunksOfAnySize) {
     const std::string expected_requests = "1b0 1h48 1e52 2b52 2h80 2e80 ";
     const std::string expected_responses =
         boundaries_of(MessageKind::response, kResponses, kResponses.size());
@@ -145,7 +146,7 @@
     return filtered;
 }
 
-TEST(StreamFilter, AppliesFaultsAtTheirByteOrMessageInPiecesOfAnySize) {
+TEST(StreamFilter, AppliesFaultsAtTheirByteOrMessageInChunksOfAnySize) {
     for (std::size_t chunk_size : {1UL, 2UL, 7UL, 40UL, 500UL}) {
         for (std::uint64_t byte = 0; byte < kTwoRequests.size(); ++byte) {
             Rule reset = make_rule("r", FaultType::reset);
