--- a/src/fault_proxy/stream_filter.cpp
+++ b/src/fault_proxy/stream_filter.cpp
@@ -32,13 +32,13 @@
     return !has_state && rules_.stream_rules(link_, connection_).empty();
 }
 
-bool StreamFilter::is_first_time(const std::string& rule) {
+bool StreamFilter::mark_applied(const std::string& rule) {
     if (std::find(applied_rules_.begin(), applied_rules_.end(), rule) != applied_rules_.end()) return false;
     applied_rules_.push_back(rule);
     return true;
 }
 
-// Where the rule is triggered within the next `size` bytes.
+// Returns the offset within the next `size` bytes at which the rule is triggered, if any.
 std::optional<std::uint64_t> StreamFilter::trigger_offset(
     const Rule& rule, std::size_t size, const std::vector<MessageBoundary>& boundaries) const {
     switch (rule.trigger) {
@@ -59,8 +59,8 @@
     return {};
 }
 
-// The rules that are triggered within these bytes, in order of offset. Trigger::on_open is before the first
-// byte that comes while the rule holds.
+// Returns the rules that are triggered within these bytes, in order of offset. Trigger::on_open is triggered
+// before the first byte that arrives while the rule is active.
 std::vector<StreamFilter::TriggeredRule> StreamFilter::find_triggered(Millis now, std::string_view bytes) {
     std::vector<TriggeredRule> found;
     const std::vector<std::size_t> indexes = rules_.stream_rules(link_, connection_);
@@ -71,7 +71,7 @@
     const auto boundaries = message_reader_ ? message_reader_->read(bytes) : std::vector<MessageBoundary>{};
     for (const std::size_t i : indexes) {
         const Rule& rule = rules_.all()[i];
-        if (!has_trigger(rule.type) || !rule.holds_at(now)) continue;
+        if (!has_trigger(rule.type) || !rule.is_active_at(now)) continue;
         const auto offset = trigger_offset(rule, bytes.size(), boundaries);
         if (offset) found.push_back({*offset, i});
     }
@@ -88,11 +88,12 @@
     }
     const std::uint64_t begin = offset_;
     for (const TriggeredRule& triggered : find_triggered(now, bytes)) {
-        // A message's boundary may lie in bytes that have passed, if reading them had to wait for more.
+        // The offset of a message boundary may precede the current offset, because the parser may need more
+        // bytes to find it.
         const std::uint64_t until = std::max(triggered.offset, offset_);
         send(now, bytes.substr(offset_ - begin, until - offset_), actions);
         const Rule& rule = rules_.all()[triggered.rule];
-        if (is_first_time(rule.name)) apply(now, rule, actions);
+        if (mark_applied(rule.name)) apply(now, rule, actions);
         if (has_ended_) {
             offset_ = begin + bytes.size();
             return;
@@ -116,7 +117,7 @@
             has_ended_ = true;
             break;
         case FaultType::stall:
-            earliest_next_ += rules_.draw_delay(rule, link_, connection_, pieces_);
+            earliest_next_ += rules_.draw_delay(rule, link_, connection_, sent_chunks_);
             break;
         case FaultType::corrupt:
             bytes_to_corrupt_ += rule.corrupted_bytes;
@@ -129,7 +130,7 @@
 void StreamFilter::corrupt(std::string& bytes) {
     for (char& byte : bytes) {
         if (bytes_to_corrupt_ == 0) break;
-        byte = static_cast<char>(byte ^ kCorruption);
+        byte = static_cast<char>(byte ^ kCorruptionMask);
         --bytes_to_corrupt_;
     }
 }
@@ -138,20 +139,21 @@
     if (bytes.empty()) return;
     StreamAction action{StreamAction::Kind::send_bytes, now, std::string(bytes)};
     offset_ += bytes.size();
-    ++pieces_;
+    ++sent_chunks_;
     corrupt(action.bytes);
     Millis delay = 0;
     Millis transmission = 0;
     for (const std::size_t i : rules_.stream_rules(link_, connection_)) {
         const Rule& rule = rules_.all()[i];
-        if (!rule.holds_at(now)) continue;
-        if (rule.type == FaultType::delay) delay += rules_.draw_delay(rule, link_, connection_, pieces_);
+        if (!rule.is_active_at(now)) continue;
+        if (rule.type == FaultType::delay) delay += rules_.draw_delay(rule, link_, connection_, sent_chunks_);
         if (rule.type == FaultType::limit_rate && rule.bytes_per_second > 0) {
             const auto size = static_cast<double>(bytes.size());
             transmission = std::max(transmission, kMillisPerSecond * size / rule.bytes_per_second);
         }
     }
-    // In order, whatever each piece's own delay; a rate counts from when the line is free.
+    // Keeps all chunks in order, regardless of each chunk's own delay. Under a rate limit, transmission
+    // starts when the previous chunk has been sent.
     earliest_next_ = std::max(now + delay, earliest_next_) + transmission;
     action.not_before = earliest_next_;
     actions.push_back(std::move(action));
--- a/src/fault_proxy/stream_link.cpp
+++ b/src/fault_proxy/stream_link.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-// With a queue length of 0 the kernel still queues one connection; one more to be sure.
-constexpr int kBacklogFillers = 2;
+// With a backlog of 0 the kernel still queues one connection. The second filler is a safety margin.
+constexpr int kBacklogFillerCount = 2;
 
 }  // namespace
 
@@ -24,9 +24,9 @@
       endpoint_(std::move(listen)),
       target_(std::move(target)),
       acceptor_(context.io()) {
-    open_listener();  // once in any case, so that the port is known and known to be free
-    subscription_ = context_.subscribe([this] { update(); });
-    update();
+    open_listener();  // always, to determine the port and to check that it is free
+    subscription_ = context_.subscribe([this] { apply_rules(); });
+    apply_rules();
 }
 
 StreamLink::~StreamLink() {
@@ -48,29 +48,29 @@
 
 void StreamLink::set_target_state(TargetState state) {
     target_state_ = state;
-    target_refuses_ = false;
+    target_refused_ = false;
     context_.cancel(target_probe_);
-    update();
+    apply_rules();
 }
 
-// Looks again at what holds now.
-void StreamLink::update() {
+// Applies the rules that are active now.
+void StreamLink::apply_rules() {
     const Millis now = context_.now();
     is_cut_to_target_ = context_.rules().is_cut(link_, Medium::stream, now);
     is_cut_to_client_ = context_.rules().is_cut(link_.reversed(), Medium::stream, now);
-    enter(wanted_listener_state(now));
+    set_listener_state(required_listener_state(now));
     for (const auto& connection : std::set(connections_)) connection->on_rules_changed();
 }
 
-StreamLink::ListenerState StreamLink::wanted_listener_state(Millis now) const {
-    const bool target_is_down = target_state_ == TargetState::down || target_refuses_;
+StreamLink::ListenerState StreamLink::required_listener_state(Millis now) const {
+    const bool target_is_down = target_state_ == TargetState::down || target_refused_;
     if (target_is_down || context_.rules().refuses_all(link_, now)) return ListenerState::closed;
     const bool is_cut = is_cut_to_target_ || is_cut_to_client_;
     if (is_cut || target_state_ == TargetState::unreachable) return ListenerState::unresponsive;
     return ListenerState::listening;
 }
 
-void StreamLink::enter(ListenerState state) {
+void StreamLink::set_listener_state(ListenerState state) {
     if (state == listener_state_) return;
     if (state == ListenerState::closed) {
         Error ignored;
@@ -82,8 +82,8 @@
     if (!acceptor_.is_open()) open_listener();
     listener_state_ = state;
     if (state == ListenerState::listening) {
-        ::listen(acceptor_.native_handle(), kBacklog);
-        accept();  // the fillers come out of the queue first and are dropped there
+        ::listen(acceptor_.native_handle(), kBacklogLength);
+        accept();  // accepts the fillers first, which on_accepted() closes
         return;
     }
     Error ignored;
@@ -92,14 +92,15 @@
     fill_backlog();
 }
 
-// Fills the queue of connections that the kernel keeps for a listener, so that it drops further ones.
+// Fills the kernel's accept queue of the listener, so that the kernel drops further connection attempts.
 void StreamLink::fill_backlog() {
-    for (int i = 0; i < kBacklogFillers; ++i) {
+    for (int i = 0; i < kBacklogFillerCount; ++i) {
         Error ignored;
         tcp::socket filler(context_.io());
         filler.open(endpoint_.protocol(), ignored);
         filler.native_non_blocking(true, ignored);
-        // The system's own: asio's connect() waits until it is up, which is never.
+        // Calls connect(2) directly, because asio's connect() waits until the connection is established,
+        // which never happens.
         static_cast<void>(
             ::connect(filler.native_handle(), endpoint_.data(), static_cast<socklen_t>(endpoint_.size())));
         backlog_fillers_.push_back(std::move(filler));
@@ -117,7 +118,7 @@
     acceptor_.open(endpoint_.protocol());
     acceptor_.set_option(tcp::acceptor::reuse_address(true));
     acceptor_.bind(endpoint_);
-    acceptor_.listen(kBacklog);
+    acceptor_.listen(kBacklogLength);
     acceptor_.non_blocking(true);
     endpoint_ = acceptor_.local_endpoint();
     listener_state_ = ListenerState::listening;
@@ -131,7 +132,8 @@
         if (!*is_alive) return;
         is_accepting_ = false;
         if (listener_state_ != ListenerState::listening) return;
-        // Aborted in spite of the state: it changed and changed back in one turn of the loop.
+        // An error here means that the state changed to unresponsive and back within one turn of the event
+        // loop, which cancelled the accept.
         if (!error) on_accepted(std::move(client));
         accept();
     });
@@ -152,21 +154,21 @@
     connection->start(fault.delay);
 }
 
-// The target's machine refuses: so does the link, until a probe is accepted.
+// Refuses connections like the target's host did, until a probe connection to the target succeeds.
 void StreamLink::on_target_refused() {
-    if (target_refuses_ || target_state_ != TargetState::up) return;
-    target_refuses_ = true;
-    update();
+    if (target_refused_ || target_state_ != TargetState::up) return;
+    target_refused_ = true;
+    apply_rules();
     probe_target();
 }
 
 void StreamLink::probe_target() {
     const auto socket = std::make_shared<tcp::socket>(context_.io());
     socket->async_connect(target_, [this, is_alive = is_alive_, socket](Error error) {
-        if (!*is_alive || !target_refuses_) return;
+        if (!*is_alive || !target_refused_) return;
         if (!error) {
-            target_refuses_ = false;
-            return update();
+            target_refused_ = false;
+            return apply_rules();
         }
         target_probe_ = context_.schedule(context_.now() + kTargetProbePeriod, [this] {
             target_probe_ = {};
--- a/src/fault_proxy/stream_link_connection.hpp
+++ b/src/fault_proxy/stream_link_connection.hpp
@@ -1,4 +1,5 @@
-// One connection of a StreamLink: both sockets, and both directions with their faults. Private to StreamLink.
+// One connection of a StreamLink: its two sockets, and its two directions with their faults. Internal to
+// StreamLink.
 #pragma once
 
 #include <deque>
@@ -13,44 +14,44 @@
 
 namespace elmbay::fault_proxy {
 
-/// Passes bytes between a client and the target.
+/// Forwards bytes between a client and the target.
 ///
-/// Sockets are non-blocking: what can be passed on at once is, within the handler that read it. Handlers hold
-/// the connection by shared_ptr; after close() they do nothing.
+/// Sockets are non-blocking: bytes that can be forwarded immediately are, within the handler that read them.
+/// Handlers own the connection by shared_ptr; after close() they have no effect.
 class StreamLink::Connection : public std::enable_shared_from_this<Connection> {
 public:
-    /// @param number of the connection on its link, from 1.
+    /// @param number number of the connection on its link, from 1.
     Connection(StreamLink& link, tcp::socket client, std::uint64_t number);
 
-    /// Connects to the target after so many milliseconds.
+    /// Connects to the target after this many milliseconds.
     void start(Millis delay);
-    /// The rules, or what holds of them, have changed.
+    /// Called when the rules, or the set of active rules, have changed.
     void on_rules_changed();
     std::size_t queued_bytes() const { return to_target_.queued_bytes() + to_client_.queued_bytes(); }
     /// Closes both sockets.
-    /// @param by_reset whether both ends see a reset.
+    /// @param by_reset whether both ends get a reset.
     void close(bool by_reset);
 
 private:
-    // The bytes from `source` to the source of the other direction.
+    // The flow of bytes from `source` to the source of the opposite direction.
     struct Direction {
         Direction(const Rules& rules, Link link, std::uint64_t connection,
                   MessageBoundaryReader::MessageKind sender, tcp::socket socket)
             : filter(rules, std::move(link), connection, sender), source(std::move(socket)) {}
-        std::size_t queued_bytes() const { return bytes_in_actions + pipe.size(); }
+        std::size_t queued_bytes() const { return queued_action_bytes + pipe.size(); }
 
         StreamFilter filter;
         TcpSocket source;
-        SplicePipe pipe{};                 // what is inside goes before `actions`
-        std::deque<StreamAction> actions;  // in order
-        std::size_t bytes_in_actions = 0;  // not sent yet
-        std::size_t sent_of_first = 0;     // bytes of the first action
-        bool is_reading = false;           // waits for the source
-        bool is_writing = false;           // waits for space at the receiver
-        bool has_ended = false;            // the source has
-        bool end_passed_on = false;
-        bool last_read_was_bulk = false;     // the next may go by the pipe
-        EventLoopContext::TimerKey timer{};  // when the first action is due
+        SplicePipe pipe{};                        // its bytes precede `actions`
+        std::deque<StreamAction> actions;         // in order of execution
+        std::size_t queued_action_bytes = 0;      // bytes that are not sent yet
+        std::size_t first_action_sent_bytes = 0;  // bytes of the first action that are sent
+        bool is_reading = false;                  // waits until the source is readable
+        bool is_writing = false;                  // waits until the receiver is writable
+        bool has_ended = false;                   // whether the source has closed
+        bool end_forwarded = false;
+        bool last_read_was_bulk = false;     // the next read may use the pipe
+        EventLoopContext::TimerKey timer{};  // time at which the first action is due
     };
 
     Direction& opposite(const Direction& direction) {
@@ -70,22 +71,23 @@
     void on_readable(Direction& direction);
     bool splice(Direction& direction);
     void on_bytes(Direction& direction, Millis now, std::string_view bytes);
-    std::size_t pass_at_once(Direction& direction, std::string_view bytes);
-    void on_source_ended(Direction& direction, Millis now, bool in_order);
+    std::size_t forward_immediately(Direction& direction, std::string_view bytes);
+    void on_source_ended(Direction& direction, Millis now, bool is_graceful);
     void enqueue(Direction& direction, std::vector<StreamAction> actions);
 
-    // These return whether to go on; if not, something else comes back to deliver(), or all is closed.
-    bool empty_pipe(Direction& direction);
-    bool do_first_action(Direction& direction);
+    // Return whether to continue. If not, either another handler will call deliver() again, or the connection
+    // is closed.
+    bool flush_pipe(Direction& direction);
+    bool perform_first_action(Direction& direction);
     bool send_first_action(Direction& direction);
 
     void deliver(Direction& direction);
     void wait_until(Direction& direction, Millis time);
     void wait_for_space(Direction& direction);
-    void pass_end_on(Direction& direction);
+    void forward_end(Direction& direction);
     void report_client_ended();
 
-    StreamLink* link_;  // null once it is closed
+    StreamLink* link_;  // null after close()
     const std::uint64_t number_;
     Direction to_target_;
     Direction to_client_;
--- a/src/process_testbed/process_testbed.cpp
+++ b/src/process_testbed/process_testbed.cpp
@@ -18,34 +18,37 @@
 
 namespace {
 
-// A testbed has a part of loopback of its own: 4,096 addresses, of 3,800 parts from 127.16.0.0 on.
+// Each testbed has its own block of loopback addresses: one of 3,800 blocks of 4,096 addresses from
+// 127.16.0.0 on.
 constexpr std::uint32_t kLoopback = 127U << 24;
-constexpr std::uint32_t kFirstPart = 16U << 16;
-constexpr std::uint32_t kParts = 3800;
-constexpr std::uint32_t kPartBits = 12;
+constexpr std::uint32_t kFirstBlock = 16U << 16;
+constexpr std::uint32_t kBlockCount = 3800;
+constexpr std::uint32_t kBlockBits = 12;
 constexpr std::uint32_t kFirstHost = 2;
-// Between two testbeds of one process. A prime: they seldom meet those of the process with the next id.
-constexpr std::uint32_t kPartStep = 1009;
+// Distance between the blocks of two testbeds of one process. It is prime, so that they rarely collide with
+// the blocks of the process with the next process id.
+constexpr std::uint32_t kBlockStep = 1009;
 
-// Hosts of a part.
+// Host numbers within a block.
 constexpr std::uint32_t kBroadcastHost = 0;
 constexpr std::uint32_t kDiscoveryHost = 1;
-constexpr std::uint32_t kFirstSidecarHost = 0x100;  // where the processes listen
-constexpr std::uint32_t kFirstLinkHost = 0x400;     // where others reach them, by a link
+constexpr std::uint32_t kFirstSidecarHost = 0x100;  // addresses on which the processes listen
+constexpr std::uint32_t kFirstLinkHost = 0x400;     // addresses of the links through which others reach them
 constexpr std::uint32_t kFirstServerHost = 0x800;
 
-constexpr std::chrono::milliseconds kMaxStep{50};  // of the loop, before conditions are looked at again
+constexpr std::chrono::milliseconds kMaxLoopStep{50};  // maximum duration of one step of the event loop
 
-// A sidecar has a second in all to close what it no longer needs.
+// A sidecar gets one second in total to close unneeded descriptors.
 constexpr int kMaxDescriptorChecks = 40;
 constexpr Millis kDescriptorCheckPeriod = 25;
 
-// Testbeds of several processes keep apart by the process id, those of one process by a count.
-std::uint32_t next_loopback_part() {
+// Selects an address block by process id, to separate processes, and by a counter, to separate testbeds of
+// one process.
+std::uint32_t next_loopback_block() {
     static std::uint32_t count = 0;
-    const auto part = static_cast<std::uint32_t>(::getpid()) + kPartStep * count;
+    const auto block = static_cast<std::uint32_t>(::getpid()) + kBlockStep * count;
     ++count;
-    return part;
+    return block;
 }
 
 std::uint32_t host(std::uint32_t first, std::size_t number) {
@@ -55,13 +58,13 @@
 }  // namespace
 
 asio::ip::address_v4 ProcessTestbed::address(std::uint32_t host) const {
-    const std::uint32_t part = (loopback_part_ % kParts) << kPartBits;
-    return asio::ip::address_v4(kLoopback + kFirstPart + part + host + kFirstHost);
+    const std::uint32_t block = (loopback_block_ % kBlockCount) << kBlockBits;
+    return asio::ip::address_v4(kLoopback + kFirstBlock + block + host + kFirstHost);
 }
 
 ProcessTestbed::ProcessTestbed(Options options)
     : options_(std::move(options)),
-      loopback_part_(next_loopback_part()),
+      loopback_block_(next_loopback_block()),
       context_(io_, options_.seed),
       datagrams_(
           std::make_unique<fault_proxy::DatagramNet>(context_, udp::endpoint(address(kBroadcastHost), 0))),
@@ -73,7 +76,7 @@
 }
 
 ProcessTestbed::~ProcessTestbed() {
-    clients_.abandon_all();
+    clients_.close_all();
     for (const auto& sidecar : sidecars_) sidecar->process().kill();
 }
 
@@ -81,7 +84,8 @@
     const std::string name = sidecar_name(sidecar);
     const auto own_address = address(host(kFirstSidecarHost, sidecar));
     const auto link_address = address(host(kFirstLinkHost, sidecar));
-    // Free ports of its own address: nothing else has them, so they are free again at the next start.
+    // Selects free ports of the sidecar's own address. Nothing else binds to that address, so they are free
+    // again at the next start.
     const SidecarController::Endpoints endpoints{
         tcp::acceptor(io_, tcp::endpoint(own_address, 0)).local_endpoint(),
         udp::socket(io_, udp::endpoint(own_address, 0)).local_endpoint()};
@@ -93,7 +97,8 @@
                                                                tcp::endpoint(address(kDiscoveryHost), 0)));
     add_link(name, kDiscoveryName, discoveries_.back()->endpoint());
     observe_endpoint_list(link(name, kDiscoveryName), context_, request_history_, name);
-    // Not at the sidecar's own address: its port is free until it starts, and must stay so.
+    // The link listens on another address, because the sidecar's port must stay free until the sidecar
+    // starts.
     add_link(clients_name(sidecar), name, endpoints.listen, link_address);
 }
 
@@ -152,8 +157,8 @@
     if (run_until([&] { return std::all_of(sidecars_.begin(), sidecars_.end(), is_ready); })) return;
     const auto not_ready = std::find_if_not(sidecars_.begin(), sidecars_.end(), is_ready);
     if (not_ready == sidecars_.end()) return;
-    throw SidecarNotReady("a sidecar of '" + options_.program + "' does not come up; it said:\n" +
-                          (*not_ready)->log_excerpt() + explain());
+    throw SidecarNotReady("sidecar did not become ready: '" + options_.program + "'; its log:\n" +
+                          (*not_ready)->log_excerpt() + describe_failure());
 }
 
 void ProcessTestbed::restart(std::size_t sidecar, const std::string& command,
@@ -174,11 +179,11 @@
 }
 
 void ProcessTestbed::schedule_process_check() {
-    note_crashes();
+    record_crashes();
     context_.schedule(now() + kProcessCheckPeriod, [this] { schedule_process_check(); });
 }
 
-void ProcessTestbed::note_crashes() {
+void ProcessTestbed::record_crashes() {
     for (const auto& sidecar : sidecars_) {
         if (sidecar->has_crashed()) has_crash_ = true;
     }
@@ -212,12 +217,12 @@
 
 bool ProcessTestbed::descriptors_are_accounted_for(std::size_t sidecar) {
     for (int check = 0; check < kMaxDescriptorChecks; ++check) {
-        const json told = status(sidecar);
-        if (!told.is_object()) return false;
+        const json status_report = status(sidecar);
+        if (!status_report.is_object()) return false;
         const std::size_t open = open_descriptors(sidecar);
         std::size_t counted = kReservedDescriptors;
         for (const char* kind : {"clients", "servers", "sessions"}) {
-            counted += told["sockets"][kind].get<std::size_t>();
+            counted += status_report["sockets"][kind].get<std::size_t>();
         }
         if (open <= counted) return true;
         run_for(kDescriptorCheckPeriod);
@@ -231,12 +236,12 @@
     return clients_.send(name, link(clients_name(sidecar), name).endpoint(), request);
 }
 
-// Runs one step of the loop and checks the history; false if a wait must end.
+// Runs one step of the event loop and checks the history. Returns false if the current wait must end.
 bool ProcessTestbed::run_step(Millis limit) {
-    io_.run_one_for(kMaxStep);
-    request_history_.check_due(now());
-    const bool is_sound = request_history_.violations().empty() && !has_crash_;
-    return is_sound && now() < limit;
+    io_.run_one_for(kMaxLoopStep);
+    request_history_.check_due_overlaps(now());
+    const bool has_no_failure = request_history_.violations().empty() && !has_crash_;
+    return has_no_failure && now() < limit;
 }
 
 bool ProcessTestbed::run_until(const std::function<bool()>& condition) {
@@ -255,10 +260,10 @@
     return true;
 }
 
-bool ProcessTestbed::settle() {
+bool ProcessTestbed::run_until_idle() {
     if (!run_until([this] { return request_history_.open_requests() == 0; })) return false;
-    if (!run_for(2 * RequestHistory::kSlack)) return false;
-    request_history_.check_all_ended(now());
+    if (!run_for(2 * RequestHistory::kTolerance)) return false;
+    request_history_.check_all_requests_ended(now());
     return request_history_.violations().empty();
 }
 
@@ -270,8 +275,8 @@
     return text;
 }
 
-std::string ProcessTestbed::explain(const std::string& id) {
-    note_crashes();  // what is explained may have ended a process since the last check
+std::string ProcessTestbed::describe_failure(const std::string& id) {
+    record_crashes();  // a process may have ended since the last check
     const std::string text = violations();
     if (!id.empty()) return text + request_history_.history(id);
     if (request_history_.violations().empty()) return text + request_history_.history();
--- a/tests/process_testbed/faults_test.cpp
+++ b/tests/process_testbed/faults_test.cpp
@@ -1,5 +1,5 @@
-// The program's processes with faults between them. Each test waits for events; the request_history is looked
-// at after every step, and its history is the message of a failure.
+// Tests the program's processes with faults between them. Each test waits for events. RequestHistory is
+// checked after every step, and a failure prints its history.
 #include <gtest/gtest.h>
 #include <sched.h>
 #include <signal.h>
@@ -19,88 +19,94 @@
 using fault_proxy::Trigger;
 using Outcome = RequestHistory::Outcome;
 
-Rule rule(const char* name, FaultType type, const char* from, const char* to) {
-    Rule r;
-    r.name = name, r.type = type, r.from = {from}, r.to = {to};
-    return r;
+Rule make_rule(const char* name, FaultType type, const char* from, const char* to) {
+    Rule rule;
+    rule.name = name, rule.type = type, rule.from = {from}, rule.to = {to};
+    return rule;
 }
 
 TEST(ProcessTestbed, ServesEachClassAndReportsItsStatus) {
-    ProcessTestbed testbed(few());
+    ProcessTestbed testbed(small_testbed());
     testbed.start();
     std::vector<std::string> ids;
     for (const char* request_class : {"listen", "deposit", "annotate"})
         for (std::size_t i = 0; i < 2; ++i) ids.push_back(testbed.send_request(i, request_class));
-    ASSERT_TRUE(testbed.settle()) << testbed.explain();
-    for (const std::string& id : ids) EXPECT_EQ(testbed.outcome(id), Outcome::served) << testbed.explain(id);
+    ASSERT_TRUE(testbed.run_until_idle()) << testbed.describe_failure();
+    for (const std::string& id : ids)
+        EXPECT_EQ(testbed.outcome(id), Outcome::served) << testbed.describe_failure(id);
     const json status = testbed.status(1);
     EXPECT_EQ(status["name"], "n-1");
     EXPECT_EQ(status["requests"]["served"], 3);
     EXPECT_EQ(status["servers"].size(), 2U);
 }
 
-// The server has committed; its answer is cut before each of its bytes in turn. Never a second deposit.
+// The server has processed the deposit, and its response is cut before each of its bytes in turn. The deposit
+// must not be processed a second time.
 TEST(ProcessTestbed, ProcessesADepositOnceWhenItsResponseIsCutAtAnyByte) {
-    ProcessTestbed testbed(few(1, 2));
+    ProcessTestbed testbed(small_testbed(1, 2));
     testbed.start();
     const std::string first = testbed.send_request(0, "deposit");
-    ASSERT_TRUE(testbed.run_until([&] { return testbed.has_ended(first); })) << testbed.explain();
+    ASSERT_TRUE(testbed.run_until([&] { return testbed.has_ended(first); })) << testbed.describe_failure();
     const std::uint64_t length =
         testbed.link("n-0", "s-0").bytes_to_client() + testbed.link("n-0", "s-1").bytes_to_client();
     ASSERT_GT(length, 20U);
     for (std::uint64_t byte = 0; byte < length; ++byte) {
         for (const FaultType type : {FaultType::reset, FaultType::half_close}) {
-            Rule cut = rule("cut", type, "s-*", "n-0");
+            Rule cut = make_rule("cut", type, "s-*", "n-0");
             cut.trigger = Trigger::at_byte, cut.trigger_byte = byte;
             testbed.context().put_rule(cut);
-            // Every connection is new: the byte counts from its first.
-            for (const char* s : {"s-0", "s-1"}) testbed.link("n-0", s).reset_all();
+            // Resets all connections, because the rule counts bytes from the start of a connection.
+            for (const char* server : {"s-0", "s-1"}) testbed.link("n-0", server).reset_all();
             const std::string id = testbed.send_request(0, "deposit");
-            ASSERT_TRUE(testbed.run_until([&] { return testbed.has_ended(id); })) << testbed.explain(id);
-            EXPECT_EQ(testbed.outcome(id), Outcome::failed) << "byte " << byte << "\n" << testbed.explain(id);
+            ASSERT_TRUE(testbed.run_until([&] { return testbed.has_ended(id); }))
+                << testbed.describe_failure(id);
+            EXPECT_EQ(testbed.outcome(id), Outcome::failed) << "byte " << byte << "\n"
+                                                            << testbed.describe_failure(id);
         }
     }
     testbed.context().remove_rule("cut");
-    ASSERT_TRUE(testbed.settle()) << testbed.explain();
+    ASSERT_TRUE(testbed.run_until_idle()) << testbed.describe_failure();
 }
 
-// A sidecar is frozen with forty requests in hand, their callers go, and it wakes: nothing goes out for them.
-TEST(ProcessTestbed, SendsNothingAfterAFreezeForClientsThatHaveLeft) {
-    ProcessTestbed testbed(few(2, 2));
+// A sidecar is frozen with forty open requests, and their clients disconnect. It must send no attempt for
+// them when it resumes.
+TEST(ProcessTestbed, SendsNothingAfterAFreezeForClientsThatHaveDisconnected) {
+    ProcessTestbed testbed(small_testbed(2, 2));
     testbed.start();
-    EXPECT_TRUE(frozen_with_forty_requests(testbed)) << testbed.explain();
+    EXPECT_TRUE(run_freeze_with_forty_requests(testbed)) << testbed.describe_failure();
 }
 
-// A sidecar is frozen while a server is told to drain, and while attempts elsewhere break. When it wakes, the
-// broken ones and the list lie unread beside each other: the list comes first.
-TEST(ProcessTestbed, ReadsADrainBeforeItRetriesAfterAFreeze) {
-    ProcessTestbed testbed(few(1, 2));
+// While a sidecar is frozen, one server starts draining and attempts at the other one break. When the sidecar
+// resumes, both events are unread. It must apply the endpoint list before it retries.
+TEST(ProcessTestbed, AppliesADrainBeforeItRetriesAfterAFreeze) {
+    ProcessTestbed testbed(small_testbed(1, 2));
     testbed.start();
     for (int i = 0; i < 20; ++i) testbed.send_request(0, "listen");
     ASSERT_TRUE(testbed.run_until([&] { return testbed.request_history().open_requests() == 0; }))
-        << testbed.explain();
+        << testbed.describe_failure();
     testbed.server(0).behavior = testbed.server(1).behavior = ServerBehavior::hold;
     for (int i = 0; i < 20; ++i) testbed.send_request(0, "listen");
     ASSERT_TRUE(testbed.run_until([&] {
         const std::size_t held = testbed.server(0).held_requests() + testbed.server(1).held_requests();
         return testbed.server(1).held_requests() >= 3 && held >= testbed.request_history().open_requests();
-    })) << testbed.explain();
+    })) << testbed.describe_failure();
     testbed.freeze(0);
     testbed.link("n-0", "s-1").reset_all();
     ASSERT_TRUE(testbed.run_for(1));
     testbed.set_endpoint_state(0, EndpointState::leaving);
-    ASSERT_TRUE(testbed.run_for(RequestHistory::kDrainGrace + 3 * RequestHistory::kSlack))
-        << testbed.explain();
+    ASSERT_TRUE(testbed.run_for(RequestHistory::kDrainGrace + 3 * RequestHistory::kTolerance))
+        << testbed.describe_failure();
     testbed.server(0).behavior = testbed.server(1).behavior = ServerBehavior::serve;
     testbed.server(0).release_held(), testbed.server(1).release_held();
     testbed.thaw(0);
-    ASSERT_TRUE(testbed.settle()) << testbed.explain();
+    ASSERT_TRUE(testbed.run_until_idle()) << testbed.describe_failure();
 }
 
-// No byte moves on a connection, either way, from its first or from after a head: each caller hears in its
-// time, and a deposit that may have run is not called refused, nor done again.
-TEST(ProcessTestbed, GivesEachRequestAnOutcomeWhenItsConnectionGoesSilent) {
-    Options options = few(1, 2);
+// A connection passes no bytes in one direction, from its start or after a message head. Each client must get
+// its outcome by its deadline, and a deposit that may have been processed must be neither rejected nor sent
+// again.
+TEST(ProcessTestbed, GivesEachRequestAnOutcomeWhenItsConnectionPassesNoBytes) {
+    Options options = small_testbed(1, 2);
     options.request_deadline = 1500, options.latency_objective = 700;
     ProcessTestbed testbed(options);
     testbed.start();
@@ -113,76 +119,79 @@
                           {"s-*", "n-0", Trigger::at_message, fault_proxy::MessagePoint::head_end},
                           {"n-0", "s-*", Trigger::on_open, fault_proxy::MessagePoint::begin},
                           {"n-0", "s-*", Trigger::at_message, fault_proxy::MessagePoint::head_end}};
-    for (const Case& c : cases) {
+    for (const Case& test_case : cases) {
         for (const char* request_class : {"deposit", "annotate"}) {
-            Rule silent = rule("silent", FaultType::silence, c.from, c.to);
-            silent.trigger = c.trigger, silent.trigger_point = c.trigger_point;
-            testbed.context().put_rule(silent);
-            for (const char* s : {"s-0", "s-1"}) testbed.link("n-0", s).reset_all();
+            Rule silence = make_rule("silent", FaultType::silence, test_case.from, test_case.to);
+            silence.trigger = test_case.trigger, silence.trigger_point = test_case.trigger_point;
+            testbed.context().put_rule(silence);
+            for (const char* server : {"s-0", "s-1"}) testbed.link("n-0", server).reset_all();
             const std::string id = testbed.send_request(0, request_class);
-            ASSERT_TRUE(testbed.run_until([&] { return testbed.has_ended(id); })) << testbed.explain(id);
-            EXPECT_TRUE(testbed.outcome(id).has_value()) << testbed.explain(id);
-            EXPECT_NE(testbed.outcome(id), Outcome::served) << testbed.explain(id);
+            ASSERT_TRUE(testbed.run_until([&] { return testbed.has_ended(id); }))
+                << testbed.describe_failure(id);
+            EXPECT_TRUE(testbed.outcome(id).has_value()) << testbed.describe_failure(id);
+            EXPECT_NE(testbed.outcome(id), Outcome::served) << testbed.describe_failure(id);
         }
     }
-    ASSERT_TRUE(testbed.settle()) << testbed.explain();
+    ASSERT_TRUE(testbed.run_until_idle()) << testbed.describe_failure();
 }
 
-// The list reaches one side of a split only: that side keeps the drain, the other goes on until it is told.
-TEST(ProcessTestbed, KeepsADrainOnEachSideOfAPartitionOnceItIsDelivered) {
-    ProcessTestbed testbed(few(2, 2));
+// The endpoint list reaches only one side of a partition. That side must stop sending to the draining server;
+// the other side continues until the list is delivered to it.
+TEST(ProcessTestbed, StopsSendingToADrainingServerOnceTheListIsDelivered) {
+    ProcessTestbed testbed(small_testbed(2, 2));
     testbed.start();
-    testbed.context().put_rule(rule("split", FaultType::cut, "list", "n-1"));
+    testbed.context().put_rule(make_rule("split", FaultType::cut, "list", "n-1"));
     testbed.set_endpoint_state(0, EndpointState::leaving);
     ASSERT_TRUE(testbed.run_until([&] { return testbed.status(0)["servers"][0]["state"] == "leaving"; }));
-    const auto seen = [&](std::size_t n) {
-        return testbed.link("n-" + std::to_string(n), "s-0").bytes_to_target();
+    const auto bytes_to_first_server = [&](std::size_t sidecar) {
+        return testbed.link("n-" + std::to_string(sidecar), "s-0").bytes_to_target();
     };
-    const auto before_0 = seen(0), before_1 = seen(1);
+    const auto bytes_before_0 = bytes_to_first_server(0), bytes_before_1 = bytes_to_first_server(1);
     for (int i = 0; i < 40; ++i) testbed.send_request(static_cast<std::size_t>(i % 2), "listen");
     ASSERT_TRUE(testbed.run_until([&] { return testbed.request_history().open_requests() == 0; }))
-        << testbed.explain();
-    EXPECT_EQ(seen(0), before_0);
-    EXPECT_GT(seen(1), before_1) << "n-1 has not been told";
+        << testbed.describe_failure();
+    EXPECT_EQ(bytes_to_first_server(0), bytes_before_0);
+    EXPECT_GT(bytes_to_first_server(1), bytes_before_1)
+        << "n-1 stopped sending before the list was delivered to it";
     testbed.context().remove_rule("split");
     ASSERT_TRUE(testbed.run_until([&] { return testbed.status(1)["servers"][0]["state"] == "leaving"; }));
-    const auto told = seen(1);
+    const auto bytes_after_drain = bytes_to_first_server(1);
     for (int i = 0; i < 20; ++i) testbed.send_request(1, "listen");
-    ASSERT_TRUE(testbed.settle()) << testbed.explain();
-    EXPECT_EQ(seen(1), told);
+    ASSERT_TRUE(testbed.run_until_idle()) << testbed.describe_failure();
+    EXPECT_EQ(bytes_to_first_server(1), bytes_after_drain);
 }
 
-// The successor starts while the port is still taken: it waits, and serves once it is free.
+// A sidecar that starts while its port is still in use must wait, and serve once the port is free.
 TEST(ProcessTestbed, WaitsForAPortThatIsStillInUse) {
-    ProcessTestbed testbed(few(1, 1));
+    ProcessTestbed testbed(small_testbed(1, 1));
     testbed.start();
     testbed.kill(0);
-    const tcp::endpoint port = testbed.listen_endpoint(0);
-    auto taken = std::make_unique<tcp::acceptor>(testbed.context().io(), port);
+    const tcp::endpoint endpoint = testbed.listen_endpoint(0);
+    auto port_holder = std::make_unique<tcp::acceptor>(testbed.context().io(), endpoint);
     testbed.restart(0);
-    ASSERT_TRUE(testbed.run_for(200)) << "it did not give up at once";
+    ASSERT_TRUE(testbed.run_for(200)) << "an invariant was violated or the process ended";
     ASSERT_FALSE(testbed.is_ready(0));
-    taken.reset();
-    ASSERT_TRUE(testbed.run_until([&] { return testbed.is_ready(0); })) << testbed.explain();
+    port_holder.reset();
+    ASSERT_TRUE(testbed.run_until([&] { return testbed.is_ready(0); })) << testbed.describe_failure();
     testbed.send_request(0, "deposit");
-    ASSERT_TRUE(testbed.settle()) << testbed.explain();
+    ASSERT_TRUE(testbed.run_until_idle()) << testbed.describe_failure();
 }
 
-// Its clock is minutes off, its sibling is another build with another file, a third is out of descriptors and
-// a fourth has a tenth of its core: each serves, and what it can't it says.
+// One sidecar has a clock that is five minutes ahead, the second is another build with another operator's
+// file, the third is out of descriptors, and the fourth has a tenth of its core. The first, second and fourth
+// must serve every request, and the third must not lose an outcome.
 TEST(ProcessTestbed, ServesSideBySideWithOtherClocksBuildsAndLimits) {
-    ProcessTestbed testbed(few(4, 2));
+    ProcessTestbed testbed(small_testbed(4, 2));
     testbed.start();
     testbed.kill(0), testbed.kill(1);
     testbed.restart(0, "", "[proof]\nclock_ahead = \"5m\"\n");
     testbed.restart(1, ELMBAY_PROGRAM_WITH_FAILPOINTS, "[websocket]\non = true\n");
     ASSERT_TRUE(testbed.run_until([&] { return testbed.is_ready(0) && testbed.is_ready(1); }))
-        << testbed.explain();
-    const double ahead =
+        << testbed.describe_failure();
+    const double clock_offset_ms =
         testbed.status(0)["now_ms"].get<double>() - testbed.status(2)["now_ms"].get<double>();
-    EXPECT_NEAR(ahead, 300000, 60000);
-#ifndef __SANITIZE_ADDRESS__  // UBSan looks at memory through a pipe of its own, and blames the program if it
-                              // gets none
+    EXPECT_NEAR(clock_offset_ms, 300000, 60000);
+#ifndef __SANITIZE_ADDRESS__  // UBSan opens a pipe to check memory, and reports an error if it cannot
     testbed.process(2).limit_descriptors(22);
 #endif
     testbed.limit_cpu(3, 0.1);
@@ -190,91 +199,93 @@
     for (int i = 0; i < 80; ++i)
         ids.push_back(testbed.send_request(static_cast<std::size_t>(i % 4), "listen"));
     ASSERT_TRUE(testbed.run_until([&] { return testbed.request_history().open_requests() == 0; }))
-        << testbed.explain();
+        << testbed.describe_failure();
     testbed.limit_cpu(3, 1);
     for (std::size_t i = 0; i < ids.size(); ++i)
         if (i % 4 != 2) {
-            EXPECT_EQ(testbed.outcome(ids[i]), Outcome::served) << testbed.explain(ids[i]);
+            EXPECT_EQ(testbed.outcome(ids[i]), Outcome::served) << testbed.describe_failure(ids[i]);
         }
-    ASSERT_TRUE(testbed.settle()) << testbed.explain();
+    ASSERT_TRUE(testbed.run_until_idle()) << testbed.describe_failure();
 }
 
-// Started under its name with a memory that is older than its last life's: what it says of a server that was
-// failing then does not keep the server out now, and nobody loses an outcome for it.
+// A sidecar starts from a snapshot that is older than its last run. The snapshot ejects a server that failed
+// at that time but is healthy now. The server must return, and no request may lose its outcome.
 TEST(ProcessTestbed, RestoresAServerThatAnOlderSnapshotHasEjected) {
     namespace fs = std::filesystem;
-    std::string folder = (fs::temp_directory_path() / "memory-XXXXXX").string();
+    std::string folder = (fs::temp_directory_path() / "elmbay-snapshot-XXXXXX").string();
     ASSERT_NE(::mkdtemp(folder.data()), nullptr);
-    const fs::path now = fs::path(folder) / "now", older = fs::path(folder) / "older";
-    const std::string file = "[state]\nfolder = \"" + now.string() + "\"\nevery = \"100ms\"\n";
-    ProcessTestbed testbed(few(1, 2));
+    const fs::path current = fs::path(folder) / "now", older = fs::path(folder) / "older";
+    const std::string operator_file = "[state]\nfolder = \"" + current.string() + "\"\nevery = \"100ms\"\n";
+    ProcessTestbed testbed(small_testbed(1, 2));
     testbed.start();
     testbed.kill(0);
-    testbed.restart(0, "", file);
-    ASSERT_TRUE(testbed.run_until([&] { return testbed.is_ready(0); })) << testbed.explain();
-    const auto removed = [&] {
+    testbed.restart(0, "", operator_file);
+    ASSERT_TRUE(testbed.run_until([&] { return testbed.is_ready(0); })) << testbed.describe_failure();
+    const auto is_ejected = [&] {
         const json status = testbed.status(0);
-        for (const json& s : status["servers"])
-            if (s["uid"] == "s-0") return s.value("removed", false);
+        for (const json& server : status["servers"])
+            if (server["uid"] == "s-0") return server.value("removed", false);
         return false;
     };
-    // Several at once, so that both servers are in its sight.
-    const auto ask_eight = [&] {
+    // Sends several requests at once, so that both servers get some.
+    const auto send_eight_requests = [&] {
         for (int i = 0; i < 8; ++i) testbed.send_request(0, "listen");
         return testbed.run_until([&] { return testbed.request_history().open_requests() == 0; });
     };
     testbed.server(1).delay = 5;
     testbed.server(0).behavior = ServerBehavior::fail;
-    ASSERT_TRUE(testbed.run_until([&] { return ask_eight() && removed(); })) << testbed.explain();
-    testbed.terminate(0);  // writes once more as it ends
-    ASSERT_TRUE(testbed.run_until([&] { return !testbed.is_running(0); })) << testbed.explain();
-    fs::copy(now, older, fs::copy_options::recursive);
-    // A life in which all is well again, and one that starts from what was before it.
+    ASSERT_TRUE(testbed.run_until([&] { return send_eight_requests() && is_ejected(); }))
+        << testbed.describe_failure();
+    testbed.terminate(0);  // writes a last snapshot as it ends
+    ASSERT_TRUE(testbed.run_until([&] { return !testbed.is_running(0); })) << testbed.describe_failure();
+    fs::copy(current, older, fs::copy_options::recursive);
+    // Runs once with both servers healthy, and then once from the snapshot taken before.
     testbed.server(0).behavior = ServerBehavior::serve;
     testbed.restart(0);
-    ASSERT_TRUE(testbed.run_until([&] { return testbed.is_ready(0); })) << testbed.explain();
+    ASSERT_TRUE(testbed.run_until([&] { return testbed.is_ready(0); })) << testbed.describe_failure();
     testbed.kill(0);
-    fs::remove_all(now);
-    fs::copy(older, now, fs::copy_options::recursive);
+    fs::remove_all(current);
+    fs::copy(older, current, fs::copy_options::recursive);
     testbed.restart(0);
-    ASSERT_TRUE(testbed.run_until([&] { return testbed.is_ready(0); })) << testbed.explain();
-    const auto before = testbed.server(0).received_requests();
-    EXPECT_TRUE(removed()) << "the memory was read";
+    ASSERT_TRUE(testbed.run_until([&] { return testbed.is_ready(0); })) << testbed.describe_failure();
+    const auto received_before = testbed.server(0).received_requests();
+    EXPECT_TRUE(is_ejected()) << "the snapshot was not restored";
     ASSERT_TRUE(testbed.run_until([&] {
-        return ask_eight() && testbed.server(0).received_requests() > before + 1;
-    })) << testbed.explain();
-    EXPECT_FALSE(removed());
-    ASSERT_TRUE(testbed.settle()) << testbed.explain();
+        return send_eight_requests() && testbed.server(0).received_requests() > received_before + 1;
+    })) << testbed.describe_failure();
+    EXPECT_FALSE(is_ejected());
+    ASSERT_TRUE(testbed.run_until_idle()) << testbed.describe_failure();
     fs::remove_all(folder);
 }
 
-// A test that is killed leaves no process behind.
+// The kernel ends the sidecars if the test itself is killed.
 TEST(ProcessTestbed, EndsItsProcessesWhenTheTestIsKilled) {
-    int ends[2];
-    ASSERT_EQ(::pipe(ends), 0);
+    int pipe_ends[2];
+    ASSERT_EQ(::pipe(pipe_ends), 0);
     const pid_t child = ::fork();
     if (child == 0) {
-        ProcessTestbed testbed(few(2, 1));
+        ProcessTestbed testbed(small_testbed(2, 1));
         testbed.start();
         const pid_t pids[2] = {testbed.process(0).pid(), testbed.process(1).pid()};
-        if (::write(ends[1], pids, sizeof pids) != sizeof pids) ::_exit(1);
+        if (::write(pipe_ends[1], pids, sizeof pids) != sizeof pids) ::_exit(1);
         ::raise(SIGKILL);
     }
     ASSERT_GT(child, 0);
     pid_t pids[2] = {0, 0};
-    ASSERT_EQ(::read(ends[0], pids, sizeof pids), static_cast<ssize_t>(sizeof pids));
+    ASSERT_EQ(::read(pipe_ends[0], pids, sizeof pids), static_cast<ssize_t>(sizeof pids));
     int status = 0;
     ASSERT_EQ(::waitpid(child, &status, 0), child);
-    // Gone, or dead and not yet taken note of by whoever inherited it.
-    const auto gone = [](pid_t pid) {
+    // Returns whether the process has ended, or is a zombie that its new parent has not reaped yet.
+    const auto has_exited = [](pid_t pid) {
         std::ifstream stat("/proc/" + std::to_string(pid) + "/stat");
         std::string number, name, state;
         return !(stat >> number >> name >> state) || state == "Z" || name != "(elmbay)";
     };
     const auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(60);
-    while (!(gone(pids[0]) && gone(pids[1])) && std::chrono::steady_clock::now() < limit) ::sched_yield();
-    EXPECT_TRUE(gone(pids[0]) && gone(pids[1]));
-    ::close(ends[0]), ::close(ends[1]);
+    while (!(has_exited(pids[0]) && has_exited(pids[1])) && std::chrono::steady_clock::now() < limit)
+        ::sched_yield();
+    EXPECT_TRUE(has_exited(pids[0]) && has_exited(pids[1]));
+    ::close(pipe_ends[0]), ::close(pipe_ends[1]);
 }
 
 }  // namespace
