--- a/src/cluster/membership_probing.cpp
+++ b/src/cluster/membership_probing.cpp
@@ -144,7 +144,7 @@
 // Ends the suspicion of a member whose datagram has arrived, regardless of the members that reported it.
 void Membership::end_suspicion(Millis now, MemberId target) {
     const Incarnation incarnation = table_[target].incarnation;
-    set_state(now, target, incarnation, MemberState::alive, "answered");
+    set_state(now, target, incarnation, MemberState::alive, "answers");
 }
 
 }  // namespace elmbay::cluster
--- a/src/status/members_command.cpp
+++ b/src/status/members_command.cpp
@@ -64,7 +64,7 @@
         cluster.at("siblings").get<unsigned>(),
         cluster.at("yielded").get<bool>() ? "; YIELDED to a younger process with the same id" : "");
     table += fmt::format("{:>7}  {:<9}{:>10}{:>10}  {:<8}{:>7}{:>12}{:>9}\n", "member", "state", "since",
-                         "last seen", "view", "present", "incarnation", "uptime");
+                         "last seen", "view", "present", "incarnation", "up");
     for (const auto& member : cluster.at("members")) {
         const bool is_self = member.at("number") == cluster.at("self");
         const bool view_differs =
@@ -72,7 +72,7 @@
         table += fmt::format(
             "{:>7}  {:<9}{:>10}{:>10}  {:<8}{:>7}{:>12}{:>8}s{}{}\n", member.at("number").get<unsigned>(),
             member.at("state").get<std::string>(), seconds_or_never(member.at("since_s")),
-            is_self ? "self" : seconds_or_never(member.at("heard_s")),
+            is_self ? "itself" : seconds_or_never(member.at("heard_s")),
             is_self ? cluster.at("view").get<std::string>() : member.at("view").get<std::string>(),
             member.at("hears").get<unsigned>(), member.at("incarnation").get<unsigned>(),
             member.at("uptime_s").get<unsigned>(), member.at("by_way").get<bool>() ? "  indirect" : "",
