--- a/src/state/snapshot_encoder.cpp
+++ b/src/state/snapshot_encoder.cpp
@@ -29,10 +29,12 @@
 }
 
 json encode_body(const balancer::LearnedState& learned_state) {
-    return {
-        {"crowd", encode_body(learned_state.load_ratio)}, {"room", learned_state.concurrency_limit},
-        {"learned", learned_state.learned_limit},     {"taught_by", learned_state.learned_limit_warm_servers},
-        {"carried", learned_state.completion_rate},   {"retries_left", learned_state.retries_left}};
+    return {{"crowd", encode_body(learned_state.load_ratio)},
+            {"room", learned_state.concurrency_limit},
+            {"learned", learned_state.learned_limit},
+            {"taught_by", learned_state.learned_limit_warm_servers},
+            {"carried", learned_state.completion_rate},
+            {"retries_left", learned_state.retries_left}};
 }
 
 json encode_body(const Timestamp& timestamp) {
--- a/src/state/snapshot_store.cpp
+++ b/src/state/snapshot_store.cpp
@@ -192,8 +192,8 @@
     return {};
 }
 
-// Writes a generation under its final name and syncs file and directory. `file` is the open file on return,
-// also after an error; the caller closes it.
+// Writes a generation under its final name and syncs the file and the directory. On return `file` is the open
+// file or kNoFile, also after an error. The caller closes it.
 std::error_code SnapshotStore::write_generation_file(FileSystem::Handle& file, const std::string& name,
                                                      std::string_view bytes) {
     const std::string partial_path = path(name + std::string(kPartialSuffix));
--- a/src/state/snapshot_store.hpp
+++ b/src/state/snapshot_store.hpp
@@ -95,7 +95,7 @@
     LoadResult load();
 
     /// Saves a snapshot. After success it survives a crash. After a system error the next save writes the
-    /// complete snapshot to a new generation.
+    /// complete snapshot again.
     /// @return StateError::store_not_open before open(); errc::invalid_argument if the snapshot has more than
     /// kMaxServers servers, or an instance name that is empty or longer than kMaxNameBytes; or a system error
     std::error_code save(const Snapshot& snapshot, SaveMode mode = SaveMode::if_changed);
--- a/tests/syscall_faults/stream_socket_test.cpp
+++ b/tests/syscall_faults/stream_socket_test.cpp
@@ -1,6 +1,5 @@
-// Tests StreamSocket, peek_socket_state() and the classification of socket errors while this process's own system
-// calls
-// fail.
+// Tests StreamSocket, peek_socket_state() and the classification of socket errors while this process's own
+// system calls fail.
 #include "base/stream_socket.hpp"
 
 #include <gtest/gtest.h>
