--- a/src/operator/operator_file.cpp
+++ b/src/operator/operator_file.cpp
@@ -65,9 +65,9 @@
 using Websocket = websocket::Settings;
 
 const std::vector<Key<Websocket>> kWebsocketKeys{
-    {"on", Unit::flag, &Websocket::on, "false",
+    {"on", Unit::flag, &Websocket::enabled, "false",
      "whether clients may upgrade to WebSocket; if not, the header `Upgrade` is ignored"},
-    {"origins", Unit::words, &Websocket::origins, "[]",
+    {"origins", Unit::words, &Websocket::allowed_origins, "[]",
      "accepted values of a browser's `Origin` header; empty: all are accepted"},
     {"most", Unit::count, &Websocket::max_sessions, "500",
      "maximum number of sessions; each needs two sockets, and sessions get at most half of the sockets", 0,
--- a/src/sidecar/resource_limits.cpp
+++ b/src/sidecar/resource_limits.cpp
@@ -39,7 +39,7 @@
 
 SocketBudget make_socket_budget(const Config& config, const websocket::Settings& websocket) {
     SocketBudget budget(0);
-    if (websocket.on) budget.set_wanted_session_sockets(kSocketsPerSession * websocket.max_sessions);
+    if (websocket.enabled) budget.set_wanted_session_sockets(kSocketsPerSession * websocket.max_sessions);
     budget.set_limit(socket_limit(config));
     return budget;
 }
@@ -48,7 +48,7 @@
 
 Config with_session_limits(Config config, const websocket::Settings& websocket) {
     balancer::Settings& settings = config.deployment.settings;
-    settings.max_sessions = websocket.on ? saturated(websocket.max_sessions) : 0;
+    settings.max_sessions = websocket.enabled ? saturated(websocket.max_sessions) : 0;
     settings.max_sessions_per_server = saturated(websocket.max_sessions_per_server);
     return config;
 }
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -87,11 +87,11 @@
     };
     handlers.on_client_disconnected = [this](RequestId id) { on_client_disconnected(id); };
     handlers.is_ready = [this] { return is_ready_; };
-    if (!settings.on) return handlers;
+    if (!settings.enabled) return handlers;
 
     handlers.validate = [this, settings](const RequestHead& head) {
         const bool is_upgrade = websocket::is_upgrade_request(head);
-        return is_upgrade ? websocket::validate_upgrade(head, config_.deployment, settings.origins)
+        return is_upgrade ? websocket::validate_upgrade(head, config_.deployment, settings.allowed_origins)
                           : validate_request(head, config_.deployment);
     };
     handlers.is_upgrade = websocket::is_upgrade_request;
@@ -103,7 +103,7 @@
 }
 
 std::unique_ptr<websocket::Proxy> Sidecar::make_websocket_proxy(const websocket::Settings& settings) {
-    if (!settings.on) return nullptr;
+    if (!settings.enabled) return nullptr;
     websocket::Proxy::Handlers handlers;
     handlers.on_attempt_ended = [this](AttemptKey key, Outcome outcome, Millis duration) {
         engine_.on_attempt_ended(clock_.now(), key, outcome, duration);
@@ -239,7 +239,7 @@
     endpoints_.remove_withdrawn([this](ServerId id) {
         if (upstream_.attempt_and_connect_count(id) > 0) return false;
         upstream_.remove_server(id);
-        if (websocket_proxy_) websocket_proxy_->forget_server(id);
+        if (websocket_proxy_) websocket_proxy_->remove_server(id);
         return true;
     });
 }
--- a/src/websocket/proxy.cpp
+++ b/src/websocket/proxy.cpp
@@ -161,7 +161,7 @@
 
 void Proxy::set_server(ServerId id, bool may_send) {
     if (may_send) {
-        forget_server(id);
+        remove_server(id);
         return;
     }
     const bool begins_to_drain = draining_servers_.insert(id).second;
--- a/src/websocket/proxy.hpp
+++ b/src/websocket/proxy.hpp
@@ -77,7 +77,7 @@
     /// written end as not_sent, and its sessions are closed, spread over `drain_spread`.
     void set_server(ServerId id, bool may_send);
     /// The server has left the endpoint list.
-    void forget_server(ServerId id) { draining_servers_.erase(id); }
+    void remove_server(ServerId id) { draining_servers_.erase(id); }
     /// Closes all sessions, spread over `shutdown_spread`, and each that begins later.
     void drain();
     /// @param done called once, from the loop, when no upgrade and no session is left.
--- a/src/websocket/settings.hpp
+++ b/src/websocket/settings.hpp
@@ -12,8 +12,8 @@
 
 /// The keys of [websocket].
 struct Settings {
-    bool on = false;                              ///< off: an upgrade is handled as any other request
-    std::vector<std::string> origins;             ///< that browsers may come from; empty: any
+    bool enabled = false;                         ///< off: an upgrade is handled as any other request
+    std::vector<std::string> allowed_origins;     ///< that browsers may come from; empty: any
     std::uint64_t max_sessions = 500;             ///< sessions and upgrades of this sidecar
     std::uint64_t max_sessions_per_server = 250;  ///< of them, at one server
     std::uint64_t max_sessions_per_client = 500;  ///< of them, from one client address
--- a/tests/websocket/proxy_test.cpp
+++ b/tests/websocket/proxy_test.cpp
@@ -101,7 +101,7 @@
     std::list<SessionServer> servers;
     websocket::Settings settings;
 
-    WebSocketProxy() { settings.on = true; }
+    WebSocketProxy() { settings.enabled = true; }
     void serve(std::size_t count = 1) {
         Json targets = Json::array();
         for (std::size_t i = 0; i < count; ++i) servers.emplace_back(rig.io);
@@ -270,7 +270,7 @@
 }
 
 TEST_F(WebSocketProxy, ForwardsUpgradeAsPlainRequestWhenSwitchedOff) {
-    settings.on = false;
+    settings.enabled = false;
     rig.servers.emplace_back(rig.io);
     begin(rig.targets());
     const auto client = send_raw_upgrade("safe");
