--- a/src/websocket/handshake.cpp
+++ b/src/websocket/handshake.cpp
@@ -16,15 +16,15 @@
 constexpr const char* kKeyHeader = "Sec-WebSocket-Key";
 constexpr const char* kVersionHeader = "Sec-WebSocket-Version";
 
-RequestProblem bad_request(const char* words) { return {http::status::bad_request, words}; }
+RequestProblem bad_request(const char* text) { return {http::status::bad_request, text}; }
 
-// Whether a header's value is nothing but tokens and commas (RFC 7230, section 7). Beast's list stops
-// silently at the first error.
+// Returns whether a header's value consists of tokens and commas only (RFC 7230, section 7). This check is
+// needed because Beast's token_list silently stops at the first syntax error.
 bool is_token_list(boost::beast::string_view value) {
     return http::validate_list(http::opt_token_list(value));
 }
 
-// Whether one of the header's lines is a list of tokens that has this one.
+// Returns whether one of the header's lines is a valid token list that contains `token`.
 bool has_token(const http::fields& fields, http::field name, std::string_view token) {
     const auto [first, last] = fields.equal_range(name);
     return std::any_of(first, last, [&](const auto& line) {
@@ -33,7 +33,7 @@
     });
 }
 
-// 16 bytes in base64 (RFC 4648, section 4): 22 digits and two characters of padding.
+// Returns whether `text` is 16 bytes in base64 (RFC 4648, section 4): 22 digits and two padding characters.
 bool is_key(std::string_view text) {
     constexpr std::size_t digits = 22;
     constexpr std::string_view padding = "==";
@@ -44,7 +44,8 @@
            std::all_of(text.begin(), text.begin() + digits, is_digit);
 }
 
-// Adds one subprotocol. False: there are too many, its name is too long, or it is there already.
+// Adds one subprotocol. Returns false if the list is full, the name is too long, or the list already contains
+// it.
 bool add_subprotocol(std::vector<std::string>& subprotocols, const std::string& name) {
     const bool has_capacity = subprotocols.size() < kMaxSubprotocols && name.size() <= kMaxSubprotocolBytes;
     if (!has_capacity) return false;
@@ -54,7 +55,8 @@
     return true;
 }
 
-// The offered subprotocols, over however many header lines. Nothing if a line is no list of different tokens.
+// Returns the offered subprotocols of all Sec-WebSocket-Protocol lines, or nothing if a line is not a valid
+// token list, a token is repeated, or a limit is exceeded.
 std::optional<std::vector<std::string>> parse_subprotocols(const http::fields& fields) {
     std::vector<std::string> subprotocols;
     const auto [first, last] = fields.equal_range(kProtocolHeader);
@@ -156,8 +158,8 @@
     const bool is_websocket = has_token(head, http::field::upgrade, "websocket") &&
                               has_token(head, http::field::connection, "upgrade");
     if (!is_websocket) return {};
-    // No extension was offered, so none can be agreed on: the client would get frames that it did not ask
-    // for.
+    // The sidecar offers no extension, so a response that names one is invalid: the client could not decode
+    // frames that use the extension.
     if (head.count(http::field::sec_websocket_extensions) > 0) return {};
     const std::size_t chosen_count = head.count(kProtocolHeader);
     if (chosen_count > 1) return {};
--- a/src/websocket/handshake.hpp
+++ b/src/websocket/handshake.hpp
@@ -1,10 +1,10 @@
 /// @file
-/// The opening handshake of RFC 6455, section 4, on both sides of the sidecar: what a request or response
-/// head must say, and what of it is passed on. Pure functions of one head: no socket, no clock.
+/// The opening handshake of RFC 6455, section 4, on both sides of the sidecar: validates request and response
+/// heads and selects the headers to forward. All functions are pure: they use no socket and no clock.
 ///
-/// Beast parses the heads and computes and checks Sec-WebSocket-Accept. Here is what Beast leaves to its
-/// user, or accepts more generously than a proxy may: a head that two parsers can read in two ways is never
-/// passed on.
+/// Beast parses the heads, and computes and checks Sec-WebSocket-Accept. This file adds the checks that Beast
+/// leaves to its user, and stricter checks where Beast accepts heads that a proxy must reject: a head that
+/// two parsers can interpret differently is never forwarded.
 #pragma once
 
 #include <cstddef>
@@ -17,44 +17,49 @@
 
 namespace elmbay::websocket {
 
-/// Subprotocols that one client may offer. An application has a few.
+/// The maximum number of subprotocols that one client may offer. Applications use only a few.
 constexpr std::size_t kMaxSubprotocols = 16;
-/// Bytes of each subprotocol's name.
+/// The maximum length of a subprotocol's name, in bytes.
 constexpr std::size_t kMaxSubprotocolBytes = 128;
-/// The only WebSocket version in use. A 426 response names it (RFC 6455, 4.4).
+/// The only WebSocket version in use. A 426 response contains it (RFC 6455, 4.4).
 constexpr const char* kWebSocketVersion = "13";
 
-/// @return whether `Upgrade` names websocket, in a valid request or not. Any other request is plain HTTP.
+/// @return whether the `Upgrade` header contains "websocket", even if the request is otherwise invalid. Any
+/// other request is plain HTTP.
 bool is_upgrade_request(const RequestHead& head);
 
-/// Checks an upgrade request against RFC 6455 (4.2.1 and 10.2) and against the headers that the deployment
-/// demands of any request.
-/// @param allowed_origins as a browser writes them ("https://archive.example"), compared without case; empty:
-/// any. A client that sends no Origin is no browser, and such a list does not protect from it: it is allowed.
-/// @return why it can't be passed on: 426 where another version would do (4.4), 403 for an origin that is not
-/// allowed, else 400. Nothing if it can.
+/// Checks an upgrade request against RFC 6455 (4.2.1 and 10.2), and checks the headers that the deployment
+/// requires of every request.
+/// @param allowed_origins the origins as a browser sends them ("https://archive.example"), compared without
+/// regard to case. An empty list allows every origin. A request without an Origin header is always allowed,
+/// because its client is not a browser and could send any origin.
+/// @return the reason to reject the request: 426 if the client must use another version (4.4), 403 if the
+/// origin is not allowed, otherwise 400. Nothing if the request is valid.
 std::optional<RequestProblem> validate_upgrade(const RequestHead& head,
                                                const balancer::DeploymentSettings& deployment,
                                                const std::vector<std::string>& allowed_origins);
 
-/// @param head of a request that validate_upgrade() has accepted.
-/// @return the subprotocols that the client offers, in its order of preference.
+/// @param head the head of a request that validate_upgrade() has accepted.
+/// @return the subprotocols that the client offers, in the client's order of preference.
 std::vector<std::string> offered_subprotocols(const RequestHead& head);
 
-/// Adds to the sidecar's own upgrade request what comes from the client: the headers that any request passes
-/// on, and the subprotocols. Key, version and Host are the connection's own; no extension is offered.
-/// @param time_left milliseconds until the attempt's deadline.
+/// Adds the client's headers to the sidecar's upgrade request: the headers that are forwarded for every
+/// request, and the offered subprotocols. Key, version and Host are not copied, because they belong to the
+/// sidecar's own connection. No extension is offered.
+/// @param time_left the milliseconds until the attempt's deadline.
 void add_forwarded_headers(http::fields& upgrade_request, const HttpRequest& client_request,
                            Millis time_left);
 
-/// What a server's response to an upgrade means.
+/// The evaluation of a server's response to an upgrade request.
 struct ServerResponse {
-    balancer::Outcome outcome = balancer::Outcome::error_response;  ///< success: the session can begin
-    std::string subprotocol;                                        ///< chosen by the server; empty: none
+    balancer::Outcome outcome = balancer::Outcome::error_response;  ///< success if the session can begin
+    std::string subprotocol;                                        ///< the server's choice; empty if none
 };
 
-/// Applies the client's checks of RFC 6455, 4.1, but for Sec-WebSocket-Accept, which Beast checks.
+/// Applies the checks of RFC 6455, 4.1, that a client makes, except the check of Sec-WebSocket-Accept, which
+/// Beast makes.
 /// @param offered the subprotocols that the client offered.
+/// @return the outcome of the attempt and, on success, the chosen subprotocol.
 ServerResponse evaluate_server_response(const http::response_header<>& head,
                                         const std::vector<std::string>& offered);
 
--- a/src/websocket/proxy.cpp
+++ b/src/websocket/proxy.cpp
@@ -12,8 +12,8 @@
 using tcp = asio::ip::tcp;
 
 constexpr Millis kMillisPerSecond = 1000;
-// Milliseconds. A closed client is told to reconnect after a random part of this, so that clients that are
-// closed together do not come back together.
+// Milliseconds. The close reason contains a random part of this delay, after which the client should
+// reconnect. Without it, clients whose sessions are closed together would reconnect together.
 constexpr double kMaxReconnectDelay = 1000;
 
 HttpResponse too_many_sessions_response() {
@@ -43,7 +43,7 @@
 bool Proxy::on_upgrade_request(RequestId id, tcp::socket client_socket, HttpRequest request) {
     const auto client =
         std::make_shared<UpgradingClient>(budget_, std::move(client_socket), std::move(request));
-    if (!count_client(client->address())) {
+    if (!acquire_session_slot(client->address())) {
         client->respond(too_many_sessions_response());
         return false;
     }
@@ -60,7 +60,7 @@
 void Proxy::on_client_disconnected(RequestId id) {
     const auto client = remove_upgrade(id);
     if (!client) return;
-    uncount_client(client->address());
+    release_session_slot(client->address());
     handlers_.on_client_disconnected(id);
     notify_if_empty();
 }
@@ -68,7 +68,7 @@
 void Proxy::respond(RequestId id, HttpResponse response) {
     const auto client = remove_upgrade(id);
     if (!client) return;
-    uncount_client(client->address());
+    release_session_slot(client->address());
     client->respond(std::move(response));
     notify_if_empty();
 }
@@ -81,18 +81,18 @@
     return client;
 }
 
-bool Proxy::count_client(const std::string& address) {
-    std::uint64_t& count = count_by_client_[address];
+bool Proxy::acquire_session_slot(const std::string& address) {
+    std::uint64_t& count = session_count_by_client_[address];
     if (count >= settings_.max_sessions_per_client) return false;
     ++count;
     return true;
 }
 
-void Proxy::uncount_client(const std::string& address) {
-    const auto found = count_by_client_.find(address);
-    if (found == count_by_client_.end()) return;
+void Proxy::release_session_slot(const std::string& address) {
+    const auto found = session_count_by_client_.find(address);
+    if (found == session_count_by_client_.end()) return;
     --found->second;
-    if (found->second == 0) count_by_client_.erase(found);
+    if (found->second == 0) session_count_by_client_.erase(found);
 }
 
 // ---- Attempts ---------------------------------------------------------------------------------------------
@@ -111,7 +111,7 @@
         client->server = UpgradedServer{ended.server, std::move(ended.stream), std::move(ended.subprotocol)};
     }
     handlers_.on_attempt_ended(ended.key, ended.outcome, ended.duration);
-    // No session has begun with it: the connection is closed.
+    // The handler has not begun a session, so the caller gets the connection back and closes it.
     if (client && client->server) ended.stream = std::move(client->server->stream);
     if (client) client->server.reset();
 }
@@ -123,39 +123,39 @@
     if (found == upgrades_.end() || !found->second->server) return;
     const auto client = remove_upgrade(id);
     const UpgradedServer server = *std::exchange(client->server, std::nullopt);
-    // Both descriptors are the session's from here on: the client's, and the server's since its attempt
-    // began.
+    // From here on the session holds both descriptors: the client's, and the server's, which was acquired
+    // when the attempt began.
     client->release_descriptor();
     const auto session = std::make_shared<Session>(settings_, client->release_socket(), server.stream,
                                                    [this, id](bool broken) { on_session_ended(id, broken); });
     sessions_[id] = {session, server.id, client->address()};
     session->start(client->request(), server.subprotocol);
-    // A drain that began while the upgrade was in progress closes this session, too.
+    // If a drain began while the upgrade was in progress, it also closes this session.
     if (is_draining_) {
-        schedule_closes({id}, shutting_down());
+        schedule_closes({id}, shutdown_schedule());
     } else if (draining_servers_.contains(server.id)) {
-        schedule_closes({id}, server_draining());
+        schedule_closes({id}, server_drain_schedule());
     }
 }
 
 void Proxy::on_session_ended(RequestId id, bool broken) {
     const auto found = sessions_.find(id);
     if (found == sessions_.end()) return;
-    uncount_client(found->second.client_address);
+    release_session_slot(found->second.client_address);
     sessions_.erase(found);
-    budget_.release(elmbay::SocketPurpose::sessions);  // the client's socket
-    budget_.release(elmbay::SocketPurpose::sessions);  // the server's
+    budget_.release(elmbay::SocketPurpose::sessions);  // the descriptor of the client's socket
+    budget_.release(elmbay::SocketPurpose::sessions);  // the descriptor of the server's socket
     handlers_.on_session_ended(id, broken);
     notify_if_empty();
 }
 
 // ---- Drains -----------------------------------------------------------------------------------------------
 
-Proxy::CloseOrder Proxy::server_draining() const {
+Proxy::CloseSchedule Proxy::server_drain_schedule() const {
     return {settings_.drain_spread, ws::close_code::service_restart, "server is draining"};
 }
 
-Proxy::CloseOrder Proxy::shutting_down() const {
+Proxy::CloseSchedule Proxy::shutdown_schedule() const {
     return {settings_.shutdown_spread, ws::close_code::going_away, "this sidecar ends"};
 }
 
@@ -164,39 +164,40 @@
         remove_server(id);
         return;
     }
-    const bool begins_to_drain = draining_servers_.insert(id).second;
-    if (!begins_to_drain) return;
+    const bool is_newly_draining = draining_servers_.insert(id).second;
+    if (!is_newly_draining) return;
     attempts_.end_unwritten(id);
-    std::vector<RequestId> sessions_there;
+    std::vector<RequestId> sessions_at_server;
     for (const auto& [request, active] : sessions_) {
-        if (active.server == id) sessions_there.push_back(request);
+        if (active.server == id) sessions_at_server.push_back(request);
     }
-    schedule_closes(sessions_there, server_draining());
+    schedule_closes(sessions_at_server, server_drain_schedule());
 }
 
 void Proxy::drain() {
     is_draining_ = true;
-    std::vector<RequestId> all;
+    std::vector<RequestId> session_ids;
     for (auto& [id, active] : sessions_) {
-        active.close_scheduled = false;  // the shutdown closes it sooner than its server's drain would
-        all.push_back(id);
+        active.close_scheduled = false;  // the shutdown closes the session sooner than its server's drain
+        session_ids.push_back(id);
     }
-    schedule_closes(all, shutting_down());
+    schedule_closes(session_ids, shutdown_schedule());
 }
 
-// Each session is closed in a slot of its own: clients that are closed at once come back at once.
-void Proxy::schedule_closes(const std::vector<RequestId>& ids, const CloseOrder& order) {
-    std::uniform_real_distribution<double> unit(0, 1);
+// Divides the spread into one time slot for each session and closes each session at a random time in its
+// slot. Clients whose sessions close at the same time would all reconnect at the same time.
+void Proxy::schedule_closes(const std::vector<RequestId>& ids, const CloseSchedule& schedule) {
+    std::uniform_real_distribution<double> unit_interval(0, 1);
     const auto slots = static_cast<double>(ids.size());
     for (std::size_t slot = 0; slot < ids.size(); ++slot) {
         const RequestId id = ids[slot];
         const bool is_scheduled = std::exchange(sessions_.at(id).close_scheduled, true);
         if (is_scheduled) continue;
-        const Millis delay = order.spread * (static_cast<double>(slot) + unit(random_)) / slots;
-        const double reconnect_seconds = kMaxReconnectDelay * unit(random_) / kMillisPerSecond;
+        const Millis delay = schedule.spread * (static_cast<double>(slot) + unit_interval(random_)) / slots;
+        const double reconnect_seconds = kMaxReconnectDelay * unit_interval(random_) / kMillisPerSecond;
         timers_.set(clock_.now() + delay,
-                    [this, id, code = order.code,
-                     reason = fmt::format("{}; come back in {:.2f} s", order.reason, reconnect_seconds)] {
+                    [this, id, code = schedule.code,
+                     reason = fmt::format("{}; come back in {:.2f} s", schedule.reason, reconnect_seconds)] {
                         close_session(id, code, reason);
                     });
     }
@@ -205,7 +206,7 @@
 void Proxy::close_session(RequestId id, ws::close_code code, const std::string& reason) {
     const auto found = sessions_.find(id);
     if (found == sessions_.end()) return;
-    const auto session = found->second.session;  // closing may remove it from the table
+    const auto session = found->second.session;  // close() may remove the session from the table
     session->close(code, reason);
 }
 
--- a/src/websocket/proxy.hpp
+++ b/src/websocket/proxy.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// The WebSocket frontend and backend: upgrades on both sides, and the established sessions.
+/// The WebSocket frontend and backend: client upgrades, upgrade attempts at servers, and established
+/// sessions.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -28,90 +29,93 @@
 using balancer::ServerId;
 using engine::AttemptKey;
 
-/// Proxies WebSocket connections. The engine decides where an upgrade goes and what becomes of it.
+/// Proxies WebSocket connections. The engine chooses the server for each upgrade and decides its outcome.
 ///
-/// An accepted upgrade ends by begin_session(), by respond(), or by on_client_disconnected. Each
-/// start_attempt() is answered by one on_attempt_ended, never from within it. Each session that begins is
-/// answered by one on_session_ended.
+/// An accepted upgrade ends with begin_session(), respond() or on_client_disconnected. Each start_attempt()
+/// leads to exactly one call of on_attempt_ended, never from within start_attempt(). Each established session
+/// leads to exactly one call of on_session_ended.
 ///
-/// Not thread-safe: everything runs on the event loop's thread. Bounded by the settings and by the budget's
-/// part for sessions, from which all its sockets come. Loop, budget, timers and clock must outlive it.
+/// Not thread-safe: all functions run on the event loop's thread. The number of connections is bounded by the
+/// settings and by the session part of the socket budget, which covers all sockets of the proxy. The event
+/// loop, budget, timers and clock must outlive the proxy.
 class Proxy {
 public:
-    /// Called from the loop.
+    /// The proxy calls these handlers from the event loop.
     struct Handlers {
         std::function<void(AttemptKey, Outcome, Millis duration)> on_attempt_ended;
-        std::function<void(RequestId)> on_client_disconnected;         ///< the client left during its upgrade
-        std::function<void(RequestId, bool broken)> on_session_ended;  ///< broken: as Session::EndedHandler
+        std::function<void(RequestId)> on_client_disconnected;         ///< during the client's upgrade
+        std::function<void(RequestId, bool broken)> on_session_ended;  ///< broken: see Session::EndedHandler
     };
 
-    /// @param connect_timeout milliseconds for a connection to a server.
-    /// @param seed of the random spread of closes.
+    /// @param connect_timeout the time limit for connecting to a server, in milliseconds.
+    /// @param seed the seed of the random numbers that spread closes over time.
     Proxy(asio::io_context& io, SocketBudget& budget, TimerQueue& timers, const Clock& clock,
           const Settings& settings, Millis connect_timeout, std::uint64_t seed, Handlers handlers);
     ~Proxy();
     Proxy(const Proxy&) = delete;
     Proxy& operator=(const Proxy&) = delete;
 
-    /// A client's upgrade request has been read and validated; its connection comes with it.
-    /// @return whether it is accepted. If not, its address has max_sessions_per_client already: it has had
-    /// its 403, and the engine must not hear of it.
+    /// Takes over a client connection whose upgrade request has been read and validated.
+    /// @return whether the upgrade is accepted. If the client's address already has max_sessions_per_client
+    /// sessions, the proxy responds with 403 itself, and the caller must not pass the request to the engine.
     bool on_upgrade_request(RequestId id, asio::ip::tcp::socket client_socket, HttpRequest request);
-    /// @return whether the budget had a descriptor for the client's socket. If not, the engine has no
-    /// capacity for it.
+    /// @return whether the client's socket holds a descriptor of the budget. Without one, the engine must
+    /// treat the upgrade as a request for which there is no capacity.
     bool has_client_socket(RequestId id) const;
-    /// @return whether the request is an accepted upgrade without an outcome.
+    /// @return whether the request is an accepted upgrade that has not ended yet.
     bool has_upgrade(RequestId id) const { return upgrades_.contains(id); }
 
-    /// As engine::ActionHandler::start_attempt().
+    /// See engine::ActionHandler::start_attempt().
     void start_attempt(AttemptKey key, ServerId server, const Endpoint& endpoint, Millis attempt_deadline,
                        Millis write_by);
-    /// As engine::ActionHandler::cancel_attempt().
+    /// See engine::ActionHandler::cancel_attempt().
     void cancel_attempt(AttemptKey key);
-    /// The upgrade has succeeded: its session begins.
+    /// Begins the session of an upgrade that has succeeded.
     void begin_session(RequestId id);
-    /// The upgrade has failed: sends the final response and closes the connection.
+    /// Sends the final response of an upgrade that has failed, and closes the connection.
     void respond(RequestId id, HttpResponse response);
 
-    /// What the endpoint list says of a server. When it may not be sent to any more, attempts that are not
-    /// written end as not_sent, and its sessions are closed, spread over `drain_spread`.
+    /// Applies a server's state in the endpoint list.
+    /// @param may_send whether the server may receive new upgrades. When this becomes false, attempts at the
+    /// server whose request is not written yet end as not_sent, and its sessions are closed, spread over
+    /// `drain_spread`.
     void set_server(ServerId id, bool may_send);
-    /// The server has left the endpoint list.
+    /// Removes a server that is no longer in the endpoint list.
     void remove_server(ServerId id) { draining_servers_.erase(id); }
-    /// Closes all sessions, spread over `shutdown_spread`, and each that begins later.
+    /// Closes all sessions, spread over `shutdown_spread`, and every session that begins later.
     void drain();
-    /// @param done called once, from the loop, when no upgrade and no session is left.
+    /// @param done called once, from the event loop, when the proxy has no upgrade and no session.
     void notify_when_empty(std::function<void()> done);
 
-    /// @return established sessions.
+    /// @return the number of established sessions.
     std::size_t sessions() const { return sessions_.size(); }
-    /// @return upgrades in progress.
+    /// @return the number of upgrades in progress.
     std::size_t upgrades() const { return upgrades_.size(); }
 
 private:
-    /// An established session and what it counts against.
+    /// An established session, with the server and the client address whose session limits it counts towards.
     struct ActiveSession {
         std::shared_ptr<Session> session;
         ServerId server = 0;
         std::string client_address;
         bool close_scheduled = false;
     };
-    /// Why sessions are closed, and over which time.
-    struct CloseOrder {
+    /// The reason for closing a group of sessions, and the time over which the closes are spread.
+    struct CloseSchedule {
         Millis spread;  ///< milliseconds
         ws::close_code code;
         const char* reason;
     };
 
-    CloseOrder server_draining() const;
-    CloseOrder shutting_down() const;
+    CloseSchedule server_drain_schedule() const;
+    CloseSchedule shutdown_schedule() const;
     std::shared_ptr<UpgradingClient> remove_upgrade(RequestId id);
-    bool count_client(const std::string& address);
-    void uncount_client(const std::string& address);
+    bool acquire_session_slot(const std::string& address);
+    void release_session_slot(const std::string& address);
     void on_client_disconnected(RequestId id);
     void on_attempt_ended(UpgradeAttempts::EndedAttempt& ended);
     void on_session_ended(RequestId id, bool broken);
-    void schedule_closes(const std::vector<RequestId>& ids, const CloseOrder& order);
+    void schedule_closes(const std::vector<RequestId>& ids, const CloseSchedule& schedule);
     void close_session(RequestId id, ws::close_code code, const std::string& reason);
     void notify_if_empty();
 
@@ -125,8 +129,9 @@
     UpgradeAttempts attempts_;
     std::unordered_map<RequestId, std::shared_ptr<UpgradingClient>> upgrades_;
     std::unordered_map<RequestId, ActiveSession> sessions_;
-    std::unordered_map<std::string, std::uint64_t> count_by_client_;  // upgrades and sessions, by address
-    std::set<ServerId> draining_servers_;  // of those that are listed or have sessions
+    std::unordered_map<std::string, std::uint64_t>
+        session_count_by_client_;          // upgrades and sessions, by client address
+    std::set<ServerId> draining_servers_;  // may get no upgrades; listed or with sessions
     std::function<void()> on_empty_;
     bool is_draining_ = false;
 };
--- a/src/websocket/session.cpp
+++ b/src/websocket/session.cpp
@@ -14,8 +14,9 @@
         std::chrono::duration<double, std::milli>(millis));
 }
 
-// 1005, 1006 and 1015 only stand for what no frame says and must not be sent (RFC 6455, 7.4.1).
-ws::close_reason sendable(const ws::close_reason& received) {
+// Returns the close reason to send for a received one. The codes 1005, 1006 and 1015 denote closes without a
+// code in a frame, and no close frame may contain them (RFC 6455, 7.4.1).
+ws::close_reason sendable_close_reason(const ws::close_reason& received) {
     const bool is_reserved = received.code == ws::close_code::none ||
                              received.code == ws::close_code::no_status ||
                              received.code == ws::close_code::abnormal;
@@ -82,7 +83,7 @@
         read(from);
         return;
     }
-    // Taken from the first fragment of a message; Beast ignores it for the others.
+    // Beast applies the message kind to the first fragment of a message and ignores it for later fragments.
     sink.binary(source.got_binary());
     sink.async_write_some(ends_message, asio::buffer(peers_[from].buffer.data(), bytes),
                           [self = shared_from_this(), from, to](Error error, std::size_t) {
@@ -94,31 +95,32 @@
                           });
 }
 
-// A read or write has ended there: by a proper close, or because the connection or the peer failed.
+// Handles the failed read or write of one side. The cause is a close handshake by the peer, or a failure of
+// the connection or the peer.
 void Session::on_side_failed(Side side, Error error) {
-    if (!is_open(side)) return;  // the end of its close handshake reports it
+    if (!is_open(side)) return;  // the completion of the close handshake ends this side
     const ws::close_reason reason = close_reason_after(side, error);
-    const bool is_first_cause = !std::exchange(end_cause_is_known_, true);
+    const bool is_first_cause = !std::exchange(has_end_cause_, true);
     if (is_first_cause) is_broken_ = side == server && error != ws::error::closed;
     on_side_closed(side);
     close_side(other_side(side), reason);
 }
 
 ws::close_reason Session::close_reason_after(Side failed_side, Error error) const {
-    if (error == ws::error::closed) return sendable(peers_[failed_side].stream->reason());
+    if (error == ws::error::closed) return sendable_close_reason(peers_[failed_side].stream->reason());
     if (failed_side == client) return {ws::close_code::going_away, "client lost"};
     return {ws::close_code::internal_error, "server lost: what was not acknowledged may have run"};
 }
 
 void Session::close(ws::close_code code, const std::string& reason) {
-    end_cause_is_known_ = true;
+    has_end_cause_ = true;
     const ws::close_reason close_reason(code, reason);
     close_side(client, close_reason);
     close_side(server, close_reason);
 }
 
 void Session::abort() {
-    end_cause_is_known_ = true;
+    has_end_cause_ = true;
     on_side_closed(client);
     on_side_closed(server);
 }
@@ -127,7 +129,7 @@
     if (!is_open(side)) return;
     Peer& peer = peers_[side];
     peer.state = SideState::closing;
-    if (!peer.stream->is_open()) {  // its opening handshake is not complete: no close frame may be sent
+    if (!peer.stream->is_open()) {  // no close frame may be sent before the opening handshake is complete
         on_side_closed(side);
         return;
     }
@@ -136,8 +138,8 @@
                              [self = shared_from_this(), side](Error) { self->on_side_closed(side); });
 }
 
-// Beast's own timeout runs from when the close frame is written. A peer that does not read holds up the write
-// before it, so the session needs a timer of its own.
+// Beast's own timeout starts when the close frame is written. A peer that does not read blocks the write
+// before the close frame, so the session needs a timer of its own.
 void Session::start_close_timer() {
     close_timer_.emplace(peers_[client].stream->get_executor(), to_duration(settings_.handshake_timeout));
     close_timer_->async_wait([weak = weak_from_this()](Error error) {
--- a/src/websocket/session.hpp
+++ b/src/websocket/session.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// One WebSocket session: two connections, each message of one side relayed to the other as it comes.
+/// One WebSocket session: two connections, where each message of one side is relayed to the other side.
 #pragma once
 
 #include <array>
@@ -18,12 +18,13 @@
 
 namespace elmbay {
 
-/// Beast finds this by argument-dependent lookup, for each kind of socket under a WebSocket stream.
+/// Closes the socket under a WebSocket stream. Beast finds this overload by argument-dependent lookup; it
+/// needs one for each socket type.
 inline void teardown(boost::beast::role_type role, TcpSocket& socket, boost::system::error_code& error) {
     boost::asio::ip::tcp::socket& plain_socket = socket;
     boost::beast::websocket::teardown(role, plain_socket, error);
 }
-/// As teardown().
+/// The asynchronous variant of teardown().
 template <class Handler>
 void async_teardown(boost::beast::role_type role, TcpSocket& socket, Handler&& handler) {
     boost::asio::ip::tcp::socket& plain_socket = socket;
@@ -39,30 +40,31 @@
 
 /// Relays messages until both connections are closed.
 ///
-/// Messages keep their boundaries, their kind and their order; nothing is ever sent twice. Beast checks the
-/// frames (RFC 6455, sections 5 and 8.1): a protocol error ends the session at that side with the matching
-/// close code. Control frames are each side's own: pings are answered here, a close is passed on with its
-/// code.
+/// Messages keep their boundaries, their kind (text or binary) and their order, and no message is sent twice.
+/// Beast checks the frames (RFC 6455, sections 5 and 8.1): a protocol error closes that side with the
+/// matching close code. Control frames are not relayed: Beast responds to pings on each side, and the session
+/// closes the other side with the close code that it received.
 ///
-/// Backpressure: at most `relay_buffer_bytes` are held for each direction. Until they are written nothing
-/// more is read, so a slow reader slows down its own writer and nobody else.
+/// Backpressure: the session buffers at most `relay_buffer_bytes` for each direction, and reads more only
+/// after it has written them. A slow reader therefore slows down only the peer that writes to it.
 ///
-/// Each side goes from open to closing (its close handshake runs) to closed, or to closed at once. Owned by
-/// its pending operations and by Proxy. Not thread-safe.
+/// The state of each side changes from open to closing (during the close handshake) to closed, or directly to
+/// closed. The pending operations and Proxy own the session. Not thread-safe.
 class Session : public std::enable_shared_from_this<Session> {
 public:
     /// Called once, when both sides are closed.
-    /// @param broken the server's side failed before either side had closed the session properly.
+    /// @param broken whether the connection to the server failed before the session was closed by a close
+    /// handshake or by the sidecar, and before the client's connection failed.
     using EndedHandler = std::function<void(bool broken)>;
 
-    /// @param server_stream whose opening handshake is complete.
+    /// @param server_stream the stream to the server, after its opening handshake.
     Session(const Settings& settings, asio::ip::tcp::socket client_socket,
             std::shared_ptr<Stream> server_stream, EndedHandler on_ended);
 
-    /// Answers the client's validated upgrade request, then relays.
-    /// @param subprotocol chosen by the server; empty: none.
+    /// Accepts the client's validated upgrade request, then relays messages.
+    /// @param subprotocol the subprotocol that the server chose; empty if none.
     void start(HttpRequest request, std::string subprotocol);
-    /// Closes both sides properly (RFC 6455, 7.4). They have `handshake_timeout` to answer.
+    /// Closes both sides with a close handshake (RFC 6455, 7.4), which may take `handshake_timeout`.
     void close(ws::close_code code, const std::string& reason);
     /// Closes both connections at once, without a close frame.
     void abort();
@@ -72,8 +74,8 @@
     enum class SideState { open, closing, closed };
     /// One of the two connections.
     struct Peer {
-        std::shared_ptr<Stream> stream;  // kept until its last operation has ended
-        std::vector<char> buffer;        // read here, to be written to the other side
+        std::shared_ptr<Stream> stream;  // stays alive until its last operation has ended
+        std::vector<char> buffer;        // bytes read from this side, to be written to the other side
         SideState state = SideState::open;
     };
 
@@ -91,9 +93,9 @@
     Settings settings_;
     std::array<Peer, 2> peers_;  // by Side
     EndedHandler on_ended_;
-    HttpRequest upgrade_request_;                    // until the client's handshake is complete
+    HttpRequest upgrade_request_;                    // kept until the client's handshake is complete
     std::optional<asio::steady_timer> close_timer_;  // runs from the first close until both sides are closed
-    bool end_cause_is_known_ = false;                // the first cause decides whether the session is broken
+    bool has_end_cause_ = false;                     // the first cause sets is_broken_
     bool is_broken_ = false;
 };
 
--- a/src/websocket/upgrade_attempts.cpp
+++ b/src/websocket/upgrade_attempts.cpp
@@ -27,12 +27,13 @@
     std::string subprotocol{};
     bool request_written = false;
     bool has_ended = false;
-    TimerQueue::Key timer{};  // the connect timeout, then the deadline
+    TimerQueue::Key timer{};  // runs until the connect timeout, then until the deadline
 };
 
 namespace {
 
-// The server has sent something that is no HTTP response or no sound handshake. It may have run the upgrade.
+// Returns whether the server has sent an invalid HTTP response or handshake. Such a server may have processed
+// the upgrade.
 bool is_protocol_error(const Error& error) {
     const bool is_websocket_error = error.category() == Error(ws::error::closed).category();
     const bool is_http_error = error.category() == Error(http::error::bad_version).category();
@@ -63,7 +64,7 @@
     const Millis connect_deadline = std::min(deadline, attempt->started_at + connect_timeout_);
     attempt->timer =
         timers_.set(connect_deadline, [this, attempt] { end(attempt, Outcome::connect_failed); });
-    // The stream stays alive until its handler has run, whatever becomes of the attempt.
+    // The handler keeps the stream alive, even if the attempt ends first.
     attempt->stream->next_layer().async_connect(endpoint, [this, attempt, keep_alive = attempt->stream](
                                                               Error error) { on_connected(attempt, error); });
 }
@@ -87,7 +88,7 @@
     Stream& stream = *attempt->stream;
     Error ignored;
     stream.next_layer().set_option(tcp::no_delay(true), ignored);
-    // The balancer sets the deadline, so Beast's own timeouts are off.
+    // Beast's own timeouts are disabled, because the attempt ends at the deadline that the balancer sets.
     stream.set_option(ws::stream_base::timeout{ws::stream_base::none(), ws::stream_base::none(), false});
     const Millis time_left = attempt->deadline - clock_.now();
     stream.set_option(
@@ -97,7 +98,7 @@
         }));
     attempt->request_written = true;
     const HttpRequest& request = attempt->client->request();
-    // The stream stays alive until its handler has run, whatever becomes of the attempt.
+    // The handler keeps the stream alive, even if the attempt ends first.
     stream.async_handshake(
         attempt->response, std::string(request[http::field::host]), std::string(request.target()),
         [this, attempt, keep_alive = attempt->stream](Error error) { on_handshake_ended(attempt, error); });
@@ -121,8 +122,8 @@
 }
 
 void UpgradeAttempts::end(const AttemptPtr& attempt, Outcome outcome) {
-    const bool has_ended_before = std::exchange(attempt->has_ended, true);
-    if (has_ended_before) return;
+    const bool had_ended = std::exchange(attempt->has_ended, true);
+    if (had_ended) return;
     timers_.cancel(attempt->timer);
     attempts_.erase(attempt->key);
     EndedAttempt ended{attempt->key,
--- a/src/websocket/upgrade_attempts.hpp
+++ b/src/websocket/upgrade_attempts.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Upgrades in progress at servers: connect, opening handshake, outcome.
+/// Upgrade attempts at servers, from connecting through the opening handshake to the outcome.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -19,35 +19,38 @@
 
 /// The backend of the WebSocket proxy.
 ///
-/// Each attempt takes one descriptor of the budget's session part and ends exactly once: by the server's
-/// response, an error, its deadline, cancel() or end_unwritten(). Not thread-safe: it runs on the loop's
-/// thread, and must outlive what the loop still holds of it.
+/// Each attempt takes one descriptor of the session part of the socket budget and ends exactly once: by the
+/// server's response, an error, its deadline, cancel() or end_unwritten(). Not thread-safe: it runs on the
+/// event loop's thread, and must outlive its handlers that are pending in the event loop.
 class UpgradeAttempts {
 public:
-    /// How an attempt ended.
+    /// The result of an attempt.
     struct EndedAttempt {
         engine::AttemptKey key;
         balancer::ServerId server = 0;
         balancer::Outcome outcome = balancer::Outcome::not_sent;
-        Millis duration = 0;             ///< milliseconds since its start
+        Millis duration = 0;             ///< milliseconds since the attempt started
         std::shared_ptr<Stream> stream;  ///< open if the outcome is success
-        std::string subprotocol;         ///< chosen by the server; empty: none
+        std::string subprotocol;         ///< the server's choice; empty if none
     };
-    /// Called once for each start(), never from within it. A stream that the handler leaves in place is
-    /// closed, and its descriptor given back.
+    /// Called exactly once for each start(), never from within start(). If the handler does not move the
+    /// stream away, the stream is closed and its descriptor is returned to the budget.
     using EndedHandler = std::function<void(EndedAttempt&)>;
 
     UpgradeAttempts(asio::io_context& io, SocketBudget& budget, TimerQueue& timers, const Clock& clock,
                     Millis connect_timeout, EndedHandler on_ended);
 
-    /// @param client whose upgrade request is passed on.
-    /// @param deadline at which the attempt ends as timed_out at the latest.
-    /// @param write_by before which the request is written; otherwise the attempt ends as not_sent.
+    /// Starts an attempt.
+    /// @param deadline the time at which an unfinished attempt ends as timed_out.
+    /// @param write_by the time before which the request must be written. Otherwise the attempt ends as
+    /// not_sent.
+    /// @param client the client whose upgrade request is forwarded.
     void start(engine::AttemptKey key, balancer::ServerId server, const Endpoint& endpoint, Millis deadline,
                Millis write_by, std::shared_ptr<UpgradingClient> client);
-    /// Closes the connection. The attempt ends as cancelled, unless it is unknown.
+    /// Closes the attempt's connection, and the attempt ends as cancelled. Does nothing if no such attempt is
+    /// in progress.
     void cancel(engine::AttemptKey key);
-    /// Ends the server's attempts whose request is not written yet, as not_sent.
+    /// Ends all attempts at the server whose request is not written yet, with the outcome not_sent.
     void end_unwritten(balancer::ServerId server);
 
 private:
--- a/src/websocket/upgrading_client.cpp
+++ b/src/websocket/upgrading_client.cpp
@@ -13,7 +13,7 @@
 using tcp = asio::ip::tcp;
 using Error = boost::system::error_code;
 
-std::string address_of(const TcpSocket& socket) {
+std::string remote_address(const TcpSocket& socket) {
     Error error;
     const auto peer = socket.remote_endpoint(error);
     return error ? std::string() : peer.address().to_string();
@@ -27,7 +27,7 @@
       budget_(budget),
       holds_descriptor_(budget.acquire(elmbay::SocketPurpose::sessions)),
       socket_(std::move(socket)),
-      address_(address_of(socket_)) {}
+      address_(remote_address(socket_)) {}
 
 void UpgradingClient::watch(std::function<void()> on_disconnected) {
     on_disconnected_ = std::move(on_disconnected);
@@ -68,8 +68,8 @@
     socket_.cancel(ignored);
 }
 
-// Reads until the client has closed. Closing over unread bytes resets the connection, and the response with
-// it.
+// Reads and discards bytes until the client has closed the connection. Closing a socket with unread bytes
+// resets the connection, and the client may lose the response.
 void UpgradingClient::discard_input() {
     socket_.async_read_some(asio::buffer(discarded_input_),
                             [self = shared_from_this()](Error error, std::size_t) {
@@ -82,8 +82,8 @@
                             });
 }
 
-// The only place that gives the descriptor back. The destructor must not: when the process ends, a connection
-// that was never closed outlives the budget.
+// Only this function returns the descriptor to the budget. The destructor must not, because at process exit a
+// connection that was never closed outlives the budget.
 void UpgradingClient::close() {
     Error ignored;
     socket_.close(ignored);
--- a/src/websocket/upgrading_client.hpp
+++ b/src/websocket/upgrading_client.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A client connection between its upgrade request and the session or the final HTTP response.
+/// A client connection from its upgrade request until the session begins or the final HTTP response is sent.
 #pragma once
 
 #include <array>
@@ -20,44 +20,45 @@
 
 namespace elmbay::websocket {
 
-/// A server that has accepted the upgrade, for a session to begin with.
+/// A server that has accepted the upgrade, with the connection for the session.
 struct UpgradedServer {
     balancer::ServerId id = 0;
     std::shared_ptr<Stream> stream;
-    std::string subprotocol;  ///< chosen by the server; empty: none
+    std::string subprotocol;  ///< the server's choice; empty if none
 };
 
-/// Holds the client's socket, and one descriptor of the budget's session part if there was one to have. The
-/// budget must outlive it.
+/// Holds the client's socket and, if the session part of the socket budget had one free, a descriptor. The
+/// budget must outlive this object.
 ///
-/// Before its response a client has nothing to say: whatever comes from it, or its end, counts as a
-/// disconnect.
+/// A client may not send anything before it gets its response. Any byte that it sends, and the end of the
+/// connection, count as a disconnect.
 class UpgradingClient : public std::enable_shared_from_this<UpgradingClient> {
 public:
-    /// After the final response the client has this long, in milliseconds, to read it and to close.
+    /// The time that the client has to read the final response and to close, in milliseconds.
     static constexpr Millis kLingerTimeout = 1000;
 
     UpgradingClient(SocketBudget& budget, asio::ip::tcp::socket socket, HttpRequest request);
 
-    /// @param on_disconnected called once, from the loop, if the client leaves before release_socket() or
-    /// respond().
+    /// Watches the connection for a disconnect.
+    /// @param on_disconnected called once, from the event loop, if the client disconnects before
+    /// release_socket() or respond().
     void watch(std::function<void()> on_disconnected);
-    /// Gives the socket away, to a session.
+    /// Stops watching and transfers the socket to the caller, which uses it for a session.
     asio::ip::tcp::socket release_socket();
-    /// The budget's descriptor goes with the socket: whoever has it gives it back.
+    /// Transfers the descriptor to the caller, which must return it to the budget.
     void release_descriptor() { holds_descriptor_ = false; }
-    /// Sends the final response and closes once the client has closed, or after kLingerTimeout.
+    /// Sends the final response. The connection is closed when the client closes it, or after kLingerTimeout.
     void respond(HttpResponse response);
 
     const HttpRequest& request() const { return request_; }
-    /// @return the subprotocols that the client offers, in its order.
+    /// @return the subprotocols that the client offers, in the client's order of preference.
     const std::vector<std::string>& offered_subprotocols() const { return offered_subprotocols_; }
-    /// @return the client's IP address; empty if it is not known any more.
+    /// @return the client's IP address; empty if the connection had already failed on construction.
     const std::string& address() const { return address_; }
-    /// @return whether the budget had a descriptor for it.
+    /// @return whether this object holds a descriptor of the budget.
     bool holds_descriptor() const { return holds_descriptor_; }
 
-    std::optional<UpgradedServer> server;  ///< set while the end of its successful attempt is reported
+    std::optional<UpgradedServer> server;  ///< set during the report of a successful attempt
 
 private:
     void stop_watching();
@@ -70,7 +71,7 @@
     bool holds_descriptor_;
     TcpSocket socket_;
     std::string address_;
-    std::function<void()> on_disconnected_;  // empty once the outcome is known
+    std::function<void()> on_disconnected_;  // empty after a disconnect, a response or release_socket()
     std::unique_ptr<HttpResponse> response_;
     std::optional<asio::steady_timer> linger_timer_;
     std::array<char, 512> discarded_input_{};
