--- a/tests/end_to_end/deadline_test.cpp
+++ b/tests/end_to_end/deadline_test.cpp
@@ -1,5 +1,5 @@
-// A request's deadline: what counts against it, what servers are told of it, and what happens when it has
-// passed.
+// Tests a request's deadline: from when it is counted, which remaining time servers receive, and how the
+// sidecar handles a request whose deadline has passed.
 #include <gtest/gtest.h>
 
 #include <chrono>
@@ -11,8 +11,8 @@
 namespace elmbay::test {
 namespace {
 
-// The first X-Time-Left that a server got on a connection, in ms; -1 if there is none. Sidecars write it in
-// us.
+// Returns the first X-Time-Left that a server received on a connection, in milliseconds, or -1 if there is
+// none. Sidecars write the header in microseconds.
 double time_left_in(const Peer& server_connection) {
     const std::string name = "X-Time-Left: ";
     const std::size_t begin = server_connection.received.find(name);
@@ -20,7 +20,8 @@
     return std::stod(server_connection.received.substr(begin + name.size())) / 1000;
 }
 
-// On timeout the connection to the server is closed, and the client gets one response in time.
+// When a request times out, the sidecar closes the connection to the server, and the client gets one
+// response.
 TEST(RequestDeadline, ClosesServerConnectionAndRespondsOnceOnTimeout) {
     SidecarFixture fixture;
     fixture.start();
@@ -31,26 +32,28 @@
     EXPECT_EQ(status_of(*client), "HTTP/1.1 504");
     ASSERT_TRUE(fixture.until([&] { return server.last_connection().closed; }));
     EXPECT_EQ(server.request_count(), 1U);
-    EXPECT_EQ(client->received.find("HTTP/1.1", 1), std::string::npos) << "one response";
+    EXPECT_EQ(client->received.find("HTTP/1.1", 1), std::string::npos)
+        << "the client must get only one response";
     EXPECT_TRUE(fixture.until([&] { return fixture.sidecar->requests() == 0; }));
 }
 
-// A client's time runs from when it sends its request, also while the request lies in the kernel because the
-// sidecar has no socket or no core for it.
-TEST(RequestDeadline, CountsTimeInTheKernelsQueue) {
+// The deadline is counted from when the client sends its request. This includes the time that the request
+// waits in the kernel because the sidecar has no socket or no processor time for it.
+TEST(RequestDeadline, CountsTimeThatRequestWaitsInKernel) {
     SidecarFixture fixture;
     fixture.start();
     FakeServer& server = fixture.servers.front();
     const auto client = fixture.connect_client();
     client->send(SidecarFixture::request("unsafe", "50000m"));
-    std::this_thread::sleep_for(std::chrono::milliseconds(400));  // nobody runs the sidecar meanwhile
+    std::this_thread::sleep_for(std::chrono::milliseconds(400));  // the sidecar does not run meanwhile
     ASSERT_TRUE(fixture.until([&] { return server.request_count() == 1; }));
     const double time_left = time_left_in(server.last_connection());
     ASSERT_GE(time_left, 0) << server.last_connection().received;
-    EXPECT_LT(time_left, 50000 - 400 + 20) << "the kernel's tick is 10 ms at the coarsest";
+    EXPECT_LT(time_left, 50000 - 400 + 20)
+        << "400 ms must be counted; the kernel's clock tick is at most 10 ms";
 }
 
-TEST(RequestDeadline, TellsRetryAtMostTheTimeThatItsClientHasLeft) {
+TEST(RequestDeadline, SendsRetryWithAtMostTheRemainingTimeOfClient) {
     constexpr Millis kTimeLeft = 5000;
     constexpr std::size_t kAttempts = 3;
     SidecarFixture fixture;
@@ -72,8 +75,9 @@
     }
 }
 
-// Servers may drop requests with very little time without a word, or never answer them. Each request gets one
-// response, and one that is not idempotent is not sent again.
+// Servers may close the connection of a request with very little time left without a response, or never
+// respond. The client gets one response to each request, and the sidecar does not retry a non-idempotent
+// request.
 TEST(RequestDeadline, RespondsOnceToRequestsWithVeryLittleTime) {
     for (const bool server_drops_requests : {true, false}) {
         SidecarFixture fixture;
@@ -107,8 +111,8 @@
     }
 }
 
-// The client's disconnect, the deadline and the response are all there as the loop goes on. The request has
-// one outcome and nothing of it is left.
+// The client's disconnect, the deadline and the server's response are all pending when the event loop
+// continues. The request must have exactly one outcome, and the sidecar must keep no state of it.
 TEST(RequestDeadline, CountsRequestOnceWhenDisconnectDeadlineAndResponseCoincide) {
     constexpr Millis kTimeLeft = 2000;
     SidecarFixture fixture;
--- a/tests/end_to_end/deployment_settings_test.cpp
+++ b/tests/end_to_end/deployment_settings_test.cpp
@@ -1,5 +1,5 @@
-// The sidecar under settings that are drawn at random: names, effects, windows, deadlines, limits and
-// tenants, far beyond those of the deployment that it was made for.
+// Tests the sidecar with random settings: class names, effects, deduplication windows, deadlines, limits and
+// tenants. They cover a far wider range than the settings of the deployment that the sidecar was made for.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -14,10 +14,10 @@
 struct RandomSettings {
     Json settings;
     Json limits;
-    bool short_deadlines = false;  // a busy machine may miss them
+    bool short_deadlines = false;  // a request may time out on a busy machine
 };
 
-// Draws one deployment's settings. The same seed gives the same settings.
+// Generates the settings of one deployment. The same seed generates the same settings.
 class SettingsGenerator {
 public:
     explicit SettingsGenerator(std::uint64_t seed) : random_(seed), short_deadlines_(seed % 3 == 0) {}
@@ -25,77 +25,79 @@
     RandomSettings generate() {
         const Json classes = request_classes();
         Json settings = {{"classes", classes}, {"limits", attempt_limits()}, {"rules", slow_start()}};
-        settings["membership-mode"] = one_of({"pushed", "on_request"});
-        settings["siblings"] = whole(1, 5000);
-        if (coin()) {
+        settings["membership-mode"] = random_choice({"pushed", "on_request"});
+        settings["siblings"] = random_integer(1, 5000);
+        if (random_bool()) {
             settings["azs"] = {"annex", "b", "hall-c"};
             settings["my-zone"] = "annex";
         }
-        const int tenants = whole(0, 3);
+        const int tenants = random_integer(0, 3);
         for (int i = 0; i < tenants; ++i) {
             settings["tenants"].push_back(
-                {{"name", "tenant " + std::to_string(i)}, {"quota-per-s", between(0.5, 500)}});
+                {{"name", "tenant " + std::to_string(i)}, {"quota-per-s", random_real(0.5, 500)}});
         }
-        const Json limits = {
-            {"cores", between(0.05, 1)}, {"memory_mb", whole(32, 192)}, {"sockets", whole(256, 1024)}};
+        const Json limits = {{"cores", random_real(0.05, 1)},
+                             {"memory_mb", random_integer(32, 192)},
+                             {"sockets", random_integer(256, 1024)}};
         return {settings, limits, short_deadlines_};
     }
 
 private:
-    double between(double from, double to) { return std::uniform_real_distribution<>(from, to)(random_); }
-    int whole(int from, int to) { return std::uniform_int_distribution<>(from, to)(random_); }
-    bool coin() { return whole(0, 1) == 1; }
-    std::string one_of(const std::vector<std::string>& words) {
-        return words[static_cast<std::size_t>(whole(0, static_cast<int>(words.size()) - 1))];
+    double random_real(double from, double to) { return std::uniform_real_distribution<>(from, to)(random_); }
+    int random_integer(int from, int to) { return std::uniform_int_distribution<>(from, to)(random_); }
+    bool random_bool() { return random_integer(0, 1) == 1; }
+    std::string random_choice(const std::vector<std::string>& words) {
+        return words[static_cast<std::size_t>(random_integer(0, static_cast<int>(words.size()) - 1))];
     }
 
     Json request_classes() {
         Json classes = Json::array();
-        const int count = whole(1, 7);
+        const int count = random_integer(1, 7);
         for (int i = 0; i < count; ++i) classes.push_back(request_class(i));
         return classes;
     }
 
     Json request_class(int index) {
-        const Millis deadline = short_deadlines_ ? between(20, 400) : between(8000, 90000);
-        const std::string name = one_of({"read", "write", "pay", "x", "Seal-2", "long.name/with:signs"});
+        const Millis deadline = short_deadlines_ ? random_real(20, 400) : random_real(8000, 90000);
+        const std::string name =
+            random_choice({"read", "write", "pay", "x", "Seal-2", "long.name/with:signs"});
         Json request_class = {{"name", name + std::to_string(index)},
-                              {"effect", one_of({"repeatable", "by_key", "once"})},
-                              {"on-time-ms", deadline * between(0.1, 1)},
+                              {"effect", random_choice({"repeatable", "by_key", "once"})},
+                              {"on-time-ms", deadline * random_real(0.1, 1)},
                               {"give-up-ms", deadline},
-                              {"credit", between(0.01, 100)}};
+                              {"credit", random_real(0.01, 100)}};
         if (request_class["effect"] == "by_key") {
-            request_class["dedup-scope"] = one_of({"all", "zone", "cell"});
-            request_class["dedup-window-ms"] = deadline * between(0.01, 3);
+            request_class["dedup-scope"] = random_choice({"all", "zone", "cell"});
+            request_class["dedup-window-ms"] = deadline * random_real(0.01, 3);
         }
-        if (coin()) request_class["late-value"] = between(0, 1);
+        if (random_bool()) request_class["late-value"] = random_real(0, 1);
         return request_class;
     }
 
     Json attempt_limits() {
-        return {{"max-attempts", whole(1, 8)},
-                {"may-cancel", coin()},
-                {"parallel-tries", coin()},
-                {"connect-timeout-ms", short_deadlines_ ? between(20, 300) : between(8000, 9000)},
-                {"idle-close-ms", between(3000, 120000)}};
+        return {{"max-attempts", random_integer(1, 8)},
+                {"may-cancel", random_bool()},
+                {"parallel-tries", random_bool()},
+                {"connect-timeout-ms", short_deadlines_ ? random_real(20, 300) : random_real(8000, 9000)},
+                {"idle-close-ms", random_real(3000, 120000)}};
     }
 
     Json slow_start() {
-        return {{"cold-from", between(0.05, 1)},
-                {"warm-within-ms", between(0, 60000)},
-                {"fall-multiple", between(1.2, 6)}};
+        return {{"cold-from", random_real(0.05, 1)},
+                {"warm-within-ms", random_real(0, 60000)},
+                {"fall-multiple", random_real(1.2, 6)}};
     }
 
     std::mt19937_64 random_;
     bool short_deadlines_;
 };
 
-std::string request_of(const Json& request_class, std::size_t number) {
+std::string request_of(const Json& request_class, std::size_t request_number) {
     const bool idempotent = request_class["effect"] == "repeatable";
     const int deadline = static_cast<int>(request_class["give-up-ms"].get<double>());
     std::string text = idempotent ? "GET" : "POST";
     text += " /api HTTP/1.1\r\nHost: h\r\n";
-    text += "X-Correlation-Id: d-" + std::to_string(number) + "\r\n";
+    text += "X-Correlation-Id: d-" + std::to_string(request_number) + "\r\n";
     text += "X-Service-Class: " + request_class["name"].get<std::string>() + "\r\n";
     text += "X-Time-Left: " + std::to_string(deadline) + "m\r\n";
     if (request_class["effect"] == "by_key") text += "Idempotency-Key: k\r\n";
@@ -105,29 +107,31 @@
 
 TEST(DeploymentSettings, ServesEachRequestClassOfRandomSettings) {
     for (std::uint64_t seed = 1; seed <= 45; ++seed) {
-        const RandomSettings drawn = SettingsGenerator(seed).generate();
-        SCOPED_TRACE("seed " + std::to_string(seed) + ": " + drawn.settings.dump());
+        const RandomSettings generated = SettingsGenerator(seed).generate();
+        SCOPED_TRACE("seed " + std::to_string(seed) + ": " + generated.settings.dump());
         SidecarFixture fixture;
-        fixture.config["settings"] = drawn.settings;
-        fixture.config["limits"] = drawn.limits;
+        fixture.config["settings"] = generated.settings;
+        fixture.config["limits"] = generated.limits;
         fixture.start();
         ASSERT_FALSE(HasFatalFailure());
         const auto readiness_probe = fixture.connect_client();
         readiness_probe->send("GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
         ASSERT_TRUE(fixture.until([&] { return readiness_probe->received.size() > 12; }));
-        EXPECT_EQ(status_of(*readiness_probe), "HTTP/1.1 200") << "ready by the list in its configuration";
+        EXPECT_EQ(status_of(*readiness_probe), "HTTP/1.1 200")
+            << "the sidecar must be ready with the endpoint list of its configuration";
 
         FakeServer& server = fixture.servers.front();
-        std::size_t number = 0;
-        for (const Json& request_class : drawn.settings["classes"]) {
-            ++number;
+        std::size_t request_number = 0;
+        for (const Json& request_class : generated.settings["classes"]) {
+            ++request_number;
             const auto client = fixture.connect_client();
-            client->send(request_of(request_class, number));
+            client->send(request_of(request_class, request_number));
             ASSERT_TRUE(fixture.until([&] {
                 server.respond_to_all();
                 return client->received.find("\r\n\r\n") != std::string::npos;
             }));
-            if (drawn.short_deadlines) continue;  // any final response will do
+            if (generated.short_deadlines)
+                continue;  // the request may time out, so any final response is valid
             EXPECT_EQ(status_of(*client), "HTTP/1.1 200") << request_class.dump();
             EXPECT_TRUE(client->received.ends_with("answer"));
         }
--- a/tests/end_to_end/reload_test.cpp
+++ b/tests/end_to_end/reload_test.cpp
@@ -1,4 +1,4 @@
-// Reloading the configuration (SIGHUP) while requests and calls to discovery are in flight.
+// Tests reloads of the configuration (SIGHUP) while requests and calls to discovery are in progress.
 #include <gtest/gtest.h>
 
 #include <list>
@@ -9,8 +9,9 @@
 namespace elmbay::test {
 namespace {
 
-// A reload moves discovery while a request is in flight. The new address is asked for the whole list at once
-// and the call to the old one is closed. The old list and the request stay in force meanwhile.
+// A reload changes the address of discovery while a request is in flight. The sidecar immediately requests
+// the whole list from the new address and closes the call to the old one. Until the new list arrives, the
+// sidecar uses the old list, and the request in flight continues.
 TEST(Reload, SwitchesDiscoveryAndKeepsOldListMeanwhile) {
     SidecarFixture fixture;
     fixture.start();
@@ -26,27 +27,29 @@
     ASSERT_TRUE(fixture.until(
         [&] { return new_discovery.request_count() == 1 && fixture.discovery.last_connection().closed; }));
     EXPECT_NE(new_discovery.last_connection().received.find("GET /discovery/hosts "), std::string::npos)
-        << "the whole list";
+        << "the sidecar must request the whole list";
 
     const auto second = fixture.connect_client();
     second->send(SidecarFixture::request("safe"));
-    ASSERT_TRUE(fixture.until([&] { return server.request_count() == 2; })) << "by the old list";
+    ASSERT_TRUE(fixture.until([&] { return server.request_count() == 2; }))
+        << "the old list must stay in use";
     for (const auto& peer : server.connections) peer->respond("200 OK", "answer");
     for (const auto& served : {client, second}) {
         ASSERT_TRUE(fixture.until([&] { return served->received.find("answer") != std::string::npos; }));
     }
 
-    fixture.list_version = 0;  // the new discovery numbers its lists from 1
+    fixture.list_version = 0;  // the versions of the new discovery start at 1
     const Json new_list = Json::array({SidecarFixture::target(7, new_server.address())});
     new_discovery.last_connection().respond("200 OK", fixture.watch_line(new_list, true));
     ASSERT_TRUE(fixture.until([&] { return new_discovery.request_count() == 2; }));
     EXPECT_NE(new_discovery.last_connection().received.find("stream=1&index=1 "), std::string::npos);
     client->received.clear();
     client->send(SidecarFixture::request("unsafe"));
-    ASSERT_TRUE(fixture.until([&] { return new_server.request_count() == 1; })) << "by the new list";
+    ASSERT_TRUE(fixture.until([&] { return new_server.request_count() == 1; }))
+        << "the new list must be in use";
 }
 
-// How far the call to discovery gets before the next reload.
+// The progress of the call to discovery at the time of the next reload.
 enum class CallProgress { none, one_loop_step, connected, request_sent, response_begun };
 
 void run_call_until(SidecarFixture& fixture, FakeServer& discovery, CallProgress progress) {
@@ -70,8 +73,9 @@
     }
 }
 
-// Reloads come before a call to discovery is made, while it connects, while it waits for its response and
-// while that is being read. The last address counts, and the calls to the addresses before it are closed.
+// Reloads happen before a call to discovery starts, while it connects, while it waits for its response and
+// while it reads the response. The sidecar must use the last address and close the calls to the earlier
+// addresses.
 TEST(Reload, UsesLastDiscoveryAddressWhateverCallIsInProgress) {
     SidecarFixture fixture;
     fixture.start();
@@ -87,14 +91,15 @@
     }
     FakeServer& last = new_discoveries.back();
     ASSERT_TRUE(fixture.until([&] { return last.request_count() == 1; }));
-    fixture.reload();  // the same configuration once more, with the response on its way
+    fixture.reload();  // reloads the same configuration while the response is pending
     fixture.list_version = 0;
     ASSERT_TRUE(fixture.until([&] { return last.request_count() == 2; }));
     EXPECT_NE(last.last_connection().received.find("GET /discovery/hosts "), std::string::npos)
-        << "the whole list";
+        << "the sidecar must request the whole list";
     const Json new_list = Json::array({SidecarFixture::target(7, new_server.address())});
     last.last_connection().respond("200 OK", fixture.watch_line(new_list, true));
-    ASSERT_TRUE(fixture.until([&] { return last.request_count() == 3; })) << "the watch";
+    ASSERT_TRUE(fixture.until([&] { return last.request_count() == 3; }))
+        << "the sidecar must start the watch";
     fixture.handle_pending_events();
     for (FakeServer& discovery : new_discoveries) {
         if (&discovery == &last) continue;
@@ -106,10 +111,11 @@
     client->send(SidecarFixture::request("unsafe"));
     ASSERT_TRUE(fixture.until(
         [&] { return new_server.request_count() + fixture.servers.front().request_count() == 1; }));
-    EXPECT_EQ(new_server.request_count(), 1U) << "by the last address's list";
+    EXPECT_EQ(new_server.request_count(), 1U) << "the sidecar must use the list from the last address";
 }
 
-// Reloads right before and during a shutdown: requests in flight are finished by the list that is held.
+// Reloads happen right before and during a shutdown. The sidecar must finish the requests in flight with the
+// endpoint list that it already has.
 TEST(Reload, LosesNoRequestBeforeShutdown) {
     SidecarFixture fixture;
     fixture.start();
--- a/tests/end_to_end/request_forwarding_test.cpp
+++ b/tests/end_to_end/request_forwarding_test.cpp
@@ -1,4 +1,5 @@
-// What a server gets of a client's request, and what the client gets of the server's response.
+// Tests which parts of a client's request the server receives, and which parts of the response the client
+// receives.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -28,7 +29,7 @@
     EXPECT_TRUE(fixture.until([&] { return fixture.sidecar->requests() == 0; }));
 }
 
-// Headers that the protocol does not name are dropped.
+// The sidecar drops request headers that are not part of the protocol.
 TEST(RequestForwarding, ForwardsOnlyHeadersOfTheProtocol) {
     SidecarFixture fixture;
     fixture.start();
@@ -39,14 +40,14 @@
                                 "Cookie: obj=7\r\nX-Facts: a=1\r\nX-Strange: 1\r\nConnection: X-Other\r\n"
                                 "X-Other: 2\r\nExpect: 100-continue\r\nX-Unprocessed: 1\r\n"));
     ASSERT_TRUE(fixture.until([&] { return server.request_count() == 1; }));
-    const std::string& got = server.last_connection().received;
+    const std::string& forwarded = server.last_connection().received;
     for (const char* kept :
          {"POST /api?a=b HTTP/1.1", "X-Correlation-Id: id-", "Idempotency-Key: k", "X-Service-Class: keyed",
           "Cookie: obj=7", "X-Facts: a=1", "Content-Length: 4"}) {
-        EXPECT_NE(got.find(kept), std::string::npos) << kept;
+        EXPECT_NE(forwarded.find(kept), std::string::npos) << kept;
     }
     for (const char* dropped : {"X-Strange", "X-Other", "Expect", "X-Unprocessed", "Connection"}) {
-        EXPECT_EQ(got.find(dropped), std::string::npos) << dropped;
+        EXPECT_EQ(forwarded.find(dropped), std::string::npos) << dropped;
     }
 }
 
--- a/tests/end_to_end/restored_state_test.cpp
+++ b/tests/end_to_end/restored_state_test.cpp
@@ -1,4 +1,4 @@
-// What a sidecar learned before a restart and takes over after it.
+// Tests that a restarted sidecar restores the learned state of the process before it.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -14,8 +14,8 @@
 
 constexpr std::size_t kServers = 5;
 
-// Answers what has arrived at the servers: `failing` with errors, the others with success. Returns how many
-// requests `failing` has got.
+// Responds to all requests that have arrived at the servers: with errors at `failing`, and with success at
+// the others. Returns the number of error responses.
 int respond_with_one_failing(SidecarFixture& fixture, const FakeServer& failing) {
     int failed = 0;
     for (FakeServer& server : fixture.servers) {
@@ -34,13 +34,13 @@
     return failed;
 }
 
-// Sends requests one after another, until `enough`. Returns how many attempts `failing` has got, -1 if a
-// request was not served.
+// Sends up to `requests` requests one after another, until `is_done` returns true. Returns the number of
+// attempts that reached `failing`, or -1 if a request was not served.
 int attempts_at_failing_server(
     SidecarFixture& fixture, int requests, const FakeServer& failing,
-    const std::function<bool()>& enough = [] { return false; }) {
+    const std::function<bool()>& is_done = [] { return false; }) {
     int failed = 0;
-    for (int i = 0; i < requests && !enough(); ++i) {
+    for (int i = 0; i < requests && !is_done(); ++i) {
         const auto client = fixture.connect_client();
         client->send(SidecarFixture::request("safe"));
         const bool served = fixture.until([&] {
@@ -52,7 +52,7 @@
     return failed;
 }
 
-bool ejected(const SidecarFixture& fixture, const std::string& uid) {
+bool is_ejected(const SidecarFixture& fixture, const std::string& uid) {
     const state::Snapshot snapshot = fixture.sidecar->snapshot();
     for (std::size_t i = 0; i < snapshot.server_uids.size(); ++i) {
         if (snapshot.server_uids[i] == uid && snapshot.learned_state.servers[i].ejection_remaining_ms)
@@ -61,8 +61,8 @@
     return false;
 }
 
-// A sidecar that starts with four of the servers and is then told of all five in reverse order. Its numbers
-// for them differ from those before the restart.
+// A sidecar that starts with four of the servers and then receives a list of all five in reverse order. The
+// ids that it assigns to the servers differ from the ids before the restart.
 struct RestartedSidecar : SidecarFixture {
     explicit RestartedSidecar(std::optional<Sidecar::RestoredState> restored) : SidecarFixture(kServers) {
         Json all = targets();
@@ -77,21 +77,21 @@
     }
 };
 
-// State belongs to servers by their names, not by their numbers.
+// Restored state is assigned to servers by their uids, not by the ids that a sidecar assigns.
 TEST(RestoredState, KeepsServerEjectedAfterRestart) {
     const std::string failing_uid = "s-4";
     SidecarFixture before(kServers);
     before.start();
     const int attempts_before = attempts_at_failing_server(before, 400, before.servers.back(),
-                                                           [&] { return ejected(before, failing_uid); });
+                                                           [&] { return is_ejected(before, failing_uid); });
     ASSERT_GT(attempts_before, 0);
-    ASSERT_TRUE(ejected(before, failing_uid));
+    ASSERT_TRUE(is_ejected(before, failing_uid));
     const state::Snapshot snapshot = before.sidecar->snapshot();
     EXPECT_EQ(snapshot.instance, "n");
     EXPECT_EQ(snapshot.server_uids.size(), kServers);
 
     RestartedSidecar restored(Sidecar::RestoredState{snapshot, 100});
-    EXPECT_TRUE(ejected(restored, failing_uid));
+    EXPECT_TRUE(is_ejected(restored, failing_uid));
     EXPECT_EQ(attempts_at_failing_server(restored, 60, restored.servers.back()), 0);
     RestartedSidecar without_state({});
     EXPECT_GT(attempts_at_failing_server(without_state, 60, without_state.servers.back()), 0);
--- a/tests/end_to_end/retry_test.cpp
+++ b/tests/end_to_end/retry_test.cpp
@@ -1,4 +1,5 @@
-// Which failed attempts are retried, by the request's class and by what is known of the attempt.
+// Tests which failed attempts the sidecar retries, depending on the request class and on whether the request
+// may have run at the server.
 #include <gtest/gtest.h>
 
 #include <chrono>
@@ -11,12 +12,12 @@
 namespace {
 
 struct ServerReaction {
-    const char* response;  // nullptr: a reset
+    const char* response;  // nullptr if the server resets the connection
     bool may_have_run;     // whether the request may have run at the server
 };
 
-// A non-idempotent request fails after an outcome that may have run it. It is sent again after one that
-// proves that it never ran: a 503 or 504 with X-Unprocessed.
+// A non-idempotent request fails after an outcome that does not exclude that it ran. The sidecar retries it
+// after an outcome that proves that it did not run: a 503 or 504 with X-Unprocessed.
 TEST(Retry, RetriesNonIdempotentRequestOnlyWhenMarkedUnprocessed) {
     const std::vector<ServerReaction> reactions{
         {"HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", false},
@@ -56,13 +57,13 @@
     }
 }
 
-// A refused connection proves that the request never ran.
+// A refused connection proves that the request did not run.
 TEST(Retry, RetriesNonIdempotentRequestAfterRefusedConnection) {
     SidecarFixture fixture(2);
     fixture.servers.front().acceptor.close();
     fixture.start();
     FakeServer& server = fixture.servers.back();
-    for (std::size_t i = 1; i <= 4; ++i) {  // several, as the first choice is random
+    for (std::size_t i = 1; i <= 4; ++i) {  // several requests, because the first choice of server is random
         const auto client = fixture.connect_client();
         client->send(SidecarFixture::request("unsafe"));
         ASSERT_TRUE(fixture.until([&] { return server.request_count() == i; }));
@@ -71,8 +72,8 @@
     }
 }
 
-// Every attempt fails as soon as it begins. There is one response, after the attempts that the settings allow
-// at most, and never more than one attempt at a time.
+// Every attempt fails when it reaches a server. The client gets one response, the sidecar makes at most as
+// many attempts as the settings allow, and it never has more than one attempt in flight.
 TEST(Retry, EndsInOneResponseWhenEveryAttemptFails) {
     SidecarFixture fixture(3);
     fixture.start();
@@ -102,8 +103,8 @@
     EXPECT_TRUE(fixture.until([&] { return fixture.sidecar->requests() == 0; }));
 }
 
-// Servers forget an idempotency key when its deduplication window ends. A retry whose connection opens later
-// would run a second time.
+// Servers discard an idempotency key when its deduplication window ends. A retry that is sent after the
+// window would run the request a second time.
 TEST(Retry, DoesNotSendKeyedRetryWhoseConnectionOpensAfterDeduplicationWindow) {
     constexpr Millis kWindow = 600;
     SidecarFixture fixture;
@@ -117,7 +118,7 @@
     FullAcceptQueue accept_queue(server);
     server.connections.front()->respond("500 Internal Server Error", "no", "Connection: close\r\n");
 
-    // A retry that was still waiting would find its connection open once the window is over.
+    // Opens the connection of a pending retry only after the window has ended.
     ASSERT_TRUE(fixture.until([&] {
         return !client->received.empty() ||
                std::chrono::steady_clock::now() > sent_at + std::chrono::milliseconds(int(kWindow));
@@ -126,7 +127,7 @@
     ASSERT_TRUE(fixture.until([&] { return !client->received.empty() || server.request_count() > 1; }));
     EXPECT_EQ(server.request_count(), 1U);
     EXPECT_EQ(status_of(*client), "HTTP/1.1 502")
-        << "a failure, as the first attempt may have run and nobody knows its result";
+        << "the first attempt may have run, and its result is unknown, so the request fails";
 }
 
 }  // namespace
--- a/tests/end_to_end/startup_test.cpp
+++ b/tests/end_to_end/startup_test.cpp
@@ -1,4 +1,4 @@
-// When a sidecar that has just started is ready to serve.
+// Tests when a newly started sidecar reports that it is ready.
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -11,7 +11,7 @@
 
 constexpr const char* kReadinessRequest = "GET /up HTTP/1.1\r\nHost: h\r\n\r\n";
 
-TEST(Startup, IsReadyOnceAServerIsKnown) {
+TEST(Startup, IsReadyWhenEndpointListHasAServer) {
     SidecarFixture fixture;
     fixture.config["known"]["targets"] = Json::array();
     fixture.start();
@@ -22,7 +22,7 @@
 
     fixture.begin_watch();
     const std::string list = fixture.watch_line(fixture.targets(), true);
-    fixture.send_chunk("\n" + list.substr(0, 20));  // a heartbeat, and the first piece of the list
+    fixture.send_chunk("\n" + list.substr(0, 20));  // a heartbeat and the first part of the list
     fixture.handle_pending_events();
     fixture.send_chunk(list.substr(20));
     ASSERT_TRUE(fixture.until([&] {
@@ -33,13 +33,13 @@
     }));
 }
 
-// A fleet that starts while discovery is down is ready by the lists in its configurations.
-TEST(Startup, ServesKnownListWhenDiscoveryIsUnreachable) {
+// Sidecars that start while discovery is unreachable are ready with the endpoint list of their configuration.
+TEST(Startup, ServesConfiguredListWhenDiscoveryIsUnreachable) {
     for (const char* mode : {"pushed", "on_request"}) {
         SCOPED_TRACE(mode);
         SidecarFixture fixture;
         fixture.config["settings"]["membership-mode"] = mode;
-        fixture.discovery.acceptor.close();  // from now on it refuses connections
+        fixture.discovery.acceptor.close();  // discovery refuses connections from now on
         fixture.sidecar = std::make_unique<Sidecar>(fixture.io, parse_config(fixture.config.dump()));
         const auto readiness_probe = fixture.connect_client();
         readiness_probe->send(kReadinessRequest);
--- a/tests/end_to_end/wall_clock_step_test.cpp
+++ b/tests/end_to_end/wall_clock_step_test.cpp
@@ -1,6 +1,6 @@
-// Steps of the wall clock, the sidecar's own or a server's, by seconds and by an hour: before the sidecar
-// starts, while servers are in slow start and while it drains. What is decided must stay the same, or be
-// safer. Shares are counted in requests, so the verdict does not depend on the machine's speed.
+// Tests steps of the wall clock of the sidecar or of a server, by seconds and by an hour: before the sidecar
+// starts, while servers are in slow start, and during drains. The sidecar's decisions must stay the same or
+// become safer. The tests measure shares of requests, so the results do not depend on the machine's speed.
 #include <gtest/gtest.h>
 
 #include <chrono>
@@ -18,7 +18,7 @@
 constexpr Millis kSecond = 1000;
 constexpr Millis kHour = 3600 * kSecond;
 constexpr std::size_t kServers = 4;
-constexpr std::size_t kStartingServer = kServers - 1;  // the index of the one in slow start
+constexpr std::size_t kStartingServer = kServers - 1;  // index of the server in slow start
 constexpr std::size_t kConcurrentRequests = 8;
 
 Millis true_wall_time() {
@@ -26,11 +26,12 @@
     return std::chrono::duration<double, std::milli>(since_epoch).count();
 }
 
-// A sidecar with four servers, the last of them in slow start, under a wall clock that the test steps.
+// A sidecar with four servers, of which the last is in slow start. The test can step the sidecar's wall
+// clock.
 struct WallClockFixture : SidecarFixture {
-    Millis clock_offset = 0;  // of the sidecar's wall clock from the true time
+    Millis clock_offset = 0;  // the sidecar's wall clock minus the true time
 
-    // By default slow start lasts so long that no server becomes warm within a test.
+    // The default duration of slow start is so long that no server becomes warm during a test.
     explicit WallClockFixture(Millis slow_start_duration = 600 * kSecond) : SidecarFixture(kServers) {
         config["settings"]["rules"] = {
             {"cold-from", 0.05}, {"warm-within-ms", slow_start_duration}, {"fall-multiple", 2.5}};
@@ -44,7 +45,8 @@
         begin_watch();
     }
 
-    // The list's entry for the server in slow start, which started `age` ago by its own wall clock.
+    // Returns the endpoint list's entry for the server in slow start. The server started `age` ago and
+    // reports its start time by its own wall clock, which is off by `server_clock_offset`.
     Json starting_server(Millis age, Millis server_clock_offset = 0) const {
         Json entry = target(kStartingServer, servers.back().address());
         entry["boot_ms"] = std::floor(true_wall_time() - age + server_clock_offset);
@@ -54,7 +56,7 @@
     Json& known_entry(std::size_t index) { return config["known"]["targets"][index]; }
     void omit_starting_server_from_known_list() { config["known"]["targets"].erase(kStartingServer); }
 
-    // Sends a change of the list and waits until the sidecar has handled it.
+    // Sends a change of the endpoint list and waits until the sidecar has handled it.
     void send_change(const Json& entry) {
         send_chunk(watch_line(Json::array({entry}), false));
         handle_pending_events();
@@ -70,8 +72,8 @@
         return count;
     }
 
-    // Several requests in flight together, so that a server gets the share that it may have. One after
-    // another they would go to the server that responds fastest.
+    // Serves several requests that are in flight at the same time, so that each server gets its intended
+    // share. Sequential requests would all go to the server that responds fastest.
     void serve_concurrent_requests() {
         while (clients_.size() < kConcurrentRequests) clients_.push_back(connect_client());
         const std::size_t requests_before = requests_at_servers();
@@ -86,7 +88,8 @@
         }
     }
 
-    // The share of requests that the server in slow start gets, over `rounds` of serve_concurrent_requests().
+    // Returns the share of requests that the server in slow start receives during `rounds` calls of
+    // serve_concurrent_requests().
     double share_of_starting_server(std::size_t rounds = 30) {
         const std::size_t requests_before = servers.back().request_count();
         for (std::size_t i = 0; i < rounds && !testing::Test::HasFatalFailure(); ++i) {
@@ -100,12 +103,12 @@
     std::vector<std::shared_ptr<Peer>> clients_;
 };
 
-// An even share is 0.25. A cold server may have 0.05 of a warm one's, times the 2.5 of fall-multiple: 0.03 of
-// all.
+// With four warm servers each server's share is 0.25. A cold server may receive 0.05 times the share of a
+// warm server, multiplied by the fall-multiple of 2.5, which is about 0.03 of all requests.
 constexpr double kMaxColdShare = 0.06;
 constexpr double kMinWarmShare = 0.15;
 
-// The parameter is the step of the wall clock.
+// The parameter is the step of the wall clock in milliseconds.
 class WallClockStep : public testing::TestWithParam<Millis> {};
 
 TEST_P(WallClockStep, OfSidecarBeforeStartKeepsServerInSlowStart) {
@@ -116,8 +119,8 @@
     EXPECT_LT(fixture.share_of_starting_server(), kMaxColdShare);
 }
 
-// The sidecar starts under a wrong clock, which is set right before a server starts, and stepped again while
-// that server is in slow start and the list names it anew.
+// The sidecar starts with a wrong clock. The clock is corrected before a server starts, and stepped again
+// while that server is in slow start and a change of the list repeats its entry.
 TEST_P(WallClockStep, OfSidecarWhileRunningKeepsServerInSlowStart) {
     WallClockFixture fixture;
     fixture.clock_offset = GetParam();
@@ -132,7 +135,8 @@
     EXPECT_LT(fixture.share_of_starting_server(15), kMaxColdShare);
 }
 
-// The server's clock is stepped between its two starts: the later start may look like the earlier one.
+// The server's clock is stepped between two starts of the server, so the later start may have the earlier
+// start time.
 TEST_P(WallClockStep, OfServerBeforeRestartPutsItInSlowStart) {
     WallClockFixture fixture;
     fixture.known_entry(kStartingServer) = fixture.starting_server(kHour / 2 * 3);
@@ -143,8 +147,8 @@
     EXPECT_LT(fixture.share_of_starting_server(), kMaxColdShare);
 }
 
-// Whatever the clocks say, a server is warm once slow start's duration has passed since the sidecar heard of
-// it.
+// A server is warm when the duration of slow start has passed since the sidecar first received its entry,
+// whatever the wall clocks show.
 TEST_P(WallClockStep, OfSidecarOrServerDoesNotProlongSlowStart) {
     constexpr int kSlowStartDuration = 1500;
     for (const bool step_server : {false, true}) {
@@ -155,17 +159,18 @@
         const auto warm_at = std::chrono::steady_clock::now() + std::chrono::milliseconds(kSlowStartDuration);
         while (std::chrono::steady_clock::now() < warm_at) fixture.serve_concurrent_requests();
         EXPECT_GT(fixture.share_of_starting_server(20), kMinWarmShare)
-            << "step of the server: " << step_server;
+            << "whether the server's clock was stepped: " << step_server;
     }
 }
 
-// A process that keeps running and its uid leaves the list and is named again: it has not become cold.
+// A server leaves the endpoint list and returns with the same uid while its process keeps running. The server
+// must not enter slow start again.
 TEST_P(WallClockStep, WhileServerIsUnlistedDoesNotPutItInSlowStart) {
     WallClockFixture fixture;
     const Json old_server = fixture.starting_server(kHour);
     fixture.known_entry(kStartingServer) = old_server;
     Json younger_server = SidecarFixture::target(0, fixture.servers.front().address());
-    // With a server that is younger, the age of the old one is not doubted.
+    // The sidecar accepts the age of the old server if the list contains a server that is younger.
     younger_server["boot_ms"] = old_server["boot_ms"].get<double>() + kHour / 2;
     fixture.known_entry(0) = younger_server;
     fixture.start();
@@ -178,8 +183,8 @@
     EXPECT_GT(fixture.share_of_starting_server(20), kMinWarmShare);
 }
 
-// Of two processes with one address, the one that the list named last has it, whatever its clock says of its
-// start.
+// When two servers have the same address, the address belongs to the server whose entry the sidecar received
+// last, whatever start time that server's clock reports.
 TEST_P(WallClockStep, OfServerDoesNotKeepAddressFromNewerServer) {
     WallClockFixture fixture;
     fixture.config["known"]["targets"] = Json::array({fixture.starting_server(60 * kSecond)});
@@ -195,7 +200,8 @@
     EXPECT_FALSE(states.contains("s-3") && states["s-3"] == "active") << status.dump();
 }
 
-// A server's drain and a request's deadline are spans of real time.
+// A server's drain and a request's deadline are durations of real time, which a step of the wall clock must
+// not change.
 TEST_P(WallClockStep, WhileServerDrainsChangesNeitherItsShareNorDeadlines) {
     WallClockFixture fixture;
     fixture.start();
@@ -203,7 +209,7 @@
     const auto sent_at = std::chrono::steady_clock::now();
     waiting->send(SidecarFixture::request("unsafe", "1500m"));
     ASSERT_TRUE(fixture.until([&] { return fixture.requests_at_servers() == 1; }));
-    // Its server never responds: respond_to_all() takes the request for one that has its response.
+    // Marks the waiting request as answered, so that respond_to_all() never responds to it.
     for (FakeServer& server : fixture.servers) {
         for (const auto& peer : server.connections) peer->answered_request_count = peer->request_count();
     }
@@ -212,13 +218,13 @@
     fixture.clock_offset = GetParam();
     const std::size_t requests_before = draining.request_count();
     fixture.share_of_starting_server(10);
-    EXPECT_EQ(draining.request_count(), requests_before) << "a draining server gets nothing new";
+    EXPECT_EQ(draining.request_count(), requests_before) << "a draining server must get no new request";
     ASSERT_TRUE(fixture.until([&] { return !waiting->received.empty(); }));
     EXPECT_EQ(status_of(*waiting), "HTTP/1.1 504");
     EXPECT_GE(std::chrono::steady_clock::now() - sent_at, std::chrono::milliseconds(1400));
 }
 
-// The sidecar's own drain ends when its last request has its response, and not before.
+// The sidecar's drain must not end before its last request has a response.
 TEST_P(WallClockStep, WhileSidecarDrainsLosesNoRequest) {
     WallClockFixture fixture;
     fixture.start();
@@ -238,12 +244,12 @@
 INSTANTIATE_TEST_SUITE_P(By, WallClockStep, testing::Values(-kHour, -5 * kSecond, 5 * kSecond, kHour),
                          [](const testing::TestParamInfo<Millis>& info) {
                              const auto seconds = static_cast<long>(std::abs(info.param) / kSecond);
-                             return std::to_string(seconds) + (info.param < 0 ? "sBack" : "sAhead");
+                             return std::to_string(seconds) + (info.param < 0 ? "sBackward" : "sForward");
                          });
 
-// The age of a snapshot from an earlier boot. The machine has been up since, so the snapshot is at least that
-// old: a wall clock by which it is younger has been set back and is not believed.
-TEST(SnapshotAge, IsAtLeastUptimeAfterRebootWhateverTheWallClockSays) {
+// Tests the age of a snapshot from an earlier boot of the machine. The snapshot is at least as old as the
+// current uptime. If the wall clock yields a lower age, the clock has been set back and the age is rejected.
+TEST(SnapshotAge, IsAtLeastUptimeAfterRebootAtAnyWallClockStep) {
     using state::age_of;
     constexpr std::int64_t kUptime = 40000;
     constexpr std::int64_t kTrueAge = 60000;
@@ -253,10 +259,10 @@
     }
     EXPECT_EQ(age_of(taken, {taken.wall_ms + kTrueAge, kUptime, {2}}), kTrueAge);
     EXPECT_EQ(age_of(taken, {taken.wall_ms + kTrueAge - 5000, kUptime, {2}}), kTrueAge - 5000)
-        << "wrong by the step at most";
+        << "the age may be wrong by at most the step";
     EXPECT_EQ(age_of(taken, {taken.wall_ms + kTrueAge + 5000, kUptime, {2}}), kTrueAge + 5000)
-        << "older than it is: believed less";
-    // Within one boot no step of the wall clock counts.
+        << "a snapshot that appears older than it is has less influence";
+    // Within one boot, steps of the wall clock do not affect the age.
     for (const std::int64_t step : {-3'600'000, -5000, 5000, 3'600'000}) {
         EXPECT_EQ(age_of(taken, {taken.wall_ms + step, 9000, {1}}), 4000) << step;
     }
