--- a/bench/fleet_size.cpp
+++ b/bench/fleet_size.cpp
@@ -1,7 +1,7 @@
-// What a sidecar costs by the size of the fleet: the real program with 200, 1,000 and 3,200 stand-in servers
-// on loopback addresses, a stand-in discovery that sends changes of the endpoint list, and one client. Beside
-// each figure is the limit that the operators allow the growth from 200 servers (STANDING, "More than these
-// days").
+// Measures the resource use of a sidecar for different fleet sizes. It runs the sidecar program with 200,
+// 1,000 and 3,200 emulated servers on loopback addresses, an emulated discovery that sends changes of the
+// endpoint list, and one client. Next to each figure it prints the operators' limit on growth compared to 200
+// servers (STANDING, "More than these days").
 //
 //     build/fleet_size --sidecar build/elmbay
 #include <fmt/format.h>
@@ -37,18 +37,18 @@
 using Steady = std::chrono::steady_clock;
 using Error = boost::system::error_code;
 
-// What one run plays.
+// The load and the fleet of one run.
 struct Workload {
     std::size_t servers = 200;
     std::uint32_t sidecars = 300;
     double seconds = 30;
     double rate = 10;                   // requests a second
-    double changes_per_server = 0.005;  // changes of the endpoint list a second, for each server
+    double changes_per_server = 0.005;  // changes of the endpoint list a second per server
     bool list_in_configuration = false;
     std::chrono::milliseconds response_time{20};
 };
 
-// What one run measured.
+// The measurements of one run.
 struct Figures {
     double processor_seconds = 0;
     double peak_memory_mb = 0;
@@ -63,7 +63,8 @@
     }
 };
 
-// A connection of a stand-in. Calls back with each whole head that has arrived.
+// A connection of an emulated server, discovery or client. Calls its handler with each complete head that
+// arrives.
 struct Connection : std::enable_shared_from_this<Connection> {
     using OnHead = std::function<void(const std::shared_ptr<Connection>&, const std::string& head)>;
 
@@ -95,9 +96,9 @@
     }
 
     void send(std::string message) {
-        const auto kept = std::make_shared<std::string>(std::move(message));
-        asio::async_write(socket, asio::buffer(*kept),
-                          [kept, self = shared_from_this()](Error, std::size_t) {});
+        const auto message_buffer = std::make_shared<std::string>(std::move(message));
+        asio::async_write(socket, asio::buffer(*message_buffer),
+                          [message_buffer, self = shared_from_this()](Error, std::size_t) {});
     }
 
     tcp::socket socket;
@@ -106,7 +107,7 @@
     std::string unread;
 };
 
-// Accepts connections on one address and counts them.
+// Accepts connections on one address and counts the accepted connections.
 class Acceptor {
 public:
     Acceptor(asio::io_context& io, const tcp::endpoint& endpoint, std::uint64_t& accepted,
@@ -135,12 +136,12 @@
     Connection::OnHead on_head_;
 };
 
-// An ephemeral port on address number `host` of 127.0.0.0/8.
+// Returns an endpoint with an ephemeral port on address number `host` of 127.0.0.0/8.
 tcp::endpoint loopback(std::size_t host = 1) {
     return {asio::ip::address_v4(static_cast<std::uint32_t>(0x7f000000U + host)), 0};
 }
 
-// One run: servers, discovery and the client in this process, the sidecar in one of its own.
+// One run. The servers, discovery and the client are in this process, and the sidecar is in a child process.
 class Run {
 public:
     Run(const Workload& workload, std::string program) : workload_(workload), program_(std::move(program)) {
@@ -152,20 +153,20 @@
         }
         states_.assign(workload_.servers, "active");
         discovery_.emplace_back(
-            io_, loopback(), calls_,
+            io_, loopback(), discovery_connections_,
             [this](const auto& connection, const std::string& head) { respond_with_list(connection, head); });
     }
 
-    Figures play() {
+    Figures execute() {
         start();
         await_ready();
-        begin_ = Steady::now();
+        started_at_ = Steady::now();
         send_requests();
         send_changes();
         send_heartbeats();
         measure_repeatedly();
         const auto length = std::chrono::duration<double>(workload_.seconds);
-        io_.run_until(begin_ + std::chrono::duration_cast<Steady::duration>(length));
+        io_.run_until(started_at_ + std::chrono::duration_cast<Steady::duration>(length));
         sending_ = false;
         io_.run_for(std::chrono::seconds(2));
         measure_memory_and_descriptors();
@@ -186,9 +187,9 @@
 
     // ---- Discovery ------------------------------------------------------------------------------------
 
-    // An entry of the endpoint list. Uids are spread as the platform's are, so that no order by uid is one by
-    // address.
-    Json target(std::size_t index) {
+    // Returns an entry of the endpoint list. As on the platform, the order of uids differs from the order of
+    // addresses.
+    Json endpoint_entry(std::size_t index) {
         constexpr std::array<const char*, 3> kZones{"a", "b", "c"};
         return {{"uid", fmt::format("s-{:08x}", index * 2654435761U & 0xffffffffU)},
                 {"endpoint", servers_[index].address()},
@@ -204,10 +205,10 @@
     }
     std::string whole_list() {
         Json targets = Json::array();
-        for (std::size_t i = 0; i < workload_.servers; ++i) targets.push_back(target(i));
+        for (std::size_t i = 0; i < workload_.servers; ++i) targets.push_back(endpoint_entry(i));
         return list_of(targets, true);
     }
-    // Begins a watch, or sends the whole list.
+    // Begins the watch if the request is for a stream, and sends the whole list otherwise.
     void respond_with_list(const std::shared_ptr<Connection>& connection, const std::string& head) {
         if (head.find("stream=1") != std::string::npos) {
             watch_ = connection;
@@ -223,38 +224,39 @@
         figures_.list_bytes += line.size() + 1;
         watch_->send(fmt::format("{:x}\r\n{}\n\r\n", line.size() + 1, line));
     }
-    // One server after another starts to drain, or is active again.
+    // Changes the state of one random server between draining and active, and schedules the next change.
     void send_changes() {
         const std::size_t index = random_() % workload_.servers;
         states_[index] = states_[index] == "active" ? "leaving" : "active";
         ++revision_;
-        send_line(list_of(Json::array({target(index)}), false));
+        send_line(list_of(Json::array({endpoint_entry(index)}), false));
         const double changes_per_second =
             workload_.changes_per_server * static_cast<double>(workload_.servers);
-        after(1 / changes_per_second, [this] { send_changes(); });
+        call_after(1 / changes_per_second, [this] { send_changes(); });
     }
     void send_heartbeats() {
         send_line("");
-        after(2, [this] { send_heartbeats(); });
+        call_after(2, [this] { send_heartbeats(); });
     }
 
     // ---- The client -----------------------------------------------------------------------------------
 
     std::shared_ptr<Connection> idle_connection() {
-        while (!idle_.empty()) {
-            const auto connection = idle_.front();
-            idle_.pop_front();
-            if (connection->socket.is_open()) return connection;  // the sidecar closes what is idle for long
+        while (!idle_connections_.empty()) {
+            const auto connection = idle_connections_.front();
+            idle_connections_.pop_front();
+            // The sidecar closes connections that stay idle.
+            if (connection->socket.is_open()) return connection;
         }
         tcp::socket socket(io_);
-        socket.connect(listen_);
+        socket.connect(sidecar_endpoint_);
         socket.set_option(tcp::no_delay(true));
-        // The body is read with the next head; a head alone tells how the request went.
+        // The head contains the status of the response. The body is read together with the next head.
         const auto connection = std::make_shared<Connection>(
             std::move(socket), [this](const std::shared_ptr<Connection>& responded, const std::string& head) {
                 const bool served = head.find("HTTP/1.1 200") != std::string::npos;
                 if (served) ++figures_.served;
-                idle_.push_back(responded);
+                idle_connections_.push_back(responded);
             });
         connection->read();
         return connection;
@@ -266,7 +268,7 @@
             "GET /api HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: id-{}\r\nX-Service-Class: safe\r\n"
             "X-Time-Left: 1000m\r\n\r\n",
             figures_.requests));
-        after(std::exponential_distribution<>(workload_.rate)(random_), [this] { send_requests(); });
+        call_after(std::exponential_distribution<>(workload_.rate)(random_), [this] { send_requests(); });
     }
 
     // ---- The sidecar ----------------------------------------------------------------------------------
@@ -275,7 +277,7 @@
         const Json idempotent = {
             {"name", "safe"}, {"effect", "repeatable"}, {"on-time-ms", 400}, {"give-up-ms", 1000}};
         Json config = {{"name", "sidecar"},
-                       {"listen", "127.0.0.1:" + std::to_string(listen_.port())},
+                       {"listen", "127.0.0.1:" + std::to_string(sidecar_endpoint_.port())},
                        {"discovery", discovery_.front().address()},
                        {"seed", "1f"},
                        {"limits", {{"sockets", 4096}}},
@@ -289,13 +291,13 @@
     }
 
     void start() {
-        // A free port, which the sidecar takes over.
-        listen_ = tcp::acceptor(io_, loopback()).local_endpoint();
+        // Finds a free port for the sidecar to listen on.
+        sidecar_endpoint_ = tcp::acceptor(io_, loopback()).local_endpoint();
         file_ = std::filesystem::temp_directory_path() / fmt::format("fleet_size.{}.json", ::getpid());
         std::ofstream(file_) << configuration().dump();
         process_ = ::fork();
         if (process_ != 0) return;
-        // The sidecar must not inherit this process's descriptors: its own are counted.
+        // The sidecar must not inherit this process's descriptors, because its open descriptors are counted.
         constexpr int kFirstInherited = 3;
         constexpr int kMaxDescriptors = 20000;
         for (int descriptor = kFirstInherited; descriptor < kMaxDescriptors; ++descriptor)
@@ -308,7 +310,7 @@
         for (bool ready = false; !ready;) {
             tcp::socket socket(io_);
             Error error;
-            socket.connect(listen_, error);
+            socket.connect(sidecar_endpoint_, error);
             if (!error) {
                 const auto probe = std::make_shared<Connection>(
                     std::move(socket), [&ready](const auto&, const std::string& head) {
@@ -324,7 +326,7 @@
     }
     void measure_repeatedly() {
         measure_memory_and_descriptors();
-        after(0.5, [this] { measure_repeatedly(); });
+        call_after(0.5, [this] { measure_repeatedly(); });
     }
     void measure_memory_and_descriptors() {
         const std::string process = "/proc/" + std::to_string(process_);
@@ -350,36 +352,36 @@
         std::filesystem::remove(file_);
     }
 
-    // Calls `then` on the event loop once.
-    void after(double seconds, std::function<void()> then) {
+    // Calls `callback` once on the event loop after the delay.
+    void call_after(double seconds, std::function<void()> callback) {
         const auto timer = std::make_shared<asio::steady_timer>(io_);
         timer->expires_after(
             std::chrono::duration_cast<Steady::duration>(std::chrono::duration<double>(seconds)));
-        timer->async_wait([timer, then = std::move(then)](Error) { then(); });
+        timer->async_wait([timer, callback = std::move(callback)](Error) { callback(); });
     }
 
     const Workload workload_;
     const std::string program_;
     asio::io_context io_{1};
-    std::uint64_t connections_ = 0;  // from the sidecar to servers
-    std::uint64_t calls_ = 0;        // from the sidecar to discovery
-    std::uint64_t revision_ = 1;     // of the endpoint list
+    std::uint64_t connections_ = 0;            // connections from the sidecar to servers
+    std::uint64_t discovery_connections_ = 0;  // connections from the sidecar to discovery
+    std::uint64_t revision_ = 1;               // version of the endpoint list
     std::deque<Acceptor> servers_;
     std::deque<Acceptor> discovery_;
     std::vector<std::string> states_;
     std::shared_ptr<Connection> watch_;
-    std::deque<std::shared_ptr<Connection>> idle_;  // the client's
-    tcp::endpoint listen_;
+    std::deque<std::shared_ptr<Connection>> idle_connections_;  // idle connections of the client
+    tcp::endpoint sidecar_endpoint_;
     std::filesystem::path file_;
     pid_t process_ = 0;
-    Steady::time_point begin_;
+    Steady::time_point started_at_;
     bool sending_ = true;
     std::mt19937_64 random_{1};
     Figures figures_;
 };
 
-// Prints each figure beside the operators' limit on its growth from the `usual` fleet.
-void print(const Figures& usual, const Figures& figures, const Workload& workload) {
+// Prints each figure next to the operators' limit on its growth compared to the `baseline` figures.
+void print(const Figures& baseline, const Figures& figures, const Workload& workload) {
     const double thousands = static_cast<double>(workload.servers) / 1000;
     const auto print_row = [&](const char* name, double value, double limit, bool within) {
         fmt::print("| {} | {} | {} | {:.3f} | {:.3f} | {} |\n", workload.servers, workload.sidecars, name,
@@ -392,47 +394,50 @@
         print_row(name, value, limit, value >= limit);
     };
     at_most("CPU seconds", figures.processor_seconds,
-            1.4 * usual.processor_seconds + 0.02 + 0.03 * thousands);
-    at_most("peak memory, MB", figures.peak_memory_mb, 1.5 * usual.peak_memory_mb + 8 + 4 * thousands);
+            1.4 * baseline.processor_seconds + 0.02 + 0.03 * thousands);
+    at_most("peak memory, MB", figures.peak_memory_mb, 1.5 * baseline.peak_memory_mb + 8 + 4 * thousands);
     at_most("descriptors", static_cast<double>(figures.descriptors),
-            2.0 * static_cast<double>(usual.descriptors) + 40);
+            2.0 * static_cast<double>(baseline.descriptors) + 40);
     at_most("connections to servers", static_cast<double>(figures.connections),
-            2.5 * static_cast<double>(usual.connections) + 40);
-    at_most("bytes of lists, KB", static_cast<double>(figures.list_bytes) / 1000,
-            2 * static_cast<double>(usual.list_bytes) / 1000 + 64 + 500 * thousands);
-    at_least("share served", figures.share_served(), 0.85 * usual.share_served());
+            2.5 * static_cast<double>(baseline.connections) + 40);
+    at_most("endpoint lists received, KB", static_cast<double>(figures.list_bytes) / 1000,
+            2 * static_cast<double>(baseline.list_bytes) / 1000 + 64 + 500 * thousands);
+    at_least("share of requests served", figures.share_served(), 0.85 * baseline.share_served());
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-    Workload usual;
+    Workload baseline_workload;
     std::string program = "build/elmbay";
     std::vector<std::size_t> sizes{200, 1000, 3200};
     std::vector<std::uint32_t> sidecar_counts{300, 900};
-    CLI::App app("what a sidecar costs by the size of the fleet");
-    app.add_option("--sidecar", program, "the program")->capture_default_str();
-    app.add_option("--seconds", usual.seconds, "length of each run")->capture_default_str();
-    app.add_option("--rate", usual.rate, "requests a second")->capture_default_str();
-    app.add_option("--changes", usual.changes_per_server, "of the fleet that the list tells of in a second")
+    CLI::App app("measures the resource use of a sidecar for different fleet sizes");
+    app.add_option("--sidecar", program, "path of the sidecar program")->capture_default_str();
+    app.add_option("--seconds", baseline_workload.seconds, "length of each run, in seconds")
         ->capture_default_str();
-    app.add_flag("--known", usual.list_in_configuration, "the configuration has the whole list");
-    app.add_option("--servers", sizes, "sizes; the first is the usual one");
+    app.add_option("--rate", baseline_workload.rate, "number of requests a second")->capture_default_str();
+    app.add_option("--changes", baseline_workload.changes_per_server,
+                   "changes of the endpoint list a second, per server")
+        ->capture_default_str();
+    app.add_flag("--known", baseline_workload.list_in_configuration,
+                 "put the whole endpoint list into the sidecar's configuration");
+    app.add_option("--servers", sizes, "fleet sizes in servers; the first is the baseline");
     app.add_option("--sidecars", sidecar_counts,
-                   "numbers that the sidecar is told; the first is the usual one");
+                   "numbers of sidecars in the sidecar's settings; the first is the baseline");
     CLI11_PARSE(app, argc, argv);
     fmt::print(
-        "| servers | sidecars | what | measured | at most (share: at least) | |\n"
+        "| servers | sidecars | figure | measured | limit (maximum; minimum for the share) | |\n"
         "|---|---|---|---|---|---|\n");
-    std::optional<Figures> usual_figures;
+    std::optional<Figures> baseline_figures;
     for (const std::uint32_t sidecars : sidecar_counts) {
         for (const std::size_t servers : sizes) {
-            Workload workload = usual;
+            Workload workload = baseline_workload;
             workload.servers = servers;
             workload.sidecars = sidecars;
-            const Figures figures = Run(workload, program).play();
-            if (!usual_figures) usual_figures = figures;
-            print(*usual_figures, figures, workload);
+            const Figures figures = Run(workload, program).execute();
+            if (!baseline_figures) baseline_figures = figures;
+            print(*baseline_figures, figures, workload);
             std::fflush(stdout);
         }
     }
--- a/bench/link_cost.cpp
+++ b/bench/link_cost.cpp
@@ -1,7 +1,8 @@
-// Measures what a link without rules costs: round trips and bytes a second through one, beside a direct
-// connection.
+// Measures the overhead of a fault proxy link without fault rules: the duration of round trips and the
+// throughput through the link, compared with a direct connection.
 //
-// Direct and through the link take turns in the same run. Client, server and link have a thread each.
+// A run alternates between a direct connection and one through the link. Client, server and link each have a
+// thread.
 //
 //     build/link_cost
 #include <fmt/format.h>
@@ -26,10 +27,10 @@
 using elmbay::fault_proxy::tcp;
 using SteadyClock = std::chrono::steady_clock;
 
-constexpr int kRounds = 5;          // of a direct connection and one through the link
-constexpr int kRoundTrips = 20000;  // of each connection
+constexpr int kRounds = 5;          // each measures a direct connection and one through the link
+constexpr int kRoundTrips = 20000;  // on each connection
 constexpr std::size_t kMessageBytes = 200;
-constexpr std::size_t kBulkBytes = 512UL << 20;  // sent after the round trips
+constexpr std::size_t kBulkBytes = 512UL << 20;  // sent on each connection after the round trips
 constexpr std::size_t kBufferBytes = 64UL * 1024;
 constexpr double kMicrosPerSecond = 1e6;
 constexpr double kGiga = 1e9;
@@ -38,7 +39,8 @@
     return std::chrono::duration<double>(SteadyClock::now() - start).count();
 }
 
-/// Answers each message with one as long, then takes bytes until the client's end and sends one byte.
+/// Responds to each message with a message of the same length. Then reads until the client closes its sending
+/// side, and sends one byte.
 void serve(tcp::socket socket) {
     socket.set_option(tcp::no_delay(true));
     std::vector<char> buffer(kBufferBytes);
@@ -52,7 +54,7 @@
     asio::write(socket, asio::buffer(buffer, 1), ignored);
 }
 
-/// What one connection measured.
+/// The measurements of one connection.
 struct Measurement {
     std::vector<double> round_trips;  ///< microseconds, in ascending order
     double bytes_per_second = 0;
@@ -97,31 +99,32 @@
     return measurement;
 }
 
-/// What the link costs in each round, beside the direct connection.
-struct Costs {
+/// The overhead of the link compared with the direct connection, one value for each round.
+struct Overheads {
     std::vector<double> throughput_ratios;
     std::vector<double> added_p50;  ///< microseconds
     std::vector<double> added_p99;  ///< microseconds
 };
 
-void add_round(Costs& costs, const Measurement& direct, const Measurement& linked) {
+void add_overhead(Overheads& overheads, const Measurement& direct, const Measurement& linked) {
     fmt::print("direct p50 {:.0f} p99 {:.0f} us, {:.2f} GB/s; link p50 {:.0f} p99 {:.0f} us, {:.2f} GB/s\n",
                direct.quantile(0.5), direct.quantile(0.99), direct.bytes_per_second / kGiga,
                linked.quantile(0.5), linked.quantile(0.99), linked.bytes_per_second / kGiga);
-    costs.throughput_ratios.push_back(linked.bytes_per_second / direct.bytes_per_second);
-    costs.added_p50.push_back(linked.quantile(0.5) - direct.quantile(0.5));
-    costs.added_p99.push_back(linked.quantile(0.99) - direct.quantile(0.99));
+    overheads.throughput_ratios.push_back(linked.bytes_per_second / direct.bytes_per_second);
+    overheads.added_p50.push_back(linked.quantile(0.5) - direct.quantile(0.5));
+    overheads.added_p99.push_back(linked.quantile(0.99) - direct.quantile(0.99));
 }
 
-void report(Costs costs) {
-    for (auto* list : {&costs.throughput_ratios, &costs.added_p50, &costs.added_p99}) {
-        std::sort(list->begin(), list->end());
+void report(Overheads overheads) {
+    for (auto* values : {&overheads.throughput_ratios, &overheads.added_p50, &overheads.added_p99}) {
+        std::sort(values->begin(), values->end());
     }
     constexpr std::size_t kMedian = kRounds / 2;
     fmt::print(
-        "median of {}: {:.2f} of the direct bytes a second; a round trip (two ways) adds {:.0f} us at p50, "
-        "{:.0f} us at p99\n",
-        kRounds, costs.throughput_ratios[kMedian], costs.added_p50[kMedian], costs.added_p99[kMedian]);
+        "median of {} rounds: {:.2f} of the direct throughput; "
+        "the link adds {:.0f} us to a round trip at p50, {:.0f} us at p99\n",
+        kRounds, overheads.throughput_ratios[kMedian], overheads.added_p50[kMedian],
+        overheads.added_p99[kMedian]);
 }
 
 }  // namespace
@@ -139,13 +142,13 @@
     const tcp::endpoint link_address = link.endpoint();
     auto work = asio::make_work_guard(link_io);
     std::thread link_thread([&] { link_io.run(); });
-    Costs costs;
+    Overheads overheads;
     for (int i = 0; i < kRounds; ++i) {
         const Measurement direct = measure(server.local_endpoint());
         const Measurement linked = measure(link_address);
-        add_round(costs, direct, linked);
+        add_overhead(overheads, direct, linked);
     }
-    report(std::move(costs));
+    report(std::move(overheads));
     work.reset();
     link_io.stop();
     link_thread.join();
--- a/bench/state.sh
+++ b/bench/state.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# What keeping state costs and withstands. Usage: bench/state.sh BUILD_FOLDER
-#   a thousand kills in the middle of writes; bytes written an hour by fleet size; p99 of requests with the writer
-#   on a disk that hangs, against no writer, side by side in one run.
+# Measures the cost and the crash safety of snapshots. Usage: bench/state.sh BUILD_FOLDER
+# It kills the writer a thousand times during writes, measures the bytes written an hour for different fleet sizes, and
+# compares the p99 of requests with a writer on a slow disk and without a writer, alternating in one run.
 set -euo pipefail
-build=${1:?the build folder}
+build=${1:?usage: bench/state.sh BUILD_FOLDER}
 ELMBAY_KILLS=${KILLS:-1000} "$build/tests/state/elmbay_state_tests" --gtest_filter='KilledWriter.*' | grep -E 'kills:|PASSED|FAILED'
 "$build/state_cost"
--- a/bench/state_cost.cpp
+++ b/bench/state_cost.cpp
@@ -1,6 +1,6 @@
-// What keeping state costs: microseconds on the event loop and bytes written an hour, by the size of the
-// fleet, and the time of requests beside a disk on which every operation takes 100 ms, against the same
-// without a writer.
+// Measures the cost of storing snapshots: the time to take a snapshot on the event loop and the bytes written
+// an hour, for different fleet sizes. It also compares the duration of requests with and without a snapshot
+// writer on a disk where every operation takes 100 ms.
 #include <algorithm>
 #include <chrono>
 #include <cstdio>
@@ -38,10 +38,10 @@
 constexpr double kMillisPerRequest = 4;  // 250 requests a second
 constexpr RequestId kRequestsPerHour = 900000;
 constexpr RequestId kRequestsPerSnapshot = 500;    // a snapshot every 2 s
-constexpr RequestId kRequestsPerFullSave = 15000;  // written every minute, also if little has changed
+constexpr RequestId kRequestsPerFullSave = 15000;  // one save a minute, even if little has changed
 constexpr std::uint32_t kMaxAttempts = 3;
 
-// A balancer that serves requests in virtual time. One attempt in a hundred fails.
+// A balancer that handles requests in virtual time. One percent of the attempts fails.
 class SimulatedTraffic {
 public:
     explicit SimulatedTraffic(ServerId servers) : balancer_(settings(), 1) {
@@ -64,7 +64,8 @@
         }
     }
 
-    // What has been learned so far. The servers are still named by their numbers.
+    // Returns a snapshot of the learned state. It identifies servers by their ids; assign_uids() replaces
+    // them.
     state::Snapshot snapshot() const {
         return {"n-1", {static_cast<std::int64_t>(now_), 0, {}}, balancer_.learned_state(now_), {}};
     }
@@ -87,8 +88,9 @@
     std::mt19937_64 random_{1};
 };
 
-// Names the servers by uids, as snapshots do.
-void name_servers(state::Snapshot& snapshot) {
+// Adds a uid for each server and replaces the server ids by indices into the uids, as stored snapshots
+// require.
+void assign_uids(state::Snapshot& snapshot) {
     for (LearnedServerState& server : snapshot.learned_state.servers) {
         snapshot.server_uids.push_back("s-" + std::to_string(server.server));
         server.server = static_cast<std::uint32_t>(snapshot.server_uids.size() - 1);
@@ -108,7 +110,7 @@
         const Steady::time_point begin = Steady::now();
         state::Snapshot snapshot = traffic.snapshot();
         snapshot_times.push_back(microseconds(Steady::now() - begin));
-        name_servers(snapshot);
+        assign_uids(snapshot);
         const bool full_save = id % kRequestsPerFullSave == 0;
         if (store.save(snapshot, full_save ? state::SaveMode::always : state::SaveMode::if_changed)) {
             std::exit(1);
@@ -116,7 +118,8 @@
         generations = store.generation();
     }
     std::printf(
-        "%5u servers: knowledge taken in %.1f us (p99 %.1f); %.2f MB written an hour, %llu generations\n",
+        "%5u servers: snapshot taken in %.1f us (p99 %.1f us); "
+        "%.2f MB and %llu generations written an hour\n",
         servers, quantile(snapshot_times, 0.5), quantile(snapshot_times, 0.99),
         static_cast<double>(store.bytes_written()) / 1e6, static_cast<unsigned long long>(generations));
 }
@@ -138,7 +141,7 @@
     static void delay() { std::this_thread::sleep_for(std::chrono::milliseconds(100)); }
 };
 
-// Requests one after another through one sidecar and one server, all on this thread.
+// Sends sequential requests through one sidecar to one server, all on the calling thread.
 class SequentialRequests {
 public:
     SequentialRequests() {
@@ -146,7 +149,7 @@
         client_ = fixture_.connect_client();
     }
 
-    // Returns the time that one request takes, in microseconds.
+    // Serves one request and returns its duration in microseconds.
     double serve() {
         const Steady::time_point begin = Steady::now();
         client_->send(test::SidecarFixture::request("safe"));
@@ -164,8 +167,9 @@
         return snapshot;
     }
 
-    // Drops what the server has received. Counting its requests takes time in proportion to it.
-    void forget_received() {
+    // Discards the bytes that the server has received, because counting its requests takes time in proportion
+    // to them.
+    void discard_received() {
         for (const auto& peer : fixture_.servers.front().connections) {
             peer->received.clear();
             peer->answered_request_count = 0;
@@ -177,8 +181,9 @@
     std::shared_ptr<test::Peer> client_;
 };
 
-// Blocks of requests with and without a writer in turn, so that both see the same state of the machine.
-void measure_beside_slow_disk() {
+// Alternates blocks of requests with and without a writer, so that both are measured under the same
+// conditions.
+void measure_with_slow_disk() {
     constexpr int kWarmUpRequests = 500;
     constexpr int kBlocks = 40;
     constexpr int kRequestsPerBlock = 250;
@@ -197,16 +202,17 @@
             if (with_writer && i % kRequestsPerSave == 0) writer.post(requests.snapshot());
             times.push_back(requests.serve());
         }
-        requests.forget_received();
+        requests.discard_received();
     }
     const auto status = writer.status();
-    std::printf("requests beside a writer on a slow disk (%llu saves, %llu replaced) against without:\n",
-                static_cast<unsigned long long>(status.saves),
-                static_cast<unsigned long long>(status.superseded));
+    std::printf(
+        "request duration with a writer on a slow disk "
+        "(%llu snapshots saved, %llu superseded), and without:\n",
+        static_cast<unsigned long long>(status.saves), static_cast<unsigned long long>(status.superseded));
     for (const double fraction : {0.5, 0.9, 0.99}) {
         const double with_writer = quantile(times_with_writer, fraction);
         const double without_writer = quantile(times_without_writer, fraction);
-        std::printf("  p%-3.0f %.0f us against %.0f us: ratio %.2f\n", fraction * 100, with_writer,
+        std::printf("  p%-3.0f %.0f us with, %.0f us without, ratio %.2f\n", fraction * 100, with_writer,
                     without_writer, with_writer / without_writer);
     }
     writer.stop(std::chrono::seconds(5));
@@ -216,5 +222,5 @@
 
 int main() {
     for (const ServerId servers : {12U, 200U, 2000U}) measure_an_hour(servers);
-    measure_beside_slow_disk();
+    measure_with_slow_disk();
 }
