--- a/src/websocket/proxy.cpp
+++ b/src/websocket/proxy.cpp
@@ -82,17 +82,17 @@
 }
 
 bool Proxy::acquire_session_slot(const std::string& address) {
-    std::uint64_t& count = session_count_by_client_[address];
+    std::uint64_t& count = client_session_counts_[address];
     if (count >= settings_.max_sessions_per_client) return false;
     ++count;
     return true;
 }
 
 void Proxy::release_session_slot(const std::string& address) {
-    const auto found = session_count_by_client_.find(address);
-    if (found == session_count_by_client_.end()) return;
+    const auto found = client_session_counts_.find(address);
+    if (found == client_session_counts_.end()) return;
     --found->second;
-    if (found->second == 0) session_count_by_client_.erase(found);
+    if (found->second == 0) client_session_counts_.erase(found);
 }
 
 // ---- Attempts ---------------------------------------------------------------------------------------------
--- a/src/websocket/proxy.hpp
+++ b/src/websocket/proxy.hpp
@@ -129,9 +129,9 @@
     UpgradeAttempts attempts_;
     std::unordered_map<RequestId, std::shared_ptr<UpgradingClient>> upgrades_;
     std::unordered_map<RequestId, ActiveSession> sessions_;
-    std::unordered_map<std::string, std::uint64_t>
-        session_count_by_client_;          // upgrades and sessions, by client address
-    std::set<ServerId> draining_servers_;  // may get no upgrades; listed or with sessions
+    std::unordered_map<std::string, std::uint64_t> client_session_counts_;  // by address; includes upgrades
+    // The servers that may not receive new upgrades, while they are listed or have sessions.
+    std::set<ServerId> draining_servers_;
     std::function<void()> on_empty_;
     bool is_draining_ = false;
 };
--- a/src/websocket/session.hpp
+++ b/src/websocket/session.hpp
@@ -91,7 +91,7 @@
     void on_side_closed(Side side);
 
     Settings settings_;
-    std::array<Peer, 2> peers_;  // by Side
+    std::array<Peer, 2> peers_;  // indexed by Side
     EndedHandler on_ended_;
     HttpRequest upgrade_request_;                    // kept until the client's handshake is complete
     std::optional<asio::steady_timer> close_timer_;  // runs from the first close until both sides are closed
--- a/tests/end_to_end/deployment_settings_test.cpp
+++ b/tests/end_to_end/deployment_settings_test.cpp
@@ -130,8 +130,8 @@
                 server.respond_to_all();
                 return client->received.find("\r\n\r\n") != std::string::npos;
             }));
-            if (generated.short_deadlines)
-                continue;  // the request may time out, so any final response is valid
+            // With a short deadline the request may time out, so any final response is valid.
+            if (generated.short_deadlines) continue;
             EXPECT_EQ(status_of(*client), "HTTP/1.1 200") << request_class.dump();
             EXPECT_TRUE(client->received.ends_with("answer"));
         }
--- a/tests/end_to_end/restored_state_test.cpp
+++ b/tests/end_to_end/restored_state_test.cpp
@@ -80,13 +80,14 @@
 // Restored state is assigned to servers by their uids, not by the ids that a sidecar assigns.
 TEST(RestoredState, KeepsServerEjectedAfterRestart) {
     const std::string failing_uid = "s-4";
-    SidecarFixture before(kServers);
-    before.start();
-    const int attempts_before = attempts_at_failing_server(before, 400, before.servers.back(),
-                                                           [&] { return is_ejected(before, failing_uid); });
+    SidecarFixture before_restart(kServers);
+    before_restart.start();
+    const int attempts_before =
+        attempts_at_failing_server(before_restart, 400, before_restart.servers.back(),
+                                   [&] { return is_ejected(before_restart, failing_uid); });
     ASSERT_GT(attempts_before, 0);
-    ASSERT_TRUE(is_ejected(before, failing_uid));
-    const state::Snapshot snapshot = before.sidecar->snapshot();
+    ASSERT_TRUE(is_ejected(before_restart, failing_uid));
+    const state::Snapshot snapshot = before_restart.sidecar->snapshot();
     EXPECT_EQ(snapshot.instance, "n");
     EXPECT_EQ(snapshot.server_uids.size(), kServers);
 
