--- a/bench/fleet_size.cpp
+++ b/bench/fleet_size.cpp
@@ -142,9 +142,10 @@
 }
 
 // One run. The servers, discovery and the client are in this process, and the sidecar is in a child process.
-class Run {
+class BenchmarkRun {
 public:
-    Run(const Workload& workload, std::string program) : workload_(workload), program_(std::move(program)) {
+    BenchmarkRun(const Workload& workload, std::string program)
+        : workload_(workload), program_(std::move(program)) {
         constexpr std::size_t kFirstHost = 0x010001;  // 127.1.0.1
         for (std::size_t i = 0; i < workload_.servers; ++i) {
             servers_.emplace_back(
@@ -435,7 +436,7 @@
             Workload workload = baseline_workload;
             workload.servers = servers;
             workload.sidecars = sidecars;
-            const Figures figures = Run(workload, program).execute();
+            const Figures figures = BenchmarkRun(workload, program).execute();
             if (!baseline_figures) baseline_figures = figures;
             print(*baseline_figures, figures, workload);
             std::fflush(stdout);
--- a/tests/end_to_end/restored_state_test.cpp
+++ b/tests/end_to_end/restored_state_test.cpp
@@ -66,9 +66,9 @@
 struct RestartedSidecar : SidecarFixture {
     explicit RestartedSidecar(std::optional<Sidecar::RestoredState> restored) : SidecarFixture(kServers) {
         Json all = targets();
-        Json known = all;
-        known.erase(kServers - 1);
-        config["known"]["targets"] = known;
+        Json configured_targets = all;
+        configured_targets.erase(kServers - 1);
+        config["known"]["targets"] = configured_targets;
         start(std::move(restored));
         begin_watch();
         std::reverse(all.begin(), all.end());
--- a/tests/end_to_end/wall_clock_step_test.cpp
+++ b/tests/end_to_end/wall_clock_step_test.cpp
@@ -53,8 +53,8 @@
         return entry;
     }
 
-    Json& known_entry(std::size_t index) { return config["known"]["targets"][index]; }
-    void omit_starting_server_from_known_list() { config["known"]["targets"].erase(kStartingServer); }
+    Json& configured_entry(std::size_t index) { return config["known"]["targets"][index]; }
+    void omit_starting_server_from_configured_list() { config["known"]["targets"].erase(kStartingServer); }
 
     // Sends a change of the endpoint list and waits until the sidecar has handled it.
     void send_change(const Json& entry) {
@@ -114,7 +114,7 @@
 TEST_P(WallClockStep, OfSidecarBeforeStartKeepsServerInSlowStart) {
     WallClockFixture fixture;
     fixture.clock_offset = GetParam();
-    fixture.known_entry(kStartingServer) = fixture.starting_server(kSecond);
+    fixture.configured_entry(kStartingServer) = fixture.starting_server(kSecond);
     fixture.start();
     EXPECT_LT(fixture.share_of_starting_server(), kMaxColdShare);
 }
@@ -124,7 +124,7 @@
 TEST_P(WallClockStep, OfSidecarWhileRunningKeepsServerInSlowStart) {
     WallClockFixture fixture;
     fixture.clock_offset = GetParam();
-    fixture.omit_starting_server_from_known_list();
+    fixture.omit_starting_server_from_configured_list();
     fixture.start();
     fixture.send_chunk("\n");
     fixture.clock_offset = 0;
@@ -139,7 +139,7 @@
 // start time.
 TEST_P(WallClockStep, OfServerBeforeRestartPutsItInSlowStart) {
     WallClockFixture fixture;
-    fixture.known_entry(kStartingServer) = fixture.starting_server(kHour / 2 * 3);
+    fixture.configured_entry(kStartingServer) = fixture.starting_server(kHour / 2 * 3);
     fixture.start();
     fixture.send_chunk("\n");
     fixture.share_of_starting_server(2);
@@ -154,7 +154,8 @@
     for (const bool step_server : {false, true}) {
         WallClockFixture fixture(kSlowStartDuration);
         fixture.clock_offset = step_server ? 0 : GetParam();
-        fixture.known_entry(kStartingServer) = fixture.starting_server(kSecond, step_server ? GetParam() : 0);
+        fixture.configured_entry(kStartingServer) =
+            fixture.starting_server(kSecond, step_server ? GetParam() : 0);
         fixture.start();
         const auto warm_at = std::chrono::steady_clock::now() + std::chrono::milliseconds(kSlowStartDuration);
         while (std::chrono::steady_clock::now() < warm_at) fixture.serve_concurrent_requests();
@@ -168,11 +169,11 @@
 TEST_P(WallClockStep, WhileServerIsUnlistedDoesNotPutItInSlowStart) {
     WallClockFixture fixture;
     const Json old_server = fixture.starting_server(kHour);
-    fixture.known_entry(kStartingServer) = old_server;
+    fixture.configured_entry(kStartingServer) = old_server;
     Json younger_server = SidecarFixture::target(0, fixture.servers.front().address());
     // The sidecar accepts the age of the old server if the list contains a server that is younger.
     younger_server["boot_ms"] = old_server["boot_ms"].get<double>() + kHour / 2;
-    fixture.known_entry(0) = younger_server;
+    fixture.configured_entry(0) = younger_server;
     fixture.start();
     fixture.send_chunk("\n");
     Json unlisted = old_server;
--- a/tests/websocket/proxy_test.cpp
+++ b/tests/websocket/proxy_test.cpp
@@ -31,7 +31,7 @@
             self->received.push_back(boost::beast::buffers_to_string(self->buffer.data()));
             self->received_as_text.push_back(self->stream.got_text());
             self->buffer.clear();
-            if (self->reading) self->read();
+            if (self->keeps_reading) self->read();
         });
     }
     // Queues the message, because Beast allows only one pending write.
@@ -44,7 +44,7 @@
         stream.async_write(asio::buffer(unsent_messages.front().first),
                            [self = shared_from_this()](Error error, std::size_t) {
                                if (error) return;
-                               ++self->sent;
+                               ++self->sent_count;
                                self->unsent_messages.pop_front();
                                if (!self->unsent_messages.empty()) self->write();
                            });
@@ -57,8 +57,8 @@
     std::deque<std::pair<std::string, bool>> unsent_messages;
     std::vector<std::string> received;
     std::vector<bool> received_as_text;
-    std::size_t sent = 0;
-    bool reading = true, open = false;
+    std::size_t sent_count = 0;
+    bool keeps_reading = true, is_open = false;
     int end_count = 0;
     Error error;
     ws::close_reason reason;
@@ -83,7 +83,7 @@
                             response.set(http::field::sec_websocket_protocol, subprotocol);
                     }));
                     peer->stream.async_accept(last_request, [peer](Error) {
-                        peer->open = true;
+                        peer->is_open = true;
                         peer->read();
                     });
                 });
@@ -97,12 +97,14 @@
     std::size_t upgrades = 0;
 };
 
+// Runs one sidecar with the WebSocket proxy enabled. Tests change `settings` before they start the sidecar.
 struct WebSocketProxy : testing::Test {
     SidecarFixture fixture{0};
     std::list<SessionServer> servers;
     websocket::Settings settings;
 
     WebSocketProxy() { settings.enabled = true; }
+    // Starts `count` servers that accept upgrades, and a sidecar whose endpoint list contains them.
     void start_servers_and_sidecar(std::size_t count = 1) {
         Json targets = Json::array();
         for (std::size_t i = 0; i < count; ++i) servers.emplace_back(fixture.io);
@@ -111,10 +113,12 @@
             targets.push_back(fixture.target(index++, endpoint_text(server.acceptor.local_endpoint())));
         start_sidecar(targets);
     }
+    // Starts the sidecar with the given endpoint list.
     void start_sidecar(const Json& targets) {
         fixture.config["known"] = {{"rev", 1}, {"all", true}, {"targets", targets}};
         fixture.start({}, settings);
     }
+    // Connects a client and sends an upgrade request. `responses` gets the response.
     std::shared_ptr<TestPeer> send_upgrade(const std::string& request_class = "safe",
                                            const std::string& subprotocols = "") {
         tcp::socket socket(fixture.io);
@@ -122,8 +126,8 @@
         auto peer = std::make_shared<TestPeer>(std::move(socket));
         peer->stream.set_option(
             ws::stream_base::decorator([request_class, subprotocols](ws::request_type& request) {
-                static int number = 0;
-                request.set("X-Correlation-Id", "ws-" + std::to_string(++number));
+                static int request_number = 0;
+                request.set("X-Correlation-Id", "ws-" + std::to_string(++request_number));
                 request.set("X-Service-Class", request_class);
                 request.set("X-Time-Left", "50000m");
                 if (request_class == "keyed") request.set("Idempotency-Key", "k");
@@ -137,43 +141,45 @@
                 ++peer->end_count;
                 return;
             }
-            peer->open = true;
+            peer->is_open = true;
             peer->read();
         });
         return peer;
     }
-    std::shared_ptr<TestPeer> open(const std::string& request_class = "safe") {
+    // Opens a session and waits until its handshake is complete.
+    std::shared_ptr<TestPeer> open_session(const std::string& request_class = "safe") {
         auto peer = send_upgrade(request_class);
-        EXPECT_TRUE(fixture.until([&] { return peer->open || peer->has_ended(); }));
-        EXPECT_TRUE(peer->open) << responses[peer.get()];
+        EXPECT_TRUE(fixture.until([&] { return peer->is_open || peer->has_ended(); }));
+        EXPECT_TRUE(peer->is_open) << responses[peer.get()];
         return peer;
     }
     // Sends an upgrade request as raw bytes, for servers that respond with raw bytes.
     std::shared_ptr<Peer> send_raw_upgrade(const std::string& request_class) {
-        static int number = 0;
+        static int request_number = 0;
         auto peer = fixture.connect_client();
         peer->send(
             "GET /api/live HTTP/1.1\r\nHost: app.svc\r\nUpgrade: websocket\r\nConnection: Upgrade\r\n"
             "Sec-WebSocket-Key: dGhlIHNhbXBsZSBub25jZQ==\r\nSec-WebSocket-Version: 13\r\n"
             "X-Correlation-Id: raw-" +
-            std::to_string(++number) + "\r\nX-Service-Class: " + request_class +
+            std::to_string(++request_number) + "\r\nX-Service-Class: " + request_class +
             "\r\nX-Time-Left: 50000m\r\n" + (request_class == "keyed" ? "Idempotency-Key: k\r\n" : "") +
             "\r\n");
         return peer;
     }
+    // Sends a change of the endpoint list that marks the server as draining.
     void drain_server(std::size_t index) {
         Json entry = fixture.target(
             index, endpoint_text(std::next(servers.begin(), index)->acceptor.local_endpoint()), "leaving");
         fixture.send_chunk(fixture.watch_line(Json::array({entry}), false));
     }
-    std::map<TestPeer*, ws::response_type> responses;
+    std::map<TestPeer*, ws::response_type> responses;  // by client
 };
 
 TEST_F(WebSocketProxy, RelaysMessagesUnchangedInBothDirections) {
     start_servers_and_sidecar();
-    const auto client = open();
-    ASSERT_TRUE(
-        fixture.until([&] { return servers.front().peers.size() == 1 && servers.front().peers[0]->open; }));
+    const auto client = open_session();
+    ASSERT_TRUE(fixture.until(
+        [&] { return servers.front().peers.size() == 1 && servers.front().peers[0]->is_open; }));
     TestPeer& server = *servers.front().peers[0];
     const std::string large(100000, 'x'), bytes("\x00\xff\x80", 3);
     client->send("hello");
@@ -201,9 +207,9 @@
 // only part of the bytes or are interrupted (EINTR). Each message must arrive once, complete and in order.
 TEST_F(WebSocketProxy, RelaysEveryMessageWhenCallsAreShortOrInterrupted) {
     start_servers_and_sidecar();
-    const auto client = open();
-    ASSERT_TRUE(
-        fixture.until([&] { return servers.front().peers.size() == 1 && servers.front().peers[0]->open; }));
+    const auto client = open_session();
+    ASSERT_TRUE(fixture.until(
+        [&] { return servers.front().peers.size() == 1 && servers.front().peers[0]->is_open; }));
     TestPeer& server = *servers.front().peers[0];
     syscall_faults::configure("seed=5 send:SHORT=0.3 send:EINTR=0.2 recv:SHORT=0.3 recv:EINTR=0.2");
     const std::shared_ptr<void> stop_faults(nullptr, [](void*) { syscall_faults::configure(""); });
@@ -229,7 +235,7 @@
     servers.emplace_back(fixture.io).subprotocol = "transcript.v1";
     start_servers_and_sidecar(0);
     const auto client = send_upgrade("safe", "transcript.v2, transcript.v1");
-    ASSERT_TRUE(fixture.until([&] { return client->open || client->has_ended(); }));
+    ASSERT_TRUE(fixture.until([&] { return client->is_open || client->has_ended(); }));
     EXPECT_EQ(responses[client.get()]["Sec-WebSocket-Protocol"], "transcript.v1");
     EXPECT_EQ(servers.front().last_request["Sec-WebSocket-Protocol"], "transcript.v2, transcript.v1");
     EXPECT_EQ(servers.front().last_request["Host"], "app.svc");
@@ -248,7 +254,7 @@
 TEST_F(WebSocketProxy, RejectsUpgradeWith503WhenSessionLimitIsReached) {
     settings.max_sessions = 1;
     start_servers_and_sidecar();
-    const auto first = open();
+    const auto first = open_session();
     const auto second = send_upgrade();
     ASSERT_TRUE(fixture.until([&] { return second->has_ended(); }));
     EXPECT_EQ(responses[second.get()].result_int(), 503U);
@@ -256,18 +262,18 @@
     EXPECT_EQ(servers.front().upgrades, 1U);
     first->stream.async_close(ws::close_code::normal, [](Error) {});
     ASSERT_TRUE(fixture.until([&] { return fixture.sidecar->sessions() == 0; }));
-    open();
+    open_session();
 }
 
 TEST_F(WebSocketProxy, RejectsUpgradeWith403WhenClientReachesItsSessionLimit) {
     settings.max_sessions_per_client = 2;
     start_servers_and_sidecar();
-    const auto first = open(), second = open(), third = send_upgrade();
+    const auto first = open_session(), second = open_session(), third = send_upgrade();
     ASSERT_TRUE(fixture.until([&] { return third->has_ended(); }));
     EXPECT_EQ(responses[third.get()].result_int(), 403U);
     first->stream.async_close(ws::close_code::normal, [](Error) {});
     ASSERT_TRUE(fixture.until([&] { return fixture.sidecar->sessions() == 1; }));
-    open();
+    open_session();
 }
 
 TEST_F(WebSocketProxy, ForwardsUpgradeAsPlainRequestWhenDisabled) {
@@ -332,7 +338,7 @@
 TEST_F(WebSocketProxy, ClosesEachSessionOnceAndOpensNoneWhenServerResetsConnections) {
     start_servers_and_sidecar();
     std::vector<std::shared_ptr<TestPeer>> clients;
-    for (int i = 0; i < 20; ++i) clients.push_back(open());
+    for (int i = 0; i < 20; ++i) clients.push_back(open_session());
     ASSERT_TRUE(fixture.until([&] { return servers.front().peers.size() == 20; }));
     for (const auto& peer : servers.front().peers) {
         peer->stream.next_layer().set_option(asio::socket_base::linger(true, 0));
@@ -353,9 +359,9 @@
 
 TEST_F(WebSocketProxy, ClosesServerSideAsGoingAwayWhenClientResetsConnection) {
     start_servers_and_sidecar();
-    const auto client = open();
-    ASSERT_TRUE(
-        fixture.until([&] { return servers.front().peers.size() == 1 && servers.front().peers[0]->open; }));
+    const auto client = open_session();
+    ASSERT_TRUE(fixture.until(
+        [&] { return servers.front().peers.size() == 1 && servers.front().peers[0]->is_open; }));
     client->stream.next_layer().set_option(asio::socket_base::linger(true, 0));
     client->stream.next_layer().close();
     ASSERT_TRUE(fixture.until(
@@ -366,7 +372,7 @@
 TEST_F(WebSocketProxy, ClosesSessionAsTooBigAfterOversizedMessage) {
     settings.max_message_bytes = 1000;
     start_servers_and_sidecar();
-    const auto client = open();
+    const auto client = open_session();
     client->send(std::string(1001, 'x'));
     ASSERT_TRUE(fixture.until([&] { return client->has_ended() && fixture.sidecar->sessions() == 0; }));
     EXPECT_EQ(client->code(), ws::close_code::too_big);
@@ -380,7 +386,7 @@
     start_servers_and_sidecar(2);
     constexpr int kSessionsPerServer = 100;
     std::vector<std::shared_ptr<TestPeer>> clients;
-    for (int i = 0; i < 2 * kSessionsPerServer; ++i) clients.push_back(open());
+    for (int i = 0; i < 2 * kSessionsPerServer; ++i) clients.push_back(open_session());
     SessionServer &draining = servers.front(), &other = servers.back();
     const std::size_t sessions_at_draining = draining.upgrades;
     EXPECT_NEAR(static_cast<double>(sessions_at_draining), kSessionsPerServer, 10)
@@ -406,7 +412,7 @@
                            [](const auto& peer) { return peer->has_ended(); });
     }));
     for (const auto& peer : draining.peers) EXPECT_EQ(peer->end_count, 1);
-    for (int i = 0; i < 50; ++i) open();
+    for (int i = 0; i < 50; ++i) open_session();
     EXPECT_EQ(draining.upgrades, sessions_at_draining) << "a draining server gets no new session";
     EXPECT_EQ(other.upgrades, 2 * kSessionsPerServer - sessions_at_draining + 50);
 }
@@ -415,7 +421,7 @@
     settings.shutdown_spread = 50;
     start_servers_and_sidecar();
     std::vector<std::shared_ptr<TestPeer>> clients;
-    for (int i = 0; i < 10; ++i) clients.push_back(open());
+    for (int i = 0; i < 10; ++i) clients.push_back(open_session());
     bool drained = false;
     fixture.sidecar->drain([&] { drained = true; });
     ASSERT_TRUE(fixture.until([&] { return drained; }));
@@ -433,10 +439,10 @@
     settings.handshake_timeout = 300;
     settings.shutdown_spread = 1;
     start_servers_and_sidecar();
-    const auto client = open();
-    ASSERT_TRUE(
-        fixture.until([&] { return servers.front().peers.size() == 1 && servers.front().peers[0]->open; }));
-    client->reading = false;
+    const auto client = open_session();
+    ASSERT_TRUE(fixture.until(
+        [&] { return servers.front().peers.size() == 1 && servers.front().peers[0]->is_open; }));
+    client->keeps_reading = false;
     servers.front().peers[0]->send("the last message that the client reads");
     ASSERT_TRUE(fixture.until([&] { return client->received.size() == 1; }));
     for (int i = 0; i < 200; ++i) servers.front().peers[0]->send(std::string(100000, 'x'));
@@ -450,21 +456,21 @@
 // slowed down.
 TEST_F(WebSocketProxy, AppliesBackpressureOnlyToTheSessionWhoseClientStopsReading) {
     start_servers_and_sidecar();
-    const auto slow_client = open();
-    ASSERT_TRUE(
-        fixture.until([&] { return servers.front().peers.size() == 1 && servers.front().peers[0]->open; }));
-    slow_client->reading = false;
+    const auto slow_client = open_session();
+    ASSERT_TRUE(fixture.until(
+        [&] { return servers.front().peers.size() == 1 && servers.front().peers[0]->is_open; }));
+    slow_client->keeps_reading = false;
     constexpr std::size_t kMessages = 400, kMessageBytes = 100000;
     TestPeer& slow_client_server = *servers.front().peers[0];
     for (std::size_t i = 0; i < kMessages; ++i) slow_client_server.send(std::string(kMessageBytes, 'x'));
-    const auto fast_client = open();
-    ASSERT_TRUE(
-        fixture.until([&] { return servers.front().peers.size() == 2 && servers.front().peers[1]->open; }));
+    const auto fast_client = open_session();
+    ASSERT_TRUE(fixture.until(
+        [&] { return servers.front().peers.size() == 2 && servers.front().peers[1]->is_open; }));
     for (int i = 0; i < 200; ++i) servers.front().peers[1]->send("tick");
     ASSERT_TRUE(fixture.until([&] { return fast_client->received.size() == 200; }));
-    EXPECT_LT(slow_client_server.sent, kMessages)
+    EXPECT_LT(slow_client_server.sent_count, kMessages)
         << "the proxy must not buffer all 40 MB for the slow client";
-    slow_client->reading = true;
+    slow_client->keeps_reading = true;
     slow_client->read();
     ASSERT_TRUE(fixture.until([&] { return slow_client->received.size() == kMessages; }));
 }
