--- a/bench/fleet_size.cpp
+++ b/bench/fleet_size.cpp
@@ -152,7 +152,7 @@
                 io_, loopback(kFirstHost + i), connections_,
                 [this](const auto& connection, const std::string&) { respond(connection); });
         }
-        states_.assign(workload_.servers, "active");
+        server_states_.assign(workload_.servers, "active");
         discovery_.emplace_back(
             io_, loopback(), discovery_connections_,
             [this](const auto& connection, const std::string& head) { respond_with_list(connection, head); });
@@ -168,7 +168,7 @@
         measure_repeatedly();
         const auto length = std::chrono::duration<double>(workload_.seconds);
         io_.run_until(started_at_ + std::chrono::duration_cast<Steady::duration>(length));
-        sending_ = false;
+        is_sending_ = false;
         io_.run_for(std::chrono::seconds(2));
         measure_memory_and_descriptors();
         stop();
@@ -197,17 +197,17 @@
                 {"az", kZones[index % kZones.size()]},
                 {"model", "m" + std::to_string(index % 4)},
                 {"pod_group", index % 7},
-                {"state", states_[index]},
+                {"state", server_states_[index]},
                 {"capacity_hint", 1.0},
                 {"boot_ms", 0}};
     }
-    std::string list_of(const Json& targets, bool all) {
+    std::string list_text(const Json& targets, bool all) {
         return Json{{"rev", revision_}, {"all", all}, {"targets", targets}}.dump();
     }
     std::string whole_list() {
         Json targets = Json::array();
         for (std::size_t i = 0; i < workload_.servers; ++i) targets.push_back(endpoint_entry(i));
-        return list_of(targets, true);
+        return list_text(targets, true);
     }
     // Begins the watch if the request is for a stream, and sends the whole list otherwise.
     void respond_with_list(const std::shared_ptr<Connection>& connection, const std::string& head) {
@@ -228,9 +228,9 @@
     // Changes the state of one random server between draining and active, and schedules the next change.
     void send_changes() {
         const std::size_t index = random_() % workload_.servers;
-        states_[index] = states_[index] == "active" ? "leaving" : "active";
+        server_states_[index] = server_states_[index] == "active" ? "leaving" : "active";
         ++revision_;
-        send_line(list_of(Json::array({endpoint_entry(index)}), false));
+        send_line(list_text(Json::array({endpoint_entry(index)}), false));
         const double changes_per_second =
             workload_.changes_per_server * static_cast<double>(workload_.servers);
         call_after(1 / changes_per_second, [this] { send_changes(); });
@@ -263,7 +263,7 @@
         return connection;
     }
     void send_requests() {
-        if (!sending_) return;
+        if (!is_sending_) return;
         ++figures_.requests;
         idle_connection()->send(fmt::format(
             "GET /api HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: id-{}\r\nX-Service-Class: safe\r\n"
@@ -294,16 +294,17 @@
     void start() {
         // Finds a free port for the sidecar to listen on.
         sidecar_endpoint_ = tcp::acceptor(io_, loopback()).local_endpoint();
-        file_ = std::filesystem::temp_directory_path() / fmt::format("fleet_size.{}.json", ::getpid());
-        std::ofstream(file_) << configuration().dump();
-        process_ = ::fork();
-        if (process_ != 0) return;
+        configuration_file_ =
+            std::filesystem::temp_directory_path() / fmt::format("fleet_size.{}.json", ::getpid());
+        std::ofstream(configuration_file_) << configuration().dump();
+        sidecar_process_ = ::fork();
+        if (sidecar_process_ != 0) return;
         // The sidecar must not inherit this process's descriptors, because its open descriptors are counted.
         constexpr int kFirstInherited = 3;
         constexpr int kMaxDescriptors = 20000;
         for (int descriptor = kFirstInherited; descriptor < kMaxDescriptors; ++descriptor)
             ::close(descriptor);
-        ::setenv("RELAY_CONFIG", file_.c_str(), 1);
+        ::setenv("RELAY_CONFIG", configuration_file_.c_str(), 1);
         ::execl(program_.c_str(), program_.c_str(), static_cast<char*>(nullptr));
         ::_exit(127);
     }
@@ -330,7 +331,7 @@
         call_after(0.5, [this] { measure_repeatedly(); });
     }
     void measure_memory_and_descriptors() {
-        const std::string process = "/proc/" + std::to_string(process_);
+        const std::string process = "/proc/" + std::to_string(sidecar_process_);
         const std::filesystem::directory_iterator files(process + "/fd");
         const auto open = static_cast<std::size_t>(std::distance(begin(files), end(files)));
         figures_.descriptors = std::max(figures_.descriptors, open);
@@ -342,15 +343,16 @@
         }
     }
     void stop() {
-        ::kill(process_, SIGTERM);
+        ::kill(sidecar_process_, SIGTERM);
         rusage used{};
         int status = 0;
-        while (::wait4(process_, &status, WNOHANG, &used) == 0) io_.run_for(std::chrono::milliseconds(10));
+        while (::wait4(sidecar_process_, &status, WNOHANG, &used) == 0)
+            io_.run_for(std::chrono::milliseconds(10));
         const auto seconds = [](const timeval& time) {
             return static_cast<double>(time.tv_sec) + static_cast<double>(time.tv_usec) / 1e6;
         };
         figures_.processor_seconds = seconds(used.ru_utime) + seconds(used.ru_stime);
-        std::filesystem::remove(file_);
+        std::filesystem::remove(configuration_file_);
     }
 
     // Calls `callback` once on the event loop after the delay.
@@ -369,14 +371,14 @@
     std::uint64_t revision_ = 1;               // version of the endpoint list
     std::deque<Acceptor> servers_;
     std::deque<Acceptor> discovery_;
-    std::vector<std::string> states_;
+    std::vector<std::string> server_states_;
     std::shared_ptr<Connection> watch_;
     std::deque<std::shared_ptr<Connection>> idle_connections_;  // idle connections of the client
     tcp::endpoint sidecar_endpoint_;
-    std::filesystem::path file_;
-    pid_t process_ = 0;
+    std::filesystem::path configuration_file_;
+    pid_t sidecar_process_ = 0;
     Steady::time_point started_at_;
-    bool sending_ = true;
+    bool is_sending_ = true;
     std::mt19937_64 random_{1};
     Figures figures_;
 };
