--- a/src/simulation/baselines/balancing_policy.hpp
+++ b/src/simulation/baselines/balancing_policy.hpp
@@ -20,7 +20,7 @@
 
     /// Gives access to the servers' state, before the first event. Only the oracle uses it, which is no
     /// balancer that could be built. The model outlives the policy.
-    virtual void observe(const ServiceModel& /*service_model*/) {}
+    virtual void set_service_model(const ServiceModel& /*service_model*/) {}
     /// As balancer::Balancer::handle(): appends the actions that follow from the event.
     virtual void handle(Millis now, const balancer::Event& event, std::vector<balancer::Action>& actions) = 0;
     /// As balancer::Balancer::learned_state(). Empty for policies that learn nothing.
--- a/src/simulation/baselines/oracle_policy.hpp
+++ b/src/simulation/baselines/oracle_policy.hpp
@@ -33,7 +33,7 @@
 public:
     OraclePolicy(const balancer::Settings& settings, OracleOptions options);
 
-    void observe(const ServiceModel& service_model) override { service_model_ = &service_model; }
+    void set_service_model(const ServiceModel& service_model) override { service_model_ = &service_model; }
     void handle(Millis now, const balancer::Event& event, std::vector<balancer::Action>& actions) override;
 
 private:
--- a/src/simulation/checking/invariant_checker.cpp
+++ b/src/simulation/checking/invariant_checker.cpp
@@ -156,7 +156,7 @@
     on_response(now, id, ResponseKind::none);
 }
 
-void InvariantChecker::excuse(ClientRequestId id) {
+void InvariantChecker::waive_response(ClientRequestId id) {
     if (RequestRecord* const request = find_request(id)) request->is_excused = true;
 }
 
--- a/src/simulation/checking/invariant_checker.hpp
+++ b/src/simulation/checking/invariant_checker.hpp
@@ -72,7 +72,7 @@
     /// was not taken, and it is excused; otherwise its outcome is lost.
     void on_connection_closed(Millis now, ClientRequestId id);
     /// The request needs no response: its sidecar was killed, or stopped as requested before any attempt.
-    void excuse(ClientRequestId id);
+    void waive_response(ClientRequestId id);
     /// \}
 
     /// \name Observations of sidecar processes
--- a/src/simulation/drivers/sockets/loopback_testbed.cpp
+++ b/src/simulation/drivers/sockets/loopback_testbed.cpp
@@ -19,15 +19,15 @@
     ++lateness_bins_[std::min(kLastBin, static_cast<std::size_t>(lateness * 10))];
 }
 
-Punctuality LoopbackTestbed::punctuality() const {
-    Punctuality result;
+TimerLateness LoopbackTestbed::timer_lateness() const {
+    TimerLateness result;
     result.measured = true;
     result.max = max_lateness_;
     std::uint64_t count = 0, late_count = 0;
     bool p99_found = false;
     for (std::size_t i = 0; i <= kLastBin; ++i) {
         count += lateness_bins_[i];
-        if (static_cast<Millis>(i) / 10 > Punctuality::kLateThreshold) late_count += lateness_bins_[i];
+        if (static_cast<Millis>(i) / 10 > TimerLateness::kLateThreshold) late_count += lateness_bins_[i];
         if (!p99_found && count * 100 >= wakeup_count_ * 99 && wakeup_count_ > 0)
             result.p99 = static_cast<Millis>(i) / 10, p99_found = true;
     }
--- a/src/simulation/drivers/sockets/loopback_testbed.hpp
+++ b/src/simulation/drivers/sockets/loopback_testbed.hpp
@@ -26,7 +26,7 @@
     Millis unix_time(Millis at) const { return zero_ + at; }
 
     using TimerKey = TimerQueue::Key;
-    /// Calls `callback` at `when` or later. punctuality() reports how much later.
+    /// Calls `callback` at `when` or later. timer_lateness() reports how much later.
     TimerKey at(Millis when, std::function<void()> callback) {
         return timers_.set(zero_ + when, [this, when, callback = std::move(callback)] {
             record_lateness(now() - when);
@@ -35,7 +35,7 @@
     }
     void cancel(TimerKey& key) { timers_.cancel(key); }
 
-    Punctuality punctuality() const;
+    TimerLateness timer_lateness() const;
 
     asio::io_context io{1};
 
--- a/src/simulation/drivers/sockets/socket_run.cpp
+++ b/src/simulation/drivers/sockets/socket_run.cpp
@@ -564,7 +564,7 @@
         Report result = make_report(scenario_, clients_, checker_, metrics_);
         result.mode = "real";
         result.balancer = options_.sidecar_command;
-        result.punctuality = testbed_.punctuality();
+        result.timer_lateness = testbed_.timer_lateness();
         result.notes = notes_;
         result.sidecar_activity =
             sidecar_log_.report(std::min(testbed_.now(), scenario_.overview.duration), next_operation_);
--- a/src/simulation/drivers/virtual/virtual_run.cpp
+++ b/src/simulation/drivers/virtual/virtual_run.cpp
@@ -536,7 +536,7 @@
         log("silence %llu", ull(id));
         const std::uint32_t number = clients_.arrival_of(operation_of(id)).sidecar;
         // A sidecar with limited CPU may respond slightly late. The driver on sockets grants slack for that.
-        if (sidecars_[number].cpu_share < 1 || sidecars_[number].without_cpu) checker_.excuse(id);
+        if (sidecars_[number].cpu_share < 1 || sidecars_[number].without_cpu) checker_.waive_response(id);
         checker_.on_response(now_, id, ResponseKind::none);
         open_requests_.erase(id);
         dispatch({now_, 0, EventKind::disconnect_read, number, id});
@@ -600,7 +600,7 @@
         sidecar.policy = make_policy(build, scenario_.settings(number, fault), seed);
         sidecar_log_.on_started(now_, number,
                                 fault && fault->build.empty() ? build + " (" + fault->name + ")" : build);
-        sidecar.policy->observe(service_model_);
+        sidecar.policy->set_service_model(service_model_);
         handle_event(number, Started{});
         if (sidecar.snapshot_at >= 0)
             handle_event(number, StateRestored{sidecar.snapshot, now_ - sidecar.snapshot_at});
--- a/src/simulation/reports/html_report.cpp
+++ b/src/simulation/reports/html_report.cpp
@@ -27,7 +27,7 @@
 
 Verdict verdict_of(const Report& report) {
     static constexpr const char* kRed = "#c92a2a";
-    if (!report.punctuality.trusted()) {
+    if (!report.timer_lateness.is_acceptable()) {
         return {"This run is not to be trusted: the emulator itself ran late", "#e67700"};
     }
     if (!report.invariants_hold()) return {"A rule was broken", kRed};
@@ -35,10 +35,10 @@
     return {"Rules and expectations kept", "#2b8a3e"};
 }
 
-std::string punctuality_sentence(const Punctuality& punctuality) {
-    if (!punctuality.measured) return "";
-    return fmt::format(" The emulator's own lateness: p99 {:.1f}ms, most {:.1f}ms.", punctuality.p99,
-                       punctuality.max);
+std::string timer_lateness_sentence(const TimerLateness& timer_lateness) {
+    if (!timer_lateness.measured) return "";
+    return fmt::format(" The emulator's own lateness: p99 {:.1f}ms, most {:.1f}ms.", timer_lateness.p99,
+                       timer_lateness.max);
 }
 
 std::string heading(const Report& report) {
@@ -54,13 +54,13 @@
         report.mode, escape_html(report.balancer), report.seed, report.servers, report.sidecars,
         report.operations, report.duration / 1000, report.attempts_per_request, report.metrics.goodput,
         report.metrics.min_class_goodput, report.metrics.min_second_goodput,
-        punctuality_sentence(report.punctuality));
+        timer_lateness_sentence(report.timer_lateness));
     return text;
 }
 
 }  // namespace
 
-std::string page_of(const Report& report) {
+std::string html_of(const Report& report) {
     const TimeAxis axis(report.duration);
     std::string page = heading(report);
     page += verdict_table(report);
--- a/src/simulation/reports/json_report.cpp
+++ b/src/simulation/reports/json_report.cpp
@@ -20,7 +20,7 @@
     json["seed"] = report.seed;
     json["length_ms"] = report.duration;
     json["passed"] = report.passed();
-    json["trusted"] = report.punctuality.trusted();
+    json["trusted"] = report.timer_lateness.is_acceptable();
     json["rules_kept"] = report.invariants_hold();
     json["expectations_kept"] = report.expectations_met();
     for (const InvariantReport& invariant : report.invariants) {
@@ -118,10 +118,11 @@
     json["steps"] = report.timeline;
 }
 
-void write_punctuality(const Punctuality& punctuality, ordered_json& json) {
-    if (!punctuality.measured) return;
-    json["lateness"] = {
-        {"p99_ms", punctuality.p99}, {"max_ms", punctuality.max}, {"late_share", punctuality.late_share}};
+void write_timer_lateness(const TimerLateness& timer_lateness, ordered_json& json) {
+    if (!timer_lateness.measured) return;
+    json["lateness"] = {{"p99_ms", timer_lateness.p99},
+                        {"max_ms", timer_lateness.max},
+                        {"late_share", timer_lateness.late_share}};
 }
 
 ordered_json spans_json(const std::vector<SidecarSpan>& spans) {
@@ -210,7 +211,7 @@
     write_seconds(report.metrics, json);
     write_servers(report.metrics, json);
     write_faults(report, json);
-    write_punctuality(report.punctuality, json);
+    write_timer_lateness(report.timer_lateness, json);
     json["sidecars"] = sidecars_json(report.sidecar_activity);
     json["notes"] = report.notes;
     json["log"] = {{"lines", report.log_lines}, {"fnv1a", fmt::format("{:016x}", report.log_hash)}};
--- a/src/simulation/reports/latency_histogram.cpp
+++ b/src/simulation/reports/latency_histogram.cpp
@@ -6,13 +6,13 @@
 namespace elmbay::simulation {
 
 LatencyHistogram::Bins LatencyHistogram::make_bins() {
-    const double bins = std::ceil(std::log(kMax / kMin) / std::log(kBinRatio));
+    const double bins = std::ceil(std::log(kMaxLatency / kMinLatency) / std::log(kBinRatio));
     return boost::histogram::make_histogram_with(boost::histogram::unlimited_storage<>(),
-                                                 Axis(static_cast<unsigned>(bins), kMin, kMax));
+                                                 Axis(static_cast<unsigned>(bins), kMinLatency, kMaxLatency));
 }
 
 void LatencyHistogram::add(Millis latency) {
-    bins_(std::clamp(latency, kMin, std::nextafter(kMax, 0.0)));
+    bins_(std::clamp(latency, kMinLatency, std::nextafter(kMaxLatency, 0.0)));
     ++count_;
     max_ = std::max(max_, latency);
 }
--- a/src/simulation/reports/latency_histogram.hpp
+++ b/src/simulation/reports/latency_histogram.hpp
@@ -14,8 +14,8 @@
 class LatencyHistogram {
 public:
     /// Bounds of the bins; latencies outside count as the nearest one.
-    static constexpr Millis kMin = 0.1;
-    static constexpr Millis kMax = 3600 * 1000;
+    static constexpr Millis kMinLatency = 0.1;
+    static constexpr Millis kMaxLatency = 3600 * 1000;
     /// Upper over lower edge of a bin. A percentile is the geometric middle of its bin, so off by at most
     /// 0.5%. This makes 1,700 bins, of one byte each while counts are small.
     static constexpr double kBinRatio = 1.01;
--- a/src/simulation/reports/report.hpp
+++ b/src/simulation/reports/report.hpp
@@ -30,7 +30,7 @@
 };
 
 /// How late the emulator's own timers fired. A late emulator makes a sidecar look slow.
-struct Punctuality {
+struct TimerLateness {
     static constexpr Millis kLateThreshold = 10;
     /// Share of late timers beyond which a run says nothing about the sidecar.
     static constexpr double kMaxLateShare = 0.01;
@@ -39,7 +39,7 @@
     Millis p99 = 0;
     Millis max = 0;
     double late_share = 0;  ///< Share of timers later than kLateThreshold.
-    bool trusted() const { return !measured || late_share <= kMaxLateShare; }
+    bool is_acceptable() const { return !measured || late_share <= kMaxLateShare; }
 };
 
 /// A fault as plots show it.
@@ -84,7 +84,7 @@
     std::vector<InvariantReport> invariants;
     std::vector<ExpectationReport> expectations;
     ServiceMetrics::Report metrics;
-    Punctuality punctuality;
+    TimerLateness timer_lateness;
     SidecarActivity sidecar_activity;
     std::vector<FaultBand> faults;
     std::vector<std::string> timeline;  ///< The scripted steps in their order.
@@ -95,10 +95,10 @@
 
     bool invariants_hold() const;
     bool expectations_met() const;
-    bool passed() const { return invariants_hold() && expectations_met() && punctuality.trusted(); }
+    bool passed() const { return invariants_hold() && expectations_met() && timer_lateness.is_acceptable(); }
 };
 
-/// Builds the part that both drivers share: all but mode, balancer, punctuality, sidecar activity and the
+/// Builds the part that both drivers share: all but mode, balancer, timer_lateness, sidecar activity and the
 /// log.
 Report make_report(const Scenario& scenario, const ClientModel& clients, const InvariantChecker& checker,
                    const ServiceMetrics& metrics);
@@ -108,7 +108,7 @@
 /// The whole report.
 nlohmann::ordered_json json_of(const Report& report);
 /// The report as one self-contained HTML page with plots.
-std::string page_of(const Report& report);
+std::string html_of(const Report& report);
 /// Reads from the JSON of a report what comparison_of() needs.
 ///
 /// \throws std::invalid_argument  if the text is not JSON, or not a report's
--- a/src/simulation/reports/sweep.hpp
+++ b/src/simulation/reports/sweep.hpp
@@ -74,7 +74,7 @@
 /// \throws std::invalid_argument  if the text is not a sweep's JSON
 Sweep sweep_from_json(const std::string& text);
 /// The sweep as one self-contained HTML page with plots.
-std::string page_of(const Sweep& sweep);
+std::string html_of(const Sweep& sweep);
 /// Two sweeps side by side, as text, with the differences that chance alone would explain.
 ///
 /// \throws std::invalid_argument  unless both are of one scenario, key and seeds
--- a/src/simulation/reports/sweep_html.cpp
+++ b/src/simulation/reports/sweep_html.cpp
@@ -102,7 +102,7 @@
 
 }  // namespace
 
-std::string page_of(const Sweep& sweep) {
+std::string html_of(const Sweep& sweep) {
     std::string page = fmt::format(
         "<!doctype html><html lang='en'><head><meta charset='utf-8'><title>{0}: sweep</title><style>"
         "body{{font:15px/1.45 system-ui,sans-serif;margin:2em auto;max-width:62em;padding:0 1em;"
--- a/src/simulation/reports/text_report.cpp
+++ b/src/simulation/reports/text_report.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 const char* verdict_text(const Report& report) {
-    if (!report.punctuality.trusted()) return "NOT TO BE TRUSTED: the emulator ran late";
+    if (!report.timer_lateness.is_acceptable()) return "NOT TO BE TRUSTED: the emulator ran late";
     if (!report.invariants_hold()) return "BROKEN";
     return report.expectations_met() ? "KEPT" : "RULES KEPT, EXPECTATIONS NOT MET";
 }
@@ -111,11 +111,12 @@
     return text;
 }
 
-std::string punctuality_text(const Punctuality& punctuality) {
-    if (!punctuality.measured) return "";
+std::string timer_lateness_text(const TimerLateness& timer_lateness) {
+    if (!timer_lateness.measured) return "";
     return fmt::format(
         "\n  the emulator's own lateness: p99 {:.1f}ms, most {:.1f}ms, {:.2f}% over {:.0f}ms\n",
-        punctuality.p99, punctuality.max, 100 * punctuality.late_share, Punctuality::kLateThreshold);
+        timer_lateness.p99, timer_lateness.max, 100 * timer_lateness.late_share,
+        TimerLateness::kLateThreshold);
 }
 
 std::string verdict_cell(const InvariantReport& invariant) {
@@ -134,7 +135,7 @@
     text += processes_text(report);
     text += messages_text(report);
     text += classes_text(report);
-    text += punctuality_text(report.punctuality);
+    text += timer_lateness_text(report.timer_lateness);
     for (const std::string& note : report.notes) text += "  note: " + note + "\n";
     return text;
 }
--- a/src/simulation/scenario/random_fault_schedule.cpp
+++ b/src/simulation/scenario/random_fault_schedule.cpp
@@ -143,8 +143,8 @@
     return schedule;
 }
 
-RandomFaultSchedule shrunk(RandomFaultSchedule schedule,
-                           const std::function<bool(const RandomFaultSchedule&)>& fails) {
+RandomFaultSchedule shrink_schedule(RandomFaultSchedule schedule,
+                                    const std::function<bool(const RandomFaultSchedule&)>& fails) {
     schedule.faults = process_testbed::shrink(schedule.faults, [&](const std::vector<std::string>& faults) {
         return fails({schedule.head, faults});
     });
--- a/src/simulation/scenario/random_fault_schedule.hpp
+++ b/src/simulation/scenario/random_fault_schedule.hpp
@@ -33,7 +33,7 @@
 RandomFaultSchedule draw_random_faults(std::uint64_t seed, const RandomFaultOptions& options);
 
 /// Leaves out as many faults as it can while `fails` remains true, which it must be for `schedule`.
-RandomFaultSchedule shrunk(RandomFaultSchedule schedule,
-                           const std::function<bool(const RandomFaultSchedule&)>& fails);
+RandomFaultSchedule shrink_schedule(RandomFaultSchedule schedule,
+                                    const std::function<bool(const RandomFaultSchedule&)>& fails);
 
 }  // namespace elmbay::simulation
--- a/tests/simulation/latency_histogram_test.cpp
+++ b/tests/simulation/latency_histogram_test.cpp
@@ -32,8 +32,8 @@
     EXPECT_EQ(histogram.quantile(0.5), 0);
     for (const double latency : {0.0, -3.0, 1e12}) histogram.add(latency);
     EXPECT_EQ(histogram.count(), 3U);
-    EXPECT_LE(histogram.quantile(0.5), LatencyHistogram::kMin * LatencyHistogram::kBinRatio);
-    EXPECT_GT(histogram.quantile(1), LatencyHistogram::kMax / 2);
+    EXPECT_LE(histogram.quantile(0.5), LatencyHistogram::kMinLatency * LatencyHistogram::kBinRatio);
+    EXPECT_GT(histogram.quantile(1), LatencyHistogram::kMaxLatency / 2);
     EXPECT_EQ(histogram.max(), 1e12);
 }
 
--- a/tests/simulation/report_test.cpp
+++ b/tests/simulation/report_test.cpp
@@ -20,7 +20,7 @@
 }
 
 TEST(Report, PageIsCompleteSelfContainedAndEscapesNames) {
-    const std::string page = page_of(short_run_report());
+    const std::string page = html_of(short_run_report());
     EXPECT_TRUE(page.starts_with("<!doctype html>"));
     EXPECT_NE(page.find("</html>"), std::string::npos);
     EXPECT_NE(page.find("<svg"), std::string::npos);
@@ -43,11 +43,11 @@
     Report report = short_run_report("x");
     report.expectations.clear();
     EXPECT_TRUE(report.passed());
-    report.punctuality.measured = true;
-    report.punctuality.late_share = 0.02;
+    report.timer_lateness.measured = true;
+    report.timer_lateness.late_share = 0.02;
     EXPECT_FALSE(report.passed());
     EXPECT_NE(text_of(report).find("NOT TO BE TRUSTED"), std::string::npos);
-    EXPECT_NE(page_of(report).find("not to be trusted"), std::string::npos);
+    EXPECT_NE(html_of(report).find("not to be trusted"), std::string::npos);
 }
 
 }  // namespace
--- a/tests/simulation/scenario_test.cpp
+++ b/tests/simulation/scenario_test.cpp
@@ -29,8 +29,8 @@
 }
 
 TEST(Scenario, AcceptsEveryBundledScenario) {
-    EXPECT_GE(bundled().size(), 9U);
-    for (const BundledScenario& scenario : bundled())
+    EXPECT_GE(bundled_scenarios().size(), 9U);
+    for (const BundledScenario& scenario : bundled_scenarios())
         EXPECT_NO_THROW(parse_scenario(scenario.text, scenario.name)) << scenario.name;
 }
 
--- a/tests/simulation/sidecars_test.cpp
+++ b/tests/simulation/sidecars_test.cpp
@@ -116,7 +116,7 @@
     EXPECT_EQ(spans_of_1, (std::vector<std::string>{"elmbay, ended", "plain, ended", "elmbay"}));
     EXPECT_EQ(spans_of_2, (std::vector<std::string>{"elmbay, ended", "elmbay (other-settings)"}));
     EXPECT_EQ(json_of(report)["sidecars"]["lives"].size(), 9U);
-    EXPECT_NE(page_of(report).find("Sidecars that did not run through (2 of 2"), std::string::npos);
+    EXPECT_NE(html_of(report).find("Sidecars that did not run through (2 of 2"), std::string::npos);
 }
 
 TEST(Sidecars, RejectsInvalidSidecarFaultsAndMessageSettings) {
@@ -159,7 +159,7 @@
         while (seed < 40 && !violates_invariant(draw_random_faults(seed, {}))) ++seed;
         const RandomFaultSchedule drawn = draw_random_faults(seed, {});
         ASSERT_TRUE(violates_invariant(drawn)) << faulty_balancer;
-        const RandomFaultSchedule smallest = shrunk(drawn, violates_invariant);
+        const RandomFaultSchedule smallest = shrink_schedule(drawn, violates_invariant);
         EXPECT_TRUE(violates_invariant(smallest)) << faulty_balancer;
         EXPECT_LE(smallest.faults.size(), 2U) << faulty_balancer << "\n" << smallest.text();
     }
--- a/tests/simulation/socket_run_test.cpp
+++ b/tests/simulation/socket_run_test.cpp
@@ -120,7 +120,7 @@
         EXPECT_GT(served_count(report), report.operations * 8 / 10) << text_of(report);
         // On a busy machine the emulator may be late. The report then counts as not trusted, and a violation
         // may not be due to elmbay.
-        if (report.punctuality.trusted()) {
+        if (report.timer_lateness.is_acceptable()) {
             EXPECT_TRUE(report.invariants_hold()) << text_of(report);
         }
     }
@@ -136,7 +136,7 @@
     const Report report = run(text);
     EXPECT_TRUE(report.notes.empty()) << text_of(report);
     EXPECT_GT(served_count(report), report.operations / 2) << text_of(report);
-    if (report.punctuality.trusted()) {
+    if (report.timer_lateness.is_acceptable()) {
         EXPECT_TRUE(report.invariants_hold()) << text_of(report);
     }
 }
@@ -154,7 +154,7 @@
     const Report real = run(text);
     const Report simulated = run_virtual_simulation(parse_scenario(text, "f.toml"), {});
     EXPECT_TRUE(simulated.invariants_hold()) << text_of(simulated);
-    if (real.punctuality.trusted()) {
+    if (real.timer_lateness.is_acceptable()) {
         EXPECT_TRUE(real.invariants_hold()) << text_of(real);
     }
     EXPECT_GT(served_count(real), real.operations * 8 / 10) << text_of(real);
@@ -190,7 +190,7 @@
     const Report report = run_socket_simulation(scenario, options);
     EXPECT_TRUE(report.notes.empty()) << text_of(report);
     EXPECT_GT(served_count(report), report.operations / 2) << text_of(report);
-    if (report.punctuality.trusted()) {
+    if (report.timer_lateness.is_acceptable()) {
         EXPECT_TRUE(report.invariants_hold()) << text_of(report);
     }
     EXPECT_EQ(report.sidecar_activity.impaired_spans.size(), 2U);
--- a/tests/simulation/virtual_run_test.cpp
+++ b/tests/simulation/virtual_run_test.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 Scenario bundled_scenario(const std::string& name) {
-    for (const BundledScenario& candidate : bundled())
+    for (const BundledScenario& candidate : bundled_scenarios())
         if (candidate.name == name) {
             Scenario scenario = parse_scenario(candidate.text, name);
             scenario.name = name;
@@ -70,7 +70,7 @@
 }
 std::vector<std::string> scenario_names() {
     std::vector<std::string> result;
-    for (const BundledScenario& candidate : bundled()) result.push_back(candidate.name);
+    for (const BundledScenario& candidate : bundled_scenarios()) result.push_back(candidate.name);
     return result;
 }
 INSTANTIATE_TEST_SUITE_P(BundledScenario, EveryScenario, testing::ValuesIn(scenario_names()),
--- a/tools/simulation/bundle.hpp
+++ b/tools/simulation/bundle.hpp
@@ -14,6 +14,6 @@
 };
 
 /// All of them in order of their names.
-const std::vector<BundledScenario>& bundled();
+const std::vector<BundledScenario>& bundled_scenarios();
 
 }  // namespace elmbay::simulation
--- a/tools/simulation/commands.cpp
+++ b/tools/simulation/commands.cpp
@@ -23,7 +23,7 @@
 template <class Result>
 void write_files(const Result& result, const CommandOptions& options) {
     if (!options.json_path.empty()) write_file(options.json_path, json_of(result).dump(1) + "\n");
-    if (!options.html_path.empty()) write_file(options.html_path, page_of(result));
+    if (!options.html_path.empty()) write_file(options.html_path, html_of(result));
 }
 
 int run(const CommandOptions& options) {
@@ -42,7 +42,7 @@
 
 int list() {
     static constexpr std::size_t kNameWidth = 28;
-    for (const BundledScenario& bundled_scenario : bundled()) {
+    for (const BundledScenario& bundled_scenario : bundled_scenarios()) {
         const std::string& name = bundled_scenario.name;
         const Scenario scenario = parse_scenario(bundled_scenario.text, name + ".toml");
         const std::size_t padding = name.size() < kNameWidth ? kNameWidth - name.size() : 1;
--- a/tools/simulation/files.cpp
+++ b/tools/simulation/files.cpp
@@ -28,7 +28,7 @@
 }
 
 ScenarioSource find_scenario(const std::string& name_or_path) {
-    for (const BundledScenario& scenario : bundled()) {
+    for (const BundledScenario& scenario : bundled_scenarios()) {
         if (scenario.name == name_or_path) return {scenario.text, scenario.name + ".toml", scenario.name};
     }
     return {read_file(name_or_path), name_or_path, std::filesystem::path(name_or_path).filename().string()};
--- a/tools/simulation/storm.cpp
+++ b/tools/simulation/storm.cpp
@@ -32,9 +32,9 @@
 void write_shrunk(const RandomFaultSchedule& schedule, const CommandOptions& options) {
     const auto fails = [&](const RandomFaultSchedule& candidate) {
         const Report report = run_schedule(candidate, options);
-        return report.punctuality.trusted() && !report.invariants_hold();
+        return report.timer_lateness.is_acceptable() && !report.invariants_hold();
     };
-    const RandomFaultSchedule least = shrunk(schedule, fails);
+    const RandomFaultSchedule least = shrink_schedule(schedule, fails);
     const std::string& path = options.failed_storm_path;
     write_file(path, least.text());
     std::cout << "down to " << least.faults.size() << " faults of " << schedule.faults.size() << ", in "
@@ -67,7 +67,7 @@
         totals.operations += report.operations;
         totals.faults += schedule.faults.size();
         if (progress) progress(static_cast<double>(totals.storms) / static_cast<double>(options.sweep.seeds));
-        if (!report.punctuality.trusted()) {
+        if (!report.timer_lateness.is_acceptable()) {
             ++totals.untrusted;
             continue;
         }
