--- a/src/simulation/baselines/least_outstanding_policy.cpp
+++ b/src/simulation/baselines/least_outstanding_policy.cpp
@@ -51,8 +51,8 @@
 
 void LeastOutstandingPolicy::update_server(const balancer::ServerInfo& info) {
     Server& server = servers_[info.id];
-    const bool is_known = server.info.id != 0;
-    if (flaws_.ignores_drains && info.state != EndpointState::active && is_known) return;
+    const bool was_listed = server.info.id != 0;
+    if (flaws_.ignores_drains && info.state != EndpointState::active && was_listed) return;
     if (info.online_since > server.info.online_since) {
         server.consecutive_failures = 0;
         server.ejected_until = 0;
@@ -88,8 +88,8 @@
         return;
     }
     if (request.has_outstanding_attempt()) return;
-    const bool retried = may_retry(request) && start_attempt(request);
-    if (!retried) answer_failure(request);
+    const bool retry_started = may_retry(request) && start_attempt(request);
+    if (!retry_started) respond_with_failure(request);
 }
 
 void LeastOutstandingPolicy::record_outcome(Server& server, balancer::Outcome outcome) {
@@ -161,18 +161,18 @@
 bool LeastOutstandingPolicy::start_attempt(Request& request) {
     Server* const server = choose_server();
     if (!server) {
-        if (request.attempts.empty()) answer_failure(request);
+        if (request.attempts.empty()) respond_with_failure(request);
         return false;
     }
     request.attempts.push_back({server->info.id});
     ++server->outstanding;
     const Millis timeout =
         flaws_.retries_without_limit ? std::min(request.deadline, now_ + kShortTimeout) : request.deadline;
-    act(balancer::StartAttempt{request.id, server->info.id, timeout});
+    append_action(balancer::StartAttempt{request.id, server->info.id, timeout});
     return true;
 }
 
-void LeastOutstandingPolicy::answer_failure(Request& request) {
+void LeastOutstandingPolicy::respond_with_failure(Request& request) {
     if (!flaws_.delays_failures) {
         finish(request);
         return;
@@ -183,22 +183,22 @@
 void LeastOutstandingPolicy::finish(Request& request) {
     cancel_attempts(request);
     if (request.may_have_run()) {
-        act(balancer::Fail{request.id});
+        append_action(balancer::Fail{request.id});
     } else {
-        act(balancer::Reject{request.id, 0});
+        append_action(balancer::Reject{request.id, 0});
     }
     requests_.erase(request.id);
 }
 
 void LeastOutstandingPolicy::cancel_attempts(const Request& request) {
     for (std::uint32_t i = 0; i < request.attempts.size(); ++i) {
-        if (request.attempts[i].is_outstanding) act(balancer::Cancel{request.id, i});
+        if (request.attempts[i].is_outstanding) append_action(balancer::Cancel{request.id, i});
     }
 }
 
 void LeastOutstandingPolicy::set_timer(Millis at, balancer::RequestId id) {
     timers_[++last_token_] = id;
-    act(balancer::SetTimer{at, last_token_});
+    append_action(balancer::SetTimer{at, last_token_});
 }
 
 }  // namespace elmbay::simulation
--- a/src/simulation/baselines/least_outstanding_policy.hpp
+++ b/src/simulation/baselines/least_outstanding_policy.hpp
@@ -73,12 +73,12 @@
     /// False if there is no server for it; a request without any attempt is answered then.
     bool start_attempt(Request& request);
     /// Answers now, or near the deadline with delays_failures.
-    void answer_failure(Request& request);
+    void respond_with_failure(Request& request);
     /// Rejects or fails the request and forgets it.
     void finish(Request& request);
     void cancel_attempts(const Request& request);
     void set_timer(Millis at, balancer::RequestId id);
-    void act(balancer::Action action) { actions_->push_back(std::move(action)); }
+    void append_action(balancer::Action action) { actions_->push_back(std::move(action)); }
 
     const balancer::Settings settings_;
     balancer::Random random_;
--- a/src/simulation/baselines/oracle_policy.cpp
+++ b/src/simulation/baselines/oracle_policy.cpp
@@ -59,7 +59,7 @@
     }
     request.mean_work = service_model_->mean_work(event.class_index);
     request.deadline = now_ + event.time_left;
-    place(event.id, request);
+    assign_server(event.id, request);
 }
 
 void OraclePolicy::on(const balancer::ClientDisconnected& event) {
@@ -84,13 +84,13 @@
     }
     const bool may_repeat = !request.may_have_run || request.is_idempotent();
     if (request.attempts < kMaxAttempts && now_ < request.deadline && may_repeat) {
-        place(event.id, request);
+        assign_server(event.id, request);
     } else {
-        answer_failure(event.id, request);
+        respond_with_failure(event.id, request);
     }
 }
 
-void OraclePolicy::place(balancer::RequestId id, Request& request) {
+void OraclePolicy::assign_server(balancer::RequestId id, Request& request) {
     balancer::ServerId best = 0;
     Millis best_time = acceptable_time(request);
     for (const auto& [server, state] : servers_) {
@@ -102,7 +102,7 @@
         }
     }
     if (best == 0) {
-        answer_failure(id, request);
+        respond_with_failure(id, request);
         return;
     }
     request.has_outstanding_attempt = true;
@@ -110,7 +110,7 @@
     actions_->push_back(balancer::StartAttempt{id, best, request.deadline});
 }
 
-void OraclePolicy::answer_failure(balancer::RequestId id, const Request& request) {
+void OraclePolicy::respond_with_failure(balancer::RequestId id, const Request& request) {
     if (request.may_have_run && !request.is_idempotent()) {
         actions_->push_back(balancer::Fail{id});
     } else {
--- a/src/simulation/baselines/oracle_policy.hpp
+++ b/src/simulation/baselines/oracle_policy.hpp
@@ -56,8 +56,8 @@
     void on(const balancer::ClientDisconnected& event);
 
     /// Starts an attempt, or answers and forgets the request.
-    void place(balancer::RequestId id, Request& request);
-    void answer_failure(balancer::RequestId id, const Request& request);
+    void assign_server(balancer::RequestId id, Request& request);
+    void respond_with_failure(balancer::RequestId id, const Request& request);
     /// Time that a request may be expected to take.
     Millis acceptable_time(const Request& request) const;
     /// Expected time of a request on a server: cores are shared evenly by all that it holds.
--- a/src/simulation/checking/cold_server_load.cpp
+++ b/src/simulation/checking/cold_server_load.cpp
@@ -33,7 +33,7 @@
 bool ColdServerLoad::is_mostly_from_notified_senders() const {
     Millis notified_work = 0;
     for (const Arrival& arrival : arrivals_) {
-        if (arrival.sender_knew_of_start) notified_work += arrival.work;
+        if (arrival.sender_notified_of_start) notified_work += arrival.work;
     }
     return notified_work * 3 >= work() * 2;
 }
--- a/src/simulation/checking/cold_server_load.hpp
+++ b/src/simulation/checking/cold_server_load.hpp
@@ -15,7 +15,7 @@
     struct Arrival {
         Millis at = 0;
         Millis work = 0;
-        bool sender_knew_of_start = false;  ///< Its sidecar had been notified that the server started.
+        bool sender_notified_of_start = false;  ///< Its sidecar had been notified that the server started.
     };
 
     /// Adds an arrival, and drops those at or before `window_start` and those before `started_at`, when the
--- a/src/simulation/checking/invariant_checker.cpp
+++ b/src/simulation/checking/invariant_checker.cpp
@@ -32,7 +32,7 @@
 InvariantChecker::InvariantChecker(const Scenario& scenario, const ClientModel& clients, Millis slack)
     : scenario_(scenario), clients_(clients), slack_(slack), cold_loads_(scenario.fleet.servers) {}
 
-const InvariantChecker::Attempt* InvariantChecker::RequestRecord::first_that_may_have_run() const {
+const InvariantChecker::Attempt* InvariantChecker::RequestRecord::first_attempt_that_may_have_run() const {
     const auto found = std::find_if(attempts.begin(), attempts.end(),
                                     [](const Attempt& attempt) { return attempt.may_have_run; });
     return found == attempts.end() ? nullptr : &*found;
@@ -88,23 +88,24 @@
     record.may_be_late = paused_sidecars_.contains(record.sidecar);
 }
 
-void InvariantChecker::on_response(Millis now, ClientRequestId id, ResponseKind answer, bool genuine) {
+void InvariantChecker::on_response(Millis now, ClientRequestId id, ResponseKind response,
+                                   bool matches_request) {
     RequestRecord* const request = find_request(id);
     if (!request) return;
     if (!request->is_open) {
-        const bool is_expected = request->is_excused || request->client_left;
+        const bool is_expected = request->is_response_optional || request->client_left;
         if (!is_expected) add_violation(Invariant::one_final_outcome, now, id, "a second final answer");
         return;
     }
-    if (answer == ResponseKind::none) {
-        if (request->must_be_answered()) {
+    if (response == ResponseKind::none) {
+        if (request->requires_response()) {
             add_violation(Invariant::one_final_outcome, now, id, "no final answer before the caller gave up");
         }
     } else {
         check_response_in_time(now, id, *request);
-        if (answer == ResponseKind::served) check_response_genuine(now, id, *request, genuine);
-        if (answer == ResponseKind::rejected) check_rejection_is_safe(now, id, *request);
-        if (answer != ResponseKind::served) count_delayed_failure(now, id, *request);
+        if (response == ResponseKind::served) check_response_matches(now, id, *request, matches_request);
+        if (response == ResponseKind::rejected) check_rejection_is_safe(now, id, *request);
+        if (response != ResponseKind::served) count_delayed_failure(now, id, *request);
     }
     request->is_open = false;
     request->ended_at = now;
@@ -112,25 +113,25 @@
 
 void InvariantChecker::check_response_in_time(Millis now, ClientRequestId id, const RequestRecord& request) {
     const bool is_cpu_limited = cpu_limited_sidecars_.contains(request.sidecar);
-    const Millis slack = std::max(slack_, is_cpu_limited ? kStarvedSlack : 0);
+    const Millis slack = std::max(slack_, is_cpu_limited ? kCpuLimitedSlack : 0);
     if (now > request.deadline + slack && !request.may_be_late) {
         add_violation(Invariant::one_final_outcome, now, id, "answered after the caller gave up");
     }
 }
 
-void InvariantChecker::check_response_genuine(Millis now, ClientRequestId id, const RequestRecord& request,
-                                              bool genuine) {
-    if (!genuine || !request.first_that_may_have_run()) {
+void InvariantChecker::check_response_matches(Millis now, ClientRequestId id, const RequestRecord& request,
+                                              bool matches_request) {
+    if (!matches_request || !request.first_attempt_that_may_have_run()) {
         add_violation(Invariant::one_final_outcome, now, id, "served with what no server made for it");
     }
 }
 
 void InvariantChecker::check_rejection_is_safe(Millis now, ClientRequestId id, const RequestRecord& request) {
-    const Attempt* const earlier = request.first_that_may_have_run();
+    const Attempt* const earlier = request.first_attempt_that_may_have_run();
     const ClassSpec& spec = class_of(id);
     if (!earlier || spec.idempotency() == Idempotency::idempotent) return;
-    const bool key_is_forgotten = now >= earlier->started_at + spec.dedup_window + slack_;
-    if (spec.idempotency() == Idempotency::non_idempotent || key_is_forgotten) {
+    const bool dedup_window_is_over = now >= earlier->started_at + spec.dedup_window + slack_;
+    if (spec.idempotency() == Idempotency::non_idempotent || dedup_window_is_over) {
         add_violation(Invariant::no_duplicate_effect, now, id, "refused ('try again') after it may have run");
     }
 }
@@ -152,12 +153,12 @@
 void InvariantChecker::on_connection_closed(Millis now, ClientRequestId id) {
     RequestRecord* const request = find_request(id);
     if (!request) return;
-    if (request->is_open && request->attempts.empty()) request->is_excused = true;
+    if (request->is_open && request->attempts.empty()) request->is_response_optional = true;
     on_response(now, id, ResponseKind::none);
 }
 
 void InvariantChecker::waive_response(ClientRequestId id) {
-    if (RequestRecord* const request = find_request(id)) request->is_excused = true;
+    if (RequestRecord* const request = find_request(id)) request->is_response_optional = true;
 }
 
 // Observations of sidecar processes
@@ -165,7 +166,7 @@
 void InvariantChecker::on_sidecar_killed(std::uint32_t sidecar) {
     for (auto& [id, request] : requests_) {
         if (request.sidecar != sidecar) continue;
-        if (request.is_open) request.is_excused = true;
+        if (request.is_open) request.is_response_optional = true;
         for (Attempt& attempt : request.attempts) attempt.is_outstanding = false;
     }
     std::erase_if(concurrent_attempts_, [&](const ConcurrentAttempt& concurrent) {
@@ -200,7 +201,7 @@
                                           EndpointState state, Millis online_since) {
     EndpointView& view = endpoint_views_[{sidecar, server}];
     const bool was_active = view.state == EndpointState::active;
-    if (was_active || state == EndpointState::active) view.left_active_at = now;
+    if (was_active || state == EndpointState::active) view.inactive_since = now;
     view.state = state;
     view.online_since = std::max(view.online_since, online_since);
 }
@@ -218,7 +219,7 @@
     check_repetition_is_safe(now, id, *request, server);
     check_attempt_limit(now, id, *request);
     check_request_is_open(now, id, *request);
-    note_concurrent_attempts(now, id, *request);
+    record_concurrent_attempts(now, id, *request);
     check_drain(now, id, server, sidecar);
     request->attempts.push_back({server, now});
     max_attempts_ = std::max<std::uint64_t>(max_attempts_, request->attempts.size());
@@ -227,7 +228,7 @@
 
 void InvariantChecker::check_repetition_is_safe(Millis now, ClientRequestId id, const RequestRecord& request,
                                                 std::uint32_t server) {
-    const Attempt* const earlier = request.first_that_may_have_run();
+    const Attempt* const earlier = request.first_attempt_that_may_have_run();
     if (!earlier) return;
     const ClassSpec& spec = class_of(id);
     if (spec.idempotency() == Idempotency::non_idempotent) {
@@ -235,8 +236,8 @@
             Invariant::no_duplicate_effect, now, id,
             fmt::format("unsafe, sent to s-{} after s-{} may have run it", server, earlier->server));
     }
-    const bool key_is_forgotten = now >= earlier->started_at + spec.dedup_window + slack_;
-    if (spec.idempotency() == Idempotency::idempotency_key && key_is_forgotten) {
+    const bool dedup_window_is_over = now >= earlier->started_at + spec.dedup_window + slack_;
+    if (spec.idempotency() == Idempotency::idempotency_key && dedup_window_is_over) {
         add_violation(Invariant::no_duplicate_effect, now, id,
                       "keyed, sent again after servers forgot the key");
     }
@@ -249,14 +250,14 @@
 }
 
 void InvariantChecker::check_request_is_open(Millis now, ClientRequestId id, const RequestRecord& request) {
-    if (request.is_open || request.is_excused || now <= request.ended_at + slack_) return;
+    if (request.is_open || request.is_response_optional || now <= request.ended_at + slack_) return;
     add_violation(Invariant::one_final_outcome, now, id,
                   request.client_left ? "sent to a server after its caller had gone"
                                       : "sent to a server after its final answer");
 }
 
-void InvariantChecker::note_concurrent_attempts(Millis now, ClientRequestId id,
-                                                const RequestRecord& request) {
+void InvariantChecker::record_concurrent_attempts(Millis now, ClientRequestId id,
+                                                  const RequestRecord& request) {
     for (std::uint32_t i = 0; i < request.attempts.size(); ++i) {
         if (request.attempts[i].is_outstanding) concurrent_attempts_.push_back({id, i, now});
     }
@@ -266,10 +267,10 @@
                                    std::uint32_t sidecar) {
     const EndpointView* const view = find_view(sidecar, server);
     if (!view || view->state == EndpointState::active) return;
-    if (now <= view->left_active_at + scenario_.invariants.drain_grace + slack_) return;
+    if (now <= view->inactive_since + scenario_.invariants.drain_grace + slack_) return;
     add_violation(Invariant::drain_respected, now, id,
                   fmt::format("sent to s-{}, {}ms after n-{} was told that it drains or is gone", server,
-                              whole_ms(now - view->left_active_at), sidecar));
+                              whole_ms(now - view->inactive_since), sidecar));
 }
 
 bool InvariantChecker::on_attempt_delivered(Millis now, ClientRequestId id, std::uint32_t attempt_number,
@@ -284,9 +285,9 @@
 bool InvariantChecker::check_cold_server(Millis now, ClientRequestId id, std::uint32_t server,
                                          std::uint32_t sidecar, const ServerLoad& load) {
     const EndpointView* const view = find_view(sidecar, server);
-    const bool sender_knew_of_start = view && view->online_since >= load.started_at;
+    const bool sender_notified_of_start = view && view->online_since >= load.started_at;
     ColdServerLoad& cold_load = cold_loads_[server];
-    cold_load.add({now, load.work, sender_knew_of_start}, now - scenario_.invariants.overload_window,
+    cold_load.add({now, load.work, sender_notified_of_start}, now - scenario_.invariants.overload_window,
                   load.started_at);
     const Millis work = cold_load.work();
     const Millis allowed = allowed_cold_work(scenario_, load.capacity);
@@ -326,16 +327,16 @@
                       "two attempts out at once");
     }
     concurrent_attempts_.clear();
-    check_all_answered(now);
+    check_no_request_unanswered(now);
 }
 
-void InvariantChecker::check_all_answered(Millis now) {
-    std::vector<ClientRequestId> lost;
+void InvariantChecker::check_no_request_unanswered(Millis now) {
+    std::vector<ClientRequestId> unanswered;
     for (const auto& [id, request] : requests_) {
-        if (request.must_be_answered()) lost.push_back(id);
+        if (request.requires_response()) unanswered.push_back(id);
     }
-    std::sort(lost.begin(), lost.end());
-    for (const ClientRequestId id : lost) {
+    std::sort(unanswered.begin(), unanswered.end());
+    for (const ClientRequestId id : unanswered) {
         add_violation(Invariant::one_final_outcome, now, id, "never answered");
     }
 }
--- a/src/simulation/checking/invariant_checker.hpp
+++ b/src/simulation/checking/invariant_checker.hpp
@@ -55,7 +55,7 @@
     static constexpr double kPromptFailureShare = 0.25;
     /// Lateness allowed to a sidecar with part of a core, in virtual time as well: what every limit has on
     /// sockets.
-    static constexpr Millis kStarvedSlack = 50;
+    static constexpr Millis kCpuLimitedSlack = 50;
 
     /// \param slack  by which every limit of time is extended
     InvariantChecker(const Scenario& scenario, const ClientModel& clients, Millis slack);
@@ -65,11 +65,11 @@
     void on_request_sent(Millis now, const ClientRequest& request);
     /// The last byte of a response has arrived, or the client's time was over (ResponseKind::none).
     ///
-    /// \param genuine  whether the body of a served response was made for this request
-    void on_response(Millis now, ClientRequestId id, ResponseKind answer, bool genuine = true);
+    /// \param matches_request  whether the body of a served response was made for this request
+    void on_response(Millis now, ClientRequestId id, ResponseKind response, bool matches_request = true);
     void on_client_left(Millis now, ClientRequestId id);
     /// The connection was closed without a response. Without any attempt the client knows that its request
-    /// was not taken, and it is excused; otherwise its outcome is lost.
+    /// was not taken, and it is excused; otherwise its outcome is unanswered.
     void on_connection_closed(Millis now, ClientRequestId id);
     /// The request needs no response: its sidecar was killed, or stopped as requested before any attempt.
     void waive_response(ClientRequestId id);
@@ -84,7 +84,7 @@
     /// Until it is resumed, responses to what it has and gets may be late. Every other limit holds.
     void on_sidecar_paused(std::uint32_t sidecar);
     void on_sidecar_resumed(std::uint32_t sidecar);
-    /// It has part of a core only, which allows it kStarvedSlack.
+    /// It has part of a core only, which allows it kCpuLimitedSlack.
     void on_sidecar_cpu_limited(std::uint32_t sidecar, bool limited);
     /// \}
 
@@ -110,7 +110,7 @@
     void on_unknown_request(Millis now, const std::string& description);
     /// \}
 
-    /// After the last observation: requests that are still open are lost.
+    /// After the last observation: requests that are still open are unanswered.
     void finish(Millis now);
 
     /// Violations of one invariant.
@@ -145,14 +145,14 @@
         Millis ended_at = 0;
         std::uint32_t sidecar = 0;
         bool is_open = true;  // no final response yet, and the client is there
-        bool is_excused = false;
+        bool is_response_optional = false;
         bool client_left = false;
         bool may_be_late = false;  // its sidecar was paused
         std::vector<Attempt> attempts;
 
-        const Attempt* first_that_may_have_run() const;
+        const Attempt* first_attempt_that_may_have_run() const;
         bool has_outstanding_attempt() const;
-        bool must_be_answered() const { return is_open && !is_excused && !may_be_late; }
+        bool requires_response() const { return is_open && !is_response_optional && !may_be_late; }
     };
     // An attempt that was outstanding when another of its request started. It is a violation unless it ends
     // within the slack.
@@ -164,7 +164,7 @@
     // What a sidecar was last notified of about a server.
     struct EndpointView {
         balancer::EndpointState state = balancer::EndpointState::active;
-        Millis left_active_at = 0;  // the first notice counts
+        Millis inactive_since = 0;  // the first notice counts
         Millis online_since = 0;
     };
 
@@ -176,18 +176,19 @@
 
     // One check each, in the order in which they are made.
     void check_response_in_time(Millis now, ClientRequestId id, const RequestRecord& request);
-    void check_response_genuine(Millis now, ClientRequestId id, const RequestRecord& request, bool genuine);
+    void check_response_matches(Millis now, ClientRequestId id, const RequestRecord& request,
+                                bool matches_request);
     void check_rejection_is_safe(Millis now, ClientRequestId id, const RequestRecord& request);
     void count_delayed_failure(Millis now, ClientRequestId id, const RequestRecord& request);
     void check_repetition_is_safe(Millis now, ClientRequestId id, const RequestRecord& request,
                                   std::uint32_t server);
     void check_attempt_limit(Millis now, ClientRequestId id, const RequestRecord& request);
     void check_request_is_open(Millis now, ClientRequestId id, const RequestRecord& request);
-    void note_concurrent_attempts(Millis now, ClientRequestId id, const RequestRecord& request);
+    void record_concurrent_attempts(Millis now, ClientRequestId id, const RequestRecord& request);
     void check_drain(Millis now, ClientRequestId id, std::uint32_t server, std::uint32_t sidecar);
     bool check_cold_server(Millis now, ClientRequestId id, std::uint32_t server, std::uint32_t sidecar,
                            const ServerLoad& load);
-    void check_all_answered(Millis now);
+    void check_no_request_unanswered(Millis now);
 
     const Scenario& scenario_;
     const ClientModel& clients_;
--- a/src/simulation/checking/sidecar_log.cpp
+++ b/src/simulation/checking/sidecar_log.cpp
@@ -12,7 +12,7 @@
 /// Of a span that goes on.
 constexpr Millis kOpenEnd = -1;
 /// Longest list of a rule's ends: a partition of hundreds would fill a page.
-constexpr std::size_t kMaxEndsText = 120;
+constexpr std::size_t kMaxEndsLength = 120;
 
 std::string ends_text(const fault_proxy::Rule& rule) {
     if (rule.groups.empty()) {
@@ -28,7 +28,7 @@
 
 std::string description_of(const fault_proxy::Rule& rule) {
     std::string ends = ends_text(rule);
-    if (ends.size() > kMaxEndsText) ends.replace(kMaxEndsText, std::string::npos, "...");
+    if (ends.size() > kMaxEndsLength) ends.replace(kMaxEndsLength, std::string::npos, "...");
     return std::string(fault_proxy::name_of(rule.type)) + " " + ends;
 }
 
--- a/src/simulation/reports/html_sections.cpp
+++ b/src/simulation/reports/html_sections.cpp
@@ -91,9 +91,9 @@
 std::string delivery_matrix(const std::vector<std::vector<std::uint64_t>>& deliveries) {
     static constexpr double kMaxCell = 14;
     static constexpr double kMaxSize = 480;
-    std::uint64_t most = 1;
+    std::uint64_t max_count = 1;
     for (const auto& receivers : deliveries) {
-        for (const std::uint64_t count : receivers) most = std::max(most, count);
+        for (const std::uint64_t count : receivers) max_count = std::max(max_count, count);
     }
     const double cell = std::min(kMaxCell, kMaxSize / static_cast<double>(deliveries.size()));
     std::string text = fmt::format(
@@ -107,7 +107,7 @@
                 "opacity='{:.2f}'><title>n-{} heard n-{} {} times</title></rect>",
                 Layout::kLeft + cell * static_cast<double>(from),
                 Layout::kTop + cell * static_cast<double>(to), cell - 0.5, cell - 0.5,
-                0.15 + 0.85 * static_cast<double>(count) / static_cast<double>(most), to, from, count);
+                0.15 + 0.85 * static_cast<double>(count) / static_cast<double>(max_count), to, from, count);
         }
     }
     return chart(cell * static_cast<double>(deliveries.size()), text);
@@ -133,15 +133,15 @@
 }
 
 std::string work_row(std::size_t row, std::size_t server, const std::vector<ServerSecond>& seconds,
-                     float most, const TimeAxis& axis) {
+                     float max_work, const TimeAxis& axis) {
     std::string text = row_label(row, "s-" + std::to_string(server));
     for (std::size_t i = 0; i < seconds.size() && static_cast<double>(i) < axis.seconds(); ++i) {
         const double from = axis.x(static_cast<double>(i));
         text += fmt::format(
             "<rect x='{:.1f}' y='{:.1f}' width='{:.1f}' height='13' fill='#1864ab' opacity='{:.2f}'>"
             "<title>s-{} at {}s: {:.0f}ms of work, {} attempts</title></rect>",
-            from, row_y(row), axis.x(static_cast<double>(i) + 1) - from - 0.5, seconds[i].work / most, server,
-            i, seconds[i].work, seconds[i].attempts);
+            from, row_y(row), axis.x(static_cast<double>(i) + 1) - from - 0.5, seconds[i].work / max_work,
+            server, i, seconds[i].work, seconds[i].attempts);
     }
     return text;
 }
@@ -246,15 +246,15 @@
 
 std::string work_chart(const Report& report, const TimeAxis& axis) {
     const auto& servers = report.metrics.servers;
-    float most = 1;  // work in one second
+    float max_work = 1;  // work in one second
     for (const auto& seconds : servers) {
-        for (const ServerSecond& second : seconds) most = std::max(most, second.work);
+        for (const ServerSecond& second : seconds) max_work = std::max(max_work, second.work);
     }
     const std::vector<std::size_t> rows = busiest_servers(servers);
     const double height = Layout::kRowHeight * static_cast<double>(rows.size());
     std::string text = chart_frame(axis, height, "Work sent to each server, by second (dark is much)");
     for (std::size_t row = 0; row < rows.size(); ++row) {
-        text += work_row(row, rows[row], servers[rows[row]], most, axis);
+        text += work_row(row, rows[row], servers[rows[row]], max_work, axis);
     }
     return chart(height, text);
 }
--- a/src/simulation/reports/latency_histogram.cpp
+++ b/src/simulation/reports/latency_histogram.cpp
@@ -17,9 +17,9 @@
     max_ = std::max(max_, latency);
 }
 
-Millis LatencyHistogram::quantile(double q) const {
+Millis LatencyHistogram::quantile(double fraction) const {
     if (count_ == 0) return 0;
-    const double rank = std::floor(q * static_cast<double>(count_ - 1) + 0.5) + 1;
+    const double rank = std::floor(fraction * static_cast<double>(count_ - 1) + 0.5) + 1;
     double counted = 0;
     for (const auto& bin : boost::histogram::indexed(bins_)) {
         counted += static_cast<double>(*bin);
--- a/src/simulation/reports/latency_histogram.hpp
+++ b/src/simulation/reports/latency_histogram.hpp
@@ -22,7 +22,7 @@
 
     void add(Millis latency);
     /// The latency at rank `q` from 0 to 1, at most max(). 0 if there are none.
-    Millis quantile(double q) const;
+    Millis quantile(double fraction) const;
     /// The greatest latency, exactly.
     Millis max() const { return max_; }
     std::size_t count() const { return count_; }
--- a/src/simulation/reports/service_metrics.cpp
+++ b/src/simulation/reports/service_metrics.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr Millis kSecond = 1000;
-constexpr Millis kTenth = 100;
+constexpr Millis kTenthOfSecond = 100;
 /// Seconds with less than this share of the mean offered value say too little to be the worst.
 constexpr double kMinTrafficShare = 0.5;
 /// Attempts that end later than this after the last arrival are not part of any plot.
@@ -38,7 +38,7 @@
       servers_(scenario.fleet.servers),
       class_latencies_(classes_.size()),
       second_latencies_(seconds_.size()),
-      tenths_(intervals(scenario.overview.duration, kTenth)) {
+      values_by_tenth_(intervals(scenario.overview.duration, kTenthOfSecond)) {
     for (std::size_t i = 0; i < classes_.size(); ++i) classes_[i].name = scenario.classes[i].name;
 }
 
@@ -51,26 +51,27 @@
     seconds[second].work += static_cast<float>(work);
 }
 
-void ServiceMetrics::on_operation_ended(Millis now, OperationId operation, ResponseKind answer) {
+void ServiceMetrics::on_operation_ended(Millis now, OperationId operation, ResponseKind response) {
     const ClientArrival& arrival = clients_.arrival_of(operation);
     const ClassSpec& spec = scenario_.classes[arrival.class_index];
     ClassReport& class_report = classes_[arrival.class_index];
     const std::size_t second = std::min(static_cast<std::size_t>(arrival.at / kSecond), seconds_.size() - 1);
-    const std::size_t tenth = std::min(static_cast<std::size_t>(arrival.at / kTenth), tenths_.size() - 1);
+    const std::size_t tenth =
+        std::min(static_cast<std::size_t>(arrival.at / kTenthOfSecond), values_by_tenth_.size() - 1);
     const Millis latency = now - arrival.at;
     const double value = spec.priority_weight * clients_.work(operation);
-    const bool is_served = answer == ResponseKind::served;
+    const bool is_served = response == ResponseKind::served;
     const bool is_delivered = is_served && latency <= spec.latency_objective;
 
     add_operation(class_report, value, is_delivered);
     add_operation(seconds_[second], value, is_delivered);
-    tenths_[tenth].offered += value;
-    if (is_delivered) tenths_[tenth].delivered += value;
+    values_by_tenth_[tenth].offered += value;
+    if (is_delivered) values_by_tenth_[tenth].delivered += value;
     if (is_served) {
         class_latencies_[arrival.class_index].add(latency);
         second_latencies_[second].add(latency);
         if (!is_delivered) ++class_report.late;
-    } else if (answer == ResponseKind::rejected) {
+    } else if (response == ResponseKind::rejected) {
         ++class_report.rejected;
     } else {
         ++class_report.failed;
@@ -83,21 +84,22 @@
 
 double ServiceMetrics::goodput_between(Millis start, Millis end) const {
     const auto nearest_tenth = [](Millis time) {
-        return static_cast<std::size_t>(std::floor(std::max(0.0, time) / kTenth + 0.5));
+        return static_cast<std::size_t>(std::floor(std::max(0.0, time) / kTenthOfSecond + 0.5));
     };
-    const std::size_t last = std::min(nearest_tenth(end), tenths_.size());
+    const std::size_t last = std::min(nearest_tenth(end), values_by_tenth_.size());
     Value sum;
     for (std::size_t i = nearest_tenth(start); i < last; ++i) {
-        sum.offered += tenths_[i].offered;
-        sum.delivered += tenths_[i].delivered;
+        sum.offered += values_by_tenth_[i].offered;
+        sum.delivered += values_by_tenth_[i].delivered;
     }
     return sum.offered > 0 ? sum.delivered / sum.offered : 1;
 }
 
 Millis ServiceMetrics::time_to_reach(double goodput, Millis start, Millis end) const {
-    const double reached = goodput * SurgeReport::kRecoveredShare;
+    const double target = goodput * SurgeReport::kRecoveredShare;
     Millis at = start;
-    while (at + kTenth < end && goodput_between(at, at + SurgeReport::kWindow) < reached) at += kTenth;
+    while (at + kTenthOfSecond < end && goodput_between(at, at + SurgeReport::kWindow) < target)
+        at += kTenthOfSecond;
     return at - start;
 }
 
--- a/src/simulation/reports/service_metrics.hpp
+++ b/src/simulation/reports/service_metrics.hpp
@@ -71,7 +71,7 @@
     /// An attempt with that work has reached a server.
     void on_attempt(Millis now, std::uint32_t server, Millis work);
     /// A whole operation ended with `answer` to its last request. Not called if its client left.
-    void on_operation_ended(Millis now, OperationId operation, ResponseKind answer);
+    void on_operation_ended(Millis now, OperationId operation, ResponseKind response);
     void on_client_left(OperationId operation);
 
     /// The figures of a run.
@@ -107,7 +107,7 @@
     std::vector<std::vector<ServerSecond>> servers_;
     std::vector<LatencyHistogram> class_latencies_;
     std::vector<LatencyHistogram> second_latencies_;
-    std::vector<Value> tenths_;  // of seconds
+    std::vector<Value> values_by_tenth_;  // of seconds
 };
 
 }  // namespace elmbay::simulation
--- a/src/simulation/reports/statistics.cpp
+++ b/src/simulation/reports/statistics.cpp
@@ -40,8 +40,8 @@
     for (std::size_t i = 0; i < a.size(); ++i) differences.push_back(b[i] - a[i]);
     const Summary summary = summarize(differences);
     const boost::math::students_t distribution(static_cast<double>(a.size() - 1));
-    const double t = boost::math::quantile(distribution, 0.5 + kConfidence / 2);
-    return {summary.mean, t * summary.deviation / std::sqrt(static_cast<double>(a.size()))};
+    const double t_quantile = boost::math::quantile(distribution, 0.5 + kConfidence / 2);
+    return {summary.mean, t_quantile * summary.deviation / std::sqrt(static_cast<double>(a.size()))};
 }
 
 }  // namespace elmbay::simulation
--- a/src/simulation/reports/statistics.hpp
+++ b/src/simulation/reports/statistics.hpp
@@ -21,9 +21,9 @@
 
 /// Difference between two series of runs with the same seeds.
 struct PairedDifference {
-    double mean = 0;    ///< Of b - a.
-    double chance = 0;  ///< Half the width of its 95% confidence interval (Student's t).
-    bool differs() const { return mean < -chance || mean > chance; }
+    double mean = 0;        ///< Of b - a.
+    double half_width = 0;  ///< Half the width of its 95% confidence interval (Student's t).
+    bool is_significant() const { return mean < -half_width || mean > half_width; }
 };
 /// \throws std::invalid_argument  unless both have the same length of at least two
 PairedDifference paired_difference(const std::vector<double>& a, const std::vector<double>& b);
--- a/src/simulation/reports/svg_chart.cpp
+++ b/src/simulation/reports/svg_chart.cpp
@@ -60,8 +60,8 @@
 
 std::string escape_html(const std::string& text) {
     std::string escaped;
-    for (const char c : text) {
-        switch (c) {
+    for (const char character : text) {
+        switch (character) {
             case '<':
                 escaped += "&lt;";
                 break;
@@ -75,15 +75,15 @@
                 escaped += "&quot;";
                 break;
             default:
-                escaped += c;
+                escaped += character;
         }
     }
     return escaped;
 }
 
 double round_up_for_axis(double value) {
-    static constexpr double kSmallest = 1e-9;
-    const double power = std::pow(10, std::floor(std::log10(std::max(value, kSmallest))));
+    static constexpr double kMinValue = 1e-9;
+    const double power = std::pow(10, std::floor(std::log10(std::max(value, kMinValue))));
     for (const double multiple : {1.0, 2.0, 4.0, 8.0}) {
         if (value <= multiple * power) return multiple * power;
     }
@@ -109,9 +109,9 @@
 }
 
 std::string chart_frame(const TimeAxis& axis, double height, const std::string& title) {
-    static constexpr double kRounding = 1e-9;
+    static constexpr double kRoundingError = 1e-9;
     std::string text = fmt::format("<text x='{}' y='14' class='title'>{}</text>", Layout::kLeft, title);
-    for (double second = 0; second <= axis.seconds() + kRounding; second += axis.tick_interval()) {
+    for (double second = 0; second <= axis.seconds() + kRoundingError; second += axis.tick_interval()) {
         text += fmt::format(
             "<line x1='{0:.1f}' x2='{0:.1f}' y1='{1}' y2='{2}' class='grid'/>"
             "<text x='{0:.1f}' y='{3}' class='tick' text-anchor='middle'>{4:.0f}s</text>",
--- a/src/simulation/reports/sweep.cpp
+++ b/src/simulation/reports/sweep.cpp
@@ -28,17 +28,24 @@
 };
 
 constexpr auto kMetrics = std::to_array<Metric>({
-    {"goodput", MetricScope::every_run, [](const Report& r) { return r.metrics.goodput; }},
-    {"worst_class", MetricScope::every_run, [](const Report& r) { return r.metrics.min_class_goodput; }},
-    {"worst_second", MetricScope::every_run, [](const Report& r) { return r.metrics.min_second_goodput; }},
-    {"attempts", MetricScope::every_run, [](const Report& r) { return r.attempts_per_request; }},
-    {"settled", MetricScope::load_surges, [](const Report& r) { return r.metrics.surge.settled_goodput; }},
-    {"onset", MetricScope::load_surges, [](const Report& r) { return r.metrics.surge.onset_ratio; }},
-    {"settle_ms", MetricScope::load_surges, [](const Report& r) { return r.metrics.surge.settling_time; }},
-    {"recover_ms", MetricScope::load_surges, [](const Report& r) { return r.metrics.surge.recovery_time; }},
-    {"restart_goodput", MetricScope::restarts, [](const Report& r) { return r.after_restart.goodput(); }},
+    {"goodput", MetricScope::every_run, [](const Report& report) { return report.metrics.goodput; }},
+    {"worst_class", MetricScope::every_run,
+     [](const Report& report) { return report.metrics.min_class_goodput; }},
+    {"worst_second", MetricScope::every_run,
+     [](const Report& report) { return report.metrics.min_second_goodput; }},
+    {"attempts", MetricScope::every_run, [](const Report& report) { return report.attempts_per_request; }},
+    {"settled", MetricScope::load_surges,
+     [](const Report& report) { return report.metrics.surge.settled_goodput; }},
+    {"onset", MetricScope::load_surges,
+     [](const Report& report) { return report.metrics.surge.onset_ratio; }},
+    {"settle_ms", MetricScope::load_surges,
+     [](const Report& report) { return report.metrics.surge.settling_time; }},
+    {"recover_ms", MetricScope::load_surges,
+     [](const Report& report) { return report.metrics.surge.recovery_time; }},
+    {"restart_goodput", MetricScope::restarts,
+     [](const Report& report) { return report.after_restart.goodput(); }},
     {"restart_failed", MetricScope::restarts,
-     [](const Report& r) { return static_cast<double>(r.after_restart.failed); }},
+     [](const Report& report) { return static_cast<double>(report.after_restart.failed); }},
 });
 
 bool has_metric(const Report& report, const Metric& metric) {
@@ -83,24 +90,24 @@
         const unsigned count =
             options_.threads > 0 ? options_.threads : std::max(1U, std::thread::hardware_concurrency());
         {
-            std::vector<std::jthread> others;
-            for (unsigned i = 1; i < count; ++i) others.emplace_back([this] { work(); });
+            std::vector<std::jthread> additional_threads;
+            for (unsigned i = 1; i < count; ++i) additional_threads.emplace_back([this] { work(); });
             work();
-        }  // joins the others
-        if (error_) std::rethrow_exception(error_);
+        }  // joins the additional_threads
+        if (first_error_) std::rethrow_exception(first_error_);
     }
 
 private:
     void work() {
-        for (std::size_t i = next_++; i < tasks_.size(); i = next_++) {
+        for (std::size_t i = next_task_++; i < tasks_.size(); i = next_task_++) {
             try {
                 run(tasks_[i]);
             } catch (...) {
                 const std::lock_guard lock(mutex_);
-                if (!error_) error_ = std::current_exception();
-                next_ = tasks_.size();
+                if (!first_error_) first_error_ = std::current_exception();
+                next_task_ = tasks_.size();
             }
-            report_progress(++done_);
+            report_progress(++done_count_);
         }
     }
 
@@ -112,27 +119,28 @@
         task.report = run_virtual_simulation(scenario, options);
     }
 
-    void report_progress(std::size_t done) {
+    void report_progress(std::size_t done_count) {
         const std::lock_guard lock(mutex_);
         if (!options_.progress) return;
-        options_.progress(static_cast<double>(done) / static_cast<double>(tasks_.size()));
+        options_.progress(static_cast<double>(done_count) / static_cast<double>(tasks_.size()));
     }
 
     std::vector<Task>& tasks_;
     const std::vector<std::string>& texts_;
     const std::string& name_;
     const SweepOptions& options_;
-    std::atomic<std::size_t> next_ = 0;
-    std::atomic<std::size_t> done_ = 0;
-    std::mutex mutex_;  // of error_ and the calls of progress
-    std::exception_ptr error_;
+    std::atomic<std::size_t> next_task_ = 0;
+    std::atomic<std::size_t> done_count_ = 0;
+    std::mutex mutex_;  // of first_error_ and the calls of progress
+    std::exception_ptr first_error_;
 };
 
 /// The text of the scenario for each row.
 std::vector<std::string> row_texts(const std::string& text, const SweepOptions& options) {
     if (options.key.empty()) return {text};
     std::vector<std::string> texts;
-    for (const std::string& value : options.values) texts.push_back(with_value(text, options.key, value));
+    for (const std::string& value : options.values)
+        texts.push_back(set_scenario_value(text, options.key, value));
     if (texts.empty()) throw std::invalid_argument("no values for '" + options.key + "'");
     return texts;
 }
--- a/src/simulation/reports/sweep_report.cpp
+++ b/src/simulation/reports/sweep_report.cpp
@@ -97,13 +97,13 @@
     std::string text =
         fmt::format("  rules broken in {} runs of A, {} of B\n", a.violating_runs, b.violating_runs);
     text += fmt::format("  {:<14}{:>10}{:>10}{:>11}{:>13}\n", "", "A", "B", "B - A", "chance (95%)");
-    for (const MetricSeries& of_a : a.metrics) {
-        const MetricSeries* const of_b = b.metric(of_a.name);
-        if (!of_b) continue;
-        const PairedDifference difference = paired_difference(of_a.values, of_b->values);
-        text += fmt::format("  {:<14}{:>10.4f}{:>10.4f}{:>+11.4f}{:>13.4f}  {}\n", of_a.name,
-                            mean(of_a.values), mean(of_b->values), difference.mean, difference.chance,
-                            difference.differs() ? "more than chance" : "");
+    for (const MetricSeries& series_a : a.metrics) {
+        const MetricSeries* const series_b = b.metric(series_a.name);
+        if (!series_b) continue;
+        const PairedDifference difference = paired_difference(series_a.values, series_b->values);
+        text += fmt::format("  {:<14}{:>10.4f}{:>10.4f}{:>+11.4f}{:>13.4f}  {}\n", series_a.name,
+                            mean(series_a.values), mean(series_b->values), difference.mean,
+                            difference.half_width, difference.is_significant() ? "more than chance" : "");
     }
     return text;
 }
--- a/src/simulation/reports/text_report.cpp
+++ b/src/simulation/reports/text_report.cpp
@@ -142,8 +142,8 @@
 
 std::string comparison_of(const Report& a, const Report& b) {
     std::string text = fmt::format("{:<28}{:>22}{:>22}\n", a.scenario, a.balancer, b.balancer);
-    const auto add_row = [&](const std::string& name, double of_a, double of_b, int digits) {
-        text += fmt::format("{:<28}{:>22.{}f}{:>22.{}f}\n", name, of_a, digits, of_b, digits);
+    const auto add_row = [&](const std::string& name, double value_a, double value_b, int digits) {
+        text += fmt::format("{:<28}{:>22.{}f}{:>22.{}f}\n", name, value_a, digits, value_b, digits);
     };
     for (std::size_t i = 0; i < a.invariants.size(); ++i) {
         text += fmt::format("{:<28}{:>22}{:>22}\n", a.invariants[i].name, verdict_cell(a.invariants[i]),
@@ -155,11 +155,11 @@
     add_row("attempts a try", a.attempts_per_request, b.attempts_per_request, 4);
     const std::size_t classes = std::min(a.metrics.classes.size(), b.metrics.classes.size());
     for (std::size_t i = 0; i < classes; ++i) {
-        const ClassReport& of_a = a.metrics.classes[i];
-        const ClassReport& of_b = b.metrics.classes[i];
-        add_row(of_a.name + " goodput", of_a.goodput(), of_b.goodput(), 4);
-        add_row(of_a.name + " p50 ms", of_a.p50, of_b.p50, 0);
-        add_row(of_a.name + " p99 ms", of_a.p99, of_b.p99, 0);
+        const ClassReport& class_a = a.metrics.classes[i];
+        const ClassReport& class_b = b.metrics.classes[i];
+        add_row(class_a.name + " goodput", class_a.goodput(), class_b.goodput(), 4);
+        add_row(class_a.name + " p50 ms", class_a.p50, class_b.p50, 0);
+        add_row(class_a.name + " p99 ms", class_a.p99, class_b.p99, 0);
     }
     return text;
 }
--- a/src/simulation/scenario/fault_overlap.cpp
+++ b/src/simulation/scenario/fault_overlap.cpp
@@ -18,21 +18,21 @@
     const FaultSpec* fault = nullptr;
 };
 
-/// Faults of one family exclude each other on one process. Faults on a server that do not end its process are
-/// a family for each kind.
-struct FaultFamily {
+/// Faults of one group exclude each other on one process. Faults on a server that do not end its process are
+/// a group for each kind.
+struct ExclusionGroup {
     enum class Type { ends_process, sidecar, same_kind } type = Type::same_kind;
     std::string kind_name;  ///< Of same_kind.
 
-    bool operator<(const FaultFamily& other) const {
+    bool operator<(const ExclusionGroup& other) const {
         return std::tie(type, kind_name) < std::tie(other.type, other.kind_name);
     }
 };
 
-FaultFamily family_of(const FaultSpec& fault) {
-    if (ends_server_process(fault.kind)) return {FaultFamily::Type::ends_process, ""};
-    if (targets_sidecars(fault.kind)) return {FaultFamily::Type::sidecar, ""};
-    return {FaultFamily::Type::same_kind, fault.kind_name};
+ExclusionGroup exclusion_group_of(const FaultSpec& fault) {
+    if (ends_server_process(fault.kind)) return {ExclusionGroup::Type::ends_process, ""};
+    if (targets_sidecars(fault.kind)) return {ExclusionGroup::Type::sidecar, ""};
+    return {ExclusionGroup::Type::same_kind, fault.kind_name};
 }
 
 Millis end_of(const FaultSpec& fault, std::size_t nth_target, const Scenario& scenario) {
@@ -41,17 +41,17 @@
     return fault.kind == FaultKind::drain ? end + fault.linger : end;
 }
 
-bool overlap(const ActiveSpan& a, const ActiveSpan& b, FaultFamily::Type type) {
+bool overlap(const ActiveSpan& a, const ActiveSpan& b, ExclusionGroup::Type type) {
     // A sidecar that is restored at the moment of its next fault: their order would be arbitrary.
-    if (type == FaultFamily::Type::sidecar) return a.start <= b.end && b.start <= a.end;
+    if (type == ExclusionGroup::Type::sidecar) return a.start <= b.end && b.start <= a.end;
     return a.start < b.end && b.start < a.end;
 }
 
 std::string server_name(std::uint32_t server) { return "s-" + std::to_string(server); }
 
-std::string conflict_text(const FaultSpec& fault, FaultFamily::Type type, std::uint32_t process) {
-    if (type == FaultFamily::Type::ends_process) return server_name(process) + " can't end twice";
-    if (type == FaultFamily::Type::sidecar) return "n-" + std::to_string(process) + " is hit twice";
+std::string conflict_text(const FaultSpec& fault, ExclusionGroup::Type type, std::uint32_t process) {
+    if (type == ExclusionGroup::Type::ends_process) return server_name(process) + " can't end twice";
+    if (type == ExclusionGroup::Type::sidecar) return "n-" + std::to_string(process) + " is hit twice";
     return "two of '" + fault.kind_name + "' overlap on " +
            (has_no_targets(fault.kind) ? "it" : server_name(process));
 }
@@ -91,14 +91,14 @@
     }
 
     void add(const FaultSpec& fault, std::size_t nth_target, std::uint32_t process) {
-        const FaultFamily family = family_of(fault);
+        const ExclusionGroup group = exclusion_group_of(fault);
         const ActiveSpan span{fault.start_of(nth_target), end_of(fault, nth_target, scenario_), &fault};
         if (ends_server_process(fault.kind)) check_has_joined(span, process);
-        std::vector<ActiveSpan>& spans = spans_[{process, family}];
+        std::vector<ActiveSpan>& spans = spans_[{process, group}];
         for (const ActiveSpan& other : spans) {
-            if (!overlap(span, other, family.type)) continue;
+            if (!overlap(span, other, group.type)) continue;
             problems_.push_back({fault.line, "fault.at",
-                                 conflict_text(fault, family.type, process) + ": " + span_text(other)});
+                                 conflict_text(fault, group.type, process) + ": " + span_text(other)});
         }
         spans.push_back(span);
     }
@@ -112,7 +112,7 @@
     const Scenario& scenario_;
     Problems& problems_;
     std::map<std::uint32_t, const FaultSpec*> joins_;
-    std::map<std::pair<std::uint32_t, FaultFamily>, std::vector<ActiveSpan>> spans_;
+    std::map<std::pair<std::uint32_t, ExclusionGroup>, std::vector<ActiveSpan>> spans_;
 };
 
 }  // namespace
--- a/src/simulation/scenario/random_fault_schedule.cpp
+++ b/src/simulation/scenario/random_fault_schedule.cpp
@@ -34,12 +34,12 @@
                                   : kServerFaults[random_.below(std::size(kServerFaults))];
         write_time();
         write_targets();
-        write_strength();
+        write_parameters();
         return text_;
     }
 
 private:
-    bool is(const char* kind) const { return kind_ == kind; }
+    bool is_kind(const char* kind) const { return kind_ == kind; }
 
     /// Whole tenths of a second: they read well and are the same on every machine.
     std::string draw_duration(std::uint64_t min_tenths, std::uint64_t max_tenths) {
@@ -56,18 +56,18 @@
         const auto scenario_tenths = static_cast<std::uint64_t>(options_.duration / 100);
         text_ +=
             fmt::format("[[fault]]\nkind = \"{}\"\nat = {}\n", kind_, draw_duration(5, scenario_tenths - 30));
-        if (!is("sidecar-restart")) text_ += fmt::format("lasts = {}\n", draw_duration(2, 40));
+        if (!is_kind("sidecar-restart")) text_ += fmt::format("lasts = {}\n", draw_duration(2, 40));
     }
 
     void write_targets() {
-        if (is("split")) {
+        if (is_kind("split")) {
             write_partition();
-        } else if (is("one-way") || is("lossy") || is("late-messages")) {
+        } else if (is_kind("one-way") || is_kind("lossy") || is_kind("late-messages")) {
             // Receivers are drawn before senders, which is part of what a seed means.
             const std::string to = draw_link_end();
             const std::string from = draw_link_end();
             text_ += fmt::format("from = [\"{}\"]\nto = [\"{}\"]\n", from, to);
-        } else if (!is("load") && !is("list-late")) {
+        } else if (!is_kind("load") && !is_kind("list-late")) {
             text_ += fmt::format("who = \"{}\"\n", targets_sidecars_ ? draw_name("n-", options_.sidecars)
                                                                      : draw_name("s-", options_.servers));
         }
@@ -84,13 +84,14 @@
         text_ += fmt::format("groups = [\"{}\", \"{}\"]\n", groups[0], groups[1]);
     }
 
-    void write_strength() {
-        if (is("starve") || is("fail-fast") || is("neighbour") || is("lossy")) {
+    void write_parameters() {
+        if (is_kind("starve") || is_kind("fail-fast") || is_kind("neighbour") || is_kind("lossy")) {
             text_ += fmt::format("share = {:.1f}\n", 0.1 * static_cast<double>(1 + random_.below(9)));
         }
-        if (is("load")) text_ += fmt::format("times = {}\n", 2 + random_.below(4));
-        if (is("other-settings")) text_ += fmt::format("set = [\"siblings={}\"]\n", 1 + random_.below(8));
-        if (is("late-messages") || is("list-late")) {
+        if (is_kind("load")) text_ += fmt::format("times = {}\n", 2 + random_.below(4));
+        if (is_kind("other-settings"))
+            text_ += fmt::format("set = [\"siblings={}\"]\n", 1 + random_.below(8));
+        if (is_kind("late-messages") || is_kind("list-late")) {
             text_ += fmt::format("delay = {}\n", draw_duration(1, 20));
         }
     }
@@ -124,7 +125,7 @@
 }  // namespace
 
 std::string RandomFaultSchedule::text() const {
-    std::string text = head;
+    std::string text = settings_text;
     for (const std::string& fault : faults) text += "\n" + fault;
     return text;
 }
@@ -133,7 +134,7 @@
     Random random = random_stream(seed, StreamPurpose::fault_schedule);
     RandomFaultSchedule schedule;
     // Membership is on, so that there are messages for the faults on messages.
-    schedule.head = fmt::format(
+    schedule.settings_text = fmt::format(
         "about = \"storm {0}\"\nseed = {0}\nlength = \"{1}ms\"\n[fleet]\nservers = {2}\n[sidecars]\n"
         "count = {3}\ncluster = true\n[callers]\nrate = {4}\n",
         seed, options.duration, options.servers, options.sidecars, options.request_rate);
@@ -146,7 +147,7 @@
 RandomFaultSchedule shrink_schedule(RandomFaultSchedule schedule,
                                     const std::function<bool(const RandomFaultSchedule&)>& fails) {
     schedule.faults = process_testbed::shrink(schedule.faults, [&](const std::vector<std::string>& faults) {
-        return fails({schedule.head, faults});
+        return fails({schedule.settings_text, faults});
     });
     return schedule;
 }
--- a/src/simulation/scenario/random_fault_schedule.hpp
+++ b/src/simulation/scenario/random_fault_schedule.hpp
@@ -23,7 +23,7 @@
 
 /// A scenario file in parts, so that faults can be left out.
 struct RandomFaultSchedule {
-    std::string head;                 ///< All but the faults.
+    std::string settings_text;        ///< All but the faults.
     std::vector<std::string> faults;  ///< A `[[fault]]` each.
     /// The whole file.
     std::string text() const;
--- a/src/simulation/scenario/scenario_key.cpp
+++ b/src/simulation/scenario/scenario_key.cpp
@@ -60,7 +60,7 @@
 
 }  // namespace
 
-std::string with_value(const std::string& text, const std::string& key, const std::string& value) {
+std::string set_scenario_value(const std::string& text, const std::string& key, const std::string& value) {
     toml::table root = toml::parse(text);
     const toml::table parsed = parse_value(value);
     const std::vector<std::string> parts = parts_of(key);
--- a/src/simulation/scenario/scenario_key.hpp
+++ b/src/simulation/scenario/scenario_key.hpp
@@ -11,6 +11,6 @@
 /// \param key    parts joined by dots; entries of lists count from 1: "fault.1.times"
 /// \param value  as it would stand in the file; the quotes of a text may be left out
 /// \throws std::invalid_argument  if the key names nothing
-std::string with_value(const std::string& text, const std::string& key, const std::string& value);
+std::string set_scenario_value(const std::string& text, const std::string& key, const std::string& value);
 
 }  // namespace elmbay::simulation
--- a/src/simulation/scenario/scenario_validation.cpp
+++ b/src/simulation/scenario/scenario_validation.cpp
@@ -66,8 +66,8 @@
 
 /// Whether the fault comes and goes, so that its pulse has to fit into its period.
 bool is_pulsed(const FaultSpec& fault) {
-    const bool is_spiky_load = fault.kind == FaultKind::load_surge && fault.load_shape == "spikes";
-    return fault.kind == FaultKind::freeze || fault.intermittent || is_spiky_load;
+    const bool has_spikes = fault.kind == FaultKind::load_surge && fault.load_shape == "spikes";
+    return fault.kind == FaultKind::freeze || fault.intermittent || has_spikes;
 }
 
 void validate_replacement(const FaultSpec& fault, std::size_t index, Problems& problems) {
--- a/src/simulation/scenario/timeline.cpp
+++ b/src/simulation/scenario/timeline.cpp
@@ -208,8 +208,8 @@
                                       ++notice_count[server]);
         const Millis delay =
             uniform(random, scenario.registry.min_notice_delay, scenario.registry.max_notice_delay);
-        const Millis known_at = step.at + list_delay_at(scenario, step.at) + delay;
-        last_notice[server] = std::max(last_notice[server], known_at);
+        const Millis listed_at = step.at + list_delay_at(scenario, step.at) + delay;
+        last_notice[server] = std::max(last_notice[server], listed_at);
         const Millis online_since = step.kind == StepKind::start ? step.at : 0;
         notices.push_back({last_notice[server], server, state_after(step.kind), online_since});
     }
--- a/tools/simulation/commands.cpp
+++ b/tools/simulation/commands.cpp
@@ -90,8 +90,9 @@
 }
 
 /// The sweep that a file has, or one that is run with a policy.
-Sweep compared_sweep(const std::string& which, const CommandOptions& options) {
-    return is_report_file(which) ? sweep_from_json(read_file(which)) : sweep_with(which, options);
+Sweep compared_sweep(const std::string& policy_or_file, const CommandOptions& options) {
+    return is_report_file(policy_or_file) ? sweep_from_json(read_file(policy_or_file))
+                                          : sweep_with(policy_or_file, options);
 }
 
 int compare_sweeps(const CommandOptions& options) {
@@ -111,16 +112,16 @@
     explicit ReportSource(const CommandOptions& options) : options_(options) {}
 
     /// The report that a file has, or that of a run with a policy or a sidecar command.
-    Report report(const std::string& which) {
-        if (is_report_file(which)) return report_from_json(read_file(which));
-        if (!options_.on_sockets && !is_policy(which)) {
-            throw UsageError("'" + which +
+    Report report(const std::string& policy_or_file) {
+        if (is_report_file(policy_or_file)) return report_from_json(read_file(policy_or_file));
+        if (!options_.on_sockets && !is_policy(policy_or_file)) {
+            throw UsageError("'" + policy_or_file +
                              "' is neither a balancer (`run --help` lists them) nor a .json report; "
                              "with --real it would be a command");
         }
         if (!scenario_) scenario_ = load_scenario(options_.scenario, options_.seed);
-        return options_.on_sockets ? run_on_sockets(*scenario_, which, options_)
-                                   : run_in_virtual_time(*scenario_, which, "", options_.quiet);
+        return options_.on_sockets ? run_on_sockets(*scenario_, policy_or_file, options_)
+                                   : run_in_virtual_time(*scenario_, policy_or_file, "", options_.quiet);
     }
 
 private:
--- a/tools/simulation/storm.cpp
+++ b/tools/simulation/storm.cpp
@@ -34,10 +34,10 @@
         const Report report = run_schedule(candidate, options);
         return report.timer_lateness.is_acceptable() && !report.invariants_hold();
     };
-    const RandomFaultSchedule least = shrink_schedule(schedule, fails);
+    const RandomFaultSchedule smallest = shrink_schedule(schedule, fails);
     const std::string& path = options.failed_storm_path;
-    write_file(path, least.text());
-    std::cout << "down to " << least.faults.size() << " faults of " << schedule.faults.size() << ", in "
+    write_file(path, smallest.text());
+    std::cout << "down to " << smallest.faults.size() << " faults of " << schedule.faults.size() << ", in "
               << path << "; `elmbay_simulation run " << path << (options.on_sockets ? " --real" : "")
               << "` plays it again\n";
 }
