--- a/src/simulation/baselines/attempt_outcome.hpp
+++ b/src/simulation/baselines/attempt_outcome.hpp
@@ -1,5 +1,5 @@
-/// \file
-/// What the outcome of an attempt says about its request.
+/// @file
+/// Conclusions from the outcome of an attempt.
 #pragma once
 
 #include "elmbay/balancer.hpp"
--- a/src/simulation/baselines/balancing_policy.hpp
+++ b/src/simulation/baselines/balancing_policy.hpp
@@ -1,6 +1,6 @@
-/// \file
-/// What decides in a simulated sidecar: the interface of elmbay's decision module and of those it is compared
-/// with.
+/// @file
+/// Interface of the decision module of a simulated sidecar, which elmbay's own module and the baseline
+/// policies implement.
 #pragma once
 
 #include <vector>
@@ -13,17 +13,18 @@
 
 class ServiceModel;
 
-/// A decision module. Each simulated sidecar owns one for each of its processes. Not thread-safe.
+/// A decision module. Each process of a simulated sidecar has its own instance. Not thread-safe.
 class BalancingPolicy {
 public:
     virtual ~BalancingPolicy() = default;
 
-    /// Gives access to the servers' state, before the first event. Only the oracle uses it, which is no
-    /// balancer that could be built. The model outlives the policy.
+    /// Gives access to the state of the servers. Called before the first event. Only the oracle uses the
+    /// model, which no real balancer could have. The model must outlive the policy.
     virtual void set_service_model(const ServiceModel& /*service_model*/) {}
-    /// As balancer::Balancer::handle(): appends the actions that follow from the event.
+    /// Appends the actions that follow from the event, as balancer::Balancer::handle() does.
     virtual void handle(Millis now, const balancer::Event& event, std::vector<balancer::Action>& actions) = 0;
-    /// As balancer::Balancer::learned_state(). Empty for policies that learn nothing.
+    /// Returns the learned state, as balancer::Balancer::learned_state() does. Empty for policies without
+    /// learned state.
     virtual balancer::LearnedState learned_state(Millis /*now*/) const { return {}; }
 };
 
--- a/src/simulation/baselines/baseline_policies.cpp
+++ b/src/simulation/baselines/baseline_policies.cpp
@@ -12,7 +12,7 @@
 
 constexpr const char* kElmbay = "elmbay";
 
-/// A LeastOutstandingPolicy with at most one flaw, and what a person reads about it.
+/// A LeastOutstandingPolicy with at most one flaw, and its description in help texts.
 struct LeastOutstandingVariant {
     PolicyDescription description;
     PolicyFlaws flaws;
@@ -20,22 +20,25 @@
 
 const std::vector<LeastOutstandingVariant>& least_outstanding_variants() {
     static const std::vector<LeastOutstandingVariant> kVariants{
-        {{"plain", "sound and simple: least outstanding of two, one more attempt where it may", ""}, {}},
+        {{"plain",
+          "simple and correct: least outstanding of two random servers, at most one retry where allowed", ""},
+         {}},
         {{"random-storm",
-          "any server, all believed in, little patience, and again at once as often as it may",
-          "attempts a try, goodput"},
+          "random servers without ejection, a short timeout, and immediate retries up to the limit",
+          "attempts, goodput"},
          {.retries_without_limit = true, .never_ejects = true}},
-        {{"twice-at-once", "a second attempt beside the first", "nothing takes effect twice"},
+        {{"twice-at-once", "starts a second attempt concurrently with the first",
+          "nothing takes effect twice"},
          {.duplicates_attempts = true}},
-        {{"resend-unsafe", "sends unsafe requests again after an error", "nothing takes effect twice"},
+        {{"resend-unsafe", "retries unsafe requests after an error", "nothing takes effect twice"},
          {.retries_non_idempotent = true}},
-        {{"deaf-to-drains", "goes on sending to servers that drain or are gone", "drains kept"},
+        {{"deaf-to-drains", "keeps sending to servers that drain or are removed", "drains kept"},
          {.ignores_drains = true}},
-        {{"flood-cold", "favours the server that started last", "no cold server pushed over"},
+        {{"flood-cold", "prefers the server that started last", "no cold server pushed over"},
          {.prefers_newest_server = true}},
-        {{"hold-answers", "sits on failures until the caller's time is nearly over", "held_back"},
+        {{"hold-answers", "delays failure responses until shortly before the deadline", "held_back"},
          {.delays_failures = true}},
-        {{"never-remove", "believes in every server for ever", "goodput"}, {.never_ejects = true}}};
+        {{"never-remove", "never ejects a failing server", "goodput"}, {.never_ejects = true}}};
     return kVariants;
 }
 
@@ -76,7 +79,7 @@
             return std::make_unique<LeastOutstandingPolicy>(settings, seed, variant.flaws);
         }
     }
-    throw std::invalid_argument("'" + name + "' is not a balancer");
+    throw std::invalid_argument("'" + name + "' is not a known balancer; `run --help` lists them");
 }
 
 }  // namespace elmbay::simulation
--- a/src/simulation/baselines/elmbay_policy.hpp
+++ b/src/simulation/baselines/elmbay_policy.hpp
@@ -1,4 +1,4 @@
-/// \file
+/// @file
 /// The system under test: elmbay's own decision module as a policy.
 #pragma once
 
--- a/src/simulation/baselines/least_outstanding_policy.cpp
+++ b/src/simulation/baselines/least_outstanding_policy.cpp
@@ -16,9 +16,9 @@
 constexpr Millis kEjectionDuration = 5000;
 /// Attempt timeout with retries_without_limit: shorter than many requests take under load.
 constexpr Millis kShortTimeout = 120;
-/// The final response leaves at least this long before the deadline, so that it is in time.
+/// Minimum time between the final response and the deadline, so that the response arrives in time.
 constexpr Millis kDeadlineMargin = 20;
-/// Attempts of one request without flaws.
+/// Maximum attempts of one request without flaws.
 constexpr std::size_t kMaxAttempts = 2;
 
 }  // namespace
--- a/src/simulation/baselines/least_outstanding_policy.hpp
+++ b/src/simulation/baselines/least_outstanding_policy.hpp
@@ -1,5 +1,5 @@
-/// \file
-/// A simple balancer to compare with, and to build known faulty ones from.
+/// @file
+/// A simple baseline policy, from which the faulty policies are derived.
 #pragma once
 
 #include <cstdint>
@@ -12,21 +12,21 @@
 
 namespace elmbay::simulation {
 
-/// Defects of a LeastOutstandingPolicy, one for each way to harm clients that a simulation has to detect.
+/// Flaws of a LeastOutstandingPolicy, one for each kind of harm to clients that a simulation must detect.
 struct PolicyFlaws {
     bool retries_without_limit = false;   ///< Random servers, a short timeout, immediate retries.
-    bool duplicates_attempts = false;     ///< Starts a second attempt beside the first.
+    bool duplicates_attempts = false;     ///< Starts a second attempt concurrently with the first.
     bool retries_non_idempotent = false;  ///< Retries requests that must not run twice.
     bool ignores_drains = false;          ///< Keeps sending to servers that drain or are removed.
-    bool prefers_newest_server = false;   ///< Sends to the server that started last, however cold.
-    bool delays_failures = false;         ///< Answers failures only when the deadline is near.
+    bool prefers_newest_server = false;   ///< Sends to the server that started last, even while it is cold.
+    bool delays_failures = false;         ///< Sends failure responses only when the deadline is near.
     bool never_ejects = false;            ///< Keeps sending to servers that fail.
 };
 
-/// The server with fewer outstanding attempts of two drawn at random.
+/// Selects the server with fewer outstanding attempts of two random servers.
 ///
-/// Ejects a server for a while after consecutive failures, sends nothing to a server in slow start, and makes
-/// one more attempt where the request's class allows it. Sound but for the flaws it is given.
+/// Ejects a server temporarily after consecutive failures, sends no request to a server in slow start, and
+/// retries once where the request's class allows it. Correct except for the configured flaws.
 class LeastOutstandingPolicy : public BalancingPolicy {
 public:
     LeastOutstandingPolicy(const balancer::Settings& settings, std::uint64_t seed, PolicyFlaws flaws)
@@ -55,7 +55,7 @@
         bool may_have_run() const;
     };
 
-    // A handler for each event. Those that are not listed change nothing.
+    // Handlers of events. The template handles all other events, which have no effect.
     template <class Event>
     void on(const Event& /*event*/) {}
     void on(const balancer::ServerList& list);
@@ -68,13 +68,13 @@
     void record_outcome(Server& server, balancer::Outcome outcome);
     bool may_retry(const Request& request) const;
     bool is_usable(const Server& server) const;
-    /// Null if no server is usable.
+    /// Returns the server for the next attempt, or null if no server is usable.
     Server* choose_server();
-    /// False if there is no server for it; a request without any attempt is answered then.
+    /// Returns false if no server is usable. A request without any attempt then ends with a failure response.
     bool start_attempt(Request& request);
-    /// Answers now, or near the deadline with delays_failures.
+    /// Ends the request with a failure response now, or near the deadline if delays_failures is set.
     void respond_with_failure(Request& request);
-    /// Rejects or fails the request and forgets it.
+    /// Rejects or fails the request and removes it.
     void finish(Request& request);
     void cancel_attempts(const Request& request);
     void set_timer(Millis at, balancer::RequestId id);
@@ -84,7 +84,7 @@
     balancer::Random random_;
     const PolicyFlaws flaws_;
     Millis now_ = 0;
-    std::vector<balancer::Action>* actions_ = nullptr;  // of the event that is handled
+    std::vector<balancer::Action>* actions_ = nullptr;  // actions for the event being handled
     std::map<balancer::ServerId, Server> servers_;
     std::unordered_map<balancer::RequestId, Request> requests_;
     std::unordered_map<balancer::TimerToken, balancer::RequestId> timers_;
--- a/src/simulation/baselines/oracle_policy.cpp
+++ b/src/simulation/baselines/oracle_policy.cpp
@@ -13,15 +13,15 @@
 
 using balancer::EndpointState;
 
-/// The decision module's clock at the start of the simulation, as the virtual driver has it.
+/// Decision module time at the start of the simulation, as defined by the virtual driver.
 constexpr Millis kEpoch = 1e9;
-/// by_priority: share of the acceptable time that a class of no weight would get.
+/// by_priority: share of the acceptable time that a class of priority weight 0 would have.
 constexpr double kMinPriorityShare = 0.4;
-/// Attempts of one request.
+/// Maximum attempts of one request.
 constexpr std::uint32_t kMaxAttempts = 2;
-/// Of a server that cannot execute anything.
+/// Expected time on a server that cannot execute any request.
 constexpr Millis kUnavailable = 1e9;
-/// Keeps the priority weights a fraction of something where all are 0.
+/// Lower bound of the greatest priority weight, which prevents a division by 0 if all weights are 0.
 constexpr double kMinPriorityWeight = 1e-9;
 
 }  // namespace
--- a/src/simulation/baselines/oracle_policy.hpp
+++ b/src/simulation/baselines/oracle_policy.hpp
@@ -1,5 +1,5 @@
-/// \file
-/// An upper bound to compare with: a policy that sees the state of every server.
+/// @file
+/// A policy with access to the state of every server, as an upper bound for other policies.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 namespace elmbay::simulation {
 
-/// How an oracle decides which requests to accept.
+/// Criteria by which an oracle accepts requests.
 struct OracleOptions {
     std::string name;
     /// A request is sent only if it is expected to take less than this share of its latency objective.
@@ -21,14 +21,15 @@
     bool by_priority = false;
 };
 
-/// The oracles. The bound that reports use is the best of them.
+/// Returns the oracle variants. Reports use the best of them as the bound.
 const std::vector<OracleOptions>& oracle_variants();
 
-/// Sends each request where it is expected to complete first, or rejects it at once.
+/// Sends each request to the server where it is expected to complete first, or rejects it immediately.
 ///
-/// Knows of every running server that its list has as active: requests executing and queued, the capacity at
-/// this moment (speed and warmth) and whether it is frozen; and the mean work of each class. Does not know
-/// the work of this request, nor what is to come: arrivals, freezes, crashes.
+/// Its input is the state of every running server that its endpoint list shows as active (executing and
+/// queued requests, current capacity from speed and slow start, whether it is frozen) and the mean work of
+/// each class. Its input does not include the work of the request at hand or future events (arrivals,
+/// freezes, crashes).
 class OraclePolicy : public BalancingPolicy {
 public:
     OraclePolicy(const balancer::Settings& settings, OracleOptions options);
@@ -47,7 +48,7 @@
         bool is_idempotent() const { return request_class.idempotency == balancer::Idempotency::idempotent; }
     };
 
-    // A handler for each event. Those that are not listed change nothing.
+    // Handlers of events. The template handles all other events, which have no effect.
     template <class Event>
     void on(const Event& /*event*/) {}
     void on(const balancer::ServerList& list);
@@ -55,12 +56,12 @@
     void on(const balancer::AttemptEnded& event);
     void on(const balancer::ClientDisconnected& event);
 
-    /// Starts an attempt, or answers and forgets the request.
+    /// Starts an attempt on the best server, or ends the request with a failure response.
     void assign_server(balancer::RequestId id, Request& request);
     void respond_with_failure(balancer::RequestId id, const Request& request);
-    /// Time that a request may be expected to take.
+    /// Returns the maximum expected time with which a request is accepted.
     Millis acceptable_time(const Request& request) const;
-    /// Expected time of a request on a server: cores are shared evenly by all that it holds.
+    /// Returns the expected time of a request on a server, whose cores all of its requests share evenly.
     Millis expected_time(std::uint32_t server, Millis work) const;
 
     const balancer::Settings settings_;
@@ -68,7 +69,7 @@
     double max_priority_weight_ = 0;
     const ServiceModel* service_model_ = nullptr;
     Millis now_ = 0;
-    std::vector<balancer::Action>* actions_ = nullptr;  // of the event that is handled
+    std::vector<balancer::Action>* actions_ = nullptr;  // actions for the event being handled
     std::map<balancer::ServerId, balancer::EndpointState> servers_;
     std::unordered_map<balancer::RequestId, Request> requests_;
 };
--- a/src/simulation/checking/cold_server_load.cpp
+++ b/src/simulation/checking/cold_server_load.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Mean work of a request, over all classes by their share.
+/// Mean work of a request over all classes, weighted by their share.
 Millis mean_work(const Scenario& scenario) {
     double shares = 0;
     double work = 0;
--- a/src/simulation/checking/cold_server_load.hpp
+++ b/src/simulation/checking/cold_server_load.hpp
@@ -1,5 +1,5 @@
-/// \file
-/// The work that was sent to one cold server of late.
+/// @file
+/// The work that was recently sent to one cold server.
 #pragma once
 
 #include <deque>
@@ -15,16 +15,17 @@
     struct Arrival {
         Millis at = 0;
         Millis work = 0;
-        bool sender_notified_of_start = false;  ///< Its sidecar had been notified that the server started.
+        /// Whether its sidecar had been notified of the server's start.
+        bool sender_notified_of_start = false;
     };
 
-    /// Adds an arrival, and drops those at or before `window_start` and those before `started_at`, when the
-    /// server's process started.
+    /// Adds an arrival. Removes arrivals at or before `window_start`, and arrivals before `started_at`, the
+    /// start of the server process.
     void add(const Arrival& arrival, Millis window_start, Millis started_at);
-    /// Work of all arrivals in the window.
+    /// Returns the work of all arrivals in the window.
     Millis work() const;
-    /// Whether two thirds of the work came from sidecars that knew of the start. The others could not know
-    /// that the server was cold.
+    /// Whether at least two thirds of the work came from sidecars that had been notified of the start. The
+    /// other sidecars had no information that the server was cold.
     bool is_mostly_from_notified_senders() const;
     void clear() { arrivals_.clear(); }
 
@@ -32,8 +33,9 @@
     std::deque<Arrival> arrivals_;
 };
 
-/// Work that a cold server may be sent within the overload window: what the invariant allows, and what the
-/// operators allow for chance. Where it allows N requests of mean work, N + 3 x sqrt(N) + 3 are no violation.
+/// Returns the work that a cold server may be sent within the overload window: the limit of the invariant
+/// plus the operators' tolerance for random variation. If the limit is N requests of mean work, N + 3 x
+/// sqrt(N) + 3 requests are no violation.
 Millis allowed_cold_work(const Scenario& scenario, double capacity);
 
 }  // namespace elmbay::simulation
--- a/src/simulation/checking/invariant_checker.hpp
+++ b/src/simulation/checking/invariant_checker.hpp
@@ -1,6 +1,6 @@
-/// \file
-/// Checks the operators' four invariants from what servers, clients and the registry observed. What a sidecar
-/// says of itself plays no part.
+/// @file
+/// Checks the operators' four invariants against observations of servers, clients and the registry. It does
+/// not use what a sidecar reports about itself.
 #pragma once
 
 #include <array>
@@ -15,102 +15,107 @@
 
 namespace elmbay::simulation {
 
-/// What must hold in every run.
+/// Properties that must hold in every run.
 enum class Invariant {
-    /// Every request gets exactly one final response, in time and made for it.
+    /// Every request receives exactly one final response, in time and with the body that a server made for
+    /// it.
     one_final_outcome,
-    /// A request that must not run twice is not sent again while an earlier attempt may have run, nor
-    /// rejected as
-    /// if it had not. At most `max_attempts` attempts, one at a time.
+    /// A request that must not run twice is not retried after an attempt that may have run, and is not
+    /// rejected as if it had not run. A request has at most `max_attempts` attempts, one at a time.
     no_duplicate_effect,
-    /// A server gets no new attempt later than the grace period after the sidecar was notified of its drain.
+    /// A sidecar starts no attempt on a server later than the grace period after the notice of its drain.
     drain_respected,
-    /// Sidecars that were notified of a server's start do not overload it while it is cold.
+    /// Sidecars that were notified of a server's start do not overload the server while it is cold.
     cold_server_not_overloaded
 };
 constexpr std::size_t kInvariantCount = 4;
-/// The invariant's name in reports.
+/// Returns the name of the invariant in reports.
 const char* name_of(Invariant invariant);
 
-/// A server at the moment when an attempt reaches it, and the work that the attempt brings.
+/// State of a server when an attempt reaches it, and the work of the attempt.
 struct ServerLoad {
     Millis work = 0;
-    double capacity = 0;  ///< Milliseconds of work a millisecond.
+    double capacity = 0;  ///< Milliseconds of work per millisecond.
     Millis started_at = 0;
     bool cold = false;
 };
 
-/// Collects observations of a run in order of time, and counts violations of each Invariant.
+/// Receives the observations of a run in chronological order, and counts the violations of each Invariant.
 ///
-/// Both drivers report here. The virtual one knows when a sidecar starts and abandons an attempt. The one on
-/// sockets observes it when bytes arrive or a connection ends, and so grants every limit some slack. Scenario
-/// and client model outlive the checker. Memory grows with the requests of the run. Not thread-safe.
+/// Both drivers use it. The virtual driver has the exact time at which a sidecar starts or cancels an
+/// attempt. The socket driver observes this only when bytes arrive or a connection ends, and therefore
+/// extends every time limit by some slack. Scenario and client model must outlive the checker. Memory use
+/// grows with the number of requests of the run. Not thread-safe.
 class InvariantChecker {
 public:
-    /// Examples kept of each invariant's violations; beyond that they are only counted.
+    /// Maximum examples of violations of each invariant. Further violations are only counted.
     static constexpr std::size_t kMaxExamples = 5;
-    /// A failure is delayed if it comes later than this share of the latency objective after the last attempt
-    /// ended (or the request arrived). The decision module may hold a request for a sixteenth of its
-    /// objective.
+    /// A failure response is delayed if it arrives later than this share of the latency objective after the
+    /// end of the last attempt, or after the arrival of the request if there was no attempt. The decision
+    /// module may hold a request for a sixteenth of its objective.
     static constexpr double kPromptFailureShare = 0.25;
-    /// Lateness allowed to a sidecar with part of a core, in virtual time as well: what every limit has on
-    /// sockets.
+    /// Slack for responses of a sidecar that has only part of a core, in virtual time as well. It equals the
+    /// slack of every limit on sockets.
     static constexpr Millis kCpuLimitedSlack = 50;
 
-    /// \param slack  by which every limit of time is extended
+    /// @param slack  added to every time limit
     InvariantChecker(const Scenario& scenario, const ClientModel& clients, Millis slack);
 
-    /// \name Observations of clients
-    /// \{
+    /// @name Observations of clients
+    /// @{
     void on_request_sent(Millis now, const ClientRequest& request);
-    /// The last byte of a response has arrived, or the client's time was over (ResponseKind::none).
+    /// The last byte of a response arrived, or the client's request timed out (ResponseKind::none).
     ///
-    /// \param matches_request  whether the body of a served response was made for this request
+    /// @param matches_request  whether the body of a served response was made for this request
     void on_response(Millis now, ClientRequestId id, ResponseKind response, bool matches_request = true);
     void on_client_left(Millis now, ClientRequestId id);
-    /// The connection was closed without a response. Without any attempt the client knows that its request
-    /// was not taken, and it is excused; otherwise its outcome is unanswered.
+    /// The connection was closed without a response. If there was no attempt, the request certainly did not
+    /// run, and it needs no response. Otherwise its outcome is lost.
     void on_connection_closed(Millis now, ClientRequestId id);
-    /// The request needs no response: its sidecar was killed, or stopped as requested before any attempt.
+    /// Marks the request as needing no response. Reasons are that its sidecar was killed, was shut down
+    /// before any attempt, or had too little CPU time to respond.
     void waive_response(ClientRequestId id);
-    /// \}
+    /// @}
 
-    /// \name Observations of sidecar processes
-    /// \{
+    /// @name Observations of sidecar processes
+    /// @{
     void on_sidecar_killed(std::uint32_t sidecar);
-    /// The process stopped as requested. Requests that it had taken are lost; its next process learns of
-    /// endpoints anew.
+    /// The process shut down on request of the driver. Its open requests are lost, and its next process
+    /// starts with an empty endpoint list.
     void on_sidecar_stopped(std::uint32_t sidecar);
-    /// Until it is resumed, responses to what it has and gets may be late. Every other limit holds.
+    /// The process was suspended. Responses to requests that it holds or receives until it is resumed may be
+    /// late. Every other limit applies.
     void on_sidecar_paused(std::uint32_t sidecar);
     void on_sidecar_resumed(std::uint32_t sidecar);
-    /// It has part of a core only, which allows it kCpuLimitedSlack.
+    /// The sidecar has only part of a core (`limited`), or a whole core again. A limited sidecar has the
+    /// slack kCpuLimitedSlack.
     void on_sidecar_cpu_limited(std::uint32_t sidecar, bool limited);
-    /// \}
+    /// @}
 
-    /// An endpoint list update was written to a sidecar's connection, read or not.
+    /// An endpoint list update was written to a sidecar's connection. The sidecar need not have read it.
     void on_endpoint_update(Millis now, std::uint32_t sidecar, std::uint32_t server,
                             balancer::EndpointState state, Millis online_since);
 
-    /// \name Observations of servers
-    /// \{
+    /// @name Observations of servers
+    /// @{
 
-    /// What became of an attempt at its server.
+    /// Result of delivering an attempt to its server.
     enum class Delivery { accepted, rejected, not_received };
 
-    /// A sidecar starts an attempt. Returns its number within the request.
+    /// A sidecar started an attempt. Returns the number of the attempt within its request.
     std::uint32_t on_attempt_started(Millis now, ClientRequestId id, std::uint32_t server,
                                      std::uint32_t sidecar);
-    /// Returns whether the attempt overloads a cold server, so that it falls over.
+    /// Records whether an attempt reached its server. Returns whether it overloads a cold server, which then
+    /// fails.
     bool on_attempt_delivered(Millis now, ClientRequestId id, std::uint32_t attempt, Delivery delivery,
                               const ServerLoad& load = {});
-    /// The attempt was answered, reset, or abandoned by its sidecar.
+    /// The attempt ended with a response or a reset, or its sidecar cancelled it.
     void on_attempt_ended(Millis now, ClientRequestId id, std::uint32_t attempt);
-    /// Something happened that no request accounts for.
+    /// Records a violation that belongs to no known request.
     void on_unknown_request(Millis now, const std::string& description);
-    /// \}
+    /// @}
 
-    /// After the last observation: requests that are still open are unanswered.
+    /// Ends the observations. Requests that are still open count as unanswered.
     void finish(Millis now);
 
     /// Violations of one invariant.
@@ -121,15 +126,16 @@
     const Finding& finding(Invariant invariant) const {
         return findings_[static_cast<std::size_t>(invariant)];
     }
-    /// Whether there is no violation.
+    /// Whether no invariant was violated.
     bool all_hold() const;
     std::uint64_t client_requests() const { return requests_.size(); }
     std::uint64_t attempts() const { return attempts_; }
-    /// Rejections and failures that came long after nothing was outstanding (kPromptFailureShare).
+    /// Number of rejections and failures that were delayed although no attempt was outstanding (see
+    /// kPromptFailureShare).
     std::uint64_t delayed_failures() const { return delayed_failures_; }
-    /// Cold servers that fell over.
+    /// Number of times that a cold server was overloaded and failed.
     std::uint64_t overloaded_servers() const { return overloaded_servers_; }
-    /// Most attempts of any request.
+    /// Maximum attempts of any request.
     std::uint64_t max_attempts() const { return max_attempts_; }
 
 private:
@@ -141,30 +147,30 @@
     };
     struct RequestRecord {
         Millis deadline = 0;
-        Millis last_attempt_ended_at = 0;  // or when the request was sent
+        Millis last_attempt_ended_at = 0;  // or the time when the request was sent
         Millis ended_at = 0;
         std::uint32_t sidecar = 0;
-        bool is_open = true;  // no final response yet, and the client is there
+        bool is_open = true;  // no final response yet, and the client is still connected
         bool is_response_optional = false;
         bool client_left = false;
-        bool may_be_late = false;  // its sidecar was paused
+        bool may_be_late = false;  // because its sidecar was paused
         std::vector<Attempt> attempts;
 
         const Attempt* first_attempt_that_may_have_run() const;
         bool has_outstanding_attempt() const;
         bool requires_response() const { return is_open && !is_response_optional && !may_be_late; }
     };
-    // An attempt that was outstanding when another of its request started. It is a violation unless it ends
-    // within the slack.
+    // An attempt that was outstanding when another attempt of its request started. This is a violation unless
+    // the attempt ends within the slack.
     struct ConcurrentAttempt {
         ClientRequestId request = 0;
         std::uint32_t attempt = 0;
         Millis since = 0;
     };
-    // What a sidecar was last notified of about a server.
+    // Last notice about a server that a sidecar was sent.
     struct EndpointView {
         balancer::EndpointState state = balancer::EndpointState::active;
-        Millis inactive_since = 0;  // the first notice counts
+        Millis inactive_since = 0;  // time of the first notice that it is not active
         Millis online_since = 0;
     };
 
@@ -174,7 +180,7 @@
     const EndpointView* find_view(std::uint32_t sidecar, std::uint32_t server) const;
     void add_violation(Invariant invariant, Millis now, ClientRequestId id, const std::string& description);
 
-    // One check each, in the order in which they are made.
+    // Each function checks one property. They are listed in the order of their calls.
     void check_response_in_time(Millis now, ClientRequestId id, const RequestRecord& request);
     void check_response_matches(Millis now, ClientRequestId id, const RequestRecord& request,
                                 bool matches_request);
--- a/src/simulation/checking/sidecar_log.cpp
+++ b/src/simulation/checking/sidecar_log.cpp
@@ -9,9 +9,10 @@
 
 namespace {
 
-/// Of a span that goes on.
+/// End time of a span that is still open.
 constexpr Millis kOpenEnd = -1;
-/// Longest list of a rule's ends: a partition of hundreds would fill a page.
+/// Maximum characters for the link ends of a rule. The names of a partition with hundreds of processes would
+/// fill a page.
 constexpr std::size_t kMaxEndsLength = 120;
 
 std::string ends_text(const fault_proxy::Rule& rule) {
@@ -32,7 +33,7 @@
     return std::string(fault_proxy::name_of(rule.type)) + " " + ends;
 }
 
-/// Ends the sidecar's last span that is still open, if there is one.
+/// Closes the last open span of the sidecar, if there is one.
 void close_last_span(std::vector<SidecarSpan>& spans, std::uint32_t sidecar, Millis now,
                      const std::string& reason = "") {
     const auto span = std::find_if(spans.rbegin(), spans.rend(), [&](const SidecarSpan& candidate) {
--- a/src/simulation/reports/html_report.cpp
+++ b/src/simulation/reports/html_report.cpp
@@ -1,5 +1,5 @@
-/// \file
-/// The report as one HTML file. Plots are inline SVG; nothing is loaded from elsewhere.
+/// @file
+/// Renders a report as one HTML file. Plots are inline SVG, and the page loads no other resources.
 #include <fmt/format.h>
 
 #include "simulation/reports/html_sections.hpp"
@@ -19,7 +19,7 @@
     ".tick{font-size:11px;fill:#495057}.label{font-size:12px}.title{font-size:13px;font-weight:600}"
     ".facts{color:#495057}";
 
-/// The verdict of a run in words, and the colour that goes with it.
+/// Text and colour of a run's verdict.
 struct Verdict {
     const char* text;
     const char* colour;
@@ -28,17 +28,17 @@
 Verdict verdict_of(const Report& report) {
     static constexpr const char* kRed = "#c92a2a";
     if (!report.timer_lateness.is_acceptable()) {
-        return {"This run is not to be trusted: the emulator itself ran late", "#e67700"};
+        return {"The results of this run are not to be trusted: the emulator's timers fired late", "#e67700"};
     }
-    if (!report.invariants_hold()) return {"A rule was broken", kRed};
-    if (!report.expectations_met()) return {"Rules kept, expectations not met", kRed};
-    return {"Rules and expectations kept", "#2b8a3e"};
+    if (!report.invariants_hold()) return {"An invariant was violated", kRed};
+    if (!report.expectations_met()) return {"Invariants hold, expectations not met", kRed};
+    return {"Invariants hold, expectations met", "#2b8a3e"};
 }
 
 std::string timer_lateness_sentence(const TimerLateness& timer_lateness) {
     if (!timer_lateness.measured) return "";
-    return fmt::format(" The emulator's own lateness: p99 {:.1f}ms, most {:.1f}ms.", timer_lateness.p99,
-                       timer_lateness.max);
+    return fmt::format(" Lateness of the emulator's timers: p99 {:.1f}ms, maximum {:.1f}ms.",
+                       timer_lateness.p99, timer_lateness.max);
 }
 
 std::string heading(const Report& report) {
@@ -49,8 +49,8 @@
         "<body><h1>{0}</h1><p>{3}</p><div class='verdict' style='background:{4}'>{1}</div>",
         escape_html(report.scenario), verdict.text, kStyle, escape_html(report.description), verdict.colour);
     text += fmt::format(
-        "<p class='facts'>{}, {}, seed {}: {} servers, {} sidecars, {} requests in {:.0f}s, {:.3f} "
-        "attempts a try. Goodput {:.3f}, worst class {:.3f}, worst second {:.3f}.{}</p>",
+        "<p class='facts'>{}, {}, seed {}: {} servers, {} sidecars, {} operations in {:.0f}s, {:.3f} "
+        "attempts per client request. Goodput {:.3f}, worst class {:.3f}, worst second {:.3f}.{}</p>",
         report.mode, escape_html(report.balancer), report.seed, report.servers, report.sidecars,
         report.operations, report.duration / 1000, report.attempts_per_request, report.metrics.goodput,
         report.metrics.min_class_goodput, report.metrics.min_second_goodput,
--- a/src/simulation/reports/html_sections.cpp
+++ b/src/simulation/reports/html_sections.cpp
@@ -12,7 +12,7 @@
 
 using Layout = ChartLayout;
 
-/// Rows of a chart beyond which they can no longer be read.
+/// Maximum rows of a chart that are still readable.
 constexpr std::size_t kMaxRows = 40;
 
 double row_y(std::size_t row) { return Layout::kTop + Layout::kRowHeight * static_cast<double>(row); }
@@ -23,7 +23,7 @@
 }
 
 std::string fault_label(const FaultBand& fault, const BarExtent& bar, double y) {
-    // Where there is space for it: after the bar, or before it.
+    // Places the label after the bar, or before it if there is no space after it.
     const bool before_bar = bar.to > Layout::kWidth * 0.68;
     const std::string text = fault.name + (fault.targets.empty() ? "" : ": " + fault.targets);
     return fmt::format("<text x='{:.1f}' y='{:.1f}' class='label' text-anchor='{}'>{}</text>",
@@ -31,7 +31,7 @@
                        escape_html(text));
 }
 
-/// Sidecars that had more than one process, or were impaired, ascending.
+/// Returns the sidecars that had more than one process or were impaired, ascending.
 std::vector<std::uint32_t> interrupted_sidecars(const SidecarActivity& activity) {
     std::vector<std::uint32_t> sidecars;
     std::map<std::uint32_t, std::size_t> processes;
@@ -44,7 +44,7 @@
     return sidecars;
 }
 
-/// How the bars of one kind of span look.
+/// Appearance of the bars of one kind of span.
 struct BarStyle {
     const char* colour;
     double inset;
@@ -87,7 +87,7 @@
     return line_plot(report.faults, axis, messages_plot) + line_plot(report.faults, axis, bytes_plot);
 }
 
-/// Rows receive, columns send.
+/// Draws the messages delivered between each two sidecars. Rows are receivers, columns are senders.
 std::string delivery_matrix(const std::vector<std::vector<std::uint64_t>>& deliveries) {
     static constexpr double kMaxCell = 14;
     static constexpr double kMaxSize = 480;
@@ -97,14 +97,16 @@
     }
     const double cell = std::min(kMaxCell, kMaxSize / static_cast<double>(deliveries.size()));
     std::string text = fmt::format(
-        "<text x='{}' y='14' class='title'>Who heard whom: rows hear, columns speak</text>", Layout::kLeft);
+        "<text x='{}' y='14' class='title'>Messages delivered: rows are receivers, columns are "
+        "senders</text>",
+        Layout::kLeft);
     for (std::size_t from = 0; from < deliveries.size(); ++from) {
         for (std::size_t to = 0; to < deliveries.size(); ++to) {
             const std::uint64_t count = deliveries[from][to];
             if (count == 0) continue;
             text += fmt::format(
                 "<rect x='{:.1f}' y='{:.1f}' width='{:.1f}' height='{:.1f}' fill='#1864ab' "
-                "opacity='{:.2f}'><title>n-{} heard n-{} {} times</title></rect>",
+                "opacity='{:.2f}'><title>n-{} received from n-{}: {} messages</title></rect>",
                 Layout::kLeft + cell * static_cast<double>(from),
                 Layout::kTop + cell * static_cast<double>(to), cell - 0.5, cell - 0.5,
                 0.15 + 0.85 * static_cast<double>(count) / static_cast<double>(max_count), to, from, count);
@@ -113,7 +115,8 @@
     return chart(cell * static_cast<double>(deliveries.size()), text);
 }
 
-/// The servers that a chart has rows for: all, or those that were sent most work, ascending.
+/// Returns the servers that have a row in the chart, ascending: all of them, or the kMaxRows servers that
+/// were sent the most work.
 std::vector<std::size_t> busiest_servers(const std::vector<std::vector<ServerSecond>>& servers) {
     std::vector<std::pair<double, std::size_t>> totals;
     for (std::size_t i = 0; i < servers.size(); ++i) {
@@ -149,18 +152,18 @@
 }  // namespace
 
 std::string verdict_table(const Report& report) {
-    std::string text = "<table><tr><th>Rule</th><th>Verdict</th><th></th></tr>";
+    std::string text = "<table><tr><th>Invariant</th><th>Verdict</th><th></th></tr>";
     for (const InvariantReport& invariant : report.invariants) {
         const bool holds = invariant.violations == 0;
         std::string examples;
         for (const std::string& example : invariant.examples) examples += escape_html(example) + "<br>";
-        text += fmt::format("<tr><td>{}</td><td class='{}'>{}</td><td>{}</td></tr>", invariant.name,
-                            holds ? "good" : "bad",
-                            holds ? "kept" : fmt::format("broken {} times", invariant.violations), examples);
+        text += fmt::format(
+            "<tr><td>{}</td><td class='{}'>{}</td><td>{}</td></tr>", invariant.name, holds ? "good" : "bad",
+            holds ? "holds" : fmt::format("violated {} times", invariant.violations), examples);
     }
     for (const ExpectationReport& expectation : report.expectations) {
         text += fmt::format(
-            "<tr><td>expected {}</td><td class='{}'>{}</td><td>{} {:.4g}, seen {:.4g}</td></tr>",
+            "<tr><td>expected {}</td><td class='{}'>{}</td><td>{} {:.4g}, measured {:.4g}</td></tr>",
             expectation.name, expectation.met ? "good" : "bad", expectation.met ? "met" : "not met",
             expectation.is_upper_bound ? "at most" : "at least", expectation.bound, expectation.measured);
     }
@@ -171,7 +174,7 @@
     static constexpr double kMinWidth = 3;
     if (report.faults.empty()) return "";
     const double height = Layout::kFaultRowHeight * static_cast<double>(report.faults.size());
-    std::string text = chart_frame(axis, height, "What goes wrong");
+    std::string text = chart_frame(axis, height, "Faults");
     for (std::size_t i = 0; i < report.faults.size(); ++i) {
         const FaultBand& fault = report.faults[i];
         const double y = Layout::kTop + Layout::kFaultRowHeight * static_cast<double>(i);
@@ -186,7 +189,7 @@
 
 std::string service_plots(const Report& report, const TimeAxis& axis) {
     PlotLine goodput{"goodput", "#2b8a3e", {}};
-    PlotLine requested{"asked", "#495057", {}};
+    PlotLine requested{"requested", "#495057", {}};
     PlotLine p50{"p50", "#1864ab", {}};
     PlotLine p99{"p99", "#d9480f", {}};
     double max_requested = 1;
@@ -200,9 +203,15 @@
         max_p99 = std::max(max_p99, second.p99);
     }
     const std::vector<Plot> plots{
-        {"Goodput: worth answered in its aim, by the second asked", 100, "%", {goodput}},
-        {"Requests asked", round_up_for_axis(max_requested), "/s", {requested}},
-        {"Latency of what was served, from the first try on", round_up_for_axis(max_p99), "ms", {p99, p50}}};
+        {"Goodput: share of the offered value served within the latency objective, by second of arrival",
+         100,
+         "%",
+         {goodput}},
+        {"Operations requested", round_up_for_axis(max_requested), "/s", {requested}},
+        {"Latency of served operations, from the first request",
+         round_up_for_axis(max_p99),
+         "ms",
+         {p99, p50}}};
     std::string text;
     for (const Plot& plot : plots) text += line_plot(report.faults, axis, plot);
     return text;
@@ -215,8 +224,8 @@
     rows.resize(std::min(rows.size(), kMaxRows));
     const double height = Layout::kRowHeight * static_cast<double>(rows.size());
     const std::string title = fmt::format(
-        "Sidecars that did not run through ({} of {}; grey: running, orange: paused or starved, gap: none "
-        "there)",
+        "Interrupted sidecars ({} of {}; grey: running, orange: paused or CPU-limited, gap: no "
+        "process)",
         rows.size(), interrupted);
     std::string text = chart_frame(axis, height, title);
     text += sidecar_bars(rows, report.sidecar_activity.process_spans, axis, {"#adb5bd", 0});
@@ -227,7 +236,7 @@
 
 std::string link_fault_table(const SidecarActivity& activity) {
     if (activity.link_faults.empty()) return "";
-    std::string text = "<table><tr><th>On links</th><th>from</th><th>to</th></tr>";
+    std::string text = "<table><tr><th>Fault on links</th><th>from</th><th>to</th></tr>";
     for (const LinkFaultReport& fault : activity.link_faults) {
         text +=
             fmt::format("<tr><td>{}: {}</td><td>{:.1f}s</td><td>{:.1f}s</td></tr>", escape_html(fault.name),
@@ -246,13 +255,13 @@
 
 std::string work_chart(const Report& report, const TimeAxis& axis) {
     const auto& servers = report.metrics.servers;
-    float max_work = 1;  // work in one second
+    float max_work = 1;  // greatest work of one server in one second
     for (const auto& seconds : servers) {
         for (const ServerSecond& second : seconds) max_work = std::max(max_work, second.work);
     }
     const std::vector<std::size_t> rows = busiest_servers(servers);
     const double height = Layout::kRowHeight * static_cast<double>(rows.size());
-    std::string text = chart_frame(axis, height, "Work sent to each server, by second (dark is much)");
+    std::string text = chart_frame(axis, height, "Work sent to each server, by second (darker is more)");
     for (std::size_t row = 0; row < rows.size(); ++row) {
         text += work_row(row, rows[row], servers[rows[row]], max_work, axis);
     }
@@ -261,8 +270,8 @@
 
 std::string class_table(const Report& report) {
     std::string text =
-        "<table><tr><th>Class</th><th>asked</th><th>in its aim</th><th>late</th><th>refused</th>"
-        "<th>failed</th><th>goodput</th><th>p50 ms</th><th>p90</th><th>p99</th><th>most</th></tr>";
+        "<table><tr><th>Class</th><th>requested</th><th>in time</th><th>late</th><th>rejected</th>"
+        "<th>failed</th><th>goodput</th><th>p50 ms</th><th>p90</th><th>p99</th><th>max</th></tr>";
     for (const ClassReport& row : report.metrics.classes) {
         text += fmt::format(
             "<tr><td>{}</td><td>{}</td><td>{}</td><td>{}</td><td>{}</td><td>{}</td><td>{:.3f}</td>"
--- a/src/simulation/reports/json_report.cpp
+++ b/src/simulation/reports/json_report.cpp
@@ -1,5 +1,5 @@
-/// \file
-/// Reports as JSON. Its keys are part of the program's interface.
+/// @file
+/// Reports as JSON. The keys of the JSON are part of the program's interface.
 #include <fmt/format.h>
 
 #include <nlohmann/json.hpp>
@@ -172,7 +172,8 @@
             json.at("seen").get<double>(), json.at("at_most").get<bool>(), json.at("kept").get<bool>()};
 }
 
-/// Values are not part of the JSON: the goodput is kept as the value delivered of 1.
+/// The JSON contains no offered and delivered value. The result represents the goodput as the value delivered
+/// of an offered value of 1.
 ClassReport class_from_json(const ordered_json& json) {
     ClassReport report;
     report.name = json.at("name").get<std::string>();
@@ -224,7 +225,7 @@
     try {
         return read_report(json);
     } catch (const ordered_json::exception& error) {
-        throw std::invalid_argument(std::string("the report is not one of ours: ") + error.what());
+        throw std::invalid_argument(std::string("the JSON is not a report of this program: ") + error.what());
     }
 }
 
--- a/src/simulation/reports/latency_histogram.hpp
+++ b/src/simulation/reports/latency_histogram.hpp
@@ -1,5 +1,5 @@
-/// \file
-/// Percentiles of many latencies in bounded memory.
+/// @file
+/// Quantiles of many latencies in bounded memory.
 #pragma once
 
 #include <boost/histogram.hpp>
@@ -10,20 +10,21 @@
 
 namespace elmbay::simulation {
 
-/// A histogram with bins of equal ratio. Not thread-safe.
+/// A histogram whose bins have a constant ratio of upper to lower edge. Not thread-safe.
 class LatencyHistogram {
 public:
-    /// Bounds of the bins; latencies outside count as the nearest one.
+    /// Bounds of the bins. A latency outside of them is counted in the nearest bin.
     static constexpr Millis kMinLatency = 0.1;
     static constexpr Millis kMaxLatency = 3600 * 1000;
-    /// Upper over lower edge of a bin. A percentile is the geometric middle of its bin, so off by at most
-    /// 0.5%. This makes 1,700 bins, of one byte each while counts are small.
+    /// Ratio of the upper to the lower edge of a bin. A quantile is the geometric mean of the edges of its
+    /// bin, so its error is at most 0.5%. There are about 1,700 bins, of one byte each while counts are
+    /// small.
     static constexpr double kBinRatio = 1.01;
 
     void add(Millis latency);
-    /// The latency at rank `q` from 0 to 1, at most max(). 0 if there are none.
+    /// Returns the quantile at `fraction`, from 0 to 1. It is at most max(), and 0 if the histogram is empty.
     Millis quantile(double fraction) const;
-    /// The greatest latency, exactly.
+    /// Returns the exact maximum latency.
     Millis max() const { return max_; }
     std::size_t count() const { return count_; }
 
--- a/src/simulation/reports/report.cpp
+++ b/src/simulation/reports/report.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-/// Targets of a fault that plots name; the others are counted.
+/// Maximum targets of a fault that plots name. Further targets are only counted.
 constexpr std::size_t kMaxNamedTargets = 6;
 
-/// Compares the report's metrics with those bounds that the scenario states.
+/// Compares the report's metrics with the bounds that the scenario specifies.
 class ExpectationChecker {
 public:
     explicit ExpectationChecker(Report& report) : report_(report) {}
@@ -35,16 +35,16 @@
 private:
     using Bound = double ExpectationSpec::*;
 
-    /// Whether the scenario states the bound.
-    static bool is_stated(Bound bound, const ExpectationSpec& spec) {
+    /// Whether the scenario specifies the bound.
+    static bool is_specified(Bound bound, const ExpectationSpec& spec) {
         return spec.*bound != ExpectationSpec{}.*bound;
     }
     void at_least(const char* name, Bound bound, const ExpectationSpec& spec, double measured) {
-        if (!is_stated(bound, spec)) return;
+        if (!is_specified(bound, spec)) return;
         report_.expectations.push_back({name, spec.*bound, measured, false, measured >= spec.*bound});
     }
     void at_most(const char* name, Bound bound, const ExpectationSpec& spec, double measured) {
-        if (!is_stated(bound, spec)) return;
+        if (!is_specified(bound, spec)) return;
         report_.expectations.push_back({name, spec.*bound, measured, true, measured <= spec.*bound});
     }
     double delayed_failure_share() const {
@@ -72,7 +72,7 @@
     return text;
 }
 
-/// From the start on the first target to the end on the last.
+/// Returns the band of a fault, from its start on the first target to its end on the last target.
 FaultBand fault_band(const FaultSpec& fault, const Scenario& scenario) {
     const Millis last_start = fault.start_of(fault.target_ids.empty() ? 0 : fault.target_ids.size() - 1);
     Millis end = fault.duration > 0 ? last_start + fault.duration : scenario.overview.duration;
--- a/src/simulation/reports/report.hpp
+++ b/src/simulation/reports/report.hpp
@@ -1,6 +1,6 @@
-/// \file
-/// The result of a run: whether the invariants and expectations hold, what clients got, and whether the run
-/// can be trusted. As text, as JSON, or as one self-contained HTML page.
+/// @file
+/// The result of a run: whether the invariants and expectations hold, the service that clients received, and
+/// whether the measurement is reliable. It is available as text, as JSON and as one self-contained HTML page.
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
@@ -13,36 +13,36 @@
 
 namespace elmbay::simulation {
 
-/// How one invariant fared.
+/// Result of checking one invariant.
 struct InvariantReport {
     std::string name;
     std::uint64_t violations = 0;
     std::vector<std::string> examples;  ///< The first few violations.
 };
 
-/// How one metric compares with the bound that the scenario states.
+/// Result of comparing one metric with the bound that the scenario specifies.
 struct ExpectationReport {
     std::string name;
     double bound = 0;
     double measured = 0;
-    bool is_upper_bound = false;  ///< Otherwise a lower one.
+    bool is_upper_bound = false;  ///< Whether the bound is an upper bound rather than a lower one.
     bool met = true;
 };
 
-/// How late the emulator's own timers fired. A late emulator makes a sidecar look slow.
+/// Lateness of the emulator's own timers. If they fire late, measured latencies of the sidecar are too high.
 struct TimerLateness {
     static constexpr Millis kLateThreshold = 10;
-    /// Share of late timers beyond which a run says nothing about the sidecar.
+    /// Share of late timers above which the measurement of the sidecar is not reliable.
     static constexpr double kMaxLateShare = 0.01;
 
-    bool measured = false;  ///< Virtual time is never late.
+    bool measured = false;  ///< False in virtual time, in which timers are never late.
     Millis p99 = 0;
     Millis max = 0;
     double late_share = 0;  ///< Share of timers later than kLateThreshold.
     bool is_acceptable() const { return !measured || late_share <= kMaxLateShare; }
 };
 
-/// A fault as plots show it.
+/// Time span and targets of a fault, for plots.
 struct FaultBand {
     std::string name;
     std::string targets;  ///< Empty for faults without target processes.
@@ -52,13 +52,13 @@
 
 /// The result of one run.
 struct Report {
-    /// Time after a sidecar's restart that after_restart covers.
+    /// Time after the restart of a sidecar that after_restart covers.
     static constexpr Millis kRestartWindow = 10000;
 
-    /// What restarted sidecars did in their first kRestartWindow. Virtual time only.
+    /// Attempts and outcomes of restarted sidecars in their first kRestartWindow. In virtual time only.
     struct AfterRestartReport {
         std::uint64_t attempts = 0;
-        std::uint64_t failed = 0;  ///< Attempts that ended neither with a response nor by cancellation.
+        std::uint64_t failed = 0;  ///< Attempts that ended without a response and were not cancelled.
         double offered_value = 0;
         double delivered_value = 0;
         double goodput() const { return offered_value > 0 ? delivered_value / offered_value : 1; }
@@ -67,19 +67,19 @@
     std::string scenario;
     std::string description;
     std::string mode;      ///< "virtual" or "real".
-    std::string balancer;  ///< A policy's name, or the command that starts a sidecar.
+    std::string balancer;  ///< Name of a policy, or the command that starts a sidecar.
     std::uint64_t seed = 0;
     Millis duration = 0;
     std::uint64_t servers = 0;
     std::uint64_t sidecars = 0;
-    std::uint64_t operations = 0;       ///< What clients want; each is a request and its retries.
-    std::uint64_t client_requests = 0;  ///< Requests that sidecars got, retries of clients included.
-    std::uint64_t attempts = 0;         ///< Requests that servers got.
-    std::uint64_t max_attempts = 0;     ///< Most attempts of one client request.
+    std::uint64_t operations = 0;       ///< Operations of clients. Each is a request and its retries.
+    std::uint64_t client_requests = 0;  ///< Requests that sidecars received, including retries of clients.
+    std::uint64_t attempts = 0;         ///< Attempts of sidecars at servers.
+    std::uint64_t max_attempts = 0;     ///< Maximum attempts of one client request.
     AfterRestartReport after_restart;
     std::uint64_t delayed_failures = 0;    ///< See InvariantChecker::delayed_failures().
-    std::uint64_t overloaded_servers = 0;  ///< Cold servers that fell over.
-    std::uint64_t connections = 0;         ///< Opened to servers.
+    std::uint64_t overloaded_servers = 0;  ///< See InvariantChecker::overloaded_servers().
+    std::uint64_t connections = 0;         ///< Connections opened to servers.
     double attempts_per_request = 0;
     std::vector<InvariantReport> invariants;
     std::vector<ExpectationReport> expectations;
@@ -87,9 +87,9 @@
     TimerLateness timer_lateness;
     SidecarActivity sidecar_activity;
     std::vector<FaultBand> faults;
-    std::vector<std::string> timeline;  ///< The scripted steps in their order.
-    std::vector<std::string>
-        notes;  ///< What else the driver observed, such as a sidecar that ended by itself.
+    std::vector<std::string> timeline;  ///< The scripted steps in chronological order.
+    /// Other observations of the driver, such as a sidecar that ended unexpectedly.
+    std::vector<std::string> notes;
     std::uint64_t log_lines = 0;
     std::uint64_t log_hash = 0;  ///< FNV-1a of the event log.
 
@@ -98,22 +98,22 @@
     bool passed() const { return invariants_hold() && expectations_met() && timer_lateness.is_acceptable(); }
 };
 
-/// Builds the part that both drivers share: all but mode, balancer, timer_lateness, sidecar activity and the
-/// log.
+/// Builds the fields that do not depend on the driver: all except mode, balancer, timer lateness, sidecar
+/// activity and the log.
 Report make_report(const Scenario& scenario, const ClientModel& clients, const InvariantChecker& checker,
                    const ServiceMetrics& metrics);
 
-/// The report as a person reads it on a terminal.
+/// Returns the report as text for a terminal.
 std::string text_of(const Report& report);
-/// The whole report.
+/// Returns the complete report as JSON.
 nlohmann::ordered_json json_of(const Report& report);
-/// The report as one self-contained HTML page with plots.
+/// Returns the report as one self-contained HTML page with plots.
 std::string html_of(const Report& report);
-/// Reads from the JSON of a report what comparison_of() needs.
+/// Reads the fields that comparison_of() needs from the JSON of a report.
 ///
-/// \throws std::invalid_argument  if the text is not JSON, or not a report's
+/// @throws std::invalid_argument  if the text is not the JSON of a report
 Report report_from_json(const std::string& text);
-/// Two runs of one scenario side by side, as text.
+/// Returns a comparison of two runs of one scenario as text.
 std::string comparison_of(const Report& a, const Report& b);
 
 }  // namespace elmbay::simulation
--- a/src/simulation/reports/service_metrics.cpp
+++ b/src/simulation/reports/service_metrics.cpp
@@ -9,16 +9,17 @@
 
 constexpr Millis kSecond = 1000;
 constexpr Millis kTenthOfSecond = 100;
-/// Seconds with less than this share of the mean offered value say too little to be the worst.
+/// Seconds with less than this share of the mean offered value have too little traffic to count as the worst
+/// second.
 constexpr double kMinTrafficShare = 0.5;
-/// Attempts that end later than this after the last arrival are not part of any plot.
+/// Attempts that reach a server later than this after the end of the scenario are not counted in plots.
 constexpr std::size_t kMaxTrailingSeconds = 60;
 
 std::size_t intervals(Millis duration, Millis interval) {
     return static_cast<std::size_t>(std::ceil(duration / interval));
 }
 
-/// Adds an operation to the figures of a class or a second.
+/// Adds an operation to the counters of a class or a second.
 template <class Figures>
 void add_operation(Figures& figures, double value, bool is_delivered) {
     ++figures.requested;
--- a/src/simulation/reports/statistics.cpp
+++ b/src/simulation/reports/statistics.cpp
@@ -34,7 +34,8 @@
 
 PairedDifference paired_difference(const std::vector<double>& a, const std::vector<double>& b) {
     if (a.size() != b.size() || a.size() < 2) {
-        throw std::invalid_argument("a paired comparison needs the same seeds, at least two");
+        throw std::invalid_argument(
+            "a paired comparison needs two series of equal length with at least two values each");
     }
     std::vector<double> differences;
     for (std::size_t i = 0; i < a.size(); ++i) differences.push_back(b[i] - a[i]);
--- a/src/simulation/reports/svg_chart.hpp
+++ b/src/simulation/reports/svg_chart.hpp
@@ -1,4 +1,4 @@
-/// \file
+/// @file
 /// Charts over the time of a run, as inline SVG for the HTML report.
 #pragma once
 
@@ -12,29 +12,30 @@
 /// Geometry of all charts of a page, in the units of their viewBox.
 struct ChartLayout {
     static constexpr double kWidth = 960;
-    static constexpr double kLeft = 64;  ///< Room for labels.
+    static constexpr double kLeft = 64;  ///< Space for labels.
     static constexpr double kRight = 16;
-    static constexpr double kTop = 22;  ///< Room for the title.
+    static constexpr double kTop = 22;  ///< Space for the title.
     static constexpr double kBottom = 24;
     static constexpr double kPlotHeight = 170;
     static constexpr double kFaultRowHeight = 18;
     static constexpr double kRowHeight = 14;
 };
 
-/// Text with the characters replaced that HTML gives a meaning.
+/// Returns the text with the special characters of HTML escaped.
 std::string escape_html(const std::string& text);
 
-/// The smallest of 1, 2, 4, 8 times a power of ten that is not below `value`: a quarter of it reads well.
+/// Returns the smallest of 1, 2, 4, 8 times a power of ten that is not below `value`. A quarter of such a
+/// number is a short axis label.
 double round_up_for_axis(double value);
 
 /// The horizontal axis that all charts of a page share.
 class TimeAxis {
 public:
     explicit TimeAxis(Millis duration);
-    /// Position of a moment; moments outside of the run are moved to its ends.
+    /// Returns the horizontal position of a time. Times outside of the run are clamped to its start or end.
     double x(double second) const;
     double seconds() const { return seconds_; }
-    /// Seconds between tick marks: a multiple of 5, so that there are at most a dozen.
+    /// Returns the seconds between tick marks: a multiple of 5 that gives at most 12 intervals.
     double tick_interval() const;
 
 private:
@@ -46,30 +47,30 @@
     double from = 0;
     double to = 0;
 };
-/// The bar for a span of time, at least `min_width` wide.
+/// Returns the extent of the bar for a time span, at least `min_width` wide.
 BarExtent bar_extent(const TimeAxis& axis, Millis start, Millis end, double min_width);
 
-/// Title, grid and labels of the time axis.
+/// Returns the title, the grid and the labels of the time axis.
 std::string chart_frame(const TimeAxis& axis, double height, const std::string& title);
-/// The whole `<svg>` element of a chart with that content.
+/// Returns the `<svg>` element of a chart with the given content.
 std::string chart(double height, const std::string& content);
-/// Colour of fault number `index`.
+/// Returns the colour of fault number `index`.
 const char* fault_colour(std::size_t index);
 
-/// One line of a plot, with a value for each second.
+/// One line of a plot, with one value for each second.
 struct PlotLine {
     std::string name;
     std::string colour;
     std::vector<double> values;
 };
-/// Content of a plot.
+/// Title, value axis and lines of a plot.
 struct Plot {
     std::string title;
     double top = 1;  ///< Value at the upper edge.
     std::string unit;
     std::vector<PlotLine> lines;
 };
-/// A line plot, with the faults as bands in the background.
+/// Returns a line plot with the faults as bands in the background.
 std::string line_plot(const std::vector<FaultBand>& faults, const TimeAxis& axis, const Plot& plot);
 
 }  // namespace elmbay::simulation
--- a/src/simulation/reports/sweep.cpp
+++ b/src/simulation/reports/sweep.cpp
@@ -17,10 +17,10 @@
 
 namespace {
 
-/// Which reports have a metric.
+/// The reports in which a metric is present.
 enum class MetricScope { every_run, load_surges, restarts };
 
-/// A metric of a sweep, by its name in reports.
+/// A metric of a sweep, with its name in reports.
 struct Metric {
     const char* name;
     MetricScope scope;
@@ -78,8 +78,8 @@
     Report report{};
 };
 
-/// Executes all tasks on several threads. Each task keeps its own report, so the order of their ends does not
-/// matter. The first exception ends the execution and is rethrown.
+/// Executes all tasks on several threads. Each task stores its own report, so the order of completion does
+/// not matter. The first exception stops the execution and is rethrown.
 class TaskExecutor {
 public:
     TaskExecutor(std::vector<Task>& tasks, const std::vector<std::string>& texts, const std::string& name,
@@ -91,14 +91,14 @@
             options_.threads > 0 ? options_.threads : std::max(1U, std::thread::hardware_concurrency());
         {
             std::vector<std::jthread> additional_threads;
-            for (unsigned i = 1; i < count; ++i) additional_threads.emplace_back([this] { work(); });
-            work();
-        }  // joins the additional_threads
+            for (unsigned i = 1; i < count; ++i) additional_threads.emplace_back([this] { execute_tasks(); });
+            execute_tasks();
+        }  // joins the additional threads
         if (first_error_) std::rethrow_exception(first_error_);
     }
 
 private:
-    void work() {
+    void execute_tasks() {
         for (std::size_t i = next_task_++; i < tasks_.size(); i = next_task_++) {
             try {
                 run(tasks_[i]);
@@ -131,21 +131,21 @@
     const SweepOptions& options_;
     std::atomic<std::size_t> next_task_ = 0;
     std::atomic<std::size_t> done_count_ = 0;
-    std::mutex mutex_;  // of first_error_ and the calls of progress
+    std::mutex mutex_;  // protects first_error_ and serializes the calls of progress
     std::exception_ptr first_error_;
 };
 
-/// The text of the scenario for each row.
+/// Returns the scenario text of each row.
 std::vector<std::string> row_texts(const std::string& text, const SweepOptions& options) {
     if (options.key.empty()) return {text};
     std::vector<std::string> texts;
     for (const std::string& value : options.values)
         texts.push_back(set_scenario_value(text, options.key, value));
-    if (texts.empty()) throw std::invalid_argument("no values for '" + options.key + "'");
+    if (texts.empty()) throw std::invalid_argument("key '" + options.key + "' needs at least one value");
     return texts;
 }
 
-/// The runs of one row by one policy stand together, in order of their seeds.
+/// Creates the tasks of all rows. The runs of one row with one policy are adjacent, in order of their seeds.
 std::vector<Task> make_tasks(std::size_t rows, const SweepOptions& options) {
     std::vector<std::string> balancers{options.balancer};
     if (options.oracle) {
@@ -162,7 +162,7 @@
     return tasks;
 }
 
-/// Adds the runs of one row by one policy. Of the oracles only the best remains.
+/// Adds the runs of one row with one policy. Only the oracle with the best mean goodput is kept.
 void add_runs(const std::vector<const Report*>& reports, const std::string& balancer,
               const SweepOptions& options, SweepRow& row) {
     std::vector<MetricSeries> metrics = collect_metrics(reports);
@@ -201,7 +201,8 @@
 
 Sweep run_sweep(const std::string& text, const std::string& name, const SweepOptions& options) {
     if (options.seeds == 0 || options.seeds > SweepOptions::kMaxSeeds) {
-        throw std::invalid_argument("seeds: 1 to " + std::to_string(SweepOptions::kMaxSeeds));
+        throw std::invalid_argument("the number of seeds must be between 1 and " +
+                                    std::to_string(SweepOptions::kMaxSeeds));
     }
     const std::vector<std::string> texts = row_texts(text, options);
     Sweep sweep{name, options.balancer, options.key, options.first_seed, options.seeds, {}};
--- a/src/simulation/reports/sweep_html.cpp
+++ b/src/simulation/reports/sweep_html.cpp
@@ -1,5 +1,5 @@
-/// \file
-/// A sweep as one HTML file: a strip plot for each metric, with a row for each value of the key.
+/// @file
+/// Renders a sweep as one HTML file: a strip plot for each metric, with a row for each value of the key.
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -13,17 +13,17 @@
 namespace {
 
 constexpr double kWidth = 960;
-constexpr double kLeft = 150;  ///< Room for the values of the key.
+constexpr double kLeft = 150;  ///< Space for the values of the key.
 constexpr double kRight = 20;
 constexpr double kTop = 30;
 constexpr double kRowHeight = 34;
 constexpr int kTicks = 4;
-/// Least range of values of a plot, so that equal values have a position.
+/// Minimum range of a value axis, so that equal values have a defined position.
 constexpr double kMinRange = 1e-6;
 constexpr const char* kPolicyColour = "#1864ab";
 constexpr const char* kOracleColour = "#868e96";
 
-/// The horizontal axis of one metric: from its least value to its greatest.
+/// The horizontal axis of one metric, from its minimum to its maximum.
 class ValueAxis {
 public:
     void include(const std::vector<double>& values) {
@@ -66,7 +66,7 @@
     return text;
 }
 
-/// A dot for each run and a bar for their mean.
+/// Draws a dot for each run and a bar for the mean.
 std::string dots(const std::vector<double>& values, const ValueAxis& axis, double y, const char* colour) {
     std::string text;
     for (const double value : values) {
@@ -109,7 +109,7 @@
         "color:#212529}}svg{{width:100%;height:auto;margin:.8em 0;display:block}}.grid{{stroke:#dee2e6}}"
         ".tick{{font-size:11px;fill:#495057}}.label{{font-size:12px}}.title{{font-size:13px;"
         "font-weight:600}}pre{{overflow-x:auto}}</style></head><body><h1>{0}</h1><p>{1}, seeds {2} to "
-        "{3}{4}. A dot is a run, a bar their mean; grey: the best oracle.</p>",
+        "{3}{4}. Each dot is a run and each bar is the mean of its row; grey: best oracle.</p>",
         sweep.scenario, sweep.balancer, sweep.first_seed, sweep.first_seed + sweep.seeds - 1,
         sweep.key.empty() ? "" : ", by " + sweep.key);
     for (const std::string& metric : sweep_metric_names()) page += strip_plot(sweep, metric);
--- a/src/simulation/reports/sweep_report.cpp
+++ b/src/simulation/reports/sweep_report.cpp
@@ -1,5 +1,5 @@
-/// \file
-/// Sweeps as text and as JSON, and two of them side by side. The keys of the JSON are part of the program's
+/// @file
+/// Sweeps as text and as JSON, and comparison of two sweeps. The keys of the JSON are part of the program's
 /// interface.
 #include <fmt/format.h>
 
@@ -15,7 +15,7 @@
 
 using nlohmann::ordered_json;
 
-/// Metrics that are shown as a share of the best oracle's.
+/// Whether the text shows the metric as a share of the value of the best oracle.
 bool is_compared_with_oracle(const std::string& metric) { return metric == "goodput" || metric == "settled"; }
 
 std::string oracle_text(const MetricSeries& series, const SweepRow& row) {
@@ -32,10 +32,10 @@
 std::string row_text(const Sweep& sweep, const SweepRow& row) {
     std::string text;
     if (!row.value.empty()) text += fmt::format("\n{} = {}\n", sweep.key, row.value);
-    text += fmt::format("  rules: {}\n", row.violating_runs == 0
-                                             ? "kept in each run"
-                                             : fmt::format("BROKEN in {} runs", row.violating_runs));
-    text += fmt::format("  {:<14}{:>10}{:>11}{:>10}{:>10}{}\n", "", "mean", "deviation", "least", "most",
+    text += fmt::format("  invariants: {}\n", row.violating_runs == 0
+                                                  ? "kept in each run"
+                                                  : fmt::format("BROKEN in {} runs", row.violating_runs));
+    text += fmt::format("  {:<14}{:>10}{:>11}{:>10}{:>10}{}\n", "", "mean", "deviation", "min", "max",
                         row.oracle_metrics.empty() ? "" : "   " + row.oracle + "  share of it");
     for (const MetricSeries& series : row.metrics) {
         const Summary summary = summarize(series.values);
@@ -95,15 +95,15 @@
 
 std::string row_comparison(const SweepRow& a, const SweepRow& b) {
     std::string text =
-        fmt::format("  rules broken in {} runs of A, {} of B\n", a.violating_runs, b.violating_runs);
-    text += fmt::format("  {:<14}{:>10}{:>10}{:>11}{:>13}\n", "", "A", "B", "B - A", "chance (95%)");
+        fmt::format("  invariants violated in {} runs of A, {} of B\n", a.violating_runs, b.violating_runs);
+    text += fmt::format("  {:<14}{:>10}{:>10}{:>11}{:>13}\n", "", "A", "B", "B - A", "+/- (95%)");
     for (const MetricSeries& series_a : a.metrics) {
         const MetricSeries* const series_b = b.metric(series_a.name);
         if (!series_b) continue;
         const PairedDifference difference = paired_difference(series_a.values, series_b->values);
         text += fmt::format("  {:<14}{:>10.4f}{:>10.4f}{:>+11.4f}{:>13.4f}  {}\n", series_a.name,
                             mean(series_a.values), mean(series_b->values), difference.mean,
-                            difference.half_width, difference.is_significant() ? "more than chance" : "");
+                            difference.half_width, difference.is_significant() ? "significant" : "");
     }
     return text;
 }
@@ -129,13 +129,13 @@
     try {
         return read_sweep(ordered_json::parse(text));
     } catch (const ordered_json::exception& error) {
-        throw std::invalid_argument(std::string("not a sweep's JSON: ") + error.what());
+        throw std::invalid_argument(std::string("the JSON is not a sweep of this program: ") + error.what());
     }
 }
 
 std::string comparison_of(const Sweep& a, const Sweep& b) {
     if (!are_comparable(a, b)) {
-        throw std::invalid_argument("the two are not of one incident, key and seeds");
+        throw std::invalid_argument("the two sweeps must have the same scenario, key and seeds");
     }
     std::string text = fmt::format("{}, seeds {} to {}: A = {}, B = {}\n", a.scenario, a.first_seed,
                                    a.first_seed + a.seeds - 1, a.balancer, b.balancer);
--- a/src/simulation/reports/text_report.cpp
+++ b/src/simulation/reports/text_report.cpp
@@ -1,4 +1,4 @@
-/// \file
+/// @file
 /// Reports as text for a terminal.
 #include <fmt/format.h>
 
@@ -11,7 +11,7 @@
 namespace {
 
 const char* verdict_text(const Report& report) {
-    if (!report.timer_lateness.is_acceptable()) return "NOT TO BE TRUSTED: the emulator ran late";
+    if (!report.timer_lateness.is_acceptable()) return "NOT TO BE TRUSTED: the emulator's timers fired late";
     if (!report.invariants_hold()) return "BROKEN";
     return report.expectations_met() ? "KEPT" : "RULES KEPT, EXPECTATIONS NOT MET";
 }
@@ -20,9 +20,10 @@
     std::string text = fmt::format("{} ({}, {}, seed {}): {}\n", report.scenario, report.mode,
                                    report.balancer, report.seed, verdict_text(report));
     if (!report.description.empty()) text += "  " + report.description + "\n";
-    text += fmt::format("  {} servers, {} sidecars, {:.0f}s, {} requests, {} tries, {} attempts\n\n",
-                        report.servers, report.sidecars, report.duration / 1000, report.operations,
-                        report.client_requests, report.attempts);
+    text +=
+        fmt::format("  {} servers, {} sidecars, {:.0f}s, {} operations, {} client requests, {} attempts\n\n",
+                    report.servers, report.sidecars, report.duration / 1000, report.operations,
+                    report.client_requests, report.attempts);
     return text;
 }
 
@@ -40,7 +41,7 @@
 std::string expectations_text(const Report& report) {
     std::string text;
     for (const ExpectationReport& expectation : report.expectations) {
-        text += fmt::format("  expected {:<23} {} ({} {:.4g}, seen {:.4g})\n", expectation.name,
+        text += fmt::format("  expected {:<23} {} ({} {:.4g}, measured {:.4g})\n", expectation.name,
                             expectation.met ? "met" : "NOT MET",
                             expectation.is_upper_bound ? "at most" : "at least", expectation.bound,
                             expectation.measured);
@@ -50,8 +51,8 @@
 
 std::string service_text(const Report& report) {
     return fmt::format(
-        "\n  goodput {:.3f}, worst class {:.3f}, worst second {:.3f}; attempts a try {:.3f}, most {}"
-        "; sat on {}; fell over {}\n",
+        "\n  goodput {:.3f}, worst class {:.3f}, worst second {:.3f}; attempts per client request {:.3f}, "
+        "max {}; delayed failures {}; overloaded cold servers {}\n",
         report.metrics.goodput, report.metrics.min_class_goodput, report.metrics.min_second_goodput,
         report.attempts_per_request, report.max_attempts, report.delayed_failures, report.overloaded_servers);
 }
@@ -59,7 +60,8 @@
 std::string surge_text(const SurgeReport& surge) {
     if (!surge.present) return "";
     return fmt::format(
-        "  rush: goodput {:.3f} once settled, {:.3f} of that in the worse of its first two seconds; "
+        "  load surge: goodput {:.3f} in its second half, {:.3f} of that in the worse of its first two "
+        "seconds; "
         "settled after {:.1f}s, recovered {:.1f}s after its end\n",
         surge.settled_goodput, surge.onset_ratio, surge.settling_time / 1000, surge.recovery_time / 1000);
 }
@@ -79,7 +81,8 @@
     Millis impaired = 0;
     for (const SidecarSpan& span : activity.impaired_spans) impaired += span.end - span.start;
     return fmt::format(
-        "  sidecars: {} lives of {}; {} times paused or starved, {:.1f}s in all; {} rules on links\n",
+        "  sidecars: {} processes of {} sidecars; paused or CPU-limited {} times, {:.1f}s in total; {} "
+        "faults on links\n",
         activity.process_spans.size(), report.sidecars, activity.impaired_spans.size(), impaired / 1000,
         activity.link_faults.size());
 }
@@ -92,8 +95,9 @@
     const std::string oversized =
         activity.oversized_messages > 0 ? fmt::format("; {} TOO LONG", activity.oversized_messages) : "";
     return fmt::format(
-        "  messages: {} sent, {} delivered; a sidecar {:.2f} and {:.0f} bytes a second; price {:.4f} of "
-        "goodput{}\n",
+        "  messages: {} sent, {} delivered; per sidecar {:.2f} messages and {:.0f} bytes per second; cost "
+        "{:.4f} "
+        "of goodput{}\n",
         activity.messages_sent, activity.messages_delivered,
         static_cast<double>(activity.messages_delivered) / sidecar_seconds,
         static_cast<double>(activity.message_bytes) / sidecar_seconds, activity.goodput_cost, oversized);
@@ -101,8 +105,8 @@
 
 std::string classes_text(const Report& report) {
     std::string text =
-        fmt::format("\n  {:<14}{:>8}{:>9}{:>7}{:>9}{:>8}{:>8}{:>8}{:>8}{:>8}\n", "class", "asked", "in aim",
-                    "late", "refused", "failed", "p50", "p90", "p99", "max ms");
+        fmt::format("\n  {:<14}{:>8}{:>9}{:>7}{:>9}{:>8}{:>8}{:>8}{:>8}{:>8}\n", "class", "total", "in time",
+                    "late", "rejected", "failed", "p50", "p90", "p99", "max ms");
     for (const ClassReport& row : report.metrics.classes) {
         text += fmt::format("  {:<14}{:>8}{:>9}{:>7}{:>9}{:>8}{:>8.0f}{:>8.0f}{:>8.0f}{:>8.0f}\n", row.name,
                             row.requested, row.within_objective, row.late, row.rejected, row.failed, row.p50,
@@ -114,7 +118,7 @@
 std::string timer_lateness_text(const TimerLateness& timer_lateness) {
     if (!timer_lateness.measured) return "";
     return fmt::format(
-        "\n  the emulator's own lateness: p99 {:.1f}ms, most {:.1f}ms, {:.2f}% over {:.0f}ms\n",
+        "\n  lateness of the emulator's timers: p99 {:.1f}ms, max {:.1f}ms, {:.2f}% over {:.0f}ms\n",
         timer_lateness.p99, timer_lateness.max, 100 * timer_lateness.late_share,
         TimerLateness::kLateThreshold);
 }
@@ -152,7 +156,7 @@
     add_row("goodput", a.metrics.goodput, b.metrics.goodput, 4);
     add_row("worst class", a.metrics.min_class_goodput, b.metrics.min_class_goodput, 4);
     add_row("worst second", a.metrics.min_second_goodput, b.metrics.min_second_goodput, 4);
-    add_row("attempts a try", a.attempts_per_request, b.attempts_per_request, 4);
+    add_row("attempts per request", a.attempts_per_request, b.attempts_per_request, 4);
     const std::size_t classes = std::min(a.metrics.classes.size(), b.metrics.classes.size());
     for (std::size_t i = 0; i < classes; ++i) {
         const ClassReport& class_a = a.metrics.classes[i];
--- a/src/simulation/scenario/fault_overlap.cpp
+++ b/src/simulation/scenario/fault_overlap.cpp
@@ -11,18 +11,18 @@
 
 using schema::Problems;
 
-/// When a fault holds on one process.
+/// Time span in which a fault is active on one process.
 struct ActiveSpan {
     Millis start = 0;
     Millis end = 0;
     const FaultSpec* fault = nullptr;
 };
 
-/// Faults of one group exclude each other on one process. Faults on a server that do not end its process are
-/// a group for each kind.
+/// Faults of one exclusion group must not overlap on one process. Faults on a server that do not end its
+/// process form one group for each kind.
 struct ExclusionGroup {
     enum class Type { ends_process, sidecar, same_kind } type = Type::same_kind;
-    std::string kind_name;  ///< Of same_kind.
+    std::string kind_name;  ///< Set for type same_kind only.
 
     bool operator<(const ExclusionGroup& other) const {
         return std::tie(type, kind_name) < std::tie(other.type, other.kind_name);
@@ -42,7 +42,8 @@
 }
 
 bool overlap(const ActiveSpan& a, const ActiveSpan& b, ExclusionGroup::Type type) {
-    // A sidecar that is restored at the moment of its next fault: their order would be arbitrary.
+    // Adjacent spans of a sidecar count as overlapping, because the order of the restoration and the next
+    // fault would be arbitrary.
     if (type == ExclusionGroup::Type::sidecar) return a.start <= b.end && b.start <= a.end;
     return a.start < b.end && b.start < a.end;
 }
@@ -51,18 +52,19 @@
 
 std::string conflict_text(const FaultSpec& fault, ExclusionGroup::Type type, std::uint32_t process) {
     if (type == ExclusionGroup::Type::ends_process) return server_name(process) + " can't end twice";
-    if (type == ExclusionGroup::Type::sidecar) return "n-" + std::to_string(process) + " is hit twice";
-    return "two of '" + fault.kind_name + "' overlap on " +
-           (has_no_targets(fault.kind) ? "it" : server_name(process));
+    if (type == ExclusionGroup::Type::sidecar)
+        return "n-" + std::to_string(process) + " has two faults at once";
+    return "two faults of kind '" + fault.kind_name + "' overlap on " +
+           (has_no_targets(fault.kind) ? "the same target" : server_name(process));
 }
 
 std::string span_text(const ActiveSpan& span) {
-    return "line " + std::to_string(span.fault->line) + " has it from " +
+    return "the fault in line " + std::to_string(span.fault->line) + " is active from " +
            std::to_string(static_cast<long>(span.start)) + "ms to " +
            std::to_string(static_cast<long>(span.end)) + "ms";
 }
 
-/// Takes faults in the order of the file and compares each with those before it.
+/// Compares each fault with the faults before it in the file.
 class OverlapValidator {
 public:
     OverlapValidator(const Scenario& scenario, Problems& problems)
@@ -71,7 +73,7 @@
     void validate() {
         for (const FaultSpec& fault : scenario_.faults) add_joins(fault);
         for (const FaultSpec& fault : scenario_.faults) {
-            // Rules of links may overlap.
+            // Faults on links may overlap.
             if (fault.kind == FaultKind::join || affects_links(fault.kind)) continue;
             if (fault.target_ids.empty()) add(fault, 0, 0);
             for (std::size_t nth = 0; nth < fault.target_ids.size(); ++nth) {
--- a/src/simulation/scenario/fault_targets.cpp
+++ b/src/simulation/scenario/fault_targets.cpp
@@ -17,10 +17,11 @@
 
 constexpr const char* kServerPrefix = "s-";
 constexpr const char* kSidecarPrefix = "n-";
-/// Keeps a share such as 25% of 12 from being rounded up to 4 by the error of its binary fraction.
+/// Tolerance that prevents a share such as 25% of 12 from being rounded up to 4 due to floating-point error.
 constexpr double kRoundingError = 1e-9;
 
-/// The number in a name such as "s-3"; nothing unless it is one of `count` processes with that prefix.
+/// Returns the number in a name such as "s-3", or nothing if the name is not that of one of `count` processes
+/// with the prefix.
 std::optional<std::uint32_t> process_number(const std::string& name, const std::string& prefix,
                                             std::uint64_t count) {
     if (!name.starts_with(prefix)) return {};
@@ -53,7 +54,7 @@
            process_number(name, kSidecarPrefix, scenario.sidecars.count);
 }
 
-/// The ends of links that `names` mean. Each of them is a text of one or more names.
+/// Returns the link ends that `names` denote. Each string contains one or more names, separated by spaces.
 std::vector<std::string> link_ends(const std::vector<std::string>& names, const Scenario& scenario,
                                    const std::string& key, std::uint32_t line, Problems& problems) {
     std::vector<std::string> ends;
@@ -65,7 +66,8 @@
             } else if (is_link_end(name, scenario)) {
                 ends.push_back(name);
             } else {
-                problems.push_back({line, key, "'" + name + "' is no sidecar, server or hall, nor 'list'"});
+                problems.push_back(
+                    {line, key, "'" + name + "' is not a sidecar, a server, a hall or 'list'"});
             }
         }
     }
@@ -81,7 +83,7 @@
     return text;
 }
 
-/// Draws ceil(share * count) different processes: the first steps of a Fisher-Yates shuffle.
+/// Draws ceil(share * count) different processes with the first steps of a Fisher-Yates shuffle.
 std::vector<std::uint32_t> draw_share(double share, std::uint32_t count, Random random) {
     std::vector<std::uint32_t> processes(count);
     std::iota(processes.begin(), processes.end(), 0U);
@@ -93,7 +95,7 @@
     return processes;
 }
 
-/// Resolves the entries of one fault's `who`.
+/// Resolves the entries of the key `who` of one fault.
 class TargetResolver {
 public:
     TargetResolver(const FaultSpec& fault, std::size_t index, const Scenario& scenario)
@@ -103,7 +105,7 @@
           count_(static_cast<std::uint32_t>(targets_sidecars(fault.kind) ? scenario.sidecars.count
                                                                          : scenario.fleet.servers)) {}
 
-    /// Adds the processes that `entry` means. False: it means none.
+    /// Adds the processes that `entry` denotes. Returns false if it denotes none.
     bool add(const std::string& entry) {
         const double share = entry.ends_with('%') ? schema::parse_share(entry).value_or(0) : 0;
         if (const auto number = process_number(entry, prefix_, count_)) {
@@ -127,7 +129,7 @@
     std::vector<std::uint32_t> targets() const { return {targets_.begin(), targets_.end()}; }
 
 private:
-    // By name, as two zones of a file may have the same one.
+    // Compares zones by name, because two zones of a file may have the same name.
     void add_zone(const std::string& name) {
         for (std::uint32_t i = 0; i < count_; ++i) {
             if (scenario_.fleet.zones[scenario_.zone_of(i)] == name) targets_.insert(i);
@@ -154,14 +156,14 @@
     fault.from = link_ends(fault.from, scenario, fault_key(index, "from"), fault.line, problems);
     fault.to = link_ends(fault.to, scenario, fault_key(index, "to"), fault.line, problems);
     if (fault.kind == FaultKind::partition && fault.groups.size() < 2) {
-        problems.push_back({fault.line, fault_key(index, "groups"), "takes two groups at least"});
+        problems.push_back({fault.line, fault_key(index, "groups"), "must have at least two groups"});
     }
     if (affects_messages(fault.kind)) {
         if (fault.from.empty()) fault.from = {"*"};
         if (fault.to.empty()) fault.to = {"*"};
     }
     if (fault.kind == FaultKind::one_way_partition && (fault.from.empty() || fault.to.empty())) {
-        problems.push_back({fault.line, fault_key(index), "needs from and to"});
+        problems.push_back({fault.line, fault_key(index), "must have both from and to"});
     }
 }
 
@@ -171,7 +173,7 @@
     for (const std::string& entry : fault.targets) {
         if (resolver.add(entry)) continue;
         problems.push_back({fault.line, fault_key(index, "who"),
-                            "'" + entry + "' names nobody; there are " + resolver.range() +
+                            "'" + entry + "' does not match any process; accepted: " + resolver.range() +
                                 R"(, a share such as "25%", "all", and the halls)"});
     }
     fault.target_ids = resolver.targets();
--- a/src/simulation/scenario/random_fault_schedule.cpp
+++ b/src/simulation/scenario/random_fault_schedule.cpp
@@ -11,19 +11,21 @@
 
 namespace {
 
-/// Faults on servers, the endpoint list and the load: half of the draws.
+/// Kinds of faults on servers, the endpoint list and the load. They are chosen in half of the draws.
 constexpr auto kServerFaults = std::to_array<const char*>(
     {"die", "vanish", "freeze", "fail-fast", "neighbour", "hollow", "drain", "load", "list-late"});
-/// Faults on sidecars and between them: the other half. Kinds that stand twice are drawn twice as often.
+/// Kinds of faults on sidecars and between them. They are chosen in the other half of the draws. Kinds that
+/// are listed twice are drawn twice as often.
 constexpr auto kSidecarFaults = std::to_array<const char*>(
     {"split", "one-way", "lossy", "late-messages", "sidecar-kill", "pause", "starve", "sidecar-restart",
      "other-settings", "pause", "split", "sidecar-kill"});
-/// Draws of one fault until one does not contradict those before it.
+/// Maximum draws of one fault until one does not contradict the faults before it.
 constexpr int kMaxDraws = 8;
-/// The file that problems would name.
+/// File name for problem messages.
 constexpr const char* kFileName = "storm";
 
-/// Draws one `[[fault]]`. The order of the draws is part of what a seed means.
+/// Draws one `[[fault]]` section. The order of the draws must not change, because it determines the schedule
+/// of a seed.
 class FaultWriter {
 public:
     FaultWriter(Random& random, const RandomFaultOptions& options) : random_(random), options_(options) {}
@@ -41,7 +43,7 @@
 private:
     bool is_kind(const char* kind) const { return kind_ == kind; }
 
-    /// Whole tenths of a second: they read well and are the same on every machine.
+    /// Draws a multiple of 100 ms: such values are short and are the same on every machine.
     std::string draw_duration(std::uint64_t min_tenths, std::uint64_t max_tenths) {
         return fmt::format("\"{}ms\"", 100 * (min_tenths + random_.below(max_tenths - min_tenths + 1)));
     }
@@ -63,7 +65,8 @@
         if (is_kind("split")) {
             write_partition();
         } else if (is_kind("one-way") || is_kind("lossy") || is_kind("late-messages")) {
-            // Receivers are drawn before senders, which is part of what a seed means.
+            // Receivers are drawn before senders. This order must not change, because it determines the
+            // schedule of a seed.
             const std::string to = draw_link_end();
             const std::string from = draw_link_end();
             text_ += fmt::format("from = [\"{}\"]\nto = [\"{}\"]\n", from, to);
@@ -112,7 +115,7 @@
     }
 }
 
-/// Appends a fault that goes together with those in the schedule. False: none was found.
+/// Appends a fault that does not contradict those in the schedule. Returns false if none was found.
 bool append_fault(Random& random, const RandomFaultOptions& options, RandomFaultSchedule& schedule) {
     for (int i = 0; i < kMaxDraws; ++i) {
         schedule.faults.push_back(FaultWriter(random, options).write());
@@ -133,7 +136,7 @@
 RandomFaultSchedule draw_random_faults(std::uint64_t seed, const RandomFaultOptions& options) {
     Random random = random_stream(seed, StreamPurpose::fault_schedule);
     RandomFaultSchedule schedule;
-    // Membership is on, so that there are messages for the faults on messages.
+    // Membership is enabled, so that the sidecars exchange messages that the faults can affect.
     schedule.settings_text = fmt::format(
         "about = \"storm {0}\"\nseed = {0}\nlength = \"{1}ms\"\n[fleet]\nservers = {2}\n[sidecars]\n"
         "count = {3}\ncluster = true\n[callers]\nrate = {4}\n",
--- a/src/simulation/scenario/random_fault_schedule.hpp
+++ b/src/simulation/scenario/random_fault_schedule.hpp
@@ -1,6 +1,7 @@
-/// \file
-/// Scenarios with random faults: many of every kind at once, drawn from a seed. One that violates an
-/// invariant is shrunk to the few faults that matter. The same text runs in virtual time and on sockets.
+/// @file
+/// Generates scenarios with random faults of all kinds from a seed, and shrinks a scenario that violates an
+/// invariant to the few faults that cause the violation. The same scenario text runs in virtual time and on
+/// sockets.
 #pragma once
 
 #include <functional>
@@ -11,28 +12,30 @@
 
 namespace elmbay::simulation {
 
-/// Size of the scenarios that draw_random_faults() makes.
+/// Size of the scenarios that draw_random_faults() generates.
 struct RandomFaultOptions {
     std::uint64_t sidecars = 4;
     std::uint64_t servers = 6;
-    std::uint64_t faults = 12;  ///< At most.
+    std::uint64_t faults = 12;  ///< Maximum; there are fewer if no further valid fault is found.
     Millis duration = 15000;
-    /// Operations a second, all sidecars together. By default half of the servers' capacity.
+    /// Operations per second through all sidecars together. The default is half of the servers' capacity.
     double request_rate = 150;
 };
 
-/// A scenario file in parts, so that faults can be left out.
+/// A scenario file split into parts, so that single faults can be removed.
 struct RandomFaultSchedule {
-    std::string settings_text;        ///< All but the faults.
-    std::vector<std::string> faults;  ///< A `[[fault]]` each.
-    /// The whole file.
+    std::string settings_text;        ///< Everything except the faults.
+    std::vector<std::string> faults;  ///< One `[[fault]]` section each.
+    /// Returns the text of the whole file.
     std::string text() const;
 };
 
-/// Draws a schedule that parse_scenario() accepts: the same for the same seed and options on every machine.
+/// Draws a schedule that parse_scenario() accepts. The same seed and options give the same schedule on every
+/// machine.
 RandomFaultSchedule draw_random_faults(std::uint64_t seed, const RandomFaultOptions& options);
 
-/// Leaves out as many faults as it can while `fails` remains true, which it must be for `schedule`.
+/// Removes as many faults as possible while `fails` returns true for the rest. `fails(schedule)` must be
+/// true.
 RandomFaultSchedule shrink_schedule(RandomFaultSchedule schedule,
                                     const std::function<bool(const RandomFaultSchedule&)>& fails);
 
--- a/src/simulation/scenario/scenario.cpp
+++ b/src/simulation/scenario/scenario.cpp
@@ -12,7 +12,7 @@
 
 using fault_proxy::Rule;
 
-/// What the operators charge for an attempt that leaves its zone.
+/// Cost that the operators charge for an attempt to another zone.
 constexpr double kCrossZoneCost = 0.02;
 
 std::vector<std::string> split_words(const std::string& text) {
@@ -42,11 +42,12 @@
         rule.jitter = fault.delay / 2;
     }
     rule.starts_at = fault.start;
-    rule.duration = fault.duration;  // 0: until the scenario ends, and while open connections finish
+    rule.duration = fault.duration;  // 0: until the scenario ends and open connections have finished
     return rule;
 }
 
-/// An intermittent fault as one rule for each time that it is active, so that it ends with the last of them.
+/// Adds one rule for each occurrence of an intermittent fault, so that the fault ends with its last
+/// occurrence.
 void add_intermittent_rules(const Rule& rule, const FaultSpec& fault, Millis scenario_duration,
                             std::vector<Rule>& rules) {
     const bool ends_with_scenario = fault.duration <= 0;
--- a/src/simulation/scenario/scenario_key.cpp
+++ b/src/simulation/scenario/scenario_key.cpp
@@ -18,18 +18,19 @@
     return parts;
 }
 
-/// A table with the value under "value".
+/// Returns a table that contains the parsed value under the key "value".
 toml::table parse_value(const std::string& value) {
     try {
         return toml::parse("value = " + value);
     } catch (const toml::parse_error&) {
         toml::table table;
-        table.insert("value", value);  // a text without its quotes, such as 2s
+        table.insert("value", value);  // a string without quotes, such as 2s
         return table;
     }
 }
 
-/// What `part` names in a table or a list. Null if there is no such thing.
+/// Returns the entry `part` of a table or list. Entries of lists count from 1. Null if there is no such
+/// entry.
 toml::node* child_of(toml::node& node, const std::string& part) {
     if (toml::table* const table = node.as_table()) return table->get(part);
     toml::array* const list = node.as_array();
@@ -40,21 +41,23 @@
     return list && is_number ? list->get(number - 1) : nullptr;
 }
 
-/// The table that holds the last part of the key.
+/// Returns the table that contains the last part of the key.
 toml::table& parent_of(toml::table& root, const std::vector<std::string>& parts, const std::string& key) {
     toml::node* node = &root;
     for (std::size_t i = 0; i + 1 < parts.size(); ++i) {
         toml::node* next = child_of(*node, parts[i]);
-        // A table that the file leaves out has its defaults, so it can be added. An entry of a list can't.
+        // A table that the file omits has its default values, so it can be added. A list entry has no
+        // defaults and can't be added.
         if (!next && node == &root) {
             root.insert(parts[i], toml::table{});
             next = child_of(root, parts[i]);
         }
-        if (!next) throw std::invalid_argument("'" + key + "' names nothing: there is no '" + parts[i] + "'");
+        if (!next)
+            throw std::invalid_argument("'" + key + "' does not exist: there is no '" + parts[i] + "'");
         node = next;
     }
     toml::table* const table = node->as_table();
-    if (!table || parts.empty()) throw std::invalid_argument("'" + key + "' names no key of the file");
+    if (!table || parts.empty()) throw std::invalid_argument("'" + key + "' is not a key of the file");
     return *table;
 }
 
--- a/src/simulation/scenario/scenario_parser.cpp
+++ b/src/simulation/scenario/scenario_parser.cpp
@@ -1,5 +1,5 @@
-/// \file
-/// From the text of a scenario file to a validated Scenario, and the manual of its keys.
+/// @file
+/// Parses and validates the text of a scenario file, and describes its keys.
 #include <utility>
 
 #include "schema/document.hpp"
@@ -60,7 +60,7 @@
 
 std::string scenario_manual() {
     const ScenarioSchema& keys = scenario_schema();
-    return "At the top:\n" + schema::manual(keys.overview) +       //
+    return "Top level:\n" + schema::manual(keys.overview) +        //
            "\n[fleet]\n" + schema::manual(keys.fleet) +            //
            "\n[registry]\n" + schema::manual(keys.registry) +      //
            "\n[callers]\n" + schema::manual(keys.clients) +        //
--- a/src/simulation/scenario/scenario_schema.hpp
+++ b/src/simulation/scenario/scenario_schema.hpp
@@ -1,5 +1,5 @@
-/// \file
-/// The keys of a scenario file. Each table of keys is checker, defaults and manual at once (src/schema).
+/// @file
+/// The keys of a scenario file. Each table of keys defines validation, defaults and manual (see src/schema).
 #pragma once
 
 #include <string>
@@ -24,12 +24,12 @@
     std::vector<schema::Key<ExpectationSpec>> expectations;
 };
 
-/// The one schema of this program.
+/// Returns the schema of scenario files.
 const ScenarioSchema& scenario_schema();
 
-/// The kind that a file calls `name`. The schema admits no other names.
+/// Returns the fault kind that `name` denotes in a scenario file. The schema accepts no other names.
 ///
-/// \throws std::out_of_range  for a name that is no kind's
+/// @throws std::out_of_range  if no kind has that name
 FaultKind fault_kind_named(const std::string& name);
 
 }  // namespace elmbay::simulation
--- a/src/simulation/scenario/scenario_validation.cpp
+++ b/src/simulation/scenario/scenario_validation.cpp
@@ -16,10 +16,10 @@
 
 using schema::Problems;
 
-/// Of faults on sidecars that end by themselves, where the file gives no duration.
+/// Duration of faults on sidecars that end by themselves, if the file does not specify one.
 constexpr Millis kDefaultSidecarFaultDuration = 1000;
 
-/// The operators' own classes, so that the shortest file is of use.
+/// The operators' own request classes, so that even an empty file is a usable scenario.
 std::vector<ClassSpec> default_classes() {
     ClassSpec listen{"listen", 0.52, "safe", 95};
     ClassSpec deposit{"deposit", 0.34, "unsafe", 60};
@@ -42,13 +42,13 @@
     double shares = 0;
     for (const ClassSpec& spec : scenario.classes) {
         const std::string key = "class." + spec.name;
-        if (!names.insert(spec.name).second) problems.push_back({0, key, "is there twice"});
+        if (!names.insert(spec.name).second) problems.push_back({0, key, "is defined twice"});
         if (spec.client_deadline < spec.latency_objective) {
-            problems.push_back({0, key + ".give_up", "is before its aim"});
+            problems.push_back({0, key + ".give_up", "is shorter than aim"});
         }
         shares += spec.share;
     }
-    if (shares <= 0) problems.push_back({0, "class.share", "adds up to nothing"});
+    if (shares <= 0) problems.push_back({0, "class.share", "must not be 0 for all classes"});
 }
 
 void validate_ranges(const Scenario& scenario, Problems& problems) {
@@ -60,11 +60,12 @@
     }
     const double operations = scenario.clients.rate * scenario.overview.duration / 1000;
     if (operations > kMaxOperations) {
-        problems.push_back({0, "callers.rate", "gives more than 20 million requests in all"});
+        problems.push_back(
+            {0, "callers.rate", "must give at most 20 million requests over the whole scenario"});
     }
 }
 
-/// Whether the fault comes and goes, so that its pulse has to fit into its period.
+/// Whether the fault recurs, so that its pulse must be shorter than its period.
 bool is_pulsed(const FaultSpec& fault) {
     const bool has_spikes = fault.kind == FaultKind::load_surge && fault.load_shape == "spikes";
     return fault.kind == FaultKind::freeze || fault.intermittent || has_spikes;
@@ -72,10 +73,10 @@
 
 void validate_replacement(const FaultSpec& fault, std::size_t index, Problems& problems) {
     if (fault.kind == FaultKind::sidecar_other_build && fault.build.empty()) {
-        problems.push_back({fault.line, fault_key(index, "build"), "is needed"});
+        problems.push_back({fault.line, fault_key(index, "build"), "is missing"});
     }
     if (fault.kind == FaultKind::sidecar_other_settings && fault.setting_overrides.empty()) {
-        problems.push_back({fault.line, fault_key(index, "set"), "is needed"});
+        problems.push_back({fault.line, fault_key(index, "set"), "is missing"});
     }
     for (const std::string& text : fault.setting_overrides) {
         try {
@@ -92,11 +93,11 @@
     fault.kind = fault_kind_named(fault.kind_name);
     if (fault.name.empty()) fault.name = fault.kind_name;
     if (fault.start >= scenario.overview.duration) {
-        problems.push_back({fault.line, fault_key(index, "at"), "is after the end"});
+        problems.push_back({fault.line, fault_key(index, "at"), "is after the end of the scenario"});
     }
     if (!fault.only_class.empty() && !class_names(scenario).contains(fault.only_class)) {
         problems.push_back(
-            {fault.line, fault_key(index, "only"), "'" + fault.only_class + "' is no class of this file"});
+            {fault.line, fault_key(index, "only"), "'" + fault.only_class + "' is not a class of this file"});
     }
     if (is_pulsed(fault) && fault.pulse >= fault.period) {
         problems.push_back({fault.line, fault_key(index, "pause"), "must be shorter than 'every'"});
@@ -115,7 +116,7 @@
     for (std::uint32_t server = 0; server < scenario.fleet.servers; ++server) {
         if (!scenario.joins_later(server)) return;
     }
-    problems.push_back({0, "fault.who", "no server is there at the start"});
+    problems.push_back({0, "fault.who", "at least one server must run at the start"});
 }
 
 }  // namespace
--- a/src/simulation/scenario/scenario_validation.hpp
+++ b/src/simulation/scenario/scenario_validation.hpp
@@ -1,15 +1,15 @@
-/// \file
-/// What the schema cannot check, as it depends on several keys or several tables of a scenario file.
+/// @file
+/// Validation of a scenario that the schema cannot express, because it involves several keys or tables.
 #pragma once
 
 #include "simulation/scenario/scenario.hpp"
 
 namespace elmbay::simulation {
 
-/// Fills in what a file may leave out (classes, names of faults, their targets) and appends every problem.
+/// Fills in values that a file may omit (classes, names of faults, their targets) and appends every problem.
 ///
-/// Expects values that the schema admits. Problems of combined faults are looked for only if there are no
-/// others.
+/// All values must already satisfy the schema. Contradictions between faults are checked only if there are no
+/// other problems.
 void complete_and_validate(Scenario& scenario, schema::Problems& problems);
 
 }  // namespace elmbay::simulation
--- a/src/simulation/scenario/setting_override.cpp
+++ b/src/simulation/scenario/setting_override.cpp
@@ -16,7 +16,7 @@
 
 using balancer::Settings;
 
-/// A setting that a fault may override, with the range of its value.
+/// A setting that a fault may override, with its accepted range.
 struct OverridableSetting {
     const char* name;
     void (*apply)(Settings&, double);
@@ -56,7 +56,7 @@
     std::optional<double> value = schema::parse_share(value_text);
     if (!value) value = schema::parse_duration(value_text);
     if (!value || *value < setting->min || *value > setting->max) {
-        throw std::invalid_argument("'" + text + "': the value can't be used");
+        throw std::invalid_argument("'" + text + "': the value is malformed or out of range");
     }
     setting->apply(settings, *value);
 }
--- a/src/simulation/scenario/setting_override.hpp
+++ b/src/simulation/scenario/setting_override.hpp
@@ -1,5 +1,5 @@
-/// \file
-/// Overrides of decision module settings, as the key `set` of a fault has them: "siblings=30".
+/// @file
+/// Overrides of decision module settings, in the format of the key `set` of a fault: "siblings=30".
 #pragma once
 
 #include <string>
@@ -8,10 +8,11 @@
 
 namespace elmbay::simulation {
 
-/// Changes `settings` as `text` ("NAME=VALUE") says. Values may be shares or durations with their unit.
+/// Applies the override `text` ("NAME=VALUE") to `settings`. A value may be a number, a share or a duration
+/// with its unit.
 ///
-/// \throws std::invalid_argument  for an unknown name, or a value that cannot be read or is out of range;
-///     settings are unchanged then
+/// @throws std::invalid_argument  if the name is unknown, or the value is malformed or out of range;
+///     `settings` is then unchanged
 void apply_setting_override(const std::string& text, balancer::Settings& settings);
 
 }  // namespace elmbay::simulation
--- a/src/simulation/scenario/timeline.cpp
+++ b/src/simulation/scenario/timeline.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// The steps of one fault on one of its targets.
+/// Builds the steps of one fault on one of its targets.
 class FaultSteps {
 public:
     FaultSteps(const Scenario& scenario, std::size_t fault_index, std::size_t nth_target)
@@ -33,7 +33,7 @@
 private:
     void add(Millis at, StepKind kind, double value = 0) { steps_.push_back({at, kind, target_, value}); }
 
-    /// `value` from start to end, then `value_after`.
+    /// Adds a step with `value` at the start and one with `value_after` at the end.
     void add_interval(StepKind kind, double value, double value_after) {
         add(start_, kind, value);
         add(end_, kind, value_after);
@@ -58,7 +58,7 @@
             case FaultKind::join:
                 return add(start_, StepKind::start);
             default:
-                return;  // not a change of one server: see build_notices(), load_multiple_at(), link_rules()
+                return;  // does not change a server: see build_notices(), load_multiple_at(), link_rules()
         }
     }
 
@@ -115,7 +115,7 @@
     std::vector<TimelineStep> steps_;
 };
 
-/// How much later than usual the registry learns of a change.
+/// Additional delay of the endpoint list at time `at`, due to list_delay faults.
 Millis list_delay_at(const Scenario& scenario, Millis at) {
     Millis delay = 0;
     for (const FaultSpec& fault : scenario.faults) {
@@ -219,7 +219,8 @@
 }
 
 Millis notice_skew(const Scenario& scenario, std::uint32_t sidecar) {
-    // The servers' streams have their numbers as keys: none has this one.
+    // Key of the sidecars' random streams. The servers' streams use server numbers as keys, none of which has
+    // this value.
     static constexpr std::uint64_t kSidecarStreams = ~0ULL;
     Random random =
         random_stream(scenario.overview.seed, StreamPurpose::notice_delay, kSidecarStreams, sidecar);
--- a/tests/simulation/command_test.cmake
+++ b/tests/simulation/command_test.cmake
@@ -45,7 +45,7 @@
 expect_contains("${out}" "fault.1.times = 6")
 expect_contains("${out}" "share of it")
 expect_exit(0 ${TOOL} compare ${WORK}/sweep.json ${WORK}/sweep.json --seeds 2)
-expect_contains("${out}" "chance (95%)")
+expect_contains("${out}" "+/- (95%)")
 expect_exit(2 ${TOOL} sweep rush-step --key fault.9.times --values 2)
 expect_contains("${err}" "fault.9.times")
 expect_exit(2 ${TOOL} sweep rush-step --key fault.1.times --values x --seeds 1)
--- a/tests/simulation/scenario_test.cpp
+++ b/tests/simulation/scenario_test.cpp
@@ -65,7 +65,7 @@
 TEST(Scenario, RejectsFaultsThatEndOneServerTwiceAtOnce) {
     const std::string crash = "[[fault]]\nkind = \"die\"\nat = \"2s\"\nlasts = \"5s\"\nwho = [\"s-1\"]\n";
     EXPECT_PROBLEM(crash + "[[fault]]\nkind = \"vanish\"\nat = \"6s\"\nwho = [\"s-1\"]\n",
-                   "f.toml:6: fault.at: s-1 can't end twice: line 1");
+                   "f.toml:6: fault.at: s-1 can't end twice: the fault in line 1");
     EXPECT_EQ(problems_of(crash + "[[fault]]\nkind = \"die\"\nat = \"7s\"\nwho = [\"s-1\"]\n"), "");
     // Faults of other kinds may overlap with a crash.
     EXPECT_EQ(problems_of(crash + "[[fault]]\nkind = \"freeze\"\nat = \"1s\"\nwho = [\"s-1\"]\n"), "");
@@ -78,12 +78,12 @@
 
 TEST(Scenario, RejectsFaultsWithoutValidTargetOrTime) {
     EXPECT_PROBLEM("[[fault]]\nkind = \"die\"\nat = \"1s\"\nwho = [\"s-99\"]\n",
-                   "'s-99' names nobody; there are s-0 to s-11");
+                   "'s-99' does not match any process; accepted: s-0 to s-11");
     EXPECT_PROBLEM("[[fault]]\nkind = \"die\"\nat = \"1s\"\nwho = []\n",
                    "must be a string or a non-empty list of strings");
     EXPECT_PROBLEM("[[fault]]\nkind = \"die\"\nat = \"99s\"\n", "is after the end");
     EXPECT_PROBLEM("[[fault]]\nkind = \"join\"\nat = \"1s\"\nwho = \"all\"\n",
-                   "no server is there at the start");
+                   "at least one server must run at the start");
     EXPECT_PROBLEM(
         "[[fault]]\nkind = \"join\"\nat = \"5s\"\nwho = \"s-1\"\n[[fault]]\nkind = \"die\"\nat = \"1s\"\nwho "
         "= \"s-1\"\n",
--- a/tests/simulation/sidecars_test.cpp
+++ b/tests/simulation/sidecars_test.cpp
@@ -116,7 +116,7 @@
     EXPECT_EQ(spans_of_1, (std::vector<std::string>{"elmbay, ended", "plain, ended", "elmbay"}));
     EXPECT_EQ(spans_of_2, (std::vector<std::string>{"elmbay, ended", "elmbay (other-settings)"}));
     EXPECT_EQ(json_of(report)["sidecars"]["lives"].size(), 9U);
-    EXPECT_NE(html_of(report).find("Sidecars that did not run through (2 of 2"), std::string::npos);
+    EXPECT_NE(html_of(report).find("Interrupted sidecars (2 of 2"), std::string::npos);
 }
 
 TEST(Sidecars, RejectsInvalidSidecarFaultsAndMessageSettings) {
--- a/tools/simulation/bundle.hpp
+++ b/tools/simulation/bundle.hpp
@@ -1,4 +1,4 @@
-/// \file
+/// @file
 /// The scenarios that are part of the program. CMake generates the definition from scenarios/*.toml.
 #pragma once
 
@@ -7,13 +7,13 @@
 
 namespace elmbay::simulation {
 
-/// A scenario file by its name, without ".toml".
+/// A scenario file, named without ".toml".
 struct BundledScenario {
     std::string name;
     std::string text;
 };
 
-/// All of them in order of their names.
+/// Returns all bundled scenarios in order of their names.
 const std::vector<BundledScenario>& bundled_scenarios();
 
 }  // namespace elmbay::simulation
--- a/tools/simulation/commands.cpp
+++ b/tools/simulation/commands.cpp
@@ -19,7 +19,7 @@
 
 int exit_code(bool passed) { return passed ? kExitPassed : kExitFailed; }
 
-/// Writes a report or a sweep to the files that were asked for.
+/// Writes a report or a sweep to the files that the options name.
 template <class Result>
 void write_files(const Result& result, const CommandOptions& options) {
     if (!options.json_path.empty()) write_file(options.json_path, json_of(result).dump(1) + "\n");
@@ -28,7 +28,8 @@
 
 int run(const CommandOptions& options) {
     if (options.on_sockets && options.balancer != "elmbay") {
-        throw UsageError("--balancer is for virtual time; with --real, --sidecar names the program");
+        throw UsageError(
+            "--balancer applies to virtual time only; with --real, use --sidecar to select the program");
     }
     const Scenario scenario = load_scenario(options.scenario, options.seed);
     const Report report =
@@ -53,7 +54,7 @@
 
 int check(const CommandOptions& options) {
     const Scenario scenario = load_scenario(options.checked_scenario, {});
-    std::cout << options.checked_scenario << ": sound: " << scenario.fleet.servers << " servers, "
+    std::cout << options.checked_scenario << ": valid: " << scenario.fleet.servers << " servers, "
               << scenario.sidecars.count << " sidecars, " << scenario.faults.size() << " faults in "
               << scenario.overview.duration / 1000 << "s\n";
     return kExitPassed;
@@ -89,7 +90,7 @@
                        [&](const PolicyDescription& policy) { return policy.name == name; });
 }
 
-/// The sweep that a file has, or one that is run with a policy.
+/// Reads the sweep from a file, or runs it with a policy.
 Sweep compared_sweep(const std::string& policy_or_file, const CommandOptions& options) {
     return is_report_file(policy_or_file) ? sweep_from_json(read_file(policy_or_file))
                                           : sweep_with(policy_or_file, options);
@@ -97,7 +98,7 @@
 
 int compare_sweeps(const CommandOptions& options) {
     if (options.on_sockets) {
-        throw UsageError("--seeds is for virtual time; sockets are compared run by run");
+        throw UsageError("compare: --seeds applies to virtual time only; --real compares single runs");
     }
     const Sweep a = compared_sweep(options.compared_a, options);
     const Sweep b = compared_sweep(options.compared_b, options);
@@ -111,13 +112,13 @@
 public:
     explicit ReportSource(const CommandOptions& options) : options_(options) {}
 
-    /// The report that a file has, or that of a run with a policy or a sidecar command.
+    /// Reads the report from a file, or runs the scenario with a policy or a sidecar command.
     Report report(const std::string& policy_or_file) {
         if (is_report_file(policy_or_file)) return report_from_json(read_file(policy_or_file));
         if (!options_.on_sockets && !is_policy(policy_or_file)) {
             throw UsageError("'" + policy_or_file +
                              "' is neither a balancer (`run --help` lists them) nor a .json report; "
-                             "with --real it would be a command");
+                             "with --real, it is a sidecar command");
         }
         if (!scenario_) scenario_ = load_scenario(options_.scenario, options_.seed);
         return options_.on_sockets ? run_on_sockets(*scenario_, policy_or_file, options_)
@@ -134,7 +135,8 @@
     const Report a = source.report(options.compared_a);
     const Report b = source.report(options.compared_b);
     if (a.scenario != b.scenario || a.seed != b.seed) {
-        throw UsageError("the two are not of one incident and seed: " + a.scenario + " and " + b.scenario);
+        throw UsageError("the two reports must have the same scenario and seed: " + a.scenario + " and " +
+                         b.scenario);
     }
     std::cout << comparison_of(a, b);
     return exit_code(a.passed() && b.passed());
--- a/tools/simulation/commands.hpp
+++ b/tools/simulation/commands.hpp
@@ -1,5 +1,5 @@
-/// \file
-/// What each subcommand of elmbay_simulation does.
+/// @file
+/// Execution of the subcommands of elmbay_simulation.
 #pragma once
 
 #include "command_line.hpp"
@@ -8,9 +8,9 @@
 
 /// Executes the command and prints its result on standard output. Returns the exit code.
 ///
-/// \throws UsageError, std::invalid_argument  for options that can't be used
-/// \throws ScenarioError  for a scenario that is not valid
-/// \throws std::exception  if the work failed
+/// @throws UsageError, std::invalid_argument  if the options are invalid
+/// @throws ScenarioError  if the scenario is invalid
+/// @throws std::exception  if the command fails for another reason
 int execute(const CommandOptions& options);
 
 }  // namespace elmbay::simulation
--- a/tools/simulation/files.cpp
+++ b/tools/simulation/files.cpp
@@ -14,8 +14,7 @@
     std::ostringstream text;
     text << file.rdbuf();
     if (!file) {
-        throw UsageError(path +
-                         ": can't be read; `elmbay_simulation list` names the incidents that come along");
+        throw UsageError(path + ": can't be read; `elmbay_simulation list` names the bundled scenarios");
     }
     return text.str();
 }
--- a/tools/simulation/files.hpp
+++ b/tools/simulation/files.hpp
@@ -1,5 +1,5 @@
-/// \file
-/// Reads scenarios, from files or from the program itself, and writes reports.
+/// @file
+/// Reads scenarios from files or from the program's bundle, and writes reports.
 #pragma once
 
 #include <cstdint>
@@ -10,27 +10,33 @@
 
 namespace elmbay::simulation {
 
-/// \throws UsageError  if the file can't be read
+/// Returns the content of a file.
+///
+/// @throws UsageError  if the file can't be read
 std::string read_file(const std::string& path);
-/// \throws std::runtime_error  if the file can't be written
+/// Writes `text` to a file.
+///
+/// @throws std::runtime_error  if the file can't be written
 void write_file(const std::string& path, const std::string& text);
 
-/// A scenario that has not been parsed.
+/// The unparsed text of a scenario.
 struct ScenarioSource {
     std::string text;
-    std::string file;  ///< Its name in error messages.
-    std::string name;  ///< Its name in reports.
+    std::string file;  ///< File name in error messages.
+    std::string name;  ///< Scenario name in reports.
 };
 
-/// \param name_or_path  a bundled scenario, or a file
-/// \throws UsageError  if it is neither
+/// Returns a bundled scenario or the content of a file.
+///
+/// @param name_or_path  name of a bundled scenario, or path of a file
+/// @throws UsageError  if there is no such scenario and no such file
 ScenarioSource find_scenario(const std::string& name_or_path);
 
 /// Finds and parses a scenario.
 ///
-/// \param seed  replaces the seed of the file
-/// \throws UsageError  if there is no such file
-/// \throws ScenarioError  if it is not a valid scenario
+/// @param seed  replaces the seed of the file
+/// @throws UsageError  if there is no such file
+/// @throws ScenarioError  if the scenario is invalid
 Scenario load_scenario(const std::string& name_or_path, std::optional<std::uint64_t> seed);
 
 }  // namespace elmbay::simulation
--- a/tools/simulation/main.cpp
+++ b/tools/simulation/main.cpp
@@ -1,4 +1,4 @@
-/// \file
+/// @file
 /// elmbay_simulation: runs a simulated service whose servers fail on a script, and checks the balancer in
 /// front of it.
 #include <iostream>
--- a/tools/simulation/runs.cpp
+++ b/tools/simulation/runs.cpp
@@ -17,7 +17,8 @@
     for (const auto& path : {folder / "elmbay", folder / "../../elmbay"}) {
         if (std::filesystem::exists(path)) return std::filesystem::canonical(path).string();
     }
-    throw UsageError("no elmbay was built beside this program; name one with --sidecar");
+    throw UsageError(
+        "the elmbay program was not found in the build folder of this program; name one with --sidecar");
 }
 
 }  // namespace
@@ -43,7 +44,7 @@
     for (const std::string& build : options.builds) {
         const std::size_t equals = build.find('=');
         const bool has_name = equals != std::string::npos && equals > 0;
-        if (!has_name) throw UsageError("--build '" + build + "' is not NAME=COMMAND");
+        if (!has_name) throw UsageError("--build '" + build + "' is not of the form NAME=COMMAND");
         run_options.build_commands[build.substr(0, equals)] = build.substr(equals + 1);
     }
     run_options.log_path = options.log_path;
--- a/tools/simulation/storm.cpp
+++ b/tools/simulation/storm.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 
-/// What all storms of one command have come to so far.
+/// Totals over all scenarios that one command has run so far.
 struct StormTotals {
     std::uint64_t storms = 0;
-    std::uint64_t untrusted = 0;
+    std::uint64_t unreliable = 0;
     std::uint64_t operations = 0;
     std::uint64_t faults = 0;
 };
@@ -28,7 +28,7 @@
                               : run_in_virtual_time(scenario, options.balancer, "", true);
 }
 
-/// Shrinks a schedule that violates an invariant, and writes it down.
+/// Shrinks a schedule that violates an invariant, and writes it to the file of `--out`.
 void write_shrunk(const RandomFaultSchedule& schedule, const CommandOptions& options) {
     const auto fails = [&](const RandomFaultSchedule& candidate) {
         const Report report = run_schedule(candidate, options);
@@ -37,16 +37,16 @@
     const RandomFaultSchedule smallest = shrink_schedule(schedule, fails);
     const std::string& path = options.failed_storm_path;
     write_file(path, smallest.text());
-    std::cout << "down to " << smallest.faults.size() << " faults of " << schedule.faults.size() << ", in "
+    std::cout << "shrunk to " << smallest.faults.size() << " faults of " << schedule.faults.size() << ", in "
               << path << "; `elmbay_simulation run " << path << (options.on_sockets ? " --real" : "")
-              << "` plays it again\n";
+              << "` runs it again\n";
 }
 
 void print_totals(const StormTotals& totals) {
     std::cout << totals.storms << " storms, " << totals.faults << " faults, " << totals.operations
-              << " requests: rules kept";
-    if (totals.untrusted > 0) {
-        std::cout << "; " << totals.untrusted << " not judged, as the emulator ran late";
+              << " operations: rules kept";
+    if (totals.unreliable > 0) {
+        std::cout << "; " << totals.unreliable << " not judged because the emulator's timers fired late";
     }
     std::cout << "\n";
 }
@@ -55,7 +55,8 @@
 
 bool run_storms(const CommandOptions& options) {
     if (options.on_sockets && options.balancer != "elmbay") {
-        throw UsageError("--balancer is for virtual time; with --real, --sidecar names the program");
+        throw UsageError(
+            "--balancer applies to virtual time only; with --real, use --sidecar to select the program");
     }
     StormTotals totals;
     const auto progress = progress_bar(options.quiet);
@@ -68,7 +69,7 @@
         totals.faults += schedule.faults.size();
         if (progress) progress(static_cast<double>(totals.storms) / static_cast<double>(options.sweep.seeds));
         if (!report.timer_lateness.is_acceptable()) {
-            ++totals.untrusted;
+            ++totals.unreliable;
             continue;
         }
         if (report.invariants_hold()) continue;
--- a/tools/simulation/storm.hpp
+++ b/tools/simulation/storm.hpp
@@ -1,15 +1,15 @@
-/// \file
-/// The subcommand `storm`: scenarios with random faults until one violates an invariant.
+/// @file
+/// The subcommand `storm`: runs scenarios with random faults until one violates an invariant.
 #pragma once
 
 #include "command_line.hpp"
 
 namespace elmbay::simulation {
 
-/// Runs a scenario for each seed. The first that violates an invariant is shrunk and written to a file.
-/// Prints what was found. Returns whether all invariants held.
+/// Runs a random scenario for each seed. Stops at the first scenario that violates an invariant, shrinks it
+/// and writes it to a file. Prints the result. Returns whether all invariants held.
 ///
-/// \throws UsageError  for options that contradict each other
+/// @throws UsageError  if options contradict each other
 bool run_storms(const CommandOptions& options);
 
 }  // namespace elmbay::simulation
--- a/tools/simulation/usage_error.hpp
+++ b/tools/simulation/usage_error.hpp
@@ -1,12 +1,12 @@
-/// \file
-/// The error of a person who uses the program: exit code 2.
+/// @file
+/// Error of a wrong use of the program, which gives exit code 2.
 #pragma once
 
 #include <stdexcept>
 
 namespace elmbay::simulation {
 
-/// Arguments that make no sense together, or name something that is not there.
+/// Arguments that contradict each other, or that name a file or scenario that does not exist.
 struct UsageError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
