--- a/src/simulation/checking/invariant_checker.cpp
+++ b/src/simulation/checking/invariant_checker.cpp
@@ -138,8 +138,8 @@
 
 void InvariantChecker::count_delayed_failure(Millis now, ClientRequestId id, const RequestRecord& request) {
     if (request.has_outstanding_attempt() || request.may_be_late) return;
-    const Millis prompt = class_of(id).latency_objective * kPromptFailureShare + slack_;
-    if (now - request.last_attempt_ended_at > prompt) ++delayed_failures_;
+    const Millis prompt_limit = class_of(id).latency_objective * kPromptFailureShare + slack_;
+    if (now - request.last_attempt_ended_at > prompt_limit) ++delayed_failures_;
 }
 
 void InvariantChecker::on_client_left(Millis now, ClientRequestId id) {
--- a/src/simulation/checking/sidecar_log.hpp
+++ b/src/simulation/checking/sidecar_log.hpp
@@ -37,8 +37,8 @@
 /// Record of the sidecars of one run.
 struct SidecarActivity {
     std::vector<SidecarSpan> process_spans;
-    std::vector<SidecarSpan>
-        impaired_spans;  ///< Spans in which a process was paused or had only part of a core.
+    /// Spans in which a process was paused or had only part of a core.
+    std::vector<SidecarSpan> impaired_spans;
     std::vector<LinkFaultReport> link_faults;
     std::vector<MessageSecond> message_seconds;
     std::uint64_t messages_sent = 0;
--- a/src/simulation/reports/sweep_html.cpp
+++ b/src/simulation/reports/sweep_html.cpp
@@ -67,7 +67,7 @@
 }
 
 /// Draws a dot for each run and a bar for the mean.
-std::string dots(const std::vector<double>& values, const ValueAxis& axis, double y, const char* colour) {
+std::string run_dots(const std::vector<double>& values, const ValueAxis& axis, double y, const char* colour) {
     std::string text;
     for (const double value : values) {
         text += fmt::format("<circle cx='{:.1f}' cy='{:.1f}' r='3.5' fill='{}' opacity='.45'/>",
@@ -90,10 +90,10 @@
         text += fmt::format("<text x='0' y='{:.1f}' class='label'>{}</text>", y + 4,
                             row.value.empty() ? sweep.balancer : row.value);
         for (const MetricSeries& oracle : row.oracle_metrics) {
-            if (oracle.name == metric) text += dots(oracle.values, axis, y, kOracleColour);
+            if (oracle.name == metric) text += run_dots(oracle.values, axis, y, kOracleColour);
         }
         if (const MetricSeries* const series = row.metric(metric)) {
-            text += dots(series->values, axis, y, kPolicyColour);
+            text += run_dots(series->values, axis, y, kPolicyColour);
         }
         y += kRowHeight;
     }
--- a/src/simulation/scenario/fault_targets.cpp
+++ b/src/simulation/scenario/fault_targets.cpp
@@ -74,7 +74,7 @@
     return ends;
 }
 
-std::string joined(const std::vector<std::string>& words) {
+std::string join_words(const std::vector<std::string>& words) {
     std::string text;
     for (const std::string& word : words) {
         if (!text.empty()) text += " ";
@@ -151,7 +151,7 @@
 
 void resolve_link_ends(FaultSpec& fault, std::size_t index, const Scenario& scenario, Problems& problems) {
     for (std::string& group : fault.groups) {
-        group = joined(link_ends({group}, scenario, fault_key(index, "groups"), fault.line, problems));
+        group = join_words(link_ends({group}, scenario, fault_key(index, "groups"), fault.line, problems));
     }
     fault.from = link_ends(fault.from, scenario, fault_key(index, "from"), fault.line, problems);
     fault.to = link_ends(fault.to, scenario, fault_key(index, "to"), fault.line, problems);
--- a/src/simulation/scenario/scenario_key.cpp
+++ b/src/simulation/scenario/scenario_key.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-std::vector<std::string> parts_of(const std::string& key) {
+std::vector<std::string> split_key(const std::string& key) {
     std::istringstream input(key);
     std::vector<std::string> parts;
     for (std::string part; std::getline(input, part, '.');) parts.push_back(part);
@@ -66,7 +66,7 @@
 std::string set_scenario_value(const std::string& text, const std::string& key, const std::string& value) {
     toml::table root = toml::parse(text);
     const toml::table parsed = parse_value(value);
-    const std::vector<std::string> parts = parts_of(key);
+    const std::vector<std::string> parts = split_key(key);
     parent_of(root, parts, key).insert_or_assign(parts.back(), *parsed.get("value"));
     std::ostringstream out;
     out << root;
--- a/src/simulation/scenario/scenario_limits.hpp
+++ b/src/simulation/scenario/scenario_limits.hpp
@@ -10,7 +10,7 @@
 constexpr double kMaxSidecars = 20000;
 constexpr double kMaxRate = 1e6;          ///< Operations per second.
 constexpr double kMaxDuration = 3600000;  ///< Milliseconds (one hour).
-/// Per run. All arrivals are drawn before the run and held in memory.
+/// Operations per run. All arrivals are drawn before the run and held in memory.
 constexpr double kMaxOperations = 2e7;
 constexpr std::size_t kMaxFaults = 1000;
 constexpr std::size_t kMaxClasses = 32;
