--- a/src/simulation/baselines/oracle_policy.cpp
+++ b/src/simulation/baselines/oracle_policy.cpp
@@ -13,15 +13,15 @@
 
 using balancer::EndpointState;
 
-/// The decision module's clock at the start of the simulation, as the virtual driver has it.
+/// Decision module time at the start of the simulation, as defined by the virtual driver.
 constexpr Millis kEpoch = 1e9;
-/// by_priority: share of the acceptable time that a class of no weight would get.
+/// by_priority: share of the acceptable time that a class of priority weight 0 would have.
 constexpr double kMinPriorityShare = 0.4;
-/// Attempts of one request.
+/// Maximum attempts of one request.
 constexpr std::uint32_t kMaxAttempts = 2;
-/// Of a server that cannot execute anything.
+/// Expected time on a server that cannot execute any request.
 constexpr Millis kUnavailable = 1e9;
-/// Keeps the priority weights a fraction of something where all are 0.
+/// Lower bound of the greatest priority weight, which prevents a division by 0 if all weights are 0.
 constexpr double kMinPriorityWeight = 1e-9;
 
 }  // namespace
@@ -59,7 +59,7 @@
     }
     request.mean_work = service_model_->mean_work(event.class_index);
     request.deadline = now_ + event.time_left;
-    place(event.id, request);
+    assign_server(event.id, request);
 }
 
 void OraclePolicy::on(const balancer::ClientDisconnected& event) {
@@ -84,13 +84,13 @@
     }
     const bool may_repeat = !request.may_have_run || request.is_idempotent();
     if (request.attempts < kMaxAttempts && now_ < request.deadline && may_repeat) {
-        place(event.id, request);
+        assign_server(event.id, request);
     } else {
-        answer_failure(event.id, request);
+        respond_with_failure(event.id, request);
     }
 }
 
-void OraclePolicy::place(balancer::RequestId id, Request& request) {
+void OraclePolicy::assign_server(balancer::RequestId id, Request& request) {
     balancer::ServerId best = 0;
     Millis best_time = acceptable_time(request);
     for (const auto& [server, state] : servers_) {
@@ -102,7 +102,7 @@
         }
     }
     if (best == 0) {
-        answer_failure(id, request);
+        respond_with_failure(id, request);
         return;
     }
     request.has_outstanding_attempt = true;
@@ -110,7 +110,7 @@
     actions_->push_back(balancer::StartAttempt{id, best, request.deadline});
 }
 
-void OraclePolicy::answer_failure(balancer::RequestId id, const Request& request) {
+void OraclePolicy::respond_with_failure(balancer::RequestId id, const Request& request) {
     if (request.may_have_run && !request.is_idempotent()) {
         actions_->push_back(balancer::Fail{id});
     } else {
--- a/src/simulation/checking/cold_server_load.cpp
+++ b/src/simulation/checking/cold_server_load.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Mean work of a request, over all classes by their share.
+/// Mean work of a request over all classes, weighted by their share.
 Millis mean_work(const Scenario& scenario) {
     double shares = 0;
     double work = 0;
@@ -33,7 +33,7 @@
 bool ColdServerLoad::is_mostly_from_notified_senders() const {
     Millis notified_work = 0;
     for (const Arrival& arrival : arrivals_) {
-        if (arrival.sender_knew_of_start) notified_work += arrival.work;
+        if (arrival.sender_notified_of_start) notified_work += arrival.work;
     }
     return notified_work * 3 >= work() * 2;
 }
--- a/tools/simulation/files.cpp
+++ b/tools/simulation/files.cpp
@@ -14,8 +14,7 @@
     std::ostringstream text;
     text << file.rdbuf();
     if (!file) {
-        throw UsageError(path +
-                         ": can't be read; `elmbay_simulation list` names the incidents that come along");
+        throw UsageError(path + ": can't be read; `elmbay_simulation list` names the bundled scenarios");
     }
     return text.str();
 }
@@ -28,7 +27,7 @@
 }
 
 ScenarioSource find_scenario(const std::string& name_or_path) {
-    for (const BundledScenario& scenario : bundled()) {
+    for (const BundledScenario& scenario : bundled_scenarios()) {
         if (scenario.name == name_or_path) return {scenario.text, scenario.name + ".toml", scenario.name};
     }
     return {read_file(name_or_path), name_or_path, std::filesystem::path(name_or_path).filename().string()};
