--- a/src/fault_proxy/script.hpp
+++ b/src/fault_proxy/script.hpp
@@ -79,7 +79,7 @@
 struct Script {
     static constexpr std::size_t kMaxRules = 1000;
     static constexpr std::size_t kMaxLinks =
-        20000;  ///< also the maximum number of members; limited by the ports of one host
+        20000;  ///< also the maximum number of members; what one host can run
 
     std::uint64_t seed = 1;
     std::string broadcast;  ///< broadcast address of the members; empty: a free port of 127.0.0.1
