--- a/src/balancer/server_table.hpp
+++ b/src/balancer/server_table.hpp
@@ -27,8 +27,8 @@
 
     /// Applies a list of any kind except ListKind::failed. The caller redraws the pool next.
     void apply(const ServerList& list, Millis now);
-    /// Removes a server that is not listed and has no attempt or session of this sidecar. `server` may then
-    /// be dangling.
+    /// Removes a server that is not listed and has no attempt or session of this sidecar. If it is removed,
+    /// the reference `server` dangles.
     void remove_if_unused(Server& server);
 
     /// Returns the server; nullptr if it is unknown or removed.
--- a/src/cluster/membership.hpp
+++ b/src/cluster/membership.hpp
@@ -193,7 +193,7 @@
     void suspect(Millis now, MemberId target, MemberId reporter);
     void start_final_probes(Millis now);
     void restart_unfinished_suspicions(Millis now);
-    void end_suspicion(Millis now, MemberId target);
+    void clear_suspicion(Millis now, MemberId target);
 
     // ---- time
     bool may_sync(Millis now) const;
--- a/src/cluster/membership_messages.cpp
+++ b/src/cluster/membership_messages.cpp
@@ -86,7 +86,7 @@
     }
     sender.last_datagram_at = now;
     last_datagram_at_ = now;
-    if (sender.state == MemberState::suspect) end_suspicion(now, message.from);
+    if (sender.state == MemberState::suspect) clear_suspicion(now, message.from);
     if (table_.self().state == MemberState::joining) {
         const Incarnation incarnation = table_.self().incarnation;
         set_state(now, setup_.self, incarnation, MemberState::alive,
--- a/src/cluster/membership_probing.cpp
+++ b/src/cluster/membership_probing.cpp
@@ -69,7 +69,7 @@
     if (helper) last_helpers_[target] = helper;
     failure_burst_.probe_succeeded();
     health_.improve();
-    if (table_[target].state == MemberState::suspect) end_suspicion(now, target);
+    if (table_[target].state == MemberState::suspect) clear_suspicion(now, target);
 }
 
 void Membership::on_probe_failed(Millis now, const Probe& probe) {
@@ -141,8 +141,9 @@
     }
 }
 
-// Ends the suspicion of a member whose datagram has arrived, regardless of the members that reported it.
-void Membership::end_suspicion(Millis now, MemberId target) {
+// Clears the suspicion of a member that has answered a probe or sent a datagram, regardless of the members
+// that reported it.
+void Membership::clear_suspicion(Millis now, MemberId target) {
     const Incarnation incarnation = table_[target].incarnation;
     set_state(now, target, incarnation, MemberState::alive, "answers");
 }
--- a/src/fault_proxy/datagram_net.cpp
+++ b/src/fault_proxy/datagram_net.cpp
@@ -132,13 +132,13 @@
         if (is_immediate) {
             forward(link, copy);
         } else {
-            delay(link, delivery, std::move(copy));
+            delay_delivery(link, delivery, std::move(copy));
         }
     }
     deliver_overtaken(link);
 }
 
-void DatagramNet::delay(const Link& link, const Rules::Delivery& delivery, std::string bytes) {
+void DatagramNet::delay_delivery(const Link& link, const Rules::Delivery& delivery, std::string bytes) {
     LinkState& state = links_[link];
     const bool may_be_overtaken = delivery.overtaken_by > 0;
     const auto datagram = std::make_shared<DelayedDatagram>();
--- a/src/fault_proxy/datagram_net.hpp
+++ b/src/fault_proxy/datagram_net.hpp
@@ -91,7 +91,7 @@
     void receive_datagrams(Member& member);
     void receive_broadcasts();
     void on_datagram(const udp::endpoint& sender, const Member& receiver, std::string_view bytes);
-    void delay(const Link& link, const Rules::Delivery& delivery, std::string bytes);
+    void delay_delivery(const Link& link, const Rules::Delivery& delivery, std::string bytes);
     void forward(const Link& link, std::string_view bytes);
     void deliver_overtaken(const Link& link);
 
--- a/src/fault_proxy/script.hpp
+++ b/src/fault_proxy/script.hpp
@@ -25,7 +25,7 @@
 
 namespace elmbay::fault_proxy {
 
-/// A rule in the form of the file. rule_keys() gives the key and the meaning of each field.
+/// A rule as written in the file. rule_keys() gives the key and the meaning of each field.
 struct RuleSpec {
     std::string name;
     std::string fault_type;
@@ -55,9 +55,9 @@
 /// @return the keys of a [[rule]] table.
 const std::vector<schema::Key<RuleSpec>>& rule_keys();
 
-/// Converts a rule from the form of the file.
-/// @param number   number of the rule, from 1; gives a rule without a name its name.
-/// @param problems receives a problem for each value that contradicts others.
+/// Converts a rule as written in the file.
+/// @param number   1-based number of the rule; an unnamed rule is named after it.
+/// @param problems receives one problem for each value that contradicts other values.
 Rule rule_of(const RuleSpec& spec, std::size_t number, std::uint32_t line, schema::Problems& problems);
 
 /// A [[link]] table: a link for streams.
--- a/src/fault_proxy/stream_filter.hpp
+++ b/src/fault_proxy/stream_filter.hpp
@@ -54,7 +54,7 @@
     bool has_ended() const { return has_ended_; }
 
 private:
-    // A rule that is triggered, and the offset at which it is.
+    // A triggered rule and the offset in the stream at which it is triggered.
     struct TriggeredRule {
         std::uint64_t offset;
         std::size_t rule;  // index into Rules::all()
--- a/src/fault_proxy/stream_link_connection.cpp
+++ b/src/fault_proxy/stream_link_connection.cpp
@@ -109,8 +109,8 @@
         } else {
             on_bytes(direction, now, {buffer.data(), size});
         }
-        // A rule may keep the end of one direction from the other side, which then waits as if the peer's
-        // host had failed. Once both sides have closed, the connection is closed.
+        // A rule may suppress the forwarding of a half-close or reset. The receiver then keeps waiting, as if
+        // the peer's host had failed. The proxy closes the connection once both sides have closed.
         if (direction.has_ended && opposite(direction).has_ended) return close(false);
     }
     deliver(direction);
--- a/src/fault_proxy/stream_link_connection.hpp
+++ b/src/fault_proxy/stream_link_connection.hpp
@@ -44,8 +44,8 @@
         TcpSocket source;
         SplicePipe pipe{};                        // its bytes precede `actions`
         std::deque<StreamAction> actions;         // in order of execution
-        std::size_t queued_action_bytes = 0;      // bytes that are not sent yet
-        std::size_t first_action_sent_bytes = 0;  // bytes of the first action that are sent
+        std::size_t queued_action_bytes = 0;      // bytes not sent yet
+        std::size_t first_action_sent_bytes = 0;  // bytes of the first action already sent
         bool is_reading = false;                  // waits until the source is readable
         bool is_writing = false;                  // waits until the receiver is writable
         bool has_ended = false;                   // whether the source has closed
--- a/src/net/client_connection_pool.cpp
+++ b/src/net/client_connection_pool.cpp
@@ -31,7 +31,7 @@
     list_containing(connection).erase(connection.list_position);
 }
 
-bool ClientConnectionPool::close_one(Millis now) {
+bool ClientConnectionPool::close_evictable_connection(Millis now) {
     std::size_t too_young_count = 0;
     for (const auto& connection : without_request_) {
         if (connection->is_evictable(now)) return close(*connection);
--- a/src/net/client_connection_pool.hpp
+++ b/src/net/client_connection_pool.hpp
@@ -11,10 +11,11 @@
 
 namespace elmbay {
 
-/// All open connections of a listener, in two lists: connections without a request so far in the order of
-/// their accept, and connections that have sent a request, the longest idle first.
+/// All open connections of a listener, in two lists: connections that have sent no request yet, in accept
+/// order, and connections that have sent a request, the longest idle first.
 ///
-/// Not thread-safe. Owned by Listener. The descriptors of SocketPurpose::clients bound its size.
+/// Not thread-safe. Owned by Listener. The descriptor limit of SocketPurpose::clients limits its
+/// size.
 class ClientConnectionPool {
 public:
     /// Idle time after which a connection that has sent a request may be evicted like one that has sent none.
@@ -37,7 +38,7 @@
     /// connections, a connection that has sent a request is evicted only after kMinUnusedIdleTime. So a flood
     /// of new connections does not evict the active clients.
     /// @return whether a connection was closed.
-    bool close_one(Millis now);
+    bool close_evictable_connection(Millis now);
 
     std::size_t size() const { return without_request_.size() + with_request_.size(); }
     /// @return a copy of the current connections, so that the caller may close some while iterating.
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -15,13 +15,13 @@
       handlers_(std::move(handlers)),
       acceptor_(io, listen, socket_budget, timers, clock,
                 {[this](asio::ip::tcp::socket socket) { add_connection(std::move(socket)); },
-                 [this] { connections_.close_one(clock_.now()); }}),
+                 [this] { connections_.close_evictable_connection(clock_.now()); }}),
       correlation_ids_(max_response_time),
       shutdown_(io, clock, timers, acceptor_, connections_),
       connection_context_{
           *this, clock, timers, byte_budget, handlers_, max_response_time, asio::buffer(discard_buffer_)} {
     socket_budget_.set_idle_closer(SocketPurpose::clients,
-                                   [this] { return connections_.close_one(clock_.now()); });
+                                   [this] { return connections_.close_evictable_connection(clock_.now()); });
     acceptor_.start();
 }
 
--- a/src/process_testbed/client_emulator.cpp
+++ b/src/process_testbed/client_emulator.cpp
@@ -139,9 +139,10 @@
         clients_->history_.on_client_disconnected(now(), id_);
         finish({});
     }
+    /// Records the result and ends the exchange. `outcome` is empty if the exchange ends without a response.
     void finish(std::optional<Outcome> outcome) {
-        const auto self =
-            shared_from_this();  // close() cancels timers that may hold the last other reference
+        // Keeps this object alive: close() cancels timers whose handlers may own the only other reference.
+        const auto self = shared_from_this();
         clients_->results_[id_] = {true, outcome};
         close();
     }
--- a/src/process_testbed/discovery_emulator.cpp
+++ b/src/process_testbed/discovery_emulator.cpp
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-/// One connection of the sidecar: polls of the whole list, or a watch.
+/// A connection from the sidecar. It carries polls of the whole list or a watch.
 class DiscoveryEmulator::Connection : public std::enable_shared_from_this<Connection> {
 public:
     Connection(DiscoveryEmulator& service, tcp::socket socket)
--- a/src/schema/schema.hpp
+++ b/src/schema/schema.hpp
@@ -31,7 +31,7 @@
     other,           ///< a rule of the code that reads the file, beyond the schema of a single key; see
                      ///< Problem::message
     unreadable,      ///< the file can't be opened or read
-    too_large,       ///< the file is larger than the code that reads it accepts
+    too_large,       ///< the file exceeds the reader's size limit
     malformed_toml,  ///< the text is not TOML
     unknown_key,     ///< a key or table that is not in the schema
     missing_key,     ///< a required key that the file does not contain
--- a/src/simulation/drivers/sockets/socket_run.cpp
+++ b/src/simulation/drivers/sockets/socket_run.cpp
@@ -94,7 +94,8 @@
           fault_context_(testbed_.io, scenario.overview.seed),
           datagram_net_(fault_context_, {loopback_address(run_number_, kBroadcastHost), 0}) {
         for (const FaultSpec& fault : scenario.faults)
-            if (fault.kind == FaultKind::sidecar_other_build && !options.build_commands.contains(fault.build))
+            if (fault.kind == FaultKind::sidecar_other_build &&
+                !options.command_by_build_name.contains(fault.build))
                 throw std::invalid_argument("a fault starts the build '" + fault.build +
                                             "': specify its command with --build " + fault.build +
                                             "=COMMAND");
@@ -528,7 +529,7 @@
             if (fault.build.empty())
                 build += " (" + fault.name + ")";
             else
-                build = fault.build, command = options_.build_commands.at(fault.build);
+                build = fault.build, command = options_.command_by_build_name.at(fault.build);
         }
         datagram_net_.set_listening(sidecar_name(number), true);
         sidecar.process->set_command(command);
--- a/src/simulation/drivers/sockets/socket_run.hpp
+++ b/src/simulation/drivers/sockets/socket_run.hpp
@@ -14,8 +14,9 @@
 
 struct SocketRunOptions {
     std::string sidecar_command;  ///< The command that starts a sidecar.
-    /// By name of a build, the command that starts it. Faults of kind other-build refer to these names.
-    std::map<std::string, std::string> build_commands;
+    /// The commands that start a sidecar of another build. Faults of kind other-build refer to the builds'
+    /// names.
+    std::map<std::string, std::string> command_by_build_name;
     std::string folder;    ///< For configurations and logs; empty: a temporary folder, removed at the end.
     std::string log_path;  ///< Receives one line per timeline step and operation; empty: no log.
     std::function<void(double)> progress{};  ///< Called about 100 times with the share of the time passed.
--- a/src/simulation/drivers/virtual/virtual_run.cpp
+++ b/src/simulation/drivers/virtual/virtual_run.cpp
@@ -66,7 +66,7 @@
 
 struct ScheduledEvent {
     Millis at = 0;
-    std::uint64_t number = 0;  // orders events of the same time
+    std::uint64_t number = 0;  // sequence number; orders events of the same time
     EventKind kind = EventKind::client_request;
     std::uint32_t target = 0;  // number of a sidecar or server
     std::uint64_t subject = 0;
--- a/src/simulation/drivers/virtual/virtual_run.hpp
+++ b/src/simulation/drivers/virtual/virtual_run.hpp
@@ -1,9 +1,9 @@
 /// \file
-/// Runs a scenario in virtual time: decision modules with the models of clients, servers and links, without
-/// sockets, as fast as the machine allows.
+/// Runs a scenario in virtual time: real decision modules against models of clients, servers and links,
+/// without sockets, as fast as the machine allows.
 ///
-/// The run has one thread and one queue of events, ordered by time and then by number. The same scenario,
-/// seed and balancer give the same event log byte for byte.
+/// The run has one thread and one queue of events, ordered by time and then by sequence number. The same
+/// scenario, seed and balancer give the same event log byte for byte.
 #pragma once
 
 #include <functional>
--- a/src/simulation/scenario/random_fault_schedule.cpp
+++ b/src/simulation/scenario/random_fault_schedule.cpp
@@ -43,7 +43,7 @@
 private:
     bool is_kind(const char* kind) const { return kind_ == kind; }
 
-    /// Draws a multiple of 100 ms: such values are short and are the same on every machine.
+    /// Draws a multiple of 100 ms: such values are short when printed and the same on every machine.
     std::string draw_duration(std::uint64_t min_tenths, std::uint64_t max_tenths) {
         return fmt::format("\"{}ms\"", 100 * (min_tenths + random_.below(max_tenths - min_tenths + 1)));
     }
--- a/src/simulator/host.hpp
+++ b/src/simulator/host.hpp
@@ -18,7 +18,7 @@
 
 namespace elmbay::balancer::wire {
 
-/// Maximum number of server lists that the simulator defines at a time. They are numbered from 0.
+/// Maximum number of server lists that can be defined at the same time. They are numbered from 0.
 constexpr std::size_t kMaxCatalogs = 16;
 
 /// One server of a server list, with the names of the wire protocol.
--- a/tests/balancer/slow_start_budget_test.cpp
+++ b/tests/balancer/slow_start_budget_test.cpp
@@ -26,7 +26,8 @@
 // to be meaningful.
 constexpr double kMinCapacityToCount = 60;
 
-// Returns an upper bound of a random number of requests with the given mean.
+// Returns the mean number of requests plus the tolerance for random variation described at the head of this
+// file.
 double upper_confidence_bound(double mean) {
     const double roots = mean < 30 ? 3 : 2;
     return mean + roots * std::sqrt(mean) + roots;
--- a/tests/end_to_end/wall_clock_step_test.cpp
+++ b/tests/end_to_end/wall_clock_step_test.cpp
@@ -119,8 +119,8 @@
     EXPECT_LT(fixture.share_of_starting_server(), kMaxColdShare);
 }
 
-// The sidecar starts with a wrong clock. The clock is corrected before a server starts, and stepped again
-// while that server is in slow start and a change of the list repeats its entry.
+// The sidecar starts with a wrong clock, which is corrected before a server starts. During that server's slow
+// start the sidecar's clock is stepped again, and an update of the list repeats the server's entry.
 TEST_P(WallClockStep, OfSidecarWhileRunningKeepsServerInSlowStart) {
     WallClockFixture fixture;
     fixture.clock_offset = GetParam();
--- a/tests/fault_proxy/datagram_test.cpp
+++ b/tests/fault_proxy/datagram_test.cpp
@@ -107,7 +107,8 @@
 
 TEST(FaultProxy, DeliversDatagramsAndConnectionsAccordingToPartitionRules) {
     NetFixture fixture;
-    // Members 0 to 4 and 5 to 9 are two halves, 10 is in both, and 11 is in neither.
+    // Members 0 to 4 and members 5 to 9 are separated from each other. Member 10 is in both groups and member
+    // 11 is in neither, so the partition affects neither of these two.
     const auto half = [](int member) { return member < 5 ? 1 : member < 10 ? 2 : 0; };
     struct Stage {
         const char* name;
--- a/tests/net/message_size_limit_test.cpp
+++ b/tests/net/message_size_limit_test.cpp
@@ -70,8 +70,8 @@
     ASSERT_TRUE(fixture.until([&] { return server.request_count() == 3; }))
         << "the budget must be free again";
 
-    // The request and its response together exceed the budget. The response is sent on both connections, of
-    // which only one has a request in flight.
+    // The request and its response together exceed the budget. The server sends the response on both
+    // connections. Only one has a request in flight; on the other one the response is unsolicited.
     for (const auto& peer : server.connections) peer->respond("200 OK", std::string(100000, 'a'));
     ASSERT_TRUE(fixture.until([&] { return first->received.find("502") != std::string::npos; }));
 }
--- a/tests/process_testbed/faults_test.cpp
+++ b/tests/process_testbed/faults_test.cpp
@@ -208,8 +208,9 @@
     ASSERT_TRUE(testbed.run_until_idle()) << testbed.describe_failure();
 }
 
-// A sidecar starts from a snapshot that is older than its last run. The snapshot ejects a server that failed
-// at that time but is healthy now. The server must return, and no request may lose its outcome.
+// A sidecar starts from a snapshot that was written before the sidecar's last run. The snapshot records a
+// server as ejected that failed at that time but is healthy now. The server must receive requests again, and
+// no request may remain without an outcome.
 TEST(ProcessTestbed, RestoresAServerThatAnOlderSnapshotHasEjected) {
     namespace fs = std::filesystem;
     std::string folder = (fs::temp_directory_path() / "elmbay-snapshot-XXXXXX").string();
--- a/tests/simulation/socket_run_test.cpp
+++ b/tests/simulation/socket_run_test.cpp
@@ -186,7 +186,7 @@
     options.sidecar_command = ELMBAY_PROGRAM;
     EXPECT_THROW(run_socket_simulation(scenario, options), std::invalid_argument)
         << "the build 'other' has no command";
-    options.build_commands["other"] = std::string("env RELAY_OTHER=1 ") + ELMBAY_PROGRAM;
+    options.command_by_build_name["other"] = std::string("env RELAY_OTHER=1 ") + ELMBAY_PROGRAM;
     const Report report = run_socket_simulation(scenario, options);
     EXPECT_TRUE(report.notes.empty()) << text_of(report);
     EXPECT_GT(served_count(report), report.operations / 2) << text_of(report);
--- a/tools/chaos/main.cpp
+++ b/tools/chaos/main.cpp
@@ -66,8 +66,8 @@
     Arguments arguments = default_arguments();
     Options& testbed = arguments.testbed;
     CLI::App app{
-        "Starts sidecars, injects faults on the links to servers, discovery and each other as drawn from a "
-        "seed,\n"
+        "Starts sidecars, injects faults drawn from a seed on the links to servers, to discovery and between "
+        "sidecars,\n"
         "and checks the invariants. A schedule that fails is shrunk and written to the file of --out."};
     app.add_option("--sidecar", testbed.program, "command that starts a sidecar")->capture_default_str();
     app.add_option("--sidecars", testbed.sidecars)->check(CLI::Range(2, 300))->capture_default_str();
--- a/tools/simulation/command_line.cpp
+++ b/tools/simulation/command_line.cpp
@@ -54,8 +54,9 @@
                     "folder in which the sidecars' configurations and logs are kept")
         ->needs(on_sockets);
     command
-        .add_option("--build", options.builds,
-                    "NAME=COMMAND: command that a fault of kind other-build starts for build NAME")
+        .add_option(
+            "--build", options.builds,
+            "NAME=COMMAND: command that starts a sidecar of build NAME, for faults of kind other-build")
         ->needs(on_sockets);
     command.add_option("--seed", options.seed, "seed that replaces the seed of the file");
     command.add_option("--json", options.json_path, "write the report as JSON to this file");
@@ -102,9 +103,7 @@
     CLI::Option* const on_sockets =
         command.add_flag("--real", options.on_sockets, "run real sidecars on sockets in real time");
     command.add_option("--sidecar", options.sidecar, "command that starts a sidecar")->needs(on_sockets);
-    command
-        .add_option("--out", options.failed_storm_path,
-                    "file for the shrunk scenario that violates an invariant")
+    command.add_option("--out", options.failed_storm_path, "output file for the minimized failing scenario")
         ->capture_default_str();
     add_quiet(command, options);
     add_seeds(command, options);
--- a/tools/simulation/runs.cpp
+++ b/tools/simulation/runs.cpp
@@ -45,7 +45,7 @@
         const std::size_t equals = build.find('=');
         const bool has_name = equals != std::string::npos && equals > 0;
         if (!has_name) throw UsageError("--build '" + build + "' is not of the form NAME=COMMAND");
-        run_options.build_commands[build.substr(0, equals)] = build.substr(equals + 1);
+        run_options.command_by_build_name[build.substr(0, equals)] = build.substr(equals + 1);
     }
     run_options.log_path = options.log_path;
     run_options.progress = progress_bar(options.quiet);
