--- a/src/simulation/drivers/sockets/client_emulator.hpp
+++ b/src/simulation/drivers/sockets/client_emulator.hpp
@@ -1,4 +1,4 @@
-/// \file
+/// @file
 /// Emulates the clients of one sidecar: "The application to its sidecar" of PROTOCOL, on keep-alive
 /// connections.
 #pragma once
--- a/src/simulation/drivers/sockets/discovery_emulator.hpp
+++ b/src/simulation/drivers/sockets/discovery_emulator.hpp
@@ -1,4 +1,4 @@
-/// \file
+/// @file
 /// Emulates the discovery service: list and watch, "Discovery" of PROTOCOL. Each sidecar has an emulator with
 /// an address of its own, so that each gets endpoint notices at a time of its own.
 #pragma once
@@ -24,8 +24,8 @@
 };
 /// Returns an endpoint list in the format of the discovery service.
 ///
-/// \param revision  revision number of the list
-/// \param complete  whether the list is a complete one, without the removed endpoints, or an increment
+/// @param revision  revision number of the list
+/// @param complete  whether the list is a complete one, without the removed endpoints, or an increment
 nlohmann::json endpoint_list_json(const std::vector<RegistryEntry>& entries, std::uint64_t revision,
                                   bool complete, const LoopbackTestbed& testbed);
 
--- a/src/simulation/drivers/sockets/loopback_testbed.hpp
+++ b/src/simulation/drivers/sockets/loopback_testbed.hpp
@@ -1,4 +1,4 @@
-/// \file
+/// @file
 /// What all parts of a run on sockets share: the event loop, the time since the start of the run, and the
 /// measurement of how late the loop is.
 #pragma once
--- a/src/simulation/drivers/sockets/server_emulator.hpp
+++ b/src/simulation/drivers/sockets/server_emulator.hpp
@@ -1,4 +1,4 @@
-/// \file
+/// @file
 /// Emulates one server on a loopback socket: "Sidecars to servers" of PROTOCOL. It only connects a
 /// ServerModel to sockets; the model decides what happens to requests.
 #pragma once
--- a/src/simulation/drivers/sockets/socket_run.hpp
+++ b/src/simulation/drivers/sockets/socket_run.hpp
@@ -1,4 +1,4 @@
-/// \file
+/// @file
 /// Runs a scenario in real time: emulated servers, discovery and clients on loopback sockets, with real
 /// sidecar processes between them. The run has one thread and one event loop, and measures the lateness of
 /// its timers.
--- a/src/simulation/drivers/virtual/virtual_run.hpp
+++ b/src/simulation/drivers/virtual/virtual_run.hpp
@@ -1,4 +1,4 @@
-/// \file
+/// @file
 /// Runs a scenario in virtual time: real decision modules against models of clients, servers and links,
 /// without sockets, as fast as the machine allows.
 ///
--- a/src/simulation/models/client_model.hpp
+++ b/src/simulation/models/client_model.hpp
@@ -1,4 +1,4 @@
-/// \file
+/// @file
 /// The model of the clients: which requests they send, when, and how they react to responses. It does no I/O
 /// and reads no clock.
 ///
@@ -59,7 +59,7 @@
     /// over. A non-idempotent request is retried only after a rejection, because only then is it certain that
     /// it did not run.
     ///
-    /// \param retry_after  the delay that the response specifies; 0: none
+    /// @param retry_after  the delay that the response specifies; 0: none
     std::optional<ClientRequest> next_request(Millis now, const ClientRequest& last, ResponseKind response,
                                               Millis retry_after) const;
 
--- a/src/simulation/models/membership_agent.hpp
+++ b/src/simulation/models/membership_agent.hpp
@@ -1,4 +1,4 @@
-/// \file
+/// @file
 /// Runs the membership protocol of the program (cluster/membership.hpp) in virtual time. On sockets
 /// cluster::Driver does the same.
 #pragma once
@@ -12,10 +12,10 @@
 /// thread-safe.
 class ClusterMembershipAgent : public MembershipAgent {
 public:
-    /// \param self       the sidecar's number in the scenario
-    /// \param seed       seed of its random choices
-    /// \param now        time of the simulation in milliseconds
-    /// \param unix_time  Unix milliseconds at time 0 of the simulation
+    /// @param self       the sidecar's number in the scenario
+    /// @param seed       seed of its random choices
+    /// @param now        time of the simulation in milliseconds
+    /// @param unix_time  Unix milliseconds at time 0 of the simulation
     ClusterMembershipAgent(const Scenario& scenario, std::uint32_t self, std::uint64_t seed, Millis now,
                            Millis unix_time);
     void start(Millis now, std::vector<OutgoingMessage>& messages) override;
--- a/src/simulation/models/message_network.hpp
+++ b/src/simulation/models/message_network.hpp
@@ -1,4 +1,4 @@
-/// \file
+/// @file
 /// Messages between sidecars in virtual time: the datagrams of "Between sidecars" in PROTOCOL, with the
 /// delays, losses and faults of the scenario. Each sidecar sends and receives them through a MembershipAgent.
 #pragma once
--- a/src/simulation/models/random_streams.hpp
+++ b/src/simulation/models/random_streams.hpp
@@ -1,4 +1,4 @@
-/// \file
+/// @file
 /// Random numbers of simulations. Each draw is keyed by its purpose and not by the order of draws, so that
 /// the same scenario and seed give a request the same work whatever happened before.
 #pragma once
--- a/src/simulation/models/server_model.hpp
+++ b/src/simulation/models/server_model.hpp
@@ -1,4 +1,4 @@
-/// \file
+/// @file
 /// The model of one server. It does no I/O and reads no clock: the caller passes `now` in milliseconds, which
 /// never decreases, and calls advance() at next_event_at().
 ///
@@ -31,19 +31,19 @@
 
 class ServerModel {
 public:
-    /// \param running  whether the process is up, and warm, at time 0
+    /// @param running  whether the process is up, and warm, at time 0
     ServerModel(const FleetSpec& spec, double speed, bool running);
 
-    /// \name Requests
+    /// @name Requests
     /// Each function that has a parameter `departures` appends those that happened up to `now`, in order.
-    /// \{
+    /// @{
     using Departures = std::vector<Departure>;
 
     /// A request has arrived in full. A rejected or failed request departs at once, or when the freeze ends
     /// if the server is frozen. A request to a process that does not run departs at once as reset. A server
     /// that is cut off gives no departure.
     ///
-    /// \param fails  whether the server fails this request because of a fault of its own
+    /// @param fails  whether the server fails this request because of a fault of its own
     void add_request(Millis now, ServerRequestId id, Millis work, bool fails, Departures& departures);
     /// The sidecar no longer waits for the request. A queued request is dropped if the fleet is configured
     /// so; an executing one continues and gives no departure.
@@ -51,10 +51,10 @@
     void advance(Millis now, Departures& departures);
     /// When advance() is due; infinity: not before another call.
     Millis next_event_at() const;
-    /// \}
+    /// @}
 
-    /// \name Connections
-    /// \{
+    /// @name Connections
+    /// @{
 
     /// Returns whether the server accepts the connection; false if the process does not run or its connection
     /// table is full.
@@ -62,12 +62,12 @@
     void disconnect(Millis now, Departures& departures);
     /// Whether a new connection is accepted or refused at all; a machine that is cut off does neither.
     bool is_reachable() const { return !cut_off_; }
-    /// \}
+    /// @}
 
-    /// \name Faults
-    /// \{
+    /// @name Faults
+    /// @{
     void freeze(Millis now, Millis until, Departures& departures);
-    /// \param share  share of the machine that other processes take
+    /// @param share  share of the machine that other processes take
     void set_neighbour_share(Millis now, double share, Departures& departures);
     /// An unresponsive server accepts requests and completes none.
     void set_unresponsive(Millis now, bool unresponsive, Departures& departures);
@@ -76,10 +76,10 @@
     /// The machine becomes unreachable. Its requests are lost without departures.
     void cut_off(Millis now, Departures& departures);
     void start(Millis now, Departures& departures);
-    /// \}
+    /// @}
 
-    /// \name State
-    /// \{
+    /// @name State
+    /// @{
     bool is_running() const { return is_up_; }
     bool is_frozen(Millis now) const { return now < frozen_until_; }
     Millis started_at() const { return started_at_; }
@@ -92,7 +92,7 @@
     double capacity(Millis now) const;
     bool is_cold(Millis now) const { return warm_share(now) < 1; }
     double work_done() const { return work_done_; }
-    /// \}
+    /// @}
 
 private:
     struct Request {
--- a/src/simulation/models/service_model.hpp
+++ b/src/simulation/models/service_model.hpp
@@ -1,4 +1,4 @@
-/// \file
+/// @file
 /// The model of the service: all servers of a scenario with their faults, and the idempotency keys that they
 /// share. It does no I/O and reads no clock.
 #pragma once
