--- a/src/cluster/membership_updates.cpp
+++ b/src/cluster/membership_updates.cpp
@@ -121,8 +121,7 @@
 // ---- refutation ----------------------------------------------------------------------------------------
 
 // Refutes a wrong update on this member with a later incarnation. If the update comes from another process
-// with the same id, that process may have ended already. Only a
-// refutation in turn shows that it still runs.
+// with the same id, that process may have ended already. Only a refutation in turn shows that it still runs.
 void Membership::on_update_about_self(Millis now, const Update& update) {
     const Incarnation own = table_.self().incarnation;
     const bool matches_own_state = update.incarnation == own && update.state <= MemberState::alive;
--- a/src/net/client_connection_pool.hpp
+++ b/src/net/client_connection_pool.hpp
@@ -14,8 +14,7 @@
 /// All open connections of a listener, in two lists: connections that have sent no request yet, in accept
 /// order, and connections that have sent a request, the longest idle first.
 ///
-/// Not thread-safe. Owned by Listener. The descriptor limit of SocketPurpose::clients limits its
-/// size.
+/// Not thread-safe. Owned by Listener. The limit of SocketPurpose::clients bounds its size.
 class ClientConnectionPool {
 public:
     /// Idle time after which a connection that has sent a request may be evicted like one that has sent none.
--- a/src/simulation/drivers/virtual/virtual_run.hpp
+++ b/src/simulation/drivers/virtual/virtual_run.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Runs a scenario in virtual time: real decision modules against models of clients, servers and links,
+/// Runs a scenario in virtual time: decision modules against models of clients, servers and links,
 /// without sockets, as fast as the machine allows.
 ///
 /// The run has one thread and one queue of events, ordered by time and then by sequence number. The same
